--- a/kestrelspar/lab/model.py
+++ b/kestrelspar/lab/model.py
@@ -202,8 +202,8 @@
             node.life,
             [KEY],
             seeds,
-            Terms(len(self.nodes), node.number, **self.terms),
-            self.bytes_a_second,  # type: ignore[arg-type]
+            Terms(len(self.nodes), node.number, **self.terms),  # type: ignore[arg-type]
+            self.bytes_a_second,
             self.period,
             step=self.step,
             **(
