--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,6 +12,7 @@
 ROOT = Path(__file__).parent.parent
 TESTS = "def test_good(): pass\ndef test_bad(): assert 0\ndef test_bad_2(): assert 0\n"
 BAD, BAD_2 = "test_it.py::test_bad | the cause | issue 9\n", "test_it.py::test_bad_2 | the other | issue 9\n"
+GOOD, NOW_AND_THEN = "test_it.py::test_good | none | issue 9", " | intermittent: 2 of 5\n"
 
 
 @pytest.mark.parametrize(
@@ -24,6 +25,21 @@
         (BAD + BAD_2 + "test_it.py::test_gone | none | issue 9\n", 4, "no such test: test_it.py::test_gone"),
         (BAD + BAD_2 + "a | b | c\nd | e | f\n", 4, "4 tests, 3 at most"),
         (BAD + "test_it.py::test_bad_2\n", 4, "KNOWN-RED.txt:2: 'test_it.py::test_bad_2' is not TEST | CAUSE | ISSUE"),
+        (
+            BAD + BAD_2.rstrip() + NOW_AND_THEN,
+            0,
+            "KNOWN RED: test_it.py::test_bad_2: the other (issue 9; intermittent: 2 of 5)",
+        ),
+        (
+            BAD + BAD_2 + GOOD + NOW_AND_THEN,
+            0,
+            "KNOWN RED: test_it.py::test_good: none (issue 9; intermittent: 2 of 5)",
+        ),
+        (BAD + GOOD + NOW_AND_THEN, 1, "1 failed"),
+        (BAD + GOOD + " | intermittent: 5 of 5", 4, "KNOWN-RED.txt:2: "),
+        (BAD + GOOD + " | intermittent: 0 of 5", 4, "KNOWN-RED.txt:2: "),
+        (BAD + GOOD + " | now and then", 4, "KNOWN-RED.txt:2: "),
+        (BAD + GOOD + " | ", 4, "KNOWN-RED.txt:2: "),
         (BAD + BAD, 4, "is there twice"),
     ],
 )
