--- a/snowlock/__init__.py
+++ b/snowlock/__init__.py
@@ -1,4 +1,4 @@
-"""snowlock: the decisions of a sender that delivers calls to many outside destinations."""
+"""Decision module of a courier that delivers messages to many destinations."""
 
 from snowlock.control import Controller
 
--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -1,6 +1,7 @@
-"""Every decision of one forwarder. Its settings, events and actions: snowlock/interface.py.
+"""Decisions of one forwarder (courier): which message is sent where, when, and with which time-out.
 
-Sans-I/O: ``Controller.handle(now, events)`` returns actions. Times are nanoseconds of the caller's clock.
+``Controller.handle(now, events)`` does no I/O: it takes events and returns actions. Settings, events and
+actions are defined in snowlock/interface.py. Times are nanoseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,884 +19,1113 @@
 MS = 1_000_000
 SECOND = 1_000 * MS
 
-MANY = 1_000  # routes; beyond that gone ones are forgotten now and then, not at each change
-TRIES = 2  # on a route before the next one: a sick route is also remembered, so few are enough
-WAIT_AIM_PART = 0.08  # first wait between tries, as a part of the class's aim; doubles with each try
-WAIT_MAX = 10 * SECOND  # the design's longest wait
-PACE_GAIN = 0.15  # weight of a new answer in a route's observed pace
-SLOW_FACTOR = 3.0  # a route this much slower than the next one is passed over by new messages
-PATIENCE_SAFE, PATIENCE_LOSS = 3.0, 1.0  # a repeatable call's time-out in (mean + 3 deviations); lossy
-LOST_USUAL = 0.06  # beyond what heavy messages explain; at twice this the patience is shortest
-PATIENCE_LEAST, PATIENCE_KEYED = 5.0, 8.0  # a repeatable call's least time-out, in the same; a keyed one's
-PATIENCE_UNSAFE = 10.0  # an unsafe call's time-out loses the message, so wait much longer
-PATIENT_PART, HURRIED = 0.1, 8.0  # part of the slots that may wait so long; beyond it the time-out is this
-DOUBT_PART = 0.2  # part of the slots for calls to routes that are silent, failing or not back yet
-LOOK_AGAIN = 20 * MS  # at a route that can't be called until another one's call has ended
-UNKNOWN_PACE = 1 / 16  # of the least aim: what a call takes, before any has been answered
-GUESS = 5.0  # in usual paces: mean and 3 deviations of a route that has answered less than three calls
-UNTRIED = 2  # calls out at most to a route that has answered none
-CHANCE = 0.1  # failures in a row at least this likely by the usual share of failures are no outage yet
-SURELY = 0.001  # the same for quick failures where calls come often; they cost little to find out
-FAILING_MOST = 0.45  # an outage of many raises the usual share: three failed connects are never chance
-FAILING_GAIN = 0.05  # weight of a call in the usual share of failures
-SHUT_PART = 0.5  # of fall_ns: only refusals for this long, or a told wait of this length: shut, not limited
-UNTOUCHED = 0.85  # refused with this share of the reported allowance left: shut; with less: above the limit
-REST_FIRST = 200 * MS  # least gap after a refusal
-COLD_CAUTION = 0.7  # part of the fail-back budget that is used: other forwarders guess too
-HEARD_LATE = 2  # spans of fall_ns by which others may have heard of an outage before this one
-COLD_GROWTH = 1.5  # times its part, where the route serves that: all may find so, and the sum must hold
-RATE_UNKNOWN = 1.0  # a call a second, for want of any evidence: small routes are pushed over first
-ROUGH_RATE = 0.67  # a rough rate may be half too high
-BURST = 500 * MS  # calls of this long at the limit's pace may go at once
-GAP_GROW, GAP_EASE = 2.0, 0.1  # this forwarder's gap between calls, after a refusal and after an answer
-GAP_MOST, GAP_LEAST = 2.0, SECOND // 2  # the longest gap, in even shares of the rate; it may always be this
-FEW = 4  # forwarders: so few hear of a limit often enough to find their gaps in steps
-SCARCE, ROOM = 0.5, 0.3  # allowance left: below, an answer stretches the gap; above, many shrink it fast
-TURNS, RECALLED = 0.25, 0.5  # of an even share: many take turns from this gap on; first gap after a restart
-NEAR, RATE_GAIN = 0.3, 0.3  # a report this near the last one is noise around it, and weighs so much
-GAP_FADES = 10 * SECOND  # without news the gap halves in this time, or in twice the gap
-TENANT_BURST = 2 * SECOND  # a tenant's share may be used this far ahead
-TENANT_LEAST = 4  # messages that it may always be ahead where forwarders are many: a burst may be under one
-HOLD_PART = 0.9  # hold at most this part of max_open; the rest is room for new messages
-CAPPED = 0.02  # failed connects, as a share of a kind's calls, from which on idle connections are a burden
-LONG_CALLS = 3.0  # calls this much longer than usual tighten a destination's share of the slots
-LOSSY = 0.1  # share of lost calls from which on unsafe messages prefer a route that loses half as many
-STALE, STALE_UNSAFE = 0.4, 0.2  # share of calls lost on idle connections from which on they are shut first
-STALE_GAIN, STALE_FADES = 0.3, 15 * SECOND  # weight of a call on one; the share halves in this time
-STALE_LEAST = 250 * MS  # sooner nobody drops one
-ASK_FIRST = 0.1  # part of ask_within_ns until a failed question for the list is put again; doubles
-LOGS = 200  # log lines in a lifetime
-NO_TIMES = list[int]()  # of those never called: not to be filled
+EAGER_SWEEP_MAX_ROUTES = 1_000  # above this, removed routes are swept once per ramp, not at each list change
+MAX_TRIES_PER_ROUTE = 2  # before the next route; a few are enough, as route health is remembered too
+FIRST_BACKOFF_AIM_SHARE = 0.08  # first retry backoff, as a share of the class's aim_ns; doubles per try
+MAX_BACKOFF = 10 * SECOND
+LATENCY_GAIN = 0.15  # weight of a new sample in a route's latency and loss averages
+SLOW_FACTOR = 3.0  # new messages skip a route that is this many times slower than a later one
+# Time-out of a repeatable call in (mean + 3 deviations) of latency: usually, and while many calls are lost.
+TIMEOUT_FACTOR_REPEATABLE, TIMEOUT_FACTOR_LOSSY = 3.0, 1.0
+# Share of lost calls that is usual with heavy messages; at twice this time-outs are shortest.
+USUAL_LOST_SHARE = 0.06
+# Minimum of a repeatable and of a keyed call, same unit.
+MIN_TIMEOUT_FACTOR, MIN_TIMEOUT_FACTOR_KEYED = 5.0, 8.0
+TIMEOUT_FACTOR_UNSAFE = 10.0  # a time-out loses an unsafe message, so its call may take much longer
+# Share of the slots that unsafe calls may hold with the long time-out; beyond it this factor bounds the
+# time-out.
+LONG_TIMEOUT_SLOT_SHARE, SHORT_TIMEOUT_FACTOR = 0.1, 8.0
+SUSPECT_SLOT_SHARE = 0.2  # share of the slots for calls to silent, failing or recovering routes
+RECHECK_INTERVAL = 20 * MS  # for a route that is blocked until a call to some other route ends
+# Assumed latency before any call has been answered, as a share of the smallest aim_ns.
+UNKNOWN_LATENCY_AIM_SHARE = 1 / 16
+# Assumed mean + 3 deviations of a route with fewer than 3 answers, in usual latencies.
+UNKNOWN_LATENCY_FACTOR = 5.0
+MAX_CALLS_UNPROVEN = 2  # calls in flight to a route that has not answered yet
+CHANCE_THRESHOLD = 0.1  # a run of failures at least this likely at the usual failure share is no outage
+QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures at a busy route, where probing costs little
+MAX_USUAL_FAILURE_SHARE = 0.45  # a wide outage raises the usual share; three failed connects are never chance
+FAILURE_GAIN = 0.05  # weight of one call in the failure and refusal averages
+# Share of fall_ns: a route that only refuses for this long, or sends a retry-after this long, is closed.
+# Shorter refusals mean that it is limited.
+CLOSED_FALL_SHARE = 0.5
+# A refusal with this share of the allowance left means closed; with less, over the limit.
+UNUSED_ALLOWANCE = 0.85
+MIN_REFUSAL_PAUSE = 200 * MS  # minimum interval before the next call after a refusal
+# Share of the fail-back budget that is used: other forwarders estimate theirs too.
+FAILBACK_SAFETY_FACTOR = 0.7
+LATE_DETECTION_SPANS = 2  # spans of fall_ns by which others may have noticed an outage before this forwarder
+# Growth of this forwarder's fail-back share where the route serves it. Others may see the same and grow too,
+# and the sum must stay bearable.
+FAILBACK_GROWTH = 1.5
+# Calls a second where no rate is known: low, as small routes are the first to be overloaded.
+DEFAULT_RATE = 1.0
+ROUGH_RATE_FACTOR = 0.67  # a rate listed as rough may be half too high
+BURST_TOLERANCE = 500 * MS  # calls worth this long at the limit's rate may go at once
+INTERVAL_GROWTH, INTERVAL_DECREASE = 2.0, 0.1  # of the call interval: factor per refusal, share per answer
+MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2  # cap in equal-share intervals, and the least cap
+FEW = 4  # forwarders; a fleet this small hears of a limit often enough to find its intervals step by step
+# Share of the allowance that is left: below the first an answer lengthens the interval; above the second
+# large fleets shorten it fast.
+SCARCE_ALLOWANCE, AMPLE_ALLOWANCE = 0.5, 0.3
+# Of an equal-share interval: from here on a large fleet takes turns; the first interval after a restart.
+TURN_INTERVAL_SHARE, RESTART_INTERVAL_SHARE = 0.25, 0.5
+# A reported rate that differs from the last by less than this share is noise, and is averaged with this
+# weight.
+RATE_NOISE_BAND, RATE_GAIN = 0.3, 0.3
+INTERVAL_HALF_LIFE = 10 * SECOND  # the interval halves in this time, or in twice itself, without outcomes
+TENANT_BURST = 2 * SECOND  # how far ahead a tenant may use its share
+# Messages a tenant may always be ahead in a large fleet, where TENANT_BURST may be under one.
+TENANT_MIN_BURST = 4
+MAX_HELD_SHARE = 0.9  # share of max_open that may be held; the rest is room for new messages
+CAPPED_CONNECT_SHARE = 0.02  # share of failed connects at a kind from which idle connections are closed early
+# Calls longer than this many usual latencies reduce a destination's share of the slots.
+LONG_CALL_FACTOR = 3.0
+# Share of lost calls from which unsafe messages prefer a route that loses half as many.
+LOSSY_ROUTE_SHARE = 0.1
+# Share lost on idle connections from which they are closed before use.
+STALE_SHARE, STALE_SHARE_UNSAFE = 0.4, 0.2
+# Weight of one call on an idle connection; decay of the average.
+STALE_GAIN, STALE_HALF_LIFE = 0.3, 15 * SECOND
+STALE_MIN_IDLE = 250 * MS  # no peer drops a connection that has been idle for less
+FIRST_RESUBSCRIBE_SHARE = 0.1  # of ask_within_ns: backoff after a failed list request; doubles each time
+MAX_LOG_LINES = 200  # per controller
+NO_TIMESTAMPS = list[int]()  # shared by limits that have seen no call, to save memory; never mutated
 
 
 class Limit:
-    """This forwarder's pace under a limit; one for a route apart, else for the destination."""
+    """Paces this forwarder's calls under a rate limit.
+
+    The limit is a route's own, or one that all routes of a destination share. Works as GCRA does: each call
+    advances the theoretical arrival time by the call interval.
+    """
 
     __slots__ = (
         "rate",
-        "gap",
-        "spread",
-        "due",
-        "heard",
-        "last",
-        "fulls",
-        "full_since",
-        "sends",
-        "served",
-        "part",
+        "interval",
+        "jitter",
+        "theoretical_arrival",
+        "updated_at",
+        "last_call_at",
+        "refusals",
+        "refused_since",
+        "calls",
+        "answers",
+        "share",
     )
 
     def __init__(self) -> None:
-        self.rate = 0.0  # reported, in calls a second from all forwarders; 0: none known
-        self.part = 0.0  # of it, this forwarder's own where they share it, in calls a second; 0: they don't
-        self.gap = 0.0  # between calls; learnt from refusals and answers, as the others' traffic is not seen
-        self.spread = 1.0  # of the next gap on the way back
-        self.due = self.heard = self.last = 0  # when the calls so far are paid off; last news; last call
-        self.fulls = self.full_since = 0  # refusals since it last served
-        self.sends = self.served = NO_TIMES  # calls, and answers, within the last fall_ns
-
-    def learn(
+        self.rate = 0.0  # reported limit in calls a second over all forwarders; 0: unknown
+        # This forwarder's share of it in calls a second where forwarders share it; 0: they don't.
+        self.share = 0.0
+        # ns between calls; estimated from refusals and answers, as others' calls are not seen.
+        self.interval = 0.0
+        self.jitter = 1.0  # random factor on the next interval during fail-back
+        # Theoretical arrival time: the calls made so far are paid for by then.
+        self.theoretical_arrival = self.updated_at = self.last_call_at = 0
+        self.refusals = self.refused_since = 0  # refusals since the last answer, and the time of the first
+        self.calls = self.answers = NO_TIMESTAMPS  # times of calls and of answers within the last fall_ns
+
+    def update(
         self,
         now: int,
         refused: bool,
-        even: float = NEVER,
-        crowd: float = 0.0,
-        many: float = 0.0,
-        left: float = 1.0,
+        equal_interval: float = NEVER,
+        refusal_share: float = 0.0,
+        fleet_factor: float = 0.0,
+        remaining: float = 1.0,
     ) -> None:
-        """Refusals stretch the gap, answers ease it by what they say is left, and time forgets it.
+        """Adjust the interval: refusals lengthen it, answers shorten it, and it decays with time.
 
-        Many that each call seldom would all be refused over and over before steps from nothing tell them.
+        Answers shorten it the more, the more of the allowance is left. A large fleet starts at the equal
+        share: where each forwarder calls seldom, small steps from zero would have all of them refused over
+        and over before they found the interval.
         """
-        if self.part:  # what is shared is neither guessed nor forgotten
-            self.gap, self.heard = SECOND / self.part, now
+        if self.share:  # a share agreed among the forwarders is neither estimated nor decayed
+            self.interval, self.updated_at = SECOND / self.share, now
             return
-        fade = 0.5 ** ((now - self.heard) / max(GAP_FADES, 2 * self.gap))
-        room = many * max(0.0, min(1.0, left) - ROOM) * min(1.0, 2 * self.gap / GAP_FADES)
-        self.gap *= fade * (GAP_GROW if refused else 1 - room - GAP_EASE * (1 - many * (1 - min(1.0, left))))
-        scarce = 1.0 if refused else max(0.0, 1 - left / SCARCE)
-        least = max(SECOND / self.rate if self.rate else 0.0, max(many * scarce, crowd) * even)
-        self.gap = min(max(GAP_LEAST, (GAP_MOST - many) * even), max(self.gap, least))
-        self.heard = now
+        decay = 0.5 ** ((now - self.updated_at) / max(INTERVAL_HALF_LIFE, 2 * self.interval))
+        decrease = (
+            fleet_factor
+            * max(0.0, min(1.0, remaining) - AMPLE_ALLOWANCE)
+            * min(1.0, 2 * self.interval / INTERVAL_HALF_LIFE)
+        )
+        self.interval *= decay * (
+            INTERVAL_GROWTH
+            if refused
+            else 1 - decrease - INTERVAL_DECREASE * (1 - fleet_factor * (1 - min(1.0, remaining)))
+        )
+        scarcity = 1.0 if refused else max(0.0, 1 - remaining / SCARCE_ALLOWANCE)
+        minimum = max(
+            SECOND / self.rate if self.rate else 0.0,
+            max(fleet_factor * scarcity, refusal_share) * equal_interval,
+        )
+        self.interval = min(
+            max(MIN_INTERVAL_CAP, (MAX_INTERVAL_SHARES - fleet_factor) * equal_interval),
+            max(self.interval, minimum),
+        )
+        self.updated_at = now
 
 
 class Controller:
-    """The decisions of one forwarder."""
+    """Decides for one forwarder; see ``handle``.
+
+    ``ahead``: nanoseconds from the caller's monotonic clock to the wall clock that all forwarders share.
+    """
 
     def __init__(self, settings: api.Settings, seed: int, ahead: int = 0):
-        self.s = settings
-        self.ahead = ahead  # of our clock, the one that all forwarders read
-        self.lag = 2 * settings.tick_ns + 10 * MS  # between a decision and what comes of it
-        self.many = max(0.0, 1 - FEW / settings.forwarders)
+        self.settings = settings
+        self.clock_offset = ahead
+        self.decision_lag = 2 * settings.tick_ns + 10 * MS  # bound on the time from a decision to its effect
+        # 0 in a small fleet, near 1 in a large one.
+        self.fleet_factor = max(0.0, 1 - FEW / settings.forwarders)
         self.random = random.Random(seed)
-        self.now = self.sweep_at = 0  # the latter: when gone routes are next forgotten
+        self.now = self.sweep_at = 0  # the latter: when removed routes are next swept
         self.messages: dict[int, Message] = {}
         self.routes: dict[api.EndpointId, Route] = {}
         self.dests: dict[int, Destination] = {}
-        self.lines: dict[int, deque[Message]] = {}  # ordered keys: messages not finished, in order
-        self.key_rest: dict[int, int] = {}
+        self.key_queues: dict[int, deque[Message]] = {}  # by ordering key: unfinished messages in order
+        self.key_available_at: dict[int, int] = {}
         self.waiting: dict[int, Destination] = {}
-        self.inflight = self.patient = 0  # calls out, and those of unsafe messages
-        self.tenant_part: dict[int, float] = {}  # messages a second within a share, where forwarders share it
-        self.tenant_due: dict[int, int] = {}  # when a tenant's share has paid for its messages so far
-        self.logs, self.log_pace = 0, 0.0
-        self.first_pace = UNKNOWN_PACE * min(cls.aim_ns for cls in settings.classes)
-        self.capped: dict[int, float] = {}  # by kind of destination: share of calls that got no connection
-        # By kind of destination: share of calls refused as full, and of those after a served one only.
-        self.crowd: dict[int, list[float]] = {}
-        self.failing = [0.0, 0.0]  # the usual share of calls that fail, and of those never answered
-        self.stale = self.fresh_lost = 0.0  # share of calls lost on idle connections, and on new ones
-        self.stale_at, self.stale_from = 0, NEVER  # when last learnt; the shortest idle time that lost one
-        self.shut_after = int(SHUT_PART * settings.fall_ns)
-        self.ask_at, self.asks = 0 if settings.must_subscribe else NEVER, 0  # for the list; in vain so far
+        self.inflight = self.unsafe_inflight = 0  # calls, and attempts of unsafe messages
+        # By tenant: this forwarder's agreed share in messages a second, where forwarders share a tenant's
+        # rate.
+        self.tenant_rates: dict[int, float] = {}
+        self.tenant_arrivals: dict[int, int] = {}  # theoretical arrival time (GCRA) of a tenant's messages
+        self.log_count, self.log_latency = 0, 0.0  # the latter: mean of the logarithm of all latencies
+        self.default_latency = UNKNOWN_LATENCY_AIM_SHARE * min(cls.aim_ns for cls in settings.classes)
+        self.connect_failure_shares: dict[int, float] = {}  # by kind of destination
+        # By kind of destination: share of all calls refused as full, and of those whose predecessor was
+        # answered.
+        self.refusal_shares: dict[int, list[float]] = {}
+        # Usual share of calls that fail, and of calls that are never answered.
+        self.failure_shares = [0.0, 0.0]
+        self.idle_loss = self.new_loss = 0.0  # share of calls lost on idle connections, and on new ones
+        # When idle_loss was updated; the shortest idle time after which a call was lost.
+        self.idle_loss_updated_at, self.shortest_lost_idle = 0, NEVER
+        self.closed_after = int(CLOSED_FALL_SHARE * settings.fall_ns)
+        # When to request the endpoint list (again), and how often that has failed in a row.
+        self.subscribe_at, self.failed_subscribes = 0 if settings.must_subscribe else NEVER, 0
         self.actions: list[api.Action] = []
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
-        """Take a batch of events, in order, and return the actions, in order."""
+        """Process a batch of events in order and return the resulting actions in order."""
         self.now, self.actions = now, []
-        if self.ask_at <= now:
-            self.ask_at = NEVER
+        if self.subscribe_at <= now:
+            self.subscribe_at = NEVER
             self.actions.append(api.Subscribe())
         touched: dict[int, Destination] = {}
         for event in events:
             dest: Destination | None = None
             if isinstance(event, api.AttemptEnded):
-                dest = self._ended(event)
+                dest = self._on_attempt_ended(event)
             elif isinstance(event, api.Arrival):
-                dest = self._arrived(event)
+                dest = self._on_arrival(event)
             elif isinstance(event, api.TimerFired):
-                dest = self._timer(event.token)
+                dest = self._on_timer(event.token)
             elif isinstance(event, api.Parts):
-                self._shared(event)
+                self._on_shares(event)
             elif isinstance(event, api.Judged):
-                self._judged(event)
+                self._on_judged(event)
             elif isinstance(event, api.Withdrawn):
                 if (message := self.messages.get(event.message)) is not None and not message.done:
                     dest = message.dest
-                    self._close(message)
+                    self._finish(message)
             else:
-                self._listed(event)
+                self._on_endpoint_list(event)
                 touched.update(self.waiting)
             if dest is not None:
                 touched[dest.id] = dest
-        if len(self.messages) > HOLD_PART * self.s.max_open:
-            self._shed()
-        touched.update((dest.id, dest) for dest in self.waiting.values() if dest.wake <= self.now)
+        if len(self.messages) > MAX_HELD_SHARE * self.settings.max_open:
+            self._shed_load()
+        touched.update((dest.id, dest) for dest in self.waiting.values() if dest.wake_at <= self.now)
         ready = []
         for dest in touched.values():
             ready.append(dest) if dest.queue else self.waiting.pop(dest.id, None)
-        if self.inflight >= self.s.slots:  # nothing can go: whatever waits is looked at when a slot is free
+        if self.inflight >= self.settings.slots:  # all are checked again when a slot is free
             for dest in ready:
-                self.waiting[dest.id], dest.wake = dest, self.now
+                self.waiting[dest.id], dest.wake_at = dest, self.now
         else:
-            for dest in sorted(ready, key=self._slot_time) if len(ready) > 1 else ready:
-                self._pump(dest)  # slots go where they bring most
+            for dest in sorted(ready, key=self._slot_cost) if len(ready) > 1 else ready:
+                self._dispatch(dest)  # in the order of most worth per slot time
         return self.actions
 
-    def _slot_time(self, dest: Destination) -> float:
-        """The time for which a call holds a slot, by the worth that it brings."""
+    def _slot_cost(self, dest: Destination) -> float:
+        """Return the time for which a call holds a slot, divided by the worth of the best queued message."""
         worth = max(0.01, max(self._worth(message, self.now) for message in dest.queue))
-        return max(dest.mean or self._pace(), 1.0) / worth
+        return max(dest.mean_latency or self._usual_latency(), 1.0) / worth
 
     def _worth(self, message: Message, at: int) -> float:
-        """What the message brings if it is delivered then."""
+        """Return the worth of a delivery of the message at that time."""
         cls = message.cls
         age = at - message.deadline + cls.deadline_ns
-        if at <= message.full_until or cls.deadline_ns == cls.aim_ns:
+        if at <= message.full_worth_until or cls.deadline_ns == cls.aim_ns:
             return message.weight
-        if self.s.decay is api.Decay.HALVES:
+        if self.settings.decay is api.Decay.HALVES:
             return message.weight * max(cls.late_worth, math.exp2(1 - age / cls.aim_ns))
-        late = (age - cls.aim_ns) / (cls.deadline_ns - cls.aim_ns)
-        return message.weight * (1 - (1 - cls.late_worth) * late)
+        lateness = (age - cls.aim_ns) / (cls.deadline_ns - cls.aim_ns)
+        return message.weight * (1 - (1 - cls.late_worth) * lateness)
 
-    def _pace(self) -> float:
-        """The time that a call usually takes at all destinations."""
-        return math.exp(self.log_pace) if self.log_pace else self.first_pace
+    def _usual_latency(self) -> float:
+        """Return the geometric mean of latencies over all destinations, or the default before the first."""
+        return math.exp(self.log_latency) if self.log_latency else self.default_latency
 
-    def _shed(self) -> None:
-        """Nearly full: refuse early, for the longest backlog, what brings least, else the door does it."""
+    def _shed_load(self) -> None:
+        """Refuse the least valuable messages of the longest backlog while nearly full.
+
+        Otherwise max_open would have new messages refused whatever their worth.
+        """
         for _ in range(len(self.messages)):
-            if len(self.messages) <= HOLD_PART * self.s.max_open or not self.waiting:
+            if len(self.messages) <= MAX_HELD_SHARE * self.settings.max_open or not self.waiting:
                 return
-            dest = max(self.waiting.values(), key=lambda d: len(d.queue) * (d.mean or self._pace()))
-            if not (able := [m for m in dest.queue if self._may_refuse(m) and not self._still_owed(m)]):
+            dest = max(
+                self.waiting.values(), key=lambda d: len(d.queue) * (d.mean_latency or self._usual_latency())
+            )
+            if not (
+                candidates := [m for m in dest.queue if self._may_refuse(m) and not self._is_reserved(m)]
+            ):
                 return
-            self._give_up(min(able, key=lambda m: self._worth(m, self.now)))
+            self._abandon(min(candidates, key=lambda m: self._worth(m, self.now)))
 
-    def _listed(self, event: api.EndpointList) -> None:
-        """Take in news of the list. A route that left gets nothing new; its outcomes still count."""
+    def _on_endpoint_list(self, event: api.EndpointList) -> None:
+        """Apply an endpoint list. A removed route gets no new calls; outcomes of earlier ones still count."""
         if event.kind is api.ListKind.FAILED:
-            if self.s.must_subscribe:
-                part = min(1.0, ASK_FIRST * 2 ** min(self.asks, 30)) * (0.5 + self.random.random()) / 2
-                self.ask_at, self.asks = self.now + int(self.s.ask_within_ns * part), self.asks + 1
-                self.actions.append(api.SetTimer(NEVER, self.ask_at))  # no message's or destination's token
+            if self.settings.must_subscribe:
+                share = (
+                    min(1.0, FIRST_RESUBSCRIBE_SHARE * 2 ** min(self.failed_subscribes, 30))
+                    * (0.5 + self.random.random())
+                    / 2
+                )
+                self.subscribe_at, self.failed_subscribes = (
+                    self.now + int(self.settings.ask_within_ns * share),
+                    self.failed_subscribes + 1,
+                )
+                # The token is that of no message or destination.
+                self.actions.append(api.SetTimer(NEVER, self.subscribe_at))
             return
-        self.asks = 0
-        fresh: list[tuple[Route, float]] = []
+        self.failed_subscribes = 0
+        added: list[tuple[Route, float]] = []
         if event.kind is not api.ListKind.DELTA:
             listed = {entry.id for entry in event.endpoints}
             for route in list(self.routes.values()):
                 if route.id not in listed:
-                    self._drop(route)
+                    self._remove_route(route)
         for entry in event.endpoints:
             known = self.routes.get(entry.id)
             if entry.state is not api.EndpointState.READY:
                 if known is not None:
-                    self._drop(known)
+                    self._remove_route(known)
                 continue
             dest = self.dests.setdefault(entry.destination, Destination(entry.destination))
-            dest.kind, kinds = entry.kind, self.s.routes_apart
+            dest.kind, kinds = entry.kind, self.settings.routes_apart
             dest.apart = kinds[entry.kind] if entry.kind < len(kinds) else False
             if known is None or known.dest is not dest:
                 if known is not None:
-                    self._drop(known)
+                    self._remove_route(known)
                 dest.limit = limit = Limit() if dest.apart or dest.limit is None else dest.limit
                 known = self.routes[entry.id] = Route(entry, dest, self.random.expovariate(1.0), limit)
-                fresh.append((known, entry.limit if RATE_UNKNOWN <= entry.limit < 1e6 else 0.0))
+                added.append((known, entry.limit if DEFAULT_RATE <= entry.limit < 1e6 else 0.0))
                 if entry.down_ns:
-                    self._was_down(known, entry)
-            known.rate = min(max(0.1, entry.rate), 1e6)  # absent, absurd or not a number: little is sent
+                    self._restore_outage(known, entry)
+            known.rate = min(max(0.1, entry.rate), 1e6)  # a missing, absurd or NaN rate: few calls are sent
             known.ready, known.zone, known.rank = True, entry.zone, entry.rank
-            known.patience, known.fails = entry.patience_ns or NEVER, entry.fails or NEVER
-            dest.tries = min(entry.tries or self.s.max_attempts, self.s.max_attempts)
-            dest.routes = sorted([r for r in dest.routes if r is not known] + [known], key=self._order)
-        # Gone ones are forgotten, but not their told waits: they may be listed again.
-        if len(self.routes) < MANY or self.now >= self.sweep_at:  # a change must not cost by what is listed
-            since, self.sweep_at = self.now - self.s.ramp_ns, self.now + self.s.ramp_ns
+            known.max_timeout, known.max_failures = entry.patience_ns or NEVER, entry.fails or NEVER
+            dest.max_attempts = min(entry.tries or self.settings.max_attempts, self.settings.max_attempts)
+            dest.routes = sorted([r for r in dest.routes if r is not known] + [known], key=self._preference)
+        # Removed routes are dropped once their retry-after has passed: they may be listed again before.
+        # Sweeping at intervals keeps the cost of a change independent of the number of listed routes.
+        if len(self.routes) < EAGER_SWEEP_MAX_ROUTES or self.now >= self.sweep_at:
+            since, self.sweep_at = self.now - self.settings.ramp_ns, self.now + self.settings.ramp_ns
             kept = [r for r in self.routes.values() if r.ready or max(r.heard, r.wait_until) > since]
             self.routes = {route.id: route for route in kept}
-        for route, told in fresh:
-            rate = told or min((kin.limit.rate for kin in route.dest.routes if kin.limit.rate), default=0.0)
-            if self.many and rate and not route.limit.rate:  # all hear of it, and would call it, at once
-                route.limit.rate, route.limit.heard = rate, self.now
-                route.limit.gap = self.many * SECOND * self.s.forwarders / rate * (RECALLED if told else 1)
-            # Where routes share the outage too, a replacement listed during it is no healthier than the rest.
-            if not route.dest.apart and route.dest.sick_at > since:
+        for route, known_rate in added:
+            rate = known_rate or min(
+                (sibling.limit.rate for sibling in route.dest.routes if sibling.limit.rate), default=0.0
+            )
+            # All forwarders learn of a new route at once, and would all call it at once.
+            if self.fleet_factor and rate and not route.limit.rate:
+                route.limit.rate, route.limit.updated_at = rate, self.now
+                route.limit.interval = (
+                    self.fleet_factor
+                    * SECOND
+                    * self.settings.forwarders
+                    / rate
+                    * (RESTART_INTERVAL_SHARE if known_rate else 1)
+                )
+            # Where routes share outages, a replacement listed during one is no healthier than the others.
+            if not route.dest.apart and route.dest.last_trouble_at > since:
                 self._mark_down(route, "joins a destination in trouble")
 
-    def _was_down(self, route: Route, entry: api.Endpoint) -> None:
-        """It was in an outage, or on its way back, when this forwarder ended; others hold messages for it.
+    def _restore_outage(self, route: Route, entry: api.Endpoint) -> None:
+        """Restore the state of a route that was down or recovering when this forwarder stopped.
 
-        Guards against restarted ones that know nothing, have a backlog, and all call a cold route at once.
+        Keeps restarted forwarders, which have a backlog, from all calling a recovering route at once. Others
+        hold messages for it too.
         """
-        back = self.now - entry.back_ns
-        if entry.back_ns and back + self.s.ramp_ns <= self.now:
+        recovering_since = self.now - entry.back_ns
+        if entry.back_ns and recovering_since + self.settings.ramp_ns <= self.now:
             return
-        route.down, route.since, route.back = True, self.now - entry.down_ns, back if entry.back_ns else None
-        route.last_send = self.now
-        route.limit.sends, route.limit.spread = [self.now], self.random.random()
+        route.down, route.failing_since, route.back = (
+            True,
+            self.now - entry.down_ns,
+            recovering_since if entry.back_ns else None,
+        )
+        route.last_call_at = self.now
+        route.limit.calls, route.limit.jitter = [self.now], self.random.random()
 
     def outages(self, endpoint: api.EndpointId) -> dict[api.EndpointId, tuple[int, int | None] | None]:
-        """Since when its destination's routes are in an outage, and on their way back; none: it serves."""
+        """Return the outages of all routes of this endpoint's destination.
+
+        Each is (failing since, recovering since or None), or None for a route that is up.
+        """
         route = self.routes.get(endpoint)
         routes = route.dest.routes if route is not None else ()
-        return {kin.id: (kin.since, kin.back) if kin.down else None for kin in routes}
-
-    def _shared(self, event: api.Parts) -> None:
-        """Forwarders share limits and tenants' shares: how much is this one's. No more turns and guesses."""
-        self.tenant_part.update(event.tenants)
-        for id, rate in event.parts:
-            if (route := self.routes.get(id)) is not None:
-                route.limit.part = rate
-                route.limit.gap = SECOND / rate if rate else route.limit.gap
-                route.limit.due = min(route.limit.due, self.now + BURST + int(route.limit.gap))
-                self._wake(route.dest, self.now)
-
-    def _judged(self, event: api.Judged) -> None:
-        """Other forwarders' word on routes, as far as it is believed: more careful there until it is over."""
-        for id, until, one in event.routes:
-            if (route := self.routes.get(id)) is not None:
-                route.held, route.one = until, one
-                self._wake(route.dest, self.now)
-
-    def _drop(self, route: Route) -> None:
-        """Nothing new goes to a route that is draining or gone."""
+        return {
+            sibling.id: (sibling.failing_since, sibling.back) if sibling.down else None for sibling in routes
+        }
+
+    def _on_shares(self, event: api.Parts) -> None:
+        """Apply this forwarder's agreed shares of limits and of tenants' rates.
+
+        They replace turns and estimates.
+        """
+        self.tenant_rates.update(event.tenants)
+        for endpoint, rate in event.parts:
+            if (route := self.routes.get(endpoint)) is not None:
+                route.limit.share = rate
+                route.limit.interval = SECOND / rate if rate else route.limit.interval
+                route.limit.theoretical_arrival = min(
+                    route.limit.theoretical_arrival, self.now + BURST_TOLERANCE + int(route.limit.interval)
+                )
+                self._wake_by(route.dest, self.now)
+
+    def _on_judged(self, event: api.Judged) -> None:
+        """Suspend or throttle routes for a time, by credible reports of other forwarders."""
+        for endpoint, until, one_at_a_time in event.routes:
+            if (route := self.routes.get(endpoint)) is not None:
+                route.suspended_until, route.one_at_a_time = until, one_at_a_time
+                self._wake_by(route.dest, self.now)
+
+    def _remove_route(self, route: Route) -> None:
+        """Take a draining or removed route out of use."""
         route.ready = False
         route.dest.routes = [other for other in route.dest.routes if other is not route]
 
-    def _order(self, route: Route) -> tuple[int, float, float]:
-        """The fixed order: the cheaper first, and among routes that cost the same one drawn by their rates.
+    def _preference(self, route: Route) -> tuple[int, float, float]:
+        """Return the sort key of the fixed order: rank, then cost, then a random draw weighted by rate.
 
-        Many forwarders that all called the same route first would have most calls refused there.
+        Without the draw many forwarders would call the same route first and have most calls refused there.
         """
-        tolls = self.s.tolls if route.dest.apart else ()
-        toll = tolls[route.zone] if route.zone < len(tolls) else 0.0
-        toll += self.s.cross_zone_fee if route.zone != self.s.zone else 0.0
-        return (route.rank, toll, route.draw / route.rate)
+        tolls = self.settings.tolls if route.dest.apart else ()
+        cost = tolls[route.zone] if route.zone < len(tolls) else 0.0
+        cost += self.settings.cross_zone_fee if route.zone != self.settings.zone else 0.0
+        return (route.rank, cost, route.order_draw / route.rate)
 
-    def _arrived(self, event: api.Arrival) -> Destination:
+    def _on_arrival(self, event: api.Arrival) -> Destination:
         """Accept a message."""
         dest = self.dests.setdefault(event.destination, Destination(event.destination))
-        message = Message(event.message, self.s.classes[event.message_class], dest, event, self.now, self.lag)
+        message = Message(
+            event.message,
+            self.settings.classes[event.message_class],
+            dest,
+            event,
+            self.now,
+            self.decision_lag,
+        )
         self.messages[message.id] = message
         message.attempts = event.attempts
-        if event.maybe_since_ns is not None:  # held before a restart: what was out then may have run
-            message.maybe = True
+        if event.maybe_since_ns is not None:  # recovered after a restart: a call then in flight may have run
+            message.may_have_run = True
             if message.cls.safety is Safety.KEYED:
                 message.window_end = event.maybe_since_ns + message.cls.window_ns
         if message.cls.ordered and message.key:
-            self.lines.setdefault(message.key, deque()).append(message)
-        if event.tenant < len(self.s.tenants) and self.s.tenants[event.tenant].rate > 0:
-            # One tenant's burst must not push out what the others send within their shares.
-            spacing = int(SECOND * self.s.forwarders / self.s.tenants[event.tenant].rate)
-            if event.tenant in self.tenant_part:
-                spacing = int(SECOND / self.tenant_part[event.tenant])
-            due = max(self.tenant_due.get(event.tenant, 0), self.now) + spacing
-            if due > self.now + max(TENANT_BURST, TENANT_LEAST * self.many * spacing):
-                message.weight *= self.s.over_share_worth
+            self.key_queues.setdefault(message.key, deque()).append(message)
+        if event.tenant < len(self.settings.tenants) and self.settings.tenants[event.tenant].rate > 0:
+            # Messages beyond a tenant's share count less, so that a burst does not displace other tenants'
+            # messages.
+            spacing = int(SECOND * self.settings.forwarders / self.settings.tenants[event.tenant].rate)
+            if event.tenant in self.tenant_rates:
+                spacing = int(SECOND / self.tenant_rates[event.tenant])
+            arrival = max(self.tenant_arrivals.get(event.tenant, 0), self.now) + spacing
+            if arrival > self.now + max(TENANT_BURST, TENANT_MIN_BURST * self.fleet_factor * spacing):
+                message.weight *= self.settings.over_share_worth
             else:
-                self.tenant_due[event.tenant] = due
-        ran = message.maybe and message.cls.safety is Safety.UNSAFE
-        if ran or message.attempts >= self._most(message) or message.late <= self.now:
-            self._give_up(message)
+                self.tenant_arrivals[event.tenant] = arrival
+        unrepeatable = message.may_have_run and message.cls.safety is Safety.UNSAFE
+        if unrepeatable or message.attempts >= self._max_attempts(message) or message.answer_by <= self.now:
+            self._abandon(message)
             return dest
         dest.queue.append(message)
-        self.actions.append(api.SetTimer(message.id * 2, max(self.now, message.late)))
+        self.actions.append(api.SetTimer(message.id * 2, max(self.now, message.answer_by)))
         return dest
 
-    def _timer(self, token: int) -> Destination | None:
-        """A destination's wake-up, or the last moment to answer a waiting message."""
+    def _on_timer(self, token: int) -> Destination | None:
+        """Handle a destination's wake-up (odd token) or a waiting message's latest answer time (even)."""
         if token & 1:
-            if (dest := self.dests.get(token >> 1)) is not None and dest.wake <= self.now:
-                dest.wake = NEVER
+            if (dest := self.dests.get(token >> 1)) is not None and dest.wake_at <= self.now:
+                dest.wake_at = NEVER
             return dest
         message = self.messages.get(token >> 1)
-        if message is None or message.done or message.out:
+        if message is None or message.done or message.in_flight:
             return None
-        self._give_up(message)
+        self._abandon(message)
         return message.dest
 
     def may_still_go(self, now: int, endpoint: api.EndpointId, number: int) -> bool:
-        """Whether a call decided a while ago may leave: no drain or told wait came, nor its window's end."""
+        """Return whether a call decided earlier may still be sent.
+
+        It may not once the route is draining or has a retry-after, or near the end of the message's repeat
+        window.
+        """
         route, message = self.routes.get(endpoint), self.messages.get(number)
-        if route is None or message is None or now + self.lag >= message.window_end:
+        if route is None or message is None or now + self.decision_lag >= message.window_end:
             return False
         return route.ready and max(route.wait_until, route.dest.wait_until) <= now
 
     def _may_refuse(self, message: Message) -> bool:
-        """A refusal promises that a repeat is safe."""
+        """Return whether the message may be refused, which promises that it may safely be submitted again."""
         repeatable = message.cls.safety is Safety.KEYED and not message.cls.zone_bound
-        return message.cls.safety is Safety.SAFE or not message.out and (not message.maybe or repeatable)
+        return (
+            message.cls.safety is Safety.SAFE
+            or not message.in_flight
+            and (not message.may_have_run or repeatable)
+        )
 
-    def _still_owed(self, message: Message) -> bool:
-        """Held since before a restart, untried, with time left: not given up for others, nor on a guess."""
-        return message.attempts == 0 and self.now < message.kept_until
+    def _is_reserved(self, message: Message) -> bool:
+        """Return whether a message recovered untried after a restart still has time reserved for an attempt.
 
-    def _give_up(self, message: Message) -> None:
-        """The final answer for a message that is not going to be delivered in time."""
+        It is then not refused in favour of others, nor because of an estimate.
+        """
+        return message.attempts == 0 and self.now < message.reserved_until
+
+    def _abandon(self, message: Message) -> None:
+        """Give the final answer of a message that will not be delivered in time."""
         if self._may_refuse(message):
-            opens = min((self._opens(route) for route in message.dest.routes), default=NEVER)
-            after = max(opens - self.now, message.cls.aim_ns // 2)
-            self.actions.append(api.Refuse(message.id, min(after, self.s.max_retry_after_ns)))
+            next_call_at = min((self._next_call_at(route) for route in message.dest.routes), default=NEVER)
+            retry_after = max(next_call_at - self.now, message.cls.aim_ns // 2)
+            self.actions.append(api.Refuse(message.id, min(retry_after, self.settings.max_retry_after_ns)))
         else:
             self.actions.append(api.Fail(message.id))
-        self._close(message)
+        self._finish(message)
 
-    def _close(self, message: Message) -> None:
-        """The message is answered; attempts may outlive it."""
+    def _finish(self, message: Message) -> None:
+        """Mark the message as answered; its attempts may still be in flight."""
         message.done = True
         if message in message.dest.queue:
             message.dest.queue.remove(message)
         self._forget(message)
 
     def _forget(self, message: Message) -> None:
-        """Drop an ended message once no attempt is out; its key's turn passes on."""
-        if not message.done or message.out:
+        """Drop a finished message that has no attempt in flight, and let the next message of its key go."""
+        if not message.done or message.in_flight:
             return
         self.messages.pop(message.id, None)
         if not (message.cls.ordered and message.key):
             return
-        (line := self.lines[message.key]).remove(message)
-        if line:
-            self._wake(line[0].dest, max(self.now, self.key_rest.get(message.key, 0)))
+        (queue := self.key_queues[message.key]).remove(message)
+        if queue:
+            self._wake_by(queue[0].dest, max(self.now, self.key_available_at.get(message.key, 0)))
         else:
-            del self.lines[message.key]
+            del self.key_queues[message.key]
 
-    def _may_go(self, message: Message, route: Route) -> bool:
-        """May this message go to this route as far as the message itself is concerned?"""
+    def _may_use(self, message: Message, route: Route) -> bool:
+        """Return whether the message's own rules allow an attempt on this route now."""
         cls = message.cls
-        if message.done or not route.ready or message.attempts >= self._most(message) or message.out:
+        if (
+            message.done
+            or not route.ready
+            or message.attempts >= self._max_attempts(message)
+            or message.in_flight
+        ):
             return False
-        bound = cls.safety is Safety.KEYED and cls.zone_bound and route.zone != message.zone
+        other_zone = cls.safety is Safety.KEYED and cls.zone_bound and route.zone != message.zone
         unsafe = cls.safety is Safety.UNSAFE
-        barred = message.maybe and (unsafe or bound) or self.now >= message.window_end
-        return not barred and self._turn_at(message) <= self.now
+        barred = message.may_have_run and (unsafe or other_zone) or self.now >= message.window_end
+        return not barred and self._key_turn_at(message) <= self.now
 
-    def _most(self, message: Message) -> int:
-        """The most attempts that a message may have."""
-        return min(self.s.max_attempts, message.dest.tries)
+    def _max_attempts(self, message: Message) -> int:
+        """Return the bound on the message's attempts."""
+        return min(self.settings.max_attempts, message.dest.max_attempts)
 
-    def _turn_at(self, message: Message) -> int:
-        """When the message has its key's turn; NEVER while an earlier one is unfinished."""
+    def _key_turn_at(self, message: Message) -> int:
+        """Return when the message is next for its ordering key; NEVER while an earlier one is unfinished."""
         if not (message.cls.ordered and message.key):
             return 0
-        return self.key_rest.get(message.key, 0) if self.lines[message.key][0] is message else NEVER
-
-    def _opens(self, route: Route) -> int:
-        """When the route may take its next call: told waits, rests, and the way back after an outage."""
-        opens = max(route.wait_until, route.dest.wait_until)
-        opens = max(opens, self._turn(route, route.limit.due - BURST))
-        if route.held > self.now and (route.inflight or not route.one):
-            opens = max(opens, min(route.held, self.now + LOOK_AGAIN) if route.one else route.held)
-        if route.limit.fulls and route.inflight:
-            return max(opens, self.now + REST_FIRST)  # after a refusal, one call finds out
-        if not route.oks and route.inflight >= UNTRIED:  # it may hang as those do that it came to replace
-            return max(opens, self.now + LOOK_AGAIN)
-        if route.down or route.bad or self.silent(route):
-            opens = max(opens, self._budget_opens(route))
-            if opens <= self.now and self._doubtful(route):
-                # Many may hang at once: few calls find out, or they hold all slots until their time-outs.
-                stuck = sum(r.inflight for r in self.routes.values() if r.inflight and self._doubtful(r))
-                if self.silent(route) or stuck >= max(1.0, DOUBT_PART * self.s.slots):
-                    opens = self.now + LOOK_AGAIN
-        return opens
-
-    def _turn(self, route: Route, at: int) -> int:
-        """Its next turn from then on, where many share a limit of which little is left: by number and clock.
-
-        Those whom one clump or one told wait held back would all call in the same instant, and what one knows
-        that calls seldom is old. Harm: half a share's wait, where calls would often be refused.
+        return (
+            self.key_available_at.get(message.key, 0) if self.key_queues[message.key][0] is message else NEVER
+        )
+
+    def _next_call_at(self, route: Route) -> int:
+        """Return when the route may take its next call: retry-after, pacing, suspension and fail-back."""
+        at = max(route.wait_until, route.dest.wait_until)
+        at = max(at, self._rotation_turn(route, route.limit.theoretical_arrival - BURST_TOLERANCE))
+        if route.suspended_until > self.now and (route.inflight or not route.one_at_a_time):
+            at = max(
+                at,
+                min(route.suspended_until, self.now + RECHECK_INTERVAL)
+                if route.one_at_a_time
+                else route.suspended_until,
+            )
+        if route.limit.refusals and route.inflight:
+            return max(at, self.now + MIN_REFUSAL_PAUSE)  # after a refusal a single call probes the limit
+        # A route that has not answered yet may hang, as those that it replaces may.
+        if not route.successes and route.inflight >= MAX_CALLS_UNPROVEN:
+            return max(at, self.now + RECHECK_INTERVAL)
+        if route.down or route.failures or self.silent(route):
+            at = max(at, self._failback_call_at(route))
+            if at <= self.now and self._is_suspect(route):
+                # When many routes hang at once, calls to them must not hold all slots until their time-outs.
+                stuck = sum(r.inflight for r in self.routes.values() if r.inflight and self._is_suspect(r))
+                if self.silent(route) or stuck >= max(1.0, SUSPECT_SLOT_SHARE * self.settings.slots):
+                    at = self.now + RECHECK_INTERVAL
+        return at
+
+    def _rotation_turn(self, route: Route, at: int) -> int:
+        """Return this forwarder's next turn at or after ``at``, by its number and the shared clock.
+
+        Turns apply where a large fleet shares a limit of which little is left. Without them, all forwarders
+        that were delayed by the same burst or retry-after would call at the same instant, and a forwarder
+        that calls seldom acts on old information. The cost is a wait of half an equal-share interval, where
+        calls would often be refused.
         """
         limit = route.limit
-        even = int(SECOND * self.s.forwarders / limit.rate) if limit.rate else NEVER
-        if not self.many or limit.part or limit.gap < TURNS * even:
+        equal_interval = int(SECOND * self.settings.forwarders / limit.rate) if limit.rate else NEVER
+        if not self.fleet_factor or limit.share or limit.interval < TURN_INTERVAL_SHARE * equal_interval:
             return at
-        at = max(at, limit.last + even // 2 if limit.last else limit.heard)
-        frame = 1 << (4 * even).bit_length()  # rates are noisy: few turns are counted from one instant
-        turn = (self.s.number / self.s.forwarders + route.place) % 1
-        return at + int(turn * even - (at + self.ahead) % frame) % even
-
-    def _doubtful(self, route: Route) -> bool:
-        """Whether calls there may well wait in vain. One quick failure is no sign: some lose one at times."""
-        return route.down or route.bad > 1 or route.bad > 0 and route.timed_out or self.silent(route)
+        at = max(at, limit.last_call_at + equal_interval // 2 if limit.last_call_at else limit.updated_at)
+        # Rate estimates are noisy, so only a few turns are counted from one common instant.
+        frame = 1 << (4 * equal_interval).bit_length()
+        turn = (self.settings.number / self.settings.forwarders + route.rotation_offset) % 1
+        return at + int(turn * equal_interval - (at + self.clock_offset) % frame) % equal_interval
 
-    def silent(self, route: Route) -> bool:
-        """Calls are out and nothing has come back for long: hanging, until something does.
+    def _is_suspect(self, route: Route) -> bool:
+        """Return whether calls there may well time out.
 
-        New messages must not each pay a time-out to learn it. Harm: one very long call moves them on.
+        One quick failure does not count, as some routes lose a call now and then.
         """
-        return route.oks > 0 and route.inflight >= 2 and self.now - route.heard > self._usual(route)
+        return (
+            route.down or route.failures > 1 or route.failures > 0 and route.timed_out or self.silent(route)
+        )
 
-    def _usual(self, route: Route) -> float:
-        """The time that few calls there exceed; a guess where the evidence is thin."""
-        return route.mean + 3 * route.dev if route.oks >= 3 else GUESS * (route.dest.mean or self._pace())
-
-    def _budget_opens(self, route: Route) -> int:
-        """When the fail-back budget allows the next call to a route that fails, or has just come back.
+    def silent(self, route: Route) -> bool:
+        """Return whether the route seems to hang: calls are in flight and no outcome has come for long.
 
-        Outages end unannounced and the route comes back cold. In any fall_ns this forwarder sends its part of
-        what a cold route bears, or a multiple of what the route just served it. Its part: as many others may
-        hold messages back as calls came since the trouble began. Harm: a burst after a failure is slowed.
+        Lets new messages avoid the route before the first time-out. The cost is that one very long call makes
+        them avoid it too.
         """
-        share = self.s.cold_from
+        return (
+            route.successes > 0
+            and route.inflight >= 2
+            and self.now - route.heard > self._latency_bound(route)
+        )
+
+    def _latency_bound(self, route: Route) -> float:
+        """Return a latency that few calls exceed: mean + 3 deviations, or an estimate from few samples."""
+        return (
+            route.mean_latency + 3 * route.latency_deviation
+            if route.successes >= 3
+            else UNKNOWN_LATENCY_FACTOR * (route.dest.mean_latency or self._usual_latency())
+        )
+
+    def _failback_call_at(self, route: Route) -> int:
+        """Return when the fail-back budget allows the next call to a failing or recovering route.
+
+        An outage ends without notice, and the route can then bear only part of its rate (slow start). In any
+        fall_ns this forwarder sends its share of what a recovering route bears, or a multiple of what the
+        route has just served it. It takes as many other forwarders to hold messages for the route as calls
+        came since the trouble began. The cost is that a burst right after a failure is slowed down.
+        """
+        bearable = self.settings.cold_from
         if route.back is not None:
-            share += (1 - share) * min(1.0, max(0, self.now - route.back) / self.s.ramp_ns)
-        rate, window = self._rate(route), self.s.fall_ns
-        aware = 2.0
-        if route.down:  # who calls seldom hears of it late: it began spans before the first failure here
-            known = max(route.last_send, route.wait_until) - route.since
-            aware += rate * (max(0, known) + HEARD_LATE * window) / SECOND
-        if self.s.rate_hint is api.RateHint.ROUGH and not route.limit.rate:
-            rate *= ROUGH_RATE
-        allowed = share * rate * window / SECOND / min(self.s.forwarders, aware)
+            bearable += (1 - bearable) * min(1.0, max(0, self.now - route.back) / self.settings.ramp_ns)
+        rate, window = self._fleet_rate(route), self.settings.fall_ns
+        aware = 2.0  # estimated forwarders that hold messages for the route
+        # A forwarder that calls seldom notices late: the outage began spans before its own first failure.
+        if route.down:
+            known = max(route.last_call_at, route.wait_until) - route.failing_since
+            aware += rate * (max(0, known) + LATE_DETECTION_SPANS * window) / SECOND
+        if self.settings.rate_hint is api.RateHint.ROUGH and not route.limit.rate:
+            rate *= ROUGH_RATE_FACTOR
+        allowed = bearable * rate * window / SECOND / min(self.settings.forwarders, aware)
         limit = route.limit
-        self._prune(limit.served)
-        served = float(len(limit.served))
-        if route.down:  # in one span it must not grow on itself
-            served = min(served, max(1.0, COLD_GROWTH * allowed))
-        allowed = max(allowed, served) * COLD_CAUTION * self.s.tip_multiple
+        self._prune(limit.answers)
+        served = float(len(limit.answers))
+        if route.down:  # the budget must not grow on its own calls within one span
+            served = min(served, max(1.0, FAILBACK_GROWTH * allowed))
+        allowed = max(allowed, served) * FAILBACK_SAFETY_FACTOR * self.settings.tip_multiple
         count = max(1, int(allowed))
-        if len(limit.sends) < count:
+        if len(limit.calls) < count:
             return 0
-        # Spread: those whom one clump of messages told, or one restart, would come back in the same instant.
-        return limit.sends[-count] + (window if allowed >= 1 else int(window / allowed * limit.spread))
+        # Jitter: forwarders that noticed by the same burst, or restarted together, would call at the same
+        # instant.
+        return limit.calls[-count] + (window if allowed >= 1 else int(window / allowed * limit.jitter))
 
-    def _rate(self, route: Route) -> float:
-        """Calls a second from all forwarders, as answers or the list tell; else that of a small route."""
-        return route.limit.rate or (RATE_UNKNOWN if self.s.rate_hint is api.RateHint.NONE else route.rate)
+    def _fleet_rate(self, route: Route) -> float:
+        """Return the calls a second from all forwarders: as reported, else as listed, else a low default."""
+        return route.limit.rate or (
+            DEFAULT_RATE if self.settings.rate_hint is api.RateHint.NONE else route.rate
+        )
 
     def _prune(self, times: list[int]) -> None:
-        """Keep what lies within fall_ns."""
-        del times[: bisect_right(times, self.now - self.s.fall_ns)]
-
-    def _cap(self, dest: Destination) -> int:
-        """At most half the slots for one destination, fewer while its calls run long."""
-        half = int(self.s.slots // 2 * min(1.0, LONG_CALLS * self._pace() / max(dest.mean, 1.0)))
+        """Remove timestamps older than fall_ns."""
+        del times[: bisect_right(times, self.now - self.settings.fall_ns)]
+
+    def _slot_cap(self, dest: Destination) -> int:
+        """Return the bound on a destination's slots: half of them, fewer while its calls run long."""
+        half = int(
+            self.settings.slots
+            // 2
+            * min(1.0, LONG_CALL_FACTOR * self._usual_latency() / max(dest.mean_latency, 1.0))
+        )
         return max(1, half // 2 if any(self.silent(route) for route in dest.routes) else half)
 
-    def _pump(self, dest: Destination) -> None:
-        """Send what may go now, in order; say when to look again."""
-        others = any(d is not dest and d.wake <= self.now for d in self.waiting.values())  # for a slot
-        cap = self._cap(dest)
+    def _dispatch(self, dest: Destination) -> None:
+        """Send what may go now, best first, and set the next wake-up."""
+        # Whether other destinations wait for a slot.
+        contended = any(d is not dest and d.wake_at <= self.now for d in self.waiting.values())
+        cap = self._slot_cap(dest)
         kept: list[Message] = []
-        hopeless: list[Message] = []
-        wake = NEVER
-        opens: list[int] | None = None  # of its routes; worked out anew after each call
-        calls: list[Call] = []  # opened in this reply: what else waits for their routes shares them
-        bundle = self.s.bundles[dest.kind] if dest.kind < len(self.s.bundles) else 1
-        queue, free = dest.queue, self.s.slots - self.inflight
-        scarce = others or free <= max(1, self.s.slots // 8)
-        able = len(queue) > 1 and (dest.inflight < cap or not scarce)
-        if able and any(self._opens(route) <= self.now for route in dest.routes):
+        expired: list[Message] = []
+        wake_at = NEVER
+        next_calls: list[int] | None = None  # by route; computed again after each call
+        calls: list[Call] = []  # started in this reply; later messages for the same route may join them
+        bundle = self.settings.bundles[dest.kind] if dest.kind < len(self.settings.bundles) else 1
+        queue, free = dest.queue, self.settings.slots - self.inflight
+        scarce = contended or free <= max(1, self.settings.slots // 8)
+        sortable = len(queue) > 1 and (dest.inflight < cap or not scarce)
+        if sortable and any(self._next_call_at(route) <= self.now for route in dest.routes):
             queue = sorted(queue, key=lambda m: -self._worth(m, self.now))
-        for place, message in enumerate(queue):
+        for index, message in enumerate(queue):
             if self.now >= message.window_end:
-                hopeless.append(message)  # no route may have it any more
+                expired.append(message)  # its repeat window has ended on every route
                 continue
-            ready = calls if message.not_before <= self.now else None
+            joinable = calls if message.not_before <= self.now else None
             call = None
             if bundle > 1:
                 call = next(
-                    (c for c in ready or () if c.size < bundle and self._may_go(message, c.route)), None
+                    (c for c in joinable or () if c.size < bundle and self._may_use(message, c.route)), None
                 )
             if call is not None:
-                self._send(message, call.route, call)
+                self._start_attempt(message, call.route, call)
                 continue
-            free = self.s.slots - self.inflight
-            if free <= 0 or (dest.inflight >= cap and (others or free <= max(1, self.s.slots // 8))):
-                wake = self.now  # as soon as a slot is free
-                kept += queue[place:] if bundle <= 1 else [message]
+            free = self.settings.slots - self.inflight
+            if free <= 0 or (
+                dest.inflight >= cap and (contended or free <= max(1, self.settings.slots // 8))
+            ):
+                wake_at = self.now  # as soon as a slot is free
+                kept += queue[index:] if bundle <= 1 else [message]
                 if bundle > 1:
                     continue
                 break
-            opens = opens or [max(self._opens(route), self.now) for route in dest.routes]
-            soonest = min(opens, default=NEVER)
+            next_calls = next_calls or [max(self._next_call_at(route), self.now) for route in dest.routes]
+            soonest = min(next_calls, default=NEVER)
             if soonest > self.now:
-                # What none may have in time gets its final answer at once: another forwarder may deliver it.
+                # Messages that no route can take in time are refused at once: another forwarder may deliver
+                # them.
                 late = [
                     m
-                    for m in queue[place:]
+                    for m in queue[index:]
                     if self.now >= m.window_end
                     or dest.routes
                     and soonest > m.deadline
                     and self._may_refuse(m)
-                    and not self._still_owed(m)
+                    and not self._is_reserved(m)
                 ]
-                kept += [m for m in queue[place:] if m not in late] if late else queue[place:]
-                hopeless += late
-                wake = min(wake, soonest)
+                kept += [m for m in queue[index:] if m not in late] if late else queue[index:]
+                expired += late
+                wake_at = min(wake_at, soonest)
                 break
-            if ready is None:
-                wake = min(wake, message.not_before)
+            if joinable is None:
+                wake_at = min(wake_at, message.not_before)
                 kept.append(message)
                 continue
-            route = self._choose(message)
+            route = self._choose_route(message)
             if route is None:
                 kept.append(message)
-                wake = min([wake, *(at for at in (*opens, self._turn_at(message)) if at > self.now)])
+                wake_at = min(
+                    [wake_at, *(at for at in (*next_calls, self._key_turn_at(message)) if at > self.now)]
+                )
                 continue
-            call, opens = self._send(message, route, None), None
-            if not (route.down or route.bad):  # one fate: only one message finds out whether a route works
+            call, next_calls = self._start_attempt(message, route, None), None
+            # Messages of a call share its outcome: only one message probes a route that may be down.
+            if not (route.down or route.failures):
                 calls.append(call)
         dest.queue = kept
-        for message in hopeless:
-            self._give_up(message)
+        for message in expired:
+            self._abandon(message)
         self.waiting.pop(dest.id, None)
         if kept:
             self.waiting[dest.id] = dest
-            if (wake := min(wake, *(message.window_end for message in kept), NEVER)) > self.now:
-                self._wake(dest, wake)
+            if (wake_at := min(wake_at, *(message.window_end for message in kept), NEVER)) > self.now:
+                self._wake_by(dest, wake_at)
             else:
-                dest.wake = self.now
+                dest.wake_at = self.now
 
-    def _choose(self, message: Message) -> Route | None:
-        """The first route, from the message's own on, that is open and serves at a usual pace."""
+    def _choose_route(self, message: Message) -> Route | None:
+        """Return the first available route of usual latency, from the message's current one on."""
         routes = message.dest.routes
-        start = routes.index(message.at) if message.at in routes else 0
+        start = routes.index(message.route) if message.route in routes else 0
         unsafe = message.cls.safety is Safety.UNSAFE
         choice: Route | None = None
-        sour: Route | None = None
+        fallback: Route | None = None
         for route in routes[start:] + routes[:start]:
-            if self._opens(route) > self.now or not self._may_go(message, route):
+            if self._next_call_at(route) > self.now or not self._may_use(message, route):
                 continue
-            when, alone = route.failed.get(message.kind, (0, False))
-            if alone and self.now - when < self.s.ramp_ns:
-                sour = sour or route  # it fails this class only: the next route, if one is open
+            failed_at, class_only = route.failed_classes.get(message.class_index, (0, False))
+            if class_only and self.now - failed_at < self.settings.ramp_ns:
+                fallback = fallback or route  # it fails this class only: used if no other route is available
             elif choice is None:
                 choice = route
-            elif route.oks and not route.down and choice.mean > SLOW_FACTOR * route.mean:
-                choice = route  # the first is slow: new messages move on before they time out
-            elif unsafe and route.oks and choice.loss > LOSSY and choice.loss > 2 * route.loss:
-                choice = route  # what the first loses can't be sent again
-        return choice or sour
-
-    def _send(self, message: Message, route: Route, call: Call | None) -> Call:
-        """Start an attempt, in a call of its own or in one that this reply has opened."""
-        if message.at is not route:
-            message.at, message.tries = route, 0
+            elif (
+                route.successes and not route.down and choice.mean_latency > SLOW_FACTOR * route.mean_latency
+            ):
+                choice = route  # the first is slow: new messages avoid it before they time out
+            elif (
+                unsafe
+                and route.successes
+                and choice.loss_share > LOSSY_ROUTE_SHARE
+                and choice.loss_share > 2 * route.loss_share
+            ):
+                choice = route  # an unsafe message that the first route loses can't be sent again
+        return choice or fallback
+
+    def _start_attempt(self, message: Message, route: Route, call: Call | None) -> Call:
+        """Start an attempt, in a new call or in one that this reply has already started."""
+        if message.route is not route:
+            message.route, message.tries = route, 0
         if call is None:
             idle = self.now - route.idle_since if not route.inflight else NEVER
-            risk = STALE_UNSAFE if message.cls.safety is Safety.UNSAFE else STALE
-            if (idle <= self.s.idle_ns or route.inflight) and self._stale_share() > risk:
+            risk = STALE_SHARE_UNSAFE if message.cls.safety is Safety.UNSAFE else STALE_SHARE
+            if (idle <= self.settings.idle_ns or route.inflight) and self._decayed_idle_loss() > risk:
                 self.actions.append(api.CloseIdle(route.id))
                 idle = NEVER
-            call = Call(route, self.now, idle if idle <= self.s.idle_ns else NEVER)
+            call = Call(route, self.now, idle if idle <= self.settings.idle_ns else NEVER)
             if not route.inflight:
                 route.heard = self.now
             route.inflight += 1
             route.dest.inflight += 1
             self.inflight += 1
-            route.sent_before, route.last_send = route.last_send, self.now
+            route.previous_call_at, route.last_call_at = route.last_call_at, self.now
             limit = route.limit
-            limit.due = max(limit.due, self.now) + int(limit.gap)
-            if len(limit.sends) > 1 and limit.sends[1] <= self.now - self.s.fall_ns:
-                self._prune(limit.sends)
-            limit.last = self.now
-            limit.sends = [*limit.sends, self.now]
-            limit.spread = 0.5 + self.random.random()
-        call.open += 1
+            limit.theoretical_arrival = max(limit.theoretical_arrival, self.now) + int(limit.interval)
+            if len(limit.calls) > 1 and limit.calls[1] <= self.now - self.settings.fall_ns:
+                self._prune(limit.calls)
+            limit.last_call_at = self.now
+            limit.calls = [*limit.calls, self.now]
+            limit.jitter = 0.5 + self.random.random()
+        call.pending += 1
         call.size += 1
-        message.out[message.attempts] = call
+        message.in_flight[message.attempts] = call
         message.attempts += 1
-        self.actions.append(api.Send(message.id, route.id, self._patience(message, route)))
-        self.patient += message.cls.safety is Safety.UNSAFE
+        self.actions.append(api.Send(message.id, route.id, self._timeout(message, route)))
+        self.unsafe_inflight += message.cls.safety is Safety.UNSAFE
         return call
 
-    def _stale_share(self) -> float:
-        """The share of calls on idle connections that is lost beyond those on new ones.
+    def _decayed_idle_loss(self) -> float:
+        """Return the share of calls lost on idle connections beyond the share lost on new ones.
 
-        Guards against connections dropped unseen by servers, firewalls or NAT. It fades: a repeatable message
-        finds out whether it is over. Harm: new connections cost.
+        Servers, firewalls and NAT devices may drop idle connections without notice. The share decays, so that
+        a repeatable message eventually tests whether this still happens. The cost is that of new connections.
         """
-        return self.stale * float(0.5 ** ((self.now - self.stale_at) / STALE_FADES))
+        return self.idle_loss * float(0.5 ** ((self.now - self.idle_loss_updated_at) / STALE_HALF_LIFE))
 
-    def _patience(self, message: Message, route: Route) -> int:
-        """How long to wait for the answer of this attempt."""
+    def _timeout(self, message: Message, route: Route) -> int:
+        """Return the time-out of this attempt."""
         cls = message.cls
-        left = max(self.s.tick_ns, message.late - self.now)  # an answer after its time would not count
-        usual = min(float(cls.aim_ns), self._usual(route))
-        floor = self.s.connect_timeout_ns + self.s.tick_ns  # a connect failure proves more than a time-out
-        # Heavy messages are few: a larger share of unanswered calls is lost, and patience ties up slots.
-        loss = min(1.0, max(0.0, self.failing[1] / LOST_USUAL - 1))
+        left = max(self.settings.tick_ns, message.answer_by - self.now)  # a later answer would not count
+        usual = min(float(cls.aim_ns), self._latency_bound(route))
+        # Outlasts the connect time-out: a failed connect proves that the message did not run, a time-out
+        # doesn't.
+        floor = self.settings.connect_timeout_ns + self.settings.tick_ns
+        # Heavy messages are few. If a larger share of calls than they explain is never answered, the calls
+        # are lost, and a long time-out only ties up slots.
+        loss = min(1.0, max(0.0, self.failure_shares[1] / USUAL_LOST_SHARE - 1))
         if cls.safety is Safety.UNSAFE:
-            factor = PATIENCE_UNSAFE - (PATIENCE_UNSAFE - PATIENCE_SAFE) * loss
+            factor = TIMEOUT_FACTOR_UNSAFE - (TIMEOUT_FACTOR_UNSAFE - TIMEOUT_FACTOR_REPEATABLE) * loss
             wanted = max(factor * usual, 2 * cls.aim_ns * (1 - loss), floor + usual)
-            if self.patient >= PATIENT_PART * self.s.slots:
-                wanted = min(wanted, HURRIED * usual)  # else calls that hang hold all slots for seconds
+            if self.unsafe_inflight >= LONG_TIMEOUT_SLOT_SHARE * self.settings.slots:
+                # Otherwise calls that hang would hold all slots for seconds.
+                wanted = min(wanted, SHORT_TIMEOUT_FACTOR * usual)
         else:
-            factor = PATIENCE_SAFE - (PATIENCE_SAFE - PATIENCE_LOSS) * loss
-            grown = factor * usual * 2 ** (min(message.waits, 6) * (1 - loss / 2))
-            wanted = max(grown, min(cls.aim_ns / 2, PATIENCE_LEAST * usual))
+            factor = TIMEOUT_FACTOR_REPEATABLE - (TIMEOUT_FACTOR_REPEATABLE - TIMEOUT_FACTOR_LOSSY) * loss
+            grown = factor * usual * 2 ** (min(message.backoffs, 6) * (1 - loss / 2))
+            wanted = max(grown, min(cls.aim_ns / 2, MIN_TIMEOUT_FACTOR * usual))
             if cls.safety is Safety.KEYED:
-                wanted = max(wanted, min(PATIENCE_KEYED * usual, floor + usual))
-        return min(left, int(wanted), route.patience)
+                wanted = max(wanted, min(MIN_TIMEOUT_FACTOR_KEYED * usual, floor + usual))
+        return min(left, int(wanted), route.max_timeout)
 
-    def _ended(self, event: api.AttemptEnded) -> Destination | None:
-        """An attempt has its outcome: learn from it, then decide what its message does next."""
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> Destination | None:
+        """Update the estimates from an attempt's outcome, then decide what its message does next."""
         message = self.messages.get(event.message)
-        if message is None or event.attempt not in message.out:
+        if message is None or event.attempt not in message.in_flight:
             return None
-        call = message.out.pop(event.attempt)
+        call = message.in_flight.pop(event.attempt)
         route, sent, dest = call.route, call.sent, call.route.dest
-        self.patient -= message.cls.safety is Safety.UNSAFE
+        self.unsafe_inflight -= message.cls.safety is Safety.UNSAFE
         outcome = event.outcome
-        call.open -= 1
-        if not call.open:
+        call.pending -= 1
+        if not call.pending:
             route.inflight -= 1
             dest.inflight -= 1
             self.inflight -= 1
         route.heard = self.now
-        if event.wait_ns:  # heeded whatever else came with it: a spoilt answer may have told it in earnest
+        # A retry-after is respected with any outcome: a damaged answer may carry a genuine one.
+        if event.wait_ns:
             barred = dest if not dest.apart else route
             barred.wait_until = max(barred.wait_until, self.now + event.wait_ns)
-        if outcome is Outcome.REJECTED:  # of the message, not of the route: nobody need try it again
+        if outcome is Outcome.REJECTED:  # the fault is the message's, not the route's: it is not tried again
             if not message.done and not event.closed:
                 self.actions.append(api.Fail(message.id))
-                self._close(message)
-        elif outcome is not Outcome.MOOT and outcome is not call.taught:  # one call is one lesson
-            call.taught = outcome
+                self._finish(message)
+        elif outcome is not Outcome.MOOT and outcome is not call.counted_outcome:  # counted once per call
+            call.counted_outcome = outcome
             capped = outcome is Outcome.CONNECT_FAILED and not route.down
-            unseen = call.idle < NEVER and self.stale > STALE and outcome in (Outcome.TIMEOUT, Outcome.RESET)
-            self._learn_idle(call, outcome)
-            if not unseen:  # else its connection is to blame, not the route
-                self._learn(route, event, sent, message.kind)
-            # Where connections are capped, one that idles until its end keeps another forwarder out.
-            share = self.capped.get(dest.kind, 0.0)
-            share += FAILING_GAIN * (capped - share)
-            self.capped[dest.kind] = share
-            rest = self.s.idle_ns * max(0.0, 0.5 - 4 * share)  # the more connects fail, the sooner it is shut
-            seldom = route.last_send - route.sent_before > rest
-            if seldom and share > CAPPED and not route.inflight and not dest.queue:
+            stale = (
+                call.idle < NEVER
+                and self.idle_loss > STALE_SHARE
+                and outcome in (Outcome.TIMEOUT, Outcome.RESET)
+            )
+            self._learn_idle_loss(call, outcome)
+            if not stale:  # a stale connection says nothing of the route
+                self._learn_outcome(route, event, sent, message.class_index)
+            # Where the number of connections is capped, an idle one keeps another forwarder from connecting.
+            share = self.connect_failure_shares.get(dest.kind, 0.0)
+            share += FAILURE_GAIN * (capped - share)
+            self.connect_failure_shares[dest.kind] = share
+            max_idle = self.settings.idle_ns * max(0.0, 0.5 - 4 * share)  # shorter, the more connects fail
+            seldom_called = route.last_call_at - route.previous_call_at > max_idle
+            if seldom_called and share > CAPPED_CONNECT_SHARE and not route.inflight and not dest.queue:
                 self.actions.append(api.CloseIdle(route.id))
         if outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            if not message.maybe:
-                message.maybe, message.zone = True, route.zone
+            if not message.may_have_run:
+                message.may_have_run, message.zone = True, route.zone
                 if message.cls.safety is Safety.KEYED:
                     message.window_end = sent + message.cls.window_ns
-            if message.cls.ordered and message.key and outcome is not Outcome.ERROR:  # it may still run
-                self.key_rest = {key: at for key, at in self.key_rest.items() if at > self.now}
-                self.key_rest[message.key] = self.now + self.s.settle_ns + self.s.tick_ns
+            # After any of these but ERROR the attempt may still be running.
+            if message.cls.ordered and message.key and outcome is not Outcome.ERROR:
+                self.key_available_at = {
+                    key: at for key, at in self.key_available_at.items() if at > self.now
+                }
+                self.key_available_at[message.key] = (
+                    self.now + self.settings.settle_ns + self.settings.tick_ns
+                )
         if message.done:
             self._forget(message)
         elif event.closed:
-            self._close(message)
+            self._finish(message)
         else:
-            self._next(message, route, outcome)
+            self._retry_or_abandon(message, route, outcome)
         return dest
 
-    def _next(self, message: Message, route: Route, outcome: Outcome) -> None:
-        """What an undelivered message does after an attempt: wait and try again, move on, or end."""
+    def _retry_or_abandon(self, message: Message, route: Route, outcome: Outcome) -> None:
+        """Queue an undelivered message for its next attempt, on this route or the next, or abandon it."""
         cls = message.cls
-        if message.attempts >= self._most(message) or (message.maybe and cls.safety is Safety.UNSAFE):
-            self._give_up(message)
+        if message.attempts >= self._max_attempts(message) or (
+            message.may_have_run and cls.safety is Safety.UNSAFE
+        ):
+            self._abandon(message)
             return
         message.tries += 1
-        wait, first = 0, int(cls.aim_ns * WAIT_AIM_PART)
-        if outcome is Outcome.FULL or message.tries >= TRIES:
-            # On to the next route in the fixed order; past the end, a new pass from the first.
+        backoff, first = 0, int(cls.aim_ns * FIRST_BACKOFF_AIM_SHARE)
+        if outcome is Outcome.FULL or message.tries >= MAX_TRIES_PER_ROUTE:
+            # On to the next route in the fixed order; after the last, a new pass from the first.
             routes, message.tries = message.dest.routes, 0
             if route in routes:
-                message.at = routes[(routes.index(route) + 1) % len(routes)]
-            if route in routes and message.at is routes[0] and outcome is Outcome.FULL:
-                # All routes are full: calls would be refused again, hold a slot and may use up the limit.
-                wait = first << min(message.passes, 10)
-                message.passes += 1
+                message.route = routes[(routes.index(route) + 1) % len(routes)]
+            if route in routes and message.route is routes[0] and outcome is Outcome.FULL:
+                # All routes are full: a call at once would be refused, hold a slot and might use up the
+                # limit.
+                backoff = first << min(message.full_passes, 10)
+                message.full_passes += 1
         if outcome is not Outcome.FULL:
-            wait = min(WAIT_MAX, first << min(message.waits, 10))
-            message.waits += 1
-        message.not_before = self.now + wait
-        if message.not_before >= min(message.late, message.window_end):
-            self._give_up(message)
+            backoff = min(MAX_BACKOFF, first << min(message.backoffs, 10))
+            message.backoffs += 1
+        message.not_before = self.now + backoff
+        if message.not_before >= min(message.answer_by, message.window_end):
+            self._abandon(message)
             return
         message.dest.queue.insert(0, message)
 
-    def _learn(self, route: Route, event: api.AttemptEnded, sent: int, kind: int) -> None:
-        """A route's health, waits and pace from one outcome."""
+    def _learn_outcome(self, route: Route, event: api.AttemptEnded, sent: int, class_index: int) -> None:
+        """Update a route's health, pacing and latency from one outcome."""
         outcome = event.outcome
-        column, left, limit = self.s.limit_column, self.s.share_left_column, route.limit
+        column, remaining_column, limit = (
+            self.settings.limit_column,
+            self.settings.share_left_column,
+            route.limit,
+        )
         if column is not None and column < len(event.report):
-            told = event.report[column] if 0.01 < event.report[column] < 1e6 else 0.0
-            gain = RATE_GAIN if abs(limit.rate - told) < NEAR * told else 1.0  # further off, it holds
-            limit.rate += gain * (told - limit.rate)
-        unused = UNTOUCHED  # the allowance left, where it is told
-        if limit.rate and left is not None and left < len(event.report):
-            unused = event.report[left]
-        even = SECOND * self.s.forwarders / self._rate(route)
-        # Refused calls may use up a limit: the share refused at the kind says how long to stay away.
-        crowd, refused = self.crowd.setdefault(route.dest.kind, [0.0, CHANCE]), outcome is Outcome.FULL
-        crowd[0] += FAILING_GAIN * (refused - crowd[0])
-        if not limit.fulls:
-            crowd[1] += FAILING_GAIN * (refused - crowd[1])
+            reported = event.report[column] if 0.01 < event.report[column] < 1e6 else 0.0
+            # A small difference is noise and is averaged; a larger one is a new limit and is taken as it is.
+            gain = RATE_GAIN if abs(limit.rate - reported) < RATE_NOISE_BAND * reported else 1.0
+            limit.rate += gain * (reported - limit.rate)
+        remaining = UNUSED_ALLOWANCE  # share of the allowance that is left, where it is reported
+        if limit.rate and remaining_column is not None and remaining_column < len(event.report):
+            remaining = event.report[remaining_column]
+        equal_interval = SECOND * self.settings.forwarders / self._fleet_rate(route)
+        # Refused calls may use up a limit, so the share refused at this kind sets how long to stay away.
+        refusal_shares, refused = (
+            self.refusal_shares.setdefault(route.dest.kind, [0.0, CHANCE_THRESHOLD]),
+            outcome is Outcome.FULL,
+        )
+        refusal_shares[0] += FAILURE_GAIN * (refused - refusal_shares[0])
+        if not limit.refusals:
+            refusal_shares[1] += FAILURE_GAIN * (refused - refusal_shares[1])
         if refused:
-            limit.learn(self.now, True, even, crowd[0], self.many)
-            limit.fulls += 1
-            if limit.fulls == 1:
-                limit.full_since = self.now
-            rest = event.wait_ns
-            # Many are told the same end of a wait: they spread. Without reports the next call must tell much.
-            least = self.shut_after if left is None else REST_FIRST
-            spread = self.random.random() * limit.gap if rest else max(least, limit.gap)
-            limit.due = max(limit.due, self.now + rest + BURST + int(spread))
-            # A limit lets calls through now and then. What is shut, or hangs with a full queue, refuses all.
-            lasts = self.now - limit.full_since >= self.shut_after
-            shut = rest >= self.shut_after or lasts and (limit.rate or crowd[1] ** limit.fulls < CHANCE / 2)
-            if shut and (unused >= UNTOUCHED or rest >= 3 * self.shut_after):  # longer than a limit's span
-                route.dest.sick_at = self.now
-                for kin in [route] if route.dest.apart else [route, *route.dest.routes]:
-                    kin.since = kin.since or limit.full_since
-                    self._mark_down(kin, "refuses all")
-                    if rest:
-                        kin.back = self.now + rest  # it comes back cold then, and all that were told know it
+            limit.update(self.now, True, equal_interval, refusal_shares[0], self.fleet_factor)
+            limit.refusals += 1
+            if limit.refusals == 1:
+                limit.refused_since = self.now
+            retry_after = event.wait_ns
+            # Forwarders that get the same retry-after spread their calls over one interval after it. Without
+            # load reports calls are the only information, so each waits long enough for the next to be
+            # conclusive.
+            min_pause = self.closed_after if remaining_column is None else MIN_REFUSAL_PAUSE
+            pause = self.random.random() * limit.interval if retry_after else max(min_pause, limit.interval)
+            limit.theoretical_arrival = max(
+                limit.theoretical_arrival, self.now + retry_after + BURST_TOLERANCE + int(pause)
+            )
+            # A limit lets calls through now and then; a closed endpoint, or a hanging one whose queue is
+            # full, refuses all.
+            lasting = self.now - limit.refused_since >= self.closed_after
+            closed = (
+                retry_after >= self.closed_after
+                or lasting
+                and (limit.rate or refusal_shares[1] ** limit.refusals < CHANCE_THRESHOLD / 2)
+            )
+            # A retry-after of three times closed_after is longer than a limit's time window.
+            if closed and (remaining >= UNUSED_ALLOWANCE or retry_after >= 3 * self.closed_after):
+                route.dest.last_trouble_at = self.now
+                for sibling in [route] if route.dest.apart else [route, *route.dest.routes]:
+                    sibling.failing_since = sibling.failing_since or limit.refused_since
+                    self._mark_down(sibling, "refuses all")
+                    if retry_after:
+                        # It recovers then, as all forwarders that got the retry-after know.
+                        sibling.back = self.now + retry_after
             return
         failed = outcome is not Outcome.OK
-        route.loss += PACE_GAIN * ((failed and outcome is not Outcome.CONNECT_FAILED) - route.loss)
-        # What fails everywhere tells little of one route.
+        route.loss_share += LATENCY_GAIN * (
+            (failed and outcome is not Outcome.CONNECT_FAILED) - route.loss_share
+        )
+        # A failure that is common everywhere says little of one route, so the usual shares are kept.
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-        if outcome is not Outcome.CANCELLED and not (failed and (route.down or route.bad)):
-            for symptom in (False, True):
-                self.failing[symptom] += FAILING_GAIN * ((failed and symptom is lost) - self.failing[symptom])
+        if outcome is not Outcome.CANCELLED and not (failed and (route.down or route.failures)):
+            for index in (False, True):
+                self.failure_shares[index] += FAILURE_GAIN * (
+                    (failed and index is lost) - self.failure_shares[index]
+                )
         if not failed:
             if route.down and route.back is None:
-                limit.gap, limit.due = 0.0, self.now  # it was shut: the ramp has its own pace
-            limit.learn(self.now, False, even, 0.0, self.many, unused if limit.rate else 1.0)
-            route.bad = limit.fulls = 0
-            route.failed.pop(kind, None)
-            route.dest.bad, route.dest.sick_at = 0, -NEVER
+                # It was closed, not limited: from here on the ramp paces the calls.
+                limit.interval, limit.theoretical_arrival = 0.0, self.now
+            limit.update(
+                self.now, False, equal_interval, 0.0, self.fleet_factor, remaining if limit.rate else 1.0
+            )
+            route.failures = limit.refusals = 0
+            route.failed_classes.pop(class_index, None)
+            route.dest.failures, route.dest.last_trouble_at = 0, -NEVER
             if not route.down:
-                route.since = 0
-            route.last_ok = self.now
-            self._prune(route.limit.served)
-            route.limit.served = [*route.limit.served, self.now]
-            self._learn_pace(route, event.latency_ns)
+                route.failing_since = 0
+            route.last_success_at = self.now
+            self._prune(route.limit.answers)
+            route.limit.answers = [*route.limit.answers, self.now]
+            self._learn_latency(route, event.latency_ns)
             if route.down:
                 if route.back is None:
                     route.back = self.now
-                elif self.now - route.back >= self.s.ramp_ns:
+                elif self.now - route.back >= self.settings.ramp_ns:
                     route.down = False
-                    route.back, route.since = None, 0
+                    route.back, route.failing_since = None, 0
                     self._log(route, "serves again")
             return
-        if outcome is Outcome.CONNECT_FAILED and route.last_ok >= sent and route.inflight:  # capped, not down
-            limit.learn(self.now, True, even)
-            limit.due = max(limit.due, self.now + BURST + REST_FIRST)
+        # A failed connect beside calls that are answered means capped connections, not an outage.
+        if outcome is Outcome.CONNECT_FAILED and route.last_success_at >= sent and route.inflight:
+            limit.update(self.now, True, equal_interval)
+            limit.theoretical_arrival = max(
+                limit.theoretical_arrival, self.now + BURST_TOLERANCE + MIN_REFUSAL_PAUSE
+            )
             return
-        # One class fails again, others were served between: only it moves on. Harm: one failure more a class.
-        alone = route.last_ok > route.failed.get(kind, (NEVER, False))[0] and len(route.failed) == 1
-        route.failed = route.failed | {kind: (self.now, alone)}
-        if alone:
+        # If one class fails twice with other classes served in between, only that class avoids the route. The
+        # cost is one more failure for each class.
+        class_only = (
+            route.last_success_at > route.failed_classes.get(class_index, (NEVER, False))[0]
+            and len(route.failed_classes) == 1
+        )
+        route.failed_classes = route.failed_classes | {class_index: (self.now, class_only)}
+        if class_only:
             return
-        route.bad += 1
+        route.failures += 1
         route.timed_out = outcome is Outcome.TIMEOUT
-        route.dest.bad += 1
-        route.dest.sick_at = self.now
-        route.since = route.since or self.now
-        # Where this forwarder calls rarely, one failure must do, unless chance explains it.
-        seldom = route.last_ok < sent - self.s.fall_ns
-        # Routes of a destination mostly fail together.
-        shared = route.dest.bad > route.bad and (seldom or not route.dest.apart)
-        usual = self.failing[lost] if lost else min(self.failing[lost], FAILING_MOST)
-        chance = usual ** (route.dest.bad if shared else route.bad)
-        enough = CHANCE / 5 if route.timed_out else SURELY
-        doubtful = chance < CHANCE if seldom else route.bad >= 3 and chance < enough
-        if doubtful or route.bad >= route.fails:
-            for kin in route.dest.routes if shared else [route]:
-                if kin.bad:
-                    self._mark_down(kin, outcome.name.lower())
-
-    def _learn_idle(self, call: Call, outcome: Outcome) -> None:
-        """Whether calls on idle connections are lost, pooled over all routes."""
+        route.dest.failures += 1
+        route.dest.last_trouble_at = self.now
+        route.failing_since = route.failing_since or self.now
+        # A forwarder that calls the route seldom must act on one failure, unless chance explains it.
+        seldom_called = route.last_success_at < sent - self.settings.fall_ns
+        # Routes of one destination mostly fail together.
+        shared = route.dest.failures > route.failures and (seldom_called or not route.dest.apart)
+        usual = self.failure_shares[lost] if lost else min(self.failure_shares[lost], MAX_USUAL_FAILURE_SHARE)
+        probability = usual ** (route.dest.failures if shared else route.failures)
+        threshold = CHANCE_THRESHOLD / 5 if route.timed_out else QUICK_FAILURE_THRESHOLD
+        outage = (
+            probability < CHANCE_THRESHOLD
+            if seldom_called
+            else route.failures >= 3 and probability < threshold
+        )
+        if outage or route.failures >= route.max_failures:
+            for sibling in route.dest.routes if shared else [route]:
+                if sibling.failures:
+                    self._mark_down(sibling, outcome.name.lower())
+
+    def _learn_idle_loss(self, call: Call, outcome: Outcome) -> None:
+        """Update the share of calls that are lost on idle connections, over all routes."""
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET)
         call.route.idle_since = -NEVER if lost or outcome is Outcome.CONNECT_FAILED else self.now
-        if not lost and outcome is not Outcome.OK or call.idle < STALE_LEAST:
+        if not lost and outcome is not Outcome.OK or call.idle < STALE_MIN_IDLE:
             return
         if call.idle == NEVER:
-            self.fresh_lost += STALE_GAIN / 2 * (lost - self.fresh_lost)
+            self.new_loss += STALE_GAIN / 2 * (lost - self.new_loss)
             return
-        self.stale, self.stale_at = self._stale_share(), self.now
+        self.idle_loss, self.idle_loss_updated_at = self._decayed_idle_loss(), self.now
         if lost:
-            self.stale_from = min(self.stale_from, call.idle)
-            self.stale += STALE_GAIN * max(0.0, 1 - self.fresh_lost - self.stale)
-        elif call.idle >= self.stale_from:
-            self.stale *= 1 - STALE_GAIN
-        if self.stale < STALE_UNSAFE:
-            self.stale_from = NEVER
-
-    def _learn_pace(self, route: Route, latency: int) -> None:
-        """Observed pace of a route and of its destination."""
-        if not route.oks:
-            route.mean, route.dev = float(latency), latency / 2
+            self.shortest_lost_idle = min(self.shortest_lost_idle, call.idle)
+            self.idle_loss += STALE_GAIN * max(0.0, 1 - self.new_loss - self.idle_loss)
+        elif call.idle >= self.shortest_lost_idle:
+            self.idle_loss *= 1 - STALE_GAIN
+        if self.idle_loss < STALE_SHARE_UNSAFE:
+            self.shortest_lost_idle = NEVER
+
+    def _learn_latency(self, route: Route, latency: int) -> None:
+        """Update the latency estimates of a route, of its destination and over all destinations."""
+        if not route.successes:
+            route.mean_latency, route.latency_deviation = float(latency), latency / 2
         else:
-            route.dev += PACE_GAIN * (abs(latency - route.mean) - route.dev)
-            route.mean += PACE_GAIN * (latency - route.mean)
-        route.oks += 1
-        route.dest.mean += (PACE_GAIN if route.dest.mean else 1.0) * (latency - route.dest.mean)
-        self.log_pace += (0.01 if self.log_pace else 1.0) * (math.log(max(latency, 1)) - self.log_pace)
-
-    def _mark_down(self, route: Route, why: str) -> None:
-        """The route counts as in an outage, or as not back yet."""
+            route.latency_deviation += LATENCY_GAIN * (
+                abs(latency - route.mean_latency) - route.latency_deviation
+            )
+            route.mean_latency += LATENCY_GAIN * (latency - route.mean_latency)
+        route.successes += 1
+        route.dest.mean_latency += (LATENCY_GAIN if route.dest.mean_latency else 1.0) * (
+            latency - route.dest.mean_latency
+        )
+        self.log_latency += (0.01 if self.log_latency else 1.0) * (
+            math.log(max(latency, 1)) - self.log_latency
+        )
+
+    def _mark_down(self, route: Route, reason: str) -> None:
+        """Mark the route as down and not yet recovering."""
         if not route.down:
-            self._log(route, why)
+            self._log(route, reason)
         route.down, route.back = True, None
 
     def _log(self, route: Route, text: str) -> None:
-        """A bounded number of lines on changes of state."""
-        self.logs += 1
-        if self.logs <= LOGS:
+        """Log a change of a route's state, up to ``MAX_LOG_LINES``."""
+        self.log_count += 1
+        if self.log_count <= MAX_LOG_LINES:
             self.actions.append(api.Log(f"destination {route.dest.id} route {route.id.hex()}: {text}"))
 
-    def _wake(self, dest: Destination, at: int) -> None:
-        """Have the destination looked at again by then."""
-        if self.now < dest.wake <= at:
+    def _wake_by(self, dest: Destination, at: int) -> None:
+        """Set a timer for the destination, unless it has an earlier one."""
+        if self.now < dest.wake_at <= at:
             return
-        dest.wake = at
+        dest.wake_at = at
         self.actions.append(api.SetTimer(dest.id * 2 + 1, max(at, self.now)))
--- a/snowlock/interface.py
+++ b/snowlock/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of a snowlock controller: the whole vocabulary, no decisions.
+"""Types of a controller's interface: settings, events (input) and actions (output).
 
 All times are integer nanoseconds on the caller's monotonic clock.
 """
@@ -14,7 +14,10 @@
 
 
 class Safety(Enum):
-    """What a repeat of a message's effect means."""
+    """Whether a message may be sent again after an attempt that may have run.
+
+    SAFE: always. KEYED: within the repeat window, in which endpoints drop repeats by key. UNSAFE: never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,7 +25,7 @@
 
 
 class Decay(Enum):
-    """How worth falls after the aim: evenly, or by half with each further aim."""
+    """How a message loses worth after its aim_ns: linearly, or by half in each further aim_ns."""
 
     EVEN = "even"
     HALVES = "halves"
@@ -39,11 +42,11 @@
     RESET = 5
     CANCELLED = 6
     MOOT = 7
-    REJECTED = 8  # never on the simulator's wire: it did not run, and would be rejected again
+    REJECTED = 8  # did not run, and would be rejected again; never sent on the simulator's wire
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -51,7 +54,7 @@
 
 
 class ListKind(IntEnum):
-    """How an endpoint list relates to the one before."""
+    """Kind of endpoint list: changes, all endpoints, all endpoints from a cache, or a failed request."""
 
     DELTA = 0
     FULL = 1
@@ -60,7 +63,7 @@
 
 
 class RateHint(Enum):
-    """How far the listed rates can be trusted."""
+    """How accurate the listed rates are."""
 
     NONE = "none"
     ROUGH = "rough"
@@ -68,12 +71,12 @@
 
 
 class MessageClass(Struct, frozen=True):
-    """One class of message."""
+    """A message class: timing, safety of repeats, and worth."""
 
     aim_ns: int
     deadline_ns: int
     safety: Safety = Safety.SAFE
-    zone_bound: bool = False  # keyed: only endpoints of one zone drop repeats
+    zone_bound: bool = False  # KEYED: repeats are dropped only by endpoints of the zone of the first attempt
     window_ns: int = 0
     ordered: bool = False
     worth: float = 1.0
@@ -82,20 +85,20 @@
 
 
 class Tenant(Struct, frozen=True):
-    """A tenant's share, in messages a second over all forwarders."""
+    """A tenant and its rate in messages a second over all forwarders."""
 
     rate: float
     name: str = ""
 
 
 class Settings(Struct, frozen=True):
-    """All that a controller is told at its start."""
+    """Configuration of a controller."""
 
     classes: tuple[MessageClass, ...]
     slots: int
-    routes_apart: tuple[bool, ...] = ()  # by kind of destination
-    bundles: tuple[int, ...] = ()  # by kind: sends of one reply to one endpoint that share a call, at most
-    tolls: tuple[float, ...] = ()  # by zone, for routes apart
+    routes_apart: tuple[bool, ...] = ()  # by kind of destination: each route has its own limit and outages
+    bundles: tuple[int, ...] = ()  # by kind: most messages of one reply to one endpoint that share a call
+    tolls: tuple[float, ...] = ()  # cost of a call by zone, where routes are apart
     cross_zone_fee: float = 0.0
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
@@ -105,42 +108,44 @@
     max_retry_after_ns: int = 0
     tick_ns: int = 1_000_000
     forwarders: int = 1
-    number: int = 0  # this one's place among them
+    number: int = 0  # index of this forwarder among them
     zone: int = 0
     connect_timeout_ns: int = 1_000_000_000
-    idle_ns: int = 1 << 62  # idle connections are closed after this
+    idle_ns: int = 1 << 62  # idle connections are closed after this time
     rate_hint: RateHint = RateHint.NONE
-    share_left_column: int | None = None  # column of an outcome's load report
-    limit_column: int | None = None
+    share_left_column: int | None = None  # index in load reports of the share of the limit that is left
+    limit_column: int | None = None  # index in load reports of the limit in calls a second
     must_subscribe: bool = False
-    ask_within_ns: int = 10_000_000_000  # must_subscribe: asked longer ago, a drain counts as told
-    cold_from: float = 0.2
-    ramp_ns: int = 10_000_000_000
-    tip_multiple: float = 2.0
-    fall_ns: int = 2_000_000_000
-    settle_ns: int = 0
-    columns: tuple[str, ...] = ()  # names of an outcome's load report
+    ask_within_ns: int = 10_000_000_000  # must_subscribe: a drain counts as known this long after a request
+    cold_from: float = 0.2  # slow start: share of its rate that a recovering route can bear at first
+    ramp_ns: int = 10_000_000_000  # and the time until it bears all of it
+    tip_multiple: float = 2.0  # multiple of what a recovering route can bear that overloads it
+    fall_ns: int = 2_000_000_000  # length of the window over which those calls are counted
+    settle_ns: int = 0  # time after which an attempt without an answer no longer runs
+    columns: tuple[str, ...] = ()  # names of the values in load reports
     zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()  # of destination
+    kinds: tuple[str, ...] = ()  # names of the kinds of destination
 
     def __post_init__(self) -> None:
-        """Refuse settings under which no message could be decided."""
+        """Raise ValueError for settings that are not valid."""
         if not self.classes:
-            raise ValueError("settings: at least one message class is needed")
+            raise ValueError("settings: at least one message class is required")
         for cls in self.classes:
             if cls.aim_ns <= 0 or cls.deadline_ns < cls.aim_ns:
                 raise ValueError("settings: a class needs 0 < aim_ns <= deadline_ns")
             if cls.window_ns < 0 or not 0 <= cls.late_worth <= 1 or cls.worth < 0:
-                raise ValueError("settings: a class has a negative window or an impossible worth")
+                raise ValueError(
+                    "settings: a class has a negative window_ns, or a worth or late_worth out of range"
+                )
         for name in ("slots", "max_attempts", "max_open", "forwarders", "tick_ns", "fall_ns", "ramp_ns"):
             if getattr(self, name) < 1:
                 raise ValueError(f"settings: {name} must be at least 1")
         if not 0 < self.cold_from <= 1 or self.tip_multiple <= 0 or self.settle_ns < 0:
-            raise ValueError("settings: cold_from, tip_multiple or settle_ns is impossible")
+            raise ValueError("settings: cold_from, tip_multiple or settle_ns is out of range")
 
 
 class Endpoint(Struct, frozen=True):
-    """One line of the endpoint list."""
+    """An entry of the endpoint list."""
 
     id: EndpointId
     destination: int
@@ -148,28 +153,26 @@
     kind: int = 0
     state: EndpointState = EndpointState.READY
     rate: float = 1.0
-    rank: int = 0  # routes of a higher rank come after all of a lower one
-    tries: int = 0  # bound on a message's attempts at the destination; 0 here and below: none
+    rank: int = 0  # routes of a lower rank are preferred
+    tries: int = 0  # bound on a message's attempts at the destination; here and below 0 means no bound
     patience_ns: int = 0  # bound on an attempt's time-out
-    fails: int = 0  # failures in a row that make an outage
-    limit: float = 0.0  # calls a second that it told this forwarder before a restart; 0: nothing known
-    down_ns: int = (
-        0  # for how long it had been in an outage that this forwarder knew of before a restart; 0: none
-    )
-    back_ns: int = 0  # and on its way back from it; 0: not yet; below 0: it will be then
+    fails: int = 0  # consecutive failures that count as an outage
+    limit: float = 0.0  # limit in calls a second that it reported before this forwarder restarted; 0: unknown
+    down_ns: int = 0  # age of an outage that this forwarder knew of before a restart; 0: none
+    back_ns: int = 0  # time since recovery from it began; 0: not yet; negative: time until it begins
 
 
 class EndpointList(Struct, frozen=True):
-    """News of the endpoint list."""
+    """A change of the endpoint list, or a whole list."""
 
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
 
 
 class Arrival(Struct, frozen=True):
-    """A message was accepted and is owed one final answer.
+    """A message was accepted and needs exactly one final answer.
 
-    One held before a restart comes with its past: a call that was out then may have run.
+    A message recovered after a restart comes with its history: a call that was in flight then may have run.
     """
 
     message: int
@@ -178,13 +181,13 @@
     time_left_ns: int
     tenant: int = 0
     key: int = 0
-    attempts: int = 0  # made so far
-    maybe_since_ns: int | None = None  # when the first attempt left that may have run
-    kept: bool = False  # it was held before a restart
+    attempts: int = 0  # number of attempts so far
+    maybe_since_ns: int | None = None  # when the first attempt that may have run was sent
+    kept: bool = False  # it was accepted before a restart
 
 
 class AttemptEnded(Struct, frozen=True):
-    """An attempt has its outcome; ``closed`` says that the message is answered."""
+    """An attempt has ended; ``closed``: the message has been answered."""
 
     message: int
     attempt: int
@@ -192,21 +195,22 @@
     outcome: Outcome
     latency_ns: int
     closed: bool
-    wait_ns: int = 0  # with FULL: told wait, 0 if none
-    no_slot: bool = False  # with MOOT
+    wait_ns: int = 0  # retry-after, mostly with FULL; 0: none
+    no_slot: bool = False  # with MOOT: the call was not forwarded, as no slot was free
     report: tuple[float, ...] = ()
 
 
 class Withdrawn(Struct, frozen=True):
-    """Nobody wants this message any more; no answer is owed."""
+    """A message was cancelled; it needs no answer."""
 
     message: int
 
 
 class Parts(Struct, frozen=True):
-    """Where forwarders share limits: this one's part at endpoints, in calls a second.
+    """This forwarder's shares of limits that forwarders share.
 
-    0: it is not shared any more. Also of tenants' shares, in messages a second, by the tenant's number.
+    ``parts``: by endpoint, in calls a second; 0 means that the limit is no longer shared. ``tenants``: by the
+    tenant's index, in messages a second.
     """
 
     parts: tuple[tuple[EndpointId, float], ...]
@@ -214,17 +218,17 @@
 
 
 class Judged(Struct, frozen=True):
-    """What other forwarders' word comes to, by endpoint.
+    """Suspensions of endpoints that follow from other forwarders' reports.
 
-    Until when it is held back (0: not any more), and whether it is to be called one call at a time instead of
-    not at all.
+    For each endpoint: until when it is suspended (0: no longer), and whether one call at a time is allowed
+    instead of none.
     """
 
     routes: tuple[tuple[EndpointId, int, bool], ...]
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer set by the controller has come due."""
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
@@ -241,37 +245,37 @@
 
 
 class Refuse(Struct, frozen=True):
-    """Final answer: not delivered, and it is safe to hand the message in again."""
+    """Final answer: not delivered, and the message may safely be submitted again."""
 
     message: int
     retry_after_ns: int
 
 
 class Fail(Struct, frozen=True):
-    """Final answer: not known to be delivered."""
+    """Final answer: not known to be delivered, and submitting it again may not be safe."""
 
     message: int
 
 
 class CloseIdle(Struct, frozen=True):
-    """Shut idle connections to an endpoint."""
+    """Close idle connections to an endpoint."""
 
     endpoint: EndpointId
 
 
 class SetTimer(Struct, frozen=True):
-    """Ask for ``TimerFired`` at or after ``at_ns``."""
+    """Request ``TimerFired`` at or after ``at_ns``."""
 
     token: int
     at_ns: int
 
 
 class Subscribe(Struct, frozen=True):
-    """Ask for endpoint list changes from now on."""
+    """Request the endpoint list and its changes from now on."""
 
 
 class Log(Struct, frozen=True):
-    """A line for on-call staff."""
+    """A log line for operators."""
 
     text: str
 
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -1,4 +1,4 @@
-"""What the controller holds of calls, messages, destinations and routes. No decisions."""
+"""State that the controller keeps of calls, messages, destinations and routes; it makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,40 +12,42 @@
     from snowlock.control import Limit
 
 NEVER = 1 << 62
-KEPT_PART = 0.7  # of its time: so long what a restart finds untried is kept for a try
-NO_CLASSES = dict[int, tuple[int, bool]]()  # of those never called: not to be filled
+RESERVED_TIME_SHARE = 0.7  # of its time left, for which a message recovered untried is reserved an attempt
+NO_FAILED_CLASSES = dict[
+    int, tuple[int, bool]
+]()  # shared by routes without failures, to save memory; never mutated
 
 
 class Call:
-    """One call: the messages that one reply sends to one route share it, its slot and its fate."""
+    """One call: the messages that one reply sends to one route share it, its slot and its outcome."""
 
     def __init__(self, route: Route, sent: int, idle: int):
         self.route, self.sent = route, sent
-        self.open = self.size = 0  # messages without an outcome yet, and all
-        self.idle = idle  # for how long its connection had been idle; NEVER: a new one
-        self.taught: Outcome | None = None
+        self.pending = self.size = 0  # messages without an outcome yet, and all messages
+        self.idle = idle  # for how long its connection had been idle; NEVER: a new connection
+        self.counted_outcome: Outcome | None = None  # the last outcome that the estimates were updated from
 
 
 class Message:
-    """One message: where it stands on its list of routes, and what may have run."""
+    """One message: its position in the order of routes, its attempts, and whether one may have run."""
 
     def __init__(
-        self, id: int, cls: api.MessageClass, dest: Destination, event: api.Arrival, now: int, slack: int
+        self, id: int, cls: api.MessageClass, dest: Destination, event: api.Arrival, now: int, margin: int
     ):
         self.id, self.cls, self.dest, self.key = id, cls, dest, event.key
         self.deadline = now + event.time_left_ns
-        self.full_until = self.deadline - cls.deadline_ns + cls.aim_ns  # worth all until then
-        self.late = self.deadline - slack  # its last moment to be answered, as batches come only each tick
-        self.kept_until = now + int(KEPT_PART * event.time_left_ns) if event.kept else 0
-        self.at: Route | None = None
-        self.tries = self.attempts = self.waits = self.passes = self.not_before = 0
-        self.out: dict[int, Call] = {}
-        self.maybe = self.done = False
-        self.zone, self.weight, self.window_end, self.kind = -1, cls.worth, NEVER, event.message_class
+        self.full_worth_until = self.deadline - cls.deadline_ns + cls.aim_ns
+        self.answer_by = self.deadline - margin  # latest time for an answer, as batches come only once a tick
+        self.reserved_until = now + int(RESERVED_TIME_SHARE * event.time_left_ns) if event.kept else 0
+        self.route: Route | None = None  # current place in the destination's order of routes
+        self.tries = self.attempts = self.backoffs = self.full_passes = self.not_before = 0
+        self.in_flight: dict[int, Call] = {}  # by attempt number
+        self.may_have_run = self.done = False
+        self.zone, self.weight, self.window_end, self.class_index = -1, cls.worth, NEVER, event.message_class
 
 
 class Destination:
-    """What waits for one destination, and its routes in their fixed order."""
+    """A destination: its queue of messages, and its routes in their fixed order."""
 
     __slots__ = (
         "id",
@@ -53,14 +55,14 @@
         "queue",
         "kind",
         "inflight",
-        "bad",
-        "sick_at",
-        "wake",
-        "tries",
+        "failures",
+        "last_trouble_at",
+        "wake_at",
+        "max_attempts",
         "wait_until",
         "apart",
         "limit",
-        "mean",
+        "mean_latency",
     )
 
     def __init__(self, id: int):
@@ -68,65 +70,70 @@
         self.routes: list[Route] = []
         self.queue: list[Message] = []
         self.kind = self.inflight = 0
-        self.bad = 0  # failures in a row at all its routes
-        self.sick_at = -NEVER  # last failure or refusal as shut, with nothing served since
-        self.wake = self.tries = NEVER
-        self.wait_until = 0  # told wait, where routes share a limit: holds for routes yet to be listed too
-        self.apart, self.mean = False, 0.0
-        self.limit: Limit | None = None  # of routes that share one; made with the first of them
+        self.failures = 0  # in a row, over all its routes
+        self.last_trouble_at = -NEVER  # last failure, or refusal as closed, with no answer since
+        self.wake_at = self.max_attempts = NEVER
+        # End of a retry-after, where routes share a limit; applies to routes listed later too.
+        self.wait_until = 0
+        self.apart, self.mean_latency = False, 0.0  # apart: each route has a limit of its own
+        self.limit: Limit | None = None  # shared by its routes unless apart; created with the first of them
 
 
 class Route:
-    """One endpoint. Many may be listed that are never sent to, so it must be small."""
+    """One endpoint. Kept small, as many may be listed that are never called."""
 
     __slots__ = (
         "id",
         "dest",
         "zone",
-        "draw",
-        "place",
+        "order_draw",
+        "rotation_offset",
         "rate",
         "ready",
         "rank",
-        "patience",
-        "fails",
+        "max_timeout",
+        "max_failures",
         "limit",
         "inflight",
         "wait_until",
-        "bad",
-        "oks",
-        "last_send",
-        "sent_before",
-        "last_ok",
-        "since",
+        "failures",
+        "successes",
+        "last_call_at",
+        "previous_call_at",
+        "last_success_at",
+        "failing_since",
         "heard",
         "idle_since",
-        "mean",
-        "dev",
-        "loss",
+        "mean_latency",
+        "latency_deviation",
+        "loss_share",
         "down",
         "timed_out",
-        "failed",
+        "failed_classes",
         "back",
-        "held",
-        "one",
+        "suspended_until",
+        "one_at_a_time",
     )
 
     def __init__(self, entry: api.Endpoint, dest: Destination, draw: float, limit: Limit):
         self.id, self.dest, self.zone = entry.id, dest, entry.zone
-        self.draw = draw  # its place among routes that cost the same, to be weighed by their rates
+        self.order_draw = draw  # random; divided by the rate it orders routes of equal cost
         self.rate, self.ready, self.rank = entry.rate, True, entry.rank
-        self.patience = self.fails = NEVER  # bounds set by the operators, if any
+        self.max_timeout = self.max_failures = NEVER  # bounds set by operators, if any
         self.limit = limit
-        self.inflight = self.wait_until = self.bad = self.oks = 0
-        self.last_send = self.sent_before = self.last_ok = -NEVER
-        self.since = 0  # the first failure, or refusal as shut, since it last served
-        self.heard = 0  # last outcome, or first call out since
-        self.idle_since = -NEVER  # when its last call ended with its connection left open
-        self.mean = self.dev = 0.0
-        self.loss = 0.0  # share of its calls that may have run and brought no answer that counts
-        self.down = self.timed_out = False  # the latter: its last failure held a slot for long
-        self.failed = NO_CLASSES  # class not served since: when, others served between
-        self.back: int | None = None
-        self.held, self.one = 0, False  # by others' word: not called until then, or one call at a time
-        self.place = zlib.crc32(entry.id) / 2**32  # of turns, the same at all forwarders
+        self.inflight = self.wait_until = self.failures = self.successes = 0
+        self.last_call_at = self.previous_call_at = self.last_success_at = -NEVER
+        self.failing_since = 0  # first failure, or refusal as closed, since the last answer; 0: none
+        self.heard = 0  # last outcome, or the first call in flight after it
+        self.idle_since = -NEVER  # when its last call ended and left its connection open
+        self.mean_latency = self.latency_deviation = 0.0
+        self.loss_share = 0.0  # share of its calls that may have run but brought no answer
+        # The latter: its last failure was a time-out, which held a slot for long.
+        self.down = self.timed_out = False
+        # By class that has failed since it was last served: when, and whether other classes were served in
+        # between.
+        self.failed_classes = NO_FAILED_CLASSES
+        self.back: int | None = None  # recovering since then, or from then on; None: not recovering
+        # By other forwarders' reports: until then no calls, or one call at a time.
+        self.suspended_until, self.one_at_a_time = 0, False
+        self.rotation_offset = zlib.crc32(entry.id) / 2**32  # shifts the turns; the same at all forwarders
--- a/snowlock/wire.py
+++ b/snowlock/wire.py
@@ -1,4 +1,4 @@
-"""Binary codec of the simulator's wire: bytes to events, actions to bytes; decides nothing."""
+"""Binary codec of the simulator's protocol: decodes events and encodes actions."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 HEADER = struct.Struct("<IIQ")
 REPLY = struct.Struct("<II")
 _OPEN = struct.Struct("<HQI")
-_ITEM = struct.Struct("<HQBIQQQfH")
-_RESPONSE = struct.Struct("<HQH6sHQBIB")
-_PAGE = struct.Struct("<HI")
+_ARRIVAL = struct.Struct("<HQBIQQQfH")
+_ATTEMPT_ENDED = struct.Struct("<HQH6sHQBIB")
+_LIST = struct.Struct("<HI")
 _ENTRY = struct.Struct("<6sHHHBfQ")
-_FLEET = struct.Struct("<HBQH")
-_PAIR = struct.Struct("<HQ")
+_LIST_CHANGE = struct.Struct("<HBQH")
+_NUMBER = struct.Struct("<HQ")
 _INSTANCE = struct.Struct("<H")
 _SEND = struct.Struct("<BHQQ6s")
 _TEXT = struct.Struct("<BHH")
-_THREE = struct.Struct("<BHQQ")
+_ID_AND_NUMBER = struct.Struct("<BHQQ")
 _ID = struct.Struct("<BHQ")
-_CLOSE = struct.Struct("<BH6s")
-_FOLLOW = struct.Struct("<BHB")
+_CLOSE_IDLE = struct.Struct("<BH6s")
+_SUBSCRIBE = struct.Struct("<BHB")
 MS = 1_000_000
 
 
 class WireError(Exception):
-    """The input is not a frame of this wire."""
+    """The input is not a valid frame."""
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """An instance starts."""
+    """An instance was started."""
 
     seed: int
     settings: api.Settings
@@ -51,7 +51,7 @@
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """Settings from the opening JSON; unknown keys are ignored."""
+    """Parse the settings JSON of an opening record; unknown keys are ignored."""
     try:
         return settings.read(json.loads(text))
     except ValueError as error:
@@ -59,19 +59,19 @@
 
 
 class Decoder:
-    """Turns frame bodies into items; keeps the process-wide numbered lists."""
+    """Decodes frame bodies; keeps the numbered endpoint lists, which all instances share."""
 
     def __init__(self) -> None:
-        self._pages: dict[int, tuple[api.Endpoint, ...]] = {}
+        self._lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Item]]:
-        """Yield (instance, item) for each record, in order."""
+        """Yield (instance, item) for each record of a frame body, in order."""
         at = 0
         try:
             for _ in range(count):
                 code, at = body[at], at + 1
                 if code == 3:
-                    at = self._page(body, at)
+                    at = self._endpoint_list(body, at)
                     continue
                 instance, item, at = self._record(code, body, at)
                 if item is not None:
@@ -79,94 +79,100 @@
         except (struct.error, IndexError, ValueError) as error:
             raise WireError(f"malformed record before byte {at}: {error}") from error
         if at != len(body):
-            raise WireError(f"{len(body) - at} bytes too many in a frame")
+            raise WireError(f"frame has {len(body) - at} bytes after its last record")
 
-    def _page(self, body: bytes, at: int) -> int:
-        """Take in a numbered list."""
-        slot, count = _PAGE.unpack_from(body, at)
-        at += _PAGE.size
-        rows = []
+    def _endpoint_list(self, body: bytes, at: int) -> int:
+        """Store a numbered endpoint list and return the position after it."""
+        slot, count = _LIST.unpack_from(body, at)
+        at += _LIST.size
+        endpoints = []
         for _ in range(count):
-            target, zone, kind, destination, state, rate, _since = _ENTRY.unpack_from(body, at)
+            endpoint, zone, kind, destination, state, rate, _since = _ENTRY.unpack_from(body, at)
             at += _ENTRY.size
-            rows.append(api.Endpoint(target, destination, zone, kind, api.EndpointState(state), rate))
-        self._pages[slot] = tuple(rows)
+            endpoints.append(api.Endpoint(endpoint, destination, zone, kind, api.EndpointState(state), rate))
+        self._lists[slot] = tuple(endpoints)
         return at
 
     def _record(self, code: int, body: bytes, at: int) -> tuple[int, Item | None, int]:
-        """One record other than a list: instance, item (or nothing), next position."""
+        """Decode a record other than a list into its instance, its item or None, and the next position."""
         if code == 8:
-            fields = _RESPONSE.unpack_from(body, at)
-            instance, message, trial, target, verdict, latency, closed, note, n = fields
-            at += _RESPONSE.size
-            report = struct.unpack_from(f"<{n}f", body, at)
-            outcome = api.Outcome(verdict)
+            fields = _ATTEMPT_ENDED.unpack_from(body, at)
+            instance, message, attempt, endpoint, outcome_code, latency, closed, note, columns = fields
+            at += _ATTEMPT_ENDED.size
+            report = struct.unpack_from(f"<{columns}f", body, at)
+            outcome = api.Outcome(outcome_code)
             wait = note * MS if outcome is api.Outcome.FULL else 0
             no_slot = outcome is api.Outcome.MOOT and note == 1
             ended = api.AttemptEnded(
-                message, trial, target, outcome, latency, bool(closed), wait, no_slot, report
+                message, attempt, endpoint, outcome, latency, bool(closed), wait, no_slot, report
             )
-            return instance, ended, at + 4 * n
+            return instance, ended, at + 4 * columns
         if code == 10:
-            instance, message, cls, tenant, key, left, _hint, dest, _flags = _ITEM.unpack_from(body, at)
-            return instance, api.Arrival(message, cls, int(dest), left, tenant, key), at + _ITEM.size
+            instance, message, message_class, tenant, key, time_left, _hint, destination, _flags = (
+                _ARRIVAL.unpack_from(body, at)
+            )
+            return (
+                instance,
+                api.Arrival(message, message_class, int(destination), time_left, tenant, key),
+                at + _ARRIVAL.size,
+            )
         if code == 1:
-            instance, token = _PAIR.unpack_from(body, at)
-            return instance, api.TimerFired(token), at + _PAIR.size
+            instance, token = _NUMBER.unpack_from(body, at)
+            return instance, api.TimerFired(token), at + _NUMBER.size
         if code == 5:
-            instance, mode, _version, slot = _FLEET.unpack_from(body, at)
+            instance, mode, _version, slot = _LIST_CHANGE.unpack_from(body, at)
             kind = api.ListKind(mode)
-            if kind is not api.ListKind.FAILED and slot not in self._pages:
-                raise WireError(f"list {slot} was never sent")
-            rows = () if kind is api.ListKind.FAILED else self._pages[slot]
-            return instance, api.EndpointList(kind, rows), at + _FLEET.size
+            if kind is not api.ListKind.FAILED and slot not in self._lists:
+                raise WireError(f"endpoint list {slot} was not sent")
+            endpoints = () if kind is api.ListKind.FAILED else self._lists[slot]
+            return instance, api.EndpointList(kind, endpoints), at + _LIST_CHANGE.size
         if code == 7:
-            instance, message = _PAIR.unpack_from(body, at)
-            return instance, api.Withdrawn(message), at + _PAIR.size
+            instance, message = _NUMBER.unpack_from(body, at)
+            return instance, api.Withdrawn(message), at + _NUMBER.size
         if code == 6:
-            instance, seed, n = _OPEN.unpack_from(body, at)
+            instance, seed, length = _OPEN.unpack_from(body, at)
             at += _OPEN.size
-            if at + n > len(body):
-                raise WireError("settings are cut short")
-            return instance, Opened(seed, parse_settings(body[at : at + n])), at + n
+            if at + length > len(body):
+                raise WireError("settings record is truncated")
+            return instance, Opened(seed, parse_settings(body[at : at + length])), at + length
         if code == 9:
             (instance,) = _INSTANCE.unpack_from(body, at)
             return instance, Detached(), at + _INSTANCE.size
-        if code == 2:  # a datagram: this sender uses none
-            instance, _peer, n = struct.unpack_from("<HIH", body, at)
-            return instance, None, at + 8 + n
-        if code == 4:  # a probe's result: this sender makes none
-            instance, n = struct.unpack_from("<H8x6x2xB", body, at)
-            return instance, None, at + 19 + 4 * n
-        if code == 11:  # a stream started: no streamed class is served
+        if code == 2:  # a datagram between instances: not used
+            instance, _peer, length = struct.unpack_from("<HIH", body, at)
+            return instance, None, at + 8 + length
+        if code == 4:  # the result of a probe: not used
+            instance, columns = struct.unpack_from("<H8x6x2xB", body, at)
+            return instance, None, at + 19 + 4 * columns
+        if code == 11:  # start of a stream: streamed classes are not supported
             instance, *_ = struct.unpack_from("<HQ6sHQ", body, at)
             return instance, None, at + 26
         raise WireError(f"unknown event code {code}")
 
 
 def encode(instance: int, action: api.Action) -> bytes:
-    """One action as a record."""
+    """Encode an action as a record."""
     if isinstance(action, api.Send):
         return _SEND.pack(66, instance, action.message, action.timeout_ns, action.endpoint)
     if isinstance(action, api.SetTimer):
-        return _THREE.pack(75, instance, action.token, action.at_ns)
+        return _ID_AND_NUMBER.pack(75, instance, action.token, action.at_ns)
     if isinstance(action, api.Refuse):
-        return _THREE.pack(67, instance, action.message, action.retry_after_ns)
+        return _ID_AND_NUMBER.pack(67, instance, action.message, action.retry_after_ns)
     if isinstance(action, api.Fail):
         return _ID.pack(71, instance, action.message)
     if isinstance(action, api.CloseIdle):
-        return _CLOSE.pack(76, instance, action.endpoint)
+        return _CLOSE_IDLE.pack(76, instance, action.endpoint)
     if isinstance(action, api.Subscribe):
-        return _FOLLOW.pack(74, instance, 1)
+        return _SUBSCRIBE.pack(74, instance, 1)
     return _text(73, instance, action.text)
 
 
 def fatal(instance: int, text: str) -> bytes:
-    """The record that declares a failure of the decision code."""
+    """Encode a record that reports an exception in the decision code."""
     return _text(69, instance, text)
 
 
 def _text(code: int, instance: int, text: str) -> bytes:
-    """A record that carries text."""
+    """Encode a record that carries text, truncated to 4000 bytes."""
     data = text.encode("utf-8", "replace")[:4000]
     return _TEXT.pack(code, instance, len(data)) + data
--- a/snowlock/wirehost.py
+++ b/snowlock/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts many unconnected controllers on the simulator's wire: standard input to standard output."""
+"""Runs independent controllers for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
-    """Exactly ``size`` bytes, or what there is before the end."""
-    parts = []
+    """Read ``size`` bytes, or fewer at the end of the stream."""
+    chunks = []
     while size > 0:
-        part = stream.read(size)
-        if not part:
+        chunk = stream.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
 class Host:
-    """The controllers of one process, by instance number."""
+    """The controllers of this process, by instance number."""
 
     def __init__(self) -> None:
         self._decoder = wire.Decoder()
         self._controllers: dict[int, Controller] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Process one frame and return the reply."""
         pending: dict[int, list[Event]] = {}
         for instance, item in self._decoder.decode(body, count):
             if isinstance(item, wire.Opened):
@@ -53,21 +53,21 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer frames until the input ends."""
     host = Host()
     while header := _read(source, wire.HEADER.size):
         if len(header) < wire.HEADER.size:
-            raise wire.WireError("a frame's header is cut short")
+            raise wire.WireError("frame header is truncated")
         size, count, now = wire.HEADER.unpack(header)
         body = _read(source, size)
         if len(body) < size:
-            raise wire.WireError("a frame is cut short")
+            raise wire.WireError("frame is truncated")
         sink.write(host.answer(now, count, body))
         sink.flush()
 
 
 def main() -> int:
-    """Run the host; a fault of the input is one line on standard error and exit code 1."""
+    """Run the host; invalid input gives one line on standard error and exit code 1."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -57,7 +57,7 @@
     scene.courier._decide()
     module = scene.courier.module
     module._mark_down(module.routes[b"a"], "test")
-    module.routes[b"a"].since = (scene.loop.now - 3 * S) * 1000
+    module.routes[b"a"].failing_since = (scene.loop.now - 3 * S) * 1000
     scene.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.TIMEOUT, 0, False))
     scene.courier._decide()
 
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -146,7 +146,7 @@
         f = Forwarder(settings(slots=50))
         f.endpoints("a", destination=1)
         learn(f, 1, 1)
-        f.controller.failing = [0.2, 0.2]  # the usual share: three in a row are no chance, nor quite sure
+        f.controller.failure_shares = [0.2, 0.2]  # the usual share: three in a row are no chance, nor quite sure
         for number in range(100, 103):
             f.arrive(number)
         for number in range(100, 103):
@@ -342,7 +342,7 @@
         f.endpoints(f"e{number}", destination=1, state=EndpointState.GONE)
         f.wait(11 * SECOND)
     held = f.controller
-    assert len(held.routes) <= 3 and len(held.key_rest) <= 3 and not held.lines and not held.messages
+    assert len(held.routes) <= 3 and len(held.key_available_at) <= 3 and not held.key_queues and not held.messages
 
 
 def test_what_waits_for_a_route_goes_as_one_call_and_holds_one_slot() -> None:
@@ -370,7 +370,7 @@
     assert len(f.endpoints("a")) == 3  # all in one call
     for number in range(1, 4):
         f.outcome(number, Outcome.CONNECT_FAILED)
-    assert f.controller.routes[route("a")].bad == 1
+    assert f.controller.routes[route("a")].failures == 1
 
 
 def test_idle_connections_are_shut_before_use_while_calls_on_them_are_lost() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -123,7 +123,11 @@
 @pytest.mark.parametrize(
     ("couriers", "left", "shares"),
     [
-        (200, 0.9, (0.2, control.TURNS)),  # out of its turns by one answer, as the next one comes 8 s later
+        (
+            200,
+            0.9,
+            (0.2, control.TURN_INTERVAL_SHARE),
+        ),  # out of its turns by one answer, as the next one comes 8 s later
         (200, 0.3, (0.6, 0.7)),  # little room: only news that is old wears off
         (40, 0.9, (0.6, 0.7)),  # hears every 1.6 s: such steps would let it run into the limit
     ],
@@ -134,9 +138,9 @@
     shares: tuple[float, float],
 ) -> None:
     limit, even = control.Limit(), couriers * SECOND // 25
-    limit.rate, limit.gap = 25.0, float(even)
-    limit.learn(even, False, even, 0.0, max(0.0, 1 - control.FEW / couriers), left)
-    assert shares[0] < limit.gap / even < shares[1]
+    limit.rate, limit.interval = 25.0, float(even)
+    limit.update(even, False, even, 0.0, max(0.0, 1 - control.FEW / couriers), left)
+    assert shares[0] < limit.interval / even < shares[1]
 
 
 @pytest.mark.parametrize("told", [0.001, -1.0, 1e9, math.nan, math.inf])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -234,7 +234,7 @@
     """Hunt day h3c5c25: each route was called twice by all that knew, and pushed over as it came back."""
     f = Forwarder(settings(message_class(deadline_ns=60 * SECOND), forwarders=200))
     f.endpoints("a", "b", "c", rate=2.0)
-    f.controller.failing[0] = 0.25  # many destinations fail
+    f.controller.failure_shares[0] = 0.25  # many destinations fail
     f.arrive(1)
     for _ in range(3):
         f.outcome(1, Outcome.CONNECT_FAILED)
