--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -29,11 +29,11 @@
 TIMEOUT_FACTOR_REPEATABLE, TIMEOUT_FACTOR_LOSSY = 3.0, 1.0
 # Share of lost calls that is usual with heavy messages; at twice this time-outs are shortest.
 USUAL_LOST_SHARE = 0.06
-# Minimum of a repeatable and of a keyed call, same unit.
+# Minimum time-out of a repeatable and of a keyed call, in the same unit.
 MIN_TIMEOUT_FACTOR, MIN_TIMEOUT_FACTOR_KEYED = 5.0, 8.0
 TIMEOUT_FACTOR_UNSAFE = 10.0  # a time-out loses an unsafe message, so its call may take much longer
-# Share of the slots that unsafe calls may hold with the long time-out; beyond it this factor bounds the
-# time-out.
+# Share of the slots that unsafe calls may hold with the long time-out; beyond it the factor bounds the
+# time-out, in latency bounds.
 LONG_TIMEOUT_SLOT_SHARE, SHORT_TIMEOUT_FACTOR = 0.1, 8.0
 SUSPECT_SLOT_SHARE = 0.2  # share of the slots for calls to silent, failing or recovering routes
 RECHECK_INTERVAL = 20 * MS  # for a route that is blocked until a call to some other route ends
@@ -43,7 +43,7 @@
 UNKNOWN_LATENCY_FACTOR = 5.0
 MAX_CALLS_UNPROVEN = 2  # calls in flight to a route that has not answered yet
 CHANCE_THRESHOLD = 0.1  # a run of failures at least this likely at the usual failure share is no outage
-QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures at a busy route, where probing costs little
+QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures of a busy route, which cost little
 MAX_USUAL_FAILURE_SHARE = 0.45  # a wide outage raises the usual share; three failed connects are never chance
 FAILURE_GAIN = 0.05  # weight of one call in the failure and refusal averages
 # Share of fall_ns: a route that only refuses for this long, or sends a retry-after this long, is closed.
@@ -68,22 +68,24 @@
 # Share of the allowance that is left: below the first an answer lengthens the interval; above the second
 # large fleets shorten it fast.
 SCARCE_ALLOWANCE, AMPLE_ALLOWANCE = 0.5, 0.3
-# Of an equal-share interval: from here on a large fleet takes turns; the first interval after a restart.
+# In equal-share intervals: a large fleet takes turns from the first value on; the second is the first
+# interval after a restart.
 TURN_INTERVAL_SHARE, RESTART_INTERVAL_SHARE = 0.25, 0.5
 # A reported rate that differs from the last by less than this share is noise, and is averaged with this
 # weight.
 RATE_NOISE_BAND, RATE_GAIN = 0.3, 0.3
 INTERVAL_HALF_LIFE = 10 * SECOND  # the interval halves in this time, or in twice itself, without outcomes
 TENANT_BURST = 2 * SECOND  # how far ahead a tenant may use its share
-# Messages a tenant may always be ahead in a large fleet, where TENANT_BURST may be under one.
+# Messages that a tenant may always be ahead in a large fleet, where TENANT_BURST may be less than one
+# message.
 TENANT_MIN_BURST = 4
 MAX_HELD_SHARE = 0.9  # share of max_open that may be held; the rest is room for new messages
 CAPPED_CONNECT_SHARE = 0.02  # share of failed connects at a kind from which idle connections are closed early
-# Calls longer than this many usual latencies reduce a destination's share of the slots.
+# Calls that take this many usual latencies or more reduce a destination's share of the slots.
 LONG_CALL_FACTOR = 3.0
 # Share of lost calls from which unsafe messages prefer a route that loses half as many.
 LOSSY_ROUTE_SHARE = 0.1
-# Share lost on idle connections from which they are closed before use.
+# Share of calls lost on idle connections from which these are closed before use.
 STALE_SHARE, STALE_SHARE_UNSAFE = 0.4, 0.2
 # Weight of one call on an idle connection; decay of the average.
 STALE_GAIN, STALE_HALF_LIFE = 0.3, 15 * SECOND
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
-"""Harm done together: forty of the modules let loose on one modelled destination, on a stepped clock.
+"""Load that a fleet of independent controllers puts on the rate limit of one simulated destination.
 
-Couriers share nothing, so each test asserts on the sum of what they sent.
+The couriers do not communicate, so each test asserts on the sum of their calls.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from snowlock.interface import Arrival, Endpoint, EndpointList, ListKind, Outcome, RateHint, Send, Settings, Tenant
 from tests.forwarder import MS, SECOND, Forwarder, message_class, settings
 
-FORTY = 40
-CALL, STEP = 40 * MS, 5 * MS
+FLEET_SIZE = 40
+CALL_DURATION, STEP = 40 * MS, 5 * MS
 
 
-def many(couriers: int = FORTY) -> Settings:
+def fleet_settings(couriers: int = FLEET_SIZE) -> Settings:
     cls = message_class(aim_ns=4 * SECOND, deadline_ns=12 * SECOND, late_worth=0.4)
     return settings(
         cls,
@@ -36,8 +36,8 @@
     )
 
 
-class Limit:
-    """So many calls in any second; refused calls use it up too, and the answer tells what is left."""
+class SimulatedLimit:
+    """A limit on the calls in any second; refused calls count too, and load reports tell the share that is left."""
 
     def __init__(self, rate: float) -> None:
         self.rate, self.served, self.refused = rate, 0, 0
@@ -53,54 +53,54 @@
 
 
 class Fleet:
-    """Forty modules and the endpoints of one destination."""
+    """A fleet of forwarders and the endpoints of one destination."""
 
-    def __init__(self, **endpoints: Limit) -> None:
-        self.couriers = [Forwarder(replace(many(), number=n), n) for n in range(FORTY)]
-        self.limits: dict[bytes, Limit] = {}
-        self.out: deque[tuple[int, Forwarder, int, Outcome, tuple[float, ...]]] = deque()
+    def __init__(self, **endpoints: SimulatedLimit) -> None:
+        self.couriers = [Forwarder(replace(fleet_settings(), number=n), n) for n in range(FLEET_SIZE)]
+        self.limits: dict[bytes, SimulatedLimit] = {}
+        self.in_flight: deque[tuple[int, Forwarder, int, Outcome, tuple[float, ...]]] = deque()
         self.number = 0
-        self.listed(**endpoints)
+        self.add_endpoints(**endpoints)
 
-    def listed(self, known: bool = False, **endpoints: Limit) -> None:
-        """All are told in the same instant; ``known``: of the limit too, from before a restart."""
+    def add_endpoints(self, known: bool = False, **endpoints: SimulatedLimit) -> None:
+        """List endpoints for all forwarders at once; ``known``: with the limit that they knew before a restart."""
         for name, limit in endpoints.items():
             self.limits[name.encode()] = limit
             for courier in self.couriers:
-                row = Endpoint(name.encode(), 1, limit=limit.rate if known else 0.0)
-                self.sent(courier, courier.feed(EndpointList(ListKind.DELTA, (row,))))
+                entry = Endpoint(name.encode(), 1, limit=limit.rate if known else 0.0)
+                self.record_sends(courier, courier.feed(EndpointList(ListKind.DELTA, (entry,))))
 
-    def sent(self, courier: Forwarder, sends: list[Send]) -> None:
+    def record_sends(self, courier: Forwarder, sends: list[Send]) -> None:
         for send in sends:
-            end = self.limits[send.endpoint].call(courier.now)
-            self.out.append((courier.now + CALL, courier, send.message, *end))
+            result = self.limits[send.endpoint].call(courier.now)
+            self.in_flight.append((courier.now + CALL_DURATION, courier, send.message, *result))
 
     def run(self, seconds: int, rate: float, seed: int) -> None:
-        """So many messages a second, dealt to the couriers at random."""
-        dice, now = random.Random(seed), self.couriers[0].now
-        arrival = now + dice.expovariate(rate) * SECOND
+        """Feed messages at that rate a second to random couriers."""
+        rng, now = random.Random(seed), self.couriers[0].now
+        arrival = now + rng.expovariate(rate) * SECOND
         for at in range(now + STEP, now + seconds * SECOND + 1, STEP):
             for courier in self.couriers:
-                self.sent(courier, courier.run_to(at))
-            while self.out and self.out[0][0] <= at:
-                _, courier, message, outcome, report = self.out.popleft()
-                self.sent(courier, courier.outcome(message, outcome, latency=CALL, report=report))
+                self.record_sends(courier, courier.run_to(at))
+            while self.in_flight and self.in_flight[0][0] <= at:
+                _, courier, message, outcome, report = self.in_flight.popleft()
+                self.record_sends(courier, courier.outcome(message, outcome, latency=CALL_DURATION, report=report))
             while arrival <= at:
-                self.number, courier = self.number + 1, dice.choice(self.couriers)
-                self.sent(courier, courier.arrive(self.number))
-                arrival += dice.expovariate(rate) * SECOND
+                self.number, courier = self.number + 1, rng.choice(self.couriers)
+                self.record_sends(courier, courier.arrive(self.number))
+                arrival += rng.expovariate(rate) * SECOND
 
 
 @pytest.mark.parametrize(
     ("rate", "load", "least", "refusals"),
     [
-        (5.0, 5.0, 0.45, 0.45),  # learnt in small steps, nearly all that the limit takes would be refused
+        (5.0, 5.0, 0.45, 0.45),  # with small steps nearly all calls that the limit allows would be refused
         (13.0, 15.6, 0.45, 0.45),
-        (40.0, 60.0, 0.8, 0.1),  # at random and not in turn, as many would be refused as a queue has peaks
+        (40.0, 60.0, 0.8, 0.1),  # with random calls instead of turns, each peak would be refused
     ],
 )
-def test_forty_couriers_leave_a_limit_usable(rate: float, load: float, least: float, refusals: float) -> None:
-    limit = Limit(rate)
+def test_a_fleet_uses_a_limit_with_few_refusals(rate: float, load: float, least: float, refusals: float) -> None:
+    limit = SimulatedLimit(rate)
     fleet = Fleet(a=limit)
     fleet.run(5, load, seed=1)
     served, refused = limit.served, limit.refused
@@ -108,9 +108,9 @@
     assert limit.served - served > least * rate * 15 and limit.refused - refused < refusals * rate * 15
 
 
-def test_a_limit_that_rises_again_is_used_again() -> None:
-    # Guards against forty that each keep the gap of a lowered limit, as each hears seldom that there is room.
-    limit = Limit(60.0)
+def test_a_raised_limit_is_used_again() -> None:
+    # Guards against couriers that keep the call interval of a lowered limit, as each seldom learns that it was raised.
+    limit = SimulatedLimit(60.0)
     fleet = Fleet(a=limit)
     fleet.run(4, 72.0, seed=1)
     limit.rate = 20.0
@@ -121,64 +121,62 @@
 
 
 @pytest.mark.parametrize(
-    ("couriers", "left", "shares"),
+    ("couriers", "remaining", "bounds"),
     [
-        (
-            200,
-            0.9,
-            (0.2, control.TURN_INTERVAL_SHARE),
-        ),  # out of its turns by one answer, as the next one comes 8 s later
-        (200, 0.3, (0.6, 0.7)),  # little room: only news that is old wears off
-        (40, 0.9, (0.6, 0.7)),  # hears every 1.6 s: such steps would let it run into the limit
+        # One answer ends its turns, as the next comes 8 s later.
+        (200, 0.9, (0.2, control.TURN_INTERVAL_SHARE)),
+        (200, 0.3, (0.6, 0.7)),  # little is left: the interval only decays with time
+        (40, 0.9, (0.6, 0.7)),  # an answer every 1.6 s: so large a step would exceed the limit
     ],
 )
-def test_room_shrinks_a_gap_by_the_time_that_it_lasted(
+def test_remaining_allowance_shortens_an_interval_in_proportion_to_its_length(
     couriers: int,
-    left: float,
-    shares: tuple[float, float],
+    remaining: float,
+    bounds: tuple[float, float],
 ) -> None:
-    limit, even = control.Limit(), couriers * SECOND // 25
-    limit.rate, limit.interval = 25.0, float(even)
-    limit.update(even, False, even, 0.0, max(0.0, 1 - control.FEW / couriers), left)
-    assert shares[0] < limit.interval / even < shares[1]
+    limit, equal_interval = control.Limit(), couriers * SECOND // 25
+    limit.rate, limit.interval = 25.0, float(equal_interval)
+    limit.update(equal_interval, False, equal_interval, 0.0, max(0.0, 1 - control.FEW / couriers), remaining)
+    assert bounds[0] < limit.interval / equal_interval < bounds[1]
 
 
-@pytest.mark.parametrize("told", [0.001, -1.0, 1e9, math.nan, math.inf])
-def test_nonsense_known_of_a_limit_bars_no_route(told: float) -> None:
-    f = Forwarder(replace(many(), number=3))
-    f.feed(EndpointList(ListKind.DELTA, (Endpoint(b"a", 1, limit=told),)))
+@pytest.mark.parametrize("limit", [0.001, -1.0, 1e9, math.nan, math.inf])
+def test_an_absurd_restored_limit_blocks_no_route(limit: float) -> None:
+    f = Forwarder(replace(fleet_settings(), number=3))
+    f.feed(EndpointList(ListKind.DELTA, (Endpoint(b"a", 1, limit=limit),)))
     assert f.arrive(1)
 
 
-def test_an_endpoint_that_all_hear_of_at_once_is_not_run_into_by_all() -> None:
-    # Guards against a release: each replacement had its limit used up for seconds by forty first calls a turn.
-    new = Limit(9.0)
-    fleet = Fleet(a=Limit(9.0))
+def test_a_new_endpoint_is_not_called_by_all_couriers_at_once() -> None:
+    # Guards against a failure during a release: the limit of each replacement was used up for seconds by the first
+    # calls of forty couriers.
+    new = SimulatedLimit(9.0)
+    fleet = Fleet(a=SimulatedLimit(9.0))
     fleet.run(8, 12.0, seed=1)
-    fleet.listed(b=new)
+    fleet.add_endpoints(b=new)
     fleet.run(3, 12.0, seed=2)
     assert new.refused < 22 and new.served
 
 
 @pytest.mark.parametrize(("known", "refused"), [(True, (0, 3)), (False, (15, 200))])
-def test_forty_that_restart_with_messages_in_hand_do_not_use_a_known_limit_up(
+def test_restarted_couriers_with_a_backlog_do_not_use_up_a_known_limit(
     known: bool,
     refused: tuple[int, int],
 ) -> None:
-    limit = Limit(10.0)
+    limit = SimulatedLimit(10.0)
     fleet = Fleet()
-    fleet.listed(known, a=limit)
+    fleet.add_endpoints(known, a=limit)
     for number, courier in enumerate(fleet.couriers):
         if number % 10 < 7:
             fleet.number += 1
-            fleet.sent(courier, courier.arrive(fleet.number))
+            fleet.record_sends(courier, courier.arrive(fleet.number))
     fleet.run(5, 1.0, seed=1)
     assert refused[0] <= limit.refused <= refused[1]
 
 
-def test_few_couriers_guess_no_rate_for_a_new_endpoint() -> None:
-    # Guards against a fail-back budget taken from a larger kin: nothing is known of the new one.
-    f = Forwarder(many(couriers=3))
+def test_a_small_fleet_assumes_no_limit_for_a_new_endpoint() -> None:
+    # Guards against a fail-back budget by the limit of a larger endpoint: nothing is known of the new one.
+    f = Forwarder(fleet_settings(couriers=3))
     f.feed(EndpointList(ListKind.DELTA, (Endpoint(b"a", 1),)))
     f.arrive(1)
     f.outcome(1, Outcome.OK, report=(0.9, 50.0))
@@ -189,11 +187,11 @@
 @pytest.mark.parametrize(
     ("couriers", "rate", "within"), [(200, 77.0, 3), (200, 490.0, 4), (3, 77.0, 51), (40, 20.0, 3)]
 )
-def test_a_share_of_less_than_a_message_in_a_burst_is_not_over_at_the_first(
+def test_a_tenant_share_below_one_message_a_burst_still_allows_some_messages(
     couriers: int, rate: float, within: int
 ) -> None:
-    # Guards against a small tenant's every message counting as beyond its share where couriers are many.
-    f = Forwarder(replace(many(couriers), tenants=(Tenant(rate),), over_share_worth=0.1))
+    # Guards against a large fleet in which every message of a small tenant counts as beyond its share.
+    f = Forwarder(replace(fleet_settings(couriers), tenants=(Tenant(rate),), over_share_worth=0.1))
     f.feed(*(Arrival(n, 0, 1, 10 * SECOND, tenant=0) for n in range(1, 61)))
     weights = [f.controller.messages[n].weight for n in range(1, 61)]
     assert weights == sorted(weights, reverse=True) and weights.count(1.0) == within, weights.count(1.0)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,8 @@
-"""Random legal event sequences: one answer each, effects, drains, waits, order, slots, equal actions."""
+"""Random valid event sequences, checked for the rules that a controller must always keep.
+
+Each message gets one final answer; repeats, draining endpoints, retry-after delays, order by key and slots are
+respected; the same seed and events give the same actions.
+"""
 
 from __future__ import annotations
 
@@ -20,31 +24,31 @@
     message_class(Safety.UNSAFE, ordered=True, deadline_ns=8 * SECOND, worth=2.0),
 )
 TICK = 5 * MS
-DOUBT = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
 
 
-class World:
-    """A small model of one forwarder's surroundings that checks each action as it comes."""
+class Environment:
+    """A model of one forwarder's environment that checks each action against the rules."""
 
-    def __init__(self, seed: int, **more: object) -> None:
-        self.given = make(*CLASSES, slots=6, max_open=40, max_attempts=6, max_retry_after_ns=SECOND, **more)
-        self.pick = random.Random(seed)
+    def __init__(self, seed: int, **overrides: object) -> None:
+        self.given = make(*CLASSES, slots=6, max_open=40, max_attempts=6, max_retry_after_ns=SECOND, **overrides)
+        self.random = random.Random(seed)
         self.controller = Controller(self.given, seed)
         self.now = 50 * SECOND
         self.timers: list[tuple[int, int]] = []
-        self.live: dict[int, api.Arrival] = {}
+        self.arrivals: dict[int, api.Arrival] = {}
         self.deadline: dict[int, int] = {}
         self.answered: set[int] = set()
-        self.out: dict[tuple[int, int], tuple[bytes, int]] = {}
-        self.tries: dict[int, int] = {}
-        self.ran: dict[int, tuple[int, int]] = {}  # message: zone and send time of the first in doubt
+        self.in_flight: dict[tuple[int, int], tuple[bytes, int]] = {}
+        self.attempts: dict[int, int] = {}
+        self.may_have_run: dict[int, tuple[int, int]] = {}  # by message: zone and send time of the first such attempt
         self.ready: dict[bytes, api.Endpoint] = {}
-        self.barred: dict[bytes, int] = {}
-        self.shared_until: dict[int, int] = {}
-        self.lines: dict[int, list[int]] = {}
-        self.key_rest: dict[int, int] = {}
+        self.wait_until: dict[bytes, int] = {}
+        self.shared_wait_until: dict[int, int] = {}
+        self.key_queues: dict[int, list[int]] = {}
+        self.key_available_at: dict[int, int] = {}
         self.history: list[tuple[int, list[api.Event], list[api.Action]]] = []
-        self.next = 0
+        self.last_message = 0
 
     def batch(self, events: list[api.Event]) -> None:
         actions = self.controller.handle(self.now, events)
@@ -55,151 +59,153 @@
             elif isinstance(action, api.Send):
                 self.check_send(action)
             elif isinstance(action, (api.Refuse, api.Fail)):
-                assert action.message in self.live and action.message not in self.answered
+                assert action.message in self.arrivals and action.message not in self.answered
                 if isinstance(action, api.Refuse):
-                    assert CLASSES[self.live[action.message].message_class].safety is Safety.SAFE or (
-                        action.message not in self.ran and not self.outstanding(action.message)
+                    assert CLASSES[self.arrivals[action.message].message_class].safety is Safety.SAFE or (
+                        action.message not in self.may_have_run and not self.attempts_in_flight(action.message)
                     )
                 self.answer(action.message)
 
-    def outstanding(self, message: int) -> list[int]:
-        return [a for m, a in self.out if m == message]
+    def attempts_in_flight(self, message: int) -> list[int]:
+        return [attempt for other, attempt in self.in_flight if other == message]
 
     def answer(self, message: int) -> None:
         self.answered.add(message)
         assert self.now <= self.deadline[message] + 20 * MS
-        self.leave_line(message)
+        self.leave_key_queue(message)
 
-    def leave_line(self, message: int) -> None:
-        line = self.lines.get(self.live[message].key, [])
-        if message in line and message in self.answered and not self.outstanding(message):
-            line.remove(message)
+    def leave_key_queue(self, message: int) -> None:
+        queue = self.key_queues.get(self.arrivals[message].key, [])
+        if message in queue and message in self.answered and not self.attempts_in_flight(message):
+            queue.remove(message)
 
     def check_send(self, send: api.Send) -> None:
-        arrival = self.live[send.message]
+        arrival = self.arrivals[send.message]
         cls = CLASSES[arrival.message_class]
-        assert send.message not in self.answered and not self.outstanding(send.message)
+        assert send.message not in self.answered and not self.attempts_in_flight(send.message)
         endpoint = self.ready[send.endpoint]  # neither draining nor gone
         assert endpoint.destination == arrival.destination
-        assert self.now >= self.barred.get(send.endpoint, 0), "told to wait"
-        assert endpoint.kind == 0 or self.now >= self.shared_until.get(endpoint.destination, 0)
-        if send.message in self.ran:
-            zone, since = self.ran[send.message]
+        assert self.now >= self.wait_until.get(send.endpoint, 0), "retry-after not respected"
+        assert endpoint.kind == 0 or self.now >= self.shared_wait_until.get(endpoint.destination, 0)
+        if send.message in self.may_have_run:
+            zone, since = self.may_have_run[send.message]
             assert cls.safety is not Safety.UNSAFE
             if cls.safety is Safety.KEYED:
                 assert endpoint.zone == zone and self.now < since + cls.window_ns
         if cls.ordered:
-            assert self.lines[arrival.key][0] == send.message
-            assert self.now >= self.key_rest.get(arrival.key, 0)
-        number = self.tries.get(send.message, 0)
-        assert number < self.given.max_attempts and len(self.out) < self.given.slots
+            assert self.key_queues[arrival.key][0] == send.message
+            assert self.now >= self.key_available_at.get(arrival.key, 0)
+        number = self.attempts.get(send.message, 0)
+        assert number < self.given.max_attempts and len(self.in_flight) < self.given.slots
         assert send.timeout_ns > 0
-        self.tries[send.message] = number + 1
-        self.out[send.message, number] = (send.endpoint, self.now)
-
-    def ended(self) -> api.AttemptEnded:
-        """A random attempt gets a random outcome."""
-        message, attempt = self.pick.choice(sorted(self.out))
-        target, sent = self.out.pop((message, attempt))
-        outcome = self.pick.choice(
+        self.attempts[send.message] = number + 1
+        self.in_flight[send.message, number] = (send.endpoint, self.now)
+
+    def random_attempt_ended(self) -> api.AttemptEnded:
+        """End a random attempt with a random outcome."""
+        message, attempt = self.random.choice(sorted(self.in_flight))
+        target, sent = self.in_flight.pop((message, attempt))
+        outcome = self.random.choice(
             [Outcome.OK] * 4
             + [Outcome.FULL] * 2
             + [Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
         )
-        return self.outcome(message, attempt, target, sent, outcome)
+        return self.attempt_ended(message, attempt, target, sent, outcome)
 
-    def outcome(self, message: int, attempt: int, target: bytes, sent: int, outcome: Outcome) -> api.AttemptEnded:
-        wait = self.pick.choice([0, 400 * MS, 2 * SECOND]) if outcome is Outcome.FULL else 0
-        arrival = self.live[message]
+    def attempt_ended(self, message: int, attempt: int, target: bytes, sent: int, outcome: Outcome) -> api.AttemptEnded:
+        wait = self.random.choice([0, 400 * MS, 2 * SECOND]) if outcome is Outcome.FULL else 0
+        arrival = self.arrivals[message]
         if wait:
-            self.barred[target] = max(self.barred.get(target, 0), self.now + wait)
+            self.wait_until[target] = max(self.wait_until.get(target, 0), self.now + wait)
             if arrival.destination == 2:
-                self.shared_until[2] = max(self.shared_until.get(2, 0), self.now + wait)
-        if outcome in DOUBT:
-            self.ran.setdefault(message, (self.zone(target), sent))
+                self.shared_wait_until[2] = max(self.shared_wait_until.get(2, 0), self.now + wait)
+        if outcome in MAY_HAVE_RUN:
+            self.may_have_run.setdefault(message, (self.zone(target), sent))
             if outcome is not Outcome.ERROR and CLASSES[arrival.message_class].ordered:
-                self.key_rest[arrival.key] = self.now + self.given.settle_ns
+                self.key_available_at[arrival.key] = self.now + self.given.settle_ns
         closed = message in self.answered or outcome is Outcome.OK
         if closed and message not in self.answered:
             self.answer(message)
-        self.leave_line(message)
+        self.leave_key_queue(message)
         return api.AttemptEnded(message, attempt, target, outcome, self.now - sent, closed, wait)
 
     @staticmethod
     def zone(target: bytes) -> int:
         return target[1] % 2
 
-    def listed(self) -> api.EndpointList:
-        destination = self.pick.choice([1, 2])
-        name = route(f"{destination}{self.pick.choice('abc')}")
-        state = self.pick.choice([api.EndpointState.READY] * 3 + [api.EndpointState.DRAINING, api.EndpointState.GONE])
+    def random_endpoint_list(self) -> api.EndpointList:
+        destination = self.random.choice([1, 2])
+        name = route(f"{destination}{self.random.choice('abc')}")
+        state = self.random.choice([api.EndpointState.READY] * 3 + [api.EndpointState.DRAINING, api.EndpointState.GONE])
         endpoint = api.Endpoint(name, destination, self.zone(name), destination - 1, state, 5.0)
         self.ready.pop(name, None)
         if state is api.EndpointState.READY:
             self.ready[name] = endpoint
         return api.EndpointList(api.ListKind.DELTA, (endpoint,))
 
-    def arrival(self) -> api.Arrival:
-        self.next += 1
-        index = self.pick.randrange(3)
-        key = self.pick.randrange(1, 4) if CLASSES[index].ordered else 0
-        event = api.Arrival(self.next, index, self.pick.choice([1, 2]), CLASSES[index].deadline_ns, 0, key)
-        self.live[self.next] = event
-        self.deadline[self.next] = self.now + event.time_left_ns
+    def random_arrival(self) -> api.Arrival:
+        self.last_message += 1
+        index = self.random.randrange(3)
+        key = self.random.randrange(1, 4) if CLASSES[index].ordered else 0
+        event = api.Arrival(self.last_message, index, self.random.choice([1, 2]), CLASSES[index].deadline_ns, 0, key)
+        self.arrivals[self.last_message] = event
+        self.deadline[self.last_message] = self.now + event.time_left_ns
         if key:
-            self.lines.setdefault(key, []).append(self.next)
+            self.key_queues.setdefault(key, []).append(self.last_message)
         return event
 
     def tick(self, busy: bool) -> None:
-        """One tick: due timers, calls cut at the client's deadline, and now and then something new."""
+        """Advance by one tick: expired timers, calls that end at the deadline, and random new events while busy."""
         self.now += TICK
-        due = sorted(t for t in self.timers if t[0] <= self.now)
-        self.timers = [t for t in self.timers if t[0] > self.now]
+        due = sorted(timer for timer in self.timers if timer[0] <= self.now)
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
         events: list[api.Event] = [api.TimerFired(token) for _, token in due]
-        for message, attempt in sorted(self.out):
+        for message, attempt in sorted(self.in_flight):
             if self.now >= self.deadline[message]:
-                target, sent = self.out.pop((message, attempt))
-                events.append(self.outcome(message, attempt, target, sent, Outcome.TIMEOUT))
-        if busy and self.pick.random() < 0.05:
-            events.append(self.arrival())
-        if self.out and self.pick.random() < 0.08:
-            events.append(self.ended())
-        if busy and self.pick.random() < 0.01:
-            events.append(self.listed())
+                target, sent = self.in_flight.pop((message, attempt))
+                events.append(self.attempt_ended(message, attempt, target, sent, Outcome.TIMEOUT))
+        if busy and self.random.random() < 0.05:
+            events.append(self.random_arrival())
+        if self.in_flight and self.random.random() < 0.08:
+            events.append(self.random_attempt_ended())
+        if busy and self.random.random() < 0.01:
+            events.append(self.random_endpoint_list())
         if events:
             self.batch(events)
 
 
-def day(seed: int, **more: object) -> World:
-    """A busy day and its end."""
-    world = World(seed, **more)
-    world.batch([world.listed() for _ in range(6)])
+def simulate(seed: int, **overrides: object) -> Environment:
+    """Simulate a busy period, and a quiet one in which everything ends."""
+    environment = Environment(seed, **overrides)
+    environment.batch([environment.random_endpoint_list() for _ in range(6)])
     for _ in range(2500):
-        world.tick(busy=True)
+        environment.tick(busy=True)
     for _ in range(2000):
-        world.tick(busy=False)
-    return world
+        environment.tick(busy=False)
+    return environment
 
 
-def digest(world: World) -> str:
-    """Of every action, with its time."""
-    told = repr([(now, actions) for now, _, actions in world.history])
-    return hashlib.blake2b(told.encode(), digest_size=8).hexdigest()
+def digest(environment: Environment) -> str:
+    """Return a hash of all actions with their times."""
+    text = repr([(now, actions) for now, _, actions in environment.history])
+    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 @settings(max_examples=25, derandomize=True, deadline=None)
 @given(strategies.integers(0, 2**32))
-def test_random_legal_days_keep_every_rule(seed: int) -> None:
-    world = day(seed)
-    assert set(world.live) == world.answered
-    assert len(world.tries) > 10, "the day sent next to nothing"
-    again = Controller(world.given, seed)
-    assert [again.handle(now, events) for now, events, _ in world.history] == [a for *_, a in world.history]
+def test_random_event_sequences_keep_every_rule(seed: int) -> None:
+    environment = simulate(seed)
+    assert set(environment.arrivals) == environment.answered
+    assert len(environment.attempts) > 10, "too few messages were sent for a meaningful test"
+    replay = Controller(environment.given, seed)
+    assert [replay.handle(now, events) for now, events, _ in environment.history] == [
+        actions for *_, actions in environment.history
+    ]
 
 
-# Of the module before it knew of other forwarders' word. A change of its decisions that is meant takes new ones:
-# python -m tests.test_properties
-RECORDED = {
+# By (seed, forwarders): hashes of the actions of the controller before it supported other forwarders' reports. After an
+# intended change of its decisions, print new ones with: python -m tests.test_properties
+RECORDED_DIGESTS = {
     (1, 1): "7fba4a95f375f202",
     (2, 1): "f22ef7ab23dce1e2",
     (1, 40): "4bb46e8f00b88f33",
@@ -207,9 +213,9 @@
 }
 
 
-@pytest.mark.parametrize(("seed", "forwarders"), RECORDED)
-def test_with_nothing_shared_each_action_is_as_it_was_before_couriers_shared(seed: int, forwarders: int) -> None:
-    assert digest(day(seed, forwarders=forwarders)) == RECORDED[seed, forwarders]
+@pytest.mark.parametrize(("seed", "forwarders"), RECORDED_DIGESTS)
+def test_actions_without_shares_and_reports_match_the_recorded_digests(seed: int, forwarders: int) -> None:
+    assert digest(simulate(seed, forwarders=forwarders)) == RECORDED_DIGESTS[seed, forwarders]
 
 
 def test_stale_events_are_harmless() -> None:
@@ -225,4 +231,4 @@
 
 
 if __name__ == "__main__":
-    print({each: digest(day(each[0], forwarders=each[1])) for each in RECORDED})
+    print({each: digest(simulate(each[0], forwarders=each[1])) for each in RECORDED_DIGESTS})
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the six rules, driven through the controller: the breaking action would fail the test."""
+"""Tests of the six rules that a controller's actions must keep, each by a scenario that would break the rule."""
 
 from __future__ import annotations
 
@@ -70,36 +70,36 @@
         assert {s.endpoint for n in range(2, 5) for s in f.arrive(n)} == {route("b")}
 
 
-def test_a_told_wait_bars_the_route_for_every_message() -> None:
+def test_a_retry_after_blocks_the_route_for_every_message() -> None:
     f = Forwarder()
     f.endpoints("a")
     f.arrive(1)
-    told = f.now
+    refused_at = f.now
     f.outcome(1, Outcome.FULL, wait_ns=2 * SECOND)
     assert f.arrive(2) == []
-    assert f.run_to(told + 2 * SECOND - 1) == []
+    assert f.run_to(refused_at + 2 * SECOND - 1) == []
     assert [s.message for s in f.wait(200 * MS)] == [1]
     f.outcome(1, Outcome.OK)
     f.wait(200 * MS)
     assert [s.message for _, s in f.sends] == [1, 1, 2]
 
 
-def test_a_told_wait_bars_all_routes_where_they_share_a_limit() -> None:
+def test_a_retry_after_blocks_all_routes_that_share_a_limit() -> None:
     f = Forwarder()
     f.endpoints("a", "b", kind=1)
     f.arrive(1)
     assert f.outcome(1, Outcome.FULL, wait_ns=2 * SECOND) == [] and f.arrive(2) == []
-    assert f.endpoints("c", kind=1) == []  # a route that joins during the wait is barred too
+    assert f.endpoints("c", kind=1) == []  # a route that is listed during the wait is blocked too
 
 
-def test_messages_of_one_key_go_singly_and_in_order() -> None:
+def test_messages_of_one_key_are_sent_one_at_a_time_and_in_order() -> None:
     f = Forwarder(settings(message_class(Safety.UNSAFE, ordered=True)))
     f.endpoints("a", "b")
     assert f.arrive(1, key=9) and f.arrive(2, key=9) == [] and f.arrive(3, key=8)
     assert [s.message for s in f.outcome(1, Outcome.OK)] == [2]
 
 
-def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
+def test_a_key_waits_for_settle_ns_after_an_attempt_that_may_still_run() -> None:
     f = Forwarder(settings(message_class(Safety.UNSAFE, ordered=True)))
     f.endpoints("a", "b")
     f.arrive(1, key=9)
@@ -108,7 +108,7 @@
     assert f.wait(99 * MS) == [] and [s.message for s in f.wait(300 * MS)] == [2]
 
 
-def test_an_ended_message_holds_its_key_while_its_attempt_is_out() -> None:
+def test_a_withdrawn_message_holds_its_key_while_its_attempt_is_in_flight() -> None:
     f = Forwarder(settings(message_class(Safety.UNSAFE, ordered=True)))
     f.endpoints("a", "b")
     f.arrive(1, key=9)
@@ -118,7 +118,7 @@
     assert [s.message for s in f.outcome(1, Outcome.OK)] == [2]
 
 
-def test_a_failing_route_gets_few_calls_and_regains_them_over_its_ramp() -> None:
+def test_a_failing_route_gets_few_calls_and_more_over_its_ramp() -> None:
     f = Forwarder(settings(slots=100))
     f.endpoints("a", rate=10.0)
     number = 0
@@ -132,8 +132,8 @@
             for message, attempt in list(f.out):
                 f.outcome(message, Outcome.CONNECT_FAILED if second < 8 else Outcome.OK, attempt=attempt)
         counts.append(len(f.sends) - before)
-    bears = 2.0 * 0.2 * 10.0
-    assert max(counts[2:9]) <= bears and counts[-1] > 3 * max(counts[2:9])
+    bound = 2.0 * 0.2 * 10.0
+    assert max(counts[2:9]) <= bound and counts[-1] > 3 * max(counts[2:9])
 
 
 def test_a_replacement_listed_during_an_outage_is_not_flooded() -> None:
@@ -151,10 +151,10 @@
     assert sum(send.endpoint == route("b") for _, send in f.sends) <= 4
 
 
-def test_failures_at_one_route_of_a_shared_destination_count_for_the_next() -> None:
+def test_failures_at_one_route_count_for_others_that_share_a_limit() -> None:
     f = Forwarder(settings(slots=100, forwarders=50))
     f.endpoints("a", "b", kind=1, rate=10.0)
-    for number in range(1, 30):  # elsewhere one in three calls fails, so that one failure tells little
+    for number in range(1, 30):  # elsewhere one in three calls fails, so that one failure proves little
         f.endpoints(f"x{number}", destination=10 + number)
         f.arrive(number, destination=10 + number)
         f.outcome(number, Outcome.OK if number % 3 else Outcome.CONNECT_FAILED)
@@ -163,29 +163,32 @@
     f.outcome(100, Outcome.CONNECT_FAILED)
     f.wait(SECOND)
     f.outcome(100, Outcome.CONNECT_FAILED)
-    again = f.out.get((100, 1)) or f.sends[-1][1].endpoint
-    if again == f.sends[-2][1].endpoint:
+    second_endpoint = f.out.get((100, 1)) or f.sends[-1][1].endpoint
+    if second_endpoint == f.sends[-2][1].endpoint:
         f.wait(5 * SECOND)
         f.outcome(100, Outcome.CONNECT_FAILED)
     assert any("destination 1 " in line for line in f.logs)
 
 
-def test_those_told_the_same_opening_do_not_call_at_once() -> None:
+def test_couriers_with_the_same_retry_after_do_not_call_at_once() -> None:
     starts = []
     for seed in range(20):
         f = Forwarder(settings(message_class(deadline_ns=60 * SECOND), slots=10, forwarders=200), seed=seed)
         f.endpoints("a", "b", kind=1, rate=10.0)
         f.arrive(1)
-        told = f.now
+        refused_at = f.now
         f.outcome(1, Outcome.FULL, wait_ns=8 * SECOND)
         f.wait(40 * SECOND)
-        starts += [at - told for at, _ in f.sends[1:2]]
+        starts += [at - refused_at for at, _ in f.sends[1:2]]
     assert sum(start < 10 * SECOND for start in starts) <= 4
 
 
-def test_those_whom_one_clump_told_of_an_outage_do_not_come_back_together() -> None:
-    """Hunt day h88a7c5: 18 forwarders called 6.2 s after one clump and pushed a cold destination over."""
-    second = []
+def test_couriers_that_noticed_an_outage_together_do_not_retry_together() -> None:
+    """Guards against synchronized retries: in random scenario h88a7c5, 18 forwarders called 6.2 s after one burst.
+
+    Their calls overloaded a recovering destination.
+    """
+    retry_times = []
     for seed in range(30):
         f = Forwarder(
             settings(
@@ -201,26 +204,26 @@
         f.arrive(1)
         f.outcome(1, Outcome.CONNECT_FAILED)
         f.wait(SECOND)
-        f.outcome(1, Outcome.CONNECT_FAILED)  # the other route: the destination is down, so are both
+        f.outcome(1, Outcome.CONNECT_FAILED)  # on the other route: the destination is down, so both are
         assert all(r.down for r in f.controller.routes.values())
         start, before = f.now, len(f.sends)
         f.wait(30 * SECOND)
-        second += [at - start for at, _ in f.sends[before : before + 1]]
-    for at in range(30):  # in no second do more than a quarter come
-        assert sum(at * SECOND <= s < (at + 1) * SECOND for s in second) <= 8
+        retry_times += [at - start for at, _ in f.sends[before : before + 1]]
+    for at in range(30):  # no more than a quarter retry in the same second
+        assert sum(at * SECOND <= s < (at + 1) * SECOND for s in retry_times) <= 8
 
 
-def test_the_placeholder_for_rates_not_listed_is_no_rate() -> None:
+def test_the_placeholder_for_an_unlisted_rate_is_not_used_as_a_rate() -> None:
     f = Forwarder(settings(slots=50, rate_hint=RateHint.NONE, limit_column=0))
     f.endpoints("a", rate=1e6)
     f.arrive(1)
     f.outcome(1, Outcome.CONNECT_FAILED)
     f.arrive(2)
     f.wait(1500 * MS)
-    assert len(f.sends) == 1  # at a million calls a second the way back would bear any number
+    assert len(f.sends) == 1  # at a million calls a second the fail-back budget would allow any number
 
 
-def test_without_reports_two_lasting_refusals_are_an_outage() -> None:
+def test_two_refusals_over_some_time_are_an_outage_without_load_reports() -> None:
     f = Forwarder(settings(message_class(deadline_ns=60 * SECOND), forwarders=100))
     f.endpoints("a")
     f.arrive(1)
@@ -230,8 +233,11 @@
     assert any("refuses all" in line for line in f.logs)
 
 
-def test_failures_at_routes_apart_tell_of_an_outage_of_the_destination() -> None:
-    """Hunt day h3c5c25: each route was called twice by all that knew, and pushed over as it came back."""
+def test_failures_at_several_routes_with_own_limits_mark_all_of_them_down() -> None:
+    """Guards against an overload found in random scenario h3c5c25.
+
+    Every courier that knew of the outage called each route twice, which overloaded the routes as they recovered.
+    """
     f = Forwarder(settings(message_class(deadline_ns=60 * SECOND), forwarders=200))
     f.endpoints("a", "b", "c", rate=2.0)
     f.controller.failure_shares[0] = 0.25  # many destinations fail
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: hand-made byte strings, bad input, and a real exchange through the deployed command."""
+"""The simulator's protocol: fixed byte strings, invalid input, and an exchange with the deployed command."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
     return struct.pack("<IIQ", len(body), len(records), now) + body
 
 
-PAGE = bytes.fromhex("03 0000 01000000 0a124a07 2b23 0000 0000 3900 01 0000803f 0000000000000000")
-FLEET = bytes.fromhex("05 0300 02 2900000000000000 0000")
-ITEM = bytes.fromhex(
+ENDPOINT_LIST = bytes.fromhex("03 0000 01000000 0a124a07 2b23 0000 0000 3900 01 0000803f 0000000000000000")
+LIST_CHANGE = bytes.fromhex("05 0300 02 2900000000000000 0000")
+ARRIVAL = bytes.fromhex(
     "0a 0300 c4913a5dad290a00 00 00000000 640ad2557c3bf091 001c4e0e00000000001bb70000000000 00006442 0100"
 )
-RESPONSE = bytes.fromhex(
+ATTEMPT_ENDED = bytes.fromhex(
     "08 0300 c4913a5dad290a00 0000 0a124a07 2b23 0000 a0491a0100000000 01 0000000002 cdcccc3e0000a03f"
 )
 TARGET = bytes.fromhex("0a124a07 2b23")
@@ -70,27 +70,27 @@
     return list(wire.Decoder().decode(b"".join(records), len(records)))
 
 
-def test_events_from_hand_made_bytes() -> None:
-    got = decode(
-        PAGE,
-        FLEET,
-        ITEM,
-        RESPONSE,
+def test_events_are_decoded_from_fixed_bytes() -> None:
+    decoded = decode(
+        ENDPOINT_LIST,
+        LIST_CHANGE,
+        ARRIVAL,
+        ATTEMPT_ENDED,
         bytes.fromhex("01 0300 4d00000000000000"),
         bytes.fromhex("07 0500 192b6f0e36110500"),
         bytes.fromhex("09 0300"),
     )
     endpoint = api.Endpoint(TARGET, 57, 0, 0, api.EndpointState.READY, 1.0)
-    assert got[0] == (3, api.EndpointList(api.ListKind.CACHED, (endpoint,)))
-    assert got[1] == (3, api.Arrival(MESSAGE, 0, 57, 240_000_000, 0, 0x91F03B7C55D20A64))
-    ended = got[2][1]
+    assert decoded[0] == (3, api.EndpointList(api.ListKind.CACHED, (endpoint,)))
+    assert decoded[1] == (3, api.Arrival(MESSAGE, 0, 57, 240_000_000, 0, 0x91F03B7C55D20A64))
+    ended = decoded[2][1]
     assert isinstance(ended, api.AttemptEnded) and ended.closed and ended.latency_ns == 18_500_000
     assert ended.report == pytest.approx((0.4, 1.25)) and ended.outcome is api.Outcome.OK
-    assert got[3:] == [(3, api.TimerFired(77)), (5, api.Withdrawn(0x0005_1136_0E6F_2B19)), (3, wire.Detached())]
+    assert decoded[3:] == [(3, api.TimerFired(77)), (5, api.Withdrawn(0x0005_1136_0E6F_2B19)), (3, wire.Detached())]
 
 
-def test_actions_as_the_wire_page_spells_them() -> None:
-    spelled = {
+def test_actions_are_encoded_as_the_protocol_specifies() -> None:
+    expected = {
         "42 0300 c4913a5dad290a00 00b4c40400000000 0a124a07 2b23": api.Send(MESSAGE, TARGET, 80_000_000),
         "43 0300 192b6f0e36110500 80b2e60e00000000": api.Refuse(0x5_1136_0E6F_2B19, 250_000_000),
         "47 0300 192b6f0e36110500": api.Fail(0x5_1136_0E6F_2B19),
@@ -99,11 +99,11 @@
         "4a 0300 01": api.Subscribe(),
         "49 0300 1100 74776f2073657276657273206b6e6f776e": api.Log("two servers known"),
     }
-    for text, action in spelled.items():
+    for text, action in expected.items():
         assert wire.encode(3, action) == bytes.fromhex(text)
 
 
-def test_settings_are_taken_by_name_and_unknown_keys_ignored() -> None:
+def test_settings_are_read_by_name_and_unknown_keys_ignored() -> None:
     ((_, opened),) = decode(opening())
     assert isinstance(opened, wire.Opened)
     s = opened.settings
@@ -121,43 +121,47 @@
     "data",
     [
         b"\x01",
-        frame(5, ITEM[:-1]),
+        frame(5, ARRIVAL[:-1]),
         frame(5, b"\xc8"),
         frame(5, opening(settings={"classes": []})),
         frame(5, opening(settings=[])),
-        frame(5, ITEM)[:-2],
-        frame(5, FLEET),
-        frame(5, ITEM + b"\0"),
+        frame(5, ARRIVAL)[:-2],
+        frame(5, LIST_CHANGE),
+        frame(5, ARRIVAL + b"\0"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes) -> None:
-    done = run(data)
-    assert done.returncode != 0 and done.stdout == b""
-    assert done.stderr.startswith(b"snowlock: ") and done.stderr.count(b"\n") == 1
+def test_invalid_input_ends_the_process_with_one_line_on_standard_error(data: bytes) -> None:
+    result = run(data)
+    assert result.returncode != 0 and result.stdout == b""
+    assert result.stderr.startswith(b"snowlock: ") and result.stderr.count(b"\n") == 1
 
 
-def test_an_error_of_the_module_is_declared_fatal() -> None:
-    bad_class = bytearray(ITEM)
+def test_an_exception_in_the_controller_is_reported_as_fatal() -> None:
+    bad_class = bytearray(ARRIVAL)
     bad_class[11] = 9
-    done = run(frame(5, opening(), PAGE, FLEET, bytes(bad_class)))
-    count, size = struct.unpack_from("<II", done.stdout)
-    assert count == 1 and done.stdout[8] == 69 and b"IndexError" in done.stdout[8 : 8 + size]
+    result = run(frame(5, opening(), ENDPOINT_LIST, LIST_CHANGE, bytes(bad_class)))
+    count, size = struct.unpack_from("<II", result.stdout)
+    assert count == 1 and result.stdout[8] == 69 and b"IndexError" in result.stdout[8 : 8 + size]
 
 
-def test_a_real_exchange_through_the_deployed_commands() -> None:
+def test_an_exchange_with_the_deployed_command() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=ROOT, check=True, timeout=300)
     process = subprocess.Popen(
         ["/bin/sh", "-c", deploy["sim"]], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
     assert process.stdin and process.stdout
-    sent = []
-    for batch in (frame(10**9), frame(2 * 10**9, opening(), PAGE, FLEET, ITEM), frame(3 * 10**9, RESPONSE)):
+    replies = []
+    for batch in (
+        frame(10**9),
+        frame(2 * 10**9, opening(), ENDPOINT_LIST, LIST_CHANGE, ARRIVAL),
+        frame(3 * 10**9, ATTEMPT_ENDED),
+    ):
         process.stdin.write(batch)
         process.stdin.flush()
         _, size = struct.unpack("<II", process.stdout.read(8))
-        sent.append(process.stdout.read(size))
+        replies.append(process.stdout.read(size))
     process.stdin.close()
     assert process.wait(20) == 0
-    assert sent[0] == b"" and sent[2] == b""
-    assert bytes([66]) + struct.pack("<HQ", 3, MESSAGE) in sent[1] and sent[1].endswith(TARGET)
+    assert replies[0] == b"" and replies[2] == b""
+    assert bytes([66]) + struct.pack("<HQ", 3, MESSAGE) in replies[1] and replies[1].endswith(TARGET)
