--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -54,7 +54,7 @@
 MIN_REFUSAL_PAUSE = 200 * MS  # minimum interval before the next call after a refusal
 # Share of the fail-back budget that is used: other forwarders estimate theirs too.
 FAILBACK_SAFETY_FACTOR = 0.7
-LATE_DETECTION_SPANS = 2  # spans of fall_ns by which others may have noticed an outage before this forwarder
+LATE_DETECTION_WINDOWS = 2  # windows of fall_ns by which others may have noticed an outage earlier
 # Growth of this forwarder's fail-back share where the route serves it. Others may see the same and grow too,
 # and the sum must stay bearable.
 FAILBACK_GROWTH = 1.5
@@ -64,7 +64,7 @@
 BURST_TOLERANCE = 500 * MS  # calls worth this long at the limit's rate may go at once
 INTERVAL_GROWTH, INTERVAL_DECREASE = 2.0, 0.1  # of the call interval: factor per refusal, share per answer
 MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2  # cap in equal-share intervals, and the least cap
-FEW = 4  # forwarders; a fleet this small hears of a limit often enough to find its intervals step by step
+FEW = 4  # forwarders; a fleet this small calls often enough to find its intervals in small steps
 # Share of the allowance that is left: below the first an answer lengthens the interval; above the second
 # large fleets shorten it fast.
 SCARCE_ALLOWANCE, AMPLE_ALLOWANCE = 0.5, 0.3
@@ -194,7 +194,8 @@
         # rate.
         self.tenant_rates: dict[int, float] = {}
         self.tenant_arrivals: dict[int, int] = {}  # theoretical arrival time (GCRA) of a tenant's messages
-        self.log_count, self.log_latency = 0, 0.0  # the latter: mean of the logarithm of all latencies
+        # Number of log lines; moving mean of the logarithms of all latencies.
+        self.log_count, self.log_latency = 0, 0.0
         self.default_latency = UNKNOWN_LATENCY_AIM_SHARE * min(cls.aim_ns for cls in settings.classes)
         self.connect_failure_shares: dict[int, float] = {}  # by kind of destination
         # By kind of destination: share of all calls refused as full, and of those whose predecessor was
@@ -269,7 +270,7 @@
         return message.weight * (1 - (1 - cls.late_worth) * lateness)
 
     def _usual_latency(self) -> float:
-        """Return the geometric mean of latencies over all destinations, or the default before the first."""
+        """Return the moving geometric mean of all latencies, or a default before the first."""
         return math.exp(self.log_latency) if self.log_latency else self.default_latency
 
     def _shed_load(self) -> None:
@@ -634,25 +635,26 @@
 
         An outage ends without notice, and the route can then bear only part of its rate (slow start). In any
         fall_ns this forwarder sends its share of what a recovering route bears, or a multiple of what the
-        route has just served it. It takes as many other forwarders to hold messages for the route as calls
-        came since the trouble began. The cost is that a burst right after a failure is slowed down.
+        route has just served it. It assumes that as many other forwarders hold messages for the route as
+        calls came since the trouble began. The cost is that a burst of calls right after a failure is slowed
+        down.
         """
         bearable = self.settings.cold_from
         if route.back is not None:
             bearable += (1 - bearable) * min(1.0, max(0, self.now - route.back) / self.settings.ramp_ns)
         rate, window = self._fleet_rate(route), self.settings.fall_ns
         aware = 2.0  # estimated forwarders that hold messages for the route
-        # A forwarder that calls seldom notices late: the outage began spans before its own first failure.
+        # A forwarder that calls seldom notices late: the outage began windows before its own first failure.
         if route.down:
             known = max(route.last_call_at, route.wait_until) - route.failing_since
-            aware += rate * (max(0, known) + LATE_DETECTION_SPANS * window) / SECOND
+            aware += rate * (max(0, known) + LATE_DETECTION_WINDOWS * window) / SECOND
         if self.settings.rate_hint is api.RateHint.ROUGH and not route.limit.rate:
             rate *= ROUGH_RATE_FACTOR
         allowed = bearable * rate * window / SECOND / min(self.settings.forwarders, aware)
         limit = route.limit
         self._prune(limit.answers)
         served = float(len(limit.answers))
-        if route.down:  # the budget must not grow on its own calls within one span
+        if route.down:  # within one window the budget must not grow on its own calls
             served = min(served, max(1.0, FAILBACK_GROWTH * allowed))
         allowed = max(allowed, served) * FAILBACK_SAFETY_FACTOR * self.settings.tip_multiple
         count = max(1, int(allowed))
@@ -682,7 +684,7 @@
         return max(1, half // 2 if any(self.silent(route) for route in dest.routes) else half)
 
     def _dispatch(self, dest: Destination) -> None:
-        """Send what may go now, best first, and set the next wake-up."""
+        """Send what may go now, the most valuable messages first, and set the next wake-up."""
         # Whether other destinations wait for a slot.
         contended = any(d is not dest and d.wake_at <= self.now for d in self.waiting.values())
         cap = self._slot_cap(dest)
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -40,6 +40,8 @@
         self.answer_by = self.deadline - margin  # latest time for an answer, as batches come only once a tick
         self.reserved_until = now + int(RESERVED_TIME_SHARE * event.time_left_ns) if event.kept else 0
         self.route: Route | None = None  # current place in the destination's order of routes
+        # Tries on the current route, all attempts, backoffs, passes over routes that were all full, earliest
+        # next try.
         self.tries = self.attempts = self.backoffs = self.full_passes = self.not_before = 0
         self.in_flight: dict[int, Call] = {}  # by attempt number
         self.may_have_run = self.done = False
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -342,8 +342,13 @@
         f.outcome(number, Outcome.TIMEOUT if number % 2 else Outcome.OK)
         f.endpoints(f"e{number}", destination=1, state=EndpointState.GONE)
         f.wait(11 * SECOND)
-    state = f.controller
-    assert len(state.routes) <= 3 and len(state.key_available_at) <= 3 and not state.key_queues and not state.messages
+    controller = f.controller
+    assert (
+        len(controller.routes) <= 3
+        and len(controller.key_available_at) <= 3
+        and not controller.key_queues
+        and not controller.messages
+    )
 
 
 def test_messages_that_wait_for_a_route_are_bundled_into_one_call_and_one_slot() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -16,7 +16,7 @@
 from snowlock import interface as api
 from snowlock.interface import Outcome, Safety
 from tests.forwarder import MS, SECOND, message_class, route
-from tests.forwarder import settings as make
+from tests.forwarder import settings as controller_settings
 
 CLASSES = (
     message_class(Safety.SAFE, deadline_ns=4 * SECOND),
@@ -31,8 +31,10 @@
     """A model of one forwarder's environment that checks each action against the rules."""
 
     def __init__(self, seed: int, **overrides: object) -> None:
-        self.given = make(*CLASSES, slots=6, max_open=40, max_attempts=6, max_retry_after_ns=SECOND, **overrides)
-        self.random = random.Random(seed)
+        self.given = controller_settings(
+            *CLASSES, slots=6, max_open=40, max_attempts=6, max_retry_after_ns=SECOND, **overrides
+        )
+        self.rng = random.Random(seed)
         self.controller = Controller(self.given, seed)
         self.now = 50 * SECOND
         self.timers: list[tuple[int, int]] = []
@@ -103,9 +105,9 @@
 
     def random_attempt_ended(self) -> api.AttemptEnded:
         """End a random attempt with a random outcome."""
-        message, attempt = self.random.choice(sorted(self.in_flight))
+        message, attempt = self.rng.choice(sorted(self.in_flight))
         target, sent = self.in_flight.pop((message, attempt))
-        outcome = self.random.choice(
+        outcome = self.rng.choice(
             [Outcome.OK] * 4
             + [Outcome.FULL] * 2
             + [Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
@@ -113,7 +115,7 @@
         return self.attempt_ended(message, attempt, target, sent, outcome)
 
     def attempt_ended(self, message: int, attempt: int, target: bytes, sent: int, outcome: Outcome) -> api.AttemptEnded:
-        wait = self.random.choice([0, 400 * MS, 2 * SECOND]) if outcome is Outcome.FULL else 0
+        wait = self.rng.choice([0, 400 * MS, 2 * SECOND]) if outcome is Outcome.FULL else 0
         arrival = self.arrivals[message]
         if wait:
             self.wait_until[target] = max(self.wait_until.get(target, 0), self.now + wait)
@@ -134,9 +136,9 @@
         return target[1] % 2
 
     def random_endpoint_list(self) -> api.EndpointList:
-        destination = self.random.choice([1, 2])
-        name = route(f"{destination}{self.random.choice('abc')}")
-        state = self.random.choice([api.EndpointState.READY] * 3 + [api.EndpointState.DRAINING, api.EndpointState.GONE])
+        destination = self.rng.choice([1, 2])
+        name = route(f"{destination}{self.rng.choice('abc')}")
+        state = self.rng.choice([api.EndpointState.READY] * 3 + [api.EndpointState.DRAINING, api.EndpointState.GONE])
         endpoint = api.Endpoint(name, destination, self.zone(name), destination - 1, state, 5.0)
         self.ready.pop(name, None)
         if state is api.EndpointState.READY:
@@ -145,9 +147,9 @@
 
     def random_arrival(self) -> api.Arrival:
         self.last_message += 1
-        index = self.random.randrange(3)
-        key = self.random.randrange(1, 4) if CLASSES[index].ordered else 0
-        event = api.Arrival(self.last_message, index, self.random.choice([1, 2]), CLASSES[index].deadline_ns, 0, key)
+        index = self.rng.randrange(3)
+        key = self.rng.randrange(1, 4) if CLASSES[index].ordered else 0
+        event = api.Arrival(self.last_message, index, self.rng.choice([1, 2]), CLASSES[index].deadline_ns, 0, key)
         self.arrivals[self.last_message] = event
         self.deadline[self.last_message] = self.now + event.time_left_ns
         if key:
@@ -164,11 +166,11 @@
             if self.now >= self.deadline[message]:
                 target, sent = self.in_flight.pop((message, attempt))
                 events.append(self.attempt_ended(message, attempt, target, sent, Outcome.TIMEOUT))
-        if busy and self.random.random() < 0.05:
+        if busy and self.rng.random() < 0.05:
             events.append(self.random_arrival())
-        if self.in_flight and self.random.random() < 0.08:
+        if self.in_flight and self.rng.random() < 0.08:
             events.append(self.random_attempt_ended())
-        if busy and self.random.random() < 0.01:
+        if busy and self.rng.random() < 0.01:
             events.append(self.random_endpoint_list())
         if events:
             self.batch(events)
@@ -219,7 +221,7 @@
 
 
 def test_stale_events_are_harmless() -> None:
-    controller = Controller(make(*CLASSES), 1)
+    controller = Controller(controller_settings(*CLASSES), 1)
     stale = [
         api.TimerFired(12),
         api.TimerFired(13),
