--- a/kestrelspar/core/__init__.py
+++ b/kestrelspar/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: messages, the transport map. It knows no wire."""
+"""Protocol-independent core: the message life cycle and the transport map."""
--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -1,7 +1,7 @@
-"""The core: the life of a message, from hand-in to final answer. It knows no wire.
+"""Protocol-independent core: the life cycle of a message, from submission to final answer.
 
-Fronts meet it through the types below: a front hands in messages and is told their ends (``SenderSide``),
-makes delivery attempts (``Carrier``), and reports changes of the transport map (``Courier.listed``).
+Front ends (HTTP, SMPP) use the types below: a front end submits messages and receives their final states
+(``SenderSide``), makes delivery attempts (``Carrier``), and reports changes of the transport map (``Courier.listed``).
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 from snowlock.control import FEW
 from snowlock.interface import Outcome
 
-NS = 1_000  # nanoseconds of the module in one of our microseconds
-STAY = 500 * MS  # after SIGTERM, at least: new connections may come for 400 ms
-NO_NEW_ATTEMPTS = 2_200 * MS  # after SIGTERM: what starts later might not come back in time
-LEAVE_AT = 3_500 * MS  # after SIGTERM: SIGKILL may come at 3.7 s
-COME_BACK = 1_000 * MS  # to a client deferred at the door
-OVERDUE = 1_000 * MS  # before a deadline: an outcome that has not come is asked for, and the message ends
-BUDGET_WITHIN = 500 * MS  # a call that the budget has no room for waits so long at most, then it is chosen anew
+NS = 1_000  # nanoseconds (controller) per microsecond (event loop)
+MIN_SHUTDOWN_TIME = 500 * MS  # minimum time between SIGTERM and exit: new connections may arrive for 400 ms
+LAST_ATTEMPT_START = 2_200 * MS  # after SIGTERM: an attempt that starts later might not end before the exit
+LEAVE_AT = 3_500 * MS  # latest exit after SIGTERM: SIGKILL may come at 3.7 s
+DEFAULT_RETRY_AFTER = 1_000 * MS  # default retry-after delay of a deferred submission
+OUTCOME_QUERY_MARGIN = 1_000 * MS  # time left at which a missing outcome is queried and the message ends
+BUDGET_WAIT_TIMEOUT = 500 * MS  # maximum wait of a call for room in the budget, before an endpoint is chosen anew
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.REJECTED)
 
 DELIVERED, FAILED, RETURNED = "delivered", "failed", "returned"
-WITHDRAWN = "withdrawn"  # by the sender side, before it was ever sent
-_WITHDRAW = object()  # the word that a waiting message's task gets then
+WITHDRAWN = "withdrawn"  # cancelled by the sender side before it was ever sent
+_WITHDRAW = object()  # resumes the parked task of a withdrawn message
 
 
 @dataclass(slots=True)
 class Message:
-    """One message, whatever wire it came by."""
+    """One message, independent of the protocol that it arrived by."""
 
-    trace: str  # the sender side's id for it
+    trace: str  # message id given by the sender side
     cls: int
     tenant: int
     dest: int
@@ -54,22 +54,22 @@
     body: bytes
     sender: SenderSide
     key: str = ""  # idempotency key
-    extra: dict[str, Any] = field(default_factory=dict)  # of its front, as JSON can hold it
+    extra: dict[str, Any] = field(default_factory=dict)  # data of the front end, JSON-serializable
     number: int = 0
-    start: int = 0  # nothing is sent before this time; the deadline counts from it
+    start: int = 0  # earliest time of the first attempt; the delivery time is counted from it
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
-    """What is known of an ended message for a while: until when, its end (empty: none that was told), what it was."""
+class EndedMessage:
+    """An ended message, remembered for a while to recognize duplicate submissions."""
 
-    until: int
-    state: str
-    was: tuple[int, int, int]
+    until: int  # time at which it is forgotten
+    state: str  # final state; empty where none was reported to the sender side
+    fingerprint: tuple[int, int, int]
 
 
 class Reason(Enum):
-    """Why a message is not taken on."""
+    """Why a submission is refused. The values appear in logs and in answers to clients."""
 
     CLOSING = "shutting down"
     FULL = "holds as many messages as it may"
@@ -82,21 +82,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to a hand-in: taken on, deferred (come again), or rejected (not to be handed in again)."""
+    """The answer to a submission: accepted, deferred (retry later), or rejected (do not retry)."""
 
     taken: bool
     defer: bool = False
     why: Reason = Reason.CLOSING
     text: str = ""
-    come_back: int = COME_BACK
+    come_back: int = DEFAULT_RETRY_AFTER
 
     @property
     def reason(self) -> str:
-        """For logs and people."""
+        """The reason as text, for logs and for clients."""
         return f"{self.why.value} {self.text}".strip()
 
 
-TAKEN_ON = Answer(True)
+ACCEPTED = Answer(True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,155 +104,159 @@
     """How a delivery attempt ended."""
 
     outcome: Outcome
-    told_wait: int = 0
+    told_wait: int = 0  # retry-after delay in microseconds
     no_slot: bool = False
-    closed: bool = False  # the message is over
+    closed: bool = False  # no further attempt may follow: the next hop has settled the message
     report: tuple[float, ...] = ()
     note: str = ""
-    waited: int = 0  # for its turn before the first byte: no part of the call
-    later: tuple[str, dict[str, Any]] | None = None  # with OK: accepted only; who tells the outcome, and by what
+    waited: int = 0  # queueing time before the first byte, excluded from the latency of the call
+    # With OK: the next hop has only accepted the message, and the outcome follows. Name of the outcome source in
+    # ``Courier.later``, and the data by which that source recognizes the outcome.
+    later: tuple[str, dict[str, Any]] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """A message's end, as its sender side is told it."""
+    """The final state of a message, as reported to its sender side."""
 
     state: str
     after_ms: int = 0
 
 
 class SenderSide(Protocol):
-    """Where a message came from."""
+    """The front end that a message was submitted through."""
 
     name: str
 
     def settle(self, message: Message, end: End) -> None:
-        """Tell the end, and return when it has been heard."""
+        """Report the final state, and return once the sender side has received it."""
 
     def took(self, message: Message) -> bool:
-        """A message of this side is open again after a restart; whether the side itself keeps it for now."""
+        """Called for each open message after a restart; true if the sender side holds the message back for now."""
 
 
 class Later(Protocol):
-    """Who tells outcomes that come after an attempt was accepted."""
+    """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts."""
 
     def expect(self, message: Message, awaits: dict[str, Any]) -> None:
-        """The message waits for this, in this process or since an earlier one: ``Courier.told`` when it comes."""
+        """Wait for the outcome of a message accepted in this process or a former one; pass it to ``Courier.told``."""
 
     def overdue(self, message: Message, awaits: dict[str, Any]) -> str:
-        """Its time is nearly up: ask, if that can be done before its deadline, and return its end."""
+        """The deadline is near: query the outcome, if that is possible before it, and return the final state."""
 
     def forget(self, message: Message) -> None:
-        """It waits no more."""
+        """The message no longer waits for an outcome."""
 
 
-class _Leave:
+class _SendGuard:
     """See ``transport_map.Leave``."""
 
-    __slots__ = ("_may", "_note")
+    __slots__ = ("_may_send", "_record_attempt")
 
-    def __init__(self, may: Callable[[], bool], note: Callable[[], bool]) -> None:
-        self._may, self._note = may, note
+    def __init__(self, may_send: Callable[[], bool], record_attempt: Callable[[], bool]) -> None:
+        self._may_send, self._record_attempt = may_send, record_attempt
 
     def __call__(self) -> bool:
-        return self._may() and self._note()
+        return self._may_send() and self._record_attempt()
 
     def still(self) -> bool:
-        """Whether more of the attempt may go."""
-        return self._may()
+        """Whether the rest of the attempt may still be sent."""
+        return self._may_send()
 
 
 class Peers(Protocol):
-    """Couriers that share; off unless the settings say otherwise. ``again``: it is not a message's first attempt."""
+    """Budgets shared with other couriers; optional. ``again``: the call is not the first attempt of its message."""
 
     def spend(self, endpoint: api.EndpointId, again: bool) -> bool:
-        """Whether this courier may make one call there at this instant; it counts as made then."""
+        """Take one call from this courier's share of the budget of the endpoint; false if none is left now."""
 
     def wait_for_room(self, endpoint: api.EndpointId, again: bool, until: int) -> None:
-        """Wait until one may be made, or until then."""
+        """Wait until the budget has room for a call, at most until the given time."""
 
     def called(self, endpoint: api.EndpointId, result: Result, sent: int) -> None:
-        """A call that began then has ended."""
+        """A call has ended that began at ``sent``."""
 
     def came(self, message: Message) -> None:
-        """A message was taken on."""
+        """A message was accepted."""
 
     def ended(self, message: Message, end: End) -> None:
-        """A message has its end."""
+        """A message has reached its final state."""
 
 
 class Hook(Protocol):
-    """A plug-in at a message's arrival and end."""
+    """A plug-in called when a message arrives and when it ends."""
 
     def arrival(self, message: Message) -> Answer | None:
-        """Defer or reject it, or change it and let it in."""
+        """Return an answer to defer or reject the message, or none to admit it; the message may be changed."""
 
     def end(self, message: Message, end: End) -> None:
-        """See its end."""
+        """Called with the final state of the message."""
 
 
-def _was(message: Message) -> tuple[int, int, int]:
-    """What a message is, as far as a copy of it under the same id must be the same."""
+def _fingerprint(message: Message) -> tuple[int, int, int]:
+    """What has to be equal in two submissions under one id for them to be the same message."""
     return message.cls, message.dest, zlib.crc32(message.body, zlib.crc32(message.key.encode()))
 
 
 class Courier:
-    """Owns the open messages, the transport map, the journal and the module."""
+    """Owns the open messages, the transport map, the journal and the decision module."""
 
     def __init__(self, loop: Loop, settings: api.Settings, seed: int, journal: Journal) -> None:
         self.loop, self.settings, self.journal = loop, settings, journal
         self.senders: dict[str, SenderSide] = {}
-        self.later: dict[str, Later] = {}  # who tells outcomes that come later, by name
-        self._awaiting: dict[int, tuple[Message, str, dict[str, Any]]] = {}  # accepted, and no outcome yet
-        self.at_close: list[Callable[[], None]] = []  # the fronts' graceful shutdown: each a task, from SIGTERM on
-        self.unfinished: list[Callable[[], bool]] = []  # fronts the process may not exit over yet
-        self.at_leave: list[Callable[[], None]] = []  # the fronts' farewells
+        self.later: dict[str, Later] = {}  # sources of later outcomes, by name
+        # Messages accepted by a next hop whose outcome is outstanding: message, name of its source, data awaited.
+        self._awaiting: dict[int, tuple[Message, str, dict[str, Any]]] = {}
+        # Graceful shutdown of the front ends: each call is started as a task at SIGTERM.
+        self.at_close: list[Callable[[], None]] = []
+        self.unfinished: list[Callable[[], bool]] = []  # true while a front end has work that delays the exit
+        self.at_leave: list[Callable[[], None]] = []  # called right before the exit, to close sessions in order
         self.hooks: list[Hook] = []
         self.peers: Peers | None = None
         self.map = TransportMap()
-        self.stale: dict[str, int] = {}  # sources whose list is too old to serve on, and when to come back
+        self.stale: dict[str, int] = {}  # sources whose list is too old to use, with retry-after delays
         self.ready = False
-        self.closing: int | None = None  # since when
+        self.closing: int | None = None  # time of SIGTERM
         self._controller = Controller(settings, seed, time.time_ns() - time.monotonic_ns())
         self._events: list[api.Event] = []
-        self._desks: dict[int, Parking] = {}  # messages whose task waits for the module's next word
+        self._parked: dict[int, Parking] = {}  # by message number: tasks that wait for the controller's next action
         self.open: dict[int, Message] = {}
-        self._known: dict[str, Message | Past] = {}  # by id: open messages, and for a while ended ones
-        self._ended: deque[tuple[int, str]] = deque()  # the latter, and until when
-        # A copy of a request may come for as long as any message lives, and may run for as long as a window lasts.
-        self._known_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS
-        self.out = 0  # delivery attempts under way
+        self._known: dict[str, Message | EndedMessage] = {}  # by id: open messages, and recently ended ones
+        self._ended: deque[tuple[int, str]] = deque()  # expiry times and ids of the ended ones, oldest first
+        # A duplicate of a request can arrive within the longest deadline, and be processed within the longest window.
+        self._remember_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS
+        self.out = 0  # delivery attempts in flight
         self._last = max(journal.entries, default=0)
         loop.at_turn_end.append(self._decide)
 
-    # The life of a message
+    # Message life cycle
 
     def carry(self, message: Message, answer: Callable[[Answer], bool]) -> None:
-        """One message from hand-in to final answer, top to bottom, in a task of its own.
+        """Process one message from submission to final answer, in the calling task.
 
-        ``answer`` tells the sender side at once whether the message is taken on; false when it did not hear.
+        ``answer`` reports at once whether the message is accepted; it returns false if the sender side was not reached.
         """
         if self.keep(message, answer):
-            self._see_through(message)
+            self._deliver(message)
 
     def keep(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
-        """Take a message on, journalled before it is answered; whether it is ours from now on."""
-        refusal = self._door(message)
+        """Accept or refuse a message, journalled before the answer; true if this courier now owns it."""
+        refusal = self._check_admission(message)
         if refusal is not None:
             answer(refusal)
             return False
-        begin = max(self.loop.now, message.start)
-        message.deadline = min(message.deadline, begin + self.map.within(message.dest))
+        earliest = max(self.loop.now, message.start)
+        message.deadline = min(message.deadline, earliest + self.map.within(message.dest))
         self._last += 1
         message.number = self._last
-        text = ujson.dumps(self._text(message))
+        text = ujson.dumps(self._journal_fields(message))
         if not self.journal.taken(message.number, message.deadline, text, message.body):
             answer(Answer(False, True, Reason.DISK))
             return False
         self.open[message.number] = message
         self._known[message.trace] = message
-        if not answer(TAKEN_ON):  # it went away unanswered and may hand it in elsewhere: not ours
-            self._over(message, RETURNED)
+        if not answer(ACCEPTED):  # the client left without the answer and may submit elsewhere
+            self._drop(message, RETURNED)
             return False
         if self.peers is not None:
             self.peers.came(message)
@@ -268,55 +272,56 @@
         return True
 
     def join(self, whole: Message, parts: list[Message]) -> bool:
-        """Let one message stand for several that were kept; false when the journal has no room for it yet.
+        """Replace several accepted messages by one joined message; false when the journal has no room for it yet.
 
-        A crash in between leaves both: ``whole.extra["joined"]`` names the parts that it stands for.
+        A crash before the parts are marked done leaves them and the joined message in the journal:
+        ``whole.extra["joined"]`` has the numbers of its parts, so that ``resume`` can drop them.
         """
         self._last += 1
         whole.number = self._last
         whole.extra["joined"] = [part.number for part in parts]
-        if not self.journal.taken(whole.number, whole.deadline, ujson.dumps(self._text(whole)), whole.body):
+        if not self.journal.taken(whole.number, whole.deadline, ujson.dumps(self._journal_fields(whole)), whole.body):
             return False
         self.open[whole.number] = self._known[whole.trace] = whole
         for part in parts:
-            self._over(part)
+            self._drop(part)
         logs.event("joined", trace=whole.trace, parts=" ".join(part.trace for part in parts))
-        self.loop.spawn(self._see_through, whole)
+        self.loop.spawn(self._deliver, whole)
         return True
 
     def end_kept(self, message: Message, state: str) -> None:
-        """The end of a message that was kept and is not given to the module."""
+        """End a message that was accepted by ``keep`` and never passed to the controller."""
         self._end(message, End(state))
 
-    def _see_through(
+    def _deliver(
         self, message: Message, attempts: int = 0, maybe_since_ns: int | None = None, kept: bool = False
     ) -> None:
-        """From the module's first word on it to its end."""
-        which = attempts
+        """Run a message's attempts as the controller decides, until its final state."""
+        attempt_index = attempts
         if message.start > self.loop.now:
-            desk = self._desks[message.number] = Parking(self.loop)
-            if self.loop.park(desk, message.start) is _WITHDRAW:
+            parking = self._parked[message.number] = Parking(self.loop)
+            if self.loop.park(parking, message.start) is _WITHDRAW:
                 self._end(message, End(WITHDRAWN))
                 return
-            self._desks.pop(message.number, None)
+            self._parked.pop(message.number, None)
         left = max(0, message.deadline - self.loop.now) * NS
-        word = self._ask(
+        action = self._next_action(
             message.number,
             api.Arrival(
                 message.number, message.cls, message.dest, left, message.tenant, 0, attempts, maybe_since_ns, kept
             ),
         )
-        while isinstance(word, api.Send):
-            if self.closing is not None and self.loop.now - self.closing > NO_NEW_ATTEMPTS:
-                return  # the journal has it, and the next process goes on
-            result, latency = self._attempt(message, word, which)
-            which += 1
-            word = self._ask(
+        while isinstance(action, api.Send):
+            if self.closing is not None and self.loop.now - self.closing > LAST_ATTEMPT_START:
+                return  # still in the journal: the next process resumes it
+            result, latency = self._attempt(message, action, attempt_index)
+            attempt_index += 1
+            action = self._next_action(
                 message.number,
                 api.AttemptEnded(
                     message.number,
-                    which - 1,
-                    word.endpoint,
+                    attempt_index - 1,
+                    action.endpoint,
                     result.outcome,
                     latency * NS,
                     closed=result.closed or result.outcome is Outcome.OK,
@@ -330,47 +335,53 @@
                 if result.later is None:
                     self._end(message, End(DELIVERED))
                 else:
-                    self._await(message, *result.later)
+                    self._await_outcome(message, *result.later)
                 return
             if result.closed:
-                self._over(message, FAILED)
+                self._drop(message, FAILED)
                 return
-        if word is _WITHDRAW:
+        if action is _WITHDRAW:
             self._end(message, End(WITHDRAWN))
             return
-        after_ms = -(-word.retry_after_ns // (NS * MS)) if isinstance(word, api.Refuse) else 0
-        self._end(message, End(RETURNED if isinstance(word, api.Refuse) else FAILED, after_ms))
+        after_ms = -(-action.retry_after_ns // (NS * MS)) if isinstance(action, api.Refuse) else 0
+        self._end(message, End(RETURNED if isinstance(action, api.Refuse) else FAILED, after_ms))
 
-    def _attempt(self, message: Message, word: api.Send, which: int) -> tuple[Result, int]:
+    def _attempt(self, message: Message, action: api.Send, attempt_index: int) -> tuple[Result, int]:
         """One delivery attempt, journalled before its first byte leaves."""
-        hop, sent = self.map.hops.get(word.endpoint), self.loop.now
+        hop, sent = self.map.hops.get(action.endpoint), self.loop.now
         if hop is None:
             return Result(Outcome.MOOT), 0
 
-        # Between the choice and the first byte a drain or a told wait may have come, and a new connection to an
-        # endpoint that is down for a while comes up late: a work-order's window may have ended.
-        leave = _Leave(
-            lambda: self._controller.may_still_go(self.loop.now * NS, word.endpoint, message.number),
-            lambda: self._spend(word.endpoint, which) and self.journal.attempt(message.number, which, self.loop.now),
+        # Checked again right before the first byte: since the endpoint was chosen, it may have been drained or have
+        # asked for a retry-after delay, and a connection to an endpoint that was down may come up only after the
+        # window of a work-order has ended.
+        leave = _SendGuard(
+            lambda: self._controller.may_still_go(self.loop.now * NS, action.endpoint, message.number),
+            lambda: (
+                self._spend(action.endpoint, attempt_index)
+                and self.journal.attempt(message.number, attempt_index, self.loop.now)
+            ),
         )
         if self.peers is not None:
-            self.peers.wait_for_room(word.endpoint, which > 0, min(sent + word.timeout_ns // NS, sent + BUDGET_WITHIN))
+            self.peers.wait_for_room(
+                action.endpoint, attempt_index > 0, min(sent + action.timeout_ns // NS, sent + BUDGET_WAIT_TIMEOUT)
+            )
         began = self.loop.now
         self.out += 1
         try:
-            result = hop.carrier.attempt(message, hop, sent + word.timeout_ns // NS, leave)
+            result = hop.carrier.attempt(message, hop, sent + action.timeout_ns // NS, leave)
         finally:
             self.out -= 1
         if result.outcome in NEVER_RAN:
-            self.journal.not_run(message.number, which)
-        self._keep_limit(hop, result)
+            self.journal.not_run(message.number, attempt_index)
+        self._save_limit(hop, result)
         if self.peers is not None:
-            self.peers.called(word.endpoint, result, began)
+            self.peers.called(action.endpoint, result, began)
         if result.outcome is not Outcome.OK or logs.shows(logs.DEBUG):
             logs.event(
                 "attempt",
                 trace=message.trace,
-                n=which,
+                n=attempt_index,
                 hop=hop.name,
                 outcome=result.outcome.name.lower(),
                 wait_ms=result.told_wait // MS or None,
@@ -381,92 +392,99 @@
             )
         return result, max(0, self.loop.now - sent - result.waited)
 
-    def _spend(self, endpoint: api.EndpointId, which: int) -> bool:
-        """Count a call that is about to leave, where couriers share how many may be made."""
-        return self.peers is None or self.peers.spend(endpoint, which > 0)
+    def _spend(self, endpoint: api.EndpointId, attempt_index: int) -> bool:
+        """Take a call that is about to be sent from the shared budget, where there is one."""
+        return self.peers is None or self.peers.spend(endpoint, attempt_index > 0)
 
-    def shares(self, word: api.Parts | api.Judged) -> None:
-        """What sharing with others comes to, for the module."""
-        self._events.append(word)
+    def shares(self, action: api.Parts | api.Judged) -> None:
+        """Pass on a result of sharing with other couriers to the controller."""
+        self._events.append(action)
 
     @property
     def module(self) -> Controller:
-        """The module, to be looked at."""
+        """The controller, for read access."""
         return self._controller
 
-    def _keep_limit(self, hop: NextHop, result: Result) -> None:
-        """Keep what the endpoint told of its limit: many couriers that restart together and know of none would use
-        it up with their first calls. A few need not."""
+    def _save_limit(self, hop: NextHop, result: Result) -> None:
+        """Journal the rate limit that the endpoint reported.
+
+        Couriers of a large fleet that restart together without known limits would exceed them with their first calls.
+        A fleet of at most ``FEW`` couriers needs no such record.
+        """
         column = self.settings.limit_column
         rate = result.report[column] if column is not None and column < len(result.report) else 0.0
         if self.settings.forwarders > FEW and rate > 0:
             self.journal.learnt(hop.endpoint.id, rate)
 
-    # Outcomes that come later
+    # Outcomes that arrive after acceptance
 
-    def _await(self, message: Message, by: str, awaits: dict[str, Any]) -> None:
-        """An attempt was accepted: it holds no slot, nothing is sent again, and its end comes by ``told``.
+    def _await_outcome(self, message: Message, source: str, awaits: dict[str, Any]) -> None:
+        """Wait for the outcome of an accepted attempt, which arrives through ``told``.
 
-        Guards against two attempts at once: whoever accepted it may still be at it.
+        The message holds no slot, and no attempt follows: the next hop may still be processing it, so that a second
+        attempt could run at the same time.
         """
-        self.journal.awaits(message.number, ujson.dumps({"by": by, **awaits}))
-        logs.event("accepted", logs.DEBUG, trace=message.trace, by=by)
-        self._waits(message, by, awaits)
+        self.journal.awaits(message.number, ujson.dumps({"by": source, **awaits}))
+        logs.event("accepted", logs.DEBUG, trace=message.trace, by=source)
+        self._register_awaiting(message, source, awaits)
 
-    def _waits(self, message: Message, by: str, awaits: dict[str, Any]) -> None:
-        self._awaiting[message.number] = message, by, awaits
-        self.later[by].expect(message, awaits)
+    def _register_awaiting(self, message: Message, source: str, awaits: dict[str, Any]) -> None:
+        self._awaiting[message.number] = message, source, awaits
+        self.later[source].expect(message, awaits)
         left = max(0, message.deadline - self.loop.now)
-        self.loop.at(message.deadline - min(OVERDUE, left // 2), lambda: self.loop.spawn(self._overdue, message.number))
+        self.loop.at(
+            message.deadline - min(OUTCOME_QUERY_MARGIN, left // 2),
+            lambda: self.loop.spawn(self._overdue, message.number),
+        )
 
     def awaited(self, number: int) -> dict[str, Any]:
-        """What a message that was accepted waits for."""
+        """The data by which the outcome of an accepted message will be recognized."""
         return self._awaiting[number][2]
 
     def awaits_now(self, number: int, awaits: dict[str, Any]) -> bool:
-        """It waits for less than before; false when that could not be journalled, and then it was not said."""
-        message, by, _ = self._awaiting[number]
-        if not self.journal.awaits(number, ujson.dumps({"by": by, **awaits})):
+        """Replace the data of ``awaited``; false, and unchanged, when that could not be journalled."""
+        message, source, _ = self._awaiting[number]
+        if not self.journal.awaits(number, ujson.dumps({"by": source, **awaits})):
             return False
-        self._awaiting[number] = message, by, awaits
+        self._awaiting[number] = message, source, awaits
         return True
 
     def told(self, number: int, state: str) -> bool:
-        """The outcome of a message that was accepted; false when it could not be journalled, and is to come again."""
+        """Handle the outcome of an accepted message; false when it can't be journalled and has to be reported again."""
         if number not in self._awaiting:
-            return True  # it has its end
+            return True  # it has ended already
         message = self._awaiting[number][0]
         if not self.journal.verdict(number, state, 0):
             return False
-        self._stop_waiting(number)
+        self._stop_awaiting(number)
         self.loop.spawn(self._tell, message, End(state))
         return True
 
-    def _stop_waiting(self, number: int) -> None:
-        message, by, _ = self._awaiting.pop(number)
-        self.later[by].forget(message)
+    def _stop_awaiting(self, number: int) -> None:
+        message, source, _ = self._awaiting.pop(number)
+        self.later[source].forget(message)
 
     def _overdue(self, number: int) -> None:
-        """Its outcome has not come and its time is nearly up: it ends now, once, whatever comes after."""
+        """End a message whose outcome is missing shortly before its deadline; later outcomes are ignored."""
         if number not in self._awaiting:
             return
-        message, by, awaits = self._awaiting[number]
+        message, source, awaits = self._awaiting[number]
         state = FAILED
         try:
-            state = self.later[by].overdue(message, awaits)
+            state = self.later[source].overdue(message, awaits)
         finally:
             if number in self._awaiting:
-                logs.warn("outcome-overdue", trace=message.trace, by=by, state=state)
-                self._stop_waiting(number)
+                logs.warn("outcome-overdue", trace=message.trace, by=source, state=state)
+                self._stop_awaiting(number)
                 self._end(message, End(state))
 
     def _end(self, message: Message, end: End) -> None:
-        """Journal the final answer, tell it, and let go of the message."""
+        """Journal the final state, report it to the sender side, and drop the message."""
         self.journal.verdict(message.number, end.state, end.after_ms)
         self._tell(message, end)
 
     def _tell(self, message: Message, end: End) -> None:
-        """Tell a final answer that is journalled, and let go of the message."""
+        """Report a journalled final state to the sender side, and drop the message."""
         self.open.pop(message.number, None)
         logs.event(
             "ended",
@@ -480,40 +498,41 @@
         if self.peers is not None:
             self.peers.ended(message, end)
         message.sender.settle(message, end)
-        self._over(message, end.state)
+        self._drop(message, end.state)
 
-    def _over(self, message: Message, state: str = "") -> None:
-        """Nothing is owed for it any more."""
+    def _drop(self, message: Message, state: str = "") -> None:
+        """Drop a message that needs no further report, and remember it for duplicate detection."""
         self.open.pop(message.number, None)
-        until = self.loop.now + self._known_for
+        until = self.loop.now + self._remember_for
         self._ended.append((until, message.trace))
-        self._known[message.trace] = Past(until, state, _was(message))
+        self._known[message.trace] = EndedMessage(until, state, _fingerprint(message))
         self.journal.done(message.number)
 
-    def _second(self, message: Message, before: Message | Past) -> Answer | None:
-        """The answer to an id that is known; nothing if it is to be taken on.
+    def _answer_duplicate(self, message: Message, before: Message | EndedMessage) -> Answer | None:
+        """The answer to a submission under a known id; none if it is to be processed as a new message.
 
-        The same message once more, as after a close that crossed it, is answered as it was at first: it is owed its one
-        end, or was delivered. Never is it sent as a second copy. What was returned may be handed in again.
+        A repeated submission of the same message, as after a connection closed while it was in flight, gets its first
+        answer again if the message is open or was delivered; no second copy is sent. A message that was returned may be
+        submitted again.
         """
-        if (before.was if isinstance(before, Past) else _was(before)) != _was(message):
+        if (before.fingerprint if isinstance(before, EndedMessage) else _fingerprint(before)) != _fingerprint(message):
             return Answer(False, False, Reason.DUPLICATE)
         if isinstance(before, Message) or before.state == DELIVERED:
-            return TAKEN_ON
+            return ACCEPTED
         return None if before.state == RETURNED else Answer(False, False, Reason.DUPLICATE)
 
-    def _door(self, message: Message) -> Answer | None:
-        """Why the message can't be taken on now, if so."""
+    def _check_admission(self, message: Message) -> Answer | None:
+        """The answer without processing: a refusal, or that to a duplicate; none if the message can be accepted."""
         if self.closing is not None:
             return Answer(False, True, Reason.CLOSING)
         while self._ended and self._ended[0][0] < self.loop.now:
             until, trace = self._ended.popleft()
             known = self._known.get(trace)
-            if isinstance(known, Past) and known.until == until:  # else it was handed in again since
+            if isinstance(known, EndedMessage) and known.until == until:  # else it was submitted again since
                 del self._known[trace]
         before = self._known.get(message.trace)
-        if before is not None and (second := self._second(message, before)) is not None:
-            return second
+        if before is not None and (answer := self._answer_duplicate(message, before)) is not None:
+            return answer
         for hook in self.hooks:
             verdict = hook.arrival(message)
             if verdict is not None:
@@ -522,14 +541,14 @@
             source = next(iter(self.stale))
             return Answer(False, True, Reason.STALE, source, self.stale[source])
         if message.dest not in self.map.dests:
-            # Lists at a start, or of a source that has broken off, may be old: what they lack may exist.
+            # A list from before the start, or of a source that is disconnected, may lack destinations that exist.
             return Answer(False, bool(self.map.unheard or self.map.behind), Reason.UNKNOWN_DEST, str(message.dest))
         if len(self.open) >= self.settings.max_open:
             return Answer(False, True, Reason.FULL)
         return None
 
-    def _text(self, message: Message) -> dict[str, Any]:
-        """What the journal keeps of a message beside its body and deadline."""
+    def _journal_fields(self, message: Message) -> dict[str, Any]:
+        """The journalled fields of a message other than its body and deadline."""
         tenants = self.settings.tenants
         return {
             "sender": message.sender.name,
@@ -545,14 +564,14 @@
     # After a restart
 
     def resume(self) -> None:
-        """Take up what the journal holds: each open message still has its end to come."""
+        """Recover the open messages from the journal."""
         joined = [
             ujson.loads(entry.text)["extra"].get("joined", ())
             for entry in self.journal.entries.values()
             if '"joined"' in entry.text
         ]
         for number in {number for numbers in joined for number in numbers}:
-            self.journal.done(number)  # parts of a message that was joined right before the process ended
+            self.journal.done(number)  # part of a joined message, left by a crash: see ``join``
         for entry in list(self.journal.entries.values()):
             try:
                 message = self._from_journal(entry)
@@ -569,26 +588,26 @@
                 state=entry.verdict or None,
             )
             if entry.verdict:
-                self.loop.spawn(self._tell_again, message, End(entry.verdict, entry.after_ms))
+                self.loop.spawn(self._report_recovered, message, End(entry.verdict, entry.after_ms))
                 continue
             self.open[entry.number] = message
             if kept:
                 continue
             if entry.awaits:
                 awaits = ujson.loads(entry.awaits)
-                by = awaits.pop("by")
-                if by in self.later:
-                    self._waits(message, by, awaits)
-                else:  # its front is off now: the outcome can't come, and it may have run
+                source = awaits.pop("by")
+                if source in self.later:
+                    self._register_awaiting(message, source, awaits)
+                else:  # its front end is disabled now: no outcome can arrive, and the message may have run
                     self.loop.spawn(self._end, message, End(FAILED))
                 continue
             since = None if entry.maybe_since is None else entry.maybe_since * NS
-            self.loop.spawn(self._see_through, message, entry.attempts, since, True)
+            self.loop.spawn(self._deliver, message, entry.attempts, since, True)
 
-    def _tell_again(self, message: Message, end: End) -> None:
-        """The end was decided before the restart and may not have been heard."""
+    def _report_recovered(self, message: Message, end: End) -> None:
+        """Report a final state from before the restart, which the sender side may not have received."""
         message.sender.settle(message, end)
-        self._over(message, end.state)
+        self._drop(message, end.state)
 
     def _from_journal(self, entry: Entry) -> Message:
         text = ujson.loads(entry.text)
@@ -606,81 +625,82 @@
             text["extra"],
             entry.number,
         )
-        if "lead" in text:  # from the deadline, whose time the journal has carried over to this process's clock
+        if "lead" in text:  # relative to the deadline, which the journal has converted to this process's clock
             message.start = entry.deadline - int(text["lead"])
         return message
 
-    # What the sender side may ask for later
+    # Queries and changes by the sender side
 
     def find(self, trace: str) -> Message | None:
-        """The open message of this id."""
+        """The open message with this id."""
         known = self._known.get(trace)
         return known if isinstance(known, Message) else None
 
     def untried(self, message: Message) -> bool:
-        """Whether it surely never ran, is not out, and is not about to be."""
+        """Whether no attempt can have run, is in flight, or is about to start."""
         entry = self.journal.entries.get(message.number)
         return (
             entry is not None
             and not entry.verdict
             and entry.maybe_since is None
-            and message.number in self._desks
-            and not self._desks[message.number].given
+            and message.number in self._parked
+            and not self._parked[message.number].given
         )
 
     def withdraw(self, message: Message) -> bool:
-        """End a message that surely never ran; false where it may have, or is out just now."""
+        """End a message of which no attempt can have run; false where one may have, or is in flight."""
         if not self.untried(message):
             return False
         if message.start <= self.loop.now:
             self._events.append(api.Withdrawn(message.number))
-        self._desks.pop(message.number).resume(_WITHDRAW)
+        self._parked.pop(message.number).resume(_WITHDRAW)
         return True
 
     def replace(self, message: Message, body: bytes, extra: dict[str, Any]) -> bool:
-        """Change a message that was never attempted; false where it was, or the journal has no room."""
+        """Change a message without attempts; false where it has some, or the journal has no room."""
         entry = self.journal.entries.get(message.number)
         if entry is None or entry.attempts or not self.untried(message):
             return False
-        text = ujson.dumps(self._text(message) | {"extra": extra})
+        text = ujson.dumps(self._journal_fields(message) | {"extra": extra})
         if not self.journal.replaced(message.number, text, body):
             return False
         message.body, message.extra = body, extra
         return True
 
-    # The module
+    # The decision module
 
-    def _ask(self, number: int, event: api.Event, final: bool = False) -> Any:
-        """Put an event to the module and wait for its next word on this message."""
+    def _next_action(self, number: int, event: api.Event, final: bool = False) -> Any:
+        """Queue an event for the controller, and wait for its next action on this message unless it is the last."""
         self._events.append(event)
         if final:
             return None
-        desk = self._desks[number] = Parking(self.loop)
-        return self.loop.park(desk)
+        parking = self._parked[number] = Parking(self.loop)
+        return self.loop.park(parking)
 
     def _decide(self) -> None:
-        """Once a turn: give the module what has happened, and carry out what it says."""
+        """Pass queued events to the controller and carry out its actions; called once per turn."""
         if not self._events:
             return
         events, self._events = self._events, []
         try:
             actions = self._controller.handle(self.loop.now * NS, events)
         except Exception:
-            # A fault of the module must not end the program; those it was asked about get their end.
+            # A fault in the controller must not end the process; messages that wait for a decision fail.
             logs.error("fault", task="module", why=traceback.format_exc())
             actions = [
                 api.Fail(event.message) for event in events if isinstance(event, (api.Arrival, api.AttemptEnded))
             ]
         for endpoint in {event.endpoint for event in events if isinstance(event, api.AttemptEnded)}:
-            for kin, outage in self._controller.outages(endpoint).items():
+            for endpoint_id, outage in self._controller.outages(endpoint).items():
                 self.journal.in_outage(
-                    kin, None if outage is None else (outage[0] // NS, None if outage[1] is None else outage[1] // NS)
+                    endpoint_id,
+                    None if outage is None else (outage[0] // NS, None if outage[1] is None else outage[1] // NS),
                 )
         for action in actions:
             if isinstance(action, (api.Send, api.Refuse, api.Fail)):
-                desk = self._desks.pop(action.message, None)
-                if desk is not None:
-                    desk.resume(action)
+                parking = self._parked.pop(action.message, None)
+                if parking is not None:
+                    parking.resume(action)
             elif isinstance(action, api.SetTimer):
                 self.loop.at(-(-action.at_ns // NS), partial(self._timer, action.token))
             elif isinstance(action, api.CloseIdle):
@@ -697,30 +717,30 @@
 
     @property
     def serving(self) -> bool:
-        """Whether hand-ins are welcome: started, not closing, and no list too old."""
+        """Whether submissions are accepted: started, not shutting down, and no list too old."""
         return self.ready and not self.stale
 
     def listed(
         self, source: str, hops: Iterable[NextHop], whole: bool = False, left: Iterable[api.EndpointId] = ()
     ) -> None:
-        """News of the transport map from one source; a whole list tells what is gone, too."""
+        """Apply an update from one source to the transport map; ids missing from a whole list are removed."""
         change = self.map.take(source, hops, whole, left)
         for name, fields in change.events:
             logs.error(name, **fields)
         for hop in change.idle:
             hop.carrier.close_idle(hop)
         self._events.append(api.EndpointList(api.ListKind.DELTA, tuple(map(self._recalled, change.rows))))
-        # At once, not at the turn's end: a task of this turn may be about to write its first byte.
+        # Immediately, not at the end of the turn: a task of this turn may be about to write its first byte.
         self._decide()
 
     def _recalled(self, row: api.Endpoint) -> api.Endpoint:
-        """The endpoint with what the journal knows of it from before a restart."""
+        """The endpoint with the limit and outage journalled before a restart."""
         limit, outage = self.journal.limit(row.id), self.journal.outage(row.id)
         if limit:
             row = replace(row, limit=limit)
         if outage is not None:
             since, back = outage
-            # A clock that stepped meanwhile must not make it an outage to come.
+            # Positive values only: after a step of the wall clock the outage could begin in the future.
             row = replace(
                 row,
                 down_ns=max(1, (self.loop.now - since) * NS),
@@ -728,21 +748,21 @@
             )
         return row
 
-    # The end of the process
+    # Shutdown
 
     def close(self) -> None:
-        """SIGTERM: take nothing on, finish what is out, and leave the rest to the journal."""
+        """Graceful shutdown at SIGTERM: accept nothing, finish attempts in flight, leave the rest in the journal."""
         if self.closing is None:
             self.closing, self.ready = self.loop.now, False
             logs.event("closing", open=len(self.open), out=self.out)
             for call in self.at_close:
                 self.loop.spawn(call)
-            self.loop.spawn(self._leave)
+            self.loop.spawn(self._exit_when_done)
 
-    def _leave(self) -> None:
+    def _exit_when_done(self) -> None:
         assert self.closing is not None
-        self.loop.sleep(STAY)
-        while self.loop.now < self.closing + LEAVE_AT and self._unfinished():
+        self.loop.sleep(MIN_SHUTDOWN_TIME)
+        while self.loop.now < self.closing + LEAVE_AT and self._has_work():
             self.loop.sleep(10 * MS)
         for farewell in self.at_leave:
             farewell()
@@ -751,10 +771,10 @@
         logs.event("closed", kept=len(self.journal.entries), out=self.out)
         self.loop.stop()
 
-    def _unfinished(self) -> bool:
-        """Whether staying may still bring something: an end, an outcome, an answer or a notice."""
+    def _has_work(self) -> bool:
+        """Whether work remains: an attempt in flight or possible, or a front end with an answer or notice to send."""
         assert self.closing is not None
-        may_try = bool(self.journal.entries) and self.loop.now <= self.closing + NO_NEW_ATTEMPTS
+        may_try = bool(self.journal.entries) and self.loop.now <= self.closing + LAST_ATTEMPT_START
         return bool(self.out) or may_try or any(busy() for busy in self.unfinished)
 
 
