--- a/kestrelspar/core/entries.py
+++ b/kestrelspar/core/entries.py
@@ -1,4 +1,4 @@
-"""Entries of lists that are not the platform's: checked by a schema, and made into next hops."""
+"""Entries of registries and of map files: validated by a schema, and converted to next hops."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Entry(Struct, omit_defaults=True, kw_only=True):
-    """One endpoint in discovery's form, with what an nginx import adds. ``origin``: the file it was imported from."""
+    """One endpoint in the format of discovery, with the fields of an nginx import. ``origin``: the imported file."""
 
     name: Name
     address: Annotated[str, Meta(max_length=60)]
@@ -39,7 +39,7 @@
 
 
 class Destination(Struct, kw_only=True):
-    """What holds for all endpoints of a destination of an imported map."""
+    """Values shared by all endpoints of a destination in an imported map."""
 
     group: int
     target: Annotated[str, Meta(pattern="^/[!-~]*$", max_length=1000)] = "/v1/messages"
@@ -52,7 +52,7 @@
 
 
 class OwnMap(Struct, kw_only=True):
-    """A map of the operators' own, as ``kestrelspar nginx import`` writes it."""
+    """A map file of the operators, as written by ``kestrelspar nginx import``."""
 
     endpoints: list[Entry]
     destinations: list[Destination] = []
@@ -62,7 +62,7 @@
 
 
 def decode(value: bytes | str) -> Entry:
-    """An entry from JSON; ``ValueError`` says which field will not do and what is wanted."""
+    """Decode an entry from JSON; ``ValueError`` names the invalid field and the expected value."""
     try:
         found = _decoder.decode(value)
     except UnicodeDecodeError as error:
@@ -72,17 +72,18 @@
 
 
 def encode(entry: Entry) -> bytes:
-    """The entry as JSON; defaults are left out."""
+    """Encode the entry as JSON, without fields that have their default."""
     return msgspec.json.encode(entry)
 
 
 def hop(entry: Entry, settings: api.Settings, carrier: Carrier) -> NextHop:
-    """The entry as a next hop; ``ValueError`` where zone or kind are not the settings'.
+    """Convert an entry to a next hop; ``ValueError`` if the settings don't have its zone or type.
 
-    Without a zone it is in the first one; without a type it is of a kind whose endpoints are routes apart.
+    Without a zone, the first zone is used; without a type, the first kind whose endpoints are separate routes, or kind
+    0 if there is none.
     """
-    apart = [kind for kind, is_apart in enumerate(settings.routes_apart) if is_apart]
-    zone, kind = 0, apart[0] if apart else 0
+    separate_kinds = [kind for kind, is_separate in enumerate(settings.routes_apart) if is_separate]
+    zone, kind = 0, separate_kinds[0] if separate_kinds else 0
     if entry.zone is not None and settings.zones:
         zone = place(entry.zone, settings.zones, "zone")
     if entry.type is not None and settings.kinds:
@@ -110,26 +111,26 @@
 
 
 def merged(raw: OwnMap) -> list[Entry]:
-    """The map's endpoints, each with what holds for its destination."""
-    groups = {told.group: told for told in raw.destinations}
+    """The endpoints of a map, with the values of their destinations filled in."""
+    groups = {destination.group: destination for destination in raw.destinations}
     found = []
     for entry in raw.endpoints:
-        told = groups.get(entry.group)
-        if told is not None:
+        destination = groups.get(entry.group)
+        if destination is not None:
             entry = msgspec.structs.replace(
                 entry,
-                target=told.target,
-                tries=told.tries,
-                read_timeout_ms=told.read_timeout_ms,
-                connect_timeout_ms=told.connect_timeout_ms,
-                within_ms=told.within_ms,
+                target=destination.target,
+                tries=destination.tries,
+                read_timeout_ms=destination.read_timeout_ms,
+                connect_timeout_ms=destination.connect_timeout_ms,
+                within_ms=destination.within_ms,
             )
         found.append(entry)
     return found
 
 
 def read_map(path: str) -> list[Entry]:
-    """The entries of a map in a file; ``ValueError`` names file, place and what is wanted."""
+    """Read the entries of a map file; ``ValueError`` names the file, the field and the expected value."""
     try:
         raw = msgspec.json.decode(Path(path).read_bytes(), type=OwnMap)
         found = merged(raw)
@@ -140,7 +141,7 @@
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from error
     names = [entry.name for entry in found]
-    twice = next((name for name in names if names.count(name) > 1), None) if len(set(names)) < len(names) else None
-    if twice is not None:
-        raise ValueError(f"{path}: two endpoints have the name {twice!r:.60}")
+    duplicate = next((name for name in names if names.count(name) > 1), None) if len(set(names)) < len(names) else None
+    if duplicate is not None:
+        raise ValueError(f"{path}: two endpoints have the name {duplicate!r:.60}")
     return found
--- a/tests/core/test_transport_map.py
+++ b/tests/core/test_transport_map.py
@@ -1,4 +1,4 @@
-"""The transport map: who owns an entry, what a source may remove, and what rivals come to."""
+"""The transport map: ownership of entries, removals by a source, and rival sources."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
 
 
-class Idle:
+class FakeCarrier:
     def close_idle(self, hop: NextHop) -> None:
         pass
 
 
 def hop(name: str, port: int = 1, state: EndpointState = READY, within: int = FOREVER) -> NextHop:
-    return NextHop(Endpoint(name.encode(), 7, state=state), ("127.0.0.1", port), Idle(), within=within)  # type: ignore[arg-type]
+    return NextHop(Endpoint(name.encode(), 7, state=state), ("127.0.0.1", port), FakeCarrier(), within=within)  # type: ignore[arg-type]
 
 
-# Each step: source, entries (name and port, ! drains), whole, ids that left; then what stands: name -> source:port,
-# and the events.
+# Each step: source, entries (name and port, ! means draining), whole, removed ids; then the expected map
+# (name=owner:port) and log events.
 STEPS = [
     ("d", "a1 b1", True, "", "a=d:1 b=d:1", ""),
     ("r", "b2 c2", True, "", "a=d:1 b=d:1 c=r:2", "map-conflict"),
-    ("r", "b2", False, "", "a=d:1 b=d:1 c=r:2", ""),  # named once
-    ("r", "b2!", False, "", "a=d:1 b=d:1 c=r:2", ""),  # a rival drains nothing that is not its own
-    ("r", "c2", True, "", "a=d:1 b=d:1 c=r:2", ""),  # a reload of one leaves the other's, and gives up b
+    ("r", "b2", False, "", "a=d:1 b=d:1 c=r:2", ""),  # the conflict is logged once
+    ("r", "b2!", False, "", "a=d:1 b=d:1 c=r:2", ""),  # a rival cannot drain an entry that it does not own
+    ("r", "c2", True, "", "a=d:1 b=d:1 c=r:2", ""),  # a reload of r keeps the entries of d, and ends the claim on b
     ("d", "a1", True, "", "a=d:1 c=r:2", ""),
     ("d", "b3", False, "", "a=d:1 b=d:3 c=r:2", ""),
     ("r", "b2", False, "", "a=d:1 b=d:3 c=r:2", "map-conflict"),
@@ -40,22 +40,22 @@
 ]
 
 
-def test_sources_own_what_they_named_first() -> None:
+def test_an_entry_is_owned_by_the_source_that_listed_it_first() -> None:
     found = TransportMap()
-    for source, told, whole, left, after, events in STEPS:
-        news = [hop(word[0], int(word[1]), DRAINING if "!" in word else READY) for word in told.split()]
+    for source, listed, whole, removed, expected, events in STEPS:
+        update = [hop(item[0], int(item[1]), DRAINING if "!" in item else READY) for item in listed.split()]
         before = set(found.hops)
-        change = found.take(source, news, whole, [name.encode() for name in left.split()])
-        now = {name.decode(): f"{found.owner(name)}:{held.address[1]}" for name, held in found.hops.items()}
-        assert now == dict(item.split("=") for item in after.split()), (source, told)
+        change = found.take(source, update, whole, [name.encode() for name in removed.split()])
+        actual = {name.decode(): f"{found.owner(name)}:{held.address[1]}" for name, held in found.hops.items()}
+        assert actual == dict(item.split("=") for item in expected.split()), (source, listed)
         assert [name for name, _ in change.events] == events.split()
-        told_module = {row.id: row.state for row in change.rows}  # the last word on each id
-        assert all(told_module[name] is GONE for name in before - set(found.hops))
-        assert all(told_module.get(name, READY) is READY for name in found.hops)
+        reported = {row.id: row.state for row in change.rows}  # the last row for each id
+        assert all(reported[name] is GONE for name in before - set(found.hops))
+        assert all(reported.get(name, READY) is READY for name in found.hops)
     assert found.dests == {7}
 
 
-def test_an_entry_that_drains_moves_or_goes_has_its_idle_connections_closed() -> None:
+def test_idle_connections_are_closed_when_an_entry_drains_moves_or_is_removed() -> None:
     found = TransportMap()
     found.take("d", [hop("a", 1, within=500)])
     assert found.within(7) == 500 and found.within(8) == FOREVER
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         ('{"name":"a","address":"127.0.0.1:1","group":"7"}', "$.group"),
         ("[]", "object"),
@@ -77,17 +77,17 @@
         ('{"name":"a","address":"127.0.0.1:1","group":7,"zone":"moon"}', "zone"),
     ],
 )
-def test_an_entry_that_will_not_do_says_why(text: str, word: str) -> None:
-    with pytest.raises(ValueError, match=word.replace("$", r"\$")):
-        entries.hop(entries.decode(text.encode("latin-1")), settings(), Idle())  # type: ignore[arg-type]
+def test_the_error_for_an_invalid_entry_names_the_field(text: str, expected: str) -> None:
+    with pytest.raises(ValueError, match=expected.replace("$", r"\$")):
+        entries.hop(entries.decode(text.encode("latin-1")), settings(), FakeCarrier())  # type: ignore[arg-type]
 
 
-def test_an_own_map_names_its_fault(tmp_path: Path) -> None:
-    for text, word in (
+def test_the_error_for_an_invalid_map_file_names_the_fault(tmp_path: Path) -> None:
+    for text, expected in (
         ('{"endpoints": [{}]}', r"\$\.endpoints\[0\]"),
         ("", "truncated"),
         ('{"endpoints": [' + ",".join(['{"name":"a","address":"127.0.0.1:1","group":1}'] * 2) + "]}", "two endpoints"),
     ):
         (tmp_path / "m.json").write_text(text)
-        with pytest.raises(ValueError, match=word):
+        with pytest.raises(ValueError, match=expected):
             entries.read_map(str(tmp_path / "m.json"))
