--- a/kestrelspar/journal/left.py
+++ b/kestrelspar/journal/left.py
@@ -76,8 +76,9 @@
     def note(self, rows: dict[str, State], number: int | None = None) -> bool:
         """What was just told, under the source's own number or the next one; false where not all of it is held."""
         number = self.number + 1 if number is None else number
-        news = [(key, state, number) for key, state in rows.items()
-                if self.told.get(key, (0, State.READY))[1] is not state]
+        news = [
+            (key, state, number) for key, state in rows.items() if self.told.get(key, (0, State.READY))[1] is not state
+        ]
         if not news:
             return not self.behind
         self._take(news)
@@ -152,6 +153,8 @@
 
 
 def _records(rows: list[Row]) -> bytes:
-    parts = [msgspec.msgpack.encode([(key, int(state), number) for key, state, number in rows[at : at + BATCH]])
-             for at in range(0, len(rows), BATCH)]
+    parts = [
+        msgspec.msgpack.encode([(key, int(state), number) for key, state, number in rows[at : at + BATCH]])
+        for at in range(0, len(rows), BATCH)
+    ]
     return b"".join(records.record(records.LEFT, 0, zlib.compress(part, 1)) for part in parts)
--- a/kestrelspar/journal/read.py
+++ b/kestrelspar/journal/read.py
@@ -16,8 +16,18 @@
 from kestrelspar.journal import records
 from kestrelspar.journal.records import ATTEMPT, AWAITS, CLOCK, DONE, ENDED, LIMIT, NOT_RUN, OUTAGE, TAKEN, VERDICT
 
-KINDS = {CLOCK: "clock", TAKEN: "taken", ATTEMPT: "attempt", NOT_RUN: "not-run", VERDICT: "verdict", DONE: "done",
-         ENDED: "ended", AWAITS: "awaits", LIMIT: "limit", OUTAGE: "outage"}
+KINDS = {
+    CLOCK: "clock",
+    TAKEN: "taken",
+    ATTEMPT: "attempt",
+    NOT_RUN: "not-run",
+    VERDICT: "verdict",
+    DONE: "done",
+    ENDED: "ended",
+    AWAITS: "awaits",
+    LIMIT: "limit",
+    OUTAGE: "outage",
+}
 
 
 @dataclass(slots=True)
@@ -148,11 +158,21 @@
     """A message as a JSON object: for audits."""
     told = history.told
     made: dict[str, Any] = {
-        "number": history.number, "trace": history.trace, "class": told.get("class"), "tenant": told.get("tenant"),
-        "dest": told.get("dest"), "sender": told.get("sender"), "key": told.get("key") or None,
-        "state": history.state, "over": history.over, "deadline": history.deadline, "bytes": len(history.body),
+        "number": history.number,
+        "trace": history.trace,
+        "class": told.get("class"),
+        "tenant": told.get("tenant"),
+        "dest": told.get("dest"),
+        "sender": told.get("sender"),
+        "key": told.get("key") or None,
+        "state": history.state,
+        "over": history.over,
+        "deadline": history.deadline,
+        "bytes": len(history.body),
         "attempts": [{"n": a.which, "at": a.at, "ran": a.ran} for a in history.attempts.values()],
-        "after_ms": history.after_ms or None, "awaits": history.awaits, "replaced": history.replaced or None,
+        "after_ms": history.after_ms or None,
+        "awaits": history.awaits,
+        "replaced": history.replaced or None,
     }
     if with_body:
         made["body"] = history.body.decode("latin-1")
--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -17,7 +17,9 @@
 LIMIT_AT = struct.Struct("<qd")  # until when, and calls a second
 OUTAGE_AT = struct.Struct("<qqq")  # known until, since when, on its way back since
 MOST_PAYLOAD = 96 * 1024
-CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(1, 11)  # LEFT: in files of its own, left.py
+CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(
+    1, 11
+)  # LEFT: in files of its own, left.py
 OUTAGE = 11
 KNOWN = range(CLOCK, OUTAGE + 1)
 
@@ -142,8 +144,14 @@
             yield Piece(at, behind, fault=f"checksum of a record of {size} bytes, kind {kind}, number {number}")
             at = behind
             continue
-        follows = next((place for place in range(at + 1, len(data) - HEAD.size + 1)
-                        if data[place + 8] in KNOWN and whole(data, place)), None)
+        follows = next(
+            (
+                place
+                for place in range(at + 1, len(data) - HEAD.size + 1)
+                if data[place + 8] in KNOWN and whole(data, place)
+            ),
+            None,
+        )
         if follows is None:
             return
         yield Piece(at, follows, fault=f"{follows - at} bytes are no record")
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -12,7 +12,19 @@
 from pathlib import Path
 
 from kestrelspar.journal import records
-from kestrelspar.journal.records import ATTEMPT, AWAITS, CLOCK, DONE, ENDED, LIMIT, NOT_RUN, OUTAGE, TAKEN, VERDICT, Entry
+from kestrelspar.journal.records import (
+    ATTEMPT,
+    AWAITS,
+    CLOCK,
+    DONE,
+    ENDED,
+    LIMIT,
+    NOT_RUN,
+    OUTAGE,
+    TAKEN,
+    VERDICT,
+    Entry,
+)
 from kestrelspar.runtime import logs
 
 BLOCK = 512
@@ -23,7 +35,9 @@
 LIMIT_FOR, LIMIT_AGAIN = 60_000_000, 5_000_000  # a limit is known so long, and written again after the latter
 MOST_LIMITS = 256  # endpoints whose limit is kept: those that told it last
 SHIFT_LEAST = 2_000_000  # a smaller step between the clocks of two processes is the wall clock's correction
-SHIFT_BACK = 3_600_000_000  # and so is one that would move times on, up to here: a machine that started anew moves them back
+SHIFT_BACK = (
+    3_600_000_000  # and so is one that would move times on, up to here: a machine that started anew moves them back
+)
 
 
 def _blocks(size: int) -> int:
@@ -134,8 +148,9 @@
         """Know this of an ended message for so many microseconds, restarts included; where there is room."""
         now = time.time_ns() // 1000
         record = records.ended_record(name, now + span, text)
-        while self._ended and (next(iter(self._ended.values()))[0] <= now
-                               or self._ended_live + len(record) > MOST_ENDED * self._limit):
+        while self._ended and (
+            next(iter(self._ended.values()))[0] <= now or self._ended_live + len(record) > MOST_ENDED * self._limit
+        ):
             self._forget(next(iter(self._ended)))
         if len(record) <= records.MOST_PAYLOAD and self._fits(len(record)) and self._append(record):
             self._note(name, now + span, text)
--- a/tests/core/test_transport_map.py
+++ b/tests/core/test_transport_map.py
@@ -43,7 +43,7 @@
 def test_an_entry_is_owned_by_the_source_that_listed_it_first() -> None:
     found = TransportMap()
     for source, listed, whole, removed, expected, events in STEPS:
-        update = [hop(item[0], int(item[1]), DRAINING if "!" in item else READY) for item in listed.split()]
+        update = [hop(text[0], int(text[1]), DRAINING if "!" in text else READY) for text in listed.split()]
         before = set(found.hops)
         change = found.take(source, update, whole, [name.encode() for name in removed.split()])
         actual = {name.decode(): f"{found.owner(name)}:{held.address[1]}" for name, held in found.hops.items()}
--- a/tests/journal/test_left.py
+++ b/tests/journal/test_left.py
@@ -15,8 +15,14 @@
 
 # Steps (number: names with their state; cut N), and what a new process finds told after number 0.
 STEPS = [
-    ("1 -a !b", "a- b!"), ("1 -a;2 +a", ""), ("1 -a;2 +a;3 !a", "a!"), ("1 -a;2 -b;cut 1", "b-"),
-    ("1 -a;2 -b;cut 2", ""), ("5 +x;6 -a;cut 5", "a-"), ("1 -a;1 -b;4 +b;cut 0", "a-"), ("1 !a;2 -a;cut 1", "a-"),
+    ("1 -a !b", "a- b!"),
+    ("1 -a;2 +a", ""),
+    ("1 -a;2 +a;3 !a", "a!"),
+    ("1 -a;2 -b;cut 1", "b-"),
+    ("1 -a;2 -b;cut 2", ""),
+    ("5 +x;6 -a;cut 5", "a-"),
+    ("1 -a;1 -b;4 +b;cut 0", "a-"),
+    ("1 !a;2 -a;cut 1", "a-"),
 ]
 
 
@@ -52,7 +58,8 @@
 
 
 def test_a_full_disk_is_said_once_and_mended_and_damage_costs_only_its_record(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     told = Left(tmp_path / "x.left", 10_000)
     told.note({"a": GONE})
 
--- a/tests/journal/test_read.py
+++ b/tests/journal/test_read.py
@@ -37,15 +37,26 @@
 
 
 def verb(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "kestrelspar", "journal", *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=FAR, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "kestrelspar", "journal", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=FAR,
+        check=False,
+    )
 
 
 def test_each_message_is_shown_where_it_stands(tmp_path: Path) -> None:
     found = read(written(tmp_path).read_bytes())
     assert {h.trace: (h.state, h.over) for h in found.histories.values()} == {
-        "open": ("open", False), "may": ("may-have-run", False), "accepted": ("accepted", False),
-        "ended": ("delivered", True), "told": ("returned", False), "never": ("open", False)}
+        "open": ("open", False),
+        "may": ("may-have-run", False),
+        "accepted": ("accepted", False),
+        "ended": ("delivered", True),
+        "told": ("returned", False),
+        "never": ("open", False),
+    }
     may, never = found.histories[2], found.histories[6]
     assert may.attempts[0].ran and not never.attempts[0].ran and never.attempts[0].at is not None
     assert abs(may.attempts[0].at - time.time_ns() // 1000) < 3_600_000_000, "times are the wall clock's"  # type: ignore[operator]
@@ -62,8 +73,9 @@
 
 @FIXED
 @given(st.data())
-def test_one_damaged_byte_is_told_and_hides_one_record_at_most(tmp_path_factory: pytest.TempPathFactory,
-                                                               data: st.DataObject) -> None:
+def test_one_damaged_byte_is_told_and_hides_one_record_at_most(
+    tmp_path_factory: pytest.TempPathFactory, data: st.DataObject
+) -> None:
     whole = written(tmp_path_factory.mktemp("j")).read_bytes()
     at, bit = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(0, 7))
     spoilt = whole[:at] + bytes([whole[at] ^ 1 << bit]) + whole[at + 1 :]
@@ -109,7 +121,8 @@
 def test_an_unknown_kind_is_a_fault_by_its_name() -> None:
     found = read(records.record(records.TAKEN, 1, records.taken_payload(1, "{}", b"")) + records.record(77, 1, b"x"))
     assert [fault.what for fault in found.faults] == [
-        "unknown kind 77 of number 1 makes no sense: ValueError('unknown kind')"]
+        "unknown kind 77 of number 1 makes no sense: ValueError('unknown kind')"
+    ]
     assert 77 not in KINDS
 
 
@@ -119,8 +132,9 @@
     state = ["--state", str(tmp_path)]
     rows = [json.loads(line) for line in verb("export", *state, "--bodies").stdout.splitlines()]
     assert {row["trace"]: row["body"] for row in rows}["may"] == "body-may" and len(rows) == 6
-    payments = [json.loads(line) for line in verb("show", *state, "--class", "payment", "--open",
-                                                  "--json").stdout.splitlines()]
+    payments = [
+        json.loads(line) for line in verb("show", *state, "--class", "payment", "--open", "--json").stdout.splitlines()
+    ]
     assert {row["trace"] for row in payments} == {"open", "accepted", "told"}
     one = verb("show", *state, "--trace", "told")
     assert one.returncode == 0 and "returned" in one.stdout
