--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -414,7 +414,7 @@
         column = self.settings.limit_column
         rate = result.report[column] if column is not None and column < len(result.report) else 0.0
         if self.settings.forwarders > FEW and rate > 0:
-            self.journal.learnt(hop.endpoint.id, rate)
+            self.journal.record_limit(hop.endpoint.id, rate)
 
     # Outcomes that arrive after acceptance
 
@@ -692,7 +692,7 @@
             ]
         for endpoint in {event.endpoint for event in events if isinstance(event, api.AttemptEnded)}:
             for endpoint_id, outage in self._controller.outages(endpoint).items():
-                self.journal.in_outage(
+                self.journal.record_outage(
                     endpoint_id,
                     None if outage is None else (outage[0] // NS, None if outage[1] is None else outage[1] // NS),
                 )
--- a/kestrelspar/journal/__init__.py
+++ b/kestrelspar/journal/__init__.py
@@ -1,4 +1,4 @@
-"""The journal in the folder that lasts: what the courier has taken on, and what became of it."""
+"""The journal in the state directory: accepted messages, their delivery attempts and their final states."""
 
 from kestrelspar.journal.records import Entry
 from kestrelspar.journal.store import Journal
--- a/kestrelspar/journal/left.py
+++ b/kestrelspar/journal/left.py
@@ -1,10 +1,11 @@
-"""What a source told to be gone or draining since the list was written that the next start will find.
-
-A start without its source serves on the last list at hand: a registry's kept list, or the platform's ``known``. That list
-is older than what was told last, so a removal or drain told in between would be undone. Each one is written here in the
-turn that told it, by a plain write, which outlasts a SIGKILL. The file is records as the journal's, each with some rows
-of key, state and number; that is the source's count at the time, and what a list up to some number has is cut away. An entry that came back is written
-only where its leaving is still held. The file is bounded: what does not fit is said, and never stops the courier.
+"""Removals and drains reported by a source since its saved list was written.
+
+A start without its source uses the last saved list: a registry's state file, or ``known`` in the platform's settings.
+That list is older than the last report, so that a removal or drain in between would be undone. Each one is therefore
+written here in the turn that reported it, by a plain write, which survives a SIGKILL. The file consists of records in
+the journal's format, each with rows of key, state and number. The number is the source's revision at the time; rows up
+to the revision of a newer saved list are dropped. An entry that is ready again is written only if its removal or drain
+is still on file. The file is bounded: rows that don't fit are logged, and never stop the courier.
 """
 
 from __future__ import annotations
@@ -20,31 +21,31 @@
 from kestrelspar.runtime import files, logs
 from snowlock.interface import EndpointState
 
-BATCH = 200  # keys in a record
-BLOCK = 512
+BATCH = 200  # rows per record
+BLOCK = 512  # bytes per disk block
 State = EndpointState
-Row = tuple[str, State, int]  # key, its state, the number under which that was told
+Row = tuple[str, State, int]  # key, state, revision at which it was reported
 
 
 class Left:
-    """Keys that have left or drain, as a source told them, newest last."""
+    """Keys that a source reported as gone or draining, newest last."""
 
     def __init__(self, file: Path, most: int, forget: bool = False) -> None:
-        """``most``: bytes of the file. ``forget``: where they are not enough the oldest go; else ``note`` says so."""
-        self.file, self.most, self._forget = file, most, forget
-        self.told: dict[str, tuple[int, State]] = {}
-        self.number = 0  # of what was noted last
-        self.behind = False  # the file lacks something that was told
+        """``most``: maximum file size in bytes. ``forget``: drop the oldest rows there, else ``note`` returns false."""
+        self.file, self.most, self._drop_oldest = file, most, forget
+        self.rows_by_key: dict[str, tuple[int, State]] = {}
+        self.number = 0  # highest revision recorded so far
+        self.behind = False  # the file lacks some reported rows
         self._size = 0
         self._load()
 
     @staticmethod
     def reserve(most: int) -> int:
-        """Disk that it may take at any moment: the file and its successor, in whole blocks."""
+        """Maximum disk usage: the file and its replacement, in whole blocks."""
         return 2 * (-(-most // BLOCK) * BLOCK) if most else 0
 
     def _load(self) -> None:
-        """Read the file; damage is logged and passed over, and a torn end is cut with the next write."""
+        """Read the file; damaged records are logged and skipped, and a torn end is cut at the next write."""
         try:
             data = self.file.read_bytes()
         except FileNotFoundError:
@@ -52,94 +53,96 @@
         except OSError as error:
             logs.error("map-left-unreadable", file=self.file.name, why=str(error))
             return
-        for piece in records.scan(data):
+        for scanned in records.scan(data):
             try:
-                if piece.fault or piece.kind != records.LEFT:
-                    raise ValueError(piece.fault or f"kind {piece.kind}")
-                rows = msgspec.msgpack.decode(zlib.decompress(piece.payload), type=list[tuple[str, int, int]])
-                self._take([(key, State(state), number) for key, state, number in rows])
+                if scanned.fault or scanned.kind != records.LEFT:
+                    raise ValueError(scanned.fault or f"kind {scanned.kind}")
+                rows = msgspec.msgpack.decode(zlib.decompress(scanned.payload), type=list[tuple[str, int, int]])
+                self._apply([(key, State(state), number) for key, state, number in rows])
             except (ValueError, zlib.error, msgspec.MsgspecError) as error:
-                logs.error("map-left-bad-record", file=self.file.name, at=piece.at, why=f"{error!r:.100}")
-            self._size = piece.end
+                logs.error("map-left-bad-record", file=self.file.name, at=scanned.at, why=f"{error!r:.100}")
+            self._size = scanned.end
 
-    def _take(self, rows: list[Row]) -> None:
+    def _apply(self, rows: list[Row]) -> None:
         for key, state, number in rows:
-            self.told.pop(key, None)
+            self.rows_by_key.pop(key, None)
             if state is not State.READY:
-                self.told[key] = number, state
+                self.rows_by_key[key] = number, state
             self.number = max(self.number, number)
 
     def since(self, number: int) -> dict[str, State]:
-        """What was told after this number."""
-        return {key: state for key, (at, state) in self.told.items() if at > number}
+        """The states reported after this revision."""
+        return {key: state for key, (at, state) in self.rows_by_key.items() if at > number}
 
     def note(self, rows: dict[str, State], number: int | None = None) -> bool:
-        """What was just told, under the source's own number or the next one; false where not all of it is held."""
+        """Record reported states at the source's revision, or the next number; false if the file is not complete."""
         number = self.number + 1 if number is None else number
-        news = [
-            (key, state, number) for key, state in rows.items() if self.told.get(key, (0, State.READY))[1] is not state
+        changes = [
+            (key, state, number)
+            for key, state in rows.items()
+            if self.rows_by_key.get(key, (0, State.READY))[1] is not state
         ]
-        if not news:
+        if not changes:
             return not self.behind
-        self._take(news)
-        data = _records(news)
+        self._apply(changes)
+        data = _encode(changes)
         if self.behind or self._size + len(data) > self.most:
             return self._write()
-        return self._out(lambda: self._append(data))
+        return self._try_write(lambda: self._append(data))
 
     def cut(self, number: int) -> None:
-        """The list that a start will find has everything up to this number."""
-        kept = {key: told for key, told in self.told.items() if told[0] > number}
-        if len(kept) < len(self.told) or self.behind:
-            self.told = kept
+        """Drop the rows up to this revision: the saved list contains them."""
+        remaining = {key: rows_by_key for key, rows_by_key in self.rows_by_key.items() if rows_by_key[0] > number}
+        if len(remaining) < len(self.rows_by_key) or self.behind:
+            self.rows_by_key = remaining
             self._write()
 
     def clear(self) -> None:
-        """Nothing that was told counts any more."""
-        self.told, self._size, self.behind = {}, 0, False
+        """Drop all rows and the file."""
+        self.rows_by_key, self._size, self.behind = {}, 0, False
         self.file.unlink(missing_ok=True)
 
     def mend(self) -> None:
-        """Try again to write what the disk refused."""
+        """Retry a write that failed."""
         if self.behind:
             self._write()
 
     def _write(self) -> bool:
-        """The whole of it anew."""
-        if not self.told:
-            return self._out(self.clear)
-        data = self._all()
-        while len(data) > self.most and self._forget and self.told:
-            for key in list(self.told)[: len(self.told) // 4 + 1]:
-                del self.told[key]
-            data = self._all()
+        """Rewrite the whole file."""
+        if not self.rows_by_key:
+            return self._try_write(self.clear)
+        data = self._encode_all()
+        while len(data) > self.most and self._drop_oldest and self.rows_by_key:
+            for key in list(self.rows_by_key)[: len(self.rows_by_key) // 4 + 1]:
+                del self.rows_by_key[key]
+            data = self._encode_all()
         if len(data) > self.most:
-            self._say(f"it takes more than {self.most} bytes")
+            self._log_failure(f"the rows need more than the limit of {self.most} bytes")
             return False
-        return self._out(lambda: self._replace(data))
+        return self._try_write(lambda: self._replace(data))
 
-    def _all(self) -> bytes:
-        return _records([(key, state, number) for key, (number, state) in self.told.items()])
+    def _encode_all(self) -> bytes:
+        return _encode([(key, state, number) for key, (number, state) in self.rows_by_key.items()])
 
-    def _out(self, write: Callable[[], None]) -> bool:
-        """Write; what the disk refuses is told once."""
+    def _try_write(self, write: Callable[[], None]) -> bool:
+        """Run a write; a failure is logged once."""
         try:
             write()
         except OSError as error:
-            self._say(str(error))
+            self._log_failure(str(error))
             return False
         self.behind = False
         return True
 
-    def _say(self, why: str) -> None:
+    def _log_failure(self, why: str) -> None:
         if not self.behind:
-            logs.warn("map-left-not-kept", file=self.file.name, entries=len(self.told), why=why)
+            logs.warn("map-left-not-kept", file=self.file.name, entries=len(self.rows_by_key), why=why)
         self.behind = True
 
     def _append(self, data: bytes) -> None:
         file = os.open(self.file, os.O_WRONLY | os.O_CREAT, 0o600)
         try:
-            os.ftruncate(file, self._size)  # a torn end would hide what follows it
+            os.ftruncate(file, self._size)  # a torn end would hide the records after it
             if os.pwrite(file, data, self._size) != len(data):
                 os.ftruncate(file, self._size)
                 raise OSError("short write")
@@ -152,7 +155,7 @@
         self._size = len(data)
 
 
-def _records(rows: list[Row]) -> bytes:
+def _encode(rows: list[Row]) -> bytes:
     parts = [
         msgspec.msgpack.encode([(key, int(state), number) for key, state, number in rows[at : at + BATCH]])
         for at in range(0, len(rows), BATCH)
--- a/kestrelspar/journal/read.py
+++ b/kestrelspar/journal/read.py
@@ -1,7 +1,7 @@
-"""A journal's bytes read for people: each message's history, and what is damaged. No I/O, and nothing is changed.
+"""Read-only decoding of a journal for operators: the history of each message, and damaged records. No I/O.
 
-Unlike the store, which keeps what the courier needs, this keeps all that is written: messages that have ended as long as
-their records are there, each attempt with its time, and where a record is damaged. Times are Unix microseconds here.
+The store keeps only what the courier needs. This module keeps everything in the file: ended messages until compaction
+removes their records, each attempt with its time, and the offsets of damaged records. Times are Unix microseconds.
 """
 
 from __future__ import annotations
@@ -32,36 +32,36 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One delivery attempt; ``ran`` is false where its outcome proved that it never did."""
+    """One delivery attempt; ``ran`` is false if its outcome proved that it never ran."""
 
-    which: int
-    at: int | None  # nothing: only that it never ran is known
+    index: int
+    at: int | None  # None if only its NOT_RUN record is there
     ran: bool = True
 
 
 @dataclass(slots=True)
 class History:
-    """All that is written of one message."""
+    """All that the journal has on one message."""
 
     number: int
-    told: dict[str, Any]  # its front's own object
+    told: dict[str, Any]  # JSON object of the TAKEN record
     body: bytes
     deadline: int
     attempts: dict[int, Attempt] = field(default_factory=dict)
     awaits: dict[str, Any] | None = None
     end: str = ""
     after_ms: int = 0
-    over: bool = False  # nothing is owed for it any more
-    replaced: int = 0  # how often its text was changed before it was ever sent
+    over: bool = False  # DONE: no further report is needed
+    replaced: int = 0  # number of changes before its first attempt
 
     @property
     def trace(self) -> str:
-        """The sender side's id for it."""
+        """The message id given by the sender side."""
         return str(self.told.get("trace", ""))
 
     @property
     def state(self) -> str:
-        """Where it stands, in a word."""
+        """The state for reports: open, may-have-run, accepted, ended, or the final state."""
         if self.over or self.end:
             return self.end or "ended"
         if self.awaits is not None:
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Bytes that are no record, or a record that makes no sense."""
+    """Damaged bytes, or a record with an invalid payload or kind."""
 
     at: int
     what: str
@@ -79,44 +79,44 @@
 
 @dataclass(slots=True)
 class Found:
-    """What a journal's bytes hold."""
+    """The decoded content of a journal."""
 
     size: int
     histories: dict[int, History] = field(default_factory=dict)
-    ended: dict[str, tuple[int, str]] = field(default_factory=dict)  # kept ends, by name: until when, and what
-    limits: dict[bytes, float] = field(default_factory=dict)  # by endpoint: calls a second that it told last
-    kinds: Counter[str] = field(default_factory=Counter)  # records
-    bytes: Counter[str] = field(default_factory=Counter)
+    ended: dict[str, tuple[int, str]] = field(default_factory=dict)  # retained final states, by name: expiry time, text
+    limits: dict[bytes, float] = field(default_factory=dict)  # by endpoint: last reported limit, calls per second
+    kinds: Counter[str] = field(default_factory=Counter)  # number of records, by kind
+    bytes: Counter[str] = field(default_factory=Counter)  # bytes of records, by kind
     faults: list[Fault] = field(default_factory=list)
-    torn: int = 0  # bytes at the end that are no whole record: a write that was cut short, or one under way
+    torn: int = 0  # bytes after the last record: an interrupted write, or one in progress
 
     @property
     def open(self) -> list[History]:
-        """Messages whose end is still owed."""
+        """Messages that still need a report of their final state."""
         return [history for history in self.histories.values() if not history.over]
 
 
 def read(data: bytes) -> Found:
-    """All records. A damaged one is told and passed over; what follows the last whole one is told as torn."""
+    """Decode all records. Damaged ones are listed as faults and skipped; bytes after the last one count as torn."""
     found, at, offset = Found(len(data)), 0, 0
-    for piece in records.scan(data):
-        at = piece.end
-        if piece.fault:
-            found.faults.append(Fault(piece.at, piece.fault))
+    for scanned in records.scan(data):
+        at = scanned.end
+        if scanned.fault:
+            found.faults.append(Fault(scanned.at, scanned.fault))
             continue
         try:
-            offset = _take(found, piece.kind, piece.number, piece.payload, offset)
-            found.kinds[KINDS[piece.kind]] += 1
-            found.bytes[KINDS[piece.kind]] += piece.end - piece.at
+            offset = _apply(found, scanned.kind, scanned.number, scanned.payload, offset)
+            found.kinds[KINDS[scanned.kind]] += 1
+            found.bytes[KINDS[scanned.kind]] += scanned.end - scanned.at
         except (ValueError, struct.error, KeyError) as error:
-            what = KINDS.get(piece.kind, f"unknown kind {piece.kind}")
-            found.faults.append(Fault(piece.at, f"{what} of number {piece.number} makes no sense: {error!r:.80}"))
+            what = KINDS.get(scanned.kind, f"unknown kind {scanned.kind}")
+            found.faults.append(Fault(scanned.at, f"{what} of number {scanned.number} is invalid: {error!r:.80}"))
     found.torn = len(data) - at
     return found
 
 
-def _take(found: Found, kind: int, number: int, payload: bytes, offset: int) -> int:
-    """Take one record in; returns what to add to the times of those that follow."""
+def _apply(found: Found, kind: int, number: int, payload: bytes, offset: int) -> int:
+    """Apply one record; returns the clock offset to add to the times of the following records."""
     if kind == CLOCK:
         return int(struct.unpack("<q", payload)[0])
     if kind == ENDED:
@@ -126,7 +126,7 @@
     if kind == OUTAGE:
         return offset
     if kind == LIMIT:
-        found.limits[payload[records.LIMIT_AT.size :]] = records.LIMIT_AT.unpack_from(payload)[1]
+        found.limits[payload[records.LIMIT_FIELDS.size :]] = records.LIMIT_FIELDS.unpack_from(payload)[1]
         return offset
     if kind == TAKEN:
         deadline, size = struct.unpack_from("<qI", payload)
@@ -144,20 +144,20 @@
     elif kind == VERDICT:
         history.after_ms, history.end = struct.unpack_from("<I", payload)[0], payload[4:].decode()
     elif kind in (ATTEMPT, NOT_RUN):
-        which, sent = records.ATTEMPT_AT.unpack(payload)
+        index, sent = records.ATTEMPT_FIELDS.unpack(payload)
         if kind == ATTEMPT:
-            history.attempts[which] = Attempt(which, sent + offset)
+            history.attempts[index] = Attempt(index, sent + offset)
         else:
-            history.attempts.setdefault(which, Attempt(which, None)).ran = False
+            history.attempts.setdefault(index, Attempt(index, None)).ran = False
     else:
         raise ValueError("unknown kind")
     return offset
 
 
 def row(history: History, with_body: bool = False) -> dict[str, Any]:
-    """A message as a JSON object: for audits."""
+    """A message as a JSON object, for audits."""
     told = history.told
-    made: dict[str, Any] = {
+    result: dict[str, Any] = {
         "number": history.number,
         "trace": history.trace,
         "class": told.get("class"),
@@ -169,11 +169,11 @@
         "over": history.over,
         "deadline": history.deadline,
         "bytes": len(history.body),
-        "attempts": [{"n": a.which, "at": a.at, "ran": a.ran} for a in history.attempts.values()],
+        "attempts": [{"n": a.index, "at": a.at, "ran": a.ran} for a in history.attempts.values()],
         "after_ms": history.after_ms or None,
         "awaits": history.awaits,
         "replaced": history.replaced or None,
     }
     if with_body:
-        made["body"] = history.body.decode("latin-1")
-    return {name: value for name, value in made.items() if value is not None}
+        result["body"] = history.body.decode("latin-1")
+    return {name: value for name, value in result.items() if value is not None}
--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -1,8 +1,8 @@
-"""The journal's records: bytes to meaning and back. No I/O.
+"""Encoding and decoding of journal records. No I/O.
 
-Each record: bytes of payload and CRC-32 of the rest (4 bytes each, little-endian), kind (1), the message's number (8),
-payload. Times are microseconds of the monotonic clock of the process that wrote them; a CLOCK record tells how far that
-was behind the wall clock. docs/design/journal.md has the payloads.
+Layout of a record: payload size and CRC-32 of the rest (4 bytes each, little-endian), kind (1), message number (8),
+payload. Times are microseconds of the monotonic clock of the process that wrote them; a CLOCK record has the offset
+from that clock to the wall clock. The payloads are described in docs/design/journal.md.
 """
 
 from __future__ import annotations
@@ -12,55 +12,54 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-HEAD = struct.Struct("<IIBQ")  # bytes of payload, checksum of the rest, kind, number of the message
-ATTEMPT_AT = struct.Struct("<Hq")  # which, and when
-LIMIT_AT = struct.Struct("<qd")  # until when, and calls a second
-OUTAGE_AT = struct.Struct("<qqq")  # known until, since when, on its way back since
-MOST_PAYLOAD = 96 * 1024
-CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(
-    1, 11
-)  # LEFT: in files of its own, left.py
+HEAD = struct.Struct("<IIBQ")  # payload size, checksum of the rest, kind, message number
+ATTEMPT_FIELDS = struct.Struct("<Hq")  # attempt index, time
+LIMIT_FIELDS = struct.Struct("<qd")  # expiry time, calls per second
+OUTAGE_FIELDS = struct.Struct("<qqq")  # expiry time, start of the outage, start of the recovery
+MAX_PAYLOAD = 96 * 1024  # bytes
+# Kinds of records; LEFT stands only in the separate files of left.py.
+CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(1, 11)
 OUTAGE = 11
-KNOWN = range(CLOCK, OUTAGE + 1)
+KNOWN_KINDS = range(CLOCK, OUTAGE + 1)
 
 
 @dataclass(slots=True)
 class Entry:
-    """One open message as the journal holds it. Times are microseconds of this process's clock."""
+    """One open message in the journal. Times are microseconds of this process's monotonic clock."""
 
     number: int
-    text: str  # the front's own JSON object
+    text: str  # JSON object with the fields of the message other than body and deadline
     body: bytes
     deadline: int
     attempts: int = 0
-    maybe_since: int | None = None  # when the first attempt left that may have run
-    verdict: str = ""  # decided, but the sender side has not been told
+    maybe_since: int | None = None  # start of the first attempt that may have run
+    verdict: str = ""  # final state that is decided, and may not have been reported to the sender side
     after_ms: int = 0
-    awaits: str = ""  # it was accepted, and its outcome comes later: what it waits for
-    _sent: dict[int, int] = field(default_factory=dict)  # attempts not known to be harmless
+    awaits: str = ""  # JSON data of the outcome that an accepted message waits for
+    _unresolved: dict[int, int] = field(default_factory=dict)  # start times of attempts that may have run
 
-    def tried(self, which: int, sent: int) -> None:
-        """An attempt leaves."""
-        self.attempts = max(self.attempts, which + 1)
-        self._sent[which] = sent
-        self._first()
+    def attempted(self, index: int, sent: int) -> None:
+        """Record that an attempt is sent."""
+        self.attempts = max(self.attempts, index + 1)
+        self._unresolved[index] = sent
+        self._update_maybe_since()
 
-    def not_run(self, which: int) -> None:
-        """An attempt proved never to have run."""
-        self.attempts = max(self.attempts, which + 1)
-        self._sent.pop(which, None)
-        self._first()
+    def not_run(self, index: int) -> None:
+        """Record that an attempt never ran, as its outcome proved."""
+        self.attempts = max(self.attempts, index + 1)
+        self._unresolved.pop(index, None)
+        self._update_maybe_since()
 
-    def _first(self) -> None:
-        self.maybe_since = min(self._sent.values(), default=None)
+    def _update_maybe_since(self) -> None:
+        self.maybe_since = min(self._unresolved.values(), default=None)
 
     def records(self) -> bytes:
-        """The whole of it, anew."""
+        """All records of the entry, as compaction writes them."""
         parts = [record(TAKEN, self.number, taken_payload(self.deadline, self.text, self.body))]
-        if self.attempts and self.attempts - 1 not in self._sent:
-            parts.append(record(NOT_RUN, self.number, ATTEMPT_AT.pack(self.attempts - 1, 0)))
-        for which, sent in self._sent.items():
-            parts.append(record(ATTEMPT, self.number, ATTEMPT_AT.pack(which, sent)))
+        if self.attempts and self.attempts - 1 not in self._unresolved:
+            parts.append(record(NOT_RUN, self.number, ATTEMPT_FIELDS.pack(self.attempts - 1, 0)))
+        for index, sent in self._unresolved.items():
+            parts.append(record(ATTEMPT, self.number, ATTEMPT_FIELDS.pack(index, sent)))
         if self.awaits:
             parts.append(record(AWAITS, self.number, self.awaits.encode()))
         if self.verdict:
@@ -69,41 +68,43 @@
 
 
 def taken_payload(deadline: int, text: str, body: bytes) -> bytes:
-    """Of TAKEN: deadline (8 bytes), size of the text (4), the text as JSON, the body."""
+    """Payload of TAKEN: deadline (8 bytes), size of the text (4), the text as JSON, the body."""
     head = text.encode()
     return struct.pack("<qI", deadline, len(head)) + head + body
 
 
 def verdict_payload(state: str, after_ms: int) -> bytes:
-    """Of VERDICT: when to come back, milliseconds (4 bytes), and the end's name."""
+    """Payload of VERDICT: retry-after delay in milliseconds (4 bytes), name of the final state."""
     return struct.pack("<I", after_ms) + state.encode()
 
 
 def ended_record(name: str, until: int, text: str) -> bytes:
-    """What is known of an ended message: until when (Unix time, 8 bytes), size of its name (4), name, text."""
+    """A retained ended message: expiry (Unix time, 8 bytes), size of the name (4), name, text."""
     return record(ENDED, 0, struct.pack("<qI", until, len(name.encode())) + name.encode() + text.encode())
 
 
 def limit_record(endpoint: bytes, until: int, rate: float) -> bytes:
-    """What an endpoint told of its limit: known until (Unix time, 8 bytes), calls a second (8), its id."""
-    return record(LIMIT, 0, LIMIT_AT.pack(until, rate) + endpoint)
+    """A rate limit reported by an endpoint: expiry (Unix time, 8 bytes), calls per second (8), endpoint id."""
+    return record(LIMIT, 0, LIMIT_FIELDS.pack(until, rate) + endpoint)
 
 
-def outage_record(endpoint: bytes, until: int, since: int, back: int) -> bytes:
-    """An endpoint's outage, in Unix time (8 bytes each): known until, since when, and on its way back since when, 0 where it
-    is not; all 0 where it serves again. Then its id."""
-    return record(OUTAGE, 0, OUTAGE_AT.pack(until, since, back) + endpoint)
+def outage_record(endpoint: bytes, until: int, since: int, recovering_since: int) -> bytes:
+    """An outage of an endpoint, as Unix times (8 bytes each): expiry, start, and start of the recovery; endpoint id.
+
+    The start of the recovery is 0 if it has not begun; all times are 0 if the endpoint serves again.
+    """
+    return record(OUTAGE, 0, OUTAGE_FIELDS.pack(until, since, recovering_since) + endpoint)
 
 
 def record(kind: int, number: int, payload: bytes) -> bytes:
-    """A whole record."""
+    """Encode one record."""
     rest = struct.pack("<BQ", kind, number) + payload
     return struct.pack("<II", len(payload), zlib.crc32(rest)) + rest
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
-    """A whole record, or with a ``fault`` the bytes in its place that are none."""
+class ScannedRecord:
+    """A valid record, or, with a ``fault``, a damaged range of bytes."""
 
     at: int
     end: int
@@ -113,46 +114,50 @@
     fault: str = ""
 
 
-def whole(data: bytes, at: int) -> int:
-    """Where the record that begins there ends; 0 where none does."""
+def record_end(data: bytes, at: int) -> int:
+    """The end offset of the valid record that begins at ``at``; 0 if there is none."""
     if at + HEAD.size > len(data):
         return 0
     size, check, kind, _ = HEAD.unpack_from(data, at)
     end = int(at + HEAD.size + size)
-    if size > MOST_PAYLOAD or end > len(data) or zlib.crc32(memoryview(data)[at + 8 : end]) != check:
+    if size > MAX_PAYLOAD or end > len(data) or zlib.crc32(memoryview(data)[at + 8 : end]) != check:
         return 0
     return end
 
 
-def scan(data: bytes) -> Iterator[Piece]:
-    """All records in turn, and what is damaged between them; what no record follows is torn, and not told.
+def scan(data: bytes) -> Iterator[ScannedRecord]:
+    """Yield all records in order, and the damaged ranges before and between them.
 
-    Guards against damage that hides what comes after it: a length may be what is damaged, so it is believed only where
-    a record begins behind it. Else the next whole record is looked for, byte by byte.
+    Bytes at the end without a valid record after them are a torn write and are not reported, unless their length field
+    points exactly to the end. The length field may itself be damaged, and must not hide later records: it is used to
+    skip a damaged record only if a valid record or the end of the data follows there. Otherwise the next valid record
+    is searched byte by byte.
     """
     at = 0
     while at + HEAD.size <= len(data):
-        end = whole(data, at)
+        end = record_end(data, at)
         if end:
             _, _, kind, number = HEAD.unpack_from(data, at)
-            yield Piece(at, end, kind, number, data[at + HEAD.size : end])
+            yield ScannedRecord(at, end, kind, number, data[at + HEAD.size : end])
             at = end
             continue
         size, _, kind, number = HEAD.unpack_from(data, at)
-        behind = at + HEAD.size + size
-        if size <= MOST_PAYLOAD and (behind == len(data) or whole(data, behind)):
-            yield Piece(at, behind, fault=f"checksum of a record of {size} bytes, kind {kind}, number {number}")
-            at = behind
+        next_at = at + HEAD.size + size
+        if size <= MAX_PAYLOAD and (next_at == len(data) or record_end(data, next_at)):
+            yield ScannedRecord(
+                at, next_at, fault=f"checksum mismatch in a record of {size} bytes, kind {kind}, number {number}"
+            )
+            at = next_at
             continue
-        follows = next(
+        next_valid = next(
             (
-                place
-                for place in range(at + 1, len(data) - HEAD.size + 1)
-                if data[place + 8] in KNOWN and whole(data, place)
+                candidate
+                for candidate in range(at + 1, len(data) - HEAD.size + 1)
+                if data[candidate + 8] in KNOWN_KINDS and record_end(data, candidate)
             ),
             None,
         )
-        if follows is None:
+        if next_valid is None:
             return
-        yield Piece(at, follows, fault=f"{follows - at} bytes are no record")
-        at = follows
+        yield ScannedRecord(at, next_valid, fault=f"{next_valid - at} bytes are not a valid record")
+        at = next_valid
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -1,7 +1,7 @@
-"""The journal in the folder that lasts: what the courier has taken on, and what became of it.
+"""The journal in the state directory: accepted messages, their delivery attempts and their final states.
 
-Append-only records, each with its length and checksum, by plain writes. Compaction writes the open messages
-to a second file and renames it over the first; both together stay within the folder's limit.
+Append-only records, each with its length and checksum, by plain writes. Compaction writes the open messages to a second
+file and renames it over the first; both together stay within the size limit of the directory.
 """
 
 from __future__ import annotations
@@ -27,17 +27,18 @@
 )
 from kestrelspar.runtime import logs
 
-BLOCK = 512
-MOST_ENDED = 0.25  # of the disk, for what is known of ended messages: the oldest go first
-LATER_RECORDS = 256  # room kept for each open message's end
-LATER_ATTEMPT = 64  # and for each of its attempts: that it leaves, and that it never ran
-MOST_TOLD = 10  # bad records by place; the rest only by number
-LIMIT_FOR, LIMIT_AGAIN = 60_000_000, 5_000_000  # a limit is known so long, and written again after the latter
-MOST_LIMITS = 256  # endpoints whose limit is kept: those that told it last
-SHIFT_LEAST = 2_000_000  # a smaller step between the clocks of two processes is the wall clock's correction
-SHIFT_BACK = (
-    3_600_000_000  # and so is one that would move times on, up to here: a machine that started anew moves them back
-)
+BLOCK = 512  # bytes per disk block
+MAX_ENDED_SHARE = 0.25  # share of the size limit for ended messages; the oldest are dropped first
+RESERVED_PER_MESSAGE = 256  # bytes reserved for the final records of each open message
+RESERVED_PER_ATTEMPT = 64  # bytes reserved for each attempt: its ATTEMPT and NOT_RUN records
+MAX_LOGGED_BAD_RECORDS = 10  # damaged records that are logged one by one; further ones are only counted
+# Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again.
+RETENTION, LIMIT_REWRITE_INTERVAL = 60_000_000, 5_000_000
+MAX_ENDPOINTS = 256  # endpoints whose limit, or outage, is retained: the most recently reported ones
+# Microseconds: if the clock offsets of two processes differ by less, it is a correction of the wall clock, and recorded
+# times stay. A restart of the machine moves them back, as its monotonic clock begins anew.
+MIN_SHIFT_BACK = 2_000_000
+MIN_SHIFT_FORWARD = 3_600_000_000
 
 
 def _blocks(size: int) -> int:
@@ -45,46 +46,46 @@
 
 
 class Journal:
-    """The open messages, and the file that outlasts the process."""
+    """The open messages, and the file that preserves them over restarts."""
 
     def __init__(self, folder: str, limit: int, attempts: int = 8) -> None:
         self._path, self._limit = Path(folder) / "journal", limit
-        self._later = LATER_RECORDS + LATER_ATTEMPT * attempts
-        self._spare = Path(folder) / "journal.new"
+        self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * attempts
+        self._new_path = Path(folder) / "journal.new"
         self.entries: dict[int, Entry] = {}
-        self._live = 0  # bytes that the open messages take in a fresh file, later records included
+        self._live = 0  # bytes of a compacted file, plus the room reserved for later records
         self._weights: dict[int, int] = {}
-        self._ended: dict[str, tuple[int, str]] = {}  # by name: until when (Unix time, microseconds), and what
-        self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: until when (as above), calls a second
-        self._outages: dict[bytes, tuple[int, int, int]] = {}  # by endpoint: until when, since, back since (as above)
-        self._ended_live = 0  # bytes of these in a fresh file
+        self._ended: dict[str, tuple[int, str]] = {}  # by name: expiry (Unix time, microseconds), text
+        self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (as above), calls per second
+        self._outages: dict[bytes, tuple[int, int, int]] = {}  # by endpoint: expiry, start, start of recovery
+        self._ended_live = 0  # bytes of the ended messages in a compacted file
         self._size = 0
         self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-        self._spare.unlink(missing_ok=True)  # a compaction that did not come to its rename
+        self._new_path.unlink(missing_ok=True)  # left by a compaction that was interrupted before its rename
         self._load()
         self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT, 0o600)
         os.lseek(self._file, self._size, os.SEEK_SET)
         os.ftruncate(self._file, self._size)
         if not self._compact() and not self._size:
-            self._append(self._clock())  # else a later process could not tell what our times mean
+            self._append(self._clock())  # else a later process could not convert the times of this one
 
     def _clock(self) -> bytes:
         return records.record(CLOCK, 0, struct.pack("<q", self._offset))
 
     def _load(self) -> None:
-        """Read the file; a torn tail is cut, a bad record is logged and passed over."""
+        """Read the file; a torn tail is cut, and damaged records are logged and skipped."""
         data = self._path.read_bytes() if self._path.exists() else b""
         at = shift = bad = 0
-        for piece in records.scan(data):
-            at = piece.end
+        for scanned in records.scan(data):
+            at = scanned.end
             try:
-                if piece.fault:
-                    raise ValueError(piece.fault)
-                shift = self._replay(piece.kind, piece.number, piece.payload, shift)
+                if scanned.fault:
+                    raise ValueError(scanned.fault)
+                shift = self._replay(scanned.kind, scanned.number, scanned.payload, shift)
             except (ValueError, struct.error, KeyError) as error:
                 bad += 1
-                if bad <= MOST_TOLD:
-                    logs.error("journal-bad-record", at=piece.at, why=f"{error!r:.100}")
+                if bad <= MAX_LOGGED_BAD_RECORDS:
+                    logs.error("journal-bad-record", at=scanned.at, why=f"{error!r:.100}")
         if at < len(data):
             logs.warn("journal-torn", bytes=len(data) - at)
         if bad:
@@ -92,28 +93,28 @@
         self._size = at
 
     def _replay(self, kind: int, number: int, payload: bytes, shift: int) -> int:
-        """Take in one record; returns what to add to the times of those that follow."""
+        """Apply one record; returns the clock shift to add to the times of the following records."""
         if kind == ENDED:
             until, size = struct.unpack_from("<qI", payload)
-            self._note(payload[12 : 12 + size].decode(), until, payload[12 + size :].decode())
+            self._add_ended(payload[12 : 12 + size].decode(), until, payload[12 + size :].decode())
             return shift
         if kind == LIMIT:
-            until, rate = records.LIMIT_AT.unpack_from(payload)
-            self._keep_limit(payload[records.LIMIT_AT.size :], until, rate)
+            until, rate = records.LIMIT_FIELDS.unpack_from(payload)
+            self._add_limit(payload[records.LIMIT_FIELDS.size :], until, rate)
             return shift
         if kind == OUTAGE:
-            self._keep_outage(payload[records.OUTAGE_AT.size :], *records.OUTAGE_AT.unpack_from(payload))
+            self._add_outage(payload[records.OUTAGE_FIELDS.size :], *records.OUTAGE_FIELDS.unpack_from(payload))
             return shift
         if kind == CLOCK:
             step = int(struct.unpack("<q", payload)[0]) - self._offset
-            # Guards against a wall clock that was set back: deadlines and windows would end later than they do.
-            return 0 if -SHIFT_LEAST < step < SHIFT_BACK else step
+            # A wall clock that was set back must not extend deadlines and windows.
+            return 0 if -MIN_SHIFT_BACK < step < MIN_SHIFT_FORWARD else step
         if kind == TAKEN:
             deadline, size = struct.unpack_from("<qI", payload)
             text = payload[12 : 12 + size].decode()
-            self._hold(Entry(number, text, payload[12 + size :], deadline + shift))
+            self._add(Entry(number, text, payload[12 + size :], deadline + shift))
         elif kind == DONE:
-            self._drop(number)
+            self._drop_entry(number)
         else:
             entry = self.entries[number]
             if kind == AWAITS:
@@ -121,160 +122,161 @@
             elif kind == VERDICT:
                 entry.after_ms, entry.verdict = struct.unpack_from("<I", payload)[0], payload[4:].decode()
             else:
-                which, sent = records.ATTEMPT_AT.unpack(payload)
-                entry.tried(which, sent + shift) if kind == ATTEMPT else entry.not_run(which)
+                index, sent = records.ATTEMPT_FIELDS.unpack(payload)
+                entry.attempted(index, sent + shift) if kind == ATTEMPT else entry.not_run(index)
         return shift
 
-    def _hold(self, entry: Entry) -> None:
-        self._drop(entry.number)  # a message that was replaced is there a second time
-        weight = len(entry.records()) + self._later
+    def _add(self, entry: Entry) -> None:
+        self._drop_entry(entry.number)  # a replaced message has a second TAKEN record
+        weight = len(entry.records()) + self._reserved
         self.entries[entry.number] = entry
         self._weights[entry.number] = weight
         self._live += weight
 
-    def _note(self, name: str, until: int, text: str) -> None:
-        self._forget(name)
+    def _add_ended(self, name: str, until: int, text: str) -> None:
+        self._drop_ended(name)
         self._ended[name] = until, text
         self._ended_live += len(records.ended_record(name, until, text))
         self._live += len(records.ended_record(name, until, text))
 
-    def _forget(self, name: str) -> None:
+    def _drop_ended(self, name: str) -> None:
         if name in self._ended:
             size = len(records.ended_record(name, *self._ended.pop(name)))
             self._ended_live -= size
             self._live -= size
 
-    def keep_ended(self, name: str, text: str, span: int) -> None:
-        """Know this of an ended message for so many microseconds, restarts included; where there is room."""
+    def keep_ended(self, name: str, text: str, retention: int) -> None:
+        """Retain a text on an ended message for so many microseconds, over restarts, if there is room."""
         now = time.time_ns() // 1000
-        record = records.ended_record(name, now + span, text)
+        record = records.ended_record(name, now + retention, text)
         while self._ended and (
-            next(iter(self._ended.values()))[0] <= now or self._ended_live + len(record) > MOST_ENDED * self._limit
+            next(iter(self._ended.values()))[0] <= now or self._ended_live + len(record) > MAX_ENDED_SHARE * self._limit
         ):
-            self._forget(next(iter(self._ended)))
-        if len(record) <= records.MOST_PAYLOAD and self._fits(len(record)) and self._append(record):
-            self._note(name, now + span, text)
+            self._drop_ended(next(iter(self._ended)))
+        if len(record) <= records.MAX_PAYLOAD and self._fits(len(record)) and self._append(record):
+            self._add_ended(name, now + retention, text)
 
     def ended(self, name: str) -> str | None:
-        """What is known of an ended message, if it still is."""
+        """The retained text on an ended message; none if it has expired."""
         until, text = self._ended.get(name, (0, ""))
         return text if until > time.time_ns() // 1000 else None
 
-    def learnt(self, endpoint: bytes, rate: float) -> None:
-        """An endpoint told its limit, in calls a second: known for a while, restarts included, if there is room.
+    def record_limit(self, endpoint: bytes, rate: float) -> None:
+        """Retain the rate limit reported by an endpoint, in calls per second, over restarts, if there is room.
 
-        Written only when it moved by a tenth or is some seconds old, as every answer may tell it.
+        Every answer may report the limit, so it is written only if it changed by more than a tenth, or if the last
+        record is older than ``LIMIT_REWRITE_INTERVAL``.
         """
         now = time.time_ns() // 1000
         until, known = self._limits.get(endpoint, (0, 0.0))
-        if until > now + LIMIT_FOR - LIMIT_AGAIN and abs(rate - known) <= 0.1 * known:
+        if until > now + RETENTION - LIMIT_REWRITE_INTERVAL and abs(rate - known) <= 0.1 * known:
             return
-        record = records.limit_record(endpoint, now + LIMIT_FOR, rate)
+        record = records.limit_record(endpoint, now + RETENTION, rate)
         if len(record) < BLOCK and self._fits(len(record)) and self._append(record):
-            self._keep_limit(endpoint, now + LIMIT_FOR, rate)
+            self._add_limit(endpoint, now + RETENTION, rate)
 
-    def _keep_limit(self, endpoint: bytes, until: int, rate: float) -> None:
+    def _add_limit(self, endpoint: bytes, until: int, rate: float) -> None:
         if endpoint in self._limits:
-            self._forget_limit(endpoint)  # put behind the others: those that were told longest ago go first
-        elif len(self._limits) >= MOST_LIMITS:
-            self._forget_limit(next(iter(self._limits)))
+            self._drop_limit(endpoint)  # moves it to the end: the least recently reported limit is dropped first
+        elif len(self._limits) >= MAX_ENDPOINTS:
+            self._drop_limit(next(iter(self._limits)))
         self._limits[endpoint] = until, rate
         self._live += len(records.limit_record(endpoint, until, rate))
 
-    def _forget_limit(self, endpoint: bytes) -> None:
+    def _drop_limit(self, endpoint: bytes) -> None:
         self._live -= len(records.limit_record(endpoint, *self._limits.pop(endpoint)))
 
     def limit(self, endpoint: bytes) -> float:
-        """What an endpoint told of its limit not long ago, in calls a second; 0 if nothing is known."""
+        """The retained rate limit of an endpoint in calls per second; 0 if there is none."""
         until, rate = self._limits.get(endpoint, (0, 0.0))
         return rate if until > time.time_ns() // 1000 else 0.0
 
-    def in_outage(self, endpoint: bytes, outage: tuple[int, int | None] | None) -> None:
-        """An endpoint is in an outage, or on its way back, since these times of our clock, or serves again.
+    def record_outage(self, endpoint: bytes, outage: tuple[int, int | None] | None) -> None:
+        """Retain when an outage of an endpoint and its recovery began (monotonic clock); None: it serves again.
 
-        Known for a while, restarts included, if there is room; written where it changed, and again before it would be
-        forgotten while it lasts.
+        Retained over restarts, if there is room. It is written when it changed, and again before it expires while the
+        outage lasts.
         """
         known, now = self._outages.get(endpoint), time.time_ns() // 1000
         if outage is None:
-            told = (0, 0, 0)
+            values = (0, 0, 0)
         else:
-            since, back = outage[0] + self._offset, 0 if outage[1] is None else outage[1] + self._offset
-            told = (max(since, back, now) + LIMIT_FOR, since, back)
-        fresh = outage is None or known is not None and known[0] > now + LIMIT_FOR // 2
-        if fresh and told[1:] == (known or (0, 0, 0))[1:]:
+            since, recovering_since = outage[0] + self._offset, 0 if outage[1] is None else outage[1] + self._offset
+            values = (max(since, recovering_since, now) + RETENTION, since, recovering_since)
+        still_retained = outage is None or known is not None and known[0] > now + RETENTION // 2
+        if still_retained and values[1:] == (known or (0, 0, 0))[1:]:
             return
-        record = records.outage_record(endpoint, *told)
+        record = records.outage_record(endpoint, *values)
         if len(record) < BLOCK and self._fits(len(record)) and self._append(record):
-            self._keep_outage(endpoint, *told)
+            self._add_outage(endpoint, *values)
 
-    def _keep_outage(self, endpoint: bytes, until: int, since: int, back: int) -> None:
+    def _add_outage(self, endpoint: bytes, until: int, since: int, recovering_since: int) -> None:
         if endpoint in self._outages:
-            self._forget_outage(endpoint)
-        elif len(self._outages) >= MOST_LIMITS:
-            self._forget_outage(next(iter(self._outages)))
+            self._drop_outage(endpoint)
+        elif len(self._outages) >= MAX_ENDPOINTS:
+            self._drop_outage(next(iter(self._outages)))
         if since:
-            self._outages[endpoint] = until, since, back
-            self._live += len(records.outage_record(endpoint, until, since, back))
+            self._outages[endpoint] = until, since, recovering_since
+            self._live += len(records.outage_record(endpoint, until, since, recovering_since))
 
-    def _forget_outage(self, endpoint: bytes) -> None:
+    def _drop_outage(self, endpoint: bytes) -> None:
         self._live -= len(records.outage_record(endpoint, *self._outages.pop(endpoint)))
 
     def outage(self, endpoint: bytes) -> tuple[int, int | None] | None:
-        """What is known of an endpoint's outage, in times of our clock; nothing where it serves, as far as is known."""
-        until, since, back = self._outages.get(endpoint, (0, 0, 0))
+        """When an endpoint's retained outage and its recovery began (monotonic clock); None if no outage is known."""
+        until, since, recovering_since = self._outages.get(endpoint, (0, 0, 0))
         if until <= time.time_ns() // 1000:
             return None
-        return since - self._offset, back - self._offset if back else None
+        return since - self._offset, recovering_since - self._offset if recovering_since else None
 
-    def _drop(self, number: int) -> None:
+    def _drop_entry(self, number: int) -> None:
         if self.entries.pop(number, None) is not None:
             self._live -= self._weights.pop(number)
 
     def _fits(self, more: int) -> bool:
-        """Whether the file, grown by this, and a compacted copy of it stay within the limit.
+        """Whether the file, grown by ``more`` bytes, and a compacted copy of it stay within the limit.
 
-        The file may yet grow by what its open messages have room for: without that, a file could fill up
-        with what is live, and no record of an end would fit any more.
+        Counts the room reserved for later records of open messages. Otherwise the file could fill up with live data,
+        and no record of a final state would fit any more.
         """
         grown = max(self._size, self._live) + more
         return _blocks(grown) + _blocks(self._live + more + BLOCK) + BLOCK <= self._limit
 
     def _compact(self) -> bool:
-        """Write what is open to a new file and put it in the old one's place."""
+        """Write the live data to a new file and rename it over the old one; false if there is no room or it failed."""
         now = time.time_ns() // 1000
         for name in [name for name, (until, _) in self._ended.items() if until <= now]:
-            self._forget(name)
+            self._drop_ended(name)
         for endpoint in [endpoint for endpoint, (until, _) in self._limits.items() if until <= now]:
-            self._forget_limit(endpoint)
+            self._drop_limit(endpoint)
         for endpoint in [endpoint for endpoint, (until, _, _) in self._outages.items() if until <= now]:
-            self._forget_outage(endpoint)
+            self._drop_outage(endpoint)
         data = self._clock() + b"".join(entry.records() for entry in self.entries.values())
         data += b"".join(records.ended_record(name, until, text) for name, (until, text) in self._ended.items())
-        data += b"".join(records.limit_record(endpoint, *told) for endpoint, told in self._limits.items())
-        data += b"".join(records.outage_record(endpoint, *told) for endpoint, told in self._outages.items())
+        data += b"".join(records.limit_record(endpoint, *values) for endpoint, values in self._limits.items())
+        data += b"".join(records.outage_record(endpoint, *values) for endpoint, values in self._outages.items())
         if _blocks(self._size) + _blocks(len(data)) > self._limit:
             return False
         file = -1
         try:
-            file = os.open(self._spare, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+            file = os.open(self._new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
             if os.write(file, data) != len(data):
                 raise OSError("short write")
-            os.rename(self._spare, self._path)
+            os.rename(self._new_path, self._path)
         except OSError as error:
             logs.warn("journal-not-compacted", why=str(error))
             if file >= 0:
                 os.close(file)
-            self._spare.unlink(missing_ok=True)
+            self._new_path.unlink(missing_ok=True)
             return False
         os.close(self._file)
         self._file, self._size = file, len(data)
         return True
 
     def _append(self, record: bytes) -> bool:
-        """Write at the end; a write cut short is taken back, so that no later record follows a torn one."""
-        tight = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._limit
-        if tight or self._size > self._limit // 4 and self._size > 3 * self._live:
+        """Append a record; a partial write is truncated, so that no record follows a torn one."""
+        near_limit = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._limit
+        if near_limit or self._size > self._limit // 4 and self._size > 3 * self._live:
             self._compact()
         if _blocks(self._size + len(record)) > self._limit:
             return False
@@ -289,45 +291,45 @@
         return False
 
     def taken(self, number: int, deadline: int, text: str, body: bytes) -> bool:
-        """A message is taken on; false when there is no room, and then it is not."""
+        """Record an accepted message; false when there is no room, and then it must be refused."""
         record = records.record(TAKEN, number, records.taken_payload(deadline, text, body))
-        more = len(record) + self._later
+        more = len(record) + self._reserved
         if not self._fits(more) and not (self._compact() and self._fits(more)):
             return False
-        if len(record) > records.MOST_PAYLOAD or not self._append(record):
+        if len(record) > records.MAX_PAYLOAD or not self._append(record):
             return False
-        self._hold(Entry(number, text, body, deadline))
+        self._add(Entry(number, text, body, deadline))
         return True
 
     def replaced(self, number: int, text: str, body: bytes) -> bool:
-        """A message that was never attempted is another one now; false when there is no room, and it is not."""
+        """Record new content of a message without attempts; false, and unchanged, when there is no room."""
         entry = self.entries[number]
         record = records.record(TAKEN, number, records.taken_payload(entry.deadline, text, body))
-        if len(record) > records.MOST_PAYLOAD or not self._fits(len(record)) or not self._append(record):
+        if len(record) > records.MAX_PAYLOAD or not self._fits(len(record)) or not self._append(record):
             return False
-        self._hold(Entry(number, text, body, entry.deadline))
+        self._add(Entry(number, text, body, entry.deadline))
         return True
 
-    def attempt(self, number: int, which: int, sent: int) -> bool:
-        """An attempt is about to leave; false when that could not be written, and then it must not."""
+    def attempt(self, number: int, index: int, sent: int) -> bool:
+        """Record an attempt that is about to be sent; false when that failed, and then it must not be sent."""
         entry = self.entries.get(number)
-        if entry is None or not self._append(records.record(ATTEMPT, number, records.ATTEMPT_AT.pack(which, sent))):
+        if entry is None or not self._append(records.record(ATTEMPT, number, records.ATTEMPT_FIELDS.pack(index, sent))):
             return False
-        entry.tried(which, sent)
+        entry.attempted(index, sent)
         return True
 
-    def not_run(self, number: int, which: int) -> None:
-        """The outcome proves that this attempt never ran."""
+    def not_run(self, number: int, index: int) -> None:
+        """Record that an attempt never ran, as its outcome proved."""
         entry = self.entries.get(number)
         if entry is not None:
-            entry.not_run(which)
-            self._append(records.record(NOT_RUN, number, records.ATTEMPT_AT.pack(which, 0)))
+            entry.not_run(index)
+            self._append(records.record(NOT_RUN, number, records.ATTEMPT_FIELDS.pack(index, 0)))
 
     def awaits(self, number: int, text: str) -> bool:
-        """An attempt was accepted, and its outcome comes later; false when that could not be written."""
+        """Record that an attempt was accepted and its outcome is awaited; false when that could not be written."""
         entry = self.entries.get(number)
         record = records.record(AWAITS, number, text.encode())
-        if entry is None or len(record) > records.MOST_PAYLOAD or not self._append(record):
+        if entry is None or len(record) > records.MAX_PAYLOAD or not self._append(record):
             return False
         self._awaits(entry, text)
         return True
@@ -339,7 +341,7 @@
         self._weights[entry.number] += more
 
     def verdict(self, number: int, state: str, after_ms: int) -> bool:
-        """The final answer is decided; the sender side is still to be told. False when that could not be written."""
+        """Record a final state before it is reported to the sender side; false when that could not be written."""
         entry = self.entries.get(number)
         if entry is None:
             return False
@@ -347,7 +349,7 @@
         return self._append(records.record(VERDICT, number, records.verdict_payload(state, after_ms)))
 
     def done(self, number: int) -> None:
-        """Nothing is owed any more."""
+        """Record that a message needs no further report, and drop it."""
         if number in self.entries:
             self._append(records.record(DONE, number, b""))
-            self._drop(number)
+            self._drop_entry(number)
