--- a/kestrelspar/runtime/__init__.py
+++ b/kestrelspar/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The loop, buffers and logs that everything else stands on."""
+"""Runtime services of all other packages: event loop, buffers, TLS, logs, signals."""
--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -1,4 +1,4 @@
-"""Read buffers of one size, used again from a pool, and the byte stream that fills them."""
+"""A pool of read buffers of equal size, and the byte stream that reads into them."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from kestrelspar.runtime.loop import MS, Loop
 
-SIZE = 16 * 1024  # a head of 8 KiB always fits, and nearly every message; longer bodies are read in pieces
-AGAIN = 5 * MS  # when all buffers are in use: until one is looked for again
+SIZE = 16 * 1024  # bytes; a head of 8 KiB always fits, and nearly every message; longer bodies are read in pieces
+BUFFER_RETRY_INTERVAL = 5 * MS  # retry interval while all buffers are in use
 
 
-_WASTE = mmap.mmap(-1, 512 * 1024)  # never written to: MSG_TRUNC makes the system throw bytes away
+_DISCARD_TARGET = mmap.mmap(-1, 512 * 1024)  # target of discarded reads; never written to, as MSG_TRUNC drops the bytes
 
 
 class Closed(Exception):
-    """The peer ended the connection, or it broke."""
+    """The peer closed the connection, or it failed."""
 
 
 class Late(Exception):
-    """The time for this read or write was over."""
+    """The deadline of a read or write has passed."""
 
 
 class BufferPool:
-    """Buffers of ``SIZE`` bytes; at most ``most`` exist, so that memory stays bounded.
+    """Buffers of ``SIZE`` bytes; at most ``most`` are allocated, so that memory stays bounded.
 
-    The last ``kept`` are not for guests, whose number and manners we don't choose: the answers to our own
-    calls must always find room.
+    The last ``kept`` are reserved for connections that this process opened, so that answers to its own calls can always
+    be read. Guests are incoming connections, whose number and behaviour it doesn't control.
     """
 
     def __init__(self, most: int = 256, kept: int = 0) -> None:
@@ -34,7 +34,7 @@
         self._made, self._most, self._kept = 0, most, kept
 
     def take(self, guest: bool = False) -> bytearray | None:
-        """A buffer, or nothing when all that this taker may have are in use."""
+        """Take a buffer; None if none is free, or the free ones are reserved and this is a guest."""
         if guest and len(self._free) + self._most - self._made <= self._kept:
             return None
         if self._free:
@@ -45,12 +45,12 @@
         return bytearray(SIZE)
 
     def give(self, buffer: bytearray) -> None:
-        """Take a buffer back; its content is left as it is, as readers go by their own counts."""
+        """Return a buffer; its content is not cleared, as readers keep their own offsets."""
         self._free.append(buffer)
 
 
 class Stream:
-    """A connection's bytes: read into one pooled buffer, held only while something unread is in it."""
+    """The bytes of a connection, read into one pooled buffer that is held only while it has unread bytes."""
 
     def __init__(self, loop: Loop, sock: socket.socket, pool: BufferPool, guest: bool = False) -> None:
         self.loop, self.sock, self.pool, self._guest = loop, sock, pool, guest
@@ -59,11 +59,11 @@
 
     @property
     def unread(self) -> memoryview:
-        """What has come and was not consumed yet."""
+        """The received bytes that were not consumed yet."""
         return memoryview(self._buffer or b"")[self._start : self._end]
 
     def consume(self, count: int) -> None:
-        """Let go of the first ``count`` unread bytes."""
+        """Drop the first ``count`` unread bytes."""
         self._start += count
         if self._start >= self._end and self._buffer is not None:
             self._start = self._end = 0
@@ -71,7 +71,7 @@
             self._buffer = None
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more bytes. ``Closed``: the input ended; ``Late``: time is up."""
+        """Wait for more bytes. ``Closed``: the input ended; ``Late``: the deadline passed."""
         if not self.loop.readable(self.sock, deadline):
             raise Late
         while self._buffer is None:
@@ -79,11 +79,11 @@
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
-                self.loop.sleep(AGAIN)
+                self.loop.sleep(BUFFER_RETRY_INTERVAL)
         if self._start and self._end == SIZE:
-            rest = self._buffer[self._start : self._end]
-            self._buffer[: len(rest)] = rest
-            self._start, self._end = 0, len(rest)
+            remaining = self._buffer[self._start : self._end]
+            self._buffer[: len(remaining)] = remaining
+            self._start, self._end = 0, len(remaining)
         try:
             count = self.sock.recv_into(memoryview(self._buffer)[self._end :])
         except BlockingIOError:
@@ -100,7 +100,7 @@
             self.consume(0)
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write everything; ``Closed`` or ``Late`` mean that the last byte was not written."""
+        """Write all data; after ``Closed`` or ``Late`` at least the last byte was not written."""
         view = memoryview(data)
         while view:
             try:
@@ -112,12 +112,12 @@
                 raise Closed from error
 
     def discard(self, deadline: int) -> None:
-        """Wait for more bytes and let go of all that is here, without a copy or a buffer of the pool."""
+        """Wait for more bytes and drop all that arrived, without a copy or a pooled buffer."""
         self.consume(self._end - self._start)
         if not self.loop.readable(self.sock, deadline):
             raise Late
         try:
-            if not self.sock.recv_into(_WASTE, 0, socket.MSG_TRUNC):
+            if not self.sock.recv_into(_DISCARD_TARGET, 0, socket.MSG_TRUNC):
                 raise Closed
         except BlockingIOError:
             pass
@@ -125,11 +125,11 @@
             raise Closed from error
 
     def expire(self) -> None:
-        """The time of whoever waits for bytes here is over now, unless some have come in this turn."""
+        """Expire the deadline of a pending read now, unless bytes have arrived in this turn."""
         self.loop.expire(self.sock)
 
     def ended(self) -> bool:
-        """Whether the peer has ended or broken the connection, as far as is known here, without reading."""
+        """Whether the peer is known to have closed or reset the connection; consumes no bytes."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
@@ -138,8 +138,10 @@
             return True
 
     def quiet(self) -> bool:
-        """Whether nothing at all has come, read or unread, nor the end: only then may a connection that
-        nobody waits on be used again, else a noise would be read as the next answer."""
+        """Whether no bytes, read or unread, and no end of the connection have arrived.
+
+        Only then may an idle connection be reused; otherwise stray bytes would be read as the next answer.
+        """
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -149,7 +151,7 @@
         return False
 
     def close(self) -> None:
-        """Close the socket and give the buffer back."""
+        """Close the socket and return the buffer."""
         self.consume(self._end - self._start)
         self.loop.forget(self.sock)
         self.sock.close()
--- a/kestrelspar/runtime/files.py
+++ b/kestrelspar/runtime/files.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole: written aside and renamed, so that a crash leaves the old one or the new."""
+"""Atomic replacement of files: a new file is written and renamed, so that a crash leaves the old or the new one."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 def replace(file: Path, data: bytes) -> None:
-    """Put this in the file's place, for its owner only; ``OSError`` where the disk refuses: the old one stays."""
-    spare = file.with_name(file.name + ".new")
+    """Replace the file, readable by its owner only; on ``OSError`` the old file stays."""
+    new_file = file.with_name(file.name + ".new")
     try:
-        opened = os.open(spare, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        descriptor = os.open(new_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            if os.write(opened, data) != len(data):
+            if os.write(descriptor, data) != len(data):
                 raise OSError("short write")
         finally:
-            os.close(opened)
-        os.rename(spare, file)
+            os.close(descriptor)
+        os.rename(new_file, file)
     except OSError:
-        spare.unlink(missing_ok=True)
+        new_file.unlink(missing_ok=True)
         raise
--- a/kestrelspar/runtime/heap.py
+++ b/kestrelspar/runtime/heap.py
@@ -1,29 +1,29 @@
-"""Keeps the garbage collector's full passes out of the loop where long lists are held.
+"""Avoids pauses of the event loop by full garbage collections while long lists of endpoints are held.
 
-A full pass looks at every container that is alive: 43 ms with 20,000 endpoints listed, all of them alive, and again
-each time that a quarter of them was made anew. While a list is read the collector rests, as that makes no cycles;
-after so many new entries what is new is looked at once, which is short, and set aside from later passes. What is set
-aside is still freed when its last reference goes.
+A full collection visits every live container: 43 ms with 20,000 listed endpoints, all of them live, and again each time
+that the number of new objects reaches a quarter of them. While a list is read, the collector is disabled, as reading
+creates no cycles. After ``WORTH`` new entries the new objects are collected once, which is short, and then frozen, so
+that later collections skip them. Frozen objects are still freed with their last reference.
 """
 
 from __future__ import annotations
 
 import gc
 
-WORTH = 1_000  # entries: fewer are no matter to a pass
+WORTH = 1_000  # entries; fewer make no difference to the duration of a collection
 _holds = 0
-_grown = 0
+_new_entries = 0
 
 
 def hold() -> None:
-    """No pass until ``release``; may be held by several."""
+    """Disable the collector until ``release``; calls nest."""
     global _holds
     _holds += 1
     gc.disable()
 
 
 def release() -> None:
-    """Passes again."""
+    """Undo one ``hold``; the last one enables the collector."""
     global _holds
     _holds -= 1
     if _holds == 0:
@@ -31,10 +31,10 @@
 
 
 def grew(entries: int) -> None:
-    """So many entries were made; to be called between changes, when none is half made."""
-    global _grown
-    _grown += entries
-    if _grown >= WORTH:
-        _grown = 0
+    """Report newly created entries; to be called between changes, when no entry is incomplete."""
+    global _new_entries
+    _new_entries += entries
+    if _new_entries >= WORTH:
+        _new_entries = 0
         gc.collect()
         gc.freeze()
--- a/kestrelspar/runtime/logs.py
+++ b/kestrelspar/runtime/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one line an event on standard output, as logfmt or JSON.
+"""Structured logs on standard output: one line per event, as logfmt or JSON.
 
-Every line has ``at``, ``level`` and ``event``; what concerns a message has ``trace``, its id, so that one grep
-tells its story. A log that can't be written stops nothing.
+Every line has ``at``, ``level`` and ``event``. Events of a message have its id as ``trace``, so that one grep finds its
+whole history. A failure to write the log is ignored.
 """
 
 from __future__ import annotations
@@ -15,50 +15,50 @@
 
 DEBUG, INFO, WARNING, ERROR = logging.DEBUG, logging.INFO, logging.WARNING, logging.ERROR
 LEVELS = {"debug": DEBUG, "info": INFO, "warning": WARNING, "error": ERROR}
-MOST_FIELD = 2_000  # characters: what peers send is quoted in some lines
+MAX_FIELD_LENGTH = 2_000  # maximum characters of a field, as some lines quote input from peers
 _logger = logging.getLogger("kestrelspar")
 _logger.propagate = False
 
 
 class _Stdout(logging.StreamHandler[TextIO]):
-    """Writes to whatever standard output is at the moment, or to a stream that was named."""
+    """Writes to the current standard output, or to a given stream."""
 
-    def __init__(self, named: TextIO | None) -> None:
+    def __init__(self, given_stream: TextIO | None) -> None:
         logging.Handler.__init__(self)
-        self._named = named
+        self._given_stream = given_stream
 
     @property
     def stream(self) -> TextIO:
-        """Standard output."""
-        return self._named or sys.stdout
+        """The given stream, or the current standard output."""
+        return self._given_stream or sys.stdout
 
     @stream.setter
     def stream(self, value: TextIO) -> None:
         pass
 
     def handleError(self, record: logging.LogRecord) -> None:
-        """A reader that has gone, or a full disk behind it, must not end the program or fill it with traces."""
+        """Ignore write errors: a closed pipe or a full disk must not end the process or cause tracebacks."""
 
 
-_PLAIN = str.maketrans({code: None for code in (*range(32), 127) if code not in (9, 10)})
+_WITHOUT_CONTROL_CHARACTERS = str.maketrans({code: None for code in (*range(32), 127) if code not in (9, 10)})
 
 
 class _Logfmt(logfmter.Logfmter):
-    """logfmt with UTC times in milliseconds, and no control characters, which could hide a line."""
+    """logfmt with UTC times in milliseconds, without control characters, which could hide a line."""
 
     converter = staticmethod(time.gmtime)
     default_time_format, default_msec_format = "%Y-%m-%dT%H:%M:%S", "%s.%03dZ"
 
     def format(self, record: logging.LogRecord) -> str:
-        """One line."""
-        return super().format(record).translate(_PLAIN).replace("\n", "\\n")
+        """The event as one line."""
+        return super().format(record).translate(_WITHOUT_CONTROL_CHARACTERS).replace("\n", "\\n")
 
 
-def set_up(form: str = "logfmt", level: str = "info", stream: TextIO | None = None) -> None:
-    """Write events in this form from this level on; may be called again."""
+def set_up(log_format: str = "logfmt", level: str = "info", stream: TextIO | None = None) -> None:
+    """Configure the format and the lowest level that is written; may be called again."""
     handler = _Stdout(stream)
-    if form == "json":
-        from pythonjsonlogger.json import JsonFormatter  # only here: it takes 2 MB
+    if log_format == "json":
+        from pythonjsonlogger.json import JsonFormatter  # imported only if used, as it takes 2 MB of memory
 
         formatter: logging.Formatter = JsonFormatter(
             "%(asctime)s %(levelname)s", rename_fields={"asctime": "at", "levelname": "level"}
@@ -75,27 +75,27 @@
 
 
 def event(name: str, level: int = INFO, **fields: Any) -> None:
-    """Log an event; a field that is None is left out."""
+    """Log an event; fields that are None are omitted."""
     if _logger.isEnabledFor(level):
-        line: dict[str, Any] = {"event": name}
+        record: dict[str, Any] = {"event": name}
         for key, value in fields.items():
             if value is not None:
-                line[key] = value[:MOST_FIELD] if isinstance(value, str) else value
-        _logger.log(level, line)
+                record[key] = value[:MAX_FIELD_LENGTH] if isinstance(value, str) else value
+        _logger.log(level, record)
 
 
 def shows(level: int) -> bool:
-    """Whether events of this level are written."""
+    """Whether events of this level are logged."""
     return _logger.isEnabledFor(level)
 
 
 def warn(name: str, **fields: Any) -> None:
-    """Log what somebody should look at."""
+    """Log an event that needs attention."""
     event(name, WARNING, **fields)
 
 
 def error(name: str, **fields: Any) -> None:
-    """Log what is broken."""
+    """Log a failure."""
     event(name, ERROR, **fields)
 
 
--- a/kestrelspar/runtime/loop.py
+++ b/kestrelspar/runtime/loop.py
@@ -1,6 +1,6 @@
-"""The scheduler: greenlets over select.poll, timers, the clock, and non-blocking sockets.
+"""The event loop: greenlets scheduled over select.poll, timers, a clock, and non-blocking sockets.
 
-Time is a whole number of microseconds on the monotonic clock, read once a turn.
+Times are integer microseconds of the monotonic clock, which is read once per turn.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 from kestrelspar.runtime import logs
 
-MS = 1_000
+MS = 1_000  # microseconds
 SECOND = 1_000 * MS
 READ = select.POLLIN
 WRITE = select.POLLOUT
-BACKLOG = 512  # connections that wait to be accepted
-LATE = object()  # what a parked task gets when its deadline came first
+BACKLOG = 512  # listen queue, in connections
+LATE = object()  # result of ``Loop.park`` after its deadline
 
 
 def clock() -> int:
@@ -33,7 +33,7 @@
 
 
 class Timer:
-    """A call at a time; ``cancel`` makes it void."""
+    """A scheduled call that can be cancelled."""
 
     __slots__ = ("call",)
 
@@ -41,12 +41,12 @@
         self.call = call
 
     def cancel(self) -> None:
-        """Void the timer."""
+        """Cancel the call."""
         self.call = None
 
 
 class Parking:
-    """One stop of one task: whoever resumes it first counts, later calls are void."""
+    """One suspension of the current task; only the first ``resume`` takes effect."""
 
     __slots__ = ("_loop", "_task", "given")
 
@@ -54,14 +54,14 @@
         self._loop, self._task, self.given = loop, getcurrent(), False
 
     def resume(self, value: Any = None) -> None:
-        """Let the task go on, with this value."""
+        """Resume the task with this value."""
         if not self.given:
             self.given = True
-            self._loop.soon(self._task, value)
+            self._loop.schedule(self._task, value)
 
 
 class Loop:
-    """Runs tasks; each turn reads the clock, polls, and runs what is ready."""
+    """Runs tasks; each turn polls the sockets, reads the clock, and runs due timers and ready tasks."""
 
     def __init__(self, clock: Callable[[], int] = clock) -> None:
         self.clock = clock
@@ -69,14 +69,14 @@
         self._poll = select.poll()
         self._waits: dict[int, dict[int, Parking]] = {}  # by descriptor and READ or WRITE
         self._timers: list[tuple[int, int, Timer]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._ready: deque[tuple[greenlet, Any]] = deque()
-        self._hub: greenlet = getcurrent()
+        self._scheduler: greenlet = getcurrent()
         self._stopped = False
-        self.at_turn_end: list[Callable[[], None]] = []  # called when a turn's tasks have run
+        self.at_turn_end: list[Callable[[], None]] = []  # called at the end of each turn
 
     def spawn(self, call: Callable[..., None], *given: Any) -> None:
-        """Start a task; a fault in it ends it with a log line, never the program."""
+        """Start a task; an exception ends the task and is logged, and never ends the process."""
 
         def run(_: Any) -> None:
             try:
@@ -84,54 +84,54 @@
             except Exception:
                 logs.error("fault", task=str(getattr(call, "__qualname__", call)), why=traceback.format_exc())
 
-        self.soon(greenlet(run, self._hub), None)
+        self.schedule(greenlet(run, self._scheduler), None)
 
-    def soon(self, task: greenlet, value: Any) -> None:
-        """Switch to the task in this turn, or in the next one."""
+    def schedule(self, task: greenlet, value: Any) -> None:
+        """Switch to the task in this turn, or in the next one if this turn already runs its tasks."""
         self._ready.append((task, value))
 
     def at(self, when: int, call: Callable[[], None]) -> Timer:
-        """Call at or after that time."""
+        """Schedule a call at or after a time."""
         timer = Timer(call)
-        heapq.heappush(self._timers, (when, next(self._order), timer))
+        heapq.heappush(self._timers, (when, next(self._sequence), timer))
         return timer
 
     def park(self, parking: Parking, deadline: int | None = None) -> Any:
-        """Stop until resumed; ``LATE`` if the deadline comes first."""
+        """Suspend the current task until it is resumed; returns the value, or ``LATE`` after the deadline."""
         timer = self.at(deadline, lambda: parking.resume(LATE)) if deadline is not None else None
-        value = self._hub.switch()
+        value = self._scheduler.switch()
         if timer is not None:
             timer.cancel()
         return value
 
-    def sleep(self, span: int) -> None:
-        """Stop for so long."""
-        self.park(Parking(self), self.now + span)
+    def sleep(self, duration: int) -> None:
+        """Suspend the current task for a number of microseconds."""
+        self.park(Parking(self), self.now + duration)
 
     def readable(self, sock: socket.socket, deadline: int | None) -> bool:
-        """Wait until the socket can be read, or has ended."""
+        """Wait until the socket is readable or closed; false after the deadline."""
         return self._wait(sock, READ, deadline)
 
     def writable(self, sock: socket.socket, deadline: int | None) -> bool:
-        """Wait until the socket can be written, or has failed."""
+        """Wait until the socket is writable or has failed; false after the deadline."""
         return self._wait(sock, WRITE, deadline)
 
     def _wait(self, sock: socket.socket, mask: int, deadline: int | None) -> bool:
-        """Wait for one kind of readiness; false when the deadline comes first."""
+        """Wait for one kind of readiness; false after the deadline."""
         descriptor, parking = sock.fileno(), Parking(self)
         if descriptor < 0:
-            return True  # closed meanwhile: the caller's read or write tells
+            return True  # already closed: the caller's read or write will fail
         waits = self._waits.setdefault(descriptor, {})
         waits[mask] = parking
-        self._watch(descriptor)
+        self._register(descriptor)
         value = self.park(parking, deadline)
         if value is LATE and waits.get(mask) is parking:
             del waits[mask]
-            self._watch(descriptor)
+            self._register(descriptor)
         return value is not LATE
 
-    def _watch(self, descriptor: int) -> None:
-        """Have poll look for just what tasks wait for."""
+    def _register(self, descriptor: int) -> None:
+        """Register exactly the events with poll that tasks wait for."""
         waits = self._waits.get(descriptor)
         if waits:
             self._poll.register(descriptor, sum(waits))
@@ -140,7 +140,7 @@
             self._poll.unregister(descriptor)
 
     def forget(self, sock: socket.socket) -> None:
-        """The socket is about to be closed: those who wait on it go on, and find it closed."""
+        """Unregister a socket that is about to be closed; waiting tasks resume and find it closed."""
         waits = self._waits.pop(sock.fileno(), None)
         if waits is not None:
             self._poll.unregister(sock.fileno())
@@ -148,7 +148,7 @@
                 parking.resume(None)
 
     def expire(self, sock: socket.socket) -> None:
-        """The time of those who wait to read from the socket is over."""
+        """Expire the deadline of the task that waits to read from the socket."""
         parking = self._waits.get(sock.fileno(), {}).get(READ)
         if parking is not None:
             parking.resume(LATE)
@@ -158,27 +158,27 @@
         self._stopped = True
 
     def run(self) -> None:
-        """Turn until stopped."""
+        """Run turns until stopped."""
         while not self._stopped:
             self.turn()
 
     def turn(self) -> None:
-        """One turn: the clock, sockets, timers, tasks, and what is to be done at its end."""
+        """Run one turn: sockets, clock, timers, tasks, and the calls at its end."""
         wait = 0
         if not self._ready:
             wait = 1000
             if self._timers:
-                ahead = self._timers[0][0] - self.clock()
-                wait = min(wait, max(0, -(-ahead // MS)))
+                remaining = self._timers[0][0] - self.clock()
+                wait = min(wait, max(0, -(-remaining // MS)))
         events = self._poll.poll(wait)
         self.now = self.clock()
-        for descriptor, what in events:
+        for descriptor, ready_mask in events:
             waits = self._waits.get(descriptor, {})
-            failed = what & ~(READ | WRITE)
+            failed = ready_mask & ~(READ | WRITE)
             for mask in (READ, WRITE):
-                if (what & mask or failed) and mask in waits:
+                if (ready_mask & mask or failed) and mask in waits:
                     waits.pop(mask).resume(None)
-            self._watch(descriptor)
+            self._register(descriptor)
         while self._timers and self._timers[0][0] <= self.now:
             call = heapq.heappop(self._timers)[2].call
             if call is not None:
@@ -191,7 +191,7 @@
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """A socket on this address only, which takes no connections before its ``listen`` is called."""
+    """Bind a non-blocking socket to this address only; it accepts no connections before ``listen``."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -200,7 +200,7 @@
 
 
 def connect(loop: Loop, address: tuple[str, int], deadline: int) -> socket.socket | None:
-    """A connection, or nothing if it was refused or did not come up in time."""
+    """Open a TCP connection; None if it was refused or not established before the deadline."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
--- a/kestrelspar/runtime/signals.py
+++ b/kestrelspar/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes on a socket, so that a task of the loop and not a handler heeds them."""
+"""Signals delivered as bytes on a socket, so that a task of the event loop handles them."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
 
 def ear() -> socket.socket:
-    """What hears SIGTERM, SIGINT and SIGHUP: each comes as a byte.
+    """Create the socket on which SIGTERM, SIGINT and SIGHUP arrive, one byte each.
 
-    One that comes while the program starts waits there.
+    Signals that arrive during the start are queued there.
     """
-    found, mouth = socket.socketpair()
-    for end in (found, mouth):
+    signal_socket, wakeup_end = socket.socketpair()
+    for end in (signal_socket, wakeup_end):
         end.setblocking(False)
-    wakeup = mouth.detach()  # owned by the process: closed with its socket object, its other end would wake
-    signal.set_wakeup_fd(wakeup, warn_on_full_buffer=False)
+    # Detached, so that it stays open: closed with its socket object, it would make the other end readable.
+    descriptor = wakeup_end.detach()
+    signal.set_wakeup_fd(descriptor, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, lambda *_: None)
-    return found
+    return signal_socket
 
 
-def heed(loop: Loop, found: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
-    """Do what the signals ask for, each in a task of its own: a fault in one leaves the others."""
+def heed(loop: Loop, signal_socket: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
+    """Run the calls of the received signals, each in a task of its own, so that a failure affects no other."""
     while True:
-        loop.readable(found, None)
+        loop.readable(signal_socket, None)
         try:
-            numbers = found.recv(64)
+            numbers = signal_socket.recv(64)
         except BlockingIOError:
             continue
         for number in numbers:
--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -1,4 +1,4 @@
-"""TLS on the loop: a stream whose bytes go through ssl's memory BIOs, so that no handshake or read blocks a turn."""
+"""TLS streams on the event loop, by ssl's memory BIOs, so that no handshake or read blocks a turn."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import ssl
 
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import AGAIN, SIZE, BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BUFFER_RETRY_INTERVAL, SIZE, BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import Loop, connect
 
-RECORD = 16 * 1024  # the most plain bytes of one TLS record (RFC 8446, section 5.1)
+MAX_RECORD_SIZE = 16 * 1024  # maximum plaintext bytes of a TLS record (RFC 8446, section 5.1)
 
 
 class BadHandshake(Closed):
-    """The peer speaks no TLS, or not as it must: the text says why."""
+    """The TLS handshake failed; the text has the reason."""
 
 
 class TlsStream(Stream):
-    """A connection's plain bytes; as ``Stream``, after ``handshake``."""
+    """The plaintext of a TLS connection, with the interface of ``Stream``; usable after ``handshake``."""
 
     def __init__(
         self,
@@ -30,40 +30,40 @@
         name: str | None = None,
         guest: bool = False,
     ) -> None:
-        """``name``: the server name that the peer's certificate is checked against, where we are the client."""
+        """``name``: on the client side, the server name that the peer's certificate is checked against."""
         super().__init__(loop, sock, pool, guest)
-        self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._tls = context.wrap_bio(self._in, self._out, server_side=server, server_hostname=name)
-        self._filling = False  # a task waits for the socket: nobody else may read from it
+        self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=server, server_hostname=name)
+        self._filling = False  # a task waits for the socket: no other may read from it
 
     def handshake(self, deadline: int) -> None:
-        """Agree on keys. ``BadHandshake`` says what is wrong, ``Late`` that the peer stalls; then close it."""
+        """Perform the handshake. ``BadHandshake`` has the reason; ``Late``: the peer stalls. Close the stream then."""
         while True:
             try:
                 self._tls.do_handshake()
             except ssl.SSLWantReadError:
                 self._flush(deadline)
-                self._hear(deadline)
+                self._receive(deadline)
                 continue
             except (ssl.SSLError, ssl.CertificateError) as error:
                 why = getattr(error, "verify_message", "") or getattr(error, "reason", "") or str(error)
-                with contextlib.suppress(OSError):  # the alert that tells the peer why, if it can be written at once
-                    self.sock.send(self._out.read())
+                with contextlib.suppress(OSError):  # the alert with the reason, if it can be sent at once
+                    self.sock.send(self._outgoing.read())
                 raise BadHandshake(str(why)) from None
             self._flush(deadline)
             return
 
-    def _hear(self, deadline: int | None) -> int:
-        """Wait for raw bytes and hand them to the TLS machine; how many there were, 0 if none after all."""
+    def _receive(self, deadline: int | None) -> int:
+        """Wait for encrypted bytes and pass them to the TLS object; returns their number, possibly 0."""
         self._filling = True
         try:
             if not self.loop.readable(self.sock, deadline):
                 raise Late
         finally:
             self._filling = False
-        return self._gulp()
+        return self._read_socket()
 
-    def _gulp(self) -> int:
+    def _read_socket(self) -> int:
         try:
             data = self.sock.recv(SIZE)
         except BlockingIOError:
@@ -71,43 +71,43 @@
         except OSError as error:
             raise Closed from error
         if not data:
-            self._in.write_eof()
+            self._incoming.write_eof()
             raise Closed
-        return self._in.write(data)
+        return self._incoming.write(data)
 
     def _flush(self, deadline: int | None) -> None:
-        """Write what the TLS machine has to say."""
-        while self._out.pending:
-            super().write(self._out.read(), deadline)
+        """Send the pending output of the TLS object."""
+        while self._outgoing.pending:
+            super().write(self._outgoing.read(), deadline)
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more plain bytes. ``Closed``: the input ended, in order or not; ``Late``: time is up."""
+        """Wait for more plaintext. ``Closed``: input ended, with or without close_notify; ``Late``: deadline passed."""
         while not self._decrypt(deadline):
             try:
-                self._hear(deadline)
+                self._receive(deadline)
             except Closed:
                 self.consume(self._end - self._start)
                 raise
 
     def _decrypt(self, deadline: int | None = None) -> int:
-        """Plain bytes from what has been heard into the buffer; how many."""
+        """Decrypt received bytes into the buffer; returns the number of plaintext bytes."""
         while self._buffer is None:
             self._buffer = self.pool.take(self._guest)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
-                self.loop.sleep(AGAIN)
+                self.loop.sleep(BUFFER_RETRY_INTERVAL)
         if self._start and self._end == SIZE:
-            rest = self._buffer[self._start : self._end]
-            self._buffer[: len(rest)] = rest
-            self._start, self._end = 0, len(rest)
+            remaining = self._buffer[self._start : self._end]
+            self._buffer[: len(remaining)] = remaining
+            self._start, self._end = 0, len(remaining)
         if self._end == SIZE:
             return 0
         try:
             count = int(self._tls.read(SIZE - self._end, memoryview(self._buffer)[self._end :]))
         except ssl.SSLWantReadError:
             count = -1
-        except ssl.SSLError as error:  # a close in order, a forged record, an end without a close
+        except ssl.SSLError as error:  # close_notify, an invalid record, or an end without close_notify
             self.consume(self._end - self._start)
             raise Closed from error
         if count > 0:
@@ -120,77 +120,77 @@
         return 0
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write everything; ``Closed`` or ``Late`` mean that the last byte was not written, and nothing may follow."""
+        """Write all data; after ``Closed`` or ``Late`` it is incomplete, and nothing more may be written."""
         view = memoryview(data)
         while view:
             try:
-                count = self._tls.write(view[:RECORD])
+                count = self._tls.write(view[:MAX_RECORD_SIZE])
             except ssl.SSLError as error:
                 raise Closed from error
             view = view[count:]
             self._flush(deadline)
 
     def discard(self, deadline: int) -> None:
-        """Wait for more bytes and let go of all that is here."""
+        """Wait for more bytes and drop all that arrived."""
         self.consume(self._end - self._start)
         self.fill(deadline)
         self.consume(self._end - self._start)
 
-    def _peek(self) -> bool:
-        """Take in what has come without waiting, tickets and closes too; whether the peer is still there."""
+    def _process_available(self) -> bool:
+        """Process all available input without waiting, including session tickets; false if the peer has closed."""
         try:
-            while self._gulp():
+            while self._read_socket():
                 pass
         except Closed:
-            gone = True
+            closed = True
         else:
-            gone = False
+            closed = False
         try:
             while self._end < SIZE and self._decrypt(self.loop.now):
                 pass
         except (Closed, Late):
-            gone = True
-        return not gone
+            closed = True
+        return not closed
 
     def ended(self) -> bool:
-        """Whether the peer has ended or broken the connection, as far as is known here."""
-        if self._filling:  # the bytes are the reader's, which finds the end itself
+        """Whether the peer is known to have closed or reset the connection, and no plaintext is unread."""
+        if self._filling:  # the bytes belong to the waiting reader, which detects the end itself
             return super().ended()
-        return not self._peek() and self._start == self._end
+        return not self._process_available() and self._start == self._end
 
     def quiet(self) -> bool:
-        """Whether no plain byte has come, nor the end; session tickets are not the peer's word."""
-        return not self._filling and self._peek() and self._start == self._end
+        """Whether no plaintext and no end of the connection have arrived; session tickets don't count."""
+        return not self._filling and self._process_available() and self._start == self._end
 
     def certificate(self) -> dict[str, object]:
-        """The peer's checked certificate, as ``ssl.SSLSocket.getpeercert``; empty if it showed none."""
+        """The peer's verified certificate, as from ``ssl.SSLSocket.getpeercert``; empty if it sent none."""
         found: dict[str, object] = dict(self._tls.getpeercert() or {})
         return found
 
     def names(self) -> list[str]:
-        """The DNS names and the common name in the peer's checked certificate."""
-        told = self.certificate()
-        found = [str(value) for kind, value in told.get("subjectAltName", ()) if kind == "DNS"]  # type: ignore[attr-defined]
-        for group in told.get("subject", ()):  # type: ignore[attr-defined]
+        """The DNS names and the common name in the peer's verified certificate."""
+        certificate_fields = self.certificate()
+        found = [str(value) for kind, value in certificate_fields.get("subjectAltName", ()) if kind == "DNS"]  # type: ignore[attr-defined]
+        for group in certificate_fields.get("subject", ()):  # type: ignore[attr-defined]
             found += [str(value) for key, value in group if key == "commonName"]
         return found
 
     def close(self) -> None:
-        """Tell the peer that nothing follows, if that can be written at once, and close the socket."""
-        with contextlib.suppress(ssl.SSLError, ValueError):  # ValueError: the handshake is not over
+        """Send close_notify, if that can be written at once, and close the socket."""
+        with contextlib.suppress(ssl.SSLError, ValueError):  # ValueError: the handshake is not complete
             self._tls.unwrap()
-        if self._out.pending and self.sock.fileno() >= 0:
+        if self._outgoing.pending and self.sock.fileno() >= 0:
             with contextlib.suppress(OSError):
-                self.sock.send(self._out.read())
+                self.sock.send(self._outgoing.read())
         super().close()
 
 
 def dial(
     loop: Loop, pool: BufferPool, address: tuple[str, int], deadline: int, context: ssl.SSLContext, name: str = ""
 ) -> TlsStream | None:
-    """A TLS connection to an address, or nothing, with a line in the log, if it does not come up in time.
+    """Open a TLS connection; None, with a log line, if the handshake fails or the deadline passes.
 
-    ``name``: what the peer's certificate must name; its address by default.
+    ``name``: the server name required in the peer's certificate; by default the host of the address.
     """
     sock = connect(loop, address, deadline)
     if sock is None:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: settings, a courier on a loop, and a way to let it run."""
+"""Shared by the socket tests: settings, a courier on an event loop, and helpers to run it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from kestrelspar.runtime.loop import SECOND, Loop, clock
 from snowlock import interface as api
 
-LIMIT = 3_000_000
+LIMIT = 3_000_000  # journal size in bytes
 CLASSES = (
     api.MessageClass(4 * 10**9, 16 * 10**9, api.Safety.SAFE, worth=1.0, late_worth=0.4, name="reading"),
     api.MessageClass(4 * 10**9, 28 * 10**9, api.Safety.KEYED, window_ns=7_500_000_000, name="work-order"),
@@ -42,7 +42,7 @@
 
 
 class Ends:
-    """A sender side that counts the ends it is told."""
+    """A sender side that records the final states reported to it."""
 
     name = "ends"
 
@@ -57,7 +57,7 @@
 
 
 class SkipClock:
-    """Goes like the real one, and further where nobody has anything to do but wait."""
+    """The monotonic clock, which ``SkippingLoop`` advances when only timers are pending."""
 
     def __init__(self) -> None:
         self.ahead = 0
@@ -66,11 +66,11 @@
         return clock() + self.ahead
 
 
-CLOCK = SkipClock()  # one for all: a courier started anew must find the time gone on
+CLOCK = SkipClock()  # shared, so that time does not go back for a restarted courier
 
 
 class SkippingLoop(Loop):
-    """A loop that doesn't sit out its timers."""
+    """An event loop that skips the time until the next timer."""
 
     def turn(self) -> None:
         if not self._ready and self._timers and not self._poll.poll(1):
@@ -79,7 +79,7 @@
 
 
 class Scene:
-    """A courier on a loop of its own, with its journal in a folder; the test is the main greenlet."""
+    """A courier on an event loop of its own, with its journal in a directory; the test runs in the main greenlet."""
 
     def __init__(self, folder: Path, **more: object) -> None:
         self.loop, self.buffers = SkippingLoop(CLOCK), BufferPool()
@@ -89,23 +89,23 @@
         self.courier.senders["ends"] = self.ends
 
     def until(self, done: Callable[[], object], within: int = 60 * SECOND) -> None:
-        """Turn the loop until it holds; the bound only keeps a broken test from hanging."""
-        give_up = self.loop.now + within
+        """Run the loop until the condition holds; the time limit only keeps a broken test from hanging."""
+        deadline = self.loop.now + within
         while not done():
-            assert self.loop.now < give_up, "the loop waits for something that does not come"
+            assert self.loop.now < deadline, "the loop waits for something that does not happen"
             self.loop.turn()
 
     def wait(self, span: int) -> None:
-        """Let just so much time pass; a timer stops the skipping there."""
-        over: list[int] = []
-        self.loop.at(self.loop.now + span, lambda: over.append(1))
-        self.until(lambda: over)
+        """Let exactly this much time pass; a timer ends the skipping there."""
+        fired: list[int] = []
+        self.loop.at(self.loop.now + span, lambda: fired.append(1))
+        self.until(lambda: fired)
 
 
 def listener() -> tuple[socket.socket, tuple[str, int]]:
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen(64)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else skipped time outruns bytes
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else skipped time overtakes buffered bytes
     sock.setblocking(False)
     return sock, sock.getsockname()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests."""
+"""Fixtures of all tests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture(autouse=True)
-def fresh_logs() -> Iterator[None]:
-    """A verb that was tested sets up the program's logs for itself."""
+def reset_logs() -> Iterator[None]:
+    """Restore the log configuration, which a tested command may have changed."""
     logs.set_up()
     yield
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line an event that a tool can read, whatever peers send; and a page that knows them all."""
+"""Logs: one parsable line per event, whatever peers send; and the on-call page lists every event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def test_fields_levels_and_both_forms(capsys: pytest.CaptureFixture[str]) -> None:
+def test_fields_levels_and_both_formats(capsys: pytest.CaptureFixture[str]) -> None:
     logs.set_up("logfmt", "warning")
     logs.event("quiet")
     logs.warn("loud", trace="t 1", hop="s-1", n=0, note=None, sure=True)
@@ -28,13 +28,13 @@
         r"sure=true",
         first,
     )
-    told = json.loads(second)
-    assert (told["event"], told["trace"], told["why"], told["level"]) == ("plain", "t1", 'say "x"\n', "INFO")
+    fields = json.loads(second)
+    assert (fields["event"], fields["trace"], fields["why"], fields["level"]) == ("plain", "t1", 'say "x"\n', "INFO")
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.text(max_size=30))
-def test_no_text_makes_a_second_line_or_a_field(text: str) -> None:
+def test_no_text_can_start_a_second_line_or_field(text: str) -> None:
     lines: list[str] = []
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
@@ -47,20 +47,20 @@
     assert len(re.findall(r'(?:^| )(?:[^" ]+)=(?:"(?:[^"\\]|\\.)*"|[^" ]*)', whole.strip())) == 5
 
 
-def test_a_log_that_cannot_be_written_stops_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Gone:
+def test_a_failure_to_write_the_log_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    class FullDisk:
         def write(self, _: str) -> None:
             raise OSError(28, "No space left on device")
 
         flush = None
 
-    monkeypatch.setattr(sys, "stdout", Gone())
+    monkeypatch.setattr(sys, "stdout", FullDisk())
     logs.event("lost")
     monkeypatch.setattr(sys, "stdout", None)
     logs.event("lost")
 
 
-def test_the_on_call_page_knows_every_event() -> None:
+def test_the_on_call_page_lists_every_event() -> None:
     used: set[str] = set()
     for file in (ROOT / "kestrelspar").rglob("*.py"):
         text = file.read_text()
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS streams over memory BIOs: what they carry, and what a bad peer costs."""
+"""TLS streams over memory BIOs: transfer of data, closing, and faulty peers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 CA = trustme.CA()
 CERT = CA.issue_cert("gate.example", "127.0.0.1")
-ROGUE = trustme.CA()
+UNTRUSTED_CA = trustme.CA()
 
 
 def contexts(minimum: ssl.TLSVersion = ssl.TLSVersion.TLSv1_2) -> tuple[ssl.SSLContext, ssl.SSLContext]:
@@ -32,8 +32,8 @@
     return server, client
 
 
-class Two:
-    """Both ends of a connection on one loop; faults in a task are kept."""
+class ConnectedPair:
+    """Both ends of a connection on one event loop; exceptions of tasks are collected."""
 
     def __init__(self, loop: Loop | None = None) -> None:
         self.loop, self.pool = loop or SkippingLoop(CLOCK), BufferPool()
@@ -41,37 +41,37 @@
         for end in (ours, theirs):
             end.setblocking(False)
         self.ours, self.theirs = ours, theirs
-        self.faults: list[BaseException] = []
+        self.errors: list[BaseException] = []
 
     def tls(
         self, name: str = "gate.example", server: ssl.SSLContext | None = None, client: ssl.SSLContext | None = None
     ) -> tuple[TlsStream, TlsStream]:
-        made = contexts()
+        default_contexts = contexts()
         return (
-            TlsStream(self.loop, self.ours, self.pool, server or made[0], True),
-            TlsStream(self.loop, self.theirs, self.pool, client or made[1], False, name),
+            TlsStream(self.loop, self.ours, self.pool, server or default_contexts[0], True),
+            TlsStream(self.loop, self.theirs, self.pool, client or default_contexts[1], False, name),
         )
 
-    def go(self, *calls: Callable[[], object], within: int = 60 * SECOND) -> None:
-        left = [len(calls)]
+    def run_tasks(self, *calls: Callable[[], object], within: int = 60 * SECOND) -> None:
+        unfinished = [len(calls)]
 
         def run(call: Callable[[], object]) -> None:
             try:
                 call()
-            except (Closed, Late) as fault:
-                self.faults.append(fault)
-            left[0] -= 1
+            except (Closed, Late) as error:
+                self.errors.append(error)
+            unfinished[0] -= 1
 
         for call in calls:
             self.loop.spawn(run, call)
         end = self.loop.now + within
-        while left[0]:
-            assert self.loop.now < end, "waits for something that does not come"
+        while unfinished[0]:
+            assert self.loop.now < end, "the loop waits for something that does not happen"
             self.loop.turn()
 
 
-def up(two: Two, one: TlsStream, other: TlsStream) -> None:
-    two.go(lambda: one.handshake(two.loop.now + SECOND), lambda: other.handshake(two.loop.now + SECOND))
+def handshake_both(pair: ConnectedPair, one: TlsStream, other: TlsStream) -> None:
+    pair.run_tasks(lambda: one.handshake(pair.loop.now + SECOND), lambda: other.handshake(pair.loop.now + SECOND))
 
 
 def read(stream: Stream, count: int) -> bytes:
@@ -86,46 +86,46 @@
 
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(st.lists(st.integers(0, 70_000), min_size=1, max_size=5))
-def test_bytes_of_any_size_come_whole_both_ways(sizes: list[int]) -> None:
-    two = Two()
-    one, other = two.tls()
-    up(two, one, other)
+def test_data_of_any_size_arrives_complete_in_both_directions(sizes: list[int]) -> None:
+    pair = ConnectedPair()
+    one, other = pair.tls()
+    handshake_both(pair, one, other)
     data = [random.Random(size).randbytes(size) for size in sizes]
     got: list[bytes] = []
 
-    def there() -> None:
+    def send_and_receive() -> None:
         for piece in data:
             one.write(piece, None)
             got.append(read(one, len(piece)))
 
-    def back() -> None:
+    def echo() -> None:
         for piece in data:
             other.write(read(other, len(piece)), None)
 
-    two.go(there, back)
-    assert got == data and not two.faults
+    pair.run_tasks(send_and_receive, echo)
+    assert got == data and not pair.errors
     one.close()
     other.close()
 
 
-def test_a_close_in_order_and_a_cut_both_end_the_stream() -> None:
-    for cut in (False, True):
-        two = Two()
-        one, other = two.tls()
-        up(two, one, other)
+def test_close_notify_and_a_broken_connection_both_end_the_stream() -> None:
+    for broken in (False, True):
+        pair = ConnectedPair()
+        one, other = pair.tls()
+        handshake_both(pair, one, other)
         other.write(b"last", None)
-        two.theirs.close() if cut else other.close()
-        assert not one.ended(), "its last word is not read yet"
+        pair.theirs.close() if broken else other.close()
+        assert not one.ended(), "its last data is not read yet"
         assert read(one, 4) == b"last" and one.ended()
-        two.go(lambda: one.fill(None))  # noqa: B023
-        assert isinstance(two.faults[0], Closed)
+        pair.run_tasks(lambda: one.fill(None))  # noqa: B023
+        assert isinstance(pair.errors[0], Closed)
 
 
-def test_a_stream_with_nothing_but_a_ticket_is_quiet() -> None:
-    two = Two()
-    one, other = two.tls()
-    up(two, one, other)
-    assert len(two.theirs.recv(1, socket.MSG_PEEK)) == 1, "the server's tickets have come"
+def test_a_stream_that_received_only_session_tickets_is_quiet() -> None:
+    pair = ConnectedPair()
+    one, other = pair.tls()
+    handshake_both(pair, one, other)
+    assert len(pair.theirs.recv(1, socket.MSG_PEEK)) == 1, "the server's session tickets have arrived"
     assert other.quiet() and not other.ended()
     one.write(b"x", None)
     assert not other.quiet() and bytes(other.unread) == b"x"
@@ -135,26 +135,26 @@
     ("case", "why"),
     [("other name", "mismatch"), ("other authority", "unable to get local issuer"), ("old version", "")],
 )
-def test_a_peer_that_can_not_be_trusted_is_refused_on_both_sides(case: str, why: str) -> None:
-    two = Two()
+def test_the_handshake_with_an_untrusted_peer_fails_on_both_sides(case: str, why: str) -> None:
+    pair = ConnectedPair()
     server, client = contexts()
     if case == "other authority":
         client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        ROGUE.configure_trust(client)
+        UNTRUSTED_CA.configure_trust(client)
     if case == "old version":
         server.minimum_version = ssl.TLSVersion.TLSv1_3
         client.maximum_version = ssl.TLSVersion.TLSv1_2
-    one, other = two.tls("other.example" if case == "other name" else "gate.example", server, client)
-    one_over: list[bytes] = []
-    two.go(
-        lambda: (one.handshake(two.loop.now + SECOND), one_over.append(read(one, 1))),
-        lambda: other.handshake(two.loop.now + SECOND),
+    one, other = pair.tls("other.example" if case == "other name" else "gate.example", server, client)
+    received: list[bytes] = []
+    pair.run_tasks(
+        lambda: (one.handshake(pair.loop.now + SECOND), received.append(read(one, 1))),
+        lambda: other.handshake(pair.loop.now + SECOND),
     )
-    assert len(two.faults) == 2 and any(why in str(fault) for fault in two.faults) and not one_over
+    assert len(pair.errors) == 2 and any(why in str(error) for error in pair.errors) and not received
 
 
 @pytest.mark.parametrize(
-    "first",
+    "first_bytes",
     [
         b"\x00\x00\x00\x2f\x00\x00\x00\x09" + b"\0" * 39,
         b"GET / HTTP/1.1\r\n\r\n",
@@ -163,39 +163,39 @@
         b"",
     ],
 )
-def test_a_peer_that_speaks_no_tls_or_stalls_costs_only_itself(first: bytes) -> None:
-    two = Two()
-    one, _ = two.tls()
+def test_a_peer_without_tls_or_that_stalls_delays_no_other_task(first_bytes: bytes) -> None:
+    pair = ConnectedPair()
+    one, _ = pair.tls()
     turns: list[int] = []
 
-    def others() -> None:
+    def other_task() -> None:
         for _ in range(5):
-            two.loop.sleep(50 * MS)
-            turns.append(two.loop.now)
+            pair.loop.sleep(50 * MS)
+            turns.append(pair.loop.now)
 
-    if first:
-        two.theirs.send(first)
-    two.go(lambda: one.handshake(two.loop.now + 400 * MS), others)
-    assert len(turns) == 5 and isinstance(two.faults[0], (BadHandshake, Late))
+    if first_bytes:
+        pair.theirs.send(first_bytes)
+    pair.run_tasks(lambda: one.handshake(pair.loop.now + 400 * MS), other_task)
+    assert len(turns) == 5 and isinstance(pair.errors[0], (BadHandshake, Late))
     one.close()
 
 
-def test_a_peer_without_end_is_cut_off() -> None:
-    two = Two()
-    one, _ = two.tls()
-    # Records of a handshake message that claims 16 MB.
+def test_an_endless_handshake_message_is_refused() -> None:
+    pair = ConnectedPair()
+    one, _ = pair.tls()
+    # Records of a handshake message with a declared length of 16 MB.
     record = b"\x16\x03\x01\x40\x00" + b"\x01\xff\xff\xff" + b"\0" * 16_380
 
     def flood() -> None:
-        end = Stream(two.loop, two.theirs, two.pool)
+        end = Stream(pair.loop, pair.theirs, pair.pool)
         for _ in range(100):
-            end.write(record, two.loop.now + SECOND)
+            end.write(record, pair.loop.now + SECOND)
 
-    two.go(lambda: one.handshake(two.loop.now + SECOND), flood)
-    assert any(isinstance(fault, BadHandshake) for fault in two.faults)
+    pair.run_tasks(lambda: one.handshake(pair.loop.now + SECOND), flood)
+    assert any(isinstance(error, BadHandshake) for error in pair.errors)
 
 
-def test_it_goes_over_real_sockets(tmp_path: Path) -> None:
+def test_a_connection_over_real_sockets(tmp_path: Path) -> None:
     loop, pool = SkippingLoop(CLOCK), BufferPool()
     sock, address = listener()
     server, client = contexts(ssl.TLSVersion.TLSv1_3)
@@ -218,7 +218,7 @@
         stream.write(b"abc", None)
         got.append(read(stream, 3))
         assert connect(loop, address, loop.now + SECOND) is not None
-        assert tls.dial(loop, pool, address, loop.now + SECOND, client) is None, "nobody answers any more"
+        assert tls.dial(loop, pool, address, loop.now + SECOND, client) is None, "the server does not answer any more"
         got.append(b"done")
 
     loop.spawn(serve)
