--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -44,18 +44,18 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message, independent of the protocol that it arrived by."""
+    """One message, independent of the protocol that it arrived by. Times are microseconds of the event loop's clock."""
 
     trace: str  # message id given by the sender side
-    cls: int
-    tenant: int
+    cls: int  # index of its class in the settings
+    tenant: int  # index of its tenant in the settings
     dest: int
     deadline: int
     body: bytes
     sender: SenderSide
     key: str = ""  # idempotency key
     extra: dict[str, Any] = field(default_factory=dict)  # data of the front end, JSON-serializable
-    number: int = 0
+    number: int = 0  # number in the journal
     start: int = 0  # earliest time of the first attempt; the delivery time is counted from it
 
 
@@ -106,7 +106,7 @@
     outcome: Outcome
     told_wait: int = 0  # retry-after delay in microseconds
     no_slot: bool = False
-    closed: bool = False  # no further attempt may follow: the next hop has settled the message
+    closed: bool = False  # the message is answered already: no further attempt and no report
     report: tuple[float, ...] = ()
     note: str = ""
     waited: int = 0  # queueing time before the first byte, excluded from the latency of the call
@@ -132,7 +132,7 @@
         """Report the final state, and return once the sender side has received it."""
 
     def took(self, message: Message) -> bool:
-        """Called for each open message after a restart; true if the sender side holds the message back for now."""
+        """Called for each recovered message after a restart; true if the sender side holds it back for now."""
 
 
 class Later(Protocol):
@@ -294,7 +294,7 @@
         self._end(message, End(state))
 
     def _deliver(
-        self, message: Message, attempts: int = 0, maybe_since_ns: int | None = None, kept: bool = False
+        self, message: Message, attempts: int = 0, maybe_since_ns: int | None = None, recovered: bool = False
     ) -> None:
         """Run a message's attempts as the controller decides, until its final state."""
         attempt_index = attempts
@@ -308,7 +308,7 @@
         action = self._next_action(
             message.number,
             api.Arrival(
-                message.number, message.cls, message.dest, left, message.tenant, 0, attempts, maybe_since_ns, kept
+                message.number, message.cls, message.dest, left, message.tenant, 0, attempts, maybe_since_ns, recovered
             ),
         )
         while isinstance(action, api.Send):
@@ -347,7 +347,7 @@
         self._end(message, End(RETURNED if isinstance(action, api.Refuse) else FAILED, after_ms))
 
     def _attempt(self, message: Message, action: api.Send, attempt_index: int) -> tuple[Result, int]:
-        """One delivery attempt, journalled before its first byte leaves."""
+        """Make one delivery attempt, journalled before its first byte is sent; returns its result and latency."""
         hop, sent = self.map.hops.get(action.endpoint), self.loop.now
         if hop is None:
             return Result(Outcome.MOOT), 0
@@ -396,9 +396,9 @@
         """Take a call that is about to be sent from the shared budget, where there is one."""
         return self.peers is None or self.peers.spend(endpoint, attempt_index > 0)
 
-    def shares(self, action: api.Parts | api.Judged) -> None:
-        """Pass on a result of sharing with other couriers to the controller."""
-        self._events.append(action)
+    def shares(self, event: api.Parts | api.Judged) -> None:
+        """Queue a result of sharing with other couriers for the controller."""
+        self._events.append(event)
 
     @property
     def module(self) -> Controller:
@@ -442,7 +442,7 @@
         return self._awaiting[number][2]
 
     def awaits_now(self, number: int, awaits: dict[str, Any]) -> bool:
-        """Replace the data of ``awaited``; false, and unchanged, when that could not be journalled."""
+        """Reduce the data of ``awaited`` after a partial outcome; false, and unchanged, if that can't be journalled."""
         message, source, _ = self._awaiting[number]
         if not self.journal.awaits(number, ujson.dumps({"by": source, **awaits})):
             return False
@@ -575,7 +575,7 @@
         for entry in list(self.journal.entries.values()):
             try:
                 message = self._from_journal(entry)
-                kept = message.sender.took(message)
+                held_by_sender = message.sender.took(message)
             except (KeyError, ValueError, TypeError, StopIteration) as error:
                 logs.error("journal-unusable", number=entry.number, why=repr(error))
                 continue
@@ -591,7 +591,7 @@
                 self.loop.spawn(self._report_recovered, message, End(entry.verdict, entry.after_ms))
                 continue
             self.open[entry.number] = message
-            if kept:
+            if held_by_sender:
                 continue
             if entry.awaits:
                 awaits = ujson.loads(entry.awaits)
@@ -739,12 +739,12 @@
         if limit:
             row = replace(row, limit=limit)
         if outage is not None:
-            since, back = outage
+            since, recovering_since = outage
             # Positive values only: after a step of the wall clock the outage could begin in the future.
             row = replace(
                 row,
                 down_ns=max(1, (self.loop.now - since) * NS),
-                back_ns=0 if back is None else (self.loop.now - back) * NS or 1,
+                back_ns=0 if recovering_since is None else (self.loop.now - recovering_since) * NS or 1,
             )
         return row
 
@@ -764,8 +764,8 @@
         self.loop.sleep(MIN_SHUTDOWN_TIME)
         while self.loop.now < self.closing + LEAVE_AT and self._has_work():
             self.loop.sleep(10 * MS)
-        for farewell in self.at_leave:
-            farewell()
+        for call in self.at_leave:
+            call()
         if self.at_leave:
             self.loop.sleep(50 * MS)
         logs.event("closed", kept=len(self.journal.entries), out=self.out)
--- a/kestrelspar/journal/left.py
+++ b/kestrelspar/journal/left.py
@@ -33,7 +33,7 @@
     def __init__(self, file: Path, most: int, forget: bool = False) -> None:
         """``most``: maximum file size in bytes. ``forget``: drop the oldest rows there, else ``note`` returns false."""
         self.file, self.most, self._drop_oldest = file, most, forget
-        self.rows_by_key: dict[str, tuple[int, State]] = {}
+        self.rows_by_key: dict[str, tuple[int, State]] = {}  # revision and state
         self.number = 0  # highest revision recorded so far
         self.behind = False  # the file lacks some reported rows
         self._size = 0
@@ -75,7 +75,7 @@
         return {key: state for key, (at, state) in self.rows_by_key.items() if at > number}
 
     def note(self, rows: dict[str, State], number: int | None = None) -> bool:
-        """Record reported states at the source's revision, or the next number; false if the file is not complete."""
+        """Record reported states at the source's revision, or the next number; false if not all rows are on file."""
         number = self.number + 1 if number is None else number
         changes = [
             (key, state, number)
@@ -92,7 +92,7 @@
 
     def cut(self, number: int) -> None:
         """Drop the rows up to this revision: the saved list contains them."""
-        remaining = {key: rows_by_key for key, rows_by_key in self.rows_by_key.items() if rows_by_key[0] > number}
+        remaining = {key: row for key, row in self.rows_by_key.items() if row[0] > number}
         if len(remaining) < len(self.rows_by_key) or self.behind:
             self.rows_by_key = remaining
             self._write()
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -54,13 +54,13 @@
         self._new_path = Path(folder) / "journal.new"
         self.entries: dict[int, Entry] = {}
         self._live = 0  # bytes of a compacted file, plus the room reserved for later records
-        self._weights: dict[int, int] = {}
+        self._weights: dict[int, int] = {}  # by message number: bytes of its records, and the room reserved
         self._ended: dict[str, tuple[int, str]] = {}  # by name: expiry (Unix time, microseconds), text
         self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (as above), calls per second
         self._outages: dict[bytes, tuple[int, int, int]] = {}  # by endpoint: expiry, start, start of recovery
         self._ended_live = 0  # bytes of the ended messages in a compacted file
-        self._size = 0
-        self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000
+        self._size = 0  # bytes of the file
+        self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # from monotonic to Unix time
         self._new_path.unlink(missing_ok=True)  # left by a compaction that was interrupted before its rename
         self._load()
         self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT, 0o600)
