--- a/tests/journal/test_left.py
+++ b/tests/journal/test_left.py
@@ -80,9 +80,8 @@
     log.note({"e": GONE})
     data = log.file.read_bytes()
     assert Left(log.file, 10_000).since(0) == {"a": GONE, "b": GONE, "c": DRAINING, "d": GONE, "e": GONE}
-    log.file.write_bytes(
-        data[:30] + bytes([data[30] ^ 1]) + data[31:-1]
-    )  # a flipped bit in the first record, and a torn end
+    # A flipped bit in the first record, and a torn end.
+    log.file.write_bytes(data[:30] + bytes([data[30] ^ 1]) + data[31:-1])
     damaged = Left(log.file, 10_000)
     assert damaged.since(0) == {"d": GONE} and "map-left-bad-record" in capsys.readouterr().out
     damaged.note({"f": GONE})
