--- a/kestrelspar/core/transport_map.py
+++ b/kestrelspar/core/transport_map.py
@@ -25,7 +25,7 @@
         """Whether the attempt may be sent; if so, it has been journalled."""
 
     def still(self) -> bool:
-        """Whether the rest of a started attempt may be sent: no drain and no retry-after delay has come since."""
+        """Whether the rest of a started attempt may be sent: no drain or retry-after delay since, window still open."""
 
 
 class Carrier(Protocol):
