--- a/kestrelspar/http/asking.py
+++ b/kestrelspar/http/asking.py
@@ -1,25 +1,27 @@
-"""When discovery is asked for the list: a decision without I/O.
-
-Theory of operation. Where the list is pushed (``membership_mode``), what discovery has for a courier is at its agent,
-costs nothing, and counts as told whether the courier has asked or not; and a drain that counts as told is obeyed within
-half a second. So there the first question comes at once, at a start and after a watch that broke: two hundred couriers
-that spread their first questions over ten seconds sent to endpoints that had begun to drain.
-
-Where it must be asked for, each question costs discovery and may be refused. Couriers do not talk, but all lose
-discovery in the same instant: at a release, at a break of the network, or when it is overbooked and closes its watches.
-Those who ask again soon and in step keep it overbooked for good: forty couriers that asked every 2 s were refused for a
-whole day. So each wait is drawn ("full jitter") up to a bound that grows from refusal to refusal and with the number of
-couriers that the settings tell. Meanwhile the list that is there is served on.
-
-Pushed or asked for, failed, refused or given up: a change counts as told ``TOLD`` after discovery had it and could be
-reached. So from any moment on no more than that may pass before a question is put that discovery can answer: a try that
-was begun before that moment lasts ``CONNECT`` and ``ANSWER`` at most, a watch that has fallen silent is broken after
-``SILENCE``, and a wait after it takes what is left of the time, at most ``LONGEST``. Where the bound for many is above
-that, waits are drawn from its end: as many questions a second, and none of them later.
-
-A discovery that many ask may take seconds for a head, also for a refusal. Who gives up sooner is never heard, and asks
-again at discovery's cost. So after a question without a head the next one is waited for twice as long, up to
-``PATIENT``, and the wait behind it is shorter by as much. Not where the list is pushed: that agent answers at once.
+"""Backoff between a courier's requests to discovery: decisions without I/O.
+
+Theory of operation. Where discovery pushes changes (``membership_mode``), a local agent holds the list. A request to it
+costs nothing, a change counts as known whether the courier has asked or not, and a drain that counts as known has to be
+obeyed within half a second. So the first request is sent at once, both at a start and after the watch broke: when two
+hundred couriers spread their first requests over ten seconds, they sent messages to endpoints that had begun to drain.
+
+Where discovery must be polled, each request costs it and may be refused. Couriers do not coordinate, but all of them
+lose discovery in the same instant: at a release, on a network failure, or when it is overloaded and closes its watches.
+Couriers that retry soon and in step keep it overloaded permanently: forty couriers that retried every 2 s were refused
+for a whole day. So each delay is drawn at random ("full jitter") up to a bound that grows with each refusal and with
+the configured number of couriers. Meanwhile the courier keeps serving from the list that it has.
+
+Whether the list is pushed or polled, and whether requests failed, were refused or timed out: a change counts as known
+``MAX_STALENESS`` after discovery had it and was reachable. So from any moment on, no more than that may pass before a
+request is sent that discovery can answer. A request that was begun before that moment lasts at most ``CONNECT_TIMEOUT``
+plus ``RESPONSE_TIMEOUT``, a silent watch is closed after ``WATCH_SILENCE_TIMEOUT``, and the delay after it takes what
+is left of the time, at most ``MAX_RETRY_DELAY``. Where the bound for many couriers is above that, delays are drawn from
+the upper end of the allowed range: the same request rate, and no request later than allowed.
+
+A discovery server with many clients may take seconds to send response headers, also for a refusal. A client that times
+out sooner never gets an answer, and retries at discovery's cost. So after a request that timed out without response
+headers, the timeout of the next one is doubled, up to ``MAX_RESPONSE_TIMEOUT``, and the delay after it is shorter by as
+much. This does not apply where the list is pushed: the local agent answers at once.
 
 Times are microseconds.
 """
@@ -30,57 +32,71 @@
 
 from kestrelspar.runtime.loop import MS, SECOND
 
-TOLD = 6 * SECOND  # after this a change counts as told
-SILENCE = 2_700 * MS  # an empty line comes every 2 s: after this a watch is given up
-CONNECT = 400 * MS  # a question: so long until its connection is there
-ANSWER = 1 * SECOND  # and until its answer's head is, unless discovery is slow
-PATIENT = 4 * SECOND  # the longest that the head is waited for
-SPARE = 500 * MS  # for the way, and for a turn that was long
-LONGEST = 4 * SECOND  # wait between two questions: with the try before it and SPARE, under TOLD
+MAX_STALENESS = 6 * SECOND  # after this a change counts as known to the courier
+WATCH_SILENCE_TIMEOUT = 2_700 * MS  # discovery sends an empty line every 2 s
+CONNECT_TIMEOUT = 400 * MS
+RESPONSE_TIMEOUT = 1 * SECOND  # from the connection to the response headers, unless discovery is slow
+MAX_RESPONSE_TIMEOUT = 4 * SECOND
+SAFETY_MARGIN = 500 * MS  # for network latency, and for a long turn of the event loop
+MAX_RETRY_DELAY = 4 * SECOND  # with the request before it and SAFETY_MARGIN, below MAX_STALENESS
 
-FIRST_EACH = 50 * MS  # bound of the first wait, for each courier: 40 ask 20 times a second in all
-MOVED = 2 * SECOND  # bound of the first wait at another address, which counts 4 s later
-PROMPT = 400 * MS  # the same after a break, where the list is pushed: less than the time that a drain leaves
-PROMPT_MOST = 1 * SECOND  # the longest there, where questions cost nothing
-MOST_EACH = 150 * MS  # of the longest, as a wait takes half its bound in the mean: 40 ask 13 times a second in all
-MOST_LEAST = 2 * SECOND  # a few couriers need not wait longer
-MOST = 6 * SECOND  # twice the mean wait of many
+INITIAL_BOUND_PER_COURIER = 50 * MS  # of the first delay: 40 couriers send 20 requests a second in all
+MAX_INITIAL_BOUND_AFTER_MOVE = 2 * SECOND  # of the first delay after a move, which counts as known 4 s later
+PUSHED_INITIAL_BOUND = 400 * MS  # of the first delay after a break if the list is pushed: less than a drain allows
+MAX_PUSHED_BOUND = 1 * SECOND  # of each delay if the list is pushed, where requests cost nothing
+MAX_BOUND_PER_COURIER = 150 * MS  # as a delay takes half its bound on average: 40 couriers send 13 requests a second
+MIN_MAX_BOUND = 2 * SECOND  # a few couriers need not wait longer
+MAX_BOUND = 6 * SECOND  # twice the mean delay of a large fleet
 
 
-class Asking:
-    """The waits of one courier between its questions for the list; ``pushed``: discovery sends changes by itself."""
+class DiscoveryBackoff:
+    """The delays of one courier between its requests for the list; ``pushed``: discovery sends changes by itself."""
 
     def __init__(self, couriers: int, seed: int, pushed: bool) -> None:
-        self._dice = random.Random(seed)
-        self._first = min(FIRST_EACH * max(1, couriers), MOST)
-        self._most = PROMPT_MOST if pushed else min(max(MOST_LEAST, MOST_EACH * couriers), MOST)
+        self._random = random.Random(seed)
+        self._initial_bound = min(INITIAL_BOUND_PER_COURIER * max(1, couriers), MAX_BOUND)
+        self._max_bound = (
+            MAX_PUSHED_BOUND if pushed else min(max(MIN_MAX_BOUND, MAX_BOUND_PER_COURIER * couriers), MAX_BOUND)
+        )
         self._pushed = pushed
-        self._bound = self._after_break = min(self._first, PROMPT) if pushed else self._first
-        self._start = self._first
-        self.patience = ANSWER  # for how long the next question's head is waited for
-
-    def start(self) -> int:
-        """How long to wait before the first question where an older list is at hand: many start together."""
-        return 0 if self._pushed else self._dice.randrange(self._start)
-
-    def moved(self) -> None:
-        """Discovery is elsewhere now: what was refused before says nothing of it."""
-        self._bound, self._start = self._after_break, min(self._first, MOVED)
-        self.patience = ANSWER
-
-    def broke(self, heard: bool, quiet: int = 0, slow: bool = False) -> int:
-        """How long to wait after a try; ``heard``: it told something; ``quiet``: for how long it was silent.
-
-        ``slow``: it was given up without a head, its connection being there.
+        self._bound = self._bound_after_break = (
+            min(self._initial_bound, PUSHED_INITIAL_BOUND) if pushed else self._initial_bound
+        )
+        self._start_bound = self._initial_bound
+        self.response_timeout = RESPONSE_TIMEOUT  # of the next request, until its response headers
+
+    def initial_delay(self) -> int:
+        """The delay before the first request if an older list is at hand: many couriers start together."""
+        return 0 if self._pushed else self._random.randrange(self._start_bound)
+
+    def address_changed(self) -> None:
+        """Resets the backoff: refusals at the old address say nothing about the new one."""
+        self._bound, self._start_bound = (
+            self._bound_after_break,
+            min(self._initial_bound, MAX_INITIAL_BOUND_AFTER_MOVE),
+        )
+        self.response_timeout = RESPONSE_TIMEOUT
+
+    def next_delay(self, received: bool, silent_for: int = 0, headers_timed_out: bool = False) -> int:
+        """The delay after a connection to discovery ended.
+
+        ``received``: it delivered at least one object or empty line. ``silent_for``: how long it had been silent, if
+        that was its end. ``headers_timed_out``: it was established, but sent no response headers in time.
         """
-        if heard:
-            self._bound = self._after_break
-            return self._dice.randrange(min(self._bound, max(PROMPT, TOLD - SPARE - quiet)))
-        most = TOLD - SPARE - CONNECT - ANSWER - quiet if quiet else LONGEST
-        if slow:
-            most -= self.patience - ANSWER  # that is gone already
+        if received:
+            self._bound = self._bound_after_break
+            return self._random.randrange(
+                min(self._bound, max(PUSHED_INITIAL_BOUND, MAX_STALENESS - SAFETY_MARGIN - silent_for))
+            )
+        max_delay = (
+            MAX_STALENESS - SAFETY_MARGIN - CONNECT_TIMEOUT - RESPONSE_TIMEOUT - silent_for
+            if silent_for
+            else MAX_RETRY_DELAY
+        )
+        if headers_timed_out:
+            max_delay -= self.response_timeout - RESPONSE_TIMEOUT  # already spent on waiting for the headers
             if not self._pushed:
-                self.patience = min(PATIENT, 2 * self.patience)
-        self._bound = min(self._most, max(self._after_break, 2 * self._bound))
-        least = max(0, min(self._bound - LONGEST, most - PROMPT))
-        return self._dice.randrange(least, max(least + PROMPT, min(self._bound, most)))
+                self.response_timeout = min(MAX_RESPONSE_TIMEOUT, 2 * self.response_timeout)
+        self._bound = min(self._max_bound, max(self._bound_after_break, 2 * self._bound))
+        min_delay = max(0, min(self._bound - MAX_RETRY_DELAY, max_delay - PUSHED_INITIAL_BOUND))
+        return self._random.randrange(min_delay, max(min_delay + PUSHED_INITIAL_BOUND, min(self._bound, max_delay)))
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: the ends of messages that were taken on and not delivered."""
+"""Notices to the platform: the final states of messages that were accepted and not delivered."""
 
 from __future__ import annotations
 
@@ -10,85 +10,98 @@
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Parking, connect
 
-# An end may be told 300 ms after a message's time. A kept connection that has fallen silent must not use that up: the
-# platform answers at once, so the first try is short; each next one, on a new connection, has more time.
-ANSWER_FIRST, ANSWER_MOST = 150 * MS, 2 * SECOND
-WAIT_FIRST, WAIT_MOST = 25 * MS, 250 * MS
-MOST_AT_ONCE = 200
+# A final state may be reported up to 300 ms after a message's deadline. A persistent connection that no longer responds
+# must not use that up: the platform responds at once, so the first attempt is short; each further one, on a new
+# connection, has more time.
+INITIAL_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT = 150 * MS, 2 * SECOND
+INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 25 * MS, 250 * MS
+MAX_BATCH_SIZE = 200  # notices
 
 
 class Notices:
-    """The sender side of messages that came over HTTP. A notice is repeated until it is heard."""
+    """The sender side of messages that arrived over HTTP. A notice is repeated until the platform acknowledges it."""
 
     name = "http"
 
     def __init__(self, loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> None:
         self.loop, self.buffers, self.address = loop, buffers, address
-        self._owed: list[tuple[str, Parking]] = []
+        self._pending: list[tuple[str, Parking]] = []
         self._stream: Stream | None = None
-        self._busy = False
-        self._moves = 0
+        self._sending = False
+        self._move_count = 0
 
     def move(self, address: tuple[str, int]) -> None:
-        """Tell another address from now on, first of all what is still owed."""
-        self.address, self._moves = address, self._moves + 1
+        """Sends notices to another address from now on, beginning with the pending ones."""
+        self.address, self._move_count = address, self._move_count + 1
         if self._stream is not None:
-            self._stream.close()  # a post that waits there ends, and its task with it
+            self._stream.close()  # ends a request that waits for its response, and its task
             self._stream = None
-        if self._busy:
-            self.loop.spawn(self._tell)
+        if self._sending:
+            self.loop.spawn(self._send_pending)
 
     def took(self, message: Message) -> bool:
-        """Nobody asks for a message again over HTTP."""
+        """Always false, as HTTP clients cannot query their messages again."""
         return False
 
     def settle(self, message: Message, end: End) -> None:
-        """Tell the end; a delivered message needs no notice."""
+        """Reports the final state and waits until it is acknowledged; a delivered message needs no notice."""
         if end.state == DELIVERED:
             return
         notice: dict[str, object] = {"id": message.trace, "state": end.state}
         if end.after_ms:
             notice["after_ms"] = end.after_ms
-        heard = Parking(self.loop)
-        self._owed.append((ujson.dumps(notice), heard))
-        if not self._busy:
-            self._busy = True
-            self.loop.spawn(self._tell)
-        self.loop.park(heard)
+        acknowledged = Parking(self.loop)
+        self._pending.append((ujson.dumps(notice), acknowledged))
+        if not self._sending:
+            self._sending = True
+            self.loop.spawn(self._send_pending)
+        self.loop.park(acknowledged)
 
-    def _tell(self) -> None:
-        """Send what is owed, in batches, until nothing is, or the platform moves."""
-        wait, within, most, moves = WAIT_FIRST, ANSWER_FIRST, MOST_AT_ONCE, self._moves
-        while self._owed:
-            batch = self._owed[:most]
-            status = self._post("".join(line + "\n" for line, _ in batch).encode(), within)
-            if moves != self._moves:
-                return  # another task tells the new address
-            if status == 400 and len(batch) > 1:  # one line must not hold back the others: it is looked for by halves
-                most = len(batch) // 2
+    def _send_pending(self) -> None:
+        """Sends pending notices in batches until there are none, or the platform's address changes."""
+        delay, timeout, batch_size, move_count = (
+            INITIAL_RETRY_DELAY,
+            INITIAL_RESPONSE_TIMEOUT,
+            MAX_BATCH_SIZE,
+            self._move_count,
+        )
+        while self._pending:
+            batch = self._pending[:batch_size]
+            status = self._post("".join(line + "\n" for line, _ in batch).encode(), timeout)
+            if move_count != self._move_count:
+                return  # another task sends to the new address
+            if status == 400 and len(batch) > 1:  # finds the rejected notice by bisection, so that it delays no others
+                batch_size = len(batch) // 2
                 continue
             if status == 400:
                 logs.error("notice-refused", notice=batch[0][0])
             elif status is None or not 200 <= status < 300:
-                logs.warn("notices-unheard", status=status, owed=len(self._owed), again_ms=wait // MS)
-                self.loop.sleep(wait)
-                if moves != self._moves:
+                logs.warn("notices-unheard", status=status, owed=len(self._pending), again_ms=delay // MS)
+                self.loop.sleep(delay)
+                if move_count != self._move_count:
                     return
-                wait, within = min(WAIT_MOST, 2 * wait), min(ANSWER_MOST, 2 * within)
+                delay, timeout = min(MAX_RETRY_DELAY, 2 * delay), min(MAX_RESPONSE_TIMEOUT, 2 * timeout)
                 continue
-            wait, within, most = WAIT_FIRST, ANSWER_FIRST, min(MOST_AT_ONCE, 2 * most)
-            del self._owed[: len(batch)]
-            for _, heard in batch:
-                heard.resume()
-        self._busy = False
+            delay, timeout, batch_size = (
+                INITIAL_RETRY_DELAY,
+                INITIAL_RESPONSE_TIMEOUT,
+                min(MAX_BATCH_SIZE, 2 * batch_size),
+            )
+            del self._pending[: len(batch)]
+            for _, acknowledged in batch:
+                acknowledged.resume()
+        self._sending = False
 
-    def owed(self) -> bool:
-        """Whether an end was not heard yet."""
-        return bool(self._owed)
+    def has_pending(self) -> bool:
+        """Whether a notice is not acknowledged yet."""
+        return bool(self._pending)
 
-    def _post(self, body: bytes, within: int) -> int | None:
-        """The status of one post, on the kept connection or a new one, if it came within so many microseconds."""
-        deadline, moves = self.loop.now + within, self._moves
+    def _post(self, body: bytes, timeout: int) -> int | None:
+        """Posts a batch on the persistent or a new connection; returns the status, or None if the request failed.
+
+        ``timeout`` is in microseconds.
+        """
+        deadline, move_count = self.loop.now + timeout, self._move_count
         stream, self._stream = self._stream, None
         if stream is not None and not stream.quiet():
             stream.close()
@@ -98,20 +111,20 @@
             if sock is None:
                 return None
             stream = Stream(self.loop, sock, self.buffers)
-        if moves == self._moves:
-            self._stream = stream  # for ``move`` to close
+        if move_count == self._move_count:
+            self._stream = stream  # so that ``move`` can close it
             try:
                 headers = {"Content-Type": "application/x-ndjson"}
                 stream.write(parser.request("POST", "/reports", "app.svc", headers, body), deadline)
                 answer = parser.read_head(stream, deadline, response=True)
                 if answer.status != 204:
                     parser.read_body(stream, answer, deadline, response=True)
-                if answer.keeps and moves == self._moves:
+                if answer.keeps and move_count == self._move_count:
                     return answer.status
                 status: int | None = answer.status
             except (Closed, Late, parser.BadMessage):
                 status = None
-            if moves == self._moves:
+            if move_count == self._move_count:
                 self._stream = None
         stream.close()
-        return None if moves != self._moves else status
+        return None if move_count != self._move_count else status
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: bytes to heads and bodies. Decides nothing, opens nothing."""
+"""HTTP/1.1 messages: parsing of heads and bodies, and serialisation. Opens no connections."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from kestrelspar.runtime.buffers import Closed, Stream
 
-MOST_HEAD = 8 * 1024
-MOST_BODY = 64 * 1024
-MOST_HEADERS = 100
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEADERS = 100
 _METHODS = (b"GET /", b"POST /", b"PUT /", b"HEAD /", b"DELETE /", b"PATCH /", b"OPTIONS ")
 _TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
 class BadMessage(Exception):
-    """Not HTTP/1.1 as we accept it; ``status`` is what a client is answered."""
+    """A malformed or unsupported HTTP/1.1 message; ``status`` is the response's status if a client sent it."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -23,30 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The first line's three parts and the headers, by names in small letters."""
+    """The three parts of the start line, and the headers by their lower-case names."""
 
     first: tuple[str, str, str]
     headers: dict[str, str]
-    size: int  # bytes that it took
+    size: int  # bytes, with the empty line at its end
 
     @property
     def keeps(self) -> bool:
         """Whether the connection stays open after this message."""
-        said = self.headers.get("connection", "").lower()
+        connection = self.headers.get("connection", "").lower()
         version = self.first[2] if self.first[2].startswith("HTTP/") else self.first[0]
-        return "close" not in said and (version == "HTTP/1.1" or "keep-alive" in said)
+        return "close" not in connection and (version == "HTTP/1.1" or "keep-alive" in connection)
 
     @property
     def status(self) -> int:
-        """A response's status."""
+        """The status code of a response."""
         return int(self.first[1])
 
 
 def status(data: memoryview) -> int | None:
-    """The status in a response's first line, or nothing while that line is not all there."""
-    line, end, _ = bytes(data[:MOST_HEAD]).partition(b"\n")
+    """The status code in a response's status line, or None while that line is incomplete."""
+    line, end, _ = bytes(data[:MAX_HEAD_BYTES]).partition(b"\n")
     if not end:
-        if len(data) >= MOST_HEAD:
+        if len(data) >= MAX_HEAD_BYTES:
             raise BadMessage("status line too long")
         return None
     parts = line.rstrip(b"\r").split(b" ", 2)
@@ -56,15 +56,15 @@
 
 
 def head(data: memoryview, response: bool = False) -> Head | None:
-    """The head at the start of the data, or nothing while it is not all there."""
-    text = bytes(data[:MOST_HEAD])
+    """Parses the head at the start of the data; returns None while it is incomplete."""
+    text = bytes(data[:MAX_HEAD_BYTES])
     end = text.find(b"\r\n\r\n")
     if end < 0:
-        if len(data) >= MOST_HEAD:
+        if len(data) >= MAX_HEAD_BYTES:
             raise BadMessage("head too long", 431)
         return None
     lines = text[:end].split(b"\r\n")
-    if len(lines) > MOST_HEADERS + 1:
+    if len(lines) > MAX_HEADERS + 1:
         raise BadMessage("too many headers", 431)
     parts = lines[0].decode("latin-1").split(" ", 2)
     if response:
@@ -78,21 +78,21 @@
         name, colon, value = line.partition(b":")
         if not colon or not name or not _TOKEN.issuperset(name):
             raise BadMessage("bad header line")
-        key, said = name.decode("ascii").lower(), value.decode("latin-1").strip(" \t")
-        if "\r" in said or "\n" in said or "\0" in said:
+        key, field = name.decode("ascii").lower(), value.decode("latin-1").strip(" \t")
+        if "\r" in field or "\n" in field or "\0" in field:
             raise BadMessage("bad header value")
-        if key in headers and key == "content-length" and headers[key] != said:
+        if key in headers and key == "content-length" and headers[key] != field:
             raise BadMessage("two lengths")
-        headers[key] = f"{headers[key]}, {said}" if key in headers and key != "content-length" else said
+        headers[key] = f"{headers[key]}, {field}" if key in headers and key != "content-length" else field
     return Head((parts[0], parts[1], parts[2]), headers, end + 4)
 
 
-def body_length(parsed: Head, most: int = MOST_BODY) -> int | None:
-    """The body's length as told; nothing if it is chunked, -1 if it is not told."""
+def body_length(parsed: Head, most: int = MAX_BODY_BYTES) -> int | None:
+    """The body's Content-Length; None if the body is chunked, -1 if neither is given."""
     coding = parsed.headers.get("transfer-encoding")
     length = parsed.headers.get("content-length")
     if coding is not None:
-        # Both at once is how a request is smuggled past one of two readers.
+        # Both headers at once allow request smuggling, as two servers may disagree on where the body ends.
         if coding.lower() != "chunked" or length is not None:
             raise BadMessage("transfer coding not served")
         return None
@@ -105,49 +105,49 @@
     return int(length)
 
 
-def begins(data: memoryview) -> bool:
-    """Whether a request may begin with this; also true of nothing at all."""
+def may_begin_request(data: memoryview) -> bool:
+    """Whether a request may begin with the data; true also if there is none."""
     text = bytes(data[:8])
     return any(text.startswith(method) or method.startswith(text) for method in _METHODS)
 
 
 class Chunks:
-    """A chunked body: takes bytes cut anywhere, gives its data."""
+    """Incremental decoder of a chunked body: accepts fragments of any size."""
 
     def __init__(self) -> None:
-        self._line = b""  # an unfinished line
-        self._left = 0  # of the current chunk's data
+        self._line = b""  # an incomplete line
+        self._remaining = 0  # bytes of the current chunk's data
         self._state = "size"
         self.done = False
 
     def take(self, data: bytes) -> tuple[bytes, int]:
-        """Data found, and how many bytes were used up (all, until the body is done)."""
-        out, at = [], 0
+        """Returns decoded data and the number of bytes consumed (all of them, until the body is complete)."""
+        decoded, at = [], 0
         while at < len(data) and not self.done:
             if self._state == "data":
-                part = data[at : at + self._left]
-                out.append(part)
+                part = data[at : at + self._remaining]
+                decoded.append(part)
                 at += len(part)
-                self._left -= len(part)
-                if not self._left:
-                    self._state = "gap"
+                self._remaining -= len(part)
+                if not self._remaining:
+                    self._state = "end of data"
                 continue
             end = data.find(b"\n", at)
             stop = len(data) if end < 0 else end + 1
             self._line += data[at:stop]
             at = stop
-            if len(self._line) > MOST_HEAD:
+            if len(self._line) > MAX_HEAD_BYTES:
                 raise BadMessage("chunk line too long")
             if end >= 0:
                 line, self._line = self._line, b""
-                self._whole_line(line)
-        return b"".join(out), at
+                self._complete_line(line)
+        return b"".join(decoded), at
 
-    def _whole_line(self, line: bytes) -> None:
+    def _complete_line(self, line: bytes) -> None:
         if not line.endswith(b"\r\n"):
             raise BadMessage("bad chunk line")
         line = line[:-2]
-        if self._state == "gap":
+        if self._state == "end of data":
             if line:
                 raise BadMessage("chunk longer than told")
             self._state = "size"
@@ -157,12 +157,12 @@
             size = line.split(b";", 1)[0].strip()
             if not size or len(size) > 8 or not all(c in b"0123456789abcdefABCDEF" for c in size):
                 raise BadMessage("bad chunk size")
-            self._left = int(size, 16)
-            self._state = "data" if self._left else "trailer"
+            self._remaining = int(size, 16)
+            self._state = "data" if self._remaining else "trailer"
 
 
 def read_head(stream: Stream, deadline: int | None, response: bool = False) -> Head:
-    """The next head from the stream; its bytes are consumed."""
+    """Reads and consumes the next head from the stream."""
     while (parsed := head(stream.unread, response)) is None:
         stream.fill(deadline)
     stream.consume(parsed.size)
@@ -170,14 +170,14 @@
 
 
 def read_body(
-    stream: Stream, parsed: Head, deadline: int | None, response: bool = False, most: int = MOST_BODY
+    stream: Stream, parsed: Head, deadline: int | None, response: bool = False, most: int = MAX_BODY_BYTES
 ) -> bytes:
-    """The body that follows the head, in whatever pieces it comes."""
+    """Reads and consumes the body that follows the head."""
     length = body_length(parsed, most)
     if length is not None and length < 0:
         if not response:
             return b""
-        length = most + 1  # to the end of the connection
+        length = most + 1  # the body ends with the connection
     chunks = Chunks() if length is None else None
     parts, size = [], 0
     while True:
@@ -217,7 +217,7 @@
 
 
 def response(status: int, body: bytes = b"", headers: dict[str, str] | None = None, keep: bool = True) -> bytes:
-    """A whole response."""
+    """Serialises a response."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if not keep:
@@ -226,7 +226,7 @@
 
 
 def request(method: str, target: str, host: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A whole request."""
+    """Serialises a request."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body or method == "POST":
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -221,7 +221,7 @@
             if head.headers.get("expect", "").lower() == "100-continue":
                 stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             body = parser.read_body(stream, head, deadline)
-            if not parser.begins(stream.unread):  # its length is wrong, so its body may be cut
+            if not parser.may_begin_request(stream.unread):  # its length is wrong, so its body may be cut
                 raise parser.BadMessage("bytes behind the body that begin no request")
             self._is(client, State.SERVED)
             method, target, _ = head.first
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list, the transport map."""
+"""Watches discovery's list of endpoints and applies its changes to the transport map."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from kestrelspar.core.courier import Carrier, Courier, NextHop
 from kestrelspar.http import parser
-from kestrelspar.http.asking import CONNECT, SILENCE, Asking
+from kestrelspar.http.asking import CONNECT_TIMEOUT, WATCH_SILENCE_TIMEOUT, DiscoveryBackoff
 from kestrelspar.journal.left import Left
 from kestrelspar.runtime import heap, logs
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
@@ -20,14 +20,14 @@
 
 SOURCE = "discovery"
 MOST_LINE = 4 * 1024 * 1024
-PROGRESS = 64 * 1024  # bytes of a long list that count as life; a few that dribble in don't
-SURE = 6 * SECOND  # a change counts as told by then: so long after a break the list may still be behind
-PART = 1_000  # rows
-MOST_LEFT = 8 * 1024  # of the disk, for what left since ``known`` was written: some 600 names
+MIN_PROGRESS_BYTES = 64 * 1024  # of a line that is still incomplete: as many count as activity, fewer do not
+CATCH_UP_TIME = 6 * SECOND  # a change counts as known by then: until then the list may be outdated after a break
+BATCH_SIZE = 1_000  # rows
+MAX_REMOVALS_BYTES = 8 * 1024  # on disk, for removals and drains since ``known`` was written: about 600 names
 
 
 def entry(raw: Any, settings: api.Settings, carrier: Carrier) -> NextHop:
-    """One entry of the list; ``ValueError``, ``KeyError`` or ``TypeError`` where it will not do."""
+    """Converts one row of the list; raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is invalid."""
     state = STATES[raw["status"]]
     endpoint = api.Endpoint(
         str(raw["name"]).encode(),
@@ -41,7 +41,7 @@
 
 
 class Watch:
-    """Follows discovery and hands the courier what it tells."""
+    """Follows discovery's list and passes its changes to the courier."""
 
     def __init__(
         self,
@@ -51,146 +51,158 @@
         carrier: Carrier,
         discovery: tuple[str, int],
         seed: int = 1,
-        folder: str | None = None,
+        state_directory: str | None = None,
     ) -> None:
         self.loop, self.buffers, self.courier, self.carrier = loop, buffers, courier, carrier
         self.discovery = discovery
         courier.map.unheard.add(SOURCE)
-        self.index = 0  # of what was heard last
-        self._asking = Asking(courier.settings.forwarders, seed, not courier.settings.must_subscribe)
-        self._lost: int | None = None  # since when no line has come
-        self._tries = 0  # to hear again, since then
-        self._quiet = 0  # for how long the last connection had been silent, if that was its end
-        self._slow = False  # it was given up without an answer's head
-        self._status: int | None = None  # of a question that was refused
-        self._based = False  # whether a whole list is there that changes after ``index`` can build on
+        self.index = 0  # the revision received last
+        self._backoff = DiscoveryBackoff(courier.settings.forwarders, seed, not courier.settings.must_subscribe)
+        self._disconnected_at: int | None = None  # None while the watch receives lines
+        self._attempts = 0  # to reconnect, since then
+        self._silent_for = 0  # how long the last connection had been silent, if it was closed for that
+        self._headers_timed_out = False  # the last connection timed out before its response headers
+        self._status: int | None = None  # of the last request, if it was refused
+        self._has_snapshot = False  # whether changes after ``index`` can be applied to a complete list
         self._stream: Stream | None = None
-        self._unreadable = ""  # what could not be read last, so that it is told once
-        self._moves = 0
-        self._moved = False  # and no whole list has come from there yet
-        self._left = None if folder is None else Left(Path(folder) / "discovery.left", MOST_LEFT, forget=True)
+        self._unreadable = ""  # the text that could not be parsed last, which is logged once
+        self._move_count = 0
+        self._awaiting_snapshot = False  # the address changed, and no complete list was received from the new one yet
+        self._removals = (
+            None
+            if state_directory is None
+            else Left(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, forget=True)
+        )
 
     def begin(self, known: dict[str, Any]) -> None:
-        """Take in ``known``, but for what was told to leave or drain after it was written; it is emptied."""
+        """Applies the saved list ``known``, corrected by removals and drains that were reported after it was written.
+
+        The list is emptied meanwhile.
+        """
         index, rows = known.get("index"), known.get("endpoints")
-        if self._left is not None and isinstance(rows, list):
-            self._left.cut(index if isinstance(index, int) else 0)
-            left = {
+        if self._removals is not None and isinstance(rows, list):
+            self._removals.cut(index if isinstance(index, int) else 0)
+            states = {
                 name: "leaving" if state is api.EndpointState.DRAINING else "left"
-                for name, state in self._left.since(-1).items()
+                for name, state in self._removals.since(-1).items()
             }
-            if left:
-                logs.event("map-left-since", source=SOURCE, revision=index, entries=len(left))
-            for row in rows if left else ():
-                if isinstance(row, dict) and row.get("name") in left:
-                    row["status"] = left[row["name"]]
-        self._taking(known, None)
+            if states:
+                logs.event("map-left-since", source=SOURCE, revision=index, entries=len(states))
+            for row in rows if states else ():
+                if isinstance(row, dict) and row.get("name") in states:
+                    row["status"] = states[row["name"]]
+        self._apply(known, None)
 
-    def take(self, raw: Any) -> None:
-        """Take in one object of the list, and note what leaves; see ``_taking``."""
-        self._taking(raw, self._left)
+    def apply(self, raw: Any) -> None:
+        """Applies one object of the list, and records removals and drains; see ``_apply``."""
+        self._apply(raw, self._removals)
 
-    def _taking(self, raw: Any, left: Left | None) -> None:
-        """Take in one object of the list; what leaves is noted in ``left``.
+    def _apply(self, raw: Any, removals: Left | None) -> None:
+        """Applies one object of the list; removals and drains are recorded in ``removals``.
 
-        A bad entry is logged and passed over, as is what is no list.
+        An invalid row is logged and skipped, as is an object that is no list.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
-            self._say_unreadable("not a list", f"{raw!r:.120}")
+            self._log_unreadable("not a list", f"{raw!r:.120}")
             return
-        many = len(raw["endpoints"]) >= heap.WORTH
-        if many:
+        pause_gc = len(raw["endpoints"]) >= heap.WORTH
+        if pause_gc:
             heap.hold()
         try:
             hops, whole, index = self._hops(raw["endpoints"]), raw.get("snapshot") is True, raw.get("index")
             if isinstance(index, int) and not isinstance(index, bool):
-                if left is not None and whole and (self._moved or index < self.index):
-                    left.clear()  # another discovery's count, or one that began anew
-                self._moved, self.index = self._moved and not whole, index
-            if left is not None:  # before a line says so: who reads it may end the process at once
-                left.note(self._states(hops, whole), self.index)
+                if removals is not None and whole and (self._awaiting_snapshot or index < self.index):
+                    removals.clear()  # revisions of another discovery, or of one that was reset
+                self._awaiting_snapshot, self.index = self._awaiting_snapshot and not whole, index
+            if removals is not None:  # before it is logged: a reader of the log may kill the process at once
+                removals.note(self._states_by_name(hops, whole), self.index)
             for hop in hops:
                 if hop.endpoint.state is not api.EndpointState.READY:
                     logs.event("map-leaves", source=SOURCE, hop=hop.name, state=hop.endpoint.state.name.lower())
             self.courier.listed(SOURCE, hops, whole)
-            self._based = self._based or whole
+            self._has_snapshot = self._has_snapshot or whole
         finally:
-            if many:
+            if pause_gc:
                 heap.release()
                 heap.grew(heap.WORTH)
 
     def _hops(self, rows: list[Any]) -> list[NextHop]:
-        """The entries of a list, which is emptied part by part: the decoded list of a start took a third of what a
-        listed endpoint costs, and let go one by one, the gaps between what stays would be lost."""
+        """Converts the rows of a list, which is emptied in batches to limit memory use.
+
+        The decoded list took a third of the memory that a listed endpoint costs after a start; freeing its rows one by
+        one would leave gaps between live objects that cannot be reused.
+        """
         hops = []
         while rows:
-            part, rows[:PART] = rows[:PART], []
-            for row in part:
+            batch, rows[:BATCH_SIZE] = rows[:BATCH_SIZE], []
+            for row in batch:
                 try:
                     hops.append(entry(row, self.courier.settings, self.carrier))
                 except (ValueError, KeyError, TypeError, OverflowError) as error:
                     logs.warn("map-bad-entry", source=SOURCE, why=repr(error), got=f"{row!r:.160}")
         return hops
 
-    def _states(self, hops: list[NextHop], whole: bool) -> dict[str, api.EndpointState]:
-        """What a list says of those it names, and of those that it lacks where it is whole."""
+    def _states_by_name(self, hops: list[NextHop], whole: bool) -> dict[str, api.EndpointState]:
+        """The state of each endpoint in the list and, if it is complete, of those that are missing from it."""
         names = {hop.endpoint.id for hop in hops} if whole else set()
-        lacks = [name for name in self.courier.map.of(SOURCE) if name not in names] if whole else []
-        return {name.decode(): api.EndpointState.GONE for name in lacks} | {
+        missing = [name for name in self.courier.map.of(SOURCE) if name not in names] if whole else []
+        return {name.decode(): api.EndpointState.GONE for name in missing} | {
             hop.name: hop.endpoint.state for hop in hops
         }
 
     def move(self, discovery: tuple[str, int]) -> None:
-        """Follow discovery at another address from now on, beginning with its whole list."""
-        self.discovery, self.index, self._moves = discovery, 0, self._moves + 1
-        self._based, self._moved = False, True
-        self._asking.moved()
+        """Follows discovery at another address from now on, beginning with its complete list."""
+        self.discovery, self.index, self._move_count = discovery, 0, self._move_count + 1
+        self._has_snapshot, self._awaiting_snapshot = False, True
+        self._backoff.address_changed()
         if self._stream is not None:
             self._stream.close()
-        self.loop.spawn(self.run)  # the old task may wait for a connection, and ends by itself
+        self.loop.spawn(self.run)  # the old task may still wait for a connection; it ends by itself
 
     def run(self) -> None:
-        """Watch until discovery moves; ask again after waits, out of step with other couriers."""
-        moves = self._moves
-        if self._based or moves:
-            self.loop.sleep(self._asking.start())
-        while moves == self._moves:
-            self._quiet, self._slow = 0, False
-            heard = self._watch()
-            if moves != self._moves:
+        """Watches until the address changes; reconnects after random delays, out of step with other couriers."""
+        move_count = self._move_count
+        if self._has_snapshot or move_count:
+            self.loop.sleep(self._backoff.initial_delay())
+        while move_count == self._move_count:
+            self._silent_for, self._headers_timed_out = 0, False
+            received = self._watch()
+            if move_count != self._move_count:
                 return
-            wait = self._asking.broke(heard, self._quiet, self._slow)
-            if heard or self._lost is None:  # one line for a break and its end, not for each try
-                logs.event("map-break", source=SOURCE, revision=self.index, status=self._status, again_ms=wait // MS)
-                self._lost, self._tries = self.loop.now, 0
+            delay = self._backoff.next_delay(received, self._silent_for, self._headers_timed_out)
+            if (
+                received or self._disconnected_at is None
+            ):  # logged once for each break, not for each attempt to reconnect
+                logs.event("map-break", source=SOURCE, revision=self.index, status=self._status, again_ms=delay // MS)
+                self._disconnected_at, self._attempts = self.loop.now, 0
                 self.courier.map.behind.add(SOURCE)
-            self._tries += 1
-            self.loop.sleep(wait)
+            self._attempts += 1
+            self.loop.sleep(delay)
 
     def _watch(self) -> bool:
-        """One connection's life; whether it told anything."""
-        heard, alive, moves, self._status = False, 0, self._moves, None
-        sock = connect(self.loop, self.discovery, self.loop.now + CONNECT)
+        """Watches over one connection until it ends; returns whether a line was received."""
+        received, last_activity, move_count, self._status = False, 0, self._move_count, None
+        sock = connect(self.loop, self.discovery, self.loop.now + CONNECT_TIMEOUT)
         if sock is None:
             return False
         stream = Stream(self.loop, sock, self.buffers)
-        if moves != self._moves:
+        if move_count != self._move_count:
             stream.close()
             return False
         self._stream = stream
         try:
-            if not self._based and not self.index and not self._whole(stream):
+            if not self._has_snapshot and not self.index and not self._request_snapshot(stream):
                 return False
             target = f"/registry/instances?watch=1&after={self.index}"
-            deadline = self.loop.now + self._asking.patience
+            deadline = self.loop.now + self._backoff.response_timeout
             stream.write(parser.request("GET", target, "app.svc", {}), deadline)
             answer = parser.read_head(stream, deadline, response=True)
             if answer.status != 200:
                 self._status = answer.status
                 return False
             chunks = parser.Chunks() if parser.body_length(answer) is None else None
-            lines, objects, came = Lines(), Objects(), 0
-            alive = self.loop.now
+            lines, objects, pending = Lines(), JsonObjects(), 0
+            last_activity = self.loop.now
             while True:
                 data = bytes(stream.unread)
                 if chunks is None:
@@ -198,64 +210,72 @@
                 else:
                     data, used = chunks.take(data)
                 stream.consume(used)
-                came += used
-                if came >= PROGRESS:
-                    came, alive = 0, self.loop.now
+                pending += used
+                if pending >= MIN_PROGRESS_BYTES:
+                    pending, last_activity = 0, self.loop.now
                 for line in lines.take(data):
                     for text in objects.take(line):
-                        if not self._line(text):  # what it told is missing now: asked for anew from the last good one
+                        if not self._line(text):  # its changes are lost: requested again from the last good revision
                             return False
-                        heard, came = True, 0
-                        alive = self.loop.now
+                        received, pending = True, 0
+                        last_activity = self.loop.now
                 if chunks is not None and chunks.done:
-                    return heard
-                if self.loop.now >= alive + SILENCE:
+                    return received
+                if self.loop.now >= last_activity + WATCH_SILENCE_TIMEOUT:
                     raise Late
-                stream.fill(alive + SILENCE)
+                stream.fill(last_activity + WATCH_SILENCE_TIMEOUT)
         except (Closed, parser.BadMessage):
-            return heard
+            return received
         except Late:
-            self._quiet, self._slow = self.loop.now - alive if alive else 0, not alive
-            return heard
+            self._silent_for, self._headers_timed_out = (
+                self.loop.now - last_activity if last_activity else 0,
+                not last_activity,
+            )
+            return received
         finally:
             stream.close()
 
-    def _whole(self, stream: Stream) -> bool:
-        """Ask for the whole list, as what changed after version 0 need not be all of it; whether it came."""
-        deadline = self.loop.now + self._asking.patience
+    def _request_snapshot(self, stream: Stream) -> bool:
+        """Requests the complete list, as changes after index 0 may be incomplete; returns whether it was applied."""
+        deadline = self.loop.now + self._backoff.response_timeout
         stream.write(parser.request("GET", "/registry/instances", "app.svc", {}), deadline)
         answer = parser.read_head(stream, deadline, response=True)
-        body = parser.read_body(stream, answer, self.loop.now + SILENCE, response=True, most=MOST_LINE)
+        body = parser.read_body(stream, answer, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, most=MOST_LINE)
         if answer.status != 200:
             self._status = answer.status
             return False
         return self._line(body)
 
     def _line(self, text: bytes) -> bool:
-        """Take in one object of the list, or an empty line; false where it can't be read."""
+        """Applies one object of the list, or an empty line; returns false if it cannot be parsed."""
         self.courier.map.unheard.discard(SOURCE)
-        if self._lost is not None:
-            logs.event("map-heard", source=SOURCE, tries=self._tries, after_ms=(self.loop.now - self._lost) // MS)
-            self._lost = None
-            self.loop.at(self.loop.now + SURE, self._sure)
+        if self._disconnected_at is not None:
+            logs.event(
+                "map-heard", source=SOURCE, tries=self._attempts, after_ms=(self.loop.now - self._disconnected_at) // MS
+            )
+            self._disconnected_at = None
+            self.loop.at(self.loop.now + CATCH_UP_TIME, self._mark_current)
         if not text.strip():
-            if self._left is not None:
-                self._left.mend()
+            if self._removals is not None:
+                self._removals.mend()
             return True
         try:
             raw = ujson.loads(text)
         except ValueError as error:
-            self._say_unreadable(str(error), f"{text!r:.160}")
+            self._log_unreadable(str(error), f"{text!r:.160}")
             return False
-        self.take(raw)
+        self.apply(raw)
         return isinstance(raw, dict) and isinstance(raw.get("endpoints"), list)
 
-    def _sure(self) -> None:
-        """The watch has held for as long as a change may take to come: what the list lacks does not exist."""
-        if self._lost is None:
+    def _mark_current(self) -> None:
+        """Marks the list as current, as the watch has lasted for as long as a change may take to become known.
+
+        From now on, an endpoint that is missing from the list does not exist.
+        """
+        if self._disconnected_at is None:
             self.courier.map.behind.discard(SOURCE)
 
-    def _say_unreadable(self, why: str, got: str) -> None:
+    def _log_unreadable(self, why: str, got: str) -> None:
         if got != self._unreadable:
             logs.warn("map-unreadable", source=SOURCE, why=why, got=got)
         self._unreadable = got
@@ -264,49 +284,49 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Objects:
-    """JSON objects from lines: each on a line of its own, or indented over several; an empty line means nothing new."""
+class JsonObjects:
+    """Assembles JSON objects from lines: one per line, or indented over several; an empty line means no change."""
 
     def __init__(self) -> None:
-        self._parts: list[bytes] = []  # lines of an object that is not complete
+        self._parts: list[bytes] = []  # lines of an incomplete object
         self._depth = self._size = 0
 
     def take(self, line: bytes) -> list[bytes]:
-        """What is complete now: objects, empty lines, and what will never be an object, as it is."""
+        """Returns what the line completes: objects, empty lines, and, unchanged, text that cannot become an object."""
         text = line.strip()
-        if not text:  # none stands inside an object: what was begun is broken off
-            return [*self._drop(), b""]
-        if len(text) >= PROGRESS and not self._parts and text.startswith(b"{") and text.endswith(b"]}"):
-            return [text]  # the usual long list, not scanned
-        deeper = self._deeper(text)
-        if self._parts and not deeper and line.startswith(b"{") and b'"endpoints"' in line:
-            return [*self._drop(), text]  # a whole object where one was broken off
+        if not text:  # objects hold no empty lines: an incomplete one was cut off
+            return [*self._flush(), b""]
+        if len(text) >= MIN_PROGRESS_BYTES and not self._parts and text.startswith(b"{") and text.endswith(b"]}"):
+            return [text]  # the common long list on one line, which need not be scanned
+        depth_change = self._depth_change(text)
+        if self._parts and not depth_change and line.startswith(b"{") and b'"endpoints"' in line:
+            return [*self._flush(), text]  # a complete object after one that was cut off
         self._parts.append(line)
-        self._depth, self._size = self._depth + deeper, self._size + len(line)
+        self._depth, self._size = self._depth + depth_change, self._size + len(line)
         if self._size > MOST_LINE:
             raise parser.BadMessage("object too long")
-        return self._drop() if self._depth <= 0 else []
+        return self._flush() if self._depth <= 0 else []
 
-    def _drop(self) -> list[bytes]:
-        """What there is of an object, and begin anew."""
+    def _flush(self) -> list[bytes]:
+        """Returns the lines of the object so far, and resets the state."""
         parts, self._parts, self._depth, self._size = self._parts, [], 0, 0
         return [b"\n".join(parts)] if parts else []
 
     @staticmethod
-    def _deeper(text: bytes) -> int:
-        bare = _STRING.sub(b"", text)
-        return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    def _depth_change(text: bytes) -> int:
+        unquoted = _STRING.sub(b"", text)
+        return unquoted.count(b"{") + unquoted.count(b"[") - unquoted.count(b"}") - unquoted.count(b"]")
 
 
 class Lines:
-    """Lines from bytes cut anywhere."""
+    """Splits fragments of any size into lines."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def take(self, data: bytes) -> list[bytes]:
-        """The lines that are complete now, without their ends."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MOST_LINE:
+        """Returns the lines that are complete, without their line ends."""
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MOST_LINE:
             raise parser.BadMessage("line too long")
         return lines
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -18,7 +18,7 @@
 from kestrelspar.http.nexthop import NextHops
 from kestrelspar.http.notices import Notices
 from kestrelspar.http.sender import SenderServer
-from kestrelspar.http.watch import MOST_LEFT, Watch
+from kestrelspar.http.watch import MAX_REMOVALS_BYTES, Watch
 from kestrelspar.journal import Journal
 from kestrelspar.journal.left import Left
 from kestrelspar.registry import keep
@@ -220,7 +220,7 @@
     try:
         for name in keep.clear(told.state, [registry.label for registry in all_told.registries]):
             logs.event("registry-kept-removed", file=name)
-        room = told.disk_bytes - all_told.reserved - Left.reserve(MOST_LEFT)
+        room = told.disk_bytes - all_told.reserved - Left.reserve(MAX_REMOVALS_BYTES)
         journal = Journal(told.state, room, told.settings.max_attempts)
         listener = bind(told.listen)
         smpp_listener = None if smpp is None else bind(smpp.listen)
@@ -232,7 +232,7 @@
     carrier = NextHops(loop, buffers, told.settings, idle)
     notices = Notices(loop, buffers, told.discovery)
     courier.senders[notices.name] = notices
-    courier.unfinished.append(notices.owed)
+    courier.unfinished.append(notices.has_pending)
     kept = told.sockets - clients
     if all_told.maps:
         kept += told.sockets // 8
--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from kestrelspar.core.courier import Message
-from kestrelspar.http.nexthop import REST_WITHIN
+from kestrelspar.http.nexthop import BODY_TIMEOUT
 from kestrelspar.http.sender import State
 from kestrelspar.runtime.buffers import Stream
 from kestrelspar.runtime.loop import MS, SECOND
@@ -96,7 +96,7 @@
 
     stage.loop.spawn(flood)
     stage.until(lambda: got and over)
-    assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - began < REST_WITHIN + SECOND
+    assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - began < BODY_TIMEOUT + SECOND
     assert stage.buffers._made <= 4
 
 
@@ -111,9 +111,9 @@
         hop.socks[number].send(b"HTTP/1.1 200 OK\r\nContent-Le")
         stage.until(lambda got=got: got)
         assert got == [Outcome.OK]
-    assert stage.pool._reading_out <= 3
-    stage.wait(REST_WITHIN + SECOND)
-    assert stage.pool._reading_out == 0
+    assert stage.pool._draining_responses <= 3
+    stage.wait(BODY_TIMEOUT + SECOND)
+    assert stage.pool._draining_responses == 0
 
 
 def test_noise_on_a_kept_connection_is_no_answer(tmp_path: Path) -> None:
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -198,7 +198,7 @@
     stage = Stage(
         tmp_path, lambda *_: parser.response(500), lambda *_: answers.pop(0) if answers else parser.response(204)
     )
-    stage.courier.unfinished.append(stage.notices.owed)
+    stage.courier.unfinished.append(stage.notices.has_pending)
     caller = Caller(stage)
     caller.answered(hand_in("pay", "payment", X_Expires_In="700m"), b"202")  # may have run: its end is a notice
     over = closed(stage)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -578,7 +578,7 @@
     for name in ("a", "b", "c"):
         message = Message(name, READING, 0, 7, 0, b"", stage.notices)
         stage.loop.spawn(stage.notices.settle, message, End(FAILED))
-    stage.until(lambda: not answers and not stage.notices._busy)
+    stage.until(lambda: not answers and not stage.notices._sending)
     assert [line["id"] for line in stage.notices_seen()[-2:]] == ["b", "c"]
 
 
@@ -644,7 +644,7 @@
     heard = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
     stage = Stage(tmp_path, ok, lambda *_: refusals.pop() if refusals else heard)
     watch = watch_on(stage.courier, stage)
-    watch.take({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
+    watch.apply({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
     stage.loop.spawn(watch.run)
     stage.until(lambda: b"s-9" in stage.courier.map.hops)
     assert [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["0"] * 5
@@ -674,7 +674,7 @@
     skipped = CLOCK.ahead
     watch.move(new.address)
     stage.notices.move(new.address)
-    stage.until(lambda: not stage.notices._busy and watch.index == 3 and len(new.seen) == 3)
+    stage.until(lambda: not stage.notices._sending and watch.index == 3 and len(new.seen) == 3)
     assert CLOCK.ahead - skipped < SECOND and list(stage.courier.map.hops) == [b"s-9"]  # no time-out was sat out
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
     assert new.seen[-1][0].first[1].endswith("watch=1&after=3")
@@ -700,7 +700,7 @@
     new = Stage(tmp_path, ok, discovery)
     new.courier.ready, taken_up = False, []
     watch = watch_on(new.courier, new)
-    watch.take(
+    watch.apply(
         {
             "index": 1,
             "snapshot": True,
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -20,7 +20,7 @@
     # Guards against what is only wanted once a route is called, and the decoded list that stays behind.
     scene = Scene(tmp_path)
     carrier = NextHops(scene.loop, scene.buffers, scene.courier.settings, 9)
-    watch = Watch(scene.loop, scene.buffers, scene.courier, carrier, ("127.0.0.1", 9), folder=str(tmp_path))
+    watch = Watch(scene.loop, scene.buffers, scene.courier, carrier, ("127.0.0.1", 9), state_directory=str(tmp_path))
     gc.collect()
     tracemalloc.start()
     known = {
