--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -1,4 +1,4 @@
-"""The sender side over HTTP: clients hand in messages and are answered at once."""
+"""The sender side over HTTP: clients submit messages and get a response at once."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Parking
 
-SILENT = 2_100 * MS  # without a request: usual clients open another connection when they need it
-READ_WITHIN = 2_500 * MS  # from a request's first byte to its last
-FIRST_WITHIN = 2_700 * MS  # the first one, from the connection's beginning
-LINGER = 3_000 * MS  # after the half-close: so long a client may still send
-PAUSE = 300 * MS  # or until it pauses
-LAST_FIRST = 600 * MS  # in a shutdown: so long a new connection's first request may take to begin
-CONNECTIONS_LATE = 500 * MS  # after SIGTERM: new connections may come for 400 ms
-STEP = 20 * MS  # of a shutdown
-ACCEPTS = 32  # connections taken in one turn
-REJECTIONS = {Reason.DUPLICATE: 409}
-WRITE_WITHIN = 400 * MS  # a client waits so long for its answer
+IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
+READ_TIMEOUT = 2_500 * MS  # from a request's first byte to its last
+FIRST_REQUEST_TIMEOUT = 2_700 * MS  # from the connection's start to the last byte of its first request
+LINGER_TIMEOUT = 3_000 * MS  # after the half-close, for a client that still sends
+LINGER_IDLE_TIMEOUT = 300 * MS  # after the half-close, without any bytes
+SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the start of a new connection to its first request
+SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM: new connections may arrive for 400 ms
+SHUTDOWN_POLL_INTERVAL = 20 * MS
+MAX_ACCEPTS_PER_TURN = 32  # of the event loop
+REJECTION_STATUSES = {Reason.DUPLICATE: 409}
+WRITE_TIMEOUT = 400 * MS  # a client waits this long for its response
 _EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
 
 
 def expires(text: str) -> int:
-    """X-Expires-In as microseconds."""
+    """Parses X-Expires-In into microseconds."""
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
         raise parser.BadMessage("bad X-Expires-In")
@@ -40,7 +40,7 @@
 
 
 class State(Enum):
-    """What a client's connection is doing; the order in which they give way when there are too many."""
+    """What a client's connection is doing; in the order in which connections are closed when there are too many."""
 
     LEAVING = "half-closed, and reading on until it has heard"
     NEW = "has asked nothing yet"
@@ -49,9 +49,10 @@
     SERVED = "waits for our answer"
 
 
-# How long a connection in each state is left alone. One with unread bytes is not closed at once, as that is a reset: a
-# request that has begun is answered 408 and half-closed, and what was half-closed had its time to be read to the end.
-SPARED = {State.LEAVING: 100 * MS, State.NEW: 50 * MS, State.ASKING: 300 * MS, State.IDLE: 0}
+# How long a connection stays in a state before it may be closed to make room. One with unread bytes is not closed at
+# once, as that would be a reset: a request that has begun gets a 408 response and a half-close, and a half-closed
+# connection had its time to be read to the end.
+MIN_STATE_AGE = {State.LEAVING: 100 * MS, State.NEW: 50 * MS, State.ASKING: 300 * MS, State.IDLE: 0}
 
 
 class Client:
@@ -64,29 +65,33 @@
 
 
 class SenderServer:
-    """Accepts clients' connections; each has a task that reads requests and answers them."""
+    """Accepts clients' connections; each has a task that reads requests and responds to them."""
 
-    def __init__(self, loop: Loop, buffers: BufferPool, courier: Courier, sender: SenderSide, most: int) -> None:
+    def __init__(
+        self, loop: Loop, buffers: BufferPool, courier: Courier, sender: SenderSide, max_connections: int
+    ) -> None:
         self.loop, self.buffers, self.courier, self.sender = loop, buffers, courier, sender
-        self._most = most  # connections held at once
-        self._most_idle = max(4, most // 4)  # and of those kept open between requests
-        self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}  # since when, in order
-        self._tallies: dict[tuple[str, str], int] = {}
+        self._max_connections = max_connections
+        self._max_idle = max(4, max_connections // 4)  # connections kept open between requests
+        self._clients: dict[State, dict[Client, int]] = {
+            state: {} for state in State
+        }  # by state, with the time of entering it, oldest first
+        self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
-        courier.at_close.append(self.wind_down)
+        courier.at_close.append(self.close_connections)
         courier.unfinished.append(self.busy)
 
     @property
     def count(self) -> int:
-        """Connections held."""
+        """The number of open connections."""
         return sum(map(len, self._clients.values()))
 
     def accept(self, listener: socket.socket) -> None:
-        """Take connections until the listener is closed."""
+        """Accepts connections until the listener is closed."""
         self._listener = listener
         while True:
             self.loop.readable(listener, None)
-            for _ in range(ACCEPTS):  # one a turn would let those who say nothing hold up all others
+            for _ in range(MAX_ACCEPTS_PER_TURN):  # with one per turn, clients that send nothing would delay all others
                 try:
                     sock, _ = listener.accept()
                 except BlockingIOError:
@@ -97,34 +102,34 @@
                     logs.warn("not-accepted", front="http", why=str(error))
                     self.loop.sleep(20 * MS)
                     break
-                while self.count >= self._most and not self._make_room():
-                    self.loop.sleep(5 * MS)  # it and those behind it wait for one that gives way
-                self._greet(sock)
+                while self.count >= self._max_connections and not self._make_room():
+                    self.loop.sleep(5 * MS)  # this connection and those queued behind it wait for another to close
+                self._start_connection(sock)
 
-    def _greet(self, sock: socket.socket) -> None:
+    def _start_connection(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = Client(Stream(self.loop, sock, self.buffers, guest=True), self.loop.now)
         self._clients[State.NEW][client] = client.since
         self.loop.spawn(self._serve, client)
 
-    def _is(self, client: Client, state: State) -> None:
-        """The connection goes on to another state, unless it was made to give way meanwhile."""
+    def _set_state(self, client: Client, state: State) -> None:
+        """Moves the connection to another state; raises ``Closed`` if it was closed to make room meanwhile."""
         if self._clients[client.state].pop(client, None) is None:
             raise Closed
         client.state = state
         self._clients[state][client] = self.loop.now
 
     def _make_room(self) -> bool:
-        """Close the connection whose loss does least harm; none on which a request has come or is served."""
-        for state, spared in SPARED.items():
+        """Closes the connection whose loss does least harm, but none with a request received or in progress."""
+        for state, min_age in MIN_STATE_AGE.items():
             for client, since in self._clients[state].items():
-                if since > self.loop.now - spared:
+                if since > self.loop.now - min_age:
                     break
                 if state in (State.NEW, State.IDLE) and not client.stream.quiet():
                     continue
-                self._tally("closed-to-make-room", state.value)
-                if state is State.ASKING:  # room comes once it has heard
+                self._log_throttled("closed-to-make-room", state.value)
+                if state is State.ASKING:  # it closes after its 408 response
                     client.stream.expire()
                     return False
                 del self._clients[state][client]
@@ -132,134 +137,137 @@
                 return True
         return False
 
-    # The end of the process
+    # Shutdown
 
-    def wind_down(self) -> None:
-        """SIGTERM: end resting connections in order, and each other one as soon as it rests.
+    def close_connections(self) -> None:
+        """After SIGTERM: closes idle connections in an orderly way, and each other one as soon as it is idle.
 
-        Guards against clients that rest until the courier ends them, and send on whatever is still open then.
+        Otherwise clients would keep idle connections until the process exits, and lose the requests that they send on
+        them at that moment.
         """
-        begun = self.loop.now
+        started_at = self.loop.now
         while True:
             for client in list(self._clients[State.IDLE]):
                 client.stream.expire()
             for client, since in list(self._clients[State.NEW].items()):
-                if max(since, begun) <= self.loop.now - LAST_FIRST:
+                if max(since, started_at) <= self.loop.now - SHUTDOWN_FIRST_BYTE_TIMEOUT:
                     client.stream.expire()
-            if self._listener is not None and self.loop.now >= begun + CONNECTIONS_LATE:
+            if self._listener is not None and self.loop.now >= started_at + SHUTDOWN_ACCEPT_TIME:
                 self._close_listener(self._listener)
-            self.loop.sleep(STEP)
+            self.loop.sleep(SHUTDOWN_POLL_INTERVAL)
 
     def _close_listener(self, listener: socket.socket) -> None:
-        """Take no more connections; those that wait in its queue are taken first, as its close resets them."""
+        """Closes the listener; accepts the connections in its backlog first, as closing would reset them."""
         self._listener = None
-        for _ in range(max(0, self._most - self.count)):
+        for _ in range(max(0, self._max_connections - self.count)):
             try:
-                self._greet(listener.accept()[0])
+                self._start_connection(listener.accept()[0])
             except OSError:
                 break
         self.loop.forget(listener)
         listener.close()
 
     def busy(self) -> bool:
-        """Whether a connection may still come, or has not come to its end yet."""
+        """Whether a connection is open, or a new one may still arrive."""
         return self.count > 0 or self._listener is not None
 
-    def _tally(self, event: str, why: str, trace: str | None = None) -> None:
-        """Log what bad clients make happen often: the first at once, the others as a count each second."""
-        known = (event, why)
-        if known in self._tallies or len(self._tallies) >= 20:
-            known = known if known in self._tallies else (event, "other")
-            self._tallies[known] = self._tallies.get(known, 0) + 1
+    def _log_throttled(self, event: str, why: str, trace: str | None = None) -> None:
+        """Logs an event that misbehaving clients can cause often: at once, then further ones as a count per second."""
+        key = (event, why)
+        if key in self._suppressed_counts or len(self._suppressed_counts) >= 20:
+            key = key if key in self._suppressed_counts else (event, "other")
+            self._suppressed_counts[key] = self._suppressed_counts.get(key, 0) + 1
             return
         logs.event(event, front="http", trace=trace, why=why)
-        if not self._tallies:
-            self.loop.at(self.loop.now + SECOND, self._report)
-        self._tallies[known] = 0
+        if not self._suppressed_counts:
+            self.loop.at(self.loop.now + SECOND, self._log_suppressed)
+        self._suppressed_counts[key] = 0
 
-    def _report(self) -> None:
-        for (event, why), count in self._tallies.items():
+    def _log_suppressed(self) -> None:
+        for (event, why), count in self._suppressed_counts.items():
             if count:
                 logs.event("more", front="http", of=event, why=why, count=count)
-        self._tallies.clear()
+        self._suppressed_counts.clear()
 
     def _serve(self, client: Client) -> None:
-        """One connection: requests in turn, until a side ends it or says nothing for too long."""
+        """Serves one connection: requests in turn, until a side closes it or it was idle for too long."""
         try:
-            while self._asked(client) and self._request(client):
-                self._is(client, State.IDLE)
-            self._finish(client)
+            while self._await_request(client) and self._handle_request(client):
+                self._set_state(client, State.IDLE)
+            self._close_gracefully(client)
         except (Closed, Late):
             pass
         finally:
             self._clients[client.state].pop(client, None)
             client.stream.close()
 
-    def _asked(self, client: Client) -> bool:
-        """Wait for the first byte of a request; false when the connection has rested for too long."""
-        stream, silent = client.stream, self.loop.now + SILENT
+    def _await_request(self, client: Client) -> bool:
+        """Waits for the first byte of a request; returns false if the connection was idle for too long."""
+        stream, deadline = client.stream, self.loop.now + IDLE_TIMEOUT
         if client.state is State.NEW:
-            silent = client.since + SILENT
+            deadline = client.since + IDLE_TIMEOUT
         while not stream.unread:
             try:
-                stream.fill(silent)
+                stream.fill(deadline)
             except Late:
                 if stream.quiet():
                     return False
-                silent = self.loop.now + READ_WITHIN  # it began in that very moment, and is served
+                deadline = self.loop.now + READ_TIMEOUT  # a request began at that very moment, and is served
         return True
 
-    def _request(self, client: Client) -> bool:
-        """Read one request and answer it; whether the connection goes on."""
-        stream, deadline = client.stream, self.loop.now + READ_WITHIN
+    def _handle_request(self, client: Client) -> bool:
+        """Reads one request and responds to it; returns whether the connection stays open."""
+        stream, deadline = client.stream, self.loop.now + READ_TIMEOUT
         if client.state is State.NEW:
-            deadline = client.since + FIRST_WITHIN
-        self._is(client, State.ASKING)
+            deadline = client.since + FIRST_REQUEST_TIMEOUT
+        self._set_state(client, State.ASKING)
         try:
             head = parser.read_head(stream, deadline)
             parser.body_length(head)
             if head.headers.get("expect", "").lower() == "100-continue":
                 stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             body = parser.read_body(stream, head, deadline)
-            if not parser.may_begin_request(stream.unread):  # its length is wrong, so its body may be cut
+            if not parser.may_begin_request(stream.unread):  # the Content-Length is wrong, so the body may be truncated
                 raise parser.BadMessage("bytes behind the body that begin no request")
-            self._is(client, State.SERVED)
+            self._set_state(client, State.SERVED)
             method, target, _ = head.first
             path = target.partition("?")[0]
-            # Clients that ask once and stay would soon hold all the connections that they may have.
-            room = len(self._clients[State.IDLE]) < self._most_idle
+            # Clients that send one request and stay connected would soon use up all connections.
+            room = len(self._clients[State.IDLE]) < self._max_idle
             keep = head.keeps and room and self.courier.closing is None
             if method == "GET":
-                stream.write(self._page(path, keep), self.loop.now + WRITE_WITHIN)
+                stream.write(self._get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
             if method != "POST":
                 raise parser.BadMessage("only POST and GET are served", 405)
             message = self._message(path, head, body)
         except parser.BadMessage as error:
-            # Where the next request starts is not known any more, except after a whole one.
-            self._tally("request-rejected", str(error))
-            stream.write(parser.response(error.status, f"{error}\n".encode(), keep=False), self.loop.now + WRITE_WITHIN)
+            # Unless the request was complete, the start of the next one is unknown.
+            self._log_throttled("request-rejected", str(error))
+            stream.write(
+                parser.response(error.status, f"{error}\n".encode(), keep=False), self.loop.now + WRITE_TIMEOUT
+            )
             return False
         except Late:
-            self._tally("request-rejected", "it did not come to its end")
-            stream.write(parser.response(408, keep=False), self.loop.now + WRITE_WITHIN)
+            self._log_throttled("request-rejected", "request incomplete at the time-out")
+            stream.write(parser.response(408, keep=False), self.loop.now + WRITE_TIMEOUT)
             return False
-        answered = Parking(self.loop)
-        self.loop.spawn(self._hand_in, message, stream, keep, answered)
-        return bool(self.loop.park(answered)) and keep
+        responded = Parking(self.loop)
+        self.loop.spawn(self._submit, message, stream, keep, responded)
+        return bool(self.loop.park(responded)) and keep
 
-    def _hand_in(self, message: Message, stream: Stream, keep: bool, answered: Parking) -> None:
-        """The message's own task; the connection goes on as soon as the answer is written."""
+    def _submit(self, message: Message, stream: Stream, keep: bool, responded: Parking) -> None:
+        """Runs as the message's own task; the connection continues as soon as the response is written."""
 
-        def answer(given: Answer) -> bool:
-            heard = False
+        def respond(given: Answer) -> bool:
+            accepted = False
             try:
                 if given.taken and not stream.ended():
-                    stream.write(parser.response(202, keep=keep), self.loop.now + WRITE_WITHIN)
-                    heard = True
+                    stream.write(parser.response(202, keep=keep), self.loop.now + WRITE_TIMEOUT)
+                    accepted = True
                 elif given.taken or given.defer:
-                    wait = {"Retry-After": f"{given.come_back / SECOND:g}"}
-                    stream.write(parser.response(503, keep=keep, headers=wait), self.loop.now + WRITE_WITHIN)
+                    retry_after = {"Retry-After": f"{given.come_back / SECOND:g}"}
+                    stream.write(parser.response(503, keep=keep, headers=retry_after), self.loop.now + WRITE_TIMEOUT)
                     logs.event(
                         "deferred",
                         trace=message.trace,
@@ -267,52 +275,54 @@
                         why="client gone" if given.taken else given.reason,
                     )
                 else:
-                    self._tally("rejected", given.reason, message.trace)
+                    self._log_throttled("rejected", given.reason, message.trace)
                     stream.write(
-                        parser.response(REJECTIONS.get(given.why, 422), f"{given.reason}\n".encode(), keep=keep),
-                        self.loop.now + WRITE_WITHIN,
+                        parser.response(
+                            REJECTION_STATUSES.get(given.why, 422), f"{given.reason}\n".encode(), keep=keep
+                        ),
+                        self.loop.now + WRITE_TIMEOUT,
                     )
             except (Closed, Late):
-                answered.resume(False)
+                responded.resume(False)
                 return False
-            answered.resume(True)
-            return heard
+            responded.resume(True)
+            return accepted
 
         try:
-            self.courier.carry(message, answer)
+            self.courier.carry(message, respond)
         finally:
-            answered.resume(False)
+            responded.resume(False)
 
-    def _finish(self, client: Client) -> None:
-        """The one ending of a connection that the client has not ended: stop writing, read on, then close.
+    def _close_gracefully(self, client: Client) -> None:
+        """Closes a connection that the client has not closed: half-closes it, discards input, then closes it.
 
-        A close over unread bytes is a reset, and may overtake our answer. Nothing that is read from here on is carried:
-        whoever sent it has no answer and hands it in elsewhere.
+        Closing with unread bytes sends a reset, which may overtake the response. Requests that are read from here on
+        are discarded: their senders get no response and submit them elsewhere.
         """
         stream = client.stream
-        self._is(client, State.LEAVING)
-        until = self.loop.now + LINGER
+        self._set_state(client, State.LEAVING)
+        linger_until = self.loop.now + LINGER_TIMEOUT
         try:
             stream.sock.shutdown(socket.SHUT_WR)
-            while self.loop.now < until:
-                stream.discard(min(until, self.loop.now + PAUSE))
+            while self.loop.now < linger_until:
+                stream.discard(min(linger_until, self.loop.now + LINGER_IDLE_TIMEOUT))
         except (Closed, Late, OSError):
             pass
 
     def _message(self, path: str, head: parser.Head, body: bytes) -> Message:
-        """The message that a request hands in; ``BadMessage`` says what is wrong with it."""
+        """Builds the message that a request submits; raises ``BadMessage`` if the request is invalid."""
         settings, headers = self.courier.settings, head.headers
         trace = headers.get("x-trace-id", "")
         if not trace or len(trace) > 128 or not trace.isascii() or not trace.isprintable():
             raise parser.BadMessage("X-Trace-Id missing or unusable")
         name = headers.get("x-qos", "") or path.split("/")[1]
-        first = path.split("/")[1] if path.startswith("/") else ""
-        cls = next(self._places(name, settings.classes), None)
-        if cls is None or first != name:
-            raise parser.BadMessage(f"unknown class {first!r:.40}", 404)
+        path_class = path.split("/")[1] if path.startswith("/") else ""
+        cls = next(self._indices(name, settings.classes), None)
+        if cls is None or path_class != name:
+            raise parser.BadMessage(f"unknown class {path_class!r:.40}", 404)
         tenant = 0
         if settings.tenants:
-            found = next(self._places(headers.get("x-customer", ""), settings.tenants), None)
+            found = next(self._indices(headers.get("x-customer", ""), settings.tenants), None)
             if found is None:
                 raise parser.BadMessage(f"unknown tenant {headers.get('x-customer', '')!r:.40}", 422)
             tenant = found
@@ -320,21 +330,21 @@
         if dest is None:
             raise parser.BadMessage("X-Route-To holds no dest")
         key = headers.get("idempotency-key", "")
-        left = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
-        deadline = self.loop.now + left
+        lifetime = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
+        deadline = self.loop.now + lifetime
         return Message(trace, cls, tenant, int(dest[1]), deadline, body, self.sender, key)
 
     @staticmethod
-    def _places(name: str, named: tuple[object, ...]) -> Iterator[int]:
-        return (i for i, item in enumerate(named) if getattr(item, "name", None) == name)
+    def _indices(name: str, items: tuple[object, ...]) -> Iterator[int]:
+        return (i for i, item in enumerate(items) if getattr(item, "name", None) == name)
 
-    def _page(self, path: str, keep: bool) -> bytes:
-        """What health checks and people ask."""
+    def _get(self, path: str, keep: bool) -> bytes:
+        """Responds to health checks and to requests for statistics."""
         if path == "/health/ready":
             return parser.response(200 if self.courier.serving else 503, keep=keep)
         if path == "/health/live":
             return parser.response(200, keep=keep)
         if path == "/stats":
-            figures = {"open": len(self.courier.open), "out": self.courier.out, "connections": self.count}
-            return parser.response(200, ujson.dumps(figures).encode() + b"\n", keep=keep)
+            stats = {"open": len(self.courier.open), "out": self.courier.out, "connections": self.count}
+            return parser.response(200, ujson.dumps(stats).encode() + b"\n", keep=keep)
         return parser.response(404, keep=keep)
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -10,7 +10,7 @@
 
 from kestrelspar.core.courier import LEAVE_AT, End, Message
 from kestrelspar.http import parser
-from kestrelspar.http.sender import SILENT, State
+from kestrelspar.http.sender import IDLE_TIMEOUT, State
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_http import Stage, hand_in, ok
 
@@ -112,7 +112,7 @@
     caller.got = b""
     caller.until(lambda: b"\r\n\r\n" in caller.got)
     assert caller.got.startswith(b"HTTP/1.1 202")
-    stage.wait(SILENT + SECOND)
+    stage.wait(IDLE_TIMEOUT + SECOND)
     assert stage.server.count == 0
 
 
