--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -1,11 +1,11 @@
-"""Plug-ins: scripts of one rule a line, over a message's fields at its arrival and at its end.
+"""Plug-ins: scripts with one rule per line, which act on a message's fields at its arrival and at its end.
 
     on arrival when tenant == "parnu-lahe-vesi" and size > 4000: defer 1500
     on arrival when cls == "reading" and dest == 12: set dest 13
     on end when state == "failed" and cls == "payment": log "payment lost: " + trace
 
-Expressions have Python's form, but only a part of it, worked out here within a budget of steps. A faulty
-script is refused at start with its file and line; a rule that fails is logged and passed over.
+Expressions are a subset of Python's, evaluated here within a budget of steps. An invalid script is rejected at start
+with its file and line; a rule that fails for a message is logged and skipped.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from kestrelspar.runtime.loop import MS, Loop
 from snowlock import interface as api
 
-STEPS = 200
-MOST_TEXT = 64 * 1024
-MOST_NUMBER = 10**15
-MOST_DEFER = 60_000  # milliseconds
+MAX_STEPS = 200  # evaluated nodes of an expression
+MAX_TEXT_LENGTH = 64 * 1024  # characters
+MAX_NUMBER = 10**15
+MAX_DEFER_MS = 60_000
 ARRIVAL = frozenset({"trace", "cls", "tenant", "dest", "key", "size", "body", "left_ms", "front"})
 END = ARRIVAL | {"state", "after_ms"}
 ACTIONS = {"arrival": ("defer", "reject", "set class", "set dest"), "end": ("log",)}
@@ -58,15 +58,15 @@
 
 
 class ScriptError(ValueError):
-    """A script that will not do; the text names file and line."""
+    """An invalid script; the message names its file and line."""
 
 
 class Failed(Exception):
-    """A rule that could not be worked out for this message."""
+    """An expression that could not be evaluated for this message."""
 
 
 class Expression:
-    """One expression, checked when it is made, worked out within a budget of steps."""
+    """An expression, which is validated when it is created and evaluated within a budget of steps."""
 
     def __init__(self, source: str, names: frozenset[str]) -> None:
         self._tree = ast.parse(source.strip(), mode="eval").body
@@ -74,36 +74,36 @@
         self._check(self._tree, names)
 
     def _check(self, node: ast.AST, names: frozenset[str]) -> None:
-        """Refuse what is not on the list."""
+        """Raises ``ValueError`` for a node that is not supported."""
         if isinstance(node, ast.Name):
             if node.id not in names:
                 raise ValueError(f"unknown field {node.id!r}")
             return
         if isinstance(node, ast.Constant):
             if not isinstance(node.value, (str, int, float)) or isinstance(node.value, complex):
-                raise ValueError(f"{node.value!r} is not served")
+                raise ValueError(f"constant {node.value!r} is not supported")
             return
         if isinstance(node, ast.Call):
-            known = _CALLS.get(node.func.id) if isinstance(node.func, ast.Name) else None
-            if known is None or node.keywords or len(node.args) != known[0]:
-                raise ValueError(f"{ast.unparse(node)!r} is no call that is served")
+            function = _CALLS.get(node.func.id) if isinstance(node.func, ast.Name) else None
+            if function is None or node.keywords or len(node.args) != function[0]:
+                raise ValueError(f"call {ast.unparse(node)!r} is not supported: unknown function or wrong arguments")
             for argument in node.args:
                 self._check(argument, names)
             return
-        fits = (
+        supported = (
             isinstance(node, (ast.BoolOp, ast.IfExp, ast.Compare, ast.Tuple))
             or (isinstance(node, ast.BinOp) and type(node.op) in _BINARY)
             or (isinstance(node, ast.UnaryOp) and isinstance(node.op, (ast.Not, ast.USub)))
         )
-        if not fits or isinstance(node, ast.Compare) and any(type(op) not in _COMPARE for op in node.ops):
-            raise ValueError(f"{ast.unparse(node)!r} is not served")
+        if not supported or isinstance(node, ast.Compare) and any(type(op) not in _COMPARE for op in node.ops):
+            raise ValueError(f"{ast.unparse(node)!r} is not supported")
         for child in ast.iter_child_nodes(node):
             if isinstance(child, ast.expr):
                 self._check(child, names)
 
     def work_out(self, fields: dict[str, Any]) -> Any:
-        """The value for these fields; ``Failed`` where there is none."""
-        self._steps = STEPS
+        """Evaluates the expression for these fields; raises ``Failed`` if that is not possible."""
+        self._steps = MAX_STEPS
         try:
             return self._value(self._tree, fields)
         except (TypeError, ValueError, ArithmeticError, AttributeError) as error:
@@ -118,11 +118,11 @@
         if isinstance(node, ast.Name):
             return fields[node.id]
         if isinstance(node, ast.BoolOp):
-            stop = isinstance(node.op, ast.Or)
+            decisive = isinstance(node.op, ast.Or)  # the truth value that ends the evaluation
             value: Any = None
             for part in node.values:
                 value = self._value(part, fields)
-                if bool(value) is stop:
+                if bool(value) is decisive:
                     break
             return value
         if isinstance(node, ast.IfExp):
@@ -145,13 +145,13 @@
             return _CALLS[node.func.id][1](*[self._value(part, fields) for part in node.args])
         assert isinstance(node, ast.BinOp)
         left, right = self._value(node.left, fields), self._value(node.right, fields)
-        both = isinstance(left, str) and isinstance(right, str)
-        if not (both and isinstance(node.op, ast.Add)) and not all(
-            isinstance(side, (int, float)) for side in (left, right)
+        both_text = isinstance(left, str) and isinstance(right, str)
+        if not (both_text and isinstance(node.op, ast.Add)) and not all(
+            isinstance(operand, (int, float)) for operand in (left, right)
         ):
-            raise Failed(f"{type(left).__name__} and {type(right).__name__} do not go together")
+            raise Failed(f"unsupported operand types {type(left).__name__} and {type(right).__name__}")
         value = _BINARY[type(node.op)](left, right)
-        if len(value) > MOST_TEXT if isinstance(value, str) else abs(value) > MOST_NUMBER:
+        if len(value) > MAX_TEXT_LENGTH if isinstance(value, str) else abs(value) > MAX_NUMBER:
             raise Failed("value too large")
         return value
 
@@ -159,39 +159,40 @@
 class Rule:
     """One line of a script."""
 
-    def __init__(self, line: str, place: str) -> None:
-        self.place = place
+    def __init__(self, line: str, location: str) -> None:
+        self.location = location
         match = _RULE.fullmatch(line)
         if match is None:
-            raise ScriptError(f"{place}: a rule reads 'on arrival|end when CONDITION: ACTION'")
-        self.when = match[1]
-        names = ARRIVAL if self.when == "arrival" else END
+            raise ScriptError(f"{location}: a rule has the form 'on arrival|end when CONDITION: ACTION'")
+        self.event = match[1]
+        names = ARRIVAL if self.event == "arrival" else END
         error = "no ':' between condition and action"
         rest = match[2]
-        for at in (i for i, sign in enumerate(rest) if sign == ":"):  # one inside a string does not count
+        # A colon may also stand inside a string, so each one is tried until the text before it is an expression.
+        for at in (i for i, character in enumerate(rest) if character == ":"):
             try:
                 self.condition = Expression(rest[:at], names)
-            except (SyntaxError, ValueError) as wrong:
-                error = wrong.msg if isinstance(wrong, SyntaxError) else str(wrong)
+            except (SyntaxError, ValueError) as invalid:
+                error = invalid.msg if isinstance(invalid, SyntaxError) else str(invalid)
                 continue
             self._read_action(rest[at + 1 :].strip(), names)
             return
-        raise ScriptError(f"{place}: {error}")
+        raise ScriptError(f"{location}: {error}")
 
     def _read_action(self, text: str, names: frozenset[str]) -> None:
-        for verb in ACTIONS[self.when]:
+        for verb in ACTIONS[self.event]:
             if text == verb or text.startswith(verb + " "):
                 self.verb = verb
                 try:
                     self.argument = Expression(text[len(verb) :], names)
-                except (SyntaxError, ValueError) as wrong:
-                    raise ScriptError(f"{self.place}: {wrong}") from wrong
+                except (SyntaxError, ValueError) as invalid:
+                    raise ScriptError(f"{self.location}: {invalid}") from invalid
                 return
-        raise ScriptError(f"{self.place}: {text.split(' ')[0]!r} is no action on {self.when}")
+        raise ScriptError(f"{self.location}: {text.split(' ')[0]!r} is not an action of 'on {self.event}'")
 
 
 def read(path: Path) -> list[Rule]:
-    """The rules of a script; empty lines and those that begin with # say nothing."""
+    """Reads the rules of a script; empty lines and lines that begin with # are ignored."""
     try:
         lines = path.read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
@@ -204,15 +205,15 @@
 
 
 class Plugins:
-    """The hook that the core calls at a message's arrival and end."""
+    """The hook that the core calls at the arrival and at the end of a message."""
 
     def __init__(self, loop: Loop, settings: api.Settings, rules: list[Rule]) -> None:
         self.loop, self.settings, self.rules = loop, settings, rules
 
     def arrival(self, message: Message) -> Answer | None:
-        """Run the rules in order; the first that defers or rejects has the last word."""
+        """Runs the rules in order, up to the first that defers or rejects the message."""
         for rule in self.rules:
-            if rule.when != "arrival":
+            if rule.event != "arrival":
                 continue
             fields = self._fields(message)
             try:
@@ -220,10 +221,10 @@
                     continue
                 value = rule.argument.work_out(fields)
                 if rule.verb == "defer":
-                    wait = int(value)
-                    if not 0 <= wait <= MOST_DEFER:
-                        raise Failed(f"{wait} ms is no wait")
-                    return Answer(False, True, Reason.PLUGIN, rule.place, wait * MS)
+                    delay = int(value)
+                    if not 0 <= delay <= MAX_DEFER_MS:
+                        raise Failed(f"delay of {delay} ms is not in 0..{MAX_DEFER_MS}")
+                    return Answer(False, True, Reason.PLUGIN, rule.location, delay * MS)
                 if rule.verb == "reject":
                     return Answer(False, False, Reason.PLUGIN, str(value)[:200])
                 if rule.verb == "set dest":
@@ -231,22 +232,25 @@
                 else:
                     message.cls = [c.name for c in self.settings.classes].index(value)
             except (Failed, ValueError, TypeError, OverflowError) as error:
-                logs.warn("plugin-passed-over", trace=message.trace, rule=rule.place, why=str(error))
+                logs.warn("plugin-passed-over", trace=message.trace, rule=rule.location, why=str(error))
         return None
 
     def end(self, message: Message, end: End) -> None:
-        """Run the rules for ends."""
+        """Runs the rules for the end of a message."""
         for rule in self.rules:
-            if rule.when != "end":
+            if rule.event != "end":
                 continue
             fields = self._fields(message) | {"state": end.state, "after_ms": end.after_ms}
             try:
                 if rule.condition.work_out(fields):
                     logs.event(
-                        "plugin", trace=message.trace, rule=rule.place, text=str(rule.argument.work_out(fields))[:400]
+                        "plugin",
+                        trace=message.trace,
+                        rule=rule.location,
+                        text=str(rule.argument.work_out(fields))[:400],
                     )
             except Failed as error:
-                logs.warn("plugin-passed-over", trace=message.trace, rule=rule.place, why=str(error))
+                logs.warn("plugin-passed-over", trace=message.trace, rule=rule.location, why=str(error))
 
     def _fields(self, message: Message) -> dict[str, Any]:
         tenants = self.settings.tenants
