--- a/kestrelspar/__main__.py
+++ b/kestrelspar/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m kestrelspar`` serves: the platform's `run` line. With a verb it is the command line."""
+"""Entry point of ``python -m kestrelspar``: without arguments it runs the courier, with a verb the command line.
+
+The platform's `run` line uses it without arguments.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from kestrelspar.cli.main import cli  # click is for verbs only
+        from kestrelspar.cli.main import cli  # imports click, which only the command line needs
 
         cli()
     sys.exit(main())
--- a/kestrelspar/http/__init__.py
+++ b/kestrelspar/http/__init__.py
@@ -1,1 +1,1 @@
-"""The thin platform front: HTTP/1.1 on the sender side, to next hops, and to discovery."""
+"""The platform's HTTP/1.1 interface: the sender side, next hops, notices and discovery."""
--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -1,4 +1,4 @@
-"""Certificates and keys for TLS: read from files, checked, watched for their expiry, and read again on SIGHUP."""
+"""TLS certificates and keys: loaded from files, validated, monitored for expiry, and reloaded on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from kestrelspar.settings.resolve import Registry
 
 DAY = 86_400 * SECOND
-AHEAD = 30  # days before the expiry at which the log tells of it
+EXPIRY_WARNING_DAYS = 30  # a warning is logged from this many days before the expiry
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-CLIENTS = {"none": ssl.CERT_NONE, "wanted": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
+CLIENT_VERIFICATION = {"none": ssl.CERT_NONE, "wanted": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
 
 
-class BadKeys(ValueError):
-    """Files that will not do: ``key`` is the setting that names the faulty one."""
+class TlsFileError(ValueError):
+    """An unusable certificate or key file; ``key`` is the setting that names the file."""
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(text)
@@ -31,131 +31,133 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
-    """The contexts made of one section's files."""
+class TlsContexts:
+    """The TLS contexts that were built from the files of one section."""
 
-    server: ssl.SSLContext | None  # nothing where no certificate is told
+    server: ssl.SSLContext | None  # None if no certificate is configured
     client: ssl.SSLContext
-    ends: datetime | None  # the first expiry in our own chain
+    expires_at: datetime | None  # the earliest expiry in the configured certificate chain
 
 
-def read(told: schema.Tls) -> Pair:
-    """Contexts from files; ``BadKeys`` says which one will not do, and why."""
-    key, file = ("key", told.key) if told.key else ("certificate", told.certificate)  # which may hold both
+def read(section: schema.Tls) -> TlsContexts:
+    """Builds contexts from files; ``TlsFileError`` says which file is unusable, and why."""
+    # The certificate file may hold the key, too.
+    key, file = ("key", section.key) if section.key else ("certificate", section.certificate)
     if file:
         try:
             mode = stat.S_IMODE(os.stat(file).st_mode)
         except OSError as error:
-            raise BadKeys(key, f"{file} can't be read: {error.strerror}") from None
+            raise TlsFileError(key, f"{file} can't be read: {error.strerror}") from None
         if mode & 0o077:
-            raise BadKeys(key, f"{file} may be read by others, mode {mode:03o} (wanted: 600 or less)")
-    ends = _expiry(told.certificate) if told.certificate else None
+            raise TlsFileError(key, f"{file} may be read by others, mode {mode:03o} (wanted: 600 or less)")
+    expires_at = _expiry(section.certificate) if section.certificate else None
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     contexts = [client]
-    server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER) if told.certificate else None
+    server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER) if section.certificate else None
     if server is not None:
-        server.verify_mode = CLIENTS[told.clients]
-        server.num_tickets = 0  # sessions last: resuming gains nothing, and a ticket is a read that nobody awaits
+        server.verify_mode = CLIENT_VERIFICATION[section.clients]
+        # Sessions are long-lived, so resumption gains nothing, and a ticket would be input that nobody waits for.
+        server.num_tickets = 0
         contexts.append(server)
     for context in contexts:
-        context.minimum_version = VERSIONS[told.minimum]
+        context.minimum_version = VERSIONS[section.minimum]
         context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
-        if told.certificate:
+        if section.certificate:
             try:
-                context.load_cert_chain(told.certificate, told.key or None)
+                context.load_cert_chain(section.certificate, section.key or None)
             except (OSError, ssl.SSLError) as error:
                 why = error.reason if isinstance(error, ssl.SSLError) else error.strerror
-                raise BadKeys("certificate", f"{told.certificate} and its key will not do: {why}") from None
-        if told.authorities:
+                raise TlsFileError("certificate", f"{section.certificate} and its key are unusable: {why}") from None
+        if section.authorities:
             try:
-                context.load_verify_locations(told.authorities)
+                context.load_verify_locations(section.authorities)
             except (OSError, ssl.SSLError) as error:
                 why = error.reason if isinstance(error, ssl.SSLError) else error.strerror
-                raise BadKeys("authorities", f"{told.authorities} can't be read: {why}") from None
-    return Pair(server, client, ends)
+                raise TlsFileError("authorities", f"{section.authorities} can't be read: {why}") from None
+    return TlsContexts(server, client, expires_at)
 
 
 def _expiry(file: str) -> datetime:
-    from cryptography import x509  # only where it is wanted
+    from cryptography import x509  # imported only where a certificate is configured
 
     try:
         with open(file, "rb") as opened:
-            found = x509.load_pem_x509_certificates(opened.read(1_000_000))
-        return min(cert.not_valid_after_utc for cert in found)
+            certificates = x509.load_pem_x509_certificates(opened.read(1_000_000))
+        return min(certificate.not_valid_after_utc for certificate in certificates)
     except OSError as error:
-        raise BadKeys("certificate", f"{file} can't be read: {error.strerror}") from None
+        raise TlsFileError("certificate", f"{file} can't be read: {error.strerror}") from None
     except ValueError:
-        raise BadKeys("certificate", f"{file} holds no certificate (wanted: PEM)") from None
+        raise TlsFileError("certificate", f"{file} holds no certificate (wanted: PEM)") from None
 
 
 class Keys:
-    """The sections ``tls`` and what was made of them. New connections use the newest; old ones go on with theirs."""
+    """The contexts of all ``tls`` sections. New connections use the latest ones; existing connections keep theirs."""
 
     def __init__(self, conf: Conf) -> None:
-        """``ConfFaults`` names each file that will not do."""
-        self._pairs: dict[str, Pair] = {}
-        self._take(conf)
+        """Loads all files; raises ``ConfFaults``, which names each unusable one."""
+        self._contexts: dict[str, TlsContexts] = {}
+        self._load(conf)
 
-    def _take(self, conf: Conf) -> None:
-        pairs: dict[str, Pair] = {}
+    def _load(self, conf: Conf) -> None:
+        contexts: dict[str, TlsContexts] = {}
         faults: list[Fault] = []
-        for told in conf.many(schema.Tls):
-            assert isinstance(told.values, schema.Tls)
+        for section in conf.many(schema.Tls):
+            assert isinstance(section.values, schema.Tls)
             try:
-                pairs[told.label] = read(told.values)
-            except BadKeys as error:
-                faults.append(told.fault(error.key, str(error)))
-        for title, key, told in [
+                contexts[section.label] = read(section.values)
+            except TlsFileError as error:
+                faults.append(section.fault(error.key, str(error)))
+        for title, key, section in [
             (s.TITLE, "tls", t)
             for s in (schema.Smpp, schema.SmppGateway, schema.Registry)
             for t in (conf.many(s) if s.LABELED else [conf.told(s)])
         ]:
-            name = getattr(told.values, key)
+            name = getattr(section.values, key)
             if name and name not in {t.label for t in conf.many(schema.Tls)}:
-                faults.append(told.fault(key, f"there is no section tls {name}"))
-            elif name and title == "smpp" and name in pairs and pairs[name].server is None:
-                faults.append(told.fault(key, f"tls {name} has no certificate, which a listener needs"))
+                faults.append(section.fault(key, f"there is no section tls {name}"))
+            elif name and title == "smpp" and name in contexts and contexts[name].server is None:
+                faults.append(section.fault(key, f"tls {name} has no certificate, which a listener requires"))
         if faults:
             raise ConfFaults(sorted(faults))
-        self._pairs |= pairs  # one that is gone may still be named by what is read at the start only
+        self._contexts |= contexts  # settings that are read only at the start may still name a section that was removed
 
-    def again(self, conf: Conf) -> None:
-        """Read the files once more; ``ConfFaults`` leaves what there is."""
-        self._take(conf)
-        for label in self._pairs:
+    def reload(self, conf: Conf) -> None:
+        """Reads the files again; ``ConfFaults`` leaves the current contexts in place."""
+        self._load(conf)
+        for label in self._contexts:
             logs.event("tls-read", section=label)
-        self.tell()
+        self.log_expiry()
 
     def server(self, label: str) -> ssl.SSLContext:
-        """For a connection that a peer makes to us."""
-        found = self._pairs[label].server
-        assert found is not None
-        return found
+        """The context for incoming connections."""
+        context = self._contexts[label].server
+        assert context is not None
+        return context
 
     def client(self, label: str) -> ssl.SSLContext:
-        """For a connection that we make."""
-        return self._pairs[label].client
+        """The context for outgoing connections."""
+        return self._contexts[label].client
 
-    def tell(self) -> None:
-        """Log what expires within ``AHEAD`` days."""
+    def log_expiry(self) -> None:
+        """Logs certificates that have expired or expire within ``EXPIRY_WARNING_DAYS`` days."""
         now = datetime.now(UTC)
-        for label, pair in self._pairs.items():
-            if pair.ends is None or (pair.ends - now).days >= AHEAD:
+        for label, context in self._contexts.items():
+            if context.expires_at is None or (context.expires_at - now).days >= EXPIRY_WARNING_DAYS:
                 continue
-            days = (pair.ends - now).days
+            days = (context.expires_at - now).days
             if days < 0:
-                logs.error("tls-certificate-expired", section=label, since=pair.ends.isoformat())
+                logs.error("tls-certificate-expired", section=label, since=context.expires_at.isoformat())
             else:
-                logs.warn("tls-certificate-expires", section=label, at=pair.ends.isoformat(), days=days)
+                logs.warn("tls-certificate-expires", section=label, at=context.expires_at.isoformat(), days=days)
 
     def watch(self, loop: Loop) -> None:
-        """Tell at the start and each day."""
-        if not self._pairs:
+        """Checks for expiring certificates at the start and once a day."""
+        if not self._contexts:
             return
         while True:
-            self.tell()
+            self.log_expiry()
             loop.sleep(DAY)
 
     def secured(self, registries: list[Registry]) -> list[Registry]:
-        """The registries, with keys for those that are called with TLS."""
+        """Returns the registries, with a TLS context for those that use TLS."""
         return [replace(r, secure=partial(self.client, r.told.tls)) if r.told.tls else r for r in registries]
--- a/kestrelspar/passwords.py
+++ b/kestrelspar/passwords.py
@@ -8,51 +8,51 @@
 import os
 import re
 
-LOG_N, R, P = 12, 8, 1  # 4 MB and some 10 ms for each check: it is done in a turn of the loop
-MOST_LOG_N = 15  # a hash from elsewhere may cost more, but must not stop the loop
+LOG_N, R, P = 12, 8, 1  # about 4 MB and 10 ms for each check, which blocks the event loop
+MAX_LOG_N = 15  # hashes made elsewhere may cost more, but must not block the event loop for long
 _PHC = re.compile(r"\$scrypt\$ln=(\d{1,2}),r=(\d{1,2}),p=(\d)\$([A-Za-z0-9+/]{8,64})\$([A-Za-z0-9+/]{22,128})")
 
 
 def is_hash(text: str) -> bool:
-    """Whether this is a hash and not a password."""
+    """Whether the text is a hash rather than a password in clear text."""
     return text.startswith("$scrypt$")
 
 
 def usable(text: str) -> bool:
-    """Whether a hash is one that ``same`` can check at a bearable cost."""
+    """Whether ``same`` can check the hash at an acceptable cost."""
     match = _PHC.fullmatch(text)
-    return match is not None and 4 <= int(match[1]) <= MOST_LOG_N and 1 <= int(match[2]) <= 16 and int(match[3]) == 1
+    return match is not None and 4 <= int(match[1]) <= MAX_LOG_N and 1 <= int(match[2]) <= 16 and int(match[3]) == 1
 
 
 def hashed(password: str) -> str:
-    """A salted hash of a password."""
+    """Hashes a password with a random salt."""
     salt = os.urandom(16)
-    return f"$scrypt$ln={LOG_N},r={R},p={P}${_text(salt)}${_text(_scrypt(password, salt, LOG_N, R, P, 32))}"
+    return f"$scrypt$ln={LOG_N},r={R},p={P}${_to_base64(salt)}${_to_base64(_scrypt(password, salt, LOG_N, R, P, 32))}"
 
 
 class Verifier:
-    """Checks passwords; what was right once is known again without the cost, as contractors bind many sessions."""
+    """Verifies passwords; caches successful checks, as contractors bind many sessions."""
 
     def __init__(self) -> None:
-        self._key = os.urandom(32)  # of this process: what is kept is of no use elsewhere
-        self._known: dict[str, bytes] = {}
-
-    def same(self, told: str, password: str) -> bool:
-        """Whether a password is the one that was told, as it is or as a hash."""
-        if not is_hash(told):
-            return hmac.compare_digest(told.encode(), password.encode())
-        mark = hashlib.blake2b(password.encode(), key=self._key).digest()
-        known = self._known.get(told)
-        if known is not None and hmac.compare_digest(known, mark):
+        self._key = os.urandom(32)  # per process, so that cached digests are of no use elsewhere
+        self._verified: dict[str, bytes] = {}  # keyed digest of the password, by its stored hash
+
+    def same(self, stored: str, password: str) -> bool:
+        """Whether the password matches the stored one, which is clear text or a hash."""
+        if not is_hash(stored):
+            return hmac.compare_digest(stored.encode(), password.encode())
+        digest = hashlib.blake2b(password.encode(), key=self._key).digest()
+        cached = self._verified.get(stored)
+        if cached is not None and hmac.compare_digest(cached, digest):
             return True
-        match = _PHC.fullmatch(told)
-        if match is None or not usable(told):
+        match = _PHC.fullmatch(stored)
+        if match is None or not usable(stored):
             return False
-        salt, wanted = _bytes(match[4]), _bytes(match[5])
-        found = _scrypt(password, salt, int(match[1]), int(match[2]), int(match[3]), len(wanted))
-        if not hmac.compare_digest(found, wanted):
+        salt, expected = _from_base64(match[4]), _from_base64(match[5])
+        computed = _scrypt(password, salt, int(match[1]), int(match[2]), int(match[3]), len(expected))
+        if not hmac.compare_digest(computed, expected):
             return False
-        self._known[told] = mark
+        self._verified[stored] = digest
         return True
 
 
@@ -62,9 +62,9 @@
     )
 
 
-def _text(data: bytes) -> str:
+def _to_base64(data: bytes) -> str:
     return base64.b64encode(data).decode().rstrip("=")
 
 
-def _bytes(text: str) -> bytes:
+def _from_base64(text: str) -> bytes:
     return base64.b64decode(text + "=" * (-len(text) % 4))
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -1,4 +1,4 @@
-"""Start one courier: read the configuration, put the parts together, and serve until told to end."""
+"""Starts one courier: reads the configuration, assembles the components, and serves until a signal ends it."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 from snowlock.settings import SettingsError
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # with ssl: only where it is wanted
+    from kestrelspar.keys import Keys  # imports ssl, which is loaded only where it is needed
     from kestrelspar.peers.link import PeerLink
     from kestrelspar.registry.follower import Follower
 
-BUFFERS_PART = 8  # of the memory, one in so many bytes goes to read buffers at most
-LEAST_CLIENTS = 8  # connections of clients, however few descriptors there are
-MOST_KEPT = 0.5  # of the disk, for kept lists; the rest is the journal's
-LIST_WITHIN, LIST_LOOK = 200 * MS, 2 * MS  # a start waits so long for the list; it is looked for so often
-LATER = ("name", "listen", "state", "sockets", "memory", "disk_bytes", "settings")  # read at the start only
+BUFFER_MEMORY_DIVISOR = 8  # read buffers take at most one eighth of the memory
+MIN_CLIENT_CONNECTIONS = 8  # however few descriptors there are
+MAX_SAVED_LISTS_FRACTION = 0.5  # of the disk limit, for registries' saved lists; the rest is the journal's
+INITIAL_LIST_TIMEOUT, INITIAL_LIST_POLL_INTERVAL = 200 * MS, 2 * MS  # of the wait for discovery's list at a start
+RESTART_ONLY = ("name", "listen", "state", "sockets", "memory", "disk_bytes", "settings")  # not changed by a reload
 
 
-class Told:
-    """Everything that the program is told at its start; ``ValueError`` says all that will not do."""
+class StartupConfig:
+    """The configuration that the program starts with; ``ValueError`` names everything that is invalid in it."""
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self.platform = platform.read(environment)
@@ -59,18 +59,18 @@
         extra = self.conf.one(schema.Plugins)
         scripts = extra.scripts if extra.enabled else ()
         self.rules = []
-        if scripts:  # here and below: what is off costs no time between exec and ready, when a whole fleet starts
+        if scripts:  # here and below: disabled features are not imported, as that delays the start of a whole fleet
             from kestrelspar import plugins
 
             self.rules = [rule for name in scripts for rule in plugins.read(Path(name))]
         reserved = sum(keep.reserve(r.told.keep) for r in self.registries)
-        if reserved > MOST_KEPT * self.platform.disk_bytes:
-            told = next(t for t in self.conf.many(schema.Registry) if t.label == self.registries[0].label)
+        if reserved > MAX_SAVED_LISTS_FRACTION * self.platform.disk_bytes:
+            section = next(s for s in self.conf.many(schema.Registry) if s.label == self.registries[0].label)
             raise ConfFaults(
                 [
-                    told.fault(
+                    section.fault(
                         "keep",
-                        f"kept lists may take {reserved} bytes, old and new copy, and the "
+                        f"saved lists may take {reserved} bytes, with old and new copy, and the "
                         f"journal needs half of limits.disk_mb, "
                         f"{self.platform.disk_bytes} bytes",
                     )
@@ -78,32 +78,32 @@
             )
         self.reserved = reserved
         self.maps: dict[str, list[entries.Entry]] = {}
-        for told in self.conf.many(schema.Map):
-            assert isinstance(told.values, schema.Map)
+        for section in self.conf.many(schema.Map):
+            assert isinstance(section.values, schema.Map)
             try:
-                self.maps[told.label] = entries.read_map(told.values.file)
-                for entry in self.maps[told.label]:
-                    entries.hop(entry, self.platform.settings, _NOBODY)
+                self.maps[section.label] = entries.read_map(section.values.file)
+                for entry in self.maps[section.label]:
+                    entries.hop(entry, self.platform.settings, _NULL_CARRIER)
             except ValueError as error:
-                raise ConfFaults([told.fault("file", str(error))]) from error
+                raise ConfFaults([section.fault("file", str(error))]) from error
 
 
-class _Nobody:
-    """Stands where a carrier is needed to check an entry."""
+class _NullCarrier:
+    """A placeholder where validating a map entry needs a carrier."""
 
     def attempt(self, message: object, hop: NextHop, deadline: int, leave: Callable[[], bool]) -> object:
-        """Never asked."""
+        """Never called."""
         raise NotImplementedError
 
     def close_idle(self, hop: NextHop) -> None:
-        """Has none."""
+        """Does nothing, as there are no connections."""
 
 
-_NOBODY = _Nobody()
+_NULL_CARRIER = _NullCarrier()
 
 
-def refuse(error: ValueError) -> int:
-    """Log each fault of the configuration; the exit code."""
+def report_invalid_configuration(error: ValueError) -> int:
+    """Logs each configuration error; returns the exit code."""
     faults = list(map(str, error.faults)) if isinstance(error, ConfFaults | SettingsError) else [str(error)]
     for fault in faults:
         logs.error("configuration", why=fault)
@@ -111,19 +111,19 @@
 
 
 class Registries:
-    """The registries that are followed, and their calls' connections."""
+    """The registries that are followed, and the connection pool to their endpoints."""
 
-    def __init__(self, loop: Loop, buffers: BufferPool, courier: Courier, told: Told) -> None:
-        self._loop, self._buffers, self._courier, self._told = loop, buffers, courier, told
+    def __init__(self, loop: Loop, buffers: BufferPool, courier: Courier, config: StartupConfig) -> None:
+        self._loop, self._buffers, self._courier, self._config = loop, buffers, courier, config
         self._followers: dict[str, Follower] = {}
-        self._carrier: NextHops | None = None  # made when needed: the platform has no registry
-        self._idle = told.platform.sockets // 8 if told.registries else 8
-        # Connections to next hops, and for each registry a list, a watch, and a kept file.
-        self.descriptors = self._idle + 4 * len(told.registries) if told.registries else 0
-
-    def follow(self, told: list[resolve.Registry]) -> None:
-        """Follow these, and no others: new ones start, others move, those that are missing end."""
-        wanted = {registry.label: registry for registry in told}
+        self._carrier: NextHops | None = None  # created when needed, as the platform uses no registry
+        self._idle = config.platform.sockets // 8 if config.registries else 8
+        # Idle connections to next hops, and for each registry a list request, a watch and a state file.
+        self.descriptors = self._idle + 4 * len(config.registries) if config.registries else 0
+
+    def follow(self, registries: list[resolve.Registry]) -> None:
+        """Follows exactly these registries: starts new ones, reconfigures known ones, stops those that are missing."""
+        wanted = {registry.label: registry for registry in registries}
         for label in [label for label in self._followers if label not in wanted]:
             self._followers.pop(label).stop()
         for label, registry in wanted.items():
@@ -131,222 +131,231 @@
                 self._followers[label].move(registry)
                 continue
             if self._carrier is None:
-                self._carrier = NextHops(self._loop, self._buffers, self._told.platform.settings, self._idle)
+                self._carrier = NextHops(self._loop, self._buffers, self._config.platform.settings, self._idle)
             from kestrelspar.registry.follower import Follower
 
-            seed = self._told.platform.seed ^ zlib.crc32(label.encode())
+            seed = self._config.platform.seed ^ zlib.crc32(label.encode())
             self._followers[label] = Follower(
-                self._loop, self._buffers, self._courier, self._carrier, registry, self._told.platform.state, seed
+                self._loop, self._buffers, self._courier, self._carrier, registry, self._config.platform.state, seed
             )
             self._followers[label].start()
 
 
 def _reload(
     environment: Mapping[str, str],
-    told: Told,
+    config: StartupConfig,
     watch: Watch,
     notices: Notices,
     registries: Registries,
     link: PeerLink | None,
 ) -> None:
-    """SIGHUP: read the configuration again; follow discovery and registries to where they are now, log as it says, take
-    other keys of the peers or talk to them no more. Open messages go on. What will not do changes nothing."""
+    """Reloads the configuration on SIGHUP.
+
+    Follows discovery and registries to their new addresses, applies the log settings, and changes the peer keys or
+    stops talking to peers. Open messages continue. An invalid configuration changes nothing.
+    """
     try:
         fresh = platform.read(environment, again=True)
         conf = conf_file.load(conf_file.where(environment), environment)
         followed, secrets = resolve.registries(conf), resolve.peer_keys(conf)
-        if told.keys is None and resolve.keys(conf) is not None:
-            raise ValueError("tls: the first keys need a restart")
-        if sum(keep.reserve(r.told.keep) for r in followed) > told.reserved:
+        if config.keys is None and resolve.keys(conf) is not None:
+            raise ValueError("tls: adding the first certificate or key requires a restart")
+        if sum(keep.reserve(r.told.keep) for r in followed) > config.reserved:
             raise ValueError(
-                "registry.keep: kept lists may take no more disk than at the start (restart, or set keep 0B)"
+                "registry.keep: saved lists may take no more disk space than at the start (restart, or set keep 0B)"
             )
-        if told.keys is not None:  # last: what will not do must have changed nothing
-            told.keys.again(conf)
-            followed = told.keys.secured(followed)
+        if config.keys is not None:  # last, as an invalid configuration must change nothing
+            config.keys.reload(conf)
+            followed = config.keys.secured(followed)
     except ValueError as error:
         faults = error.faults if isinstance(error, ConfFaults | SettingsError) else [error]
         for fault in faults:
             logs.error("configuration-not-taken", why=str(fault))
         return
-    later = [key for key in LATER if getattr(fresh, key) != getattr(told.platform, key)]
-    later += [
+    needs_restart = [key for key in RESTART_ONLY if getattr(fresh, key) != getattr(config.platform, key)]
+    needs_restart += [
         title
         for title in ("smpp", "smpp-account", "smpp-gateway", "plugins", "map")
-        if [s.values for s in conf.sections.get(title, [])] != [s.values for s in told.conf.sections.get(title, [])]
+        if [s.values for s in conf.sections.get(title, [])] != [s.values for s in config.conf.sections.get(title, [])]
     ]
     logs.set_up(conf.one(schema.Log).format, conf.one(schema.Log).level)
     registries.follow(followed)
     if link is not None:
         link.reload(conf.one(schema.Peers), secrets)
     elif secrets:
-        later.append("peers")
-    logs.event("configuration-read", at_next_start=" ".join(later) or None)
+        needs_restart.append("peers")
+    logs.event("configuration-read", at_next_start=" ".join(needs_restart) or None)
     if fresh.discovery != watch.discovery:
         logs.event("discovery-moves", to=f"{fresh.discovery[0]}:{fresh.discovery[1]}")
         watch.move(fresh.discovery)
         notices.move(fresh.discovery)
 
 
-def _buffers(memory: int, settings: api.Settings) -> tuple[int, int]:
-    """How many read buffers there may be, and how many of them are kept for the answers to our own calls."""
-    most = max(32, memory // BUFFERS_PART // SIZE)
-    return most, min(most // 2, settings.slots + 16)
+def _buffer_limits(memory: int, settings: api.Settings) -> tuple[int, int]:
+    """The maximum number of read buffers, and how many of them are reserved for responses to the courier's requests."""
+    max_buffers = max(32, memory // BUFFER_MEMORY_DIVISOR // SIZE)
+    return max_buffers, min(max_buffers // 2, settings.slots + 16)
 
 
-def shares(sockets: int, slots: int) -> tuple[int, int]:
-    """Descriptors for clients' connections, and for idle ones to next hops.
+def split_descriptors(sockets: int, slots: int) -> tuple[int, int]:
+    """Splits the descriptor limit: returns the numbers for clients' connections and for idle ones to next hops.
 
-    The rest is for calls out and answers read on, discovery, notices, listeners and files: clients that fill theirs
-    must not keep the courier from these.
+    The rest is reserved for delivery attempts, responses that are still being read, discovery, notices, listeners and
+    files, so that clients which use up their share cannot block these.
     """
     rest = sockets - 2 * slots - max(16, min(32, sockets // 4), sockets // 16)
     idle = max(4, min(sockets // 4, rest // 2))
-    return max(LEAST_CLIENTS, rest - idle), idle
+    return max(MIN_CLIENT_CONNECTIONS, rest - idle), idle
 
 
 def main(environment: Mapping[str, str] = os.environ) -> int:
-    """Serve; exit code 0 after SIGTERM, 2 for a configuration or an address that will not do."""
-    ear = signals.ear()
-    heap.hold()  # a long list makes no cycles, and passes over it took half of the start
+    """Runs the courier; returns exit code 0 after SIGTERM, 2 for an invalid configuration or an unusable address."""
+    signal_socket = signals.ear()
+    heap.hold()  # a long list makes no reference cycles, and garbage collection over it took half of the start time
     try:
-        all_told = Told(environment)
+        startup = StartupConfig(environment)
     except ValueError as error:
-        return refuse(error)
-    logs.set_up(all_told.log.format, all_told.log.level)
-    told, smpp = all_told.platform, all_told.smpp
+        return report_invalid_configuration(error)
+    logs.set_up(startup.log.format, startup.log.level)
+    config, smpp = startup.platform, startup.smpp
     loop = Loop()
-    buffers = BufferPool(*_buffers(told.memory, told.settings))
+    buffers = BufferPool(*_buffer_limits(config.memory, config.settings))
     try:
-        for name in keep.clear(told.state, [registry.label for registry in all_told.registries]):
+        for name in keep.clear(config.state, [registry.label for registry in startup.registries]):
             logs.event("registry-kept-removed", file=name)
-        room = told.disk_bytes - all_told.reserved - Left.reserve(MAX_REMOVALS_BYTES)
-        journal = Journal(told.state, room, told.settings.max_attempts)
-        listener = bind(told.listen)
+        journal_bytes = config.disk_bytes - startup.reserved - Left.reserve(MAX_REMOVALS_BYTES)
+        journal = Journal(config.state, journal_bytes, config.settings.max_attempts)
+        listener = bind(config.listen)
         smpp_listener = None if smpp is None else bind(smpp.listen)
-    except OSError as error:  # a folder that can't be written, an address that is taken
+    except OSError as error:  # a state directory that is not writable, or an address in use
         logs.error("can't-start", why=str(error))
         return 2
-    courier = Courier(loop, told.settings, told.seed, journal)
-    clients, idle = shares(told.sockets, told.settings.slots)
-    carrier = NextHops(loop, buffers, told.settings, idle)
-    notices = Notices(loop, buffers, told.discovery)
+    courier = Courier(loop, config.settings, config.seed, journal)
+    max_clients, max_idle = split_descriptors(config.sockets, config.settings.slots)
+    carrier = NextHops(loop, buffers, config.settings, max_idle)
+    notices = Notices(loop, buffers, config.discovery)
     courier.senders[notices.name] = notices
     courier.unfinished.append(notices.has_pending)
-    kept = told.sockets - clients
-    if all_told.maps:
-        kept += told.sockets // 8
-        own = NextHops(loop, buffers, told.settings, told.sockets // 8)  # to next hops of the operators' own
-        for label, rows in all_told.maps.items():
-            courier.listed(f"map {label}", [entries.hop(row, told.settings, own) for row in rows], whole=True)
-    fronts: list[Callable[[], None]] = []  # what opens each
+    reserved = config.sockets - max_clients
+    if startup.maps:
+        reserved += config.sockets // 8
+        map_carrier = NextHops(
+            loop, buffers, config.settings, config.sockets // 8
+        )  # for next hops of transport map files
+        for label, rows in startup.maps.items():
+            courier.listed(f"map {label}", [entries.hop(row, config.settings, map_carrier) for row in rows], whole=True)
+    front_ends: list[Callable[[], None]] = []  # the functions that open the front ends
     if smpp is not None and smpp_listener is not None:
-        kept += _smpp(smpp, smpp_listener, loop, buffers, courier, told.seed, all_told.keys, fronts)
-    if all_told.rules:
+        reserved += _add_smpp(smpp, smpp_listener, loop, buffers, courier, config.seed, startup.keys, front_ends)
+    if startup.rules:
         from kestrelspar import plugins
 
-        courier.hooks.append(plugins.Plugins(loop, told.settings, all_told.rules))
-        logs.event("plugins", rules=len(all_told.rules))
+        courier.hooks.append(plugins.Plugins(loop, config.settings, startup.rules))
+        logs.event("plugins", rules=len(startup.rules))
     link = None
-    if all_told.peer_keys:
-        from kestrelspar.peers.link import PeerLink  # only where it is on: the platform's memory is small
+    if startup.peer_keys:
+        from kestrelspar.peers.link import PeerLink  # only where enabled, as the platform's memory is small
 
-        kept += 2
+        reserved += 2
         try:
             link = PeerLink(
-                loop, courier, told.name, all_told.conf.one(schema.Peers), all_told.peer_keys, told.state, told.seed
+                loop, courier, config.name, startup.conf.one(schema.Peers), startup.peer_keys, config.state, config.seed
             )
         except OSError as error:
             logs.error("can't-start", why=f"peers.listen: {error}")
             return 2
-        fronts.append(link.start)
-    registries = Registries(loop, buffers, courier, all_told)
-    kept += registries.descriptors
-    server = SenderServer(loop, buffers, courier, notices, max(LEAST_CLIENTS, told.sockets - kept))
-    watch = Watch(loop, buffers, courier, carrier, told.discovery, told.seed, told.state)
+        front_ends.append(link.start)
+    registries = Registries(loop, buffers, courier, startup)
+    reserved += registries.descriptors
+    server = SenderServer(loop, buffers, courier, notices, max(MIN_CLIENT_CONNECTIONS, config.sockets - reserved))
+    watch = Watch(loop, buffers, courier, carrier, config.discovery, config.seed, config.state)
     loop.spawn(
         signals.heed,
         loop,
-        ear,
+        signal_socket,
         {
             signal.SIGTERM: courier.close,
             signal.SIGINT: courier.close,
-            signal.SIGHUP: partial(_reload, environment, all_told, watch, notices, registries, link),
+            signal.SIGHUP: partial(_reload, environment, startup, watch, notices, registries, link),
         },
     )
-    if told.known:
-        watch.begin(told.known)
-    registries.follow(all_told.registries)
-    if all_told.keys is not None:
-        loop.spawn(all_told.keys.watch, loop)
+    if config.known:
+        watch.begin(config.known)
+    registries.follow(startup.registries)
+    if startup.keys is not None:
+        loop.spawn(startup.keys.watch, loop)
     loop.spawn(watch.run)
-    fronts.append(partial(_accept, loop, listener, server.accept))
-    loop.spawn(_open, courier, fronts, told)
+    front_ends.append(partial(_open_front_end, loop, listener, server.accept))
+    loop.spawn(_open_front_ends, courier, front_ends, config)
     gc.freeze()
     heap.release()
     loop.run()
     return 0 if courier.closing is not None else 2
 
 
-def _open(courier: Courier, fronts: list[Callable[[], None]], told: platform.Config) -> None:
-    """Take up what the journal holds, then open the fronts, once the list is fresh.
+def _open_front_ends(courier: Courier, front_ends: list[Callable[[], None]], config: platform.Config) -> None:
+    """Waits for a current list, recovers messages from the journal, then opens the front ends.
 
-    Guards against calls to endpoints that began to drain while the courier was away: what the list has told
-    counts from its change, not from when it is asked for. No front may open before ``resume``, which would take up
-    what it has just taken on, and send it twice.
+    The wait prevents delivery attempts to endpoints that began to drain while the courier was down: a change counts as
+    known from when discovery had it, not from when the courier requested it. No front end may open before ``resume``,
+    which would also recover the messages that it had just accepted, and send them twice.
     """
-    # Where each question costs discovery, questions are spread and none is waited for, but for one look.
-    by = courier.loop.now + (LIST_LOOK if told.settings.must_subscribe else LIST_WITHIN)
-    while courier.map.unheard and courier.loop.now < by:
-        courier.loop.sleep(LIST_LOOK)
+    # Where discovery is polled, couriers spread their requests, so a start does not wait beyond one poll interval.
+    deadline = courier.loop.now + (
+        INITIAL_LIST_POLL_INTERVAL if config.settings.must_subscribe else INITIAL_LIST_TIMEOUT
+    )
+    while courier.map.unheard and courier.loop.now < deadline:
+        courier.loop.sleep(INITIAL_LIST_POLL_INTERVAL)
     courier.resume()
     try:
-        for front in fronts:
-            front()
-    except OSError as error:  # another that was bound to the address, too, listens there
+        for open_front_end in front_ends:
+            open_front_end()
+    except OSError as error:  # another process that is bound to the same address listens there
         logs.error("can't-start", why=str(error))
         courier.loop.stop()
         return
     courier.ready = courier.closing is None
     logs.event(
         "serves",
-        courier=told.name,
-        listen=f"{told.listen[0]}:{told.listen[1]}",
+        courier=config.name,
+        listen=f"{config.listen[0]}:{config.listen[1]}",
         hops=len(courier.map.hops),
-        slots=told.settings.slots,
-        most_open=told.settings.max_open,
-        sockets=told.sockets,
-        memory_mb=told.memory // 1_000_000,
+        slots=config.settings.slots,
+        most_open=config.settings.max_open,
+        sockets=config.sockets,
+        memory_mb=config.memory // 1_000_000,
         unheard=" ".join(sorted(courier.map.unheard)) or None,
     )
 
 
-def _accept(loop: Loop, listener: socket.socket, accept: Callable[[socket.socket], None]) -> None:
-    """Open a front. It listens no sooner, as the time of a message runs from when it was sent: what came earlier would
-    have waited unread for as long as the start took, and its end would be late by that.
+def _open_front_end(loop: Loop, listener: socket.socket, accept: Callable[[socket.socket], None]) -> None:
+    """Opens a front end: starts to listen and to accept connections.
+
+    It does not listen earlier, as a message's lifetime runs from when it was sent: a request that arrived during the
+    start would wait unread, and its final state would be late by that time.
     """
     listener.listen(BACKLOG)
     loop.spawn(accept, listener)
 
 
-def _smpp(
-    told: resolve.Smpp,
+def _add_smpp(
+    config: resolve.Smpp,
     listener: socket.socket,
     loop: Loop,
     buffers: BufferPool,
     courier: Courier,
     seed: int,
     keys: Keys | None,
-    fronts: list[Callable[[], None]],
+    front_ends: list[Callable[[], None]],
 ) -> int:
-    """Make the SMPP front ready, and add what opens it to ``fronts``; how many descriptors it may take."""
-    from kestrelspar.smpp.client import Gateways  # only where it is on: the platform's memory is small
+    """Prepares the SMPP front end, adds its opener to ``front_ends``, and returns how many descriptors it may need."""
+    from kestrelspar.smpp.client import Gateways  # only where enabled, as the platform's memory is small
     from kestrelspar.smpp.inbound import Arrivals
     from kestrelspar.smpp.server import SmppServer
 
     arrivals = Arrivals(courier, lambda gateway, pdu: contractors.alert(gateway, pdu))
-    gateways = Gateways(loop, buffers, courier.settings, told.gateways, courier, arrivals, seed, keys)
-    contractors = SmppServer(loop, buffers, courier, told, gateways.outbound, keys)
+    gateways = Gateways(loop, buffers, courier.settings, config.gateways, courier, arrivals, seed, keys)
+    contractors = SmppServer(loop, buffers, courier, config, gateways.outbound, keys)
     courier.senders[contractors.name] = contractors
     courier.senders[arrivals.name] = arrivals
     courier.later[gateways.name] = gateways
@@ -355,9 +364,9 @@
 
     def start() -> None:
         gateways.start()
-        _accept(loop, listener, contractors.accept)
-        logs.event("smpp-serves", listen=f"{told.listen[0]}:{told.listen[1]}", gateways=len(told.gateways))
+        _open_front_end(loop, listener, contractors.accept)
+        logs.event("smpp-serves", listen=f"{config.listen[0]}:{config.listen[1]}", gateways=len(config.gateways))
 
-    fronts.append(start)
-    # A session that still waits for late answers may have a successor already.
-    return told.most_sessions + sum(2 * (g.sessions + 1) for g in told.gateways) + 1
+    front_ends.append(start)
+    # A session that still waits for late responses may already have a successor.
+    return config.most_sessions + sum(2 * (g.sessions + 1) for g in config.gateways) + 1
--- a/tests/http/test_descriptors.py
+++ b/tests/http/test_descriptors.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from kestrelspar.serve import shares
+from kestrelspar.serve import split_descriptors
 from tests.test_program import FAR, Program, World, free_port, row, until, world
 
 __all__ = ["world"]
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("sockets", [48, 64, 96, 128, 544, 1024])
 @pytest.mark.parametrize("slots", [2, 8, 24])
-def test_shares_of_the_descriptors_add_up(sockets: int, slots: int) -> None:
-    clients, idle = shares(sockets, slots)
+def test_descriptor_limits_add_up(sockets: int, slots: int) -> None:
+    clients, idle = split_descriptors(sockets, slots)
     assert clients >= 8 and idle >= 4
     assert clients + idle + 2 * slots + 16 <= sockets or sockets < 2 * slots + 32
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -712,7 +712,7 @@
         SimpleNamespace(name="n", listen=new.address, settings=new.courier.settings, sockets=9, memory=9),
     )
     new.loop.spawn(watch.run)
-    new.loop.spawn(serve._open, new.courier, [lambda: taken_up.append(new.courier.find("held"))], config)
+    new.loop.spawn(serve._open_front_ends, new.courier, [lambda: taken_up.append(new.courier.find("held"))], config)
     new.until(lambda: new.courier.ready)
     assert new.loop.now - begun <= 250 * MS
     assert taken_up[0] is not None, "a front opened first: what it takes on would be taken up as well"
@@ -730,13 +730,23 @@
     address = ours.getsockname()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
-    stage.loop.spawn(serve._open, stage.courier, [lambda: serve._accept(stage.loop, ours, stage.server.accept)], config)
+    stage.loop.spawn(
+        serve._open_front_ends,
+        stage.courier,
+        [lambda: serve._open_front_end(stage.loop, ours, stage.server.accept)],
+        config,
+    )
     stage.loop.turn()
     stage.loop.turn()
     socket.create_connection(address).close()
     late = bind(("127.0.0.1", 0))
     late.close()
-    stage.loop.spawn(serve._open, stage.courier, [lambda: serve._accept(stage.loop, late, stage.server.accept)], config)
+    stage.loop.spawn(
+        serve._open_front_ends,
+        stage.courier,
+        [lambda: serve._open_front_end(stage.loop, late, stage.server.accept)],
+        config,
+    )
     stage.until(lambda: stage.loop._stopped)
     assert "can't-start" in capsys.readouterr().out
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys and who may come in: files, expiry, reload, client certificates, hashed passwords, networks, waits."""
+"""TLS and access control: key files, expiry, reload, client certificates, password hashes, networks, back-off."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 CA = trustme.CA()
 
 
-def files(folder: Path, name: str = "hub.example", days: int = 365, ca: trustme.CA = CA) -> None:
+def write_files(folder: Path, name: str = "hub.example", days: int = 365, ca: trustme.CA = CA) -> None:
     cert = ca.issue_cert(name, "127.0.0.1", not_after=datetime.now(UTC) + timedelta(days=days))
     (folder / "cert.pem").write_bytes(b"".join(blob.bytes() for blob in cert.cert_chain_pems))
     (folder / "key.pem").write_bytes(cert.private_key_pem.bytes())
@@ -54,39 +54,41 @@
 
 
 def secure(stage: Stage, folder: Path, **account: object) -> Keys:
-    files(folder)
-    found = Keys(conf(folder))
+    write_files(folder)
+    keys = Keys(conf(folder))
     told = stage.server.told
     accounts = tuple(dataclasses.replace(a, **account) for a in told.accounts)  # type: ignore[arg-type]
     stage.server.told = dataclasses.replace(told, tls="main", accounts=accounts)
-    stage.server._keys = found
-    return found
+    stage.server._keys = keys
+    return keys
 
 
-def calls(stage: Stage, context: ssl.SSLContext) -> StandInContractor | None:
-    made: list[StandInContractor | None] = []
+def connect_contractor(stage: Stage, context: ssl.SSLContext) -> StandInContractor | None:
+    connected: list[StandInContractor | None] = []
 
-    def call() -> None:
+    def dial() -> None:
         stream = tls.dial(stage.loop, stage.buffers, stage.address, stage.loop.now + SECOND, context, "hub.example")
-        made.append(
+        connected.append(
             None
             if stream is None
             else StandInContractor(stage.loop, stage, stage.address, Command.BIND_TRANSCEIVER, stream=stream)
         )
 
-    stage.loop.spawn(call)
-    stage.until(lambda: made and (made[0] is None or made[0].answers or made[0].stream.sock.fileno() < 0))
-    return made[0]
+    stage.loop.spawn(dial)
+    stage.until(
+        lambda: connected and (connected[0] is None or connected[0].answers or connected[0].stream.sock.fileno() < 0)
+    )
+    return connected[0]
 
 
-def test_contractors_bind_and_submit_with_keys_and_others_cost_nothing(tmp_path: Path) -> None:
+def test_contractors_bind_and_submit_over_tls_and_other_connections_are_closed(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     secure(stage, tmp_path)
-    stall: list[object] = []
-    stage.loop.spawn(lambda: stall.append(connect(stage.loop, stage.address, stage.loop.now + SECOND)))  # says nothing
-    contractor = calls(stage, client())
+    stalled: list[object] = []  # a connection that sends nothing
+    stage.loop.spawn(lambda: stalled.append(connect(stage.loop, stage.address, stage.loop.now + SECOND)))
+    contractor = connect_contractor(stage, client())
     assert contractor is not None and contractor.answers[0].status == 0
     plain: list[StandInContractor] = []
     stage.loop.spawn(lambda: plain.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
@@ -94,35 +96,35 @@
     name = submitted(stage, contractor)
     stage.until(lambda: name in contractor.ends())
     stage.wait(6 * SECOND)
-    assert len(stage.server._guests) == 1, "what stalled in its handshake is gone"
+    assert len(stage.server._guests) == 1, "the connection that stalled in its handshake was not closed"
 
 
 @pytest.mark.parametrize(
-    ("shown", "status"),
+    ("presented", "status"),
     [("acme.example", Status.ESME_ROK), ("other.example", Status.ESME_RBINDFAIL), (None, Status.ESME_RBINDFAIL)],
 )
-def test_an_account_may_need_a_certificate(tmp_path: Path, shown: str | None, status: Status) -> None:
+def test_an_account_may_require_a_client_certificate(tmp_path: Path, presented: str | None, status: Status) -> None:
     stage = Stage(tmp_path)
     stage.open()
     secure(stage, tmp_path, certificate="acme.example")
-    contractor = calls(stage, client(CA.issue_cert(shown) if shown else None))
+    contractor = connect_contractor(stage, client(CA.issue_cert(presented) if presented else None))
     assert contractor is not None and contractor.answers[0].status == status
 
 
-def test_a_gateway_is_called_with_keys_and_its_name_is_checked(tmp_path: Path) -> None:
+def test_a_gateway_is_connected_over_tls_and_its_name_is_verified(tmp_path: Path) -> None:
     hub = Stage(tmp_path / "hub") if (tmp_path / "hub").mkdir() is None else None
     assert hub is not None
     hub.open()
     secure(hub, tmp_path)
-    # Another courier's listener stands for the gateway: it refuses the destination, which is the gateway's word.
-    found = hub.server._keys
+    # Another courier's listener acts as the gateway: it rejects the destination, as a gateway may do.
+    hub_keys = hub.server._keys
     for name, bound in (("hub.example", True), ("other.example", False)):
         gates = Gateways(
             hub.loop,
             hub.buffers,
             hub.courier.settings,
             (gateway(hub.address, system_id="acme", password="secret", tls="main", server_name=name, stay_bound=True),),
-            keys=found,
+            keys=hub_keys,
         )
         gates.start()
         hub.wait(SECOND)
@@ -130,43 +132,43 @@
         gates.leave()
 
 
-def test_new_files_are_for_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
+def test_reloaded_files_apply_to_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open()
-    found = secure(stage, tmp_path)
-    old = calls(stage, client())
+    keys = secure(stage, tmp_path)
+    old = connect_contractor(stage, client())
     assert old is not None
-    files(tmp_path, "hub.example", ca=trustme.CA())
-    found.again(conf(tmp_path))
-    assert calls(stage, client()) is None, "another authority's certificate is shown now"
+    write_files(tmp_path, "hub.example", ca=trustme.CA())
+    keys.reload(conf(tmp_path))
+    assert connect_contractor(stage, client()) is None, "the certificate of the other authority is not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
     with pytest.raises(ConfFaults, match=r"conf:2: tls main.certificate.*holds no certificate"):
-        found.again(conf(tmp_path))
-    files(tmp_path)
-    found.again(conf(tmp_path))
+        keys.reload(conf(tmp_path))
+    write_files(tmp_path)
+    keys.reload(conf(tmp_path))
     (tmp_path / "conf").write_text("log\n    level info\n")
-    found.again(conf_file.load(str(tmp_path / "conf")))  # the listener goes on with what it was started with
-    assert calls(stage, client()) is not None and old.stream.sock.fileno() >= 0
+    keys.reload(conf_file.load(str(tmp_path / "conf")))  # the listener keeps the contexts that it was started with
+    assert connect_contractor(stage, client()) is not None and old.stream.sock.fileno() >= 0
 
 
 @pytest.mark.parametrize(
-    ("spoil", "what"),
+    ("damage", "message"),
     [
         (lambda folder: (folder / "key.pem").chmod(0o640), r"conf:3: tls main.key.*may be read by others, mode 640"),
-        (lambda folder: (folder / "key.pem").write_text("x"), r"tls main.certificate.*and its key will not do"),
+        (lambda folder: (folder / "key.pem").write_text("x"), r"tls main.certificate.*and its key are unusable"),
         (lambda folder: (folder / "key.pem").unlink(), r"tls main.key.*can't be read"),
         (lambda folder: (folder / "ca.pem").write_text("x"), r"conf:4: tls main.authorities.*can't be read"),
     ],
 )
-def test_files_that_will_not_do_are_named(tmp_path: Path, spoil: object, what: str) -> None:
-    files(tmp_path)
-    spoil(tmp_path)  # type: ignore[operator]
-    with pytest.raises(ConfFaults, match=what):
+def test_unusable_files_are_named(tmp_path: Path, damage: object, message: str) -> None:
+    write_files(tmp_path)
+    damage(tmp_path)  # type: ignore[operator]
+    with pytest.raises(ConfFaults, match=message):
         Keys(conf(tmp_path))
 
 
-def test_sections_that_name_no_keys_are_faults(tmp_path: Path) -> None:
-    files(tmp_path)
+def test_references_to_missing_tls_sections_are_faults(tmp_path: Path) -> None:
+    write_files(tmp_path)
     (tmp_path / "pw").write_text("secret")
     (tmp_path / "pw").chmod(0o600)
     rest = (
@@ -186,31 +188,31 @@
 @pytest.mark.parametrize(
     ("days", "event"), [(40, None), (20, "tls-certificate-expires"), (-1, "tls-certificate-expired")]
 )
-def test_an_expiry_is_told_a_month_ahead(
+def test_an_expiry_is_logged_a_month_ahead(
     tmp_path: Path, days: int, event: str | None, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    files(tmp_path, days=days)
-    Keys(conf(tmp_path)).tell()
-    told = capsys.readouterr().out
-    assert (f"event={event} section=main" in told) if event else not told
-    assert keys_module.AHEAD == 30
+    write_files(tmp_path, days=days)
+    Keys(conf(tmp_path)).log_expiry()
+    output = capsys.readouterr().out
+    assert (f"event={event} section=main" in output) if event else not output
+    assert keys_module.EXPIRY_WARNING_DAYS == 30
 
 
 def test_passwords_are_checked_against_hashes(monkeypatch: pytest.MonkeyPatch) -> None:
-    told, verifier = hashed("secret"), Verifier()
-    assert hashed("secret") != told and passwords.usable(told) and passwords.is_hash(told)
-    assert verifier.same(told, "secret") and not verifier.same(told, "secreT") and not verifier.same(told, told)
+    stored, verifier = hashed("secret"), Verifier()
+    assert hashed("secret") != stored and passwords.usable(stored) and passwords.is_hash(stored)
+    assert verifier.same(stored, "secret") and not verifier.same(stored, "secreT") and not verifier.same(stored, stored)
     assert verifier.same("plain", "plain") and not verifier.same("plain", "plait")
-    counted: list[int] = []
+    computed: list[int] = []
     real = passwords._scrypt
-    monkeypatch.setattr(passwords, "_scrypt", lambda *given: counted.append(1) or real(*given))  # type: ignore[func-returns-value]
-    assert verifier.same(told, "secret") and not counted, "known again without the cost"
-    assert not verifier.same(told, "other") and counted
-    for bad in ("$scrypt$", "$scrypt$ln=30,r=8,p=1$c2FsdHNhbHQ$" + "A" * 43, told.replace("ln=12", "ln=99")):
+    monkeypatch.setattr(passwords, "_scrypt", lambda *given: computed.append(1) or real(*given))  # type: ignore[func-returns-value]
+    assert verifier.same(stored, "secret") and not computed, "a cached match was computed again"
+    assert not verifier.same(stored, "other") and computed
+    for bad in ("$scrypt$", "$scrypt$ln=30,r=8,p=1$c2FsdHNhbHQ$" + "A" * 43, stored.replace("ln=12", "ln=99")):
         assert not passwords.usable(bad) and not verifier.same(bad, "secret")
 
 
-def test_an_account_is_for_its_networks_and_an_address_waits_after_refusals(tmp_path: Path) -> None:
+def test_an_account_is_limited_to_its_networks_and_failed_binds_delay_an_address(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open()
     told = stage.server.told
@@ -218,7 +220,7 @@
     stage.server.told = dataclasses.replace(told, accounts=away)
     assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
     stage.server.told = told
-    assert stage.contractor().answers[0].status == 0, "one refusal is not held against it"
+    assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
         assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
     cut: list[StandInContractor] = []
@@ -229,12 +231,12 @@
     assert stage.contractor().answers[0].status == 0
 
 
-def test_waits_grow_and_are_forgotten() -> None:
+def test_delays_grow_and_are_forgotten() -> None:
     kept = door.Door()
-    waits = [kept.refused("1.1.1.1", 0) // SECOND for _ in range(12)]
-    assert waits == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and kept.waits("1.1.1.1", 59 * SECOND)
+    delays = [kept.refused("1.1.1.1", 0) // SECOND for _ in range(12)]
+    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and kept.waits("1.1.1.1", 59 * SECOND)
     assert not kept.waits("1.1.1.1", 60 * SECOND) and not kept.waits("1.1.1.2", 0)
-    assert kept.refused("1.1.1.1", 400 * SECOND) == 0, "forgotten after a while without any"
+    assert kept.refused("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
     for place in range(3_000):
         kept.refused(f"2.0.{place // 256}.{place % 256}", 0)
     assert len(kept._refused) == door.MOST_KNOWN
