--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -73,9 +73,8 @@
         self.loop, self.buffers, self.courier, self.sender = loop, buffers, courier, sender
         self._max_connections = max_connections
         self._max_idle = max(4, max_connections // 4)  # connections kept open between requests
-        self._clients: dict[State, dict[Client, int]] = {
-            state: {} for state in State
-        }  # by state, with the time of entering it, oldest first
+        # By state, with the time of entering it, oldest first.
+        self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}
         self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
         courier.at_close.append(self.close_connections)
--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -121,7 +121,7 @@
             raise ConfFaults(sorted(faults))
         self._contexts |= contexts  # settings that are read only at the start may still name a section that was removed
 
-    def reload(self, conf: Conf) -> None:
+    def reload_files(self, conf: Conf) -> None:
         """Reads the files again; ``ConfFaults`` leaves the current contexts in place."""
         self._load(conf)
         for label in self._contexts:
--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -81,12 +81,12 @@
             return
         if isinstance(node, ast.Constant):
             if not isinstance(node.value, (str, int, float)) or isinstance(node.value, complex):
-                raise ValueError(f"constant {node.value!r} is not supported")
+                raise ValueError(f"{node.value!r} is not supported")
             return
         if isinstance(node, ast.Call):
             function = _CALLS.get(node.func.id) if isinstance(node.func, ast.Name) else None
             if function is None or node.keywords or len(node.args) != function[0]:
-                raise ValueError(f"call {ast.unparse(node)!r} is not supported: unknown function or wrong arguments")
+                raise ValueError(f"{ast.unparse(node)!r} is not a supported function call")
             for argument in node.args:
                 self._check(argument, names)
             return
@@ -164,8 +164,8 @@
         match = _RULE.fullmatch(line)
         if match is None:
             raise ScriptError(f"{location}: a rule has the form 'on arrival|end when CONDITION: ACTION'")
-        self.event = match[1]
-        names = ARRIVAL if self.event == "arrival" else END
+        self.trigger = match[1]
+        names = ARRIVAL if self.trigger == "arrival" else END
         error = "no ':' between condition and action"
         rest = match[2]
         # A colon may also stand inside a string, so each one is tried until the text before it is an expression.
@@ -180,7 +180,7 @@
         raise ScriptError(f"{location}: {error}")
 
     def _read_action(self, text: str, names: frozenset[str]) -> None:
-        for verb in ACTIONS[self.event]:
+        for verb in ACTIONS[self.trigger]:
             if text == verb or text.startswith(verb + " "):
                 self.verb = verb
                 try:
@@ -188,7 +188,7 @@
                 except (SyntaxError, ValueError) as invalid:
                     raise ScriptError(f"{self.location}: {invalid}") from invalid
                 return
-        raise ScriptError(f"{self.location}: {text.split(' ')[0]!r} is not an action of 'on {self.event}'")
+        raise ScriptError(f"{self.location}: {text.split(' ')[0]!r} is not an action on {self.trigger}")
 
 
 def read(path: Path) -> list[Rule]:
@@ -213,7 +213,7 @@
     def arrival(self, message: Message) -> Answer | None:
         """Runs the rules in order, up to the first that defers or rejects the message."""
         for rule in self.rules:
-            if rule.event != "arrival":
+            if rule.trigger != "arrival":
                 continue
             fields = self._fields(message)
             try:
@@ -223,7 +223,7 @@
                 if rule.verb == "defer":
                     delay = int(value)
                     if not 0 <= delay <= MAX_DEFER_MS:
-                        raise Failed(f"delay of {delay} ms is not in 0..{MAX_DEFER_MS}")
+                        raise Failed(f"{delay} ms is not a valid delay")
                     return Answer(False, True, Reason.PLUGIN, rule.location, delay * MS)
                 if rule.verb == "reject":
                     return Answer(False, False, Reason.PLUGIN, str(value)[:200])
@@ -238,7 +238,7 @@
     def end(self, message: Message, end: End) -> None:
         """Runs the rules for the end of a message."""
         for rule in self.rules:
-            if rule.event != "end":
+            if rule.trigger != "end":
                 continue
             fields = self._fields(message) | {"state": end.state, "after_ms": end.after_ms}
             try:
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -165,7 +165,7 @@
                 "registry.keep: saved lists may take no more disk space than at the start (restart, or set keep 0B)"
             )
         if config.keys is not None:  # last, as an invalid configuration must change nothing
-            config.keys.reload(conf)
+            config.keys.reload_files(conf)
             followed = config.keys.secured(followed)
     except ValueError as error:
         faults = error.faults if isinstance(error, ConfFaults | SettingsError) else [error]
@@ -239,9 +239,8 @@
     reserved = config.sockets - max_clients
     if startup.maps:
         reserved += config.sockets // 8
-        map_carrier = NextHops(
-            loop, buffers, config.settings, config.sockets // 8
-        )  # for next hops of transport map files
+        # For the next hops of transport map files.
+        map_carrier = NextHops(loop, buffers, config.settings, config.sockets // 8)
         for label, rows in startup.maps.items():
             courier.listed(f"map {label}", [entries.hop(row, config.settings, map_carrier) for row in rows], whole=True)
     front_ends: list[Callable[[], None]] = []  # the functions that open the front ends
--- a/tests/http/test_descriptors.py
+++ b/tests/http/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill the descriptors while discovery is down: the watch, notices and calls keep theirs."""
+"""Idle clients use up their descriptors while discovery is down: the watch, notices and attempts keep their share."""
 
 from __future__ import annotations
 
@@ -19,39 +19,46 @@
 SOCKETS = 96
 
 
-class Back(World):
-    """Discovery at an address that refuses at first."""
+class RecoveredDiscovery(World):
+    """Discovery that starts to listen on a port where connections were refused at first."""
 
     notices: list[dict[str, Any]] = []
 
     def do_POST(self) -> None:
-        Back.notices += [json.loads(line) for line in self.rfile.read(int(self.headers["Content-Length"])).splitlines()]
+        RecoveredDiscovery.notices += [
+            json.loads(line) for line in self.rfile.read(int(self.headers["Content-Length"])).splitlines()
+        ]
         self.answer(204)
 
 
-def small(folder: Path, world: str, discovery: str) -> Program:
-    """The program, held to few descriptors by the system, too."""
+def start_limited(directory: Path, world: str, discovery: str) -> Program:
+    """Starts the program with few descriptors, by its settings and by the system's limit."""
     return Program(
-        folder, world, change={"discovery": discovery, "limits": {"sockets": SOCKETS}}, before=f"ulimit -n {SOCKETS}; "
+        directory,
+        world,
+        change={"discovery": discovery, "limits": {"sockets": SOCKETS}},
+        before=f"ulimit -n {SOCKETS}; ",
     )
 
 
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path: Path, world: str) -> None:
     port = free_port()
-    program = small(tmp_path, world, f"127.0.0.1:{port}").ready()
+    program = start_limited(tmp_path, world, f"127.0.0.1:{port}").ready()
     idle = []
     for _ in range(2 * SOCKETS):
         sock = socket.create_connection(("127.0.0.1", program.port), timeout=FAR)
         idle.append(sock)
     World.silent = True
-    # A client that is slow to send, as on a busy machine, gives way like the silent ones, and comes again.
-    until(lambda: program.hand_in("late", "payment", left="900m") == 202)  # its call times out: a notice is owed
-    Back.news = json.dumps({"index": 5, "snapshot": True, "endpoints": [row("s-1", world), row("s-2", world)]})
-    server = ThreadingHTTPServer(("127.0.0.1", port), Back)
+    # A client that is slow to send, as on a busy machine, may be closed like the silent ones, and retries.
+    until(lambda: program.hand_in("late", "payment", left="900m") == 202)  # its attempt times out: a notice is pending
+    RecoveredDiscovery.news = json.dumps(
+        {"index": 5, "snapshot": True, "endpoints": [row("s-1", world), row("s-2", world)]}
+    )
+    server = ThreadingHTTPServer(("127.0.0.1", port), RecoveredDiscovery)
     server.daemon_threads, server.block_on_close = True, False
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    until(lambda: Back.notices)
-    assert Back.notices[0]["id"] == "late"
+    until(lambda: RecoveredDiscovery.notices)
+    assert RecoveredDiscovery.notices[0]["id"] == "late"
     World.silent = False
     until(lambda: program.hand_in("next") == 202)
     until(lambda: "next" in World.calls)
--- a/tests/http/test_told.py
+++ b/tests/http/test_told.py
@@ -19,7 +19,7 @@
 )
 from kestrelspar.http.watch import CATCH_UP_TIME, JsonObjects, Lines, Watch
 from kestrelspar.runtime.loop import MS, SECOND
-from tests.test_http import ROW, Peer, Stage, hand_in, ok, watch_on
+from tests.test_http import ROW, Peer, Stage, hand_in, make_watch, ok
 
 ROUND_TRIP = 50 * MS
 HEARTBEAT = 2 * SECOND
@@ -115,7 +115,7 @@
 
 def start_watch(directory: Path, script: object, **more: object) -> tuple[Stage, Watch]:
     stage = Stage(directory, ok, script, **more)  # type: ignore[arg-type]
-    watch = watch_on(stage.courier, stage)
+    watch = make_watch(stage.courier, stage)
     watch.apply({"index": 1, "snapshot": True, "endpoints": [ROW]})
     stage.loop.spawn(watch.run)
     return stage, watch
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The platform front: parsers on cut and bad input, the sender side, next hops, the watch and notices."""
+"""The platform's HTTP interface: fragmented and malformed input, the sender side, next hops, the watch and notices."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Peer:
-    """A server of our own: answers each whole request as the script says, with bytes or by silence."""
+    """A test server whose script decides on each complete request: a response, no response (None), or a close (b"")."""
 
     def __init__(self, scene: Scene, script: Script) -> None:
         self.scene, self.script = scene, script
@@ -73,7 +73,7 @@
 
 
 class Stage(Scene):
-    """A courier behind its HTTP sender side, with one next hop played by ``peer``."""
+    """A courier with its HTTP sender side, a fake next hop (``peer``) and a fake platform (``platform``)."""
 
     def __init__(self, folder: Path, script: Script, discovery: Script | None = None, **more: object) -> None:
         super().__init__(folder, **more)
@@ -92,15 +92,15 @@
         return NextHop(api.Endpoint(b"s-1", 7, 0, 0, state), self.peer.address, self.pool)
 
     def talk(self, *data: bytes, until: Callable[[bytes], object] = lambda got: b"\r\n\r\n" in got) -> bytes:
-        """Send pieces as a client would; what came back."""
+        """Sends the fragments as a client; returns what was received."""
         got: list[bytes] = []
-        over: list[int] = []
+        finished: list[int] = []
 
         def client() -> None:
             sock = connect(self.loop, self.address, self.loop.now + SECOND)
             assert sock is not None
-            for part in data:
-                sock.send(part)
+            for fragment in data:
+                sock.send(fragment)
                 self.loop.sleep(1 * MS)
             while not until(b"".join(got)):
                 self.loop.readable(sock, None)
@@ -111,10 +111,10 @@
                 if not got[-1]:
                     break
             sock.close()
-            over.append(1)
+            finished.append(1)
 
         self.loop.spawn(client)
-        self.until(lambda: over)
+        self.until(lambda: finished)
         return b"".join(got)
 
     def notices_seen(self) -> list[dict[str, object]]:
@@ -123,14 +123,14 @@
 
 
 def hand_in(trace: str = "t1", cls: str = "reading", body: bytes = b"hello", **headers: str) -> bytes:
-    told = {
+    fields = {
         "X-Trace-Id": trace,
         "X-Qos": cls,
         "X-Customer": "harju-vesi",
         "X-Expires-In": "9000m",
         "X-Route-To": "dest=7",
     } | {name.replace("_", "-"): value for name, value in headers.items()}
-    return parser.request("POST", f"/{cls}", "app.svc", {k: v for k, v in told.items() if v}, body)
+    return parser.request("POST", f"/{cls}", "app.svc", {k: v for k, v in fields.items() if v}, body)
 
 
 def ok(*_: object) -> bytes:
@@ -142,16 +142,16 @@
 
 @FIXED
 @given(st.lists(st.tuples(names, values), max_size=6), st.binary(max_size=300), st.integers(1, 40), st.booleans())
-def test_requests_come_whole_from_any_cuts(
+def test_requests_are_parsed_from_any_fragments(
     headers: list[tuple[str, str]], body: bytes, step: int, chunked: bool
 ) -> None:
-    told = dict(headers)
-    whole = parser.request("POST", "/reading", "h", told, body)
+    sent = dict(headers)
+    whole = parser.request("POST", "/reading", "h", sent, body)
     if chunked:
-        told["Transfer-Encoding"] = "chunked"
+        sent["Transfer-Encoding"] = "chunked"
         parts = [body[i : i + 7] for i in range(0, len(body), 7)]
         framed = b"".join(b"%x;e=1\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\nT: 1\r\n\r\n"
-        whole = parser.request("GET", "/reading", "h", told) + framed
+        whole = parser.request("GET", "/reading", "h", sent) + framed
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
     loop = SkippingLoop(CLOCK)
@@ -163,21 +163,21 @@
             found.append((head.headers, parser.read_body(stream, head, None)))
 
     loop.spawn(read)
-    loop.turn()  # it waits for its first bytes
+    loop.turn()  # the reader waits for its first bytes
     for at in range(0, 2 * len(whole), step):
         ours.send((whole * 2)[at : at + step])
         loop.turn()
     assert len(found) == 2
     for got, content in found:
         assert content == body
-        assert all(got[name.lower()] for name, value in told.items() if value and name != "Host")
+        assert all(got[name.lower()] for name, value in sent.items() if value and name != "Host")
     ours.close()
     stream.close()
 
 
 @FIXED
 @given(st.binary(max_size=200), st.booleans())
-def test_garbage_is_a_bad_message_or_no_head_yet(data: bytes, response: bool) -> None:
+def test_garbage_is_a_malformed_message_or_an_incomplete_head(data: bytes, response: bool) -> None:
     for text in (
         data,
         data + b"\r\n\r\n",
@@ -210,14 +210,14 @@
         b"A" * 9000,
     ],
 )
-def test_heads_that_two_readers_could_read_differently_are_refused(text: bytes) -> None:
+def test_heads_that_two_parsers_could_read_differently_are_rejected(text: bytes) -> None:
     with pytest.raises(parser.BadMessage):
         head = parser.head(memoryview(text))
         assert head is not None
         parser.body_length(head)
 
 
-def test_values_of_headers() -> None:
+def test_header_values_are_parsed_or_rejected() -> None:
     assert expires("480m") == 480_000 and expires("1500u") == 1500 and expires("0.5m") == 500
     for text in ("", "5", "5s", "-1m", "1e3m", "m"):
         with pytest.raises(parser.BadMessage):
@@ -231,7 +231,7 @@
     )
     assert load_report("TEXT x0=0.4, x1=25", ("x0", "x1")) == (0.4, 25.0)
     for text in ("TEXT x1=25", "TEXT x0=nan, x1=25", "TEXT x0=1, x1=inf", "TEXT x0=1, x1=-2", "", "\x7f=,"):
-        assert load_report(text, ("x0", "x1")) == ()  # zeros would say that there is no limit
+        assert load_report(text, ("x0", "x1")) == ()  # zeros would mean that there is no limit
 
 
 @pytest.mark.parametrize(
@@ -247,7 +247,9 @@
         (410, {}, Outcome.MOOT, 0, True),
     ],
 )
-def test_what_an_answer_means(status: int, headers: dict[str, str], outcome: Outcome, wait: int, closed: bool) -> None:
+def test_responses_are_classified(
+    status: int, headers: dict[str, str], outcome: Outcome, wait: int, closed: bool
+) -> None:
     result = meaning(status, headers, ())
     assert (result.outcome, result.told_wait, result.closed) == (outcome, wait, closed)
     assert result.no_slot == ("x-egress-full" in headers)
@@ -276,14 +278,16 @@
         (b"GET /nowhere HTTP/1.1\r\n\r\n", 404),
     ],
 )
-def test_bad_requests_get_a_status_and_nothing_is_kept(tmp_path: Path, request_: bytes, status: int) -> None:
+def test_bad_requests_get_an_error_status_and_nothing_is_journalled(
+    tmp_path: Path, request_: bytes, status: int
+) -> None:
     stage = Stage(tmp_path, ok)
     assert stage.talk(request_).startswith(b"HTTP/1.1 %d " % status)
     assert not stage.journal.entries and not stage.peer.seen
     assert stage.talk(hand_in()).startswith(b"HTTP/1.1 202 ")
 
 
-def test_every_request_on_a_connection_is_answered_in_turn(tmp_path: Path) -> None:
+def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
     data = b"".join(hand_in(f"t{i}") for i in range(5))
     got = stage.talk(data[:100], data[100:101], data[101:], until=lambda text: text.count(b" 202 ") == 5)
@@ -292,7 +296,7 @@
     assert stage.platform.seen == []  # a delivered message needs no notice
 
 
-def test_what_is_taken_on_is_journalled_and_answered_before_its_first_attempt(tmp_path: Path) -> None:
+def test_a_message_is_journalled_and_acknowledged_before_its_first_attempt(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
     order: list[str] = []
     taken, attempt, write = stage.journal.taken, stage.journal.attempt, Stream.write
@@ -312,7 +316,7 @@
     assert order[:4] == ["journal", "HTTP/1.1 202 Accepted", "attempt", "POST /v1/messages HTTP/1.1"]
 
 
-def test_a_client_that_closed_before_its_answer_is_not_taken_on(tmp_path: Path) -> None:
+def test_a_message_is_not_accepted_if_its_client_has_disconnected(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
     sock = socket.create_connection(stage.address)
     sock.sendall(hand_in())
@@ -329,39 +333,39 @@
         (hand_in(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
     ],
 )
-def test_who_says_nothing_or_half_a_request_is_let_go(tmp_path: Path, data: bytes, answer: bytes) -> None:
-    # Guards against connections that hold descriptors and buffers for good.
+def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
+    # Guards against connections that hold descriptors and buffers forever.
     stage = Stage(tmp_path, ok)
-    skipped = CLOCK.ahead
+    started_at = CLOCK.ahead
     assert stage.talk(data, until=lambda _: False).startswith(answer)
-    stage.until(lambda: stage.server.count == 0)  # half-closed, and over once the client has ended it, too
+    stage.until(lambda: stage.server.count == 0)  # half-closed, and closed once the client has closed its side, too
     assert not stage.journal.entries
-    assert CLOCK.ahead - skipped < 3 * SECOND
+    assert CLOCK.ahead - started_at < 3 * SECOND
 
 
 def test_a_rejection_reaches_a_client_that_still_sends_a_huge_body(tmp_path: Path) -> None:
-    # Guards against a reset that overtakes the answer, and against reading the body into memory.
+    # Guards against a reset that overtakes the response, and against reading the body into memory.
     stage = Stage(tmp_path, ok)
     head = b"POST /reading HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
     got = stage.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
     assert got.startswith(b"HTTP/1.1 413 ") and stage.buffers._made <= 2
 
 
-def test_an_id_that_is_open_or_has_just_ended_is_not_taken_on_again(tmp_path: Path) -> None:
-    # Guards against a second copy out when a bad client uses the id of another's message, and against a final no to a
-    # client whose connection was closed over its answer and that sends the same request once more.
+def test_an_id_of_an_open_or_recently_finished_message_is_not_accepted_again(tmp_path: Path) -> None:
+    # Guards against a second delivery when a faulty client reuses the id of another message, and against rejecting a
+    # client that repeats its request because the connection was closed before the response arrived.
     stage = Stage(tmp_path, lambda *_: None)
     assert b" 202 " in stage.talk(hand_in("a", "payment"))
     assert b" 202 " in stage.talk(hand_in("a", "payment")) and len(stage.journal.entries) == 1
     assert b" 409 " in stage.talk(hand_in("a", "payment", b"other")) and b" 409 " in stage.talk(hand_in("a"))
     stage.until(lambda: not stage.journal.entries)
     assert [notice["id"] for notice in stage.notices_seen()] == ["a"]
-    assert b" 409 " in stage.talk(hand_in("a", "payment")) and len(stage.peer.seen) == 1  # it failed, for good
-    stage.wait(29 * SECOND)  # longer than any message's time
+    assert b" 409 " in stage.talk(hand_in("a", "payment")) and len(stage.peer.seen) == 1  # its failure is final
+    stage.wait(29 * SECOND)  # longer than any message's lifetime
     assert b" 202 " in stage.talk(hand_in("a")) and len(stage.courier._known) == 1
 
 
-def test_what_was_delivered_is_answered_so_again_and_what_was_returned_is_taken_on(tmp_path: Path) -> None:
+def test_a_delivered_message_is_acknowledged_again_and_a_returned_one_is_accepted_again(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
     for _ in range(3):
         assert b" 202 " in stage.talk(hand_in("paid", "payment"))
@@ -379,8 +383,8 @@
     assert len(stage.notices_seen()) == 1 and len(stage.peer.seen) >= 2
 
 
-def test_silent_connections_give_way_to_a_usual_client(tmp_path: Path) -> None:
-    # Guards against clients that connect by hundreds and leave the usual ones no descriptor.
+def test_silent_connections_are_closed_to_make_room_for_active_clients(tmp_path: Path) -> None:
+    # Guards against hundreds of silent connections that leave no descriptor for active clients.
     stage = Stage(tmp_path, ok)
     silent = [socket.create_connection(stage.address) for _ in range(60)]
     assert b" 202 " in stage.talk(hand_in()) and stage.server.count <= 20
@@ -389,11 +393,11 @@
         sock.close()
 
 
-def test_connections_that_ask_once_and_stay_are_kept_only_while_they_are_few(tmp_path: Path) -> None:
-    # Guards against idle connections that leave no room for new ones, though far from our own limit.
+def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
+    # Guards against idle connections that leave no room for new ones, although the connection limit is far.
     stage = Stage(tmp_path, ok)
-    stayed, closed = [socket.create_connection(stage.address) for _ in range(9)], []
-    for number, sock in enumerate(stayed):
+    idle, closed = [socket.create_connection(stage.address) for _ in range(9)], []
+    for number, sock in enumerate(idle):
         sock.sendall(hand_in(f"t{number}"))
         stage.until(lambda number=number: stage.courier._last == number + 1)
         stage.until(lambda: not stage.server._clients[State.SERVED])
@@ -401,14 +405,15 @@
         assert b" 202 " in answer
         closed.append(b"Connection: close" in answer)
     assert closed == [False] * 5 + [True] * 4
-    stage.until(lambda: stage.server.count <= 5)  # half-closed ones end soon, though their clients stay
+    # Half-closed connections are closed soon, although their clients stay connected.
+    stage.until(lambda: stage.server.count <= 5)
     assert stage.server.count == 5
-    for sock in stayed:
+    for sock in idle:
         sock.close()
 
 
-def test_the_last_buffers_are_kept_for_the_answers_to_our_own_calls() -> None:
-    # Guards against half requests that hold all buffers, so that answers count as time-outs.
+def test_the_last_buffers_are_reserved_for_responses_to_own_requests() -> None:
+    # Guards against incomplete requests that hold all buffers, so that responses count as time-outs.
     pool, loop = BufferPool(3, kept=1), SkippingLoop(CLOCK)
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
@@ -418,7 +423,7 @@
     loop.spawn(lambda: (stream.fill(None), got.append(bytes(stream.unread))))
     loop.turn()
     loop.turn()
-    assert last is not None and not got  # none left: it waits, and is not late
+    assert last is not None and not got  # no buffer is left: the reader waits, without a time-out
     pool.give(last)
     for _ in range(9):
         loop.turn()
@@ -427,7 +432,7 @@
     ours.close()
 
 
-def test_the_door_defers_what_would_be_too_many(tmp_path: Path) -> None:
+def test_messages_beyond_the_limit_of_open_ones_are_deferred(tmp_path: Path) -> None:
     stage = Stage(tmp_path, lambda *_: None, max_open=3)
     got = [stage.talk(hand_in(f"t{i}", "payment")) for i in range(4)]
     assert [text[9:12] for text in got] == [b"202", b"202", b"202", b"503"] and b"Retry-After: 1" in got[3]
@@ -463,7 +468,8 @@
     stage = Stage(tmp_path, ok)
     assert attempt(stage) is Outcome.OK
     assert attempt(stage, leave=False) is Outcome.MOOT and len(stage.peer.seen) == 1
-    assert attempt(stage) is Outcome.OK and stage.peer.connections == 1  # kept, also by the one barred
+    # The connection is reused, also after the attempt that was not allowed to leave.
+    assert attempt(stage) is Outcome.OK and stage.peer.connections == 1
     head = stage.peer.seen[-1][0].headers
     assert (head["x-trace-id"], head["idempotency-key"], head["x-expires-in"]) == ("t", "key", "200m")
     stage.peer.script = lambda *_: None
@@ -493,7 +499,8 @@
         (raw(504, "no colon"), Outcome.ERROR),
         (raw(410, "Content-Length: 1", "Content-Length: 2"), Outcome.ERROR),
         (raw(503, "Transfer-Encoding: chunked", body=b"zz\r\n"), Outcome.ERROR),
-        (raw(429, "Content-Length: 2", body=b"four"), Outcome.ERROR),  # too short a length, or noise behind
+        # A Content-Length that is too short, or noise after the body.
+        (raw(429, "Content-Length: 2", body=b"four"), Outcome.ERROR),
         (b"HTTP/1.1 503 X\r\nRetry-After: 1\r\nX-Head", Outcome.RESET),
         (raw(503, "Content-Length: 2", body=b"ok"), Outcome.FULL),
         (raw(503, "Content-Length: 0") * 2, Outcome.FULL),
@@ -505,8 +512,10 @@
         (raw(200, "Content-Length: 9"), Outcome.OK),
     ],
 )
-def test_only_a_whole_answer_says_that_a_call_never_ran(tmp_path: Path, answer: bytes, outcome: Outcome) -> None:
-    # Guards against a payment that runs twice, and against noise that is read as the next call's answer.
+def test_only_a_complete_response_proves_that_a_message_was_not_processed(
+    tmp_path: Path, answer: bytes, outcome: Outcome
+) -> None:
+    # Guards against a payment that is processed twice, and against noise that is read as the next response.
     stage = Stage(tmp_path, lambda *_: answer)
     assert attempt(stage, span=5 * SECOND) is outcome
     stage.peer.script = lambda *_: parser.response(500)
@@ -516,7 +525,7 @@
     assert stage.peer.connections == (1 if whole else 2)
 
 
-def test_a_payment_on_a_spoilt_refusal_is_failed_and_the_wait_it_told_heeded(tmp_path: Path) -> None:
+def test_a_payment_with_a_malformed_refusal_fails_and_its_retry_after_is_honoured(tmp_path: Path) -> None:
     stage = Stage(tmp_path, lambda *_: raw(429, "Retry-After: 0.8", "Content-Length: 1"))
     stage.talk(hand_in("p", "payment"))
     stage.until(lambda: not stage.journal.entries)
@@ -524,8 +533,8 @@
     assert 700 * MS < stage.courier._controller.routes[b"s-1"].dest.wait_until // 1000 - stage.loop.now <= 800 * MS
 
 
-def test_what_comes_on_an_idle_connection_ends_it(tmp_path: Path) -> None:
-    # Guards against a second copy of an answer that is read as the next call's.
+def test_input_on_an_idle_connection_closes_it(tmp_path: Path) -> None:
+    # Guards against a duplicate of a response that is read as the next response.
     stage = Stage(tmp_path, lambda *_: parser.response(200))
     assert attempt(stage) is Outcome.OK
     stage.peer.streams[-1].sock.send(parser.response(200))
@@ -533,18 +542,18 @@
     assert attempt(stage) is Outcome.ERROR and stage.peer.connections == 2
 
 
-def test_idle_connections_are_closed_in_time_and_dead_ones_not_used(tmp_path: Path) -> None:
+def test_idle_connections_expire_and_closed_ones_are_not_reused(tmp_path: Path) -> None:
     stage = Stage(tmp_path, lambda *_: parser.response(200))
     for span, connections in ((0, 1), (4_000 * MS, 1), (4_500 * MS, 2)):
         stage.wait(span)
         assert attempt(stage) is Outcome.OK and stage.peer.connections == connections
-    stage.peer.streams[-1].close()  # untold: a request on it now would end as a reset
+    stage.peer.streams[-1].close()  # without notice: a request on it now would end with a reset
     assert attempt(stage) is Outcome.OK and stage.peer.connections == 3
-    stage.peer.script = lambda *_: parser.response(200, keep=False)  # told that it will be closed
+    stage.peer.script = lambda *_: parser.response(200, keep=False)  # announces that it will be closed
     assert attempt(stage) is Outcome.OK and attempt(stage) is Outcome.OK and stage.peer.connections == 4
 
 
-def test_a_draining_next_hop_gets_nothing_more_even_from_calls_already_decided(tmp_path: Path) -> None:
+def test_a_draining_next_hop_gets_no_attempts_even_if_already_decided(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
     real = stage.pool.attempt
 
@@ -559,7 +568,7 @@
     assert not stage.peer.seen and notice == {"id": "t1", "state": "returned", "after_ms": 2000}
 
 
-def test_a_told_wait_bars_calls_already_decided(tmp_path: Path) -> None:
+def test_a_retry_after_blocks_attempts_already_decided(tmp_path: Path) -> None:
     stage = Stage(tmp_path, lambda *_: parser.response(429, headers={"Retry-After": "0.5"}))
     stage.talk(hand_in("a", X_Expires_In="4000m"))
     stage.until(lambda: stage.peer.seen)
@@ -569,10 +578,10 @@
     assert stage.courier._controller.may_still_go(now + 600 * MS * 1000, b"s-1", 1)
 
 
-# Notices, the watch, the end
+# Notices, the watch, shutdown and restart
 
 
-def test_notices_are_repeated_until_heard_and_a_bad_one_holds_back_none(tmp_path: Path) -> None:
+def test_notices_are_repeated_until_acknowledged_and_a_rejected_one_delays_no_others(tmp_path: Path) -> None:
     answers = [parser.response(503), b"", parser.response(400), parser.response(400)]
     stage = Stage(tmp_path, ok, lambda *_: answers.pop(0) if answers else parser.response(204))
     for name in ("a", "b", "c"):
@@ -582,7 +591,7 @@
     assert [line["id"] for line in stage.notices_seen()[-2:]] == ["b", "c"]
 
 
-def watch_on(courier: Courier, stage: Stage) -> Watch:
+def make_watch(courier: Courier, stage: Stage) -> Watch:
     return Watch(stage.loop, stage.buffers, courier, stage.pool, stage.platform.address)
 
 
@@ -598,9 +607,9 @@
 }
 
 
-def test_the_transport_map_follows_changes_and_passes_over_bad_entries(tmp_path: Path) -> None:
+def test_the_transport_map_follows_changes_and_skips_invalid_entries(tmp_path: Path) -> None:
     stage = Stage(tmp_path, ok)
-    watch = watch_on(stage.courier, stage)
+    watch = make_watch(stage.courier, stage)
     watch._line(
         json.dumps(
             {
@@ -619,7 +628,7 @@
     assert not stage.courier.map.hops and watch.index == 6
 
 
-def test_a_watch_that_ends_is_taken_up_where_it_was(tmp_path: Path) -> None:
+def test_a_watch_resumes_from_its_last_index(tmp_path: Path) -> None:
     def discovery(head: parser.Head, _: bytes) -> bytes:
         line = json.dumps({"index": 8, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
         if "after=8" in head.first[1]:
@@ -628,22 +637,22 @@
         return start + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line)
 
     stage = Stage(tmp_path, ok, discovery)
-    stage.loop.spawn(watch_on(stage.courier, stage).run)
+    stage.loop.spawn(make_watch(stage.courier, stage).run)
     stage.until(lambda: len(stage.platform.seen) >= 3)
     asked = [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
-    assert asked == ["/registry/instances", "8", "8"]  # nothing known yet: the whole list
+    assert asked == ["/registry/instances", "8", "8"]  # the complete list first, as nothing is known yet
     assert b"s-9" in stage.courier.map.hops
 
 
-def test_an_overbooked_discovery_costs_one_question_a_try_and_two_log_lines(
+def test_an_overloaded_discovery_gets_one_request_per_attempt_and_two_log_lines_are_written(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    # Guards against a herd: with an older whole list at hand, the whole list need not be asked for too.
+    # Guards against a thundering herd: a courier with an older complete list need not request the complete list again.
     line = json.dumps({"index": 1, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
     refusals = [parser.response(503, keep=False)] * 4
     heard = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
     stage = Stage(tmp_path, ok, lambda *_: refusals.pop() if refusals else heard)
-    watch = watch_on(stage.courier, stage)
+    watch = make_watch(stage.courier, stage)
     watch.apply({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
     stage.loop.spawn(watch.run)
     stage.until(lambda: b"s-9" in stage.courier.map.hops)
@@ -653,13 +662,13 @@
     assert out.count("event=map-break") == 1 and "status=503" in out and out.count("event=map-heard") == 1
 
 
-def test_discovery_that_moves_is_followed_at_once_and_told_what_is_owed(tmp_path: Path) -> None:
-    # Guards against a courier that keeps on asking and telling an address that answers no more.
+def test_an_address_change_of_discovery_is_followed_at_once_and_pending_notices_are_sent_there(tmp_path: Path) -> None:
+    # Guards against a courier that continues to use an address which no longer responds.
     stage = Stage(tmp_path, ok, lambda *_: None)
-    watch = watch_on(stage.courier, stage)
+    watch = make_watch(stage.courier, stage)
     stage.loop.spawn(watch.run)
     stage.loop.spawn(stage.notices.settle, Message("a", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
-    stage.until(lambda: len(stage.platform.seen) == 2)  # both wait for an answer that does not come
+    stage.until(lambda: len(stage.platform.seen) == 2)  # both wait for a response that never arrives
     row = json.dumps({"index": 3, "snapshot": True, "endpoints": [ROW]}).encode()
     new = Peer(
         stage,
@@ -671,11 +680,12 @@
             else None
         ),
     )
-    skipped = CLOCK.ahead
+    started_at = CLOCK.ahead
     watch.move(new.address)
     stage.notices.move(new.address)
     stage.until(lambda: not stage.notices._sending and watch.index == 3 and len(new.seen) == 3)
-    assert CLOCK.ahead - skipped < SECOND and list(stage.courier.map.hops) == [b"s-9"]  # no time-out was sat out
+    # Neither waits for a time-out.
+    assert CLOCK.ahead - started_at < SECOND and list(stage.courier.map.hops) == [b"s-9"]
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
     assert new.seen[-1][0].first[1].endswith("watch=1&after=3")
     stage.loop.spawn(stage.notices.settle, Message("b", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
@@ -683,9 +693,9 @@
     assert len(stage.platform.seen) == 2
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_a_start_heeds_a_drain_that_it_was_not_there_to_hear(tmp_path: Path, told: bool) -> None:
-    # Guards against a kept message sent by an old list; but a discovery that is silent must not hold up a start.
+@pytest.mark.parametrize("responds", [True, False])
+def test_a_start_respects_a_drain_that_began_while_it_was_down(tmp_path: Path, responds: bool) -> None:
+    # Guards against sending a recovered message by an outdated list; but a silent discovery must not delay a start.
     old = Stage(tmp_path, lambda *_: None)
     old.talk(hand_in("held"))
     old.until(lambda: old.peer.seen)
@@ -695,11 +705,11 @@
         if head.first[0] == "POST":
             return parser.response(204)
         chunk = f"{len(drains) + 1:x}\r\n{drains}\n\r\n"
-        return f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode() if told else None
+        return f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode() if responds else None
 
     new = Stage(tmp_path, ok, discovery)
-    new.courier.ready, taken_up = False, []
-    watch = watch_on(new.courier, new)
+    new.courier.ready, recovered = False, []
+    watch = make_watch(new.courier, new)
     watch.apply(
         {
             "index": 1,
@@ -707,23 +717,23 @@
             "endpoints": [{**ROW, "name": "s-1", "group": 7, "address": "{}:{}".format(*new.peer.address)}],
         }
     )
-    begun, config = (
+    started_at, config = (
         new.loop.now,
         SimpleNamespace(name="n", listen=new.address, settings=new.courier.settings, sockets=9, memory=9),
     )
     new.loop.spawn(watch.run)
-    new.loop.spawn(serve._open_front_ends, new.courier, [lambda: taken_up.append(new.courier.find("held"))], config)
+    new.loop.spawn(serve._open_front_ends, new.courier, [lambda: recovered.append(new.courier.find("held"))], config)
     new.until(lambda: new.courier.ready)
-    assert new.loop.now - begun <= 250 * MS
-    assert taken_up[0] is not None, "a front opened first: what it takes on would be taken up as well"
+    assert new.loop.now - started_at <= 250 * MS
+    assert recovered[0] is not None, "a front end opened before the journal was recovered"
     new.until(lambda: not new.journal.entries)
-    assert len(new.peer.seen) == (0 if told else 1)
+    assert len(new.peer.seen) == (0 if responds else 1)
 
 
-def test_nothing_connects_before_a_start_is_over_and_a_front_that_cannot_open_ends_the_program(
+def test_front_ends_listen_only_after_the_start_and_one_that_cannot_listen_ends_the_program(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    # Guards against requests that wait unread while a courier starts, whose ends would come late by as much.
+    # Guards against requests that wait unread while a courier starts, whose final states would be late by that time.
     stage = Stage(tmp_path, ok)
     config = SimpleNamespace(settings=stage.courier.settings, name="n", listen=("", 0), sockets=9, memory=9)
     ours = bind(("127.0.0.1", 0))
@@ -752,17 +762,19 @@
 
 
 @pytest.mark.parametrize(("couriers", "known"), [(40, 25.0), (3, 0.0)])
-def test_a_limit_that_an_endpoint_told_is_known_after_a_restart(tmp_path: Path, couriers: int, known: float) -> None:
+def test_a_limit_that_an_endpoint_reported_is_known_after_a_restart(
+    tmp_path: Path, couriers: int, known: float
+) -> None:
     report = {"Endpoint-Load-Metrics": "TEXT x0=0.9, x1=25"}
-    told = {"forwarders": couriers, "columns": ("x0", "x1"), "share_left_column": 0, "limit_column": 1}
-    old = Stage(tmp_path, lambda *_: parser.response(200, headers=report), **told)
+    settings_ = {"forwarders": couriers, "columns": ("x0", "x1"), "share_left_column": 0, "limit_column": 1}
+    old = Stage(tmp_path, lambda *_: parser.response(200, headers=report), **settings_)
     old.talk(hand_in())
     old.until(lambda: not old.journal.entries)
-    new = Stage(tmp_path, ok, **told)
+    new = Stage(tmp_path, ok, **settings_)
     assert new.courier._controller.routes[b"s-1"].limit.rate == new.journal.limit(b"s-1") == known
 
 
-def test_closing_takes_nothing_on_finishes_what_is_out_and_leaves_the_rest(tmp_path: Path) -> None:
+def test_closing_accepts_nothing_finishes_attempts_in_flight_and_leaves_the_rest(tmp_path: Path) -> None:
     stage = Stage(tmp_path, lambda *_: None)
     stage.talk(hand_in("held", "payment"))
     stage.until(lambda: stage.courier.out)
@@ -779,7 +791,7 @@
     ("cls", "sent", "state"),
     [("payment", True, "failed"), ("payment", False, None), ("work-order", True, None), ("reading", True, None)],
 )
-def test_a_restart_owes_each_message_its_end(tmp_path: Path, cls: str, sent: bool, state: str | None) -> None:
+def test_each_recovered_message_gets_its_final_state(tmp_path: Path, cls: str, sent: bool, state: str | None) -> None:
     old = Stage(tmp_path, lambda *_: None)
     if not sent:
         old.courier.listed("discovery", [], whole=True)
@@ -792,7 +804,7 @@
     assert len(new.peer.seen) == (0 if state else 1)
 
 
-def test_a_payment_turned_away_before_a_restart_goes_again_after_it(tmp_path: Path) -> None:
+def test_a_payment_refused_before_a_restart_is_retried_after_it(tmp_path: Path) -> None:
     old = Stage(tmp_path, lambda *_: parser.response(503))
     old.talk(hand_in("held", "payment"))
     old.until(lambda: old.peer.seen and not old.courier.out)
@@ -802,7 +814,7 @@
     assert len(new.peer.seen) == 1 and not new.notices_seen()
 
 
-def test_a_fault_of_the_module_is_logged_and_ends_no_more_than_what_it_was_asked(
+def test_an_exception_of_the_decision_module_is_logged_and_fails_only_its_message(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     stage = Stage(tmp_path, ok)
@@ -816,7 +828,7 @@
     assert len(stage.peer.seen) == 1
 
 
-def test_a_work_order_does_not_go_again_after_its_window(tmp_path: Path) -> None:
+def test_a_work_order_is_not_retried_after_its_window(tmp_path: Path) -> None:
     old = Stage(tmp_path, lambda *_: None)
     old.talk(hand_in("held", "work-order", X_Expires_In="20000m"))
     old.until(lambda: old.peer.seen)
@@ -827,7 +839,7 @@
     assert not new.peer.seen and [n["state"] for n in new.notices_seen()] == ["returned"]
 
 
-def test_an_end_decided_before_a_restart_is_told_after_it(tmp_path: Path) -> None:
+def test_a_final_state_decided_before_a_restart_is_reported_after_it(tmp_path: Path) -> None:
     old = Stage(tmp_path, ok, lambda *_: parser.response(503))
     old.courier.listed("discovery", [], whole=True)
     old.talk(hand_in("held", "payment", X_Expires_In="100m"))
@@ -839,7 +851,7 @@
     assert not new.peer.seen
 
 
-def test_killed_after_any_record_each_message_gets_one_end_and_no_payment_runs_twice(tmp_path: Path) -> None:
+def test_after_a_kill_at_any_record_each_message_gets_one_final_state_and_no_payment_runs_twice(tmp_path: Path) -> None:
     refused: set[str] = set()
 
     def full_at_first(head: parser.Head, _: bytes) -> bytes:
@@ -854,32 +866,32 @@
         old.talk(hand_in(trace, cls))
     old.until(lambda: not old.journal.entries)
     data = (tmp_path / "old" / "journal").read_bytes()
-    verdicts: set[int] = set()
-    owed: dict[int, str] = {}
-    out: dict[int, int] = {}  # message: attempts that left and are not known to be harmless
+    decided: set[int] = set()
+    open_messages: dict[int, str] = {}
+    in_flight: dict[int, int] = {}  # by message: attempts that were sent and may have been processed
     for last, piece in enumerate(j.scan(data), 1):
         kind, number, payload = piece.kind, piece.number, piece.payload
         if kind == j.TAKEN:
-            owed[number] = json.loads(payload[12 : 12 + int.from_bytes(payload[8:12], "little")])["trace"]
+            open_messages[number] = json.loads(payload[12 : 12 + int.from_bytes(payload[8:12], "little")])["trace"]
         elif kind == j.DONE:
-            del owed[number]
+            del open_messages[number]
         elif kind == j.VERDICT:
-            verdicts.add(number)
+            decided.add(number)
         elif kind in (j.ATTEMPT, j.NOT_RUN):
-            out[number] = out.get(number, 0) + (1 if kind == j.ATTEMPT else -1)
-        folder = tmp_path / str(last)
-        folder.mkdir()
-        (folder / "journal").write_bytes(data[: piece.end])
-        new = Stage(folder, ok)
+            in_flight[number] = in_flight.get(number, 0) + (1 if kind == j.ATTEMPT else -1)
+        directory = tmp_path / str(last)
+        directory.mkdir()
+        (directory / "journal").write_bytes(data[: piece.end])
+        new = Stage(directory, ok)
         new.courier.resume()
         new.until(lambda new=new: not new.journal.entries)
         seen = [head.headers["x-trace-id"] for head, _ in new.peer.seen]
-        told = [str(notice["id"]) for notice in new.notices_seen()]
-        for number, trace in owed.items():
-            done_before = number in verdicts
-            assert seen.count(trace) + told.count(trace) <= 1
-            assert seen.count(trace) + told.count(trace) == 1 or done_before  # delivered: nothing to tell
-            if trace in ("p", "bad") and out.get(number):
-                assert trace not in seen, "a payment that may have run went again"
-        assert set(seen + told) <= set(owed.values())
+        notified = [str(notice["id"]) for notice in new.notices_seen()]
+        for number, trace in open_messages.items():
+            decided_before = number in decided
+            assert seen.count(trace) + notified.count(trace) <= 1
+            assert seen.count(trace) + notified.count(trace) == 1 or decided_before  # delivered: needs no notice
+            if trace in ("p", "bad") and in_flight.get(number):
+                assert trace not in seen, "a payment that may have been processed was sent again"
+        assert set(seen + notified) <= set(open_messages.values())
     assert last > 16
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -139,15 +139,16 @@
     old = connect_contractor(stage, client())
     assert old is not None
     write_files(tmp_path, "hub.example", ca=trustme.CA())
-    keys.reload(conf(tmp_path))
+    keys.reload_files(conf(tmp_path))
     assert connect_contractor(stage, client()) is None, "the certificate of the other authority is not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
     with pytest.raises(ConfFaults, match=r"conf:2: tls main.certificate.*holds no certificate"):
-        keys.reload(conf(tmp_path))
+        keys.reload_files(conf(tmp_path))
     write_files(tmp_path)
-    keys.reload(conf(tmp_path))
+    keys.reload_files(conf(tmp_path))
     (tmp_path / "conf").write_text("log\n    level info\n")
-    keys.reload(conf_file.load(str(tmp_path / "conf")))  # the listener keeps the contexts that it was started with
+    # The listener keeps the contexts that it was started with.
+    keys.reload_files(conf_file.load(str(tmp_path / "conf")))
     assert connect_contractor(stage, client()) is not None and old.stream.sock.fileno() >= 0
 
 
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -1,4 +1,4 @@
-"""What a listed endpoint that is never called costs, from discovery's list to the module."""
+"""Memory use of a listed endpoint that gets no messages, from discovery's list to the decision module."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from kestrelspar.http.watch import Watch
 from tests.bench import Scene
 
-LISTED, MOST = 5_000, 2_048
+LISTED, MAX_BYTES_PER_ENDPOINT = 5_000, 2_048
 
 
-@pytest.mark.parametrize("kind", ["utility", "contractor"])  # routes that share a limit, and routes apart
-def test_an_endpoint_that_is_never_called_costs_two_kilobytes_at_most(tmp_path: Path, kind: str) -> None:
-    # Guards against what is only wanted once a route is called, and the decoded list that stays behind.
+@pytest.mark.parametrize("kind", ["utility", "contractor"])  # routes that share a limit, and independent ones
+def test_an_unused_endpoint_takes_two_kilobytes_at_most(tmp_path: Path, kind: str) -> None:
+    # Guards against allocating what is needed only once a route is used, and against retaining the decoded list.
     scene = Scene(tmp_path)
     carrier = NextHops(scene.loop, scene.buffers, scene.courier.settings, 9)
     watch = Watch(scene.loop, scene.buffers, scene.courier, carrier, ("127.0.0.1", 9), state_directory=str(tmp_path))
@@ -42,6 +42,8 @@
     }
     watch.begin(known)
     gc.collect()
-    each = tracemalloc.get_traced_memory()[0] / LISTED
+    bytes_per_endpoint = tracemalloc.get_traced_memory()[0] / LISTED
     tracemalloc.stop()
-    assert len(scene.courier.map.hops) == LISTED and each < MOST, f"{each:.0f} bytes"
+    assert len(scene.courier.map.hops) == LISTED and bytes_per_endpoint < MAX_BYTES_PER_ENDPOINT, (
+        f"{bytes_per_endpoint:.0f} bytes"
+    )
