--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -12,7 +12,7 @@
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
-IDLE_FRACTION = 0.86  # of conn_idle, so as to close before the next hop, which counts from its own response
+IDLE_FRACTION = 0.86  # of conn_idle, so as to close well before the next hop, which counts from its own response
 REAP_INTERVAL = 200 * MS
 MAX_RETRY_AFTER = 3_600 * SECOND
 BODY_TIMEOUT = 1 * SECOND  # from the first byte of a response to its last
@@ -44,19 +44,19 @@
 def meaning(status: int, headers: dict[str, str], columns: tuple[str, ...]) -> Result:
     """Classifies a complete response as an outcome for the decision module."""
     report = load_report(headers.get("endpoint-load-metrics", ""), columns)
-    wait = seconds(headers.get("retry-after", ""))
+    retry_after = seconds(headers.get("retry-after", ""))
     if 200 <= status < 300:
         return Result(Outcome.OK, report=report)
     if status == 429:
-        return Result(Outcome.FULL, wait, report=report)
+        return Result(Outcome.FULL, retry_after, report=report)
     if status == 503:
         if headers.get("x-egress-full", "") == "1":
             return Result(Outcome.MOOT, no_slot=True, report=report, note="no slot")
-        return Result(Outcome.FULL, wait, report=report)
+        return Result(Outcome.FULL, retry_after, report=report)
     if status == 504:
-        return Result(Outcome.MOOT, report=report, note="attempts used up")
+        return Result(Outcome.MOOT, report=report, note="attempts exhausted")
     if status == 410:
-        return Result(Outcome.MOOT, closed=True, report=report, note="over")
+        return Result(Outcome.MOOT, closed=True, report=report, note="message closed")
     return Result(Outcome.ERROR, report=report, note=str(status))
 
 
@@ -73,9 +73,7 @@
         self.opened = self.reused = 0
         self._idle: dict[tuple[bytes, tuple[str, int]], list[tuple[Stream, int]]] = {}
         self._max_idle = max_idle
-        self._draining_responses = (
-            0  # connections on which the rest of a 200 response is being read; at most one per slot
-        )
+        self._draining_responses = 0  # connections on which the rest of a 200 is being read; at most one per slot
         self._idle_timeout = int(settings.idle_ns // 1000 * IDLE_FRACTION)
         loop.spawn(self._close_expired)
 
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -22,7 +22,7 @@
 LINGER_TIMEOUT = 3_000 * MS  # after the half-close, for a client that still sends
 LINGER_IDLE_TIMEOUT = 300 * MS  # after the half-close, without any bytes
 SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the start of a new connection to its first request
-SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM: new connections may arrive for 400 ms
+SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM, as new connections may arrive for 400 ms
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
 REJECTION_STATUSES = {Reason.DUPLICATE: 409}
@@ -171,7 +171,7 @@
         return self.count > 0 or self._listener is not None
 
     def _log_throttled(self, event: str, why: str, trace: str | None = None) -> None:
-        """Logs an event that misbehaving clients can cause often: at once, then further ones as a count per second."""
+        """Logs an event that faulty clients can cause often: the first at once, further ones as a count per second."""
         key = (event, why)
         if key in self._suppressed_counts or len(self._suppressed_counts) >= 20:
             key = key if key in self._suppressed_counts else (event, "other")
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -62,7 +62,7 @@
         self._attempts = 0  # to reconnect, since then
         self._silent_for = 0  # how long the last connection had been silent, if it was closed for that
         self._headers_timed_out = False  # the last connection timed out before its response headers
-        self._status: int | None = None  # of the last request, if it was refused
+        self._refusal_status: int | None = None  # of the last request, if it was refused
         self._has_snapshot = False  # whether changes after ``index`` can be applied to a complete list
         self._stream: Stream | None = None
         self._unreadable = ""  # the text that could not be parsed last, which is logged once
@@ -74,7 +74,7 @@
             else Left(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, forget=True)
         )
 
-    def begin(self, known: dict[str, Any]) -> None:
+    def load_known(self, known: dict[str, Any]) -> None:
         """Applies the saved list ``known``, corrected by removals and drains that were reported after it was written.
 
         The list is emptied meanwhile.
@@ -129,8 +129,8 @@
     def _hops(self, rows: list[Any]) -> list[NextHop]:
         """Converts the rows of a list, which is emptied in batches to limit memory use.
 
-        The decoded list took a third of the memory that a listed endpoint costs after a start; freeing its rows one by
-        one would leave gaps between live objects that cannot be reused.
+        At a start, the decoded list took a third of the memory that a listed endpoint costs. Freeing its rows one by
+        one would leave gaps between live objects, and that memory would be lost.
         """
         hops = []
         while rows:
@@ -170,10 +170,11 @@
             if move_count != self._move_count:
                 return
             delay = self._backoff.next_delay(received, self._silent_for, self._headers_timed_out)
-            if (
-                received or self._disconnected_at is None
-            ):  # logged once for each break, not for each attempt to reconnect
-                logs.event("map-break", source=SOURCE, revision=self.index, status=self._status, again_ms=delay // MS)
+            # Logged once for each break, not for each attempt to reconnect.
+            if received or self._disconnected_at is None:
+                logs.event(
+                    "map-break", source=SOURCE, revision=self.index, status=self._refusal_status, again_ms=delay // MS
+                )
                 self._disconnected_at, self._attempts = self.loop.now, 0
                 self.courier.map.behind.add(SOURCE)
             self._attempts += 1
@@ -181,7 +182,7 @@
 
     def _watch(self) -> bool:
         """Watches over one connection until it ends; returns whether a line was received."""
-        received, last_activity, move_count, self._status = False, 0, self._move_count, None
+        received, last_activity, move_count, self._refusal_status = False, 0, self._move_count, None
         sock = connect(self.loop, self.discovery, self.loop.now + CONNECT_TIMEOUT)
         if sock is None:
             return False
@@ -198,7 +199,7 @@
             stream.write(parser.request("GET", target, "app.svc", {}), deadline)
             answer = parser.read_head(stream, deadline, response=True)
             if answer.status != 200:
-                self._status = answer.status
+                self._refusal_status = answer.status
                 return False
             chunks = parser.Chunks() if parser.body_length(answer) is None else None
             lines, objects, pending = Lines(), JsonObjects(), 0
@@ -242,7 +243,7 @@
         answer = parser.read_head(stream, deadline, response=True)
         body = parser.read_body(stream, answer, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, most=MOST_LINE)
         if answer.status != 200:
-            self._status = answer.status
+            self._refusal_status = answer.status
             return False
         return self._line(body)
 
--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -149,7 +149,7 @@
         if not (both_text and isinstance(node.op, ast.Add)) and not all(
             isinstance(operand, (int, float)) for operand in (left, right)
         ):
-            raise Failed(f"unsupported operand types {type(left).__name__} and {type(right).__name__}")
+            raise Failed(f"{type(left).__name__} and {type(right).__name__} are incompatible operands")
         value = _BINARY[type(node.op)](left, right)
         if len(value) > MAX_TEXT_LENGTH if isinstance(value, str) else abs(value) > MAX_NUMBER:
             raise Failed("value too large")
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -279,7 +279,7 @@
         },
     )
     if config.known:
-        watch.begin(config.known)
+        watch.load_known(config.known)
     registries.follow(startup.registries)
     if startup.keys is not None:
         loop.spawn(startup.keys.watch, loop)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -75,8 +75,8 @@
 class Stage(Scene):
     """A courier with its HTTP sender side, a fake next hop (``peer``) and a fake platform (``platform``)."""
 
-    def __init__(self, folder: Path, script: Script, discovery: Script | None = None, **more: object) -> None:
-        super().__init__(folder, **more)
+    def __init__(self, directory: Path, script: Script, discovery: Script | None = None, **more: object) -> None:
+        super().__init__(directory, **more)
         self.peer = Peer(self, script)
         self.platform = Peer(self, discovery or (lambda *_: parser.response(204)))
         self.pool = NextHops(self.loop, self.buffers, self.courier.settings, 50)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -30,19 +30,19 @@
 CA = trustme.CA()
 
 
-def write_files(folder: Path, name: str = "hub.example", days: int = 365, ca: trustme.CA = CA) -> None:
+def write_files(directory: Path, name: str = "hub.example", days: int = 365, ca: trustme.CA = CA) -> None:
     cert = ca.issue_cert(name, "127.0.0.1", not_after=datetime.now(UTC) + timedelta(days=days))
-    (folder / "cert.pem").write_bytes(b"".join(blob.bytes() for blob in cert.cert_chain_pems))
-    (folder / "key.pem").write_bytes(cert.private_key_pem.bytes())
-    (folder / "key.pem").chmod(0o600)
-    (folder / "ca.pem").write_bytes(ca.cert_pem.bytes())
+    (directory / "cert.pem").write_bytes(b"".join(blob.bytes() for blob in cert.cert_chain_pems))
+    (directory / "key.pem").write_bytes(cert.private_key_pem.bytes())
+    (directory / "key.pem").chmod(0o600)
+    (directory / "ca.pem").write_bytes(ca.cert_pem.bytes())
 
 
-def conf(folder: Path, more: str = "    clients wanted", rest: str = "") -> conf_file.Conf:
-    (folder / "conf").write_text(
+def conf(directory: Path, more: str = "    clients wanted", rest: str = "") -> conf_file.Conf:
+    (directory / "conf").write_text(
         f"tls main\n    certificate cert.pem\n    key key.pem\n    authorities ca.pem\n{more}\n{rest}"
     )
-    return conf_file.load(str(folder / "conf"))
+    return conf_file.load(str(directory / "conf"))
 
 
 def client(cert: trustme.LeafCert | None = None) -> ssl.SSLContext:
@@ -53,9 +53,9 @@
     return context
 
 
-def secure(stage: Stage, folder: Path, **account: object) -> Keys:
-    write_files(folder)
-    keys = Keys(conf(folder))
+def secure(stage: Stage, directory: Path, **account: object) -> Keys:
+    write_files(directory)
+    keys = Keys(conf(directory))
     told = stage.server.told
     accounts = tuple(dataclasses.replace(a, **account) for a in told.accounts)  # type: ignore[arg-type]
     stage.server.told = dataclasses.replace(told, tls="main", accounts=accounts)
@@ -155,10 +155,13 @@
 @pytest.mark.parametrize(
     ("damage", "message"),
     [
-        (lambda folder: (folder / "key.pem").chmod(0o640), r"conf:3: tls main.key.*may be read by others, mode 640"),
-        (lambda folder: (folder / "key.pem").write_text("x"), r"tls main.certificate.*and its key are unusable"),
-        (lambda folder: (folder / "key.pem").unlink(), r"tls main.key.*can't be read"),
-        (lambda folder: (folder / "ca.pem").write_text("x"), r"conf:4: tls main.authorities.*can't be read"),
+        (
+            lambda directory: (directory / "key.pem").chmod(0o640),
+            r"conf:3: tls main.key.*may be read by others, mode 640",
+        ),
+        (lambda directory: (directory / "key.pem").write_text("x"), r"tls main.certificate.*and its key are unusable"),
+        (lambda directory: (directory / "key.pem").unlink(), r"tls main.key.*can't be read"),
+        (lambda directory: (directory / "ca.pem").write_text("x"), r"conf:4: tls main.authorities.*can't be read"),
     ],
 )
 def test_unusable_files_are_named(tmp_path: Path, damage: object, message: str) -> None:
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -40,7 +40,7 @@
             for n in range(LISTED)
         ],
     }
-    watch.begin(known)
+    watch.load_known(known)
     gc.collect()
     bytes_per_endpoint = tracemalloc.get_traced_memory()[0] / LISTED
     tracemalloc.stop()
