--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -109,18 +109,18 @@
         if pause_gc:
             heap.hold()
         try:
-            hops, whole, index = self._hops(raw["endpoints"]), raw.get("snapshot") is True, raw.get("index")
+            hops, is_snapshot, index = self._hops(raw["endpoints"]), raw.get("snapshot") is True, raw.get("index")
             if isinstance(index, int) and not isinstance(index, bool):
-                if removals is not None and whole and (self._awaiting_snapshot or index < self.index):
+                if removals is not None and is_snapshot and (self._awaiting_snapshot or index < self.index):
                     removals.clear()  # revisions of another discovery, or of one that was reset
-                self._awaiting_snapshot, self.index = self._awaiting_snapshot and not whole, index
+                self._awaiting_snapshot, self.index = self._awaiting_snapshot and not is_snapshot, index
             if removals is not None:  # before it is logged: a reader of the log may kill the process at once
-                removals.note(self._states_by_name(hops, whole), self.index)
+                removals.note(self._states_by_name(hops, is_snapshot), self.index)
             for hop in hops:
                 if hop.endpoint.state is not api.EndpointState.READY:
                     logs.event("map-leaves", source=SOURCE, hop=hop.name, state=hop.endpoint.state.name.lower())
-            self.courier.listed(SOURCE, hops, whole)
-            self._has_snapshot = self._has_snapshot or whole
+            self.courier.listed(SOURCE, hops, is_snapshot)
+            self._has_snapshot = self._has_snapshot or is_snapshot
         finally:
             if pause_gc:
                 heap.release()
@@ -142,10 +142,10 @@
                     logs.warn("map-bad-entry", source=SOURCE, why=repr(error), got=f"{row!r:.160}")
         return hops
 
-    def _states_by_name(self, hops: list[NextHop], whole: bool) -> dict[str, api.EndpointState]:
+    def _states_by_name(self, hops: list[NextHop], is_snapshot: bool) -> dict[str, api.EndpointState]:
         """The state of each endpoint in the list and, if it is complete, of those that are missing from it."""
-        names = {hop.endpoint.id for hop in hops} if whole else set()
-        missing = [name for name in self.courier.map.of(SOURCE) if name not in names] if whole else []
+        names = {hop.endpoint.id for hop in hops} if is_snapshot else set()
+        missing = [name for name in self.courier.map.of(SOURCE) if name not in names] if is_snapshot else []
         return {name.decode(): api.EndpointState.GONE for name in missing} | {
             hop.name: hop.endpoint.state for hop in hops
         }
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -155,7 +155,7 @@
     stops talking to peers. Open messages continue. An invalid configuration changes nothing.
     """
     try:
-        fresh = platform.read(environment, again=True)
+        new_config = platform.read(environment, again=True)
         conf = conf_file.load(conf_file.where(environment), environment)
         followed, secrets = resolve.registries(conf), resolve.peer_keys(conf)
         if config.keys is None and resolve.keys(conf) is not None:
@@ -172,7 +172,7 @@
         for fault in faults:
             logs.error("configuration-not-taken", why=str(fault))
         return
-    needs_restart = [key for key in RESTART_ONLY if getattr(fresh, key) != getattr(config.platform, key)]
+    needs_restart = [key for key in RESTART_ONLY if getattr(new_config, key) != getattr(config.platform, key)]
     needs_restart += [
         title
         for title in ("smpp", "smpp-account", "smpp-gateway", "plugins", "map")
@@ -185,10 +185,10 @@
     elif secrets:
         needs_restart.append("peers")
     logs.event("configuration-read", at_next_start=" ".join(needs_restart) or None)
-    if fresh.discovery != watch.discovery:
-        logs.event("discovery-moves", to=f"{fresh.discovery[0]}:{fresh.discovery[1]}")
-        watch.move(fresh.discovery)
-        notices.move(fresh.discovery)
+    if new_config.discovery != watch.discovery:
+        logs.event("discovery-moves", to=f"{new_config.discovery[0]}:{new_config.discovery[1]}")
+        watch.move(new_config.discovery)
+        notices.move(new_config.discovery)
 
 
 def _buffer_limits(memory: int, settings: api.Settings) -> tuple[int, int]:
--- a/tests/http/test_told.py
+++ b/tests/http/test_told.py
@@ -124,24 +124,24 @@
 @pytest.mark.parametrize("fragment", [b"", b" ", b"{"])
 def test_incomplete_lines_do_not_count_as_activity_of_a_watch(tmp_path: Path, fragment: bytes) -> None:
     # Guards against a watch kept open by single bytes that never complete a line, so that no change is received.
-    asked: list[int] = []
+    request_times: list[int] = []
     stage: Stage
 
     def discovery(head: parser.Head, _: bytes) -> bytes:
-        asked.append(stage.loop.now)
-        if len(asked) > 1:
+        request_times.append(stage.loop.now)
+        if len(request_times) > 1:
             return HEAD + chunk(json.dumps(list_update(2, "leaving")).encode() + b"\n")
         return HEAD + chunk(b"\n")
 
     stage, watch = start_watch(tmp_path, discovery)
-    stage.until(lambda: asked)
+    stage.until(lambda: request_times)
     for _ in range(80):
-        if fragment and len(asked) < 2 and stage.platform.streams:
+        if fragment and len(request_times) < 2 and stage.platform.streams:
             with contextlib.suppress(OSError):  # the courier has closed the watch meanwhile
                 stage.platform.streams[0].sock.send(chunk(fragment))
         stage.wait(100 * MS)
     stage.until(lambda: watch.index == 2)
-    assert asked[1] - asked[0] < WATCH_SILENCE_TIMEOUT + SECOND
+    assert request_times[1] - request_times[0] < WATCH_SILENCE_TIMEOUT + SECOND
 
 
 def test_a_discovery_that_is_slow_to_send_headers_is_waited_for(tmp_path: Path) -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -454,11 +454,11 @@
     return address
 
 
-def attempt(stage: Stage, cls: int = READING, span: int = 200 * MS, leave: bool = True) -> Outcome:
+def attempt(stage: Stage, cls: int = READING, timeout: int = 200 * MS, leave: bool = True) -> Outcome:
     got: list[Outcome] = []
     message = Message("t", cls, 0, 7, stage.loop.now + SECOND, b"x" * 300, stage.ends, "key")
     stage.loop.spawn(
-        lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + span, lambda: leave).outcome)
+        lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + timeout, lambda: leave).outcome)
     )
     stage.until(lambda: got)
     return got[0]
@@ -517,7 +517,7 @@
 ) -> None:
     # Guards against a payment that is processed twice, and against noise that is read as the next response.
     stage = Stage(tmp_path, lambda *_: answer)
-    assert attempt(stage, span=5 * SECOND) is outcome
+    assert attempt(stage, timeout=5 * SECOND) is outcome
     stage.peer.script = lambda *_: parser.response(500)
     stage.wait(1_100 * MS)
     assert attempt(stage) is Outcome.ERROR
@@ -619,7 +619,7 @@
             }
         ).encode()
     )
-    assert list(stage.courier.map.hops) == [b"s-9"] and watch.index == 5  # s-1 was missing from a whole list
+    assert list(stage.courier.map.hops) == [b"s-9"] and watch.index == 5  # s-1 was missing from a complete list
     assert stage.courier.map.hops[b"s-9"].endpoint == api.Endpoint(b"s-9", 3, 1, 1)
     for line in (b"{", b"[]", b"{}", b"", b'{"endpoints": 3}', b"\xff"):
         watch._line(line)
@@ -639,8 +639,8 @@
     stage = Stage(tmp_path, ok, discovery)
     stage.loop.spawn(make_watch(stage.courier, stage).run)
     stage.until(lambda: len(stage.platform.seen) >= 3)
-    asked = [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
-    assert asked == ["/registry/instances", "8", "8"]  # the complete list first, as nothing is known yet
+    positions = [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
+    assert positions == ["/registry/instances", "8", "8"]  # the complete list first, as nothing is known yet
     assert b"s-9" in stage.courier.map.hops
 
 
@@ -650,8 +650,8 @@
     # Guards against a thundering herd: a courier with an older complete list need not request the complete list again.
     line = json.dumps({"index": 1, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
     refusals = [parser.response(503, keep=False)] * 4
-    heard = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
-    stage = Stage(tmp_path, ok, lambda *_: refusals.pop() if refusals else heard)
+    update = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
+    stage = Stage(tmp_path, ok, lambda *_: refusals.pop() if refusals else update)
     watch = make_watch(stage.courier, stage)
     watch.apply({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
     stage.loop.spawn(watch.run)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -56,9 +56,9 @@
 def secure(stage: Stage, directory: Path, **account: object) -> Keys:
     write_files(directory)
     keys = Keys(conf(directory))
-    told = stage.server.told
-    accounts = tuple(dataclasses.replace(a, **account) for a in told.accounts)  # type: ignore[arg-type]
-    stage.server.told = dataclasses.replace(told, tls="main", accounts=accounts)
+    config = stage.server.told
+    accounts = tuple(dataclasses.replace(a, **account) for a in config.accounts)  # type: ignore[arg-type]
+    stage.server.told = dataclasses.replace(config, tls="main", accounts=accounts)
     stage.server._keys = keys
     return keys
 
@@ -219,11 +219,11 @@
 def test_an_account_is_limited_to_its_networks_and_failed_binds_delay_an_address(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open()
-    told = stage.server.told
-    away = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in told.accounts)
-    stage.server.told = dataclasses.replace(told, accounts=away)
+    config = stage.server.told
+    away = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
+    stage.server.told = dataclasses.replace(config, accounts=away)
     assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
-    stage.server.told = told
+    stage.server.told = config
     assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
         assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
@@ -236,11 +236,11 @@
 
 
 def test_delays_grow_and_are_forgotten() -> None:
-    kept = door.Door()
-    delays = [kept.refused("1.1.1.1", 0) // SECOND for _ in range(12)]
-    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and kept.waits("1.1.1.1", 59 * SECOND)
-    assert not kept.waits("1.1.1.1", 60 * SECOND) and not kept.waits("1.1.1.2", 0)
-    assert kept.refused("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
+    limiter = door.Door()
+    delays = [limiter.refused("1.1.1.1", 0) // SECOND for _ in range(12)]
+    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.waits("1.1.1.1", 59 * SECOND)
+    assert not limiter.waits("1.1.1.1", 60 * SECOND) and not limiter.waits("1.1.1.2", 0)
+    assert limiter.refused("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
     for place in range(3_000):
-        kept.refused(f"2.0.{place // 256}.{place % 256}", 0)
-    assert len(kept._refused) == door.MOST_KNOWN
+        limiter.refused(f"2.0.{place // 256}.{place % 256}", 0)
+    assert len(limiter._refused) == door.MOST_KNOWN
