--- a/kestrelspar/peers/judgements.py
+++ b/kestrelspar/peers/judgements.py
@@ -1,37 +1,44 @@
-"""What couriers tell each other of endpoints, and how far it is believed. No I/O.
+"""Endpoint observations that couriers exchange, and how far each is trusted. No I/O.
 
-Everything that decides what hearsay may do lives in this file. Times are microseconds of the caller's clock.
+Everything that decides what the reports of other couriers may change lives in this file. Times are microseconds of the
+caller's clock.
 
 Theory of operation
 -------------------
-A courier tells only what it saw itself: a told wait, calls that failed with nothing served since (``DOWN``), calls that
-are out and silent, an endpoint that serves after that (``BACK``), and a limit that was told. Each word has the
-endpoint's number of the witness (the larger counts, within its life) and its age; what is passed on twice, late or out
-of order changes nothing. Words go to each member directly, some rounds of them, as a datagram may be lost.
-
-Heard, a word makes a courier more careful, never bolder than it would be alone:
-
-- a told wait is kept, for ``most_wait`` after it was seen at the most;
-- an outage needs two witnesses, or one and an own failed call;
-- an own call that was served and was sent after what the word tells of outranks it, and so does another's ``BACK``;
-- a destination's last route is not taken: calls go there one at a time. Nor are more than ``most_held`` of all routes:
-  those with the fewest witnesses are free again;
-- of an endpoint that was out, the first ``BACK`` or own success begins its way back (``cold``): what all may send it
-  then is a budget, see cold.py;
-- a witness whose words own calls contradict (``WRONG`` more often than they bear it out) has no voice until they do.
-
-Of an outage one finds out: members are ranked by a hash of endpoint and name, and the one of rank r calls again, one
-call at a time, r ``STEP`` after the last word of a failure. Its failure is the next word, its success ends the wait of
-all. Whoever hears nothing calls after ``RANKS`` steps at the most, as it would alone.
-
-What comes by a broker may be changed or made up by it, and by the broker of another region that it had it from. So
-claims are kept by witness and by the way that they came (``Voice``), and two witnesses are two only if no single party
-- witness or broker - had a hand in all that is said: neither one lying courier, which is one witness on all its ways,
-nor one lying broker, however many witnesses it makes up, holds anything but a told wait. A voice that own calls
-contradict is silent as above; a way whose voices they contradict is, after ``WAY_WRONG`` calls, and a broker after
-``BROKER_WRONG``. A voice that is silent already counts against its way no more: one liar silences no honest broker.
-
-State is bounded by live endpoints and ``WITNESSES`` each and way, and by members.
+A courier reports only what it observed itself: a retry-after delay (``WAIT``), calls that failed with none served since
+(``DOWN``), calls in flight without an answer (``SILENT``), an endpoint that serves after one of these (``BACK``), and a
+limit that the endpoint reported (``LIMIT``). Each observation carries a sequence number of the witness, of which the
+larger wins within a process epoch, and its age, so duplicated, late or reordered observations change nothing.
+Observations go directly to each member, in several rounds, as a datagram may be lost.
+
+A received observation makes a courier more careful, never bolder than it would be alone:
+
+- a retry-after delay is honoured for at most ``max_wait`` after it was seen;
+- an outage needs two witnesses, or one witness and a failed call of this courier;
+- a served call of this courier outranks an observation made before that call was sent, and so does a ``BACK`` from
+  another courier;
+- the last route of a destination is never closed: it is called one call at a time. Nor are more than
+  ``max_restricted_share`` of all routes closed: those with the fewest witnesses are called one call at a time, too;
+- the first ``BACK`` or served call after an outage starts the endpoint's slow start (``cold``): how much all couriers
+  may send it then is a budget, see demand.py;
+- a witness that this courier's calls contradict is distrusted: each contradiction adds one to its score, each
+  confirmation takes ``CONFIRMATION_CREDIT`` off, and it is trusted while its score is below
+  ``SOURCE_DISTRUST_SCORE``.
+
+One courier at a time probes an endpoint in an outage: members are ranked by a hash of endpoint and member name, and the
+one of rank r calls again, one call at a time, r probe intervals after the last report of a failure. If its call fails,
+that is the next report; if it is served, the wait ends for all. A courier that receives nothing calls after at most
+``RANKS`` intervals, as it would alone.
+
+A broker may alter or invent what it relays, and so may the broker of another region that it received it from. Claims
+are therefore kept by witness and relay path (``Voice``), and two witnesses count as two only if no single party,
+witness or broker, handled all of their claims. So neither one lying courier, which is one witness on all its paths, nor
+one lying broker, however many witnesses it invents, can restrict a route by anything but a retry-after delay.
+A claim source is distrusted as above; a relay path after ``PATH_DISTRUST_SCORE`` contradicted calls, and a broker after
+``BROKER_DISTRUST_SCORE``. A source that is distrusted already no longer counts against its path, so one lying courier
+doesn't discredit an honest broker.
+
+State is bounded by live endpoints times ``MAX_WITNESSES`` for each relaying broker, and by members.
 """
 
 from __future__ import annotations
@@ -48,102 +55,106 @@
 from kestrelspar.peers.words import Publish, Relayed, Seen, Word
 
 MS, SECOND = 1_000, 1_000_000
-WITNESSES = 12  # whose words are held of one endpoint, directly and by each broker
-FRESH = 3 * SECOND  # a failure that was seen longer ago tells of no outage now
-RANKS = 8  # steps that anybody waits at the most for those who try an endpoint before it
-ROUNDS, AGAIN = 4, 300 * MS  # how often a word goes to all; until the second time, doubling
-ENOUGH = 3  # witnesses that have told the same: one more need not tell all
-REFRESH = 250 * MS  # a failure is told anew so often at most
-LEAST_WAIT = 50 * MS  # a shorter told wait is over before it is heard
-WRONG, RIGHT, MOST_WRONG = 3.0, 0.5, 6.0  # marks from which on a voice is lost; taken off by a word borne out; at most
-WAY_WRONG, BROKER_WRONG = 12.0, 24.0  # marks of a way (a broker, and the one it had it from), and of a broker in all
-RIGHTLY, UNHEARD, WRONGLY = range(3)  # what a call tells of a way, the gravest last
-MOST_MARKS = 2_048  # of voices that came by brokers
-RIVALS = 16  # couriers that claim our place, and are told of
-NEAR = 0.1  # limits that differ by less are the same
-SURELY_OUT = SECOND  # an outage that is over sooner was none
-ALONG = 6  # own words that go along with a datagram
-WORD = 150  # bytes of a datagram with one word, about
+MAX_WITNESSES = 12  # per endpoint: direct ones, and as many more by each broker
+FRESH = 3 * SECOND  # an older report of a failure is no evidence of a current outage
+RANKS = 8  # max probe intervals that a courier waits for those ranked before it
+ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # times that a report is sent to all; the delay doubles each time
+SUFFICIENT_REPORTS = 3  # witnesses with the same report; a further one is sent in the last round only
+MIN_REPORT_INTERVAL = 250 * MS  # between reports of failures at one endpoint
+MIN_REPORTED_WAIT = 50 * MS  # a shorter retry-after delay ends before other couriers receive it
+# A claim source is distrusted from the first score on; a confirmed claim takes off the second; the third is the max.
+SOURCE_DISTRUST_SCORE, CONFIRMATION_CREDIT, SOURCE_MAX_SCORE = 3.0, 0.5, 6.0
+# The same for a relay path (a broker, and the broker that it received from), and for all that one broker relays.
+PATH_DISTRUST_SCORE, BROKER_DISTRUST_SCORE = 12.0, 24.0
+CONFIRMED, DISREGARDED, CONTRADICTED = range(3)  # verdicts of one call on a relay path, in order of gravity
+MAX_RELAYED_SCORES = 2_048  # scores kept for sources that brokers relay
+MAX_NUMBER_CONFLICTS = 16  # couriers reported for claiming this courier's number
+LIMIT_TOLERANCE = 0.1  # limits that differ by a smaller part are taken as equal
+MIN_OUTAGE = SECOND  # a shorter one is not treated as an outage
+MAX_PIGGYBACKED = 6  # own observations added to a datagram
+OBSERVATION_DATAGRAM_BYTES = 150  # approximate size of a datagram with one observation
 
 
 class Kind(IntEnum):
-    """What was seen."""
+    """What was observed."""
 
-    WAIT = 0  # told to wait; value: milliseconds left
-    DOWN = 1  # a call failed, and none that was sent later was served
-    SILENT = 2  # calls are out, and nothing has come for longer than usual
-    BACK = 3  # served, after one of the above
-    LIMIT = 4  # told of its limit; value: thousandths of a call a second
+    WAIT = 0  # the endpoint asked to retry later; value: milliseconds left
+    DOWN = 1  # a call failed, and no call sent later was served
+    SILENT = 2  # calls are in flight, and no answer has come for longer than usual
+    BACK = 3  # a call was served after one of the above
+    LIMIT = 4  # the endpoint reported its limit; value: thousandths of a call per second
 
 
 class Outcome(IntEnum):
-    """How an own call ended, as far as it matters here."""
+    """How a call of this courier ended, as far as it says something about the endpoint."""
 
     SERVED = 0
-    REFUSED = 1  # as full
-    FAILED = 2  # no answer, no connection
-    OTHER = 3  # tells nothing of the endpoint
+    REFUSED = 1  # the endpoint was at its limit
+    FAILED = 2  # no answer, or no connection
+    OTHER = 3  # says nothing about the endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """What the module is told of a route: left alone until then, or called one call at a time."""
+    """Restriction of a route, for the decision module: closed until then, or limited to one call at a time."""
 
     until: int
     one: bool
 
 
 @dataclass(slots=True)
-class Own:
-    """What this courier saw at one endpoint."""
+class LocalRecord:
+    """What this courier observed at one endpoint. The fields for calls hold the time when the call was sent."""
 
-    served: int = -(1 << 60)  # when the last call that was served had been sent
-    failed: int = -(1 << 60)  # and the last one that failed
-    refused: int = -(1 << 60)
+    served: int = -(1 << 60)  # last call that was served
+    failed: int = -(1 << 60)  # last call that failed
+    refused: int = -(1 << 60)  # last call that was refused
     limit: float = 0.0
     limit_at: int = -(1 << 60)
 
 
 @dataclass(slots=True)
-class Telling:
-    """One own word on its way to all."""
+class PendingReport:
+    """One observation of this courier that is being sent to all others."""
 
     kind: Kind
     at: int
     value: int
-    n: int
-    left: list[str] = field(default_factory=list)  # members that this round has still to tell
-    owners: list[str] = field(default_factory=list)  # and brokers
-    rounds: int = 0
-    next: int = 0
+    sequence: int
+    pending_members: list[str] = field(default_factory=list)  # still to be sent to in this round
+    pending_brokers: list[str] = field(default_factory=list)  # the same for brokers
+    rounds_sent: int = 0
+    next_round_at: int = 0
 
 
 @dataclass(slots=True)
 class Claim:
-    """A witness's last word on an endpoint, or on its limit."""
+    """The latest claim of a witness about an endpoint's health or its limit."""
 
     kind: Kind
-    at: int  # when it was seen, by our clock; not earlier than it was
-    until: int  # of a wait
+    at: int  # when it was observed, by the local clock; never earlier than it really was
+    until: int  # end of a ``WAIT``
     value: int
-    n: int
-    marked: bool = False  # own calls have borne it out or not
+    n: int  # sequence number at the witness
+    scored: bool = False  # a call of this courier has confirmed or contradicted it
 
 
 @dataclass(slots=True)
-class Witness:
-    """What one courier told of one endpoint."""
+class WitnessRecord:
+    """What one courier claimed about one endpoint."""
 
     life: int
-    heard: int = 0
+    last_heard: int = 0
     health: Claim | None = None
     limit: Claim | None = None
 
 
 class Voice(NamedTuple):
-    """Whose word, and by whom it came: directly, by a broker, and to that from another region's (``origin``).
+    """Claim source: the witness, and the relay path by which its claim came.
 
-    Without a witness: all that comes that way; ``origin`` ``ANY``: all that comes by that broker.
+    ``by``: the broker that relayed it; empty if it came directly. ``origin``: the broker of another region that ``by``
+    received it from. Without a witness it stands for the whole relay path; with ``ANY_ORIGIN`` for all that the broker
+    relays.
     """
 
     witness: str
@@ -151,432 +162,526 @@
     origin: str = ""
 
     def parties(self) -> set[tuple[bool, str]]:
-        """Who had a hand in it, and whether that is a broker."""
+        """All parties that handled the claim, and whether each is a broker."""
         return {(False, self.witness)} | {(True, name) for name in (self.by, self.origin) if name}
 
-    def levels(self) -> list[tuple[Voice, float]]:
-        """The voice, its way and its broker: all must have a voice; with the marks from which on each has none."""
+    def trust_levels(self) -> list[tuple[Voice, float]]:
+        """The source, its relay path and its broker, each with the score from which on it is distrusted.
+
+        A claim counts only if all of them are trusted.
+        """
         if not self.by:
-            return [(self, WRONG)]
-        return [(self, WRONG), (Voice("", self.by, self.origin), WAY_WRONG), (Voice("", self.by, ANY), BROKER_WRONG)]
+            return [(self, SOURCE_DISTRUST_SCORE)]
+        return [
+            (self, SOURCE_DISTRUST_SCORE),
+            (Voice("", self.by, self.origin), PATH_DISTRUST_SCORE),
+            (Voice("", self.by, ANY_ORIGIN), BROKER_DISTRUST_SCORE),
+        ]
 
     def __str__(self) -> str:
-        """For people."""
+        """The form used in logs and reports."""
         if not self.by:
             return self.witness
-        origin = " and all it passes on" if self.origin == ANY else f" from {self.origin}" if self.origin else ""
+        origin = " and all it passes on" if self.origin == ANY_ORIGIN else f" from {self.origin}" if self.origin else ""
         return f"{self.witness} by {self.by}{origin}".strip()
 
 
-ANY = "*"
+ANY_ORIGIN = "*"
 
 
-def agreed(voices: Iterable[Voice]) -> bool:
-    """Whether no single party had a hand in all of them: one that lies could say nothing so by itself."""
-    parties = [voice.parties() for voice in voices]
+def independently_sourced(sources: Iterable[Voice]) -> bool:
+    """Whether no single party handled all of the claims, so that no single liar can have made all of them."""
+    parties = [source.parties() for source in sources]
     return len(parties) > 1 and not set.intersection(*parties)
 
 
-def strength(voices: Collection[Voice]) -> int:
-    """How many witnesses there are, of those that came by one way one."""
-    return min(len({voice.witness for voice in voices}), len({voice.by or (voice.witness,) for voice in voices}))
+def independent_witness_count(sources: Collection[Voice]) -> int:
+    """Number of independent witnesses; several that came by one relay path count as one."""
+    return min(len({source.witness for source in sources}), len({source.by or (source.witness,) for source in sources}))
 
 
-def rank(endpoint: str, me: str, others: Iterable[str]) -> int:
-    """How many of the others try this endpoint before us: the same order at all, by rendezvous hashing."""
+def rank(endpoint: str, own_name: str, others: Iterable[str]) -> int:
+    """How many of the others probe this endpoint before this courier.
+
+    Rendezvous hashing gives the same order at all couriers.
+    """
 
-    def draw(name: str) -> int:
+    def score(name: str) -> int:
         return xxhash.xxh64_intdigest(f"{endpoint}\0{name}".encode())
 
-    mine = draw(me)
-    return sum((draw(name), name) < (mine, me) for name in others)
+    own_score = score(own_name)
+    return sum((score(name), name) < (own_score, own_name) for name in others)
 
 
 class Judgements:
-    """One courier's own words, what it heard, and what comes of it."""
+    """This courier's observations, those of other couriers, and the route restrictions that follow from them."""
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         life: int,
-        most_wait: int,
-        most_held: float,
-        step: int,
+        max_wait: int,
+        max_restricted_share: float,
+        probe_interval: int,
         random: Random,
         couriers: int = 0,
         number: int = 0,
         origins: Collection[str] = (),
     ) -> None:
-        """``most_wait``: longest told wait, microseconds; ``most_held``: share of all routes that hearsay may take.
+        """Create the tracker of the courier ``own_name`` in its process epoch ``life``.
 
-        ``step``: between couriers that try an endpoint which is out, microseconds. ``couriers``, ``number``: how many
-        there are, and our place; a witness has one. ``origins``: brokers of other regions.
+        ``max_wait``: longest retry-after delay that is accepted, microseconds. ``max_restricted_share``: share of all
+        routes that reports of other couriers may close. ``probe_interval``: between couriers that probe an endpoint in
+        an outage, microseconds. ``couriers``, ``number``: number of couriers, and the position of this one; a witness
+        must have a position. ``origins``: brokers of other regions.
         """
-        self.me, self.life, self.most_wait, self.most_held, self.step = me, life, most_wait, most_held, step
+        self.own_name, self.life, self.max_wait, self.max_restricted_share, self.probe_interval = (
+            own_name,
+            life,
+            max_wait,
+            max_restricted_share,
+            probe_interval,
+        )
         self.events: Events = []
         self.couriers, self.number, self.origins = couriers, number, frozenset(origins)
-        self.marks: dict[Voice, float] = {}  # how often it was wrong, less how often it was right
-        self.voiceless: set[Voice] = set()
+        self.scores: dict[Voice, float] = {}  # contradicted claims, less a credit for each confirmed one; never below 0
+        self.distrusted: set[Voice] = set()
         self.silent = False
         self._random = random
         self._n = 0
-        self._routes: dict[str, int] = {}  # by endpoint: its destination
-        self._closed: frozenset[str] = frozenset()
-        self._own: dict[str, Own] = {}
-        self._telling: dict[tuple[str, bool], Telling] = {}  # by endpoint, and whether it is of its limit
-        self._rivals: set[str] = set()  # couriers that claim our place
-        self._heard: dict[str, dict[Voice, Witness]] = {}  # by endpoint
-        self._out: dict[str, int] = {}  # by endpoint that is out: since when
-        self._cold: dict[str, int] = {}  # by endpoint that was: when it came back
+        self._routes: dict[str, int] = {}  # destination by endpoint
+        self._locally_closed: frozenset[str] = frozenset()
+        self._local: dict[str, LocalRecord] = {}
+        self._pending_reports: dict[tuple[str, bool], PendingReport] = {}  # by endpoint, and whether it is its limit
+        self._number_conflicts: set[str] = set()  # couriers that claim this courier's number
+        self._heard: dict[str, dict[Voice, WitnessRecord]] = {}  # by endpoint
+        self._outages: dict[str, int] = {}  # start of the current outage, by endpoint
+        self._recovering: dict[str, int] = {}  # end of a recent outage, by endpoint
 
-    # What this courier saw
+    # Observations of this courier
 
     def saw(self, endpoint: str, outcome: Outcome, sent: int, now: int, wait: int = 0, limit: float = 0.0) -> None:
-        """An own call ended: sent then; told to wait for so long, and of a limit of so many calls a second."""
-        own = self._own.setdefault(endpoint, Own())
+        """Record the end of a call that was sent at ``sent``.
+
+        ``wait``: the retry-after delay that it was answered with, microseconds. ``limit``: the limit that the endpoint
+        reported, calls per second.
+        """
+        local = self._local.setdefault(endpoint, LocalRecord())
         if limit > 0:
-            if abs(limit - own.limit) > NEAR * own.limit:
-                self._tell(endpoint, Kind.LIMIT, now, int(limit * 1_000))
-            own.limit, own.limit_at = limit, now
+            if abs(limit - local.limit) > LIMIT_TOLERANCE * local.limit:
+                self._queue_report(endpoint, Kind.LIMIT, now, int(limit * 1_000))
+            local.limit, local.limit_at = limit, now
         if outcome is Outcome.SERVED:
-            own.served = max(own.served, sent)
-            self._is_back(endpoint, now)
-            self._weigh(endpoint, sent, now, served=True)
-            told = self._telling.get((endpoint, False))
-            if told is not None and told.kind is not Kind.BACK or self._troubled(endpoint, now):
-                self._tell(endpoint, Kind.BACK, now, 0)
+            local.served = max(local.served, sent)
+            self._end_outage(endpoint, now)
+            self._score_claims(endpoint, sent, now, served=True)
+            pending = self._pending_reports.get((endpoint, False))
+            if pending is not None and pending.kind is not Kind.BACK or self._reported_unwell(endpoint, now):
+                self._queue_report(endpoint, Kind.BACK, now, 0)
         elif outcome is Outcome.REFUSED:
-            own.refused = sent
-        elif outcome is Outcome.FAILED and sent > own.served:
-            own.failed = max(own.failed, sent)
-            self._weigh(endpoint, sent, now, served=False)
-            self._tell(endpoint, Kind.DOWN, now, 0)
-        if wait >= LEAST_WAIT:
-            self._weigh(endpoint, sent, now, served=False)
-            self._tell(endpoint, Kind.WAIT, now, min(wait, self.most_wait) // MS)
+            local.refused = sent
+        elif outcome is Outcome.FAILED and sent > local.served:
+            local.failed = max(local.failed, sent)
+            self._score_claims(endpoint, sent, now, served=False)
+            self._queue_report(endpoint, Kind.DOWN, now, 0)
+        if wait >= MIN_REPORTED_WAIT:
+            self._score_claims(endpoint, sent, now, served=False)
+            self._queue_report(endpoint, Kind.WAIT, now, min(wait, self.max_wait) // MS)
 
     def silence(self, endpoint: str, now: int) -> None:
-        """Calls are out there, and nothing has come back for longer than usual."""
-        self._tell(endpoint, Kind.SILENT, now, 0)
+        """Record that calls to the endpoint are in flight without an answer for longer than usual."""
+        self._queue_report(endpoint, Kind.SILENT, now, 0)
 
-    def _tell(self, endpoint: str, kind: Kind, now: int, value: int) -> None:
-        """Have all others told, unless they just were, or enough others have said so."""
+    def _queue_report(self, endpoint: str, kind: Kind, now: int, value: int) -> None:
+        """Queue a report to all others, unless a recent one says the same.
+
+        If enough other witnesses have reported it, it is sent in one round only.
+        """
         key = endpoint, kind is Kind.LIMIT
-        told = self._telling.get(key)
+        pending = self._pending_reports.get(key)
         if (
-            told is not None
-            and told.kind in (kind, Kind.DOWN)
+            pending is not None
+            and pending.kind in (kind, Kind.DOWN)
             and kind in (Kind.DOWN, Kind.SILENT)
-            and now - told.at < REFRESH
+            and now - pending.at < MIN_REPORT_INTERVAL
         ):
             return
         self._n += 1
-        said = self._said(endpoint, kind, now) if kind is not Kind.LIMIT else 0
-        self._telling[key] = Telling(kind, now, value, self._n, rounds=ROUNDS - 1 if said >= ENOUGH else 0, next=now)
-
-    def _said(self, endpoint: str, kind: Kind, now: int) -> int:
-        """Witnesses that have told the same: directly, or by two brokers, as one could make them up."""
-        ways: dict[str, set[str]] = {}
-        for voice, w in self._heard.get(endpoint, {}).items():
-            if w.health is not None and w.health.kind is kind and now - w.health.at < FRESH:
-                ways.setdefault(voice.witness, set()).add(voice.by)
-        return sum("" in by or len(by) > 1 for by in ways.values())
-
-    # What others saw
-
-    def heard(self, sender: str, life: int, words: Iterable[Word], now: int) -> bool:
-        """A member's words; whether any was news."""
-        news = False
-        for word in words:
-            if isinstance(word, Seen) and word.endpoint in self._routes and sender != self.me:
-                news |= self._take(Voice(sender), life, word, now)
-        return news
-
-    def relayed(self, broker: str, words: Iterable[Word], now: int) -> bool:
-        """What a broker of the own region passes on; whether any was news."""
-        news = False
-        for word in words:
-            if not isinstance(word, Relayed) or word.witness == self.me or word.number >= self.couriers:
+        reports = self._independent_reports(endpoint, kind, now) if kind is not Kind.LIMIT else 0
+        self._pending_reports[key] = PendingReport(
+            kind,
+            now,
+            value,
+            self._n,
+            rounds_sent=ROUNDS - 1 if reports >= SUFFICIENT_REPORTS else 0,
+            next_round_at=now,
+        )
+
+    def _independent_reports(self, endpoint: str, kind: Kind, now: int) -> int:
+        """Number of witnesses with the same report: direct ones, or by two brokers, as one could invent witnesses."""
+        paths: dict[str, set[str]] = {}
+        for source, record in self._heard.get(endpoint, {}).items():
+            if record.health is not None and record.health.kind is kind and now - record.health.at < FRESH:
+                paths.setdefault(source.witness, set()).add(source.by)
+        return sum("" in by or len(by) > 1 for by in paths.values())
+
+    # Observations of other couriers
+
+    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int) -> bool:
+        """Handle a member's messages. Returns whether any of them was new."""
+        changed = False
+        for message in messages:
+            if isinstance(message, Seen) and message.endpoint in self._routes and sender != self.own_name:
+                changed |= self._record(Voice(sender), life, message, now)
+        return changed
+
+    def relayed(self, broker: str, messages: Iterable[Word], now: int) -> bool:
+        """Handle what a broker of this courier's region relays. Returns whether any of it was new."""
+        changed = False
+        for message in messages:
+            if not isinstance(message, Relayed) or message.witness == self.own_name or message.number >= self.couriers:
                 continue
-            if word.number == self.number and word.witness not in self._rivals and len(self._rivals) < RIVALS:
-                self._rivals.add(word.witness)  # in another group, so nobody else may hear of both
+            if (
+                message.number == self.number
+                and message.witness not in self._number_conflicts
+                and len(self._number_conflicts) < MAX_NUMBER_CONFLICTS
+            ):
+                # It is in another group, so possibly no other courier knows of both.
+                self._number_conflicts.add(message.witness)
                 self.events.append(
                     (
                         "peers-number-twice",
-                        {"peer": word.witness, "rival": self.me, "number": word.number, "by": broker},
+                        {"peer": message.witness, "rival": self.own_name, "number": message.number, "by": broker},
                     )
                 )
-            if word.seen.endpoint in self._routes and (not word.origin or word.origin in self.origins):
-                news |= self._take(Voice(word.witness, broker, word.origin), word.life, word.seen, now)
-        return news
-
-    def _make_room(self, known: dict[Voice, Witness], by: str) -> None:
-        """One way pushes out none of another; of one broker's, that which has the most from one origin gives room."""
-        same = [voice for voice in known if voice.by == by]
-        if len(same) < WITNESSES:
+            if message.seen.endpoint in self._routes and (not message.origin or message.origin in self.origins):
+                changed |= self._record(Voice(message.witness, broker, message.origin), message.life, message.seen, now)
+        return changed
+
+    def _evict_witness(self, records: dict[Voice, WitnessRecord], by: str) -> None:
+        """Make room for one more witness of this broker (empty: of those that report directly).
+
+        The witnesses of one broker never displace those of another. Within one broker, the oldest record of the origin
+        with the most records is evicted.
+        """
+        same = [source for source in records if source.by == by]
+        if len(same) < MAX_WITNESSES:
             return
-        origins = [voice.origin for voice in same]
-        most = max(origins, key=lambda origin: (origins.count(origin), origin))
-        del known[min((voice for voice in same if voice.origin == most), key=lambda voice: known[voice].heard)]
+        origins = [source.origin for source in same]
+        largest = max(origins, key=lambda origin: (origins.count(origin), origin))
+        del records[
+            min((source for source in same if source.origin == largest), key=lambda source: records[source].last_heard)
+        ]
 
-    def _believed(self, voice: Voice) -> bool:
-        return not self.voiceless or not any(level in self.voiceless for level, _ in voice.levels())
+    def _trusted(self, source: Voice) -> bool:
+        return not self.distrusted or not any(level in self.distrusted for level, _ in source.trust_levels())
 
     def unheard(self, broker: str) -> bool:
-        """Whether nothing is believed that comes by this broker from its own couriers."""
-        return not self.voiceless.isdisjoint((Voice("", broker), Voice("", broker, ANY)))
+        """Whether nothing is trusted that this broker relays from couriers of its own region."""
+        return not self.distrusted.isdisjoint((Voice("", broker), Voice("", broker, ANY_ORIGIN)))
 
     def not_believed(self) -> list[str]:
-        """Voices and ways that have none, for people."""
-        return sorted(str(voice) for voice in self.voiceless)
+        """Distrusted sources, relay paths and brokers, for reports."""
+        return sorted(str(source) for source in self.distrusted)
 
-    def _take(self, voice: Voice, life: int, word: Seen, now: int) -> bool:
-        known = self._heard.setdefault(word.endpoint, {})
-        witness = known.get(voice)
+    def _record(self, source: Voice, life: int, observation: Seen, now: int) -> bool:
+        records = self._heard.setdefault(observation.endpoint, {})
+        witness = records.get(source)
         if witness is None or life > witness.life:
             if witness is None:
-                self._make_room(known, voice.by)
-            witness = known[voice] = Witness(life)
-        at = now - word.age * MS
-        claim = Claim(Kind(word.kind), at, at + min(word.value * MS, self.most_wait), word.value, word.n)
-        held = witness.limit if claim.kind is Kind.LIMIT else witness.health
-        if life < witness.life or held is not None and word.n <= held.n:
-            if held is not None and word.n == held.n:
-                held.at = min(held.at, at)  # the same word by a shorter way
+                self._evict_witness(records, source.by)
+            witness = records[source] = WitnessRecord(life)
+        at = now - observation.age * MS
+        claim = Claim(
+            Kind(observation.kind),
+            at,
+            at + min(observation.value * MS, self.max_wait),
+            observation.value,
+            observation.n,
+        )
+        previous = witness.limit if claim.kind is Kind.LIMIT else witness.health
+        if life < witness.life or previous is not None and observation.n <= previous.n:
+            if previous is not None and observation.n == previous.n:
+                previous.at = min(previous.at, at)  # the same observation by a faster path
             return False
-        witness.heard = now
+        witness.last_heard = now
         if claim.kind is Kind.LIMIT:
             witness.limit = claim
         else:
             witness.health = claim
-            if claim.kind is Kind.BACK and self._believed(voice):
-                self._is_back(word.endpoint, at)
+            if claim.kind is Kind.BACK and self._trusted(source):
+                self._end_outage(observation.endpoint, at)
         return True
 
-    def _weigh(self, endpoint: str, sent: int, now: int, served: bool) -> None:
-        """An own call bears out what was told before it was sent, or contradicts it: each word once."""
-        ways: dict[Voice, tuple[int, Kind]] = {}
-        for voice, witness in self._heard.get(endpoint, {}).items():
+    def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
+        """Score claims made before a call of this courier was sent by its outcome, each claim once."""
+        paths: dict[Voice, tuple[int, Kind]] = {}
+        for source, witness in self._heard.get(endpoint, {}).items():
             claim = witness.health
             if (
                 claim is None
-                or claim.marked
+                or claim.scored
                 or sent <= claim.at
                 or now - claim.at > FRESH
                 or claim.kind is Kind.WAIT
                 and sent > claim.until
             ):
                 continue
-            claim.marked = True
-            wrong = served is not (claim.kind is Kind.BACK)
-            (level, most), *above = voice.levels()
-            silent = level in self.voiceless
-            self._mark(level, most, wrong, endpoint, claim.kind)
-            for level, _ in above:
-                # What is not heard already counts for nothing: its broker only passed it on. But nor does it earn marks
-                # off for what else came that way: a lie is a lie.
-                found = RIGHTLY if not wrong else UNHEARD if silent else WRONGLY
-                silent = silent or level in self.voiceless
-                if level not in ways or found > ways[level][0]:
-                    ways[level] = found, claim.kind
-        for level, (found, kind) in ways.items():  # one call tells one thing of a way, however many came by it
-            if found != UNHEARD:
-                most = BROKER_WRONG if level.origin == ANY else WAY_WRONG
-                self._mark(level, most, found == WRONGLY, endpoint, kind)
-
-    def _mark(self, level: Voice, most: float, wrong: bool, endpoint: str, kind: Kind) -> None:
-        marks = self.marks.get(level, 0.0)
-        self.marks[level] = marks = min(most * MOST_WRONG / WRONG, max(0.0, marks + (1.0 if wrong else -RIGHT)))
-        if marks >= most and level not in self.voiceless:
-            self.voiceless.add(level)
+            claim.scored = True
+            contradicted = served is not (claim.kind is Kind.BACK)
+            (level, threshold), *broader = source.trust_levels()
+            disregarded = level in self.distrusted
+            self._adjust_score(level, threshold, contradicted, endpoint, claim.kind)
+            for level, _ in broader:
+                # The claim of a distrusted source has no effect and doesn't count against its broker, which only
+                # relayed it. But as a false claim it mustn't earn credit for the rest of that path either.
+                verdict = CONFIRMED if not contradicted else DISREGARDED if disregarded else CONTRADICTED
+                disregarded = disregarded or level in self.distrusted
+                if level not in paths or verdict > paths[level][0]:
+                    paths[level] = verdict, claim.kind
+        for level, (verdict, kind) in paths.items():  # one call scores a path once, however many claims came by it
+            if verdict != DISREGARDED:
+                threshold = BROKER_DISTRUST_SCORE if level.origin == ANY_ORIGIN else PATH_DISTRUST_SCORE
+                self._adjust_score(level, threshold, verdict == CONTRADICTED, endpoint, kind)
+
+    def _adjust_score(
+        self, level: Voice, threshold: float, contradicted: bool, endpoint: str, claimed_kind: Kind
+    ) -> None:
+        score = self.scores.get(level, 0.0)
+        self.scores[level] = score = min(
+            threshold * SOURCE_MAX_SCORE / SOURCE_DISTRUST_SCORE,
+            max(0.0, score + (1.0 if contradicted else -CONFIRMATION_CREDIT)),
+        )
+        if score >= threshold and level not in self.distrusted:
+            self.distrusted.add(level)
             self.events.append(
-                ("peers-not-believed", {"peer": str(level), "endpoint": endpoint, "said": kind.name.lower()})
+                ("peers-not-believed", {"peer": str(level), "endpoint": endpoint, "said": claimed_kind.name.lower()})
             )
-        elif marks < most and level in self.voiceless:
-            self.voiceless.discard(level)
+        elif score < threshold and level in self.distrusted:
+            self.distrusted.discard(level)
             self.events.append(("peers-believed-again", {"peer": str(level)}))
 
-    def _claims(self, endpoint: str) -> list[tuple[Voice, Claim]]:
-        """What those with a voice said of its health, and was neither contradicted by an own call nor by a ``BACK``."""
-        own = self._own.get(endpoint) or Own()
-        said = [
-            (voice, w.health)
-            for voice, w in self._heard.get(endpoint, {}).items()
-            if w.health is not None and self._believed(voice)
+    def _standing_claims(self, endpoint: str) -> list[tuple[Voice, Claim]]:
+        """Trusted claims of trouble that neither a call of this courier nor a ``BACK`` has contradicted."""
+        local = self._local.get(endpoint) or LocalRecord()
+        claims = [
+            (source, record.health)
+            for source, record in self._heard.get(endpoint, {}).items()
+            if record.health is not None and self._trusted(source)
         ]
-        well = max([own.served, *(claim.at for _, claim in said if claim.kind is Kind.BACK)])
-        return [(voice, claim) for voice, claim in said if claim.kind is not Kind.BACK and claim.at > well]
+        served_at = max([local.served, *(claim.at for _, claim in claims if claim.kind is Kind.BACK)])
+        return [(source, claim) for source, claim in claims if claim.kind is not Kind.BACK and claim.at > served_at]
 
-    def _troubled(self, endpoint: str, now: int) -> bool:
-        """Whether others said lately that it is not well."""
+    def _reported_unwell(self, endpoint: str, now: int) -> bool:
+        """Whether other couriers recently reported trouble."""
         return any(
-            w.health is not None and w.health.kind is not Kind.BACK and now - w.health.at < FRESH
-            for w in self._heard.get(endpoint, {}).values()
+            record.health is not None and record.health.kind is not Kind.BACK and now - record.health.at < FRESH
+            for record in self._heard.get(endpoint, {}).values()
         )
 
-    # What comes of it
+    # Resulting restrictions
 
     def out(self, endpoint: str, now: int) -> None:
-        """This courier, or hearsay, counts it as in an outage: it comes back cold."""
-        self._out.setdefault(endpoint, now)
+        """Record the start of an outage found by this courier or reported by others; slow start follows it."""
+        self._outages.setdefault(endpoint, now)
 
-    def _is_back(self, endpoint: str, at: int) -> None:
-        """Served again. What was out for a moment only was not out: a call or two were lost."""
-        since = self._out.pop(endpoint, None)
-        if since is not None and at - since >= SURELY_OUT:
-            self._cold[endpoint] = at
+    def _end_outage(self, endpoint: str, at: int) -> None:
+        """Record that the endpoint serves again.
+
+        After less than ``MIN_OUTAGE`` there is no slow start: probably only a call or two were lost.
+        """
+        since = self._outages.pop(endpoint, None)
+        if since is not None and at - since >= MIN_OUTAGE:
+            self._recovering[endpoint] = at
 
     def cold(self, now: int, ramp: int) -> dict[str, int]:
-        """Endpoints that are out or on their way back, and for how long they have been back (0: they are not)."""
-        self._cold = {name: at for name, at in self._cold.items() if now - at < ramp}
-        return {name: max(0, now - at) for name, at in self._cold.items()} | {
-            name: 0 for name, since in self._out.items() if now - since >= SURELY_OUT
+        """Endpoints in an outage or in slow start, with the time since their return; 0 while they are out."""
+        self._recovering = {name: at for name, at in self._recovering.items() if now - at < ramp}
+        return {name: max(0, now - at) for name, at in self._recovering.items()} | {
+            name: 0 for name, since in self._outages.items() if now - since >= MIN_OUTAGE
         }
 
     def holds(self, now: int, others: list[str]) -> dict[str, Held]:
-        """The routes that hearsay holds back at this time, by endpoint."""
-        found: dict[str, tuple[int, Held]] = {}  # with the witnesses that it has
+        """Current restrictions of routes, by endpoint."""
+        candidates: dict[str, tuple[int, Held]] = {}  # with the number of independent witnesses
         for endpoint in self._heard:
-            held = self._held(endpoint, now, others)
-            if held is not None:
-                found[endpoint] = held
-        return self._bounded(found, now)
-
-    def _held(self, endpoint: str, now: int, others: list[str]) -> tuple[int, Held] | None:
-        claims = self._claims(endpoint)
-        waits = [(voice, claim.until) for voice, claim in claims if claim.kind is Kind.WAIT and claim.until > now]
+            restriction = self._restriction(endpoint, now, others)
+            if restriction is not None:
+                candidates[endpoint] = restriction
+        return self._apply_bounds(candidates, now)
+
+    def _restriction(self, endpoint: str, now: int, others: list[str]) -> tuple[int, Held] | None:
+        claims = self._standing_claims(endpoint)
+        waits = [(source, claim.until) for source, claim in claims if claim.kind is Kind.WAIT and claim.until > now]
         if waits:
-            return strength([voice for voice, _ in waits]), Held(max(until for _, until in waits), False)
-        down = [voice for voice, claim in claims if claim.kind in (Kind.DOWN, Kind.SILENT) and now - claim.at < FRESH]
-        own = self._own.get(endpoint) or Own()
-        failed = own.failed > own.served and now - own.failed < FRESH
-        sure = failed or any(claim.kind is Kind.DOWN and now - claim.at < FRESH for _, claim in claims)
-        if (failed and down or agreed(down)) and sure:  # silence may be a slow call or two
+            return independent_witness_count([source for source, _ in waits]), Held(
+                max(until for _, until in waits), False
+            )
+        down = [source for source, claim in claims if claim.kind in (Kind.DOWN, Kind.SILENT) and now - claim.at < FRESH]
+        local = self._local.get(endpoint) or LocalRecord()
+        failed = local.failed > local.served and now - local.failed < FRESH
+        confirmed = failed or any(claim.kind is Kind.DOWN and now - claim.at < FRESH for _, claim in claims)
+        if (failed and down or independently_sourced(down)) and confirmed:  # silence alone may be a slow call or two
             self.out(endpoint, now)
-        elif endpoint not in self._out or not claims:
+        elif endpoint not in self._outages or not claims:
             return None
-        # Once it is sure, it goes on until somebody is served: else all would try again at once, words being old.
-        last = max([claim.at for _, claim in claims if claim.kind is not Kind.WAIT] or [own.failed])
-        last = max(last, own.failed)
-        if now >= last + max(FRESH, self.step * RANKS):
+        # A confirmed outage lasts until a call is served. Otherwise all would call at once when the reports are old.
+        last = max([claim.at for _, claim in claims if claim.kind is not Kind.WAIT] or [local.failed])
+        last = max(last, local.failed)
+        if now >= last + max(FRESH, self.probe_interval * RANKS):
             return None
-        found = strength([voice for voice, _ in claims])
-        until = last + self.step * min(RANKS, rank(endpoint, self.me, others))
+        witnesses = independent_witness_count([source for source, _ in claims])
+        until = last + self.probe_interval * min(RANKS, rank(endpoint, self.own_name, others))
         if until > now:
-            return found, Held(until, False)
-        return found, Held(last + max(FRESH, self.step * RANKS), True)
+            return witnesses, Held(until, False)
+        return witnesses, Held(last + max(FRESH, self.probe_interval * RANKS), True)
 
-    def _bounded(self, found: dict[str, tuple[int, Held]], now: int) -> dict[str, Held]:
-        """Hearsay takes no destination's last route, nor more than a part of all; there calls go one at a time."""
+    def _apply_bounds(self, candidates: dict[str, tuple[int, Held]], now: int) -> dict[str, Held]:
+        """Close neither the last route of a destination nor more than the allowed share of all routes.
+
+        Other candidates are limited to one call at a time.
+        """
         free: dict[int, int] = {}
         for endpoint, dest in self._routes.items():
-            free[dest] = free.get(dest, 0) + (endpoint not in found and endpoint not in self._closed)
-        room = int(self.most_held * len(self._routes))
+            free[dest] = free.get(dest, 0) + (endpoint not in candidates and endpoint not in self._locally_closed)
+        quota = int(self.max_restricted_share * len(self._routes))
         bounded: dict[str, Held] = {}
-        for endpoint, (_, held) in sorted(found.items(), key=lambda item: (-item[1][0], item[0])):
-            if not held.one:
-                taken = free[self._routes[endpoint]] > 0 and room > 0
-                room -= taken
-                held = held if taken else Held(held.until, True)
-            bounded[endpoint] = held
+        for endpoint, (_, restriction) in sorted(candidates.items(), key=lambda item: (-item[1][0], item[0])):
+            if not restriction.one:
+                restrict = free[self._routes[endpoint]] > 0 and quota > 0
+                quota -= restrict
+                restriction = restriction if restrict else Held(restriction.until, True)
+            bounded[endpoint] = restriction
         return bounded
 
     def limit(self, endpoint: str, now: int) -> float:
-        """The limit that others were told of, calls a second; 0: none that is believed, or an own report is newer.
+        """The limit reported to other couriers, calls per second.
 
-        Two witnesses that agree, or one and an own call that was refused since: one alone could starve all.
+        0 if no trusted claim is newer than the last report to this courier. It takes two independent witnesses that
+        agree, or one witness and a refused call of this courier since: one witness alone could starve all couriers.
         """
-        own = self._own.get(endpoint) or Own()
-        told = sorted(
-            (w.limit.value / 1_000, voice)
-            for voice, w in self._heard.get(endpoint, {}).items()
-            if w.limit is not None and w.limit.at > own.limit_at and self._believed(voice)
+        local = self._local.get(endpoint) or LocalRecord()
+        limits = sorted(
+            (record.limit.value / 1_000, source)
+            for source, record in self._heard.get(endpoint, {}).items()
+            if record.limit is not None and record.limit.at > local.limit_at and self._trusted(source)
         )
-        if len({voice.witness for _, voice in told}) == 1 and own.refused > own.limit_at:
-            return told[-1][0]  # by several ways the same; if not, one of them lies, and the largest starves least
+        if len({source.witness for _, source in limits}) == 1 and local.refused > local.limit_at:
+            # One witness, normally with the same limit on all paths. If not, one path lies, and the largest limit
+            # starves calls least.
+            return limits[-1][0]
         pairs = [
             (b - a, b)
-            for n, (a, one) in enumerate(told)
-            for b, other in told[n + 1 :]
-            if b - a <= 2 * NEAR * b and agreed((one, other))
+            for n, (a, one) in enumerate(limits)
+            for b, other in limits[n + 1 :]
+            if b - a <= 2 * LIMIT_TOLERANCE * b and independently_sourced((one, other))
         ]
         return min(pairs)[1] if pairs else 0.0
 
-    # Time
+    # Updates by the caller
 
     def routes(self, routes: dict[str, int], closed: Iterable[str] = ()) -> None:
-        """The endpoints that are listed now, with their destinations: nothing is held of others.
+        """Set the endpoints that are currently listed, with their destinations. State of other endpoints is dropped.
 
-        ``closed``: those that this courier leaves alone by itself now.
+        ``closed``: endpoints that this courier itself doesn't call at present.
         """
         if routes.keys() != self._routes.keys():
-            self._own = {name: own for name, own in self._own.items() if name in routes}
+            self._local = {name: local for name, local in self._local.items() if name in routes}
             self._heard = {name: heard for name, heard in self._heard.items() if name in routes}
-            self._out = {name: at for name, at in self._out.items() if name in routes}
-            self._cold = {name: at for name, at in self._cold.items() if name in routes}
-            self._telling = {key: told for key, told in self._telling.items() if key[0] in routes}
-        self._routes, self._closed = routes, frozenset(closed)
+            self._outages = {name: at for name, at in self._outages.items() if name in routes}
+            self._recovering = {name: at for name, at in self._recovering.items() if name in routes}
+            self._pending_reports = {key: pending for key, pending in self._pending_reports.items() if key[0] in routes}
+        self._routes, self._locally_closed = routes, frozenset(closed)
 
     def members(self, names: Iterable[str]) -> None:
-        """The members that there are: marks of others are forgotten."""
+        """Set the current members; the scores of former members are dropped."""
         names = set(names)
-        self.marks = {voice: marks for voice, marks in self.marks.items() if voice.by or voice.witness in names}
-        made_up = len(self.marks) - MOST_MARKS - len(names)
-        if made_up > 0:  # a broker may make up any number of witnesses: those with the fewest marks are forgotten
-            least = sorted((voice for voice in self.marks if voice.by and voice.witness), key=lambda v: self.marks[v])
-            for voice in least[:made_up]:
-                del self.marks[voice]
-        self.voiceless &= self.marks.keys()
-
-    def tick(self, now: int, others: list[str], room: int, ways: Callable[[int], list[str]] | None = None) -> Out:
-        """Words that are due, in datagrams of about so many bytes in all; ``ways``: a destination's brokers."""
+        self.scores = {source: score for source, score in self.scores.items() if source.by or source.witness in names}
+        excess = len(self.scores) - MAX_RELAYED_SCORES - len(names)
+        if excess > 0:  # a broker can invent any number of witnesses: those with the lowest scores are dropped
+            lowest = sorted(
+                (source for source in self.scores if source.by and source.witness), key=lambda v: self.scores[v]
+            )
+            for source in lowest[:excess]:
+                del self.scores[source]
+        self.distrusted &= self.scores.keys()
+
+    def tick(
+        self, now: int, others: list[str], byte_budget: int, brokers_of: Callable[[int], list[str]] | None = None
+    ) -> Out:
+        """Observations that are due, in about ``byte_budget`` bytes. ``brokers_of``: the brokers of a destination."""
         if self.silent:
             return []
-        whom: dict[str, list[Word]] = {}
-        most = room // WORD
-        for (endpoint, _), told in self._telling.items():
-            if not told.left and not told.owners and told.rounds < ROUNDS and now >= told.next:
-                told.left = self._random.sample(others, len(others))
-                if ways is not None and endpoint in self._routes:
-                    told.owners = list(ways(self._routes[endpoint]))
-                told.next = now + (AGAIN << told.rounds)
-                told.rounds += 1
-            if not told.left and not told.owners or told.kind is not Kind.LIMIT and now - told.at > FRESH:
-                told.left, told.owners = [], []
+        outgoing: dict[str, list[Word]] = {}
+        max_datagrams = byte_budget // OBSERVATION_DATAGRAM_BYTES
+        for (endpoint, _), pending in self._pending_reports.items():
+            if (
+                not pending.pending_members
+                and not pending.pending_brokers
+                and pending.rounds_sent < ROUNDS
+                and now >= pending.next_round_at
+            ):
+                pending.pending_members = self._random.sample(others, len(others))
+                if brokers_of is not None and endpoint in self._routes:
+                    pending.pending_brokers = list(brokers_of(self._routes[endpoint]))
+                pending.next_round_at = now + (FIRST_REPEAT_DELAY << pending.rounds_sent)
+                pending.rounds_sent += 1
+            if (
+                not pending.pending_members
+                and not pending.pending_brokers
+                or pending.kind is not Kind.LIMIT
+                and now - pending.at > FRESH
+            ):
+                pending.pending_members, pending.pending_brokers = [], []
                 continue
-            word = self._word(endpoint, told, now)
-            while told.owners and (len(whom) < most or told.owners[-1] in whom):
+            observation = self._observation(endpoint, pending, now)
+            while pending.pending_brokers and (
+                len(outgoing) < max_datagrams or pending.pending_brokers[-1] in outgoing
+            ):
                 if endpoint in self._routes:
-                    whom.setdefault(told.owners[-1], []).append(Publish(self._routes[endpoint], word))
-                told.owners.pop()
-            while told.left and (len(whom) < most or told.left[-1] in whom):
-                whom.setdefault(told.left.pop(), []).append(word)
-        return list(whom.items())
+                    outgoing.setdefault(pending.pending_brokers[-1], []).append(
+                        Publish(self._routes[endpoint], observation)
+                    )
+                pending.pending_brokers.pop()
+            while pending.pending_members and (
+                len(outgoing) < max_datagrams or pending.pending_members[-1] in outgoing
+            ):
+                outgoing.setdefault(pending.pending_members.pop(), []).append(observation)
+        return list(outgoing.items())
 
     def along(self, now: int) -> list[Word]:
-        """Own words that still hold, to go along with a datagram: those who came late hear them so."""
-        told = [(key, each) for key, each in self._telling.items() if each.kind is Kind.LIMIT or now - each.at < FRESH]
-        return [self._word(key[0], each, now) for key, each in self._random.sample(told, min(ALONG, len(told)))]
+        """A sample of own current observations to piggyback on a datagram, so that late joiners receive them."""
+        current = [
+            (key, pending)
+            for key, pending in self._pending_reports.items()
+            if pending.kind is Kind.LIMIT or now - pending.at < FRESH
+        ]
+        return [
+            self._observation(key[0], pending, now)
+            for key, pending in self._random.sample(current, min(MAX_PIGGYBACKED, len(current)))
+        ]
 
     @staticmethod
-    def _word(endpoint: str, told: Telling, now: int) -> Seen:
-        return Seen(endpoint, told.kind, min(max(0, now - told.at) // MS, 3_600_000), told.value, told.n)
+    def _observation(endpoint: str, pending: PendingReport, now: int) -> Seen:
+        return Seen(
+            endpoint, pending.kind, min(max(0, now - pending.at) // MS, 3_600_000), pending.value, pending.sequence
+        )
 
-    # For people
+    # Reports
 
     def stand(self, now: int, others: list[str]) -> dict[str, dict[str, int | str]]:
-        """By endpoint of which anything is held: witnesses, what the last one said, and what comes of it."""
-        holds = self.holds(now, others)
-        found: dict[str, dict[str, int | str]] = {}
-        for endpoint, heard in self._heard.items():
-            said = [w.health for w in heard.values() if w.health is not None]
-            held = holds.get(endpoint)
-            last = max(said, key=lambda claim: claim.at, default=None)
-            found[endpoint] = {
-                "witnesses": len({voice.witness for voice in heard}),
+        """Status of each endpoint with claims: number of witnesses, latest claim, resulting restriction and limit."""
+        restrictions = self.holds(now, others)
+        status: dict[str, dict[str, int | str]] = {}
+        for endpoint, records in self._heard.items():
+            claims = [record.health for record in records.values() if record.health is not None]
+            held = restrictions.get(endpoint)
+            last = max(claims, key=lambda claim: claim.at, default=None)
+            status[endpoint] = {
+                "witnesses": len({source.witness for source in records}),
                 "last": last.kind.name.lower() if last else "limit",
                 "age_ms": (now - last.at) // MS if last else 0,
                 "held": "no" if held is None else "one at a time" if held.one else f"{(held.until - now) // MS} ms",
                 "limit": f"{self.limit(endpoint, now):g}",
             }
-        return found
+        return status
--- a/kestrelspar/peers/words.py
+++ b/kestrelspar/peers/words.py
@@ -1,4 +1,7 @@
-"""What couriers say to each other: the words of a datagram, as msgpack. No decisions, no I/O."""
+"""Peer messages: what couriers and brokers send each other in a datagram, as msgpack arrays. No decisions, no I/O.
+
+Every message is an array whose first element is its tag, so the order of the fields is the wire format.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,18 @@
 from msgspec import Meta, Struct
 
 Name = Annotated[str, Meta(min_length=1, max_length=60)]
-Key = Annotated[str, Meta(min_length=1, max_length=200)]  # of a budget
+Key = Annotated[str, Meta(min_length=1, max_length=200)]  # name of a budget, or of an endpoint or a counter
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
-_BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
-Host = Annotated[str, Meta(max_length=15, pattern=rf"\A(localhost|{_BYTE}(\.{_BYTE}){{3}})\Z")]  # never looked up
+_OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
+Host = Annotated[str, Meta(max_length=15, pattern=rf"\A(localhost|{_OCTET}(\.{_OCTET}){{3}})\Z")]  # no name resolution
 Group = Annotated[str, Meta(max_length=60)]
-Dest = Annotated[int, Meta(ge=0, le=1 << 40)]  # a destination's number, the same at all couriers
+Dest = Annotated[int, Meta(ge=0, le=1 << 40)]  # destination number, the same at all couriers
 Digest = Annotated[int, Meta(ge=0, lt=1 << 62)]
 Calls = Annotated[int, Meta(ge=0, le=1_000_000)]
 
 
 class Stand(IntEnum):
-    """What is held of a member; of the same incarnation the larger counts."""
+    """State of a member. Of two states with the same incarnation the larger wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,9 +31,12 @@
 
 
 class Said(Struct, array_like=True, frozen=True, tag="s"):
-    """What somebody holds of a member. ``number``: its place among the couriers that the settings tell.
+    """Membership update: what the sender knows about a member.
 
-    ``group``: last, as couriers that know no groups pass over what is beyond the stand. None is sent as ``Bare``.
+    ``number``: the member's position among the couriers, as configured. ``life``: its process epoch. ``inc``: its
+    incarnation. ``stand``: its state.
+    ``group`` comes last because couriers that don't support groups ignore what follows ``stand``. A member without a
+    group is sent as ``Bare``.
     """
 
     name: Name
@@ -44,7 +50,7 @@
 
 
 class Bare(Struct, array_like=True, frozen=True, tag="s"):
-    """``Said`` of no group, as it is sent: the same bytes as before there were groups. Only encoded."""
+    """``Said`` for a member without a group: the bytes that were sent before groups existed. Only encoded."""
 
     name: str
     host: str
@@ -56,32 +62,35 @@
 
 
 class Ping(Struct, array_like=True, frozen=True, tag="p"):
-    """Are you there? ``n`` comes back."""
+    """Asks whether the receiver is alive; the ``Ack`` repeats ``n``."""
 
     n: Count
 
 
 class Ack(Struct, array_like=True, frozen=True, tag="a"):
-    """Somebody is there: the one asked, or the one that was asked for."""
+    """Answer to ``Ping`` or ``Probe``: the receiver of the ping, or the target of the probe, is alive."""
 
     n: Count
 
 
 class Probe(Struct, array_like=True, frozen=True, tag="q"):
-    """Ask that one for me; an ``Ack`` or ``Nack`` with ``n`` comes back."""
+    """Asks the receiver to ping the member ``whom``; it answers with an ``Ack`` or ``Nack`` that repeats ``n``."""
 
     n: Count
     whom: Name
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="n"):
-    """I am there, but the one that you had me ask has said nothing yet."""
+    """Answer to ``Probe``: the helper itself is alive, but the target has not answered it yet."""
 
     n: Count
 
 
 class Ask(Struct, array_like=True, frozen=True, tag="k"):
-    """Lend me so many calls in any span; or let me keep ``loan``. ``worth`` waits for them."""
+    """Requests a loan of ``calls`` calls per window of the budget, or the renewal of ``loan``.
+
+    ``worth``: total weight of the messages that wait for these calls.
+    """
 
     n: Count
     key: Key
@@ -91,7 +100,7 @@
 
 
 class Grant(Struct, array_like=True, frozen=True, tag="g"):
-    """To ask ``n``: ``calls`` are yours for the term, as ``loan``."""
+    """Answer to ``Ask`` number ``n``: the receiver may use ``calls`` calls for the loan term, as loan ``loan``."""
 
     n: Count
     loan: Count
@@ -99,53 +108,58 @@
 
 
 class Back(Struct, array_like=True, frozen=True, tag="b"):
-    """I have stopped using this loan of yours."""
+    """Returns a loan: the sender no longer uses it."""
 
     loan: Count
 
 
 class Seen(Struct, array_like=True, frozen=True, tag="j"):
-    """I saw this at an endpoint myself, ``age`` milliseconds ago; ``n`` rises with each word of this life."""
+    """Observation: the sender saw ``kind`` at an endpoint itself, ``age`` milliseconds ago.
+
+    ``n`` rises with each observation of the sender's process epoch.
+    """
 
     endpoint: Key
-    kind: Annotated[int, Meta(ge=0, le=4)]  # ``judgements.Kind``
+    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``judgements.Kind``
     age: Annotated[int, Meta(ge=0, le=3_600_000)]
     value: Annotated[int, Meta(ge=0, le=1 << 40)]
     n: Count
 
 
 class Tally(Struct, array_like=True, frozen=True, tag="t"):
-    """Counters of a courier's life: what they were before it began (``past``), or what came since. See counts.py."""
+    """Counters of one courier: totals from before its process epoch (``past``), or counts since. See counts.py."""
 
     name: Name
     life: Count
     past: bool
-    age: Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds since the courier itself said so
+    age: Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds since the courier itself reported them
     rows: Annotated[list[tuple[Key, Count]], Meta(max_length=64)]
 
 
 class Want(Struct, array_like=True, frozen=True, tag="w"):
-    """Tell me your counters."""
+    """Requests the receiver's counters."""
 
 
 class Subscribe(Struct, array_like=True, frozen=True, tag="S"):
-    """To a broker: pass on to me what is told of these destinations. A larger ``generation`` begins with none."""
+    """To a broker: relay observations of these destinations. A larger ``generation`` starts from an empty set."""
 
     generation: Count
     dests: Annotated[list[Dest], Meta(max_length=256)]
 
 
 class Unsubscribe(Struct, array_like=True, frozen=True, tag="U"):
-    """To a broker: not of these any more."""
+    """To a broker: stop relaying observations of these destinations."""
 
     generation: Count
     dests: Annotated[list[Dest], Meta(max_length=256)]
 
 
 class Renew(Struct, array_like=True, frozen=True, tag="R"):
-    """To a broker: who and where I am, and how many destinations you should hold for me, with their digest.
+    """To a broker: renews the lease on the sender's subscriptions.
 
-    ``known``: the highest life of this broker that I have heard; ``generation``: as in ``Subscribe``.
+    ``host``, ``port``, ``number``: the sender's address and position. ``known``: the highest process epoch of this
+    broker that the sender has seen. ``generation``: as in ``Subscribe``. ``count``, ``digest``: how many destinations
+    the broker should have on record for the sender, and their digest.
     """
 
     n: Count
@@ -159,23 +173,26 @@
 
 
 class Lease(Struct, array_like=True, frozen=True, tag="L"):
-    """A broker's answer to ``Renew`` ``n``: what is held goes on for a term; ``ok``: and it is what was named."""
+    """A broker's answer to ``Renew`` ``n``: the lease is extended by a term.
+
+    ``ok``: the subscriptions on record match the count and digest of the renewal.
+    """
 
     n: Count
     ok: bool
 
 
 class Publish(Struct, array_like=True, frozen=True, tag="P"):
-    """To a broker: I saw this at an endpoint of that destination; pass it on."""
+    """To a broker: an observation of the sender's own at an endpoint of ``dest``, to be relayed."""
 
     dest: Dest
     seen: Seen
 
 
 class Relayed(Struct, array_like=True, frozen=True, tag="r"):
-    """A broker passes on what ``witness``, at place ``number``, says that it saw, in that life of its.
+    """From a broker: an observation made by ``witness``, at position ``number``, in its process epoch ``life``.
 
-    ``origin``: the broker of another region that took it from the witness; none: the one that sends this.
+    ``origin``: the broker of another region that received it from the witness; empty if it was the sending broker.
     """
 
     witness: Name
@@ -186,7 +203,7 @@
 
 
 class Forward(Struct, array_like=True, frozen=True, tag="F"):
-    """From a broker to one of another region: for your subscribers, and for nobody else."""
+    """From a broker to a broker of another region: an observation for its subscribers only."""
 
     witness: Name
     number: Count
@@ -218,7 +235,7 @@
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    """All that goes in one."""
+    """The content of one datagram."""
 
     sender: Name
     life: Count
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -1,4 +1,4 @@
-"""What others say of endpoints: a table of what is believed, bounded, contradicted and forgotten."""
+"""Reports of other couriers on endpoints: which are trusted, bounded, contradicted by own calls and dropped."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 import pytest
 
 from kestrelspar.peers.judgements import (
-    ANY,
-    BROKER_WRONG,
+    ANY_ORIGIN,
+    BROKER_DISTRUST_SCORE,
     FRESH,
-    MOST_MARKS,
+    MAX_RELAYED_SCORES,
+    MAX_WITNESSES,
+    PATH_DISTRUST_SCORE,
     RANKS,
-    WAY_WRONG,
-    WITNESSES,
     Held,
     Judgements,
     Kind,
     Outcome,
     Voice,
-    agreed,
+    independently_sourced,
     rank,
 )
 from kestrelspar.peers.members import MS, SECOND
@@ -29,148 +29,161 @@
 T = 100 * SECOND
 ROUTES = {"a1": 1, "a2": 1, "b1": 2, "b2": 2, "only": 3}
 OTHERS = ["n1", "n2", "n3", "n4"]
-MOST_WAIT, STEP = 2 * SECOND, 300 * MS
+MAX_WAIT, PROBE_INTERVAL = 2 * SECOND, 300 * MS
 
 
-def judge(me: str = "n0", held: float = 0.5) -> Judgements:
-    made = Judgements(me, 1, MOST_WAIT, held, STEP, Random(1))
-    made.routes(dict(ROUTES))
-    return made
+def make_tracker(own_name: str = "n0", max_restricted_share: float = 0.5) -> Judgements:
+    created = Judgements(own_name, 1, MAX_WAIT, max_restricted_share, PROBE_INTERVAL, Random(1))
+    created.routes(dict(ROUTES))
+    return created
 
 
-# Each step: (after so many ms, who, what, endpoint, value). Who "me": an own call that ended then and had been sent
-# 10 ms before, as its outcome. Else a word of that witness, seen value ms ago where it is no wait or limit.
+# Each step: (milliseconds after the step before, who, what, endpoint, value). Who "me": a call of this courier that was
+# sent 10 ms before and ended with that outcome. Anybody else: an observation by that witness; value is the retry-after
+# delay or the limit, for other kinds the age in ms.
 Step = tuple[int, str, object, str, int]
 DOWN, SILENT, BACK, WAIT, LIMIT = Kind.DOWN, Kind.SILENT, Kind.BACK, Kind.WAIT, Kind.LIMIT
 OK, FAILED, REFUSED = Outcome.SERVED, Outcome.FAILED, Outcome.REFUSED
 
 
-def play(j: Judgements, steps: list[Step]) -> int:
+def apply_steps(tracker: Judgements, steps: list[Step]) -> int:
     now = T
     for n, (after, who, what, endpoint, value) in enumerate(steps, 1):
         now += after * MS
         if isinstance(what, Outcome):
-            j.saw(endpoint, what, now - 10 * MS, now)
+            tracker.saw(endpoint, what, now - 10 * MS, now)
         else:
             age = 0 if what in (Kind.WAIT, Kind.LIMIT) else value
-            told = value if what in (Kind.WAIT, Kind.LIMIT) else 0
-            j.heard(who, 1, [Seen(endpoint, int(what), age, told, n)], now)  # type: ignore[call-overload]
+            retry_after = value if what in (Kind.WAIT, Kind.LIMIT) else 0
+            tracker.heard(who, 1, [Seen(endpoint, int(what), age, retry_after, n)], now)  # type: ignore[call-overload]
     return now
 
 
 @pytest.mark.parametrize(
     ("name", "steps", "held"),
     [
-        ("one witness of an outage", [(0, "n1", DOWN, "a1", 0)], {}),
-        ("two", [(0, "n1", DOWN, "a1", 0), (9, "n2", SILENT, "a1", 0)], {"a1": "left"}),
-        ("two that only see silence", [(0, "n1", SILENT, "a1", 0), (9, "n2", SILENT, "a1", 0)], {}),
-        ("the same one twice", [(0, "n1", DOWN, "a1", 0), (9, "n1", DOWN, "a1", 0)], {}),
-        ("one, and an own failed call", [(0, "n1", DOWN, "a1", 0), (9, "me", FAILED, "a1", 0)], {"a1": "left"}),
-        ("an own failed call alone", [(0, "me", FAILED, "a1", 0)], {}),
+        ("outage with one witness", [(0, "n1", DOWN, "a1", 0)], {}),
+        ("outage with two witnesses", [(0, "n1", DOWN, "a1", 0), (9, "n2", SILENT, "a1", 0)], {"a1": "closed"}),
+        ("two witnesses of silence only", [(0, "n1", SILENT, "a1", 0), (9, "n2", SILENT, "a1", 0)], {}),
+        ("the same witness twice", [(0, "n1", DOWN, "a1", 0), (9, "n1", DOWN, "a1", 0)], {}),
         (
-            "two, and own success since",
+            "one witness and an own failed call",
+            [(0, "n1", DOWN, "a1", 0), (9, "me", FAILED, "a1", 0)],
+            {"a1": "closed"},
+        ),
+        ("only an own failed call", [(0, "me", FAILED, "a1", 0)], {}),
+        (
+            "two witnesses, own call served since",
             [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0), (20, "me", OK, "a1", 0)],
             {},
         ),
         (
-            "success of a call sent before",
+            "two witnesses, served call was sent before",
             [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0), (5, "me", OK, "a1", 0)],
-            {"a1": "left"},
+            {"a1": "closed"},
+        ),
+        (
+            "two witnesses, then back",
+            [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0), (5, "n3", BACK, "a1", 0)],
+            {},
         ),
-        ("two, and back", [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0), (5, "n3", BACK, "a1", 0)], {}),
         (
-            "back from before",
+            "back observed before the failures",
             [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0), (5, "n3", BACK, "a1", 50)],
-            {"a1": "left"},
+            {"a1": "closed"},
         ),
-        ("two of long ago", [(0, "n1", DOWN, "a1", 3_100), (0, "n2", DOWN, "a1", 3_100)], {}),
-        ("a told wait", [(0, "n1", WAIT, "a1", 800)], {"a1": "left"}),
-        ("one that is over", [(0, "n1", WAIT, "a1", 800), (900, "n2", LIMIT, "a1", 1)], {}),
-        ("a wait, served since", [(0, "n1", WAIT, "a1", 800), (20, "me", OK, "a1", 0)], {}),
-        ("a destination's last route", [(0, "n1", WAIT, "only", 800)], {"only": "one"}),
+        ("two witnesses, too old", [(0, "n1", DOWN, "a1", 3_100), (0, "n2", DOWN, "a1", 3_100)], {}),
+        ("retry-after delay", [(0, "n1", WAIT, "a1", 800)], {"a1": "closed"}),
+        ("retry-after delay that is over", [(0, "n1", WAIT, "a1", 800), (900, "n2", LIMIT, "a1", 1)], {}),
+        ("retry-after delay, served since", [(0, "n1", WAIT, "a1", 800), (20, "me", OK, "a1", 0)], {}),
+        ("last route of a destination", [(0, "n1", WAIT, "only", 800)], {"only": "one"}),
         (
-            "both of one destination",
+            "both routes of one destination",
             [(0, "n1", WAIT, "a1", 800), (0, "n1", WAIT, "a2", 800)],
             {"a1": "one", "a2": "one"},
         ),
         (
-            "more than half of all",
+            "more than half of all routes",
             [(0, "n1", WAIT, "a1", 800), (0, "n1", WAIT, "b1", 800), (0, "n1", WAIT, "only", 800)],
-            {"a1": "left", "b1": "left", "only": "one"},
+            {"a1": "closed", "b1": "closed", "only": "one"},
         ),
-        ("an endpoint that is not listed", [(0, "n1", WAIT, "zz", 800)], {}),
+        ("unlisted endpoint", [(0, "n1", WAIT, "zz", 800)], {}),
     ],
 )
-def test_what_is_held_back(name: str, steps: list[Step], held: dict[str, str]) -> None:
-    j = judge("zz")  # of a name that is not first at a1: else it would try it at once
+def test_route_restrictions(name: str, steps: list[Step], held: dict[str, str]) -> None:
+    tracker = make_tracker("zz")  # not first in rank at a1, or it would probe at once
     assert rank("a1", "zz", OTHERS) > 0
-    now = play(j, steps)
-    found = j.holds(now, OTHERS)
-    assert {endpoint: "one" if each.one else "left" for endpoint, each in found.items()} == held
-    assert all(now < each.until <= now + max(MOST_WAIT, RANKS * STEP, FRESH) for each in found.values())
-
-
-def test_a_wait_without_end_is_cut_and_the_panic_bound_is_that_of_the_settings() -> None:
-    j = judge()
-    now = play(j, [(0, "n1", WAIT, "a1", 10**9)])
-    assert j.holds(now, OTHERS)["a1"] == Held(T + MOST_WAIT, False)
-    bold = judge(held=0.0)
-    assert bold.holds(play(bold, [(0, "n1", WAIT, "a1", 10**9)]), OTHERS)["a1"].one
-
-
-def test_a_route_whose_only_neighbour_is_closed_already_is_not_taken() -> None:
-    j = judge("zz")
-    j.routes(dict(ROUTES), ["a2"])
-    now = play(j, [(0, "n1", WAIT, "a1", 800), (0, "n1", WAIT, "b1", 800)])
-    assert {name: held.one for name, held in j.holds(now, OTHERS).items()} == {"a1": True, "b1": False}
-
-
-def test_of_an_outage_one_after_the_other_finds_out() -> None:
-    names, free = ["n0", *OTHERS], []
-    for me in names:
-        j = judge(me)
-        others = [name for name in names if name != me]
-        play(j, [(0, "w1", DOWN, "a1", 0), (0, "w2", DOWN, "a1", 0)])
-        held = j.holds(T, others)["a1"]
-        assert held.one is (rank("a1", me, others) == 0)
-        free.append(held.until if not held.one else T)
-        assert j.holds(held.until if not held.one else T, others)["a1"].one, "then it calls, one call at a time"
-    assert sorted(free) == [T + STEP * min(n, RANKS) for n in range(len(names))]
-
-
-def test_an_outage_that_was_sure_goes_on_until_somebody_is_served() -> None:
-    j = judge("zz")
-    now = play(j, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-    j.holds(now, OTHERS)
+    now = apply_steps(tracker, steps)
+    found = tracker.holds(now, OTHERS)
+    assert {endpoint: "one" if each.one else "closed" for endpoint, each in found.items()} == held
+    assert all(now < each.until <= now + max(MAX_WAIT, RANKS * PROBE_INTERVAL, FRESH) for each in found.values())
+
+
+def test_retry_after_is_capped_and_the_restricted_share_is_that_of_the_settings() -> None:
+    tracker = make_tracker()
+    now = apply_steps(tracker, [(0, "n1", WAIT, "a1", 10**9)])
+    assert tracker.holds(now, OTHERS)["a1"] == Held(T + MAX_WAIT, False)
+    strict = make_tracker(max_restricted_share=0.0)
+    assert strict.holds(apply_steps(strict, [(0, "n1", WAIT, "a1", 10**9)]), OTHERS)["a1"].one
+
+
+def test_a_route_whose_only_alternative_is_closed_already_stays_open() -> None:
+    tracker = make_tracker("zz")
+    tracker.routes(dict(ROUTES), ["a2"])
+    now = apply_steps(tracker, [(0, "n1", WAIT, "a1", 800), (0, "n1", WAIT, "b1", 800)])
+    assert {name: held.one for name, held in tracker.holds(now, OTHERS).items()} == {"a1": True, "b1": False}
+
+
+def test_couriers_probe_an_endpoint_in_outage_one_after_the_other() -> None:
+    names, probe_times = ["n0", *OTHERS], []
+    for own_name in names:
+        tracker = make_tracker(own_name)
+        others = [name for name in names if name != own_name]
+        apply_steps(tracker, [(0, "w1", DOWN, "a1", 0), (0, "w2", DOWN, "a1", 0)])
+        held = tracker.holds(T, others)["a1"]
+        assert held.one is (rank("a1", own_name, others) == 0)
+        probe_times.append(held.until if not held.one else T)
+        assert tracker.holds(held.until if not held.one else T, others)["a1"].one, "then it calls, one call at a time"
+    assert sorted(probe_times) == [T + PROBE_INTERVAL * min(n, RANKS) for n in range(len(names))]
+
+
+def test_a_confirmed_outage_lasts_until_a_call_is_served() -> None:
+    tracker = make_tracker("zz")
+    now = apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
+    tracker.holds(now, OTHERS)
     late = now + FRESH + SECOND
-    j.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 7)], late)
-    assert not j.holds(late, OTHERS)["a1"].one, "one word is enough while it lasts"
-    assert j.holds(late + RANKS * STEP + FRESH, OTHERS) == {}, "and nobody is waited for without end"
-    j.heard("n3", 1, [Seen("a1", BACK, 0, 0, 8)], late + MS)
-    j.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 9)], late + 2 * MS)
-    assert j.holds(late + 2 * MS, OTHERS) == {}, "then it takes two again"
-
-
-def test_a_witness_that_own_calls_contradict_loses_its_voice_until_it_is_right_again() -> None:
-    j = judge()
-    lies: list[Step] = [step for n in range(3) for step in ((50, "n1", WAIT, "a1", 900), (20, "me", OK, "a1", 0))]
-    now = play(j, lies)
-    assert [event for event, _ in j.events] == ["peers-not-believed"] and j.voiceless == {Voice("n1")}
-    j.heard("n1", 1, [Seen("b1", WAIT, 0, 900, 100)], now)
-    assert j.holds(now, OTHERS) == {}
-    j.heard("n2", 1, [Seen("b1", WAIT, 0, 900, 1)], now)
-    assert set(j.holds(now, OTHERS)) == {"b1"}, "the others are believed"
-    for n in range(2):  # its words are borne out
+    tracker.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 7)], late)
+    assert not tracker.holds(late, OTHERS)["a1"].one, "one report is enough while it lasts"
+    assert tracker.holds(late + RANKS * PROBE_INTERVAL + FRESH, OTHERS) == {}, (
+        "the wait for couriers ranked before is bounded"
+    )
+    tracker.heard("n3", 1, [Seen("a1", BACK, 0, 0, 8)], late + MS)
+    tracker.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 9)], late + 2 * MS)
+    assert tracker.holds(late + 2 * MS, OTHERS) == {}, "a new outage takes two witnesses again"
+
+
+def test_a_witness_that_own_calls_contradict_is_distrusted_until_they_confirm_it() -> None:
+    tracker = make_tracker()
+    false_reports: list[Step] = [
+        step for n in range(3) for step in ((50, "n1", WAIT, "a1", 900), (20, "me", OK, "a1", 0))
+    ]
+    now = apply_steps(tracker, contradicted)
+    assert [event for event, _ in tracker.events] == ["peers-not-believed"] and tracker.distrusted == {Voice("n1")}
+    tracker.heard("n1", 1, [Seen("b1", WAIT, 0, 900, 100)], now)
+    assert tracker.holds(now, OTHERS) == {}
+    tracker.heard("n2", 1, [Seen("b1", WAIT, 0, 900, 1)], now)
+    assert set(tracker.holds(now, OTHERS)) == {"b1"}, "other witnesses are trusted"
+    for n in range(2):  # own calls confirm its claims
         now += SECOND
-        j.heard("n1", 1, [Seen("b2", DOWN, 0, 0, 200 + n)], now)
-        j.saw("b2", FAILED, now + MS, now + 2 * MS)
-    assert j.voiceless == set()
-    j.heard("n3", 1, [Seen("only", DOWN, 0, 0, 1)], now)
+        tracker.heard("n1", 1, [Seen("b2", DOWN, 0, 0, 200 + n)], now)
+        tracker.saw("b2", FAILED, now + MS, now + 2 * MS)
+    assert tracker.distrusted == set()
+    tracker.heard("n3", 1, [Seen("only", DOWN, 0, 0, 1)], now)
     for n in range(1, 9):
-        j.saw("only", OK, now + n * MS, now + n * MS)
-    assert Voice("n3") not in j.voiceless, "one word is weighed once"
-    j.members(["n2"])
-    assert j.marks.keys() <= {Voice("n2")}
+        tracker.saw("only", OK, now + n * MS, now + n * MS)
+    assert Voice("n3") not in tracker.distrusted, "one claim is scored once"
+    tracker.members(["n2"])
+    assert tracker.scores.keys() <= {Voice("n2")}
 
 
 @pytest.mark.parametrize(
@@ -183,276 +196,316 @@
     ],
 )
 def test_a_limit_needs_two_witnesses_or_one_and_an_own_refused_call(steps: list[Step], limit: float) -> None:
-    j = judge()
-    now = play(j, steps)
-    assert j.limit("a1", now) == limit
-    j.saw("a1", OK, now, now + MS, limit=60.0)
-    assert j.limit("a1", now + MS) == 0.0, "an own report is newer"
-
-
-def told(j: Judgements, now: int) -> list[tuple[str, Seen]]:
-    return [(name, word) for name, words in j.tick(now, OTHERS, 10**6) for word in words if isinstance(word, Seen)]
-
-
-def test_own_words_go_to_all_some_times_and_only_what_was_seen_is_told() -> None:
-    j = judge()
-    play(j, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-    assert told(j, T) == [], "hearsay is not passed on"
-    j.saw("b1", FAILED, T - 10 * MS, T)
-    assert sorted(name for name, _ in told(j, T)) == OTHERS and told(j, T) == []
-    again = [word for at in range(1, 60) for _, word in told(j, T + at * 50 * MS)]
-    assert len(again) == 3 * len(OTHERS) and {word.n for word in again} == {1}
-    ages = [word.age for word in again]
+    tracker = make_tracker()
+    now = apply_steps(tracker, steps)
+    assert tracker.limit("a1", now) == limit
+    tracker.saw("a1", OK, now, now + MS, limit=60.0)
+    assert tracker.limit("a1", now + MS) == 0.0, "an own report is newer"
+
+
+def reported(tracker: Judgements, now: int) -> list[tuple[str, Seen]]:
+    return [
+        (name, observation)
+        for name, words in tracker.tick(now, OTHERS, 10**6)
+        for observation in words
+        if isinstance(observation, Seen)
+    ]
+
+
+def test_own_observations_go_to_all_in_several_rounds_and_those_of_others_to_nobody() -> None:
+    tracker = make_tracker()
+    apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
+    assert reported(tracker, T) == [], "reports of others are not passed on"
+    tracker.saw("b1", FAILED, T - 10 * MS, T)
+    assert sorted(name for name, _ in reported(tracker, T)) == OTHERS and reported(tracker, T) == []
+    repeats = [observation for at in range(1, 60) for _, observation in reported(tracker, T + at * 50 * MS)]
+    assert len(repeats) == 3 * len(OTHERS) and {observation.n for observation in repeats} == {1}
+    ages = [observation.age for observation in repeats]
     assert ages == sorted(ages) and ages[0] >= 300
-    j.saw("b1", OK, T + 4 * SECOND, T + 4 * SECOND + MS)
-    assert {word.kind for _, word in told(j, T + 4 * SECOND + MS)} == {Kind.BACK}
-    j.saw("b1", OK, T + 5 * SECOND, T + 5 * SECOND)
-    assert not [word for _, word in told(j, T + 5 * SECOND + 10 * MS) if word.n > 2], "well is no news"
-    j.saw("only", Outcome.OTHER, T, T + 6 * SECOND)
-    assert not [word for _, word in told(j, T + 6 * SECOND) if word.endpoint == "only"]
-
-
-def test_what_is_old_doubled_or_of_a_former_life_changes_nothing_and_all_of_it_is_bounded() -> None:
-    j = judge("zz")
-    j.heard("n1", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
-    j.heard("n2", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
+    tracker.saw("b1", OK, T + 4 * SECOND, T + 4 * SECOND + MS)
+    assert {observation.kind for _, observation in reported(tracker, T + 4 * SECOND + MS)} == {Kind.BACK}
+    tracker.saw("b1", OK, T + 5 * SECOND, T + 5 * SECOND)
+    assert not [observation for _, observation in reported(tracker, T + 5 * SECOND + 10 * MS) if observation.n > 2], (
+        "a served call at a healthy endpoint is not reported"
+    )
+    tracker.saw("only", Outcome.OTHER, T, T + 6 * SECOND)
+    assert not [observation for _, observation in reported(tracker, T + 6 * SECOND) if observation.endpoint == "only"]
+
+
+def test_old_and_duplicated_observations_and_those_of_former_epochs_change_nothing_and_state_is_bounded() -> None:
+    tracker = make_tracker("zz")
+    tracker.heard("n1", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
+    tracker.heard("n2", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
     for life, n in ((1, 9), (2, 4), (2, 5)):
-        assert not j.heard("n2", life, [Seen("a1", BACK, 0, 0, n)], T + MS)
-    assert set(j.holds(T + MS, OTHERS)) == {"a1"}
-    assert j.heard("n2", 3, [Seen("a1", BACK, 0, 0, 1)], T + MS) and j.holds(T + MS, OTHERS) == {}
+        assert not tracker.heard("n2", life, [Seen("a1", BACK, 0, 0, n)], T + MS)
+    assert set(tracker.holds(T + MS, OTHERS)) == {"a1"}
+    assert tracker.heard("n2", 3, [Seen("a1", BACK, 0, 0, 1)], T + MS) and tracker.holds(T + MS, OTHERS) == {}
     for n in range(100):
-        j.heard(f"m{n}", 1, [Seen("a1", DOWN, 0, 0, 1), Seen("other", DOWN, 0, 0, 2)], T + 2 * MS)
-    assert len(j._heard["a1"]) == WITNESSES and "other" not in j._heard
-    j.routes({"b1": 2})
-    assert not j._heard and not j.holds(T + 3 * MS, OTHERS)
+        tracker.heard(f"m{n}", 1, [Seen("a1", DOWN, 0, 0, 1), Seen("other", DOWN, 0, 0, 2)], T + 2 * MS)
+    assert len(tracker._heard["a1"]) == MAX_WITNESSES and "other" not in tracker._heard
+    tracker.routes({"b1": 2})
+    assert not tracker._heard and not tracker.holds(T + 3 * MS, OTHERS)
 
 
-def test_an_endpoint_that_was_out_comes_back_cold_and_is_warm_after_the_ramp() -> None:
-    j, ramp = judge("zz"), 10 * SECOND
-    now = play(j, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-    j.holds(now, OTHERS)
-    assert j.cold(now + 60 * SECOND, ramp) == {"a1": 0}, "until somebody was served"
+def test_slow_start_follows_an_outage_and_ends_after_the_ramp() -> None:
+    tracker, ramp = make_tracker("zz"), 10 * SECOND
+    now = apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
+    tracker.holds(now, OTHERS)
+    assert tracker.cold(now + 60 * SECOND, ramp) == {"a1": 0}, "in outage until a call is served"
     back = now + 60 * SECOND
-    j.heard("n3", 1, [Seen("a1", BACK, 100, 0, 1)], back)
-    assert j.cold(back, ramp) == {"a1": 100 * MS} and j.cold(back + ramp, ramp) == {}
-    now = play(j, [(0, "n1", DOWN, "b1", 0), (0, "n2", DOWN, "b1", 0)])
-    j.holds(now, OTHERS)
-    j.saw("b1", OK, now + 100 * MS, now + 200 * MS)
-    assert not j.cold(now + 2 * SECOND, ramp).get("b1", 0), "it was never out"
+    tracker.heard("n3", 1, [Seen("a1", BACK, 100, 0, 1)], back)
+    assert tracker.cold(back, ramp) == {"a1": 100 * MS} and tracker.cold(back + ramp, ramp) == {}
+    now = apply_steps(tracker, [(0, "n1", DOWN, "b1", 0), (0, "n2", DOWN, "b1", 0)])
+    tracker.holds(now, OTHERS)
+    tracker.saw("b1", OK, now + 100 * MS, now + 200 * MS)
+    assert not tracker.cold(now + 2 * SECOND, ramp).get("b1", 0), "too short for an outage"
 
 
-def test_in_a_group_of_any_size_nobody_waits_longer_than_all_ranks_for_those_before_it() -> None:
-    others = [f"m{n}" for n in range(500)]  # of whom most may have nothing to do with the endpoint
-    for me in ("zz", "yy", "xx"):
-        j = judge(me)
-        play(j, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-        held = j.holds(T, others)["a1"]
-        assert not held.one and held.until == T + RANKS * STEP and j.holds(held.until, others)["a1"].one
+def test_the_wait_for_couriers_ranked_before_is_bounded_in_a_group_of_any_size() -> None:
+    others = [f"m{n}" for n in range(500)]  # most of them may never call the endpoint
+    for own_name in ("zz", "yy", "xx"):
+        tracker = make_tracker(own_name)
+        apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
+        held = tracker.holds(T, others)["a1"]
+        assert not held.one and held.until == T + RANKS * PROBE_INTERVAL and tracker.holds(held.until, others)["a1"].one
 
 
-# By brokers: x/b0 and x/b1 are of the own region, y/b0 and y/b1 of another. A voice: witness, by, origin.
+# Relayed observations: brokers x/b0 and x/b1 are in the own region, y/b0 and y/b1 in another.
+# A claim source: witness, relaying broker, broker of origin.
 
 ORIGINS = ("y/b0", "y/b1")
-FORTY = 40
+COURIERS = 40
 
 
-def brokered(me: str = "zz", number: int = 39, **more: Any) -> Judgements:
-    made = Judgements(me, 1, MOST_WAIT, 0.5, STEP, Random(1), FORTY, number, ORIGINS, **more)
-    made.routes(dict(ROUTES))
-    return made
+def make_brokered_tracker(own_name: str = "zz", number: int = 39, **more: Any) -> Judgements:
+    created = Judgements(own_name, 1, MAX_WAIT, 0.5, PROBE_INTERVAL, Random(1), COURIERS, number, ORIGINS, **more)
+    created.routes(dict(ROUTES))
+    return created
 
 
-def hear(
-    j: Judgements,
+def deliver(
+    tracker: Judgements,
     now: int,
-    voice: tuple[str, ...],
+    source: tuple[str, ...],
     kind: Kind = DOWN,
     endpoint: str = "a1",
     n: int = 1,
     value: int = 0,
     age: int = 0,
 ) -> bool:
-    witness, by, origin = (*voice, "", "")[:3]
-    word = Seen(endpoint, kind, age, value, n)
+    witness, by, origin = (*source, "", "")[:3]
+    observation = Seen(endpoint, kind, age, value, n)
     if not by:
-        return j.heard(witness, 1, [word], now)
-    return j.relayed(by, [Relayed(witness, int(witness[1:]), 1, word, origin)], now)
+        return tracker.heard(witness, 1, [observation], now)
+    return tracker.relayed(by, [Relayed(witness, int(witness[1:]), 1, observation, origin)], now)
 
 
 W1B0, W1B1, W2B0, W2B1 = ("n1", "x/b0"), ("n1", "x/b1"), ("n2", "x/b0"), ("n2", "x/b1")
-VOICES: list[tuple[str, list[tuple[str, ...]], bool]] = [
+SOURCES: list[tuple[str, list[tuple[str, ...]], bool]] = [
     ("one witness by one broker", [W1B0], False),
-    ("one witness by both: a lying courier", [W1B0, W1B1], False),
-    ("one witness by both and directly", [W1B0, W1B1, ("n1",)], False),
+    ("one witness by both brokers: a lying courier", [W1B0, W1B1], False),
+    ("one witness by both brokers and directly", [W1B0, W1B1, ("n1",)], False),
     ("two witnesses by one broker: a lying broker", [W1B0, W2B0], False),
-    ("five by one broker", [(f"n{n}", "x/b0") for n in range(1, 6)], False),
-    ("two witnesses, each by another broker", [W1B0, W2B1], True),
-    ("two by one, one of them by the other too", [W1B0, W2B0, W1B1], True),
-    ("all of both", [W1B0, W1B1, W2B0, W2B1], True),
-    ("one directly, another by a broker", [("n1",), W2B0], True),
-    ("one directly and by a broker", [("n1",), W1B0], False),
-    ("two directly", [("n1",), ("n2",)], True),
+    ("five witnesses by one broker", [(f"n{n}", "x/b0") for n in range(1, 6)], False),
+    ("two witnesses, each by a different broker", [W1B0, W2B1], True),
+    ("two witnesses by one broker, one of them by the other, too", [W1B0, W2B0, W1B1], True),
+    ("two witnesses, each by both brokers", [W1B0, W1B1, W2B0, W2B1], True),
+    ("one witness directly, another by a broker", [("n1",), W2B0], True),
+    ("one witness directly and by a broker", [("n1",), W1B0], False),
+    ("two witnesses directly", [("n1",), ("n2",)], True),
     (
-        "two by both brokers, of which one in another region passed both on",
+        "two witnesses by both brokers, both by the same broker of another region",
         [("n1", "x/b0", "y/b0"), ("n2", "x/b1", "y/b0")],
         False,
     ),
-    ("five so", [(f"n{n}", f"x/b{n % 2}", "y/b0") for n in range(1, 6)], False),
-    ("two by both brokers, from two in another region", [("n1", "x/b0", "y/b0"), ("n2", "x/b1", "y/b1")], True),
-    ("two by one broker, from two in another region", [("n1", "x/b0", "y/b0"), ("n2", "x/b0", "y/b1")], False),
-    ("one here, one from another region, by both", [W1B0, ("n2", "x/b1", "y/b0")], True),
-    ("one here, one from another region, by one", [W1B0, ("n2", "x/b0", "y/b0")], False),
+    (
+        "five witnesses by both brokers, all by the same broker of another region",
+        [(f"n{n}", f"x/b{n % 2}", "y/b0") for n in range(1, 6)],
+        False,
+    ),
+    (
+        "two witnesses by both brokers, by two brokers of another region",
+        [("n1", "x/b0", "y/b0"), ("n2", "x/b1", "y/b1")],
+        True,
+    ),
+    (
+        "two witnesses by one broker, by two brokers of another region",
+        [("n1", "x/b0", "y/b0"), ("n2", "x/b0", "y/b1")],
+        False,
+    ),
+    ("one witness here, one from another region, by both brokers", [W1B0, ("n2", "x/b1", "y/b0")], True),
+    ("one witness here, one from another region, by one broker", [W1B0, ("n2", "x/b0", "y/b0")], False),
 ]
 
 
-@pytest.mark.parametrize(("name", "voices", "held"), VOICES, ids=[name for name, *_ in VOICES])
-def test_no_single_liar_is_two_witnesses(name: str, voices: list[tuple[str, ...]], held: bool) -> None:
-    assert agreed([Voice(*voice) for voice in voices]) is held
-    j, limits = brokered(), brokered()
-    for voice in voices:
-        hear(j, T, voice)
-        hear(limits, T, voice, LIMIT, value=20_000)
-    assert bool(j.holds(T, OTHERS)) is held
-    pairs = any(agreed((Voice(*a), Voice(*b))) for a in voices for b in voices)
+@pytest.mark.parametrize(("name", "sources", "held"), SOURCES, ids=[name for name, *_ in SOURCES])
+def test_no_single_liar_is_two_witnesses(name: str, sources: list[tuple[str, ...]], held: bool) -> None:
+    assert independently_sourced([Voice(*source) for source in sources]) is held
+    tracker, limits = make_brokered_tracker(), make_brokered_tracker()
+    for source in sources:
+        deliver(tracker, T, source)
+        deliver(limits, T, source, LIMIT, value=20_000)
+    assert bool(tracker.holds(T, OTHERS)) is held
+    pairs = any(independently_sourced((Voice(*a), Voice(*b))) for a in sources for b in sources)
     assert limits.limit("a1", T) == (20.0 if pairs else 0.0) and pairs is held
-    if len({witness for witness, *_ in voices}) == 1:  # one, and an own call that was refused or failed
+    if len({witness for witness, *_ in sources}) == 1:  # one witness, and an own call that was refused or failed
         limits.saw("a1", REFUSED, T + 9 * MS, T + 10 * MS)
         assert limits.limit("a1", T + 10 * MS) == 20.0
-    j.saw("a1", FAILED, T + 9 * MS, T + 10 * MS)
-    assert set(j.holds(T + 10 * MS, OTHERS)) == {"a1"}
+    tracker.saw("a1", FAILED, T + 9 * MS, T + 10 * MS)
+    assert set(tracker.holds(T + 10 * MS, OTHERS)) == {"a1"}
 
 
-def test_what_comes_directly_or_by_another_broker_is_not_overwritten_nor_pushed_out() -> None:
-    j = brokered()
-    for voice in (W1B0, W1B1, ("n1",)):
-        hear(j, T, voice, n=5)
-    assert hear(j, T, W1B0, BACK, n=1 << 50) and not hear(j, T, W1B1, BACK, n=4)
+def test_a_broker_can_neither_overwrite_nor_evict_claims_that_came_another_way() -> None:
+    tracker = make_brokered_tracker()
+    for source in (W1B0, W1B1, ("n1",)):
+        deliver(tracker, T, source, n=5)
+    assert deliver(tracker, T, W1B0, BACK, n=1 << 50) and not deliver(tracker, T, W1B1, BACK, n=4)
     for n in range(2, 39):
-        hear(j, T + n, (f"n{n}", "x/b0"), BACK)
-        hear(j, T + n, (f"n{n}", "x/b0", "y/b0"), BACK)
-    known = j._heard["a1"]
-    assert {Voice("n1", "x/b1"), Voice("n1")} <= known.keys() and len(known) == 2 + WITNESSES
+        deliver(tracker, T + n, (f"n{n}", "x/b0"), BACK)
+        deliver(tracker, T + n, (f"n{n}", "x/b0", "y/b0"), BACK)
+    known = tracker._heard["a1"]
+    assert {Voice("n1", "x/b1"), Voice("n1")} <= known.keys() and len(known) == 2 + MAX_WITNESSES
     for n in range(100):
-        hear(j, T + 100 + n, (f"n{n % 38}", "x/b0", "y/b1"), BACK, n=n)
-    by_origin = [voice.origin for voice in known if voice.by == "x/b0"]
-    assert sorted(by_origin.count(origin) for origin in ("", *ORIGINS)) == [4, 4, 4], "nor does one origin another"
-
-
-def test_only_what_has_a_place_and_comes_from_where_the_settings_say_is_heard() -> None:
-    j = brokered("n7", 7)
-    assert not hear(j, T, ("n40", "x/b0")) and not hear(j, T, ("n1", "x/b0", "z/b0"))
-    assert not hear(j, T, ("n7", "x/b0")) and not hear(j, T, W1B0, endpoint="zz") and j._heard == {}
-    assert hear(j, T, W1B0) and not hear(j, T, W1B0) and not j.events
+        deliver(tracker, T + 100 + n, (f"n{n % 38}", "x/b0", "y/b1"), BACK, n=n)
+    by_origin = [source.origin for source in known if source.by == "x/b0"]
+    assert sorted(by_origin.count(origin) for origin in ("", *ORIGINS)) == [4, 4, 4], (
+        "nor does one origin evict those of another"
+    )
+
+
+def test_relayed_witnesses_need_a_configured_number_and_origin() -> None:
+    tracker = make_brokered_tracker("n7", 7)
+    assert not deliver(tracker, T, ("n40", "x/b0")) and not deliver(tracker, T, ("n1", "x/b0", "z/b0"))
+    assert (
+        not deliver(tracker, T, ("n7", "x/b0"))
+        and not deliver(tracker, T, W1B0, endpoint="zz")
+        and tracker._heard == {}
+    )
+    assert deliver(tracker, T, W1B0) and not deliver(tracker, T, W1B0) and not tracker.events
     for n in range(3):
-        j.relayed("x/b0", [Relayed("rival", 7, 1, Seen("a1", DOWN, 0, 0, n), "")], T)
-    assert [(event, fields["peer"]) for event, fields in j.events] == [("peers-number-twice", "rival")]
+        tracker.relayed("x/b0", [Relayed("rival", 7, 1, Seen("a1", DOWN, 0, 0, n), "")], T)
+    assert [(event, fields["peer"]) for event, fields in tracker.events] == [("peers-number-twice", "rival")]
 
 
-def contradict(j: Judgements, now: int, n: int, *voices: tuple[str, ...], endpoint: str = "a1") -> int:
-    """All of these say that it waits; then an own call is served there."""
-    for voice in voices:
-        hear(j, now, voice, WAIT, n=n, value=900, endpoint=endpoint)
-    j.saw(endpoint, OK, now + MS, now + 2 * MS)
+def deliver_contradicted(tracker: Judgements, now: int, n: int, *sources: tuple[str, ...], endpoint: str = "a1") -> int:
+    """Every source reports a retry-after delay; then an own call is served there."""
+    for source in sources:
+        deliver(tracker, now, source, WAIT, n=n, value=900, endpoint=endpoint)
+    tracker.saw(endpoint, OK, now + MS, now + 2 * MS)
     return now + 10 * MS
 
 
-def test_one_liar_silences_no_honest_broker() -> None:
-    j, now = brokered(), T
+def test_one_lying_courier_does_not_discredit_an_honest_broker() -> None:
+    tracker, now = make_brokered_tracker(), T
     for n in range(1, 60):
-        now = contradict(j, now, n, W1B0, W1B1)
-    assert j.voiceless == {Voice("n1", "x/b0"), Voice("n1", "x/b1")}
-    assert j.marks[Voice("", "x/b0", "")] == 3 and not j.unheard("x/b0")
-    hear(j, now, W2B0)
-    hear(j, now, ("n3", "x/b1"))
-    assert set(j.holds(now, OTHERS)) == {"a1"}, "others are heard by the same brokers"
+        now = deliver_contradicted(tracker, now, n, W1B0, W1B1)
+    assert tracker.distrusted == {Voice("n1", "x/b0"), Voice("n1", "x/b1")}
+    assert tracker.scores[Voice("", "x/b0", "")] == 3 and not tracker.unheard("x/b0")
+    deliver(tracker, now, W2B0)
+    deliver(tracker, now, ("n3", "x/b1"))
+    assert set(tracker.holds(now, OTHERS)) == {"a1"}, "other witnesses are trusted by the same brokers"
 
 
-def test_a_broker_that_makes_up_witnesses_is_silent_after_twelve_calls_and_heard_again_when_it_is_right() -> None:
-    j, now, calls = brokered(), T, 0
-    while not j.unheard("x/b0"):
+def test_a_broker_that_invents_witnesses_is_distrusted_after_twelve_calls_until_own_calls_confirm_it() -> None:
+    tracker, now, calls = make_brokered_tracker(), T, 0
+    while not tracker.unheard("x/b0"):
         calls += 1
-        now = contradict(j, now, calls, *((f"n{(3 * calls + k) % 38}", "x/b0") for k in range(3)))
-    assert calls == WAY_WRONG and ("peers-not-believed", "by x/b0") in [(e, f["peer"]) for e, f in j.events]
-    hear(j, now, ("n30", "x/b0"), WAIT, "b1", n=99, value=900)
-    assert j.holds(now, OTHERS) == {} and "by x/b0" in j.not_believed()
-    hear(j, now, ("n30", "x/b1"), WAIT, "b1", n=99, value=900)
-    assert set(j.holds(now, OTHERS)) == {"b1"}, "the other is heard"
+        now = deliver_contradicted(tracker, now, calls, *((f"n{(3 * calls + k) % 38}", "x/b0") for k in range(3)))
+    assert calls == PATH_DISTRUST_SCORE and ("peers-not-believed", "by x/b0") in [
+        (e, f["peer"]) for e, f in tracker.events
+    ]
+    deliver(tracker, now, ("n30", "x/b0"), WAIT, "b1", n=99, value=900)
+    assert tracker.holds(now, OTHERS) == {} and "by x/b0" in tracker.not_believed()
+    deliver(tracker, now, ("n30", "x/b1"), WAIT, "b1", n=99, value=900)
+    assert set(tracker.holds(now, OTHERS)) == {"b1"}, "the other broker is trusted"
     for n in range(40):
         now += SECOND
-        hear(j, now, ("n31", "x/b0"), DOWN, "b2", n=200 + n)
-        j.saw("b2", FAILED, now + MS, now + 2 * MS)
-    assert not j.unheard("x/b0")
+        deliver(tracker, now, ("n31", "x/b0"), DOWN, "b2", n=200 + n)
+        tracker.saw("b2", FAILED, now + MS, now + 2 * MS)
+    assert not tracker.unheard("x/b0")
 
 
-def test_honest_words_that_a_broker_passes_on_do_not_pay_for_its_lies() -> None:
-    j, now, calls = brokered(), T, 0
-    while not j.unheard("x/b0") and calls < 100:
+def test_honest_claims_that_a_broker_relays_do_not_make_up_for_its_false_ones() -> None:
+    tracker, now, calls = make_brokered_tracker(), T, 0
+    while not tracker.unheard("x/b0") and calls < 100:
         calls += 1
-        hear(j, now, ("n38", "x/b0"), BACK, n=calls)  # of an endpoint that is well; it costs nobody anything to say so
-        now = contradict(j, now, calls, (f"n{calls % 38}", "x/b0"))
-    assert calls == WAY_WRONG
+        deliver(tracker, now, ("n38", "x/b0"), BACK, n=calls)  # true of a healthy endpoint, so free to claim
+        now = deliver_contradicted(tracker, now, calls, (f"n{calls % 38}", "x/b0"))
+    assert calls == PATH_DISTRUST_SCORE
 
 
-def test_lies_that_are_not_heard_any_more_earn_nothing_for_what_else_comes_that_way() -> None:
-    j, now = brokered(), T
-    for n in range(1, 60):  # the way from y/b0 is silent after twelve; beside each lie there is an honest word
-        hear(j, now, ("n38", "x/b0"), BACK, n=n)
-        now = contradict(j, now, n, (f"n{n % 38}", "x/b0", "y/b0"))
-    assert j.marks[Voice("", "x/b0", ANY)] == WAY_WRONG and Voice("", "x/b0", "y/b0") in j.voiceless
+def test_false_claims_that_are_disregarded_earn_no_credit_for_the_rest_of_the_path() -> None:
+    tracker, now = make_brokered_tracker(), T
+    for n in range(1, 60):  # the path from y/b0 is distrusted after twelve; beside each false claim is a true one
+        deliver(tracker, now, ("n38", "x/b0"), BACK, n=n)
+        now = deliver_contradicted(tracker, now, n, (f"n{n % 38}", "x/b0", "y/b0"))
+    assert (
+        tracker.scores[Voice("", "x/b0", ANY_ORIGIN)] == PATH_DISTRUST_SCORE
+        and Voice("", "x/b0", "y/b0") in tracker.distrusted
+    )
 
 
-def test_one_in_another_region_silences_itself_and_a_broker_that_names_many_origins_is_silent_too() -> None:
-    j, now = brokered(), T
+def test_a_lying_broker_of_another_region_is_distrusted_and_so_is_a_broker_that_names_many_origins() -> None:
+    tracker, now = make_brokered_tracker(), T
     for n in range(1, 40):
-        now = contradict(j, now, n, *((f"n{n}", by, "y/b0") for by in ("x/b0", "x/b1")))
-    assert {Voice("", "x/b0", "y/b0"), Voice("", "x/b1", "y/b0")} <= j.voiceless and not j.unheard("x/b0")
-    hear(j, now, ("n1", "x/b0", "y/b1"))
-    hear(j, now, W2B1)
-    assert set(j.holds(now, OTHERS)) == {"a1"}
-    j, now, calls = brokered(), T, 0
-    while not j.unheard("x/b0"):
+        now = deliver_contradicted(tracker, now, n, *((f"n{n}", by, "y/b0") for by in ("x/b0", "x/b1")))
+    assert {Voice("", "x/b0", "y/b0"), Voice("", "x/b1", "y/b0")} <= tracker.distrusted and not tracker.unheard("x/b0")
+    deliver(tracker, now, ("n1", "x/b0", "y/b1"))
+    deliver(tracker, now, W2B1)
+    assert set(tracker.holds(now, OTHERS)) == {"a1"}
+    tracker, now, calls = make_brokered_tracker(), T, 0
+    while not tracker.unheard("x/b0"):
         calls += 1
-        now = contradict(j, now, calls, (f"n{calls % 38}", "x/b0", ORIGINS[calls % 2]))
-    assert calls == BROKER_WRONG and Voice("", "x/b0", ANY) in j.voiceless
+        now = deliver_contradicted(tracker, now, calls, (f"n{calls % 38}", "x/b0", ORIGINS[calls % 2]))
+    assert calls == BROKER_DISTRUST_SCORE and Voice("", "x/b0", ANY_ORIGIN) in tracker.distrusted
 
 
-def test_one_call_tells_one_thing_of_a_way_however_many_came_by_it() -> None:
-    j = brokered()
-    contradict(j, T, 1, *((f"n{n}", "x/b0") for n in range(WITNESSES)))
-    assert j.marks[Voice("", "x/b0", "")] == 1.0 and not j.unheard("x/b0")
+def test_one_call_scores_a_path_once_however_many_claims_came_by_it() -> None:
+    tracker = make_brokered_tracker()
+    deliver_contradicted(tracker, T, 1, *((f"n{n}", "x/b0") for n in range(MAX_WITNESSES)))
+    assert tracker.scores[Voice("", "x/b0", "")] == 1.0 and not tracker.unheard("x/b0")
 
 
-def test_marks_of_made_up_witnesses_are_bounded_and_a_ways_own_are_kept() -> None:
-    j = brokered()
-    for n in range(MOST_MARKS + 500):
-        j.marks[Voice(f"w{n}", "x/b0")] = 1.0
-    j.marks[Voice("", "x/b0")] = 0.5
-    j.marks[Voice("liar", "x/b1")] = 6.0
-    j.members(["n1"])
-    assert len(j.marks) <= MOST_MARKS + 1 and {Voice("", "x/b0"), Voice("liar", "x/b1")} <= j.marks.keys()
+def test_scores_of_invented_witnesses_are_bounded_and_those_of_paths_are_kept() -> None:
+    tracker = make_brokered_tracker()
+    for n in range(MAX_RELAYED_SCORES + 500):
+        tracker.scores[Voice(f"w{n}", "x/b0")] = 1.0
+    tracker.scores[Voice("", "x/b0")] = 0.5
+    tracker.scores[Voice("liar", "x/b1")] = 6.0
+    tracker.members(["n1"])
+    assert (
+        len(tracker.scores) <= MAX_RELAYED_SCORES + 1
+        and {Voice("", "x/b0"), Voice("liar", "x/b1")} <= tracker.scores.keys()
+    )
 
 
-def test_own_words_go_to_the_owners_and_to_those_that_know_none_some_times() -> None:
-    j = brokered()
-    j.saw("b1", FAILED, T - 10 * MS, T)
+def test_own_observations_go_to_brokers_and_to_members_without_brokers_in_several_rounds() -> None:
+    tracker = make_brokered_tracker()
+    tracker.saw("b1", FAILED, T - 10 * MS, T)
     found: dict[str, list[object]] = {}
     for at in range(60):
-        for name, words in j.tick(T + at * 50 * MS, ["old"], 10**6, lambda dest: ["x/b1", "x/b0"] if dest == 2 else []):
+        for name, words in tracker.tick(
+            T + at * 50 * MS, ["old"], 10**6, lambda dest: ["x/b1", "x/b0"] if dest == 2 else []
+        ):
             found.setdefault(name, []).extend(words)
     assert {name: len(words) for name, words in found.items()} == {"x/b0": 4, "x/b1": 4, "old": 4}
     assert found["x/b0"][0] == Publish(2, Seen("b1", DOWN, 0, 0, 1)) and found["old"][0] == Seen("b1", DOWN, 0, 0, 1)
-    j.saw("only", FAILED, T + 4 * SECOND, T + 4 * SECOND + MS)
-    assert j.tick(T + 4 * SECOND + MS, [], 10**6, lambda dest: []) == [], "no broker answers: nothing is said"
+    tracker.saw("only", FAILED, T + 4 * SECOND, T + 4 * SECOND + MS)
+    assert tracker.tick(T + 4 * SECOND + MS, [], 10**6, lambda dest: []) == [], (
+        "without an answering broker nothing is sent"
+    )
 
 
-def test_enough_have_told_only_where_no_broker_could_have_made_them_up() -> None:
+def test_reports_are_sufficient_only_if_no_single_broker_could_have_invented_them() -> None:
     for ways, rounds in ((["x/b0"], 4), (["x/b0", "x/b1"], 1)):
-        j = brokered()
+        tracker = make_brokered_tracker()
         for n in range(1, 5):
             for by in ways:
-                hear(j, T, (f"n{n}", by), endpoint="b1")
-        j.saw("b1", FAILED, T, T + MS)
-        told = [
-            words for at in range(60) for _, words in j.tick(T + MS + at * 50 * MS, [], 10**6, lambda dest: ["x/b1"])
+                deliver(tracker, T, (f"n{n}", by), endpoint="b1")
+        tracker.saw("b1", FAILED, T, T + MS)
+        sent_rounds = [
+            words
+            for at in range(60)
+            for _, words in tracker.tick(T + MS + at * 50 * MS, [], 10**6, lambda dest: ["x/b1"])
         ]
-        assert len(told) == rounds
+        assert len(sent_rounds) == rounds
