--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -164,7 +164,7 @@
 
 def test_a_witness_that_own_calls_contradict_is_distrusted_until_they_confirm_it() -> None:
     tracker = make_tracker()
-    false_reports: list[Step] = [
+    contradicted: list[Step] = [
         step for n in range(3) for step in ((50, "n1", WAIT, "a1", 900), (20, "me", OK, "a1", 0))
     ]
     now = apply_steps(tracker, contradicted)
@@ -497,10 +497,10 @@
 
 
 def test_reports_are_sufficient_only_if_no_single_broker_could_have_invented_them() -> None:
-    for ways, rounds in ((["x/b0"], 4), (["x/b0", "x/b1"], 1)):
+    for brokers, rounds in ((["x/b0"], 4), (["x/b0", "x/b1"], 1)):
         tracker = make_brokered_tracker()
         for n in range(1, 5):
-            for by in ways:
+            for by in brokers:
                 deliver(tracker, T, (f"n{n}", by), endpoint="b1")
         tracker.saw("b1", FAILED, T, T + MS)
         sent_rounds = [
