--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -1,29 +1,31 @@
-"""Budgets that couriers share: parts by right, and loans of what is not used. No I/O.
+"""Budgets that couriers share: a fixed share for each, and loans of unused calls. No I/O.
 
-Everything that decides how many calls one courier may make of a budget lives in this file. Times are microseconds of
-the caller's clock, which may drift from others' by ``drift`` at most; nothing is assumed of delays and stops.
+Everything that decides how many calls of a budget one courier may make lives in this file. Times are microseconds of
+the caller's clock, which may drift from others' by at most ``drift``. Message delays and process pauses are unbounded.
 
 Theory of operation
 -------------------
-A budget is a number of calls in any span, for all couriers together. A courier's part depends only on the settings
-and on the budget. It may call while its calls in the span before are fewer than
-
-    its part - what it has lent - what an earlier life may have lent + what it has borrowed.
-
-The promise is that all couriers' calls in any span are at most the budget; docs/design/peers.md has the proof. What
-the code keeps for it:
-
-- lent only what the span before leaves unused, and counted as lent before the grant can leave (``_lend``);
-- the borrower's term runs from its ask, the lender's from its grant and a span longer, each with the drift on the
-  safe side;
-- a grant counts once, for an ask of this life that is still open; a loan given back is not used any more;
-- the most that was ever out is written before a grant leaves (``kept``): a start counts that much as lent for a whole
-  term, and all that could be lent where nothing was kept; what it found is written on until it no longer matters;
-- a start neither calls nor lends for one span, as it does not know what its former life called.
-
-Demand: ``lacks`` says how many calls more than it may make a courier could use, and the worth that waits for them.
-Asks are gathered and served together, call by call to the most worth over calls got. A lender keeps what it used
-lately.
+A budget is a number of calls in any window of a given length, for all couriers together. A courier's share depends only
+on the settings and on the budget. It may call while its calls in the preceding window are fewer than
+
+    its share - what it has lent - what an earlier process epoch may have lent + what it has borrowed.
+
+The invariant is that the calls of all couriers in any window never exceed the budget; docs/design/peers.md has the
+proof. It rests on these rules:
+
+- only what the preceding window left unused is lent, and it counts as lent before the grant can leave
+  (``_grant_requests``);
+- the borrower's term runs from its request, the lender's from its grant and a window longer, each with the clock drift
+  on the safe side;
+- a grant counts once, and only for an open request of the same process epoch; a returned loan is no longer used;
+- the maximum ever lent is persisted before a grant leaves (``persist``). After a start that amount counts as lent for a
+  whole term, and everything lendable where nothing was persisted; what was found is persisted again until it no longer
+  matters;
+- for one window after a start a courier neither calls nor lends, as it does not know what its earlier process called.
+
+Demand: ``lacks`` sets how many more calls than it may make a courier could use, and the weight of the messages that
+wait for them. Requests are gathered and granted together, call by call to the request with the most weight per call
+granted. A lender retains what it used recently.
 """
 
 from __future__ import annotations
@@ -38,58 +40,63 @@
 from kestrelspar.peers.words import Ask, Back, Grant, Word
 
 MS, SECOND = 1_000, 1_000_000
-LEND = 0.75  # of a part at most: a courier that hears nothing more can still serve, and a start without a folder too
-GATHER = 50 * MS  # asks are served together after so long
-ASK_EVERY = 200 * MS  # per budget, while something is lacking
-ASK_FEW, ASK_MOST = 3, 32  # members asked at once; doubles while too little comes
-RENEW = 0.5  # of the term: then a loan that is used is asked for again
-IDLE_SPANS = 2  # a loan that was not needed for so many spans goes back
-MEMORY = 16  # spans over which a courier's use of a budget is averaged
-RECALL = 3  # spans of waiting messages from which on a lender wants its own back: fewer are served in time all the same
-CARRY = 600 * SECOND  # what an earlier life had out is written on for so long at least
-ALL = "*"  # kept in place of figures: nothing was found, so all that may be lent may be out
-EARLY = 1_000  # calls that are remembered for a budget that is not told yet
+LEND = (
+    0.75  # max lent part of a share: a courier that is cut off, or that starts without persisted state, can still call
+)
+REQUEST_GATHERING_TIME = 50 * MS  # between the first request and the grants for all gathered so far
+REQUEST_INTERVAL = 200 * MS  # per budget, while calls are lacking
+MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked at once; doubles while too little is granted
+RENEWAL_POINT = 0.5  # part of the term after which a loan in use is renewed
+IDLE_WINDOWS = 2  # a loan that was not needed for so many windows is returned
+MEAN_WINDOWS = 16  # time constant, in windows, of the mean use of a budget
+RECALL_WINDOWS = 3  # a lender whose own messages need more windows renews no loan; fewer are served in time anyway
+CARRY_OVER = 600 * SECOND  # min time for which the loans of an earlier process epoch are persisted again
+UNKNOWN_LOANS = "*"  # persisted in place of amounts if none were found: everything lendable may be lent
+MAX_CALLS_WITHOUT_BUDGET = 1_000  # calls remembered for a budget that is not configured yet
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What all couriers must be told alike."""
+    """Settings that must be the same at all couriers, and the position of this one."""
 
     couriers: int
-    number: int  # this one's place; beyond ``couriers`` it owns nothing
+    number: int  # position of this courier; from ``couriers`` on its share is nothing
     term: int = 3 * SECOND
     drift: float = 0.01
 
 
-def part(calls: int, couriers: int, number: int) -> int:
-    """What the courier at this place owns of so many calls in a span."""
+def equal_share(calls: int, couriers: int, number: int) -> int:
+    """Calls per window that belong to the courier at position ``number``."""
     if not 0 <= number < couriers:
         return 0
     return calls // couriers + (number < calls % couriers)
 
 
-def spanned(rate: float, couriers: int, span: int = SECOND) -> tuple[int, int]:
-    """A budget for so many calls a second, as (calls, span): a longer span where each would not own a call in one."""
+def spanned(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
+    """A budget for ``rate`` calls per second, as (calls, window length).
+
+    The window is longer than asked for where otherwise a courier's share would be no call.
+    """
     if rate <= 0:
-        return 0, span
-    span = max(span, -(-couriers * SECOND // max(1, int(rate * 1_000))) * 1_000)
-    return int(rate * span / SECOND + 1e-6), span
+        return 0, window
+    window = max(window, -(-couriers * SECOND // max(1, int(rate * 1_000))) * 1_000)
+    return int(rate * window / SECOND + 1e-6), window
 
 
 @dataclass(slots=True)
 class Loan:
-    """Calls in any span that were lent, or borrowed."""
+    """Calls per window that were lent or borrowed."""
 
     peer: str
     calls: int
-    until: int  # lender: then its own again. Borrower: then not to be used any more
-    asked: int = 0  # borrower: when the last ask for it was sent
-    needed: int = 0  # borrower: when it was last needed
+    until: int  # lender: the calls are its own again from then on; borrower: they may not be used from then on
+    requested_at: int = 0  # borrower: when the last request or renewal was sent
+    last_needed: int = 0  # borrower only
 
 
 @dataclass(slots=True)
-class Open:
-    """An ask that was sent."""
+class SentRequest:
+    """A loan request that was sent and not answered yet."""
 
     peer: str
     key: str
@@ -100,396 +107,455 @@
 
 @dataclass(slots=True)
 class Budget:
-    """One budget as this courier sees it."""
+    """State of one budget at this courier."""
 
     calls: int
-    span: int
-    part: int
-    used: deque[int] = field(default_factory=deque)  # calls in the span before
-    lent: dict[tuple[str, int, int], Loan] = field(default_factory=dict)  # by borrower, its life, ask
-    borrowed: dict[tuple[str, int], Loan] = field(default_factory=dict)  # by lender, loan
-    mean: float = 0.0  # calls in a span, averaged over MEMORY of them, as of ``mean_at``
+    window: int
+    share: int
+    recent_calls: deque[int] = field(default_factory=deque)  # times of the calls in the preceding window
+    lent: dict[tuple[str, int, int], Loan] = field(default_factory=dict)  # by borrower, its process epoch and request
+    borrowed: dict[tuple[str, int], Loan] = field(default_factory=dict)  # by lender and loan number
+    mean: float = 0.0  # decaying mean of calls per window, as of ``mean_at``
     mean_at: int = 0
-    lack: int = 0
-    worth: float = 0.0
-    lack_at: int = 0
-    asked_at: int = -(1 << 60)
-    fan: int = ASK_FEW
-    high: int = 0  # the most that was out since the start, as kept
-    dropped: bool = False  # its destination is gone; it goes once nothing of it is out
-    whole: bool = False  # all of a part may be lent: for budgets so small that most own nothing
-    place: int = 0  # added to a courier's number: who owns a call more than the others
-    alone_at: int = 0  # whole, and nothing owned: then one call may be made all the same
+    shortfall: int = 0
+    waiting_weight: float = 0.0
+    shortfall_at: int = 0
+    requested_at: int = -(1 << 60)
+    fanout: int = MIN_REQUEST_FANOUT
+    max_lent: int = 0  # most calls lent at once since the start, as persisted
+    retired: bool = False  # its destination is gone; removed once no loans and recent calls are left
+    fully_lendable: bool = False  # the whole share may be lent: for budgets so small that most shares are nothing
+    rotation: int = 0  # added to a courier's number, to vary which couriers get the remainder of the division
+    next_unowned_call_at: int = 0  # if fully lendable and without a share: from then on one call is allowed anyway
 
 
 class Shares:
-    """One courier's parts, loans and calls."""
+    """One courier's shares, loans and calls."""
 
     def __init__(
         self,
         terms: Terms,
         life: int,
         now: int,
-        kept: dict[str, int] | None,
+        lent_before: dict[str, int] | None,
         random: Random,
-        keep: Callable[[dict[str, int]], bool] = lambda lent: True,
+        persist: Callable[[dict[str, int]], bool] = lambda lent: True,
     ) -> None:
-        """``kept``: the most that an earlier life had out, by budget; None where that is not known.
+        """Create the shares of a process that starts at ``now``.
 
-        ``keep`` writes that down and says whether it did; without, nothing is lent.
+        ``lent_before``: the most that an earlier process epoch had lent, by budget; None if unknown. ``persist`` writes
+        such amounts down and returns whether it succeeded; if not, nothing is lent.
         """
         self.terms, self.life = terms, life
         self.events: Events = []
-        self._begin, self._keep, self._random = now, keep, random
-        self._kept = None if kept is None or ALL in kept else kept
-        self._early: dict[str, deque[int]] = {}  # calls for which no budget is told yet
+        self._started_at, self._persist_lent, self._random = now, persist, random
+        self._lent_before = None if lent_before is None or UNKNOWN_LOANS in lent_before else lent_before
+        self._calls_without_budget: dict[str, deque[int]] = {}  # times of calls, by budget that is not configured yet
         self._budgets: dict[str, Budget] = {}
-        self._open: dict[int, Open] = {}
-        self._asks: dict[str, list[tuple[str, int, Ask]]] = {}  # by budget: who, its life, what
-        self._gathered: int | None = None  # since when
-        self._n = 0
-        self._loan = 0
-        self._loan_of: dict[int, tuple[str, tuple[str, int, int]]] = {}  # lender: by its number
-        self.full = False  # the folder took nothing: neither lent nor borrowed
-        self.gone = False  # stepped back: owns nothing
-        self.silent = False  # says nothing any more, so neither lends nor borrows
+        self._sent_requests: dict[int, SentRequest] = {}
+        # By budget: borrower, its process epoch, and its request.
+        self._pending_requests: dict[str, list[tuple[str, int, Ask]]] = {}
+        self._gathering_since: int | None = None
+        self._request_number = 0
+        self._loan_number = 0
+        self._granted_loans: dict[int, tuple[str, tuple[str, int, int]]] = {}  # budget and key in ``lent``, by number
+        self.storage_failed = False  # loans can't be persisted: nothing is lent or borrowed
+        self.gone = False  # another process has this name, or this one is leaving: it has no share
+        self.silent = False  # sends no messages any more, so it neither lends nor borrows
 
     # Budgets
 
-    def budget(self, key: str, calls: int, span: int, whole: bool = False, place: int = 0, now: int = 0) -> None:
-        """All couriers together may make so many calls in any span of so many microseconds.
+    def budget(
+        self, key: str, calls: int, window: int, fully_lendable: bool = False, rotation: int = 0, now: int = 0
+    ) -> None:
+        """Set a budget: all couriers together may make ``calls`` calls in any ``window`` microseconds.
 
-        ``whole``: it may be lent to the last call; ``place``: the same at all, so that of many small budgets not the
-        same couriers own the calls.
+        ``fully_lendable``: the whole share may be lent. ``rotation``: the same at all couriers, and different for each
+        budget, so that not always the same couriers own the calls of small budgets.
         """
         known = self._budgets.get(key)
-        owned = self._part(calls, self.terms.number, place)
+        share = self._share_of(calls, self.terms.number, rotation)
         if known is None:
-            b = Budget(calls, span, owned, self._early.pop(key, deque()), whole=whole, place=place)
-            b.alone_at = now + self._alone(b)
-            self._budgets[key] = b
+            budget = Budget(
+                calls,
+                window,
+                share,
+                self._calls_without_budget.pop(key, deque()),
+                fully_lendable=fully_lendable,
+                rotation=rotation,
+            )
+            budget.next_unowned_call_at = now + self._unowned_interval(budget)
+            self._budgets[key] = budget
         else:
-            known.calls, known.span, known.part, known.dropped = calls, span, owned, False
+            known.calls, known.window, known.share, known.retired = calls, window, share, False
 
-    def _part(self, calls: int, number: int, place: int) -> int:
-        """What the courier of this number owns."""
+    def _share_of(self, calls: int, number: int, rotation: int) -> int:
+        """Share of the courier at position ``number``."""
         n = self.terms.couriers
-        return part(calls, n, (number + place) % n) if 0 <= number < n else 0
+        return equal_share(calls, n, (number + rotation) % n) if 0 <= number < n else 0
 
     def drop(self, key: str) -> None:
-        """The budget's destination is gone. It may come back: what is out of it stays counted until its end."""
-        self._early.pop(key, None)
+        """Retire the budget of a destination that is gone. It may return, so its loans count until they end."""
+        self._calls_without_budget.pop(key, None)
         if key in self._budgets:
-            self._budgets[key].dropped = True
+            self._budgets[key].retired = True
 
     def names(self) -> list[str]:
-        """The budgets that there are."""
+        """Names of all budgets, retired ones included."""
         return list(self._budgets)
 
     def allowed(self, key: str, now: int) -> int | None:
-        """Calls that this courier may make in any span; nothing where there is no such budget."""
-        b = self._budgets.get(key)
-        if b is None:
+        """Calls that this courier may make in any window; None if there is no such budget."""
+        budget = self._budgets.get(key)
+        if budget is None:
             return None
-        if now < self._blind(b):
+        if now < self._blackout_end(budget):
             return 0
-        held = 0 if self.silent else sum(loan.calls for loan in b.borrowed.values() if now < loan.until)
-        return self._own(key, b, now) + held
+        borrowed = 0 if self.silent else sum(loan.calls for loan in budget.borrowed.values() if now < loan.until)
+        return self._retained(key, budget, now) + borrowed
 
     def owned(self, key: str) -> int:
-        """This courier's part by right, whatever of it is lent."""
-        return 0 if self.gone or key not in self._budgets else self._budgets[key].part
+        """This courier's share, including what it has lent."""
+        return 0 if self.gone or key not in self._budgets else self._budgets[key].share
 
-    def _own(self, key: str, b: Budget, now: int) -> int:
-        """Of its part, what is its own now."""
+    def _retained(self, key: str, budget: Budget, now: int) -> int:
+        """What is left of this courier's share after loans."""
         if self.gone:
             return 0
-        out = sum(loan.calls for loan in b.lent.values() if now < loan.until)
-        return max(0, b.part - out - self._lost(key, b, now))
+        lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until)
+        return max(0, budget.share - lent - self._possibly_lent(key, budget, now))
 
-    def _lost(self, key: str, b: Budget, now: int) -> int:
-        """What an earlier life may have out still."""
-        if now >= self._begin + self._safe(b):
+    def _possibly_lent(self, key: str, budget: Budget, now: int) -> int:
+        """What an earlier process epoch may still have lent."""
+        if now >= self._started_at + self._loan_hold_time(budget):
             return 0
-        most = self._lendable(b)
-        return most if self._kept is None else min(most, self._kept.get(key, 0))
+        max_lendable = self._max_lendable(budget)
+        return max_lendable if self._lent_before is None else min(max_lendable, self._lent_before.get(key, 0))
 
-    def _blind(self, b: Budget) -> int:
-        """Until then calls of a former life may lie in the span before."""
-        return self._begin + int(b.span * (1 + self.terms.drift)) + 1
+    def _blackout_end(self, budget: Budget) -> int:
+        """Until then calls of an earlier process may lie in the preceding window."""
+        return self._started_at + int(budget.window * (1 + self.terms.drift)) + 1
 
-    def _lendable(self, b: Budget) -> int:
-        return b.part if b.whole else int(LEND * b.part)
+    def _max_lendable(self, budget: Budget) -> int:
+        return budget.share if budget.fully_lendable else int(LEND * budget.share)
 
-    def _safe(self, b: Budget) -> int:
-        """From a grant until what was lent is the lender's again."""
-        return int((self.terms.term + b.span) * (1 + self.terms.drift)) + 1
+    def _loan_hold_time(self, budget: Budget) -> int:
+        """From a grant until the lender may use the lent calls again."""
+        return int((self.terms.term + budget.window) * (1 + self.terms.drift)) + 1
 
-    def _count(self, b: Budget, now: int) -> int:
-        """Calls in the span before; a span that by any clock is not shorter than told."""
-        since = now - int(b.span * (1 + self.terms.drift))
-        while b.used and b.used[0] <= since:
-            b.used.popleft()
-        return len(b.used)
+    def _used_calls(self, budget: Budget, now: int) -> int:
+        """Calls in the preceding window, extended by the drift so that by no clock it is too short."""
+        since = now - int(budget.window * (1 + self.terms.drift))
+        while budget.recent_calls and budget.recent_calls[0] <= since:
+            budget.recent_calls.popleft()
+        return len(budget.recent_calls)
 
     def may(self, key: str, now: int) -> bool:
-        """Whether a call may be made at this instant. The clock must have been read for it."""
-        b = self._budgets.get(key)
-        return b is None or self._count(b, now) < (self.allowed(key, now) or 0) or self._may_alone(b, now)
+        """Whether a call may be made now. ``now`` must be a fresh reading of the clock."""
+        budget = self._budgets.get(key)
+        return (
+            budget is None
+            or self._used_calls(budget, now) < (self.allowed(key, now) or 0)
+            or self._may_call_unowned(budget, now)
+        )
 
     def spend(self, key: str, now: int) -> bool:
-        """Make a call, if one may be made."""
+        """Count a call if one may be made. Returns whether it may be made."""
         if not self.may(key, now):
             return False
-        b = self._budgets.get(key)
-        if b is None:
-            self._early.setdefault(key, deque(maxlen=EARLY)).append(now)
+        budget = self._budgets.get(key)
+        if budget is None:
+            self._calls_without_budget.setdefault(key, deque(maxlen=MAX_CALLS_WITHOUT_BUDGET)).append(now)
             return True
-        if self._may_alone(b, now):
-            b.alone_at = now + self._alone(b)
-        b.used.append(now)
-        b.mean, b.mean_at = self._mean(b, now) + 1 / MEMORY, now
+        if self._may_call_unowned(budget, now):
+            budget.next_unowned_call_at = now + self._unowned_interval(budget)
+        budget.recent_calls.append(now)
+        budget.mean, budget.mean_at = self._decayed_mean(budget, now) + 1 / MEAN_WINDOWS, now
         return True
 
-    def _may_alone(self, b: Budget, now: int) -> bool:
-        return b.whole and not b.part and not self.gone and now >= b.alone_at
+    def _may_call_unowned(self, budget: Budget, now: int) -> bool:
+        return budget.fully_lendable and not budget.share and not self.gone and now >= budget.next_unowned_call_at
+
+    def _unowned_interval(self, budget: Budget) -> int:
+        """Time until the next call of a courier without a share; 0 if it has one or the budget isn't fully lendable.
 
-    def _alone(self, b: Budget) -> int:
-        """Until the next call of its own, where a courier owns none: all couriers' together are the budget's."""
-        each = self.terms.couriers * b.span // max(1, b.calls)
-        return int(each * (0.5 + self._random.random())) if b.whole and not b.part else 0
+        All such calls of all couriers together amount to about the budget once more.
+        """
+        interval = self.terms.couriers * budget.window // max(1, budget.calls)
+        return int(interval * (0.5 + self._random.random())) if budget.fully_lendable and not budget.share else 0
 
-    def lacks(self, key: str, calls: int, worth: float, now: int) -> None:
-        """So many calls more than it may make it could use now, for messages of this worth."""
-        b = self._budgets.get(key)
-        if b is not None:
-            b.lack, b.worth, b.lack_at = max(0, calls), max(0.0, worth), now
+    def lacks(self, key: str, calls: int, waiting_weight: float, now: int) -> None:
+        """Set how many more calls than allowed this courier could use now, and the total weight of their messages."""
+        budget = self._budgets.get(key)
+        if budget is not None:
+            budget.shortfall, budget.waiting_weight, budget.shortfall_at = max(0, calls), max(0.0, waiting_weight), now
 
-    def _mean(self, b: Budget, now: int) -> float:
-        return b.mean * math.exp((b.mean_at - now) / (MEMORY * b.span))
+    def _decayed_mean(self, budget: Budget, now: int) -> float:
+        return budget.mean * math.exp((budget.mean_at - now) / (MEAN_WINDOWS * budget.window))
 
-    def _needs(self, b: Budget, now: int) -> int:
-        """Calls in a span that this courier makes by its mean, and those that it could use beside them."""
-        lack = b.lack if now - b.lack_at < b.span else 0
-        return math.ceil(self._mean(b, now) - 0.5) + lack
+    def _demand(self, budget: Budget, now: int) -> int:
+        """Calls per window that this courier needs: its mean use and the shortfall."""
+        shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
+        return math.ceil(self._decayed_mean(budget, now) - 0.5) + shortfall
 
-    def _keeps(self, b: Budget, now: int) -> int:
-        """Calls in a span that a lender keeps: its mean, and what waits beyond what its part serves in one.
+    def _reserve(self, budget: Budget, now: int) -> int:
+        """Calls per window that a lender reserves: its mean use, and the shortfall beyond what its share serves.
 
-        A short queue is no reason to call loans back: it would be served before they are here.
+        A short queue is no reason to recall loans: it would be served before they are returned.
         """
-        lack = b.lack if now - b.lack_at < b.span else 0
-        return max(0 if b.whole else 1, math.ceil(self._mean(b, now) - 0.5)) + max(0, lack - b.part)
+        shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
+        return max(0 if budget.fully_lendable else 1, math.ceil(self._decayed_mean(budget, now) - 0.5)) + max(
+            0, shortfall - budget.share
+        )
 
-    # Time
+    # Periodic work
 
     def tick(self, now: int, peers: list[str]) -> Out:
-        """Asks, grants and what goes back; ``peers`` are those that may be asked."""
+        """Requests, grants and returns that are due. ``peers``: members that may be asked for loans."""
         out: Out = []
         if self.gone or self.silent:
             return out
-        for key, b in list(self._budgets.items()):
-            self._lapse(b, now)
-            if b.dropped:
-                if not b.lent and not b.borrowed and not self._count(b, now):
+        for key, budget in list(self._budgets.items()):
+            self._expire_loans(budget, now)
+            if budget.retired:
+                if not budget.lent and not budget.borrowed and not self._used_calls(budget, now):
                     del self._budgets[key]
                 continue
-            self._tend(key, b, now, out)
-            if not self.full:
-                self._seek(key, b, now, peers, out)
-        if self._gathered is not None and now >= self._gathered + GATHER:
-            self._serve(now, out)
-        for n, sent in list(self._open.items()):
-            if now >= sent.at + self.terms.term:
-                del self._open[n]
+            self._renew_or_return(key, budget, now, out)
+            if not self.storage_failed:
+                self._request_loans(key, budget, now, peers, out)
+        if self._gathering_since is not None and now >= self._gathering_since + REQUEST_GATHERING_TIME:
+            self._grant_requests(now, out)
+        for number, request in list(self._sent_requests.items()):
+            if now >= request.at + self.terms.term:
+                del self._sent_requests[number]
         return out
 
-    def _lapse(self, b: Budget, now: int) -> None:
-        """Loans that are over."""
-        for got, loan in list(b.borrowed.items()):
+    def _expire_loans(self, budget: Budget, now: int) -> None:
+        """Remove loans that have ended."""
+        for borrowed_key, loan in list(budget.borrowed.items()):
             if now >= loan.until:
-                del b.borrowed[got]
-        for gave, loan in list(b.lent.items()):
+                del budget.borrowed[borrowed_key]
+        for lent_key, loan in list(budget.lent.items()):
             if now >= loan.until:
-                del b.lent[gave]
-                self._loan_of = {n: at for n, at in self._loan_of.items() if at[1] != gave}
-
-    def _tend(self, key: str, b: Budget, now: int, out: Out) -> None:
-        """What was borrowed: asked for again in time, or given back when it is not needed."""
-        needs, own = self._needs(b, now), self._own(key, b, now)
-        for (lender, number), loan in list(b.borrowed.items()):
-            if needs > own:
-                loan.needed = now
-            if now - loan.needed >= IDLE_SPANS * b.span:
-                del b.borrowed[(lender, number)]
-                self._open = {n: sent for n, sent in self._open.items() if sent.peer != lender or sent.loan != number}
+                del budget.lent[lent_key]
+                self._granted_loans = {n: at for n, at in self._granted_loans.items() if at[1] != lent_key}
+
+    def _renew_or_return(self, key: str, budget: Budget, now: int, out: Out) -> None:
+        """Renew borrowed loans in time, and return those that are no longer needed."""
+        demand, available = self._demand(budget, now), self._retained(key, budget, now)
+        for (lender, number), loan in list(budget.borrowed.items()):
+            if demand > available:
+                loan.last_needed = now
+            if now - loan.last_needed >= IDLE_WINDOWS * budget.window:
+                del budget.borrowed[(lender, number)]
+                self._sent_requests = {
+                    n: request
+                    for n, request in self._sent_requests.items()
+                    if request.peer != lender or request.loan != number
+                }
                 out.append((lender, [Back(number)]))
-            elif now >= loan.asked + int(RENEW * self.terms.term) and needs > own and not self.full:
-                loan.asked = now
-                out.append((lender, [self._asks_for(key, lender, loan.calls, b.worth, now, number)]))
-            own += loan.calls
-
-    def _seek(self, key: str, b: Budget, now: int, peers: list[str], out: Out) -> None:
-        """What is lacking, asked of a few members; of more while too little comes."""
-        lack = b.lack if now - b.lack_at < b.span else 0
-        lack -= self.allowed(key, now) or 0  # what is served in one span is worth no loan: all have such bursts
-        if lack <= 0:
-            b.fan = ASK_FEW
+            elif (
+                now >= loan.requested_at + int(RENEWAL_POINT * self.terms.term)
+                and demand > available
+                and not self.storage_failed
+            ):
+                loan.requested_at = now
+                out.append((lender, [self._loan_request(key, lender, loan.calls, budget.waiting_weight, now, number)]))
+            available += loan.calls
+
+    def _request_loans(self, key: str, budget: Budget, now: int, peers: list[str], out: Out) -> None:
+        """Ask a few members for the shortfall, and more of them while too little is granted."""
+        shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
+        # What is served within one window is worth no loan: every courier has such bursts.
+        shortfall -= self.allowed(key, now) or 0
+        if shortfall <= 0:
+            budget.fanout = MIN_REQUEST_FANOUT
             return
-        if now < b.asked_at + ASK_EVERY or not peers:
+        if now < budget.requested_at + REQUEST_INTERVAL or not peers:
             return
-        pending = {sent.peer for sent in self._open.values() if sent.key == key and now < sent.at + 3 * ASK_EVERY}
-        able = [name for name in peers if name not in pending]
-        asked = self._random.sample(able, min(b.fan, len(able)))
-        b.asked_at, b.fan = now, min(ASK_MOST, 2 * b.fan)
-        for name in asked:
-            out.append((name, [self._asks_for(key, name, max(1, -(-lack // len(asked))), b.worth, now, 0)]))
-
-    def _asks_for(self, key: str, peer: str, calls: int, worth: float, now: int, loan: int) -> Ask:
-        self._n += 1
-        self._open[self._n] = Open(peer, key, now, calls, loan)
-        return Ask(self._n, key, calls, worth, loan)
-
-    # Words
-
-    def heard(self, sender: str, life: int, words: Iterable[Word], now: int, owned: int | None) -> Out:
-        """What a member says of loans; ``owned``: its place among the couriers, if known."""
+        pending = {
+            request.peer
+            for request in self._sent_requests.values()
+            if request.key == key and now < request.at + 3 * REQUEST_INTERVAL
+        }
+        candidates = [name for name in peers if name not in pending]
+        chosen = self._random.sample(candidates, min(budget.fanout, len(candidates)))
+        budget.requested_at, budget.fanout = now, min(MAX_REQUEST_FANOUT, 2 * budget.fanout)
+        for name in chosen:
+            out.append(
+                (
+                    name,
+                    [
+                        self._loan_request(
+                            key, name, max(1, -(-shortfall // len(chosen))), budget.waiting_weight, now, 0
+                        )
+                    ],
+                )
+            )
+
+    def _loan_request(self, key: str, peer: str, calls: int, waiting_weight: float, now: int, loan: int) -> Ask:
+        self._request_number += 1
+        self._sent_requests[self._request_number] = SentRequest(peer, key, now, calls, loan)
+        return Ask(self._request_number, key, calls, waiting_weight, loan)
+
+    # Messages
+
+    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int, number: int | None) -> Out:
+        """Handle a member's messages about loans. ``number``: its position among the couriers, if known."""
         out: Out = []
-        for word in words:
-            if isinstance(word, Ask):
-                self._asked(sender, life, word, now, out)
-            elif isinstance(word, Grant):
-                self._granted(sender, word, now, owned)
-            elif isinstance(word, Back):
-                self._returned(sender, life, word, now)
+        for message in messages:
+            if isinstance(message, Ask):
+                self._handle_request(sender, life, message, now, out)
+            elif isinstance(message, Grant):
+                self._handle_grant(sender, message, now, number)
+            elif isinstance(message, Back):
+                self._handle_return(sender, life, message, now)
         return out
 
-    def _asked(self, sender: str, life: int, ask: Ask, now: int, out: Out) -> None:
-        if self.gone or self.silent or self.full or ask.key not in self._budgets:
+    def _handle_request(self, sender: str, life: int, ask: Ask, now: int, out: Out) -> None:
+        if self.gone or self.silent or self.storage_failed or ask.key not in self._budgets:
             return
-        b = self._budgets[ask.key]
-        held = b.lent.get((sender, life, ask.n))
-        if held is not None:  # the same ask again: the same answer, and no day more
-            number = next(n for n, at in self._loan_of.items() if at == (ask.key, (sender, life, ask.n)))
-            out.append((sender, [Grant(ask.n, number, held.calls)]))
+        budget = self._budgets[ask.key]
+        existing = budget.lent.get((sender, life, ask.n))
+        if existing is not None:  # a repeated request gets the same answer and no longer term
+            number = next(n for n, at in self._granted_loans.items() if at == (ask.key, (sender, life, ask.n)))
+            out.append((sender, [Grant(ask.n, number, existing.calls)]))
         elif ask.loan:
-            self._renew(sender, life, ask, b, now, out)
-        elif not any(known[:2] == (sender, life) and known[2].n == ask.n for known in self._asks.get(ask.key, ())):
-            self._asks.setdefault(ask.key, []).append((sender, life, ask))
-            self._gathered = now if self._gathered is None else self._gathered
-
-    def _renew(self, sender: str, life: int, ask: Ask, b: Budget, now: int, out: Out) -> None:
-        """A loan goes on, unless we need it; its end here moves before the word leaves."""
-        key, at = self._loan_of.get(ask.loan, ("", ("", 0, 0)))
-        loan = b.lent.get(at)
-        if key != ask.key or loan is None or at[:2] != (sender, life) or now >= loan.until:
+            self._handle_renewal(sender, life, ask, budget, now, out)
+        elif not any(
+            pending[:2] == (sender, life) and pending[2].n == ask.n
+            for pending in self._pending_requests.get(ask.key, ())
+        ):
+            self._pending_requests.setdefault(ask.key, []).append((sender, life, ask))
+            self._gathering_since = now if self._gathering_since is None else self._gathering_since
+
+    def _handle_renewal(self, sender: str, life: int, ask: Ask, budget: Budget, now: int, out: Out) -> None:
+        """Extend a loan unless this courier needs the calls; the lender's end moves before the grant leaves."""
+        key, loan_key = self._granted_loans.get(ask.loan, ("", ("", 0, 0)))
+        loan = budget.lent.get(loan_key)
+        if key != ask.key or loan is None or loan_key[:2] != (sender, life) or now >= loan.until:
             return
-        if now - b.lack_at < b.span and b.lack > RECALL * self._own(ask.key, b, now):
+        if now - budget.shortfall_at < budget.window and budget.shortfall > RECALL_WINDOWS * self._retained(
+            ask.key, budget, now
+        ):
             return
-        loan.until = max(loan.until, now + self._safe(b))
+        loan.until = max(loan.until, now + self._loan_hold_time(budget))
         out.append((sender, [Grant(ask.n, ask.loan, loan.calls)]))
 
-    def _serve(self, now: int, out: Out) -> None:
-        """Lend what is to spare, call by call, to the most worth over calls got."""
-        asks, self._asks, self._gathered = self._asks, {}, None
+    def _grant_requests(self, now: int, out: Out) -> None:
+        """Lend spare calls one by one, each to the request with the most weight per call granted."""
+        gathered, self._pending_requests, self._gathering_since = self._pending_requests, {}, None
         grants: list[tuple[str, str, int, Ask, int]] = []
-        high: dict[str, int] = {}
-        for key, wanted in asks.items():
-            b = self._budgets.get(key)
-            if b is None:
+        new_max: dict[str, int] = {}
+        for key, requests in gathered.items():
+            budget = self._budgets.get(key)
+            if budget is None:
                 continue
-            spare = self._spare(key, b, now)
-            got = [0] * len(wanted)
+            spare = self._spare_calls(key, budget, now)
+            granted = [0] * len(requests)
             while spare > 0:
-                able = [n for n, (_, _, ask) in enumerate(wanted) if got[n] < ask.calls]
-                if not able:
+                unmet = [n for n, (_, _, ask) in enumerate(requests) if granted[n] < ask.calls]
+                if not unmet:
                     break
-                best = max(able, key=lambda n: (wanted[n][2].worth / (got[n] + 1), -n))
-                got[best] += 1
+                best = max(unmet, key=lambda n: (requests[n][2].worth / (granted[n] + 1), -n))
+                granted[best] += 1
                 spare -= 1
-            grants += [(key, *each, calls) for each, calls in zip(wanted, got, strict=True) if calls]
-            most = sum(loan.calls for loan in b.lent.values()) + sum(got)
-            if most > b.high:
-                high[key] = most
-        if not grants or high and not self._note(high, now):
+            grants += [(key, *each, calls) for each, calls in zip(requests, granted, strict=True) if calls]
+            lent = sum(loan.calls for loan in budget.lent.values()) + sum(granted)
+            if lent > budget.max_lent:
+                new_max[key] = lent
+        if not grants or new_max and not self._persist(new_max, now):
             return
-        for key, who, life, ask, calls in grants:
-            b = self._budgets[key]
-            b.high = high.get(key, b.high)
-            self._loan += 1
-            at = (who, life, ask.n)
-            b.lent[at] = Loan(who, calls, now + self._safe(b))
-            self._loan_of[self._loan] = key, at
-            out.append((who, [Grant(ask.n, self._loan, calls)]))
-
-    def _note(self, high: dict[str, int], now: int) -> bool:
-        """Write down what is out at the most, before any of it is; a full folder lends and borrows nothing."""
-        most = {key: b.high for key, b in self._budgets.items() if b.high} | high
-        if now < self._begin + max([CARRY, *(self._safe(b) for b in self._budgets.values())]):
-            # A second crash soon after: what the life before this one lent may be out even then.
-            found = {ALL: 1} if self._kept is None else self._kept
-            most = {key: most.get(key, 0) + found.get(key, 0) for key in most.keys() | found.keys()}
-        done = self._keep(most)
-        if done is self.full:
-            self.full = not done
-            self.events.append(("peers-folder-full" if self.full else "peers-folder-again", {}))
-        return done
-
-    def _spare(self, key: str, b: Budget, now: int) -> int:
-        """What may be lent now: neither used in the span before nor needed, and not more than may be out."""
-        out = sum(loan.calls for loan in b.lent.values() if now < loan.until) + self._lost(key, b, now)
-        if now < self._blind(b):
+        for key, borrower, life, ask, calls in grants:
+            budget = self._budgets[key]
+            budget.max_lent = new_max.get(key, budget.max_lent)
+            self._loan_number += 1
+            loan_key = (borrower, life, ask.n)
+            budget.lent[loan_key] = Loan(borrower, calls, now + self._loan_hold_time(budget))
+            self._granted_loans[self._loan_number] = key, loan_key
+            out.append((borrower, [Grant(ask.n, self._loan_number, calls)]))
+
+    def _persist(self, new_max: dict[str, int], now: int) -> bool:
+        """Persist the most that is lent, before any of it is used. While that fails, nothing is lent or borrowed."""
+        amounts = {key: budget.max_lent for key, budget in self._budgets.items() if budget.max_lent} | new_max
+        if now < self._started_at + max(
+            [CARRY_OVER, *(self._loan_hold_time(budget) for budget in self._budgets.values())]
+        ):
+            # Guards against a second crash soon after: the loans of the earlier epoch may still be running then.
+            found = {UNKNOWN_LOANS: 1} if self._lent_before is None else self._lent_before
+            amounts = {key: amounts.get(key, 0) + found.get(key, 0) for key in amounts.keys() | found.keys()}
+        persisted = self._persist_lent(amounts)
+        if persisted is self.storage_failed:
+            self.storage_failed = not persisted
+            self.events.append(("peers-folder-full" if self.storage_failed else "peers-folder-again", {}))
+        return persisted
+
+    def _spare_calls(self, key: str, budget: Budget, now: int) -> int:
+        """What may be lent now: unused in the preceding window, not reserved, and within the lendable part."""
+        lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until) + self._possibly_lent(
+            key, budget, now
+        )
+        if now < self._blackout_end(budget):
             return 0
-        unused = b.part - out - max(self._count(b, now), self._keeps(b, now))
-        return min(unused, self._lendable(b) - out)
+        unused = budget.share - lent - max(self._used_calls(budget, now), self._reserve(budget, now))
+        return min(unused, self._max_lendable(budget) - lent)
 
-    def _granted(self, sender: str, grant: Grant, now: int, number: int | None) -> None:
-        """A loan for an open ask: it runs from when that was sent."""
-        sent = self._open.get(grant.n)
-        if sent is None or sent.peer != sender or self.full:
+    def _handle_grant(self, sender: str, grant: Grant, now: int, number: int | None) -> None:
+        """Accept a loan for an open request; its term runs from when the request was sent."""
+        request = self._sent_requests.get(grant.n)
+        if request is None or request.peer != sender or self.storage_failed:
             return
-        b = self._budgets.get(sent.key)
-        del self._open[grant.n]
-        until = sent.at + int(self.terms.term * (1 - self.terms.drift))
-        if b is None or now >= until or sent.loan and (sender, sent.loan) not in b.borrowed:
+        budget = self._budgets.get(request.key)
+        del self._sent_requests[grant.n]
+        until = request.at + int(self.terms.term * (1 - self.terms.drift))
+        if budget is None or now >= until or request.loan and (sender, request.loan) not in budget.borrowed:
             return
-        loan = b.borrowed.get((sender, grant.loan))
-        if loan is not None:
-            loan.until = max(loan.until, until)
+        existing = budget.borrowed.get((sender, grant.loan))
+        if existing is not None:
+            existing.until = max(existing.until, until)
             return
         if number is None:
             return
-        # Nobody can lend more than a part of what it owns: what a liar adds is bounded by that.
-        owns = self._part(b.calls, number, b.place)
-        held = sum(loan.calls for (lender, _), loan in b.borrowed.items() if lender == sender)
-        if held + grant.calls > (owns if b.whole else int(LEND * owns)) or grant.calls > sent.calls:
+        # Nobody can lend more than the lendable part of its share, which bounds what a false grant adds.
+        share = self._share_of(budget.calls, number, budget.rotation)
+        already = sum(loan.calls for (lender, _), loan in budget.borrowed.items() if lender == sender)
+        if (
+            already + grant.calls > (share if budget.fully_lendable else int(LEND * share))
+            or grant.calls > request.calls
+        ):
             self.events.append(
-                ("peers-lends-too-much", {"peer": sender, "budget": sent.key, "calls": grant.calls, "owns": owns})
+                ("peers-lends-too-much", {"peer": sender, "budget": request.key, "calls": grant.calls, "owns": share})
             )
             return
-        b.borrowed[(sender, grant.loan)] = Loan(sender, grant.calls, until, sent.at, now)
-        self.events.append(("peers-borrowed", {"peer": sender, "budget": sent.key, "calls": grant.calls}))
-
-    def _returned(self, sender: str, life: int, back: Back, now: int) -> None:
-        """It has stopped using a loan: ours again a span later."""
-        key, at = self._loan_of.get(back.loan, ("", ("", 0, 0)))
-        b = self._budgets.get(key)
-        if b is None or at[:2] != (sender, life) or at not in b.lent:
+        budget.borrowed[(sender, grant.loan)] = Loan(sender, grant.calls, until, request.at, now)
+        self.events.append(("peers-borrowed", {"peer": sender, "budget": request.key, "calls": grant.calls}))
+
+    def _handle_return(self, sender: str, life: int, back: Back, now: int) -> None:
+        """Take back a loan that is no longer used; the calls may be used again a window later."""
+        key, loan_key = self._granted_loans.get(back.loan, ("", ("", 0, 0)))
+        budget = self._budgets.get(key)
+        if budget is None or loan_key[:2] != (sender, life) or loan_key not in budget.lent:
             return
-        b.lent[at].until = min(b.lent[at].until, now + int(b.span * (1 + self.terms.drift)) + 1)
+        budget.lent[loan_key].until = min(
+            budget.lent[loan_key].until, now + int(budget.window * (1 + self.terms.drift)) + 1
+        )
 
-    # For people
+    # Reports
 
     def stand(self, key: str, now: int) -> dict[str, int]:
-        """How a budget stands: its calls and span, this courier's part, what is out and in, calls in a span before."""
-        b = self._budgets[key]
+        """Status of a budget.
+
+        ``held_back``: what an earlier process epoch may still have lent. ``used``: calls in the preceding window.
+        """
+        budget = self._budgets[key]
         return {
-            "calls": b.calls,
-            "span_ms": b.span // MS,
-            "part": b.part,
-            "lent": sum(loan.calls for loan in b.lent.values() if now < loan.until),
-            "held_back": self._lost(key, b, now),
-            "borrowed": sum(loan.calls for loan in b.borrowed.values() if now < loan.until),
-            "used": self._count(b, now),
-            "lacks": b.lack if now - b.lack_at < b.span else 0,
+            "calls": budget.calls,
+            "span_ms": budget.window // MS,
+            "part": budget.share,
+            "lent": sum(loan.calls for loan in budget.lent.values() if now < loan.until),
+            "held_back": self._possibly_lent(key, budget, now),
+            "borrowed": sum(loan.calls for loan in budget.borrowed.values() if now < loan.until),
+            "used": self._used_calls(budget, now),
+            "lacks": budget.shortfall if now - budget.shortfall_at < budget.window else 0,
         }
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -100,7 +100,7 @@
         net.at(wave * 2_500 * MS, lambda rates=rates: traffic.rates.update(rates))  # type: ignore[misc]
     net.run(30 * SECOND)
     assert not net.judge.faults, net.judge.faults[:3]
-    lent = sum(n.peer.shares._loan for n in net.nodes.values() if n.peer is not None)
+    lent = sum(n.peer.shares._loan_number for n in net.nodes.values() if n.peer is not None)
     assert traffic.served > 300 and lent, "nothing was lent, so nothing was tried"
 
 
@@ -136,8 +136,8 @@
         """Answers each ask with more calls than it owns, again and again."""
         peer = node.peer
         assert peer is not None
-        asks, peer.shares._asks = peer.shares._asks, {}
-        for n, (who, _, ask) in enumerate(each for found in asks.values() for each in found):
+        requests, peer.shares._pending_requests = peer.shares._pending_requests, {}
+        for n, (who, _, ask) in enumerate(each for found in requests.values() for each in found):
             for calls in (1_000, 3, 3, 3):
                 address = peer.members.address(who)
                 assert address is not None
