--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -1,35 +1,35 @@
-"""Who is there: SWIM with Lifeguard's care. No I/O: words and a time in, words to send and events out.
+"""Group membership: SWIM with Lifeguard's extensions. No I/O: takes messages and the time, returns messages and events.
 
-Everything that decides who counts as alive lives in this file. Times are microseconds of the caller's clock.
+Everything that decides which couriers count as alive lives in this file. Times are microseconds of the caller's clock.
 
 Theory of operation
 -------------------
-What is held of a member counts by (life, incarnation, stand): the larger wins, whatever the order in which it is
-heard. A life is one start of the process; within it only the member itself raises its incarnation, to refute.
-
-Each period one member is asked (``Ping``), in a shuffled order. Without an answer in time, helpers ask for us
-(``Probe``); without theirs by the period's end it is suspected. A suspect is told so with the next question, and
-refutes; if it does not in time, it is dead. The time to refute is longest for one witness and falls with each further
-one.
-
-Guards against one's own weakness, as most false accusations come from it:
-
-- A member that was stopped (its ticks come more than a period apart) asks anew and accuses nobody until it was
-  answered.
-- One whose questions fail, without a ``Nack`` from its helpers either, or that had to refute, counts itself as
-  ailing: its periods and times to refute grow up to ``AILING`` times.
-
-The dead are kept for a while, so that old words don't bring them back, and one of them or a seed is asked now and
-then: so two halves that lost each other, and buried each other, meet again. Whoever is asked is told what is held of
-it.
-
-Where the settings name a group, members are only those of the same group, or of none: couriers that know no groups are
-members of all, as all are theirs. One of another group is a stranger: not held, not asked and not passed on, but
-answered, as it may have heard of us through one that knows no groups and passed our group over. The answer tells it.
+Updates of a member are ordered by (process epoch, incarnation, state). The largest wins, whatever the order of arrival.
+An epoch is one start of the process; within it only the member itself raises its incarnation, to refute a suspicion.
+
+In each period one member is probed (``Ping``), in shuffled order. Without an ack in time, helpers are asked to probe it
+(``Probe``); without an ack by the end of the period it is suspected. A suspect is told so with the next ping, and
+refutes the suspicion; if it doesn't do so in time, it is declared dead. The suspicion timeout is longest for one
+witness and falls with each further one.
+
+Most false suspicions are caused by the accuser's own weakness, so:
+
+- A member whose process was paused (more than a period between two ticks) restarts its probes and suspicion timeouts,
+  and accuses nobody until it has received an ack.
+- A member whose probes fail without a ``Nack`` from each helper, or that had to refute a suspicion, lowers its estimate
+  of its own health (Lifeguard's local health multiplier): its periods and suspicion timeouts grow up to
+  ``MAX_HEALTH_MULTIPLIER`` times.
+
+Dead members are kept for a while, so that old updates don't revive them, and now and then one of them or a seed is
+pinged. So two halves of a partitioned fleet that declared each other dead rejoin. A ping carries what the sender
+knows about its receiver.
+
+If the settings name a group, only couriers of the same group or of none are members; couriers that don't support groups
+are members of all groups, as they take all couriers for members. A courier of another group is foreign: it is not held,
+probed or gossiped, but answered, as it may have learned of this courier from one that doesn't support groups and
+dropped the group. The answer carries the group.
 """
 
-from __future__ import annotations
-
 import heapq
 import math
 from collections.abc import Iterable
@@ -40,395 +40,411 @@
 from kestrelspar.peers.words import Ack, Nack, Ping, Probe, Said, Stand, Word
 
 MS, SECOND = 1_000, 1_000_000
-HELPERS = 3
-AILING = 8  # periods are so many times as long at the most
-ANSWER_PART, NACK_PART = 0.4, 0.8  # of a period: how long a question goes unanswered; and of that, a helper's
-REFUTE_LEAST, REFUTE_MOST = 3.0, 6.0  # times log10 of the members, in periods
-WITNESSES = 3  # from which on the time to refute is the least
-TELL = 3.0  # times log2 of the members: how often a change is passed on
+INDIRECT_PROBES = 3  # helpers asked to probe a member that doesn't answer, and seeds pinged at once
+MAX_HEALTH_MULTIPLIER = 8  # of periods and timeouts, for a courier that may be unhealthy itself
+ACK_TIMEOUT_SHARE, NACK_TIMEOUT_SHARE = 0.4, 0.8  # of a period for an ack; of that timeout, for a helper's nack
+MIN_SUSPICION_FACTOR, MAX_SUSPICION_FACTOR = 3.0, 6.0  # timeout in periods, times log10 of the number of members
+MAX_SUSPICION_WITNESSES = 3  # with so many the suspicion timeout is the shortest
+TELL = 3.0  # times that a change is gossiped, times log2 of the number of members
 KEEP_DEAD = 600 * SECOND
-MEET_EVERY = 5  # periods between questions to one that is dead, or to a seed that is no member
-ROOM = 24  # members that a datagram has room for at most
-MOST_OPEN = 64  # questions that are asked for others at once
+MEET_EVERY = 5  # periods between pings to a dead member, or to a seed that is not a member
+ROOM = 24  # max members in a datagram
+MAX_RELAYED_PROBES = 64  # open probes on behalf of other members
 
-Out = list[tuple[str, list[Word]]]  # to whom, what
+Out = list[tuple[str, list[Word]]]  # receiver and messages
 Events = list[tuple[str, dict[str, Any]]]
 
 
 @dataclass(slots=True)
 class Member:
-    """What is held of one other courier."""
+    """What is known about one other courier."""
 
     said: Said
-    since: int  # when its stand was heard
-    told: int = 0  # how often it was passed on since it changed
-    witnesses: set[str] = field(default_factory=set)  # who suspects it
+    since: int  # when its state was received, or its suspicion timeout restarted
+    told: int = 0  # times that it was gossiped since it changed
+    witnesses: set[str] = field(default_factory=set)  # members that suspect it
 
 
 @dataclass(slots=True)
-class Question:
-    """One probe: to whom, since when, and what became of it."""
+class PendingProbe:
+    """The probe of the current period."""
 
-    whom: str
-    at: int
-    helped: int = 0  # helpers asked
+    target: str
+    sent_at: int
+    helpers_asked: int = 0
     nacks: int = 0
     answered: bool = False
 
 
-def rank(said: Said) -> tuple[int, int, int]:
-    """The order in which what is said of a member counts."""
-    return said.life, said.inc, said.stand
+def precedence(update: Said) -> tuple[int, int, int]:
+    """Sort key of updates of one member: the largest wins."""
+    return update.life, update.inc, update.stand
 
 
 class Members:
-    """One courier's view of all."""
+    """One courier's view of all members."""
 
     def __init__(
-        self, me: Said, seeds: dict[str, tuple[str, int]], period: int, most: int, now: int, random: Random
+        self, me: Said, seeds: dict[str, tuple[str, int]], period: int, max_members: int, now: int, random: Random
     ) -> None:
         self.me = me
         self.seeds = {name: address for name, address in seeds.items() if name != me.name}
-        self.period, self.most = period, most
+        self.period, self.max_members = period, max_members
         self.members: dict[str, Member] = {}
-        self.stepped_back = False  # another process has our name, and is younger
+        self.stepped_back = False  # another process with a later epoch has this courier's name
         self.leaving = False
-        self.ailing = 0
-        self.refused = 0  # members beyond ``most``
-        self.foreign = 0  # words on couriers of other groups, which are not taken
+        self.ailing = 0  # local health score; 0 is healthy
+        self.refused = 0  # members not accepted beyond ``max_members``
+        self.foreign = 0  # ignored updates of couriers in other groups
         self.events: Events = []
         self._random = random
-        self._n = random.randrange(1 << 32)
-        self._order: list[str] = []
-        self._question: Question | None = None
-        self._number = 0  # of the question
-        self._for_others: dict[int, tuple[str, int, int, bool]] = {}  # n -> asker, its n, when, whether told no yet
-        self._next = now
+        self._last_number = random.randrange(1 << 32)
+        self._probe_order: list[str] = []
+        self._probe: PendingProbe | None = None
+        self._probe_number = 0  # ``n`` of the current probe
+        # By number of the relayed ping: requester, its request number, time of receipt, and whether a nack was sent.
+        self._relayed_probes: dict[int, tuple[str, int, int, bool]] = {}
+        self._next_period_at = now
         self._last_tick = now
-        self._rounds = 0
-        self._doubt = False  # we were stopped, and nobody has answered since
-        self._alive: list[str] | None = None  # worked out anew after a change
-        self._numbers: dict[int, str] = {me.number: me.name}  # who was heard with it last
-        self._watched: set[str] = set()  # members that are not alive
-        self._fresh: set[str] = set()  # members whose change is still passed on
-        self._strangers: dict[str, Said] = {}  # couriers of other groups, by name: only ever answered
+        self._periods = 0
+        self._stalled = False  # this process was paused and has received no ack since
+        self._alive: list[str] | None = None  # cache, cleared on a change
+        self._number_holders: dict[int, str] = {me.number: me.name}  # last courier seen with each number
+        self._not_alive: set[str] = set()
+        self._updated: set[str] = set()  # members whose last change is still gossiped
+        self._foreign_couriers: dict[str, Said] = {}  # couriers of other groups, by name, so that they can be answered
 
-    # What is held
+    # Queries
 
     def alive(self) -> list[str]:
-        """Members that are not known to be gone; suspects count, as they may refute."""
+        """Members that are alive or suspected, as suspects may refute."""
         if self._alive is None:
             self._alive = [name for name, m in self.members.items() if m.said.stand <= Stand.SUSPECT]
         return self._alive
 
     def gone(self) -> set[str]:
-        """Members that are known to be dead or to have left."""
-        return {name for name in self._watched if self.members[name].said.stand >= Stand.DEAD}
+        """Members that are dead or have left."""
+        return {name for name in self._not_alive if self.members[name].said.stand >= Stand.DEAD}
 
     def address(self, name: str) -> tuple[str, int] | None:
-        """Where it listens: what the settings say goes before what is said."""
+        """Address of a courier; a configured one takes precedence over a gossiped one."""
         if name in self.seeds:
             return self.seeds[name]
         member = self.members.get(name)
-        said = member.said if member is not None else self._strangers.get(name)
-        return (said.host, said.port) if said is not None else None
+        update = member.said if member is not None else self._foreign_couriers.get(name)
+        return (update.host, update.port) if update is not None else None
 
     def group(self, name: str) -> str:
-        """The group of a member; none: it has none, or is no member."""
+        """Group of a member; empty if it has none or is no member."""
         member = self.members.get(name)
         return member.said.group if member is not None else ""
 
     def number(self, name: str) -> int | None:
-        """Its place among the couriers, once it was heard."""
+        """Position of a member among the couriers; None if unknown."""
         member = self.members.get(name)
         return member.said.number if member is not None else None
 
-    # Time
+    # Periodic work
 
     def tick(self, now: int) -> Out:
-        """What is due; to be called several times a period."""
+        """Messages that are due. Call it several times per period."""
         if self.stepped_back or self.leaving:
             return []
-        self._woken(now)
+        self._handle_stall(now)
         out: Out = []
-        self._nack(now, out)
-        self._bury(now)
-        question, length = self._question, self.period * (1 + self.ailing)
+        self._send_nacks(now, out)
+        self._expire_members(now)
+        probe, probe_period = self._probe, self.period * (1 + self.ailing)
         if (
-            question is not None
-            and not question.answered
-            and not question.helped
-            and now - question.at >= int(length * ANSWER_PART)
+            probe is not None
+            and not probe.answered
+            and not probe.helpers_asked
+            and now - probe.sent_at >= int(probe_period * ACK_TIMEOUT_SHARE)
         ):
-            helpers = [name for name in self._healthy() if name != question.whom]
-            for name in self._random.sample(helpers, min(HELPERS, len(helpers))):
-                out.append((name, [Probe(self._number, question.whom)]))
-                question.helped += 1
-        if now < self._next:
+            helpers = [name for name in self._unsuspected() if name != probe.target]
+            for name in self._random.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
+                out.append((name, [Probe(self._probe_number, probe.target)]))
+                probe.helpers_asked += 1
+        if now < self._next_period_at:
             return out
-        if question is not None:
-            self._judge(question, now)
-        self._question, self._next = None, now + self.period * (1 + self.ailing)
-        self._rounds += 1
-        self._ask(now, out)
-        self._meet(out)
+        if probe is not None:
+            self._finish_probe(probe, now)
+        self._probe, self._next_period_at = None, now + self.period * (1 + self.ailing)
+        self._periods += 1
+        self._probe_next(now, out)
+        self._reconnect(out)
         return out
 
-    def _woken(self, now: int) -> None:
-        """Guards against accusing others of our own stop: what is open is void, and refuting begins anew."""
+    def _handle_stall(self, now: int) -> None:
+        """After a pause of this process, drop the open probe and restart suspicion timeouts.
+
+        Otherwise it would accuse others of its own pause.
+        """
         gap, self._last_tick = now - self._last_tick, now
         if gap <= self.period:
             return
         self.events.append(("peers-stalled", {"ms": gap // MS}))
-        self._question, self._doubt, self._next = None, True, now
-        self.ailing = min(AILING - 1, self.ailing + 1)
-        for name in self._watched:
+        self._probe, self._stalled, self._next_period_at = None, True, now
+        self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
+        for name in self._not_alive:
             if self.members[name].said.stand is Stand.SUSPECT:
                 self.members[name].since = now
 
-    def _ask(self, now: int, out: Out) -> None:
-        """The next member in turn; all are asked once in each round."""
-        while self._order:
-            name = self._order.pop()
+    def _probe_next(self, now: int, out: Out) -> None:
+        """Ping the next member; each member is pinged once in a round."""
+        while self._probe_order:
+            name = self._probe_order.pop()
             if name in self.members and self.members[name].said.stand <= Stand.SUSPECT:
-                self._question, self._number = Question(name, now), self._new()
-                out.append((name, [Ping(self._number)]))
+                self._probe, self._probe_number = PendingProbe(name, now), self._next_number()
+                out.append((name, [Ping(self._probe_number)]))
                 return
-        self._order = list(self.alive())
-        self._random.shuffle(self._order)
-        if self._order:
-            self._ask(now, out)
+        self._probe_order = list(self.alive())
+        self._random.shuffle(self._probe_order)
+        if self._probe_order:
+            self._probe_next(now, out)
 
-    def _meet(self, out: Out) -> None:
-        """Seeds that are no members yet, and the dead: a part of the fleet may have lost the other."""
+    def _reconnect(self, out: Out) -> None:
+        """Ping seeds that are not members, and dead members: the fleet may have been partitioned."""
         missing = [name for name in self.seeds if name not in self.members]
-        if not self.alive() and missing:  # nobody yet: several at once
-            out += [(name, [Ping(self._new())]) for name in self._random.sample(missing, min(HELPERS, len(missing)))]
-        elif self._rounds % MEET_EVERY == 0:
+        if not self.alive() and missing:  # no members yet: ping several at once
+            out += [
+                (name, [Ping(self._next_number())])
+                for name in self._random.sample(missing, min(INDIRECT_PROBES, len(missing)))
+            ]
+        elif self._periods % MEET_EVERY == 0:
             missing += [name for name, m in self.members.items() if m.said.stand is Stand.DEAD]
             if missing:
-                out.append((self._random.choice(missing), [Ping(self._new())]))
+                out.append((self._random.choice(missing), [Ping(self._next_number())]))
 
-    def _judge(self, question: Question, now: int) -> None:
-        """The period is over: no answer, neither to us nor through others, makes a suspect."""
-        if question.answered:
+    def _finish_probe(self, probe: PendingProbe, now: int) -> None:
+        """At the end of a period, suspect the probed member if neither it nor a helper sent an ack."""
+        if probe.answered:
             self.ailing = max(0, self.ailing - 1)
             return
-        if question.nacks < question.helped or not question.helped:
-            self.ailing = min(AILING - 1, self.ailing + 1)  # helpers are silent too: it may be us
-        member = self.members.get(question.whom)
-        if member is not None and member.said.stand is Stand.ALIVE and not self._doubt:
-            self._hold(member, _as(member.said, Stand.SUSPECT), now)
+        if probe.nacks < probe.helpers_asked or not probe.helpers_asked:
+            # Helpers didn't answer either, so this courier itself may be the cause.
+            self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
+        member = self.members.get(probe.target)
+        if member is not None and member.said.stand is Stand.ALIVE and not self._stalled:
+            self._set_state(member, _with_state(member.said, Stand.SUSPECT), now)
             member.witnesses = {self.me.name}
-            self.events.append(("peers-suspect", {"peer": question.whom, "by": self.me.name}))
+            self.events.append(("peers-suspect", {"peer": probe.target, "by": self.me.name}))
 
-    def _bury(self, now: int) -> None:
-        """Suspects whose time to refute is over, and the dead who need not be kept any more."""
-        for name in sorted(self._watched):
+    def _expire_members(self, now: int) -> None:
+        """Declare suspects dead after their timeout, and drop members that have been dead or gone for long enough."""
+        for name in sorted(self._not_alive):
             member = self.members[name]
-            late = now - member.since >= self.refute_within(member)
-            if member.said.stand is Stand.SUSPECT and late and not self._doubt:
-                self._hold(member, _as(member.said, Stand.DEAD), now)
+            expired = now - member.since >= self.suspicion_timeout(member)
+            if member.said.stand is Stand.SUSPECT and expired and not self._stalled:
+                self._set_state(member, _with_state(member.said, Stand.DEAD), now)
                 self.events.append(("peers-dead", {"peer": name, "witnesses": len(member.witnesses)}))
             elif member.said.stand >= Stand.DEAD and now - member.since > KEEP_DEAD:
                 self._forget(name)
 
     def _forget(self, name: str) -> None:
-        self._numbers.pop(self.members.pop(name).said.number, None)
-        self._watched.discard(name)
-        self._fresh.discard(name)
+        self._number_holders.pop(self.members.pop(name).said.number, None)
+        self._not_alive.discard(name)
+        self._updated.discard(name)
         self._alive = None
 
-    def refute_within(self, member: Member) -> int:
-        """How long a suspect has, in microseconds: less the more witnesses there are."""
+    def suspicion_timeout(self, member: Member) -> int:
+        """Suspicion timeout in microseconds: the more witnesses, the shorter."""
         scale = max(1.0, math.log10(len(self.members) + 1)) * self.period * (1 + self.ailing)
-        seen = min(1.0, math.log(max(1, len(member.witnesses))) / math.log(WITNESSES))
-        return int(scale * (REFUTE_MOST - (REFUTE_MOST - REFUTE_LEAST) * seen))
-
-    def _nack(self, now: int, out: Out) -> None:
-        """Those whom we ask for others and who say nothing: tell the asker that we, at least, are there."""
-        for n, (asker, its, at, told) in list(self._for_others.items()):
-            if not told and now - at >= int(self.period * ANSWER_PART * NACK_PART):
-                out.append((asker, [Nack(its)]))
-                self._for_others[n] = asker, its, at, True
-            if now - at > self.period * AILING:
-                del self._for_others[n]
-
-    # Words
-
-    def heard(self, sender: str, life: int, words: Iterable[Word], now: int) -> Out:
-        """What one member says of members, and questions."""
+        confirmation = min(1.0, math.log(max(1, len(member.witnesses))) / math.log(MAX_SUSPICION_WITNESSES))
+        return int(scale * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - MIN_SUSPICION_FACTOR) * confirmation))
+
+    def _send_nacks(self, now: int, out: Out) -> None:
+        """Send a nack for each relayed probe without an ack: this courier at least is alive."""
+        for number, (requester, request_number, received_at, nack_sent) in list(self._relayed_probes.items()):
+            if not nack_sent and now - received_at >= int(self.period * ACK_TIMEOUT_SHARE * NACK_TIMEOUT_SHARE):
+                out.append((requester, [Nack(request_number)]))
+                self._relayed_probes[number] = requester, request_number, received_at, True
+            if now - received_at > self.period * MAX_HEALTH_MULTIPLIER:
+                del self._relayed_probes[number]
+
+    # Messages
+
+    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int) -> Out:
+        """Handle a member's messages about membership."""
         out: Out = []
         if self.stepped_back:
             return out
-        for word in words:
-            if isinstance(word, Said):
-                self._take(word, sender, now)
-            elif isinstance(word, Ping):
-                out.append((sender, [Ack(word.n)]))
-            elif isinstance(word, Ack):
-                self._answered(word.n, out)
-            elif isinstance(word, Probe):
-                if len(self._for_others) < MOST_OPEN and word.whom != self.me.name:
-                    n = self._new()
-                    self._for_others[n] = sender, word.n, now, False
-                    out.append((word.whom, [Ping(n)]))
-            elif isinstance(word, Nack) and self._question is not None and word.n == self._number:
-                self._question.nacks += 1
+        for message in messages:
+            if isinstance(message, Said):
+                self._apply_update(message, sender, now)
+            elif isinstance(message, Ping):
+                out.append((sender, [Ack(message.n)]))
+            elif isinstance(message, Ack):
+                self._handle_ack(message.n, out)
+            elif isinstance(message, Probe):
+                if len(self._relayed_probes) < MAX_RELAYED_PROBES and message.whom != self.me.name:
+                    number = self._next_number()
+                    self._relayed_probes[number] = sender, message.n, now, False
+                    out.append((message.whom, [Ping(number)]))
+            elif isinstance(message, Nack) and self._probe is not None and message.n == self._probe_number:
+                self._probe.nacks += 1
         return out
 
-    def _answered(self, n: int, out: Out) -> None:
-        self._doubt = False
-        if self._question is not None and n == self._number:
-            self._question.answered = True
-        if n in self._for_others:
-            asker, its, _, _ = self._for_others.pop(n)
-            out.append((asker, [Ack(its)]))
-
-    def _take(self, said: Said, by: str, now: int) -> None:
-        """What ``by`` holds of somebody."""
-        if said.name == self.me.name:
-            self._of_me(said)
+    def _handle_ack(self, number: int, out: Out) -> None:
+        self._stalled = False
+        if self._probe is not None and number == self._probe_number:
+            self._probe.answered = True
+        if number in self._relayed_probes:
+            requester, request_number, _, _ = self._relayed_probes.pop(number)
+            out.append((requester, [Ack(request_number)]))
+
+    def _apply_update(self, update: Said, reporter: str, now: int) -> None:
+        """Apply an update of a courier that ``reporter`` sent."""
+        if update.name == self.me.name:
+            self._handle_own_state(update)
             return
-        member = self.members.get(said.name)
-        if self._is_foreign(said):
+        member = self.members.get(update.name)
+        if self._check_foreign(update):
             return
         if member is None:
-            if said.stand >= Stand.DEAD:
+            if update.stand >= Stand.DEAD:
                 return
-            if len(self.members) >= self.most:
+            if len(self.members) >= self.max_members:
                 self.refused += 1
                 return
-            member = self.members[said.name] = Member(said, now)
-            self._hold(member, said, now)
-            self._order.insert(self._random.randrange(len(self._order) + 1), said.name)
-            self._joined(member)
+            member = self.members[update.name] = Member(update, now)
+            self._set_state(member, update, now)
+            self._probe_order.insert(self._random.randrange(len(self._probe_order) + 1), update.name)
+            self._announce_join(member)
             return
-        if rank(said) > rank(member.said):
+        if precedence(update) > precedence(member.said):
             before = member.said
-            self._hold(member, said, now)
-            member.witnesses = {by}
-            if said.life > before.life or before.stand >= Stand.DEAD and said.stand is Stand.ALIVE:
-                self._joined(member)
-            elif said.stand is not before.stand:
-                kinds = {
+            self._set_state(member, update, now)
+            member.witnesses = {reporter}
+            if update.life > before.life or before.stand >= Stand.DEAD and update.stand is Stand.ALIVE:
+                self._announce_join(member)
+            elif update.stand is not before.stand:
+                event_names = {
                     Stand.ALIVE: "peers-refuted",
                     Stand.SUSPECT: "peers-suspect",
                     Stand.DEAD: "peers-dead",
                     Stand.LEFT: "peers-left",
                 }
-                self.events.append((kinds[said.stand], {"peer": said.name, "by": by}))
+                self.events.append((event_names[update.stand], {"peer": update.name, "by": reporter}))
         elif (
-            rank(said) == rank(member.said)
-            and said.stand is Stand.SUSPECT
-            and by not in member.witnesses
-            and len(member.witnesses) < WITNESSES
+            precedence(update) == precedence(member.said)
+            and update.stand is Stand.SUSPECT
+            and reporter not in member.witnesses
+            and len(member.witnesses) < MAX_SUSPICION_WITNESSES
         ):
-            member.witnesses.add(by)
-            member.told = 0  # one more witness is news
-            self._fresh.add(said.name)
+            member.witnesses.add(reporter)
+            member.told = 0  # one more witness is gossiped, too
+            self._updated.add(update.name)
 
-    def _is_foreign(self, said: Said) -> bool:
-        """Whether that one is of another group; a member that turns out to be is none any more.
+    def _check_foreign(self, update: Said) -> bool:
+        """Whether the courier is of another group. If it was a member, it is dropped.
 
-        Who knows no groups passes its word on without one: then it is known by its life that it is the same.
+        Couriers that don't support groups gossip its update without the group, so a known foreign courier is recognised
+        by its process epoch.
         """
         if not self.me.group:
             return False
-        known = self._strangers.get(said.name)
-        if said.group in ("", self.me.group):
+        known = self._foreign_couriers.get(update.name)
+        if update.group in ("", self.me.group):
             if known is None:
                 return False
-            if said.life < known.life or said.life == known.life and not said.group:
+            if update.life < known.life or update.life == known.life and not update.group:
                 self.foreign += 1
                 return True
-            del self._strangers[said.name]  # it began anew, with our group or with none
+            del self._foreign_couriers[update.name]  # restarted in this group or without a group
             return False
         self.foreign += 1
-        member = self.members.get(said.name)
-        if member is not None and said.life < member.said.life:
-            return True  # what it was before it came to us
+        member = self.members.get(update.name)
+        if member is not None and update.life < member.said.life:
+            return True  # an update from before it joined this group
         if member is not None:
-            self._forget(said.name)
-        if known is None or rank(said) > rank(known):
-            if known is None and len(self._strangers) >= self.most:
-                del self._strangers[next(iter(self._strangers))]
-            self._strangers[said.name] = said
+            self._forget(update.name)
+        if known is None or precedence(update) > precedence(known):
+            if known is None and len(self._foreign_couriers) >= self.max_members:
+                del self._foreign_couriers[next(iter(self._foreign_couriers))]
+            self._foreign_couriers[update.name] = update
         return True
 
-    def _joined(self, member: Member) -> None:
-        said = member.said
-        self.events.append(("peers-joined", {"peer": said.name, "life": said.life, "number": said.number}))
-        rival = self._numbers.setdefault(said.number, said.name)
-        if rival != said.name:
-            if rival == self.me.name or rival in self.alive():
-                self.events.append(("peers-number-twice", {"peer": said.name, "rival": rival, "number": said.number}))
-            self._numbers[said.number] = said.name
-
-    def _of_me(self, said: Said) -> None:
-        """What is held of us: refute it, or find that another process has our name."""
-        if said.life > self.me.life:
+    def _announce_join(self, member: Member) -> None:
+        update = member.said
+        self.events.append(("peers-joined", {"peer": update.name, "life": update.life, "number": update.number}))
+        other = self._number_holders.setdefault(update.number, update.name)
+        if other != update.name:
+            if other == self.me.name or other in self.alive():
+                self.events.append(
+                    ("peers-number-twice", {"peer": update.name, "rival": other, "number": update.number})
+                )
+            self._number_holders[update.number] = update.name
+
+    def _handle_own_state(self, update: Said) -> None:
+        """Handle an update of this courier: refute it, or detect that another process has the same name."""
+        if update.life > self.me.life:
             self.stepped_back = True
             self.events.append(
-                ("peers-name-twice", {"life": self.me.life, "younger": said.life, "at": f"{said.host}:{said.port}"})
+                (
+                    "peers-name-twice",
+                    {"life": self.me.life, "younger": update.life, "at": f"{update.host}:{update.port}"},
+                )
             )
-        elif said.life == self.me.life and said.stand and said.inc >= self.me.inc and not self.leaving:
+        elif update.life == self.me.life and update.stand and update.inc >= self.me.inc and not self.leaving:
             self.me = Said(
                 self.me.name,
                 self.me.host,
                 self.me.port,
                 self.me.number,
                 self.me.life,
-                said.inc + 1,
+                update.inc + 1,
                 Stand.ALIVE,
                 self.me.group,
             )
-            self.ailing = min(AILING - 1, self.ailing + 1)
+            self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
 
-    def _hold(self, member: Member, said: Said, now: int) -> None:
-        member.said, member.since, member.told = said, now, 0
-        self._fresh.add(said.name)
+    def _set_state(self, member: Member, update: Said, now: int) -> None:
+        member.said, member.since, member.told = update, now, 0
+        self._updated.add(update.name)
         self._alive = None
-        (self._watched.discard if said.stand is Stand.ALIVE else self._watched.add)(said.name)
+        (self._not_alive.discard if update.stand is Stand.ALIVE else self._not_alive.add)(update.name)
 
-    # What goes along
+    # Gossip
 
     def gossip(self, to: str) -> list[Word]:
-        """What to tell along with a datagram to that one, most urgent first; the caller cuts it to the room."""
-        most = int(TELL * math.log2(len(self.members) + 2))
-        held = self.members.get(to)
-        first: list[Word] = [self.me]
-        if held is not None and held.said.stand is not Stand.ALIVE:
-            first.append(held.said)  # so that it can refute
-        self._fresh = {name for name in self._fresh if name in self.members and self.members[name].told < most}
-        news = heapq.nsmallest(ROOM, (self.members[name] for name in sorted(self._fresh - {to})), key=lambda m: m.told)
-        first += [m.said for m in news]
-        if len(news) < ROOM and self.members:  # what went unheard for all that is heard so
-            names = self._random.sample(list(self.members), min(ROOM - len(news), len(self.members)))
-            rest = [self.members[name].said for name in names if name != to and name not in self._fresh]
-            first += [said for said in rest if said.stand < Stand.DEAD]
-        return first
-
-    def passed_on(self, words: Iterable[Word]) -> None:
-        """These went out."""
-        for word in words:
-            if isinstance(word, Said) and word.name in self.members:
-                self.members[word.name].told += 1
+        """Updates to add to a datagram for that member, most urgent first. The caller cuts them to fit."""
+        max_sent = int(TELL * math.log2(len(self.members) + 2))
+        receiver = self.members.get(to)
+        updates: list[Word] = [self.me]
+        if receiver is not None and receiver.said.stand is not Stand.ALIVE:
+            updates.append(receiver.said)  # so that it can refute
+        self._updated = {name for name in self._updated if name in self.members and self.members[name].told < max_sent}
+        recent = heapq.nsmallest(
+            ROOM, (self.members[name] for name in sorted(self._updated - {to})), key=lambda m: m.told
+        )
+        updates += [m.said for m in recent]
+        if len(recent) < ROOM and self.members:  # a random sample repairs what was lost
+            names = self._random.sample(list(self.members), min(ROOM - len(recent), len(self.members)))
+            rest = [self.members[name].said for name in names if name != to and name not in self._updated]
+            updates += [update for update in rest if update.stand < Stand.DEAD]
+        return updates
+
+    def passed_on(self, messages: Iterable[Word]) -> None:
+        """Count updates that were sent."""
+        for message in messages:
+            if isinstance(message, Said) and message.name in self.members:
+                self.members[message.name].told += 1
 
     def leave(self) -> Out:
-        """SIGTERM: tell some, who tell the others."""
+        """Leave on SIGTERM: returns the messages to some members, which gossip them further."""
         self.leaving = True
-        self.me = _as(self.me, Stand.LEFT)
-        names = self._healthy()
-        return [(name, [self.me]) for name in self._random.sample(names, min(2 * HELPERS, len(names)))]
+        self.me = _with_state(self.me, Stand.LEFT)
+        names = self._unsuspected()
+        return [(name, [self.me]) for name in self._random.sample(names, min(2 * INDIRECT_PROBES, len(names)))]
 
-    def _healthy(self) -> list[str]:
+    def _unsuspected(self) -> list[str]:
         return [name for name, m in self.members.items() if m.said.stand is Stand.ALIVE]
 
-    def _new(self) -> int:
-        self._n += 1
-        return self._n
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
 
-def _as(said: Said, stand: Stand) -> Said:
-    return Said(said.name, said.host, said.port, said.number, said.life, said.inc, stand, said.group)
+def _with_state(update: Said, stand: Stand) -> Said:
+    return Said(update.name, update.host, update.port, update.number, update.life, update.inc, stand, update.group)
--- a/tests/peers/test_groups.py
+++ b/tests/peers/test_groups.py
@@ -1,4 +1,4 @@
-"""Members in groups: who is taken in, what couriers that know no groups read, and a fleet that is turned over."""
+"""Groups of members: who is accepted, compatibility with couriers without groups, and a fleet converted to groups."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 T = 10 * SECOND
 
 
-class OldSaid(msgspec.Struct, array_like=True, frozen=True, tag="s"):
-    """What is held of a member, as it was before there were groups."""
+class UngroupedSaid(msgspec.Struct, array_like=True, frozen=True, tag="s"):
+    """A membership update as it was before groups existed."""
 
     name: Name
     host: str
@@ -27,61 +27,71 @@
     stand: Stand
 
 
-def said(name: str, group: str, life: int = 1, inc: int = 0, stand: Stand = Stand.ALIVE) -> Said:
+def update(name: str, group: str, life: int = 1, inc: int = 0, stand: Stand = Stand.ALIVE) -> Said:
     return Said(name, "10.0.0.1", 1 + ord(name[-1]), int(name[1:]), life, inc, stand, group)
 
 
-def members(group: str) -> Members:
-    return Members(said("n0", group), {}, SECOND, 64, 0, Random(1))
+def make_members(group: str) -> Members:
+    return Members(update("n0", group), {}, SECOND, 64, 0, Random(1))
 
 
-def test_who_knows_no_groups_reads_the_same_and_is_sent_the_same_bytes() -> None:
-    old = OldSaid("n1", "10.0.0.1", 50, 1, 1, 0, Stand.ALIVE)
-    assert encode(said("n1", "")) == msgspec.msgpack.encode(old), "of no group not a byte is different"
-    assert msgspec.msgpack.decode(encode(said("n1", "a")), type=OldSaid) == old, "a group is passed over"
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Said) == said("n1", "")
-    assert len(encode(said("n1", "north-1"))) == len(encode(said("n1", ""))) + 8
+def test_updates_without_a_group_are_the_same_bytes_as_before_groups() -> None:
+    old = UngroupedSaid("n1", "10.0.0.1", 50, 1, 1, 0, Stand.ALIVE)
+    assert encode(update("n1", "")) == msgspec.msgpack.encode(old), "without a group no byte differs"
+    assert msgspec.msgpack.decode(encode(update("n1", "a")), type=UngroupedSaid) == old, "the group is ignored"
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Said) == update("n1", "")
+    assert len(encode(update("n1", "north-1"))) == len(encode(update("n1", ""))) + 8
 
 
-# Each step: what the courier n0 of group a hears, and by whom; then who its members are.
+# What the courier n0 of group a receives, in order; then its members and the number of ignored updates.
 @pytest.mark.parametrize(
-    ("name", "words", "held", "foreign"),
+    ("name", "updates", "members_after", "foreign"),
     [
-        ("its own group, and none", [said("n1", "a"), said("n2", "")], {"n1", "n2"}, 0),
-        ("another group", [said("n1", "b")], set(), 1),
-        ("another group, passed on by one that knows none", [said("n1", "b"), said("n1", "")], set(), 2),
-        ("passed on first, then heard itself", [said("n1", ""), said("n1", "b"), said("n1", "")], set(), 2),
-        ("dead in another group", [said("n1", "b", stand=Stand.DEAD)], set(), 1),
-        ("it goes to another group", [said("n1", "a"), said("n1", "b", life=2), said("n1", "a")], set(), 2),
-        ("it comes from another group", [said("n1", "b"), said("n1", "a", life=2), said("n1", "b")], {"n1"}, 2),
-        ("it goes back to none", [said("n1", "b"), said("n1", "", life=2)], {"n1"}, 1),
+        ("own group and no group", [update("n1", "a"), update("n2", "")], {"n1", "n2"}, 0),
+        ("another group", [update("n1", "b")], set(), 1),
+        ("another group, gossiped by a courier without groups", [update("n1", "b"), update("n1", "")], set(), 2),
+        (
+            "gossiped without the group first, then by itself",
+            [update("n1", ""), update("n1", "b"), update("n1", "")],
+            set(),
+            2,
+        ),
+        ("dead member of another group", [update("n1", "b", stand=Stand.DEAD)], set(), 1),
+        ("member moves to another group", [update("n1", "a"), update("n1", "b", life=2), update("n1", "a")], set(), 2),
+        (
+            "member moves here from another group",
+            [update("n1", "b"), update("n1", "a", life=2), update("n1", "b")],
+            {"n1"},
+            2,
+        ),
+        ("member moves back to no group", [update("n1", "b"), update("n1", "", life=2)], {"n1"}, 1),
     ],
 )
-def test_who_is_a_member(name: str, words: list[Word], held: set[str], foreign: int) -> None:
-    m = members("a")
-    for n, word in enumerate(words):
-        m.heard("n9", 1, [word], T + n)
-    assert set(m.members) == held and m.foreign == foreign
-    assert not {each.name for each in m.gossip("n9") if isinstance(each, Said)} - held - {"n0"}
+def test_which_couriers_are_members(name: str, updates: list[Word], members_after: set[str], foreign: int) -> None:
+    members = make_members("a")
+    for n, received in enumerate(updates):
+        members.heard("n9", 1, [received], T + n)
+    assert set(members.members) == members_after and members.foreign == foreign
+    assert not {each.name for each in members.gossip("n9") if isinstance(each, Said)} - members_after - {"n0"}
 
 
-def test_without_a_group_all_are_members_as_before() -> None:
-    m = members("")
-    m.heard("n9", 1, [said("n1", "a"), said("n2", "b"), said("n3", "")], T)
-    assert set(m.members) == {"n1", "n2", "n3"} and m.foreign == 0
+def test_without_a_group_couriers_of_all_groups_are_members() -> None:
+    members = make_members("")
+    members.heard("n9", 1, [update("n1", "a"), update("n2", "b"), update("n3", "")], T)
+    assert set(members.members) == {"n1", "n2", "n3"} and members.foreign == 0
 
 
-def test_a_stranger_is_answered_and_learns_so_that_it_is_one_and_accuses_nobody() -> None:
-    m = members("a")
-    out = m.heard("n1", 1, [said("n1", "b"), Ping(7)], T)
-    assert [name for name, _ in out] == ["n1"] and m.address("n1") == ("10.0.0.1", 50)
-    assert m.gossip("n1")[0] == said("n0", "a"), "what is told along names our group"
+def test_a_foreign_courier_is_answered_with_the_group_of_this_one() -> None:
+    members = make_members("a")
+    out = members.heard("n1", 1, [update("n1", "b"), Ping(7)], T)
+    assert [name for name, _ in out] == ["n1"] and members.address("n1") == ("10.0.0.1", 50)
+    assert members.gossip("n1")[0] == update("n0", "a"), "gossip in the answer carries the group"
     for n in range(2, 400):
-        m.heard(f"n{n}", 1, [said(f"n{n}", "b")], T)
-    assert len(m._strangers) <= m.most, "strangers are bounded"
+        members.heard(f"n{n}", 1, [update(f"n{n}", "b")], T)
+    assert len(members._foreign_couriers) <= members.max_members, "foreign couriers are bounded"
 
 
-def test_a_fleet_that_is_turned_over_one_by_one_accuses_nobody_and_ends_in_groups() -> None:
+def test_a_fleet_converted_to_groups_one_by_one_has_no_false_suspicions_and_ends_in_groups() -> None:
     net = Net(12, 3, Faults(loss=0.02), seeds=4, place=lambda n: ("r", "ab"[n % 2]))
     net.old = set(net.nodes)
     for name in net.nodes:
@@ -94,12 +104,12 @@
         peer = net.nodes[name].peer
         assert peer is not None
         known = {other for other in peer.members.alive() if net.nodes[other].group == net.nodes[name].group}
-        assert len(known) == 5, "all of its own group, old or new"
+        assert len(known) == 5, "all of its own group, converted or not"
     net.run(net.now + 60 * SECOND)
     for node in net.nodes.values():
         assert node.peer is not None
         assert set(node.peer.members.alive()) == {
             other.name for other in net.nodes.values() if other.group == node.group and other is not node
         }
-    buried = [event for event in net.events if event[2] in ("peers-dead", "peers-name-twice")]
-    assert not buried
+    declared_dead = [event for event in net.events if event[2] in ("peers-dead", "peers-name-twice")]
+    assert not declared_dead
