--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -1,19 +1,21 @@
-"""Counters of all couriers that merge in any order, any number of times. No I/O.
+"""Counters of all couriers, which merge in any order and any number of times. No I/O.
 
-Everything that decides what a counter of the fleet is lives in this file. Times are microseconds of the caller's clock.
+Everything that decides the value of a fleet-wide counter lives in this file. Times are microseconds of the caller's
+clock.
 
 Theory of operation
 -------------------
-A counter only grows. Of each courier two rows of counters are held, for its latest life: what they were before that
-life began (``past``) and what came since (``now``). Of the same life the larger figure of each counter counts; a later
-life takes the place of an earlier one whole. So merging is a join: order, repetition and delay don't matter.
+Counters only grow. For each courier two sets of counters are held, for its latest process epoch: the totals from before
+that epoch (``past``), and the counts since (``now``). Within an epoch the larger value of each counter wins; a later
+epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
 
-Lives are folded by the courier itself, and by nobody else: its ``past`` is what it kept in its folder, raised by
-what the others hold of its former lives (past and now together), so a lost folder or a crash between two writes costs
-nothing that any other courier had heard. Couriers that each folded for themselves would fold different sums.
+Only the courier itself adds up its epochs: its ``past`` is what it persisted, raised by what the others hold of its
+earlier epochs (``past`` and ``now`` together). So a lost state directory or a crash between two writes loses nothing
+that any other courier had received. If each courier added up the epochs, they would arrive at different sums.
 
-A courier's rows go to some others now and then, what changed first; ``Want`` asks for all of them at once. Of those
-that are gone, whoever holds their rows tells them. Counters are bounded (``MOST`` a courier): more are counted as one.
+Now and then a courier sends its counters to some others, recent changes first; ``Want`` requests all of them at once.
+Counters of couriers that are gone are sent by whoever holds them. Each courier has at most ``MOST`` counters; any
+further ones are counted as one.
 """
 
 from __future__ import annotations
@@ -26,159 +28,179 @@
 from kestrelspar.peers.words import Tally, Want, Word
 
 MS, SECOND = 1_000, 1_000_000
-EVERY = 2 * SECOND  # between what is told unasked
-FAN = 2  # members that are told then
-ROWS = 16  # counters in a word: fits a datagram
-LONGEST = 40  # characters of a counter's name
-MOST = 1_000  # counters of one courier; what is beyond goes into one
-BEYOND = "beyond"
-HELD = 4_096  # couriers of which any are held
-ANSWERS = 40  # words that one question is answered with at most
-ASKED = SECOND  # a member's question is answered once in that time
+REPORT_INTERVAL = 2 * SECOND  # between unrequested reports
+REPORT_FANOUT = 2  # members that receive each of them
+ROWS_PER_MESSAGE = 16  # counters in a message, so that it fits a datagram
+MAX_KEY_LENGTH = 40  # characters of a counter's name
+MOST = 1_000  # max counters of one courier
+OVERFLOW_KEY = "beyond"  # the counter for all further ones
+HELD = 4_096  # max couriers whose counters are held
+MAX_REPLIES = 40  # reports in reply to one request
+REPLY_INTERVAL = SECOND  # min time between replies to one member
 
 
 @dataclass(slots=True)
-class Rows:
-    """One courier's counters, as held here."""
+class CourierCounters:
+    """The counters of one courier."""
 
-    life: int
+    epoch: int
     past: dict[str, int] = field(default_factory=dict)
     now: dict[str, int] = field(default_factory=dict)
-    at: int = 0  # when the courier said so, by our clock; not earlier than it did
+    reported_at: int = 0  # when the courier itself reported them, by the local clock; never earlier than it really did
 
     def total(self) -> dict[str, int]:
-        """Over all lives."""
+        """Totals over all epochs."""
         return {key: self.past.get(key, 0) + self.now.get(key, 0) for key in self.past.keys() | self.now.keys()}
 
 
 class Counts:
-    """One courier's counters, and what it holds of the others'."""
+    """This courier's counters, and those it holds of the others."""
 
-    def __init__(self, me: str, life: int, now: int, past: dict[str, int], random: Random) -> None:
-        self.me = me
+    def __init__(self, own_name: str, epoch: int, now: int, past: dict[str, int], random: Random) -> None:
+        self.own_name = own_name
         self.silent = False
-        self.held: dict[str, Rows] = {me: Rows(life, dict(past), {}, now)}
+        self.held: dict[str, CourierCounters] = {own_name: CourierCounters(epoch, dict(past), {}, now)}
         self._random = random
-        self._former: dict[int, Rows] = {}  # by life: what others hold of our earlier ones
-        self._changed: dict[str, None] = {}  # own counters, those that changed longest ago first
-        self._next = now + EVERY
-        self._answered: dict[str, int] = {}
-        self._ask = False
+        self._former_epochs: dict[int, CourierCounters] = {}  # what others hold of this courier's earlier epochs
+        self._changed_keys: dict[str, None] = {}  # own counters to report, the longest waiting first
+        self._next_report_at = now + REPORT_INTERVAL
+        self._last_reply: dict[str, int] = {}
+        self._request_pending = False
 
-    # One's own
+    # Counters of this courier
 
     def add(self, key: str, calls: int = 1) -> None:
-        """Count."""
-        own, key = self.held[self.me].now, key[:LONGEST]
-        if key not in own and len(own) >= MOST:
-            key = BEYOND
-        own[key] = own.get(key, 0) + calls
-        self._changed[key] = None
+        """Add to a counter."""
+        own_counters, key = self.held[self.own_name].now, key[:MAX_KEY_LENGTH]
+        if key not in own_counters and len(own_counters) >= MOST:
+            key = OVERFLOW_KEY
+        own_counters[key] = own_counters.get(key, 0) + calls
+        self._changed_keys[key] = None
 
     def own(self) -> dict[str, int]:
-        """What is to be kept for the next life."""
-        return self.held[self.me].total()
+        """Totals to persist for the next epoch."""
+        return self.held[self.own_name].total()
 
-    # The others'
+    # Counters of other couriers
 
-    def heard(self, sender: str, words: Iterable[Word], now: int, gone: set[str]) -> Out:
-        """What a member says of counters; ``gone``: those who can't answer themselves."""
+    def heard(self, sender: str, messages: Iterable[Word], now: int, gone: set[str]) -> Out:
+        """Handle a member's messages about counters. ``gone``: couriers that can't reply themselves."""
         out: Out = []
-        for word in words:
-            if isinstance(word, Tally):
-                self.merge(word, now)
-            elif isinstance(word, Want) and not self.silent and now >= self._answered.get(sender, -ASKED) + ASKED:
-                self._answered[sender] = now
-                said = [tally for name in (self.me, sender, *sorted(gone)) for tally in self.told(name, now)]
-                out += [(sender, [tally]) for tally in said[:ANSWERS]]
+        for message in messages:
+            if isinstance(message, Tally):
+                self.merge(message, now)
+            elif (
+                isinstance(message, Want)
+                and not self.silent
+                and now >= self._last_reply.get(sender, -REPLY_INTERVAL) + REPLY_INTERVAL
+            ):
+                self._last_reply[sender] = now
+                replies = [report for name in (self.own_name, sender, *sorted(gone)) for report in self.told(name, now)]
+                out += [(sender, [report]) for report in replies[:MAX_REPLIES]]
         return out
 
-    def merge(self, word: Tally, now: int) -> None:
-        """Take in what was said of a courier, by whomever."""
-        if word.name == self.me:
-            self._of_me(word)
+    def merge(self, report: Tally, now: int) -> None:
+        """Merge a report on a courier, whoever sent it."""
+        if report.name == self.own_name:
+            self._merge_own(report)
             return
-        rows = self.held.get(word.name)
-        if rows is None or word.life > rows.life:
-            if rows is None and len(self.held) >= HELD:
+        counters = self.held.get(report.name)
+        if counters is None or report.life > counters.epoch:
+            if counters is None and len(self.held) >= HELD:
                 return
-            rows = self.held[word.name] = Rows(word.life)
-        if word.life < rows.life:
+            counters = self.held[report.name] = CourierCounters(report.life)
+        if report.life < counters.epoch:
             return
-        mine = rows.past if word.past else rows.now
-        for key, count in word.rows:
-            if key in mine or len(mine) <= MOST:
-                mine[key] = max(mine.get(key, 0), count)
-        rows.at = max(rows.at, now - word.age * MS)
-
-    def _of_me(self, word: Tally) -> None:
-        """What others hold of former lives of this courier: more than was kept, where the folder is old or lost."""
-        own = self.held[self.me]
-        if word.life >= own.life:
+        target = counters.past if report.past else counters.now
+        for key, count in report.rows:
+            if key in target or len(target) <= MOST:
+                target[key] = max(target.get(key, 0), count)
+        counters.reported_at = max(counters.reported_at, now - report.age * MS)
+
+    def _merge_own(self, report: Tally) -> None:
+        """Merge what others hold of earlier epochs: more than was persisted if the state file is old or lost."""
+        own_counters = self.held[self.own_name]
+        if report.life >= own_counters.epoch:
             return
-        former = self._former.setdefault(word.life, Rows(word.life))
-        mine = former.past if word.past else former.now
-        for key, count in word.rows:
-            if key in mine or len(mine) <= MOST:
-                mine[key] = max(mine.get(key, 0), count)
-                whole = former.past.get(key, 0) + former.now.get(key, 0)
-                if whole > own.past.get(key, 0):
-                    own.past[key] = whole
-        if len(self._former) > 2:  # only the last ones can say more than what was kept
-            del self._former[min(self._former)]
-
-    # Telling
+        former = self._former_epochs.setdefault(report.life, CourierCounters(report.life))
+        target = former.past if report.past else former.now
+        for key, count in report.rows:
+            if key in target or len(target) <= MOST:
+                target[key] = max(target.get(key, 0), count)
+                total = former.past.get(key, 0) + former.now.get(key, 0)
+                if total > own_counters.past.get(key, 0):
+                    own_counters.past[key] = total
+        if len(self._former_epochs) > 2:  # only the latest can exceed what was persisted
+            del self._former_epochs[min(self._former_epochs)]
+
+    # Reports to other couriers
 
     def want(self) -> None:
-        """Somebody wants to know: all are asked with the next tick."""
-        self._ask = True
+        """Request all counters of all members with the next tick."""
+        self._request_pending = True
 
     def tick(self, now: int, others: list[str]) -> Out:
-        """What is due."""
+        """Messages that are due."""
         out: Out = []
         if self.silent:
             return out
-        if self._ask:
-            self._ask = False
+        if self._request_pending:
+            self._request_pending = False
             out += [(name, [Want()]) for name in others]
-        if now >= self._next and others:
-            self._next = now + EVERY
-            self.held[self.me].at = now
-            picked = self._random.sample(others, min(FAN, len(others)))
-            rows = list(self._changed)[:ROWS]
-            for key in rows:
-                del self._changed[key]
-            whole = self.told(self.me, now)
-            for name in picked:
-                own = self.held[self.me]
-                if rows:
-                    out.append((name, [Tally(self.me, own.life, False, 0, [(key, own.now[key]) for key in rows])]))
-                if whole:  # and any part of all, for those who have not heard it
-                    out.append((name, [self._random.choice(whole)]))
+        if now >= self._next_report_at and others:
+            self._next_report_at = now + REPORT_INTERVAL
+            self.held[self.own_name].reported_at = now
+            receivers = self._random.sample(others, min(REPORT_FANOUT, len(others)))
+            changed = list(self._changed_keys)[:ROWS_PER_MESSAGE]
+            for key in changed:
+                del self._changed_keys[key]
+            complete = self.told(self.own_name, now)
+            for name in receivers:
+                own_counters = self.held[self.own_name]
+                if changed:
+                    out.append(
+                        (
+                            name,
+                            [
+                                Tally(
+                                    self.own_name,
+                                    own_counters.epoch,
+                                    False,
+                                    0,
+                                    [(key, own_counters.now[key]) for key in changed],
+                                )
+                            ],
+                        )
+                    )
+                if complete:  # and a random part of all counters, for couriers that missed earlier reports
+                    out.append((name, [self._random.choice(complete)]))
         return out
 
     def told(self, name: str, now: int) -> list[Tally]:
-        """All that is held of one courier, as words."""
-        rows = self.held.get(name)
-        if rows is None:
+        """All that is held of one courier, as reports."""
+        counters = self.held.get(name)
+        if counters is None:
             return []
-        age = 0 if name == self.me else max(0, now - rows.at) // MS
-        found = []
-        for past, counters in ((True, rows.past), (False, rows.now)):
-            items = sorted(counters.items())
-            found += [Tally(name, rows.life, past, age, items[at : at + ROWS]) for at in range(0, len(items), ROWS)]
-        return found
-
-    # For people
+        age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
+        reports = []
+        for past, values in ((True, counters.past), (False, counters.now)):
+            items = sorted(values.items())
+            reports += [
+                Tally(name, counters.epoch, past, age, items[start : start + ROWS_PER_MESSAGE])
+                for start in range(0, len(items), ROWS_PER_MESSAGE)
+            ]
+        return reports
+
+    # Totals
 
     def fleet(self, now: int) -> dict[str, dict[str, int]]:
-        """Each counter over all couriers: the sum, how many couriers it covers, and the age of the oldest, in ms."""
-        found: dict[str, dict[str, int]] = {}
-        for name, rows in self.held.items():
-            age = 0 if name == self.me else max(0, now - rows.at) // MS
-            for key, count in rows.total().items():
-                each = found.setdefault(key, {"sum": 0, "couriers": 0, "age_ms": 0})
-                each["sum"] += count
-                each["couriers"] += 1
-                each["age_ms"] = max(each["age_ms"], age)
-        return dict(sorted(found.items()))
+        """Fleet totals: by counter the sum, the number of couriers covered, and the age of the oldest part in ms."""
+        totals: dict[str, dict[str, int]] = {}
+        for name, counters in self.held.items():
+            age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
+            for key, count in counters.total().items():
+                total = totals.setdefault(key, {"sum": 0, "couriers": 0, "age_ms": 0})
+                total["sum"] += count
+                total["couriers"] += 1
+                total["age_ms"] = max(total["age_ms"], age)
+        return dict(sorted(totals.items()))
--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -1,4 +1,4 @@
-"""What the module's queues and limits come to as budgets: which there are, and what is lacking. No I/O."""
+"""Derives the shared budgets, and the unmet demand for each, from the state of the decision module. No I/O."""
 
 from __future__ import annotations
 
@@ -11,127 +11,131 @@
 from snowlock.interface import EndpointId, Settings
 from snowlock.state import Destination
 
-SILENT = 100_000_000  # nanoseconds: a shorter silence is a slow call or a busy machine
-COLD_PART = 0.5  # of what a cold endpoint bears: the other half is for those who own none of it and call by themselves
+MIN_SILENCE_NS = 100_000_000  # a shorter silence is a slow call or a busy machine
+SLOW_START_SHARE = 0.5  # of an endpoint's capacity in slow start; the rest is for calls of couriers without a share
 
 
 @dataclass(slots=True)
 class Demand:
-    """One budget as the module knows it."""
+    """One budget, as the decision module's state gives it."""
 
     calls: int
-    span: int
-    endpoints: list[EndpointId]
-    waiting: int = 0
-    worth: float = 0.0
-    whole: bool = False  # may be lent to the last call
+    span: int  # microseconds
+    endpoints: list[EndpointId]  # whose rate it limits
+    waiting: int = 0  # messages
+    worth: float = 0.0  # total weight of these messages
+    whole: bool = False  # a courier may lend its whole share
 
 
 @dataclass(slots=True)
 class Look:
-    """What the module's state comes to, at one look."""
+    """Snapshot of the decision module's state."""
 
-    wanted: dict[str, Demand] = field(default_factory=dict)  # by budget
-    routes: dict[str, int] = field(default_factory=dict)  # by endpoint: its destination
+    wanted: dict[str, Demand] = field(default_factory=dict)  # by name of the budget
+    routes: dict[str, int] = field(default_factory=dict)  # destination by endpoint
     ids: dict[str, EndpointId] = field(default_factory=dict)
-    silent: list[str] = field(default_factory=list)  # endpoints with calls out and nothing back for long
-    down: list[str] = field(default_factory=list)  # those that the module counts as in an outage
-    closed: list[str] = field(default_factory=list)  # those, and those that told it to wait
-    concerns: set[int] = field(default_factory=set)  # destinations with messages waiting or calls out
+    silent: list[str] = field(default_factory=list)  # endpoints with calls in flight and no answer for long
+    down: list[str] = field(default_factory=list)  # endpoints in an outage, according to the decision module
+    closed: list[str] = field(default_factory=list)  # the same, and those with a retry-after delay
+    concerns: set[int] = field(default_factory=set)  # destinations with messages waiting or calls in flight
 
 
 def name(endpoint: EndpointId) -> str:
-    """An endpoint, as couriers call it among themselves."""
+    """Name of an endpoint in messages between couriers."""
     return endpoint.decode("utf-8", "replace")[:190]
 
 
 def key(endpoint: EndpointId, dest: Destination) -> str:
-    """The budget that a call there is of: the endpoint's, or its destination's where endpoints share one limit."""
+    """Name of the budget for a call: the endpoint's, or its destination's if the endpoints share one limit."""
     return f"e:{name(endpoint)}" if dest.apart else f"d:{dest.id}"
 
 
 def cold_key(endpoint: str) -> str:
-    """The budget of calls to an endpoint that is out or on its way back."""
+    """Name of the budget for calls to an endpoint in an outage or in slow start."""
     return f"c:{endpoint}"
 
 
 def again_key(dest: int) -> str:
-    """The budget of second and later attempts at a destination."""
+    """Name of the budget for second and later delivery attempts at a destination."""
     return f"r:{dest}"
 
 
 def tenant_key(tenant: int) -> str:
-    """The budget of a tenant's messages within its share."""
+    """Name of the budget for a tenant's messages within its share."""
     return f"t:{tenant}"
 
 
 def look(
-    module: Controller,
+    controller: Controller,
     settings: Settings,
-    spend: float,
-    again: float,
-    heard: Callable[[str], float] = lambda endpoint: 0.0,
-    cold: Mapping[str, int] = MappingProxyType({}),
+    shared_part: float,
+    retry_part: float,
+    reported_limit: Callable[[str], float] = lambda endpoint: 0.0,
+    recovering: Mapping[str, int] = MappingProxyType({}),
 ) -> Look:
-    """All budgets that there are, each with the messages that wait for it, and how the routes stand.
+    """All current budgets with the messages that wait for each, and the state of the routes.
 
-    ``spend``: the part of a limit that is shared, ``again``: of that, what second attempts may take (1: no budget of
-    its own). ``heard``: the limit that others were told of, if it is to be believed. ``cold``: for how long endpoints
-    that were out have been back, microseconds. Messages that may go to several endpoints with limits of their own wait
-    for each of them evenly.
+    ``shared_part``: the part of a limit that is shared. ``retry_part``: of that, the part for second and later attempts
+    (1: they have no budget of their own). ``reported_limit``: the limit that other couriers reported for an endpoint,
+    if trusted, else 0. ``recovering``: time since the return of endpoints after an outage, microseconds. Messages that
+    may go to several endpoints with separate limits count evenly towards each of them.
     """
-    found, couriers = Look(), settings.forwarders
-    rates: dict[int, float] = {}  # by destination: second attempts a second
-    for route in module.routes.values():
+    snapshot, couriers = Look(), settings.forwarders
+    retry_rates: dict[int, float] = {}  # attempts per second, by destination
+    for route in controller.routes.values():
         if not route.ready:
             continue
-        named, dest = name(route.id), route.dest
-        found.routes[named], found.ids[named] = dest.id, route.id
+        endpoint, dest = name(route.id), route.dest
+        snapshot.routes[endpoint], snapshot.ids[endpoint] = dest.id, route.id
         if dest.queue or route.inflight:
-            found.concerns.add(dest.id)
-        if route.inflight and module.silent(route) and module.now - route.heard > SILENT:
-            found.silent.append(named)
+            snapshot.concerns.add(dest.id)
+        if route.inflight and controller.silent(route) and controller.now - route.heard > MIN_SILENCE_NS:
+            snapshot.silent.append(endpoint)
         down = route.down and route.back is None
         if down:
-            found.down.append(named)
-        if down or max(route.wait_until, dest.wait_until) > module.now:
-            found.closed.append(named)
-        told = heard(named)
-        rate = min(route.limit.rate, told) if route.limit.rate and told else route.limit.rate or told
-        if named in cold:
-            calls = cold_calls(rate or route.rate, cold[named], settings)
-            paced = [route.id] if dest.apart or len(dest.routes) == 1 else []  # else others share its pace
-            found.wanted[cold_key(named)] = Demand(
+            snapshot.down.append(endpoint)
+        if down or max(route.wait_until, dest.wait_until) > controller.now:
+            snapshot.closed.append(endpoint)
+        reported = reported_limit(endpoint)
+        rate = min(route.limit.rate, reported) if route.limit.rate and reported else route.limit.rate or reported
+        if endpoint in recovering:
+            calls = slow_start_calls(rate or route.rate, recovering[endpoint], settings)
+            # Otherwise the limit would slow down the other endpoints that share it.
+            rate_limited = [route.id] if dest.apart or len(dest.routes) == 1 else []
+            snapshot.wanted[cold_key(endpoint)] = Demand(
                 calls,
                 settings.fall_ns // 1_000,
-                paced,
+                rate_limited,
                 len(dest.queue),
                 sum(message.weight for message in dest.queue),
                 True,
             )
         if not rate:
             continue
-        demand = found.wanted.get(key(route.id, dest))
+        demand = snapshot.wanted.get(key(route.id, dest))
         if demand is None:
-            calls, span = spanned(rate * spend, couriers)
-            demand = found.wanted[key(route.id, dest)] = Demand(calls, span, [])
-            among = len(dest.routes) if dest.apart else 1
-            demand.waiting = -(-len(dest.queue) // max(1, among))
-            demand.worth = sum(message.weight for message in dest.queue) / max(1, among)
-            rates[dest.id] = rates.get(dest.id, 0.0) + rate * spend * again
+            calls, span = spanned(rate * shared_part, couriers)
+            demand = snapshot.wanted[key(route.id, dest)] = Demand(calls, span, [])
+            route_count = len(dest.routes) if dest.apart else 1
+            demand.waiting = -(-len(dest.queue) // max(1, route_count))
+            demand.worth = sum(message.weight for message in dest.queue) / max(1, route_count)
+            retry_rates[dest.id] = retry_rates.get(dest.id, 0.0) + rate * shared_part * retry_part
         demand.endpoints.append(route.id)
-    for number, rate in rates.items() if again < 1 else ():
-        late = [message for message in module.dests[number].queue if message.attempts]
-        found.wanted[again_key(number)] = Demand(*spanned(rate, couriers), [], len(late), sum(m.weight for m in late))
-    return found
+    for dest_id, rate in retry_rates.items() if retry_part < 1 else ():
+        retries = [message for message in controller.dests[dest_id].queue if message.attempts]
+        snapshot.wanted[again_key(dest_id)] = Demand(
+            *spanned(rate, couriers), [], len(retries), sum(m.weight for m in retries)
+        )
+    return snapshot
 
 
-def cold_calls(rate: float, back: int, settings: Settings) -> int:
-    """Calls in ``fall_ns`` that all couriers may make to an endpoint that has been back for so long, microseconds.
+def slow_start_calls(rate: float, since_return: int, settings: Settings) -> int:
+    """Calls per ``fall_ns`` that all couriers may make to an endpoint ``since_return`` microseconds after its return.
 
-    In quarters of the ramp, each a quarter late: whoever heard of it late must not be far behind the others.
+    The rate rises in quarters of the ramp, each a quarter late, so that couriers that learned late of the return are
+    not far behind the others.
     """
     ramp = max(1, settings.ramp_ns // 1_000)
-    steps = max(0, 4 * back // ramp - 1)
-    share = settings.cold_from + (1 - settings.cold_from) * steps / 4
-    return max(1, int(COLD_PART * share * rate * settings.fall_ns / 1e9))
+    quarters = max(0, 4 * since_return // ramp - 1)
+    portion = settings.cold_from + (1 - settings.cold_from) * quarters / 4
+    return max(1, int(SLOW_START_SHARE * portion * rate * settings.fall_ns / 1e9))
--- a/kestrelspar/peers/judgements.py
+++ b/kestrelspar/peers/judgements.py
@@ -55,7 +55,7 @@
 from kestrelspar.peers.words import Publish, Relayed, Seen, Word
 
 MS, SECOND = 1_000, 1_000_000
-MAX_WITNESSES = 12  # per endpoint: direct ones, and as many more by each broker
+MAX_WITNESSES = 12  # per endpoint: direct ones, and as many again by each broker
 FRESH = 3 * SECOND  # an older report of a failure is no evidence of a current outage
 RANKS = 8  # max probe intervals that a courier waits for those ranked before it
 ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # times that a report is sent to all; the delay doubles each time
@@ -143,7 +143,7 @@
 class WitnessRecord:
     """What one courier claimed about one endpoint."""
 
-    life: int
+    epoch: int
     last_heard: int = 0
     health: Claim | None = None
     limit: Claim | None = None
@@ -219,7 +219,7 @@
     def __init__(
         self,
         own_name: str,
-        life: int,
+        epoch: int,
         max_wait: int,
         max_restricted_share: float,
         probe_interval: int,
@@ -228,16 +228,16 @@
         number: int = 0,
         origins: Collection[str] = (),
     ) -> None:
-        """Create the tracker of the courier ``own_name`` in its process epoch ``life``.
+        """Create the tracker of the courier ``own_name`` in its process epoch ``epoch``.
 
         ``max_wait``: longest retry-after delay that is accepted, microseconds. ``max_restricted_share``: share of all
         routes that reports of other couriers may close. ``probe_interval``: between couriers that probe an endpoint in
         an outage, microseconds. ``couriers``, ``number``: number of couriers, and the position of this one; a witness
         must have a position. ``origins``: brokers of other regions.
         """
-        self.own_name, self.life, self.max_wait, self.max_restricted_share, self.probe_interval = (
+        self.own_name, self.epoch, self.max_wait, self.max_restricted_share, self.probe_interval = (
             own_name,
-            life,
+            epoch,
             max_wait,
             max_restricted_share,
             probe_interval,
@@ -327,12 +327,12 @@
 
     # Observations of other couriers
 
-    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int) -> bool:
+    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> bool:
         """Handle a member's messages. Returns whether any of them was new."""
         changed = False
         for message in messages:
             if isinstance(message, Seen) and message.endpoint in self._routes and sender != self.own_name:
-                changed |= self._record(Voice(sender), life, message, now)
+                changed |= self._record(Voice(sender), epoch, message, now)
         return changed
 
     def relayed(self, broker: str, messages: Iterable[Word], now: int) -> bool:
@@ -384,13 +384,13 @@
         """Distrusted sources, relay paths and brokers, for reports."""
         return sorted(str(source) for source in self.distrusted)
 
-    def _record(self, source: Voice, life: int, observation: Seen, now: int) -> bool:
+    def _record(self, source: Voice, epoch: int, observation: Seen, now: int) -> bool:
         records = self._heard.setdefault(observation.endpoint, {})
         witness = records.get(source)
-        if witness is None or life > witness.life:
+        if witness is None or epoch > witness.epoch:
             if witness is None:
                 self._evict_witness(records, source.by)
-            witness = records[source] = WitnessRecord(life)
+            witness = records[source] = WitnessRecord(epoch)
         at = now - observation.age * MS
         claim = Claim(
             Kind(observation.kind),
@@ -400,7 +400,7 @@
             observation.n,
         )
         previous = witness.limit if claim.kind is Kind.LIMIT else witness.health
-        if life < witness.life or previous is not None and observation.n <= previous.n:
+        if epoch < witness.epoch or previous is not None and observation.n <= previous.n:
             if previous is not None and observation.n == previous.n:
                 previous.at = min(previous.at, at)  # the same observation by a faster path
             return False
@@ -414,7 +414,7 @@
         return True
 
     def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
-        """Score claims made before a call of this courier was sent by its outcome, each claim once."""
+        """Score the claims made before an own call was sent by the outcome of that call, each claim once."""
         paths: dict[Voice, tuple[int, Kind]] = {}
         for source, witness in self._heard.get(endpoint, {}).items():
             claim = witness.health
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -264,7 +264,7 @@
 
     # Messages
 
-    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int) -> Out:
+    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> Out:
         """Handle a member's messages about membership."""
         out: Out = []
         if self.stepped_back:
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -40,9 +40,7 @@
 from kestrelspar.peers.words import Ask, Back, Grant, Word
 
 MS, SECOND = 1_000, 1_000_000
-LEND = (
-    0.75  # max lent part of a share: a courier that is cut off, or that starts without persisted state, can still call
-)
+LEND = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
 REQUEST_GATHERING_TIME = 50 * MS  # between the first request and the grants for all gathered so far
 REQUEST_INTERVAL = 200 * MS  # per budget, while calls are lacking
 MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked at once; doubles while too little is granted
@@ -75,7 +73,7 @@
 def spanned(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
     """A budget for ``rate`` calls per second, as (calls, window length).
 
-    The window is longer than asked for where otherwise a courier's share would be no call.
+    The window is lengthened if a courier's share would otherwise be less than one call.
     """
     if rate <= 0:
         return 0, window
@@ -135,7 +133,7 @@
     def __init__(
         self,
         terms: Terms,
-        life: int,
+        epoch: int,
         now: int,
         lent_before: dict[str, int] | None,
         random: Random,
@@ -146,7 +144,7 @@
         ``lent_before``: the most that an earlier process epoch had lent, by budget; None if unknown. ``persist`` writes
         such amounts down and returns whether it succeeded; if not, nothing is lent.
         """
-        self.terms, self.life = terms, life
+        self.terms, self.epoch = terms, epoch
         self.events: Events = []
         self._started_at, self._persist_lent, self._random = now, persist, random
         self._lent_before = None if lent_before is None or UNKNOWN_LOANS in lent_before else lent_before
@@ -176,7 +174,7 @@
         known = self._budgets.get(key)
         share = self._share_of(calls, self.terms.number, rotation)
         if known is None:
-            budget = Budget(
+            created = Budget(
                 calls,
                 window,
                 share,
@@ -184,8 +182,8 @@
                 fully_lendable=fully_lendable,
                 rotation=rotation,
             )
-            budget.next_unowned_call_at = now + self._unowned_interval(budget)
-            self._budgets[key] = budget
+            created.next_unowned_call_at = now + self._unowned_interval(created)
+            self._budgets[key] = created
         else:
             known.calls, known.window, known.share, known.retired = calls, window, share, False
 
@@ -401,40 +399,40 @@
 
     # Messages
 
-    def heard(self, sender: str, life: int, messages: Iterable[Word], now: int, number: int | None) -> Out:
+    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int, number: int | None) -> Out:
         """Handle a member's messages about loans. ``number``: its position among the couriers, if known."""
         out: Out = []
         for message in messages:
             if isinstance(message, Ask):
-                self._handle_request(sender, life, message, now, out)
+                self._handle_request(sender, epoch, message, now, out)
             elif isinstance(message, Grant):
                 self._handle_grant(sender, message, now, number)
             elif isinstance(message, Back):
-                self._handle_return(sender, life, message, now)
+                self._handle_return(sender, epoch, message, now)
         return out
 
-    def _handle_request(self, sender: str, life: int, ask: Ask, now: int, out: Out) -> None:
+    def _handle_request(self, sender: str, epoch: int, ask: Ask, now: int, out: Out) -> None:
         if self.gone or self.silent or self.storage_failed or ask.key not in self._budgets:
             return
         budget = self._budgets[ask.key]
-        existing = budget.lent.get((sender, life, ask.n))
+        existing = budget.lent.get((sender, epoch, ask.n))
         if existing is not None:  # a repeated request gets the same answer and no longer term
-            number = next(n for n, at in self._granted_loans.items() if at == (ask.key, (sender, life, ask.n)))
+            number = next(n for n, at in self._granted_loans.items() if at == (ask.key, (sender, epoch, ask.n)))
             out.append((sender, [Grant(ask.n, number, existing.calls)]))
         elif ask.loan:
-            self._handle_renewal(sender, life, ask, budget, now, out)
+            self._handle_renewal(sender, epoch, ask, budget, now, out)
         elif not any(
-            pending[:2] == (sender, life) and pending[2].n == ask.n
+            pending[:2] == (sender, epoch) and pending[2].n == ask.n
             for pending in self._pending_requests.get(ask.key, ())
         ):
-            self._pending_requests.setdefault(ask.key, []).append((sender, life, ask))
+            self._pending_requests.setdefault(ask.key, []).append((sender, epoch, ask))
             self._gathering_since = now if self._gathering_since is None else self._gathering_since
 
-    def _handle_renewal(self, sender: str, life: int, ask: Ask, budget: Budget, now: int, out: Out) -> None:
+    def _handle_renewal(self, sender: str, epoch: int, ask: Ask, budget: Budget, now: int, out: Out) -> None:
         """Extend a loan unless this courier needs the calls; the lender's end moves before the grant leaves."""
         key, loan_key = self._granted_loans.get(ask.loan, ("", ("", 0, 0)))
         loan = budget.lent.get(loan_key)
-        if key != ask.key or loan is None or loan_key[:2] != (sender, life) or now >= loan.until:
+        if key != ask.key or loan is None or loan_key[:2] != (sender, epoch) or now >= loan.until:
             return
         if now - budget.shortfall_at < budget.window and budget.shortfall > RECALL_WINDOWS * self._retained(
             ask.key, budget, now
@@ -467,11 +465,11 @@
                 new_max[key] = lent
         if not grants or new_max and not self._persist(new_max, now):
             return
-        for key, borrower, life, ask, calls in grants:
+        for key, borrower, epoch, ask, calls in grants:
             budget = self._budgets[key]
             budget.max_lent = new_max.get(key, budget.max_lent)
             self._loan_number += 1
-            loan_key = (borrower, life, ask.n)
+            loan_key = (borrower, epoch, ask.n)
             budget.lent[loan_key] = Loan(borrower, calls, now + self._loan_hold_time(budget))
             self._granted_loans[self._loan_number] = key, loan_key
             out.append((borrower, [Grant(ask.n, self._loan_number, calls)]))
@@ -531,11 +529,11 @@
         budget.borrowed[(sender, grant.loan)] = Loan(sender, grant.calls, until, request.at, now)
         self.events.append(("peers-borrowed", {"peer": sender, "budget": request.key, "calls": grant.calls}))
 
-    def _handle_return(self, sender: str, life: int, back: Back, now: int) -> None:
+    def _handle_return(self, sender: str, epoch: int, back: Back, now: int) -> None:
         """Take back a loan that is no longer used; the calls may be used again a window later."""
         key, loan_key = self._granted_loans.get(back.loan, ("", ("", 0, 0)))
         budget = self._budgets.get(key)
-        if budget is None or loan_key[:2] != (sender, life) or loan_key not in budget.lent:
+        if budget is None or loan_key[:2] != (sender, epoch) or loan_key not in budget.lent:
             return
         budget.lent[loan_key].until = min(
             budget.lent[loan_key].until, now + int(budget.window * (1 + self.terms.drift)) + 1
--- a/tests/peers/test_any_story.py
+++ b/tests/peers/test_any_story.py
@@ -1,4 +1,4 @@
-"""Any story of starts, kills, stops, cuts, moved limits and calls: together never above the budget."""
+"""Random sequences of starts, kills, pauses, network cuts, traffic changes and calls never exceed a shared budget."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 WHO = st.sampled_from([f"n{n}" for n in range(COURIERS)])
 
 
-class Story(RuleBasedStateMachine):
-    """Four couriers with more to send than they may, and all that can happen to them."""
+class CourierHistory(RuleBasedStateMachine):
+    """Four couriers with more to send than the budget allows, and the faults that can happen to them."""
 
     @initialize(seed=st.integers(0, 999), loss=st.sampled_from([0.0, 0.3]), late=st.sampled_from([5 * MS, SECOND]))
     def begin(self, seed: int, loss: float, late: int) -> None:
@@ -22,40 +22,40 @@
         for name in self.net.nodes:
             self.net.start(name)
         self.traffic = Traffic(self.net, "e:x", dict.fromkeys(self.net.nodes, 0.5) | {"n0": 60.0})
-        self.net.run(7 * SECOND)  # so loans run
+        self.net.run(7 * SECOND)  # until loans are in use
 
-    @rule(busy=st.sets(WHO), span=st.integers(50, 2_500))
-    def traffic_moves(self, busy: set[str], span: int) -> None:
-        """Those who lent want their own back while it is out."""
+    @rule(busy=st.sets(WHO), duration=st.integers(50, 2_500))
+    def traffic_changes(self, busy: set[str], duration: int) -> None:
+        """Lenders need their calls back while these are lent."""
         for name in self.net.nodes:
             self.traffic.rates[name] = 60.0 if name in busy else 0.5
             self.traffic._next(name)
-        self.net.run(self.net.now + span * MS)
+        self.net.run(self.net.now + duration * MS)
 
-    @rule(who=WHO, folder=st.booleans(), after=st.integers(1, 1_500))
-    def killed(self, who: str, folder: bool, after: int) -> None:
+    @rule(who=WHO, keep_state=st.booleans(), after=st.integers(1, 1_500))
+    def kill(self, who: str, keep_state: bool, after: int) -> None:
         self.net.kill(who)
         self.net.run(self.net.now + after * MS)
-        self.net.start(who, folder)
+        self.net.start(who, keep_state)
 
-    @rule(who=WHO, span=st.integers(20, 9_000))
-    def stopped(self, who: str, span: int) -> None:
-        self.net.stop(who, span * MS)
-        self.net.run(self.net.now + min(span, 700) * MS)
+    @rule(who=WHO, duration=st.integers(20, 9_000))
+    def pause(self, who: str, duration: int) -> None:
+        self.net.stop(who, duration * MS)
+        self.net.run(self.net.now + min(duration, 700) * MS)
 
-    @rule(deaf=st.sets(WHO), both=st.booleans())
-    def cut(self, deaf: set[str], both: bool) -> None:
-        self.net.cut = lambda a, b: b in deaf or both and a in deaf
+    @rule(receivers=st.sets(WHO), both=st.booleans())
+    def cut(self, receivers: set[str], both: bool) -> None:
+        self.net.cut = lambda a, b: b in receivers or both and a in receivers
         self.net.run(self.net.now + 300 * MS)
 
-    @rule(span=st.integers(100, 5_000))
-    def time_passes(self, span: int) -> None:
-        self.net.run(self.net.now + span * MS)
+    @rule(duration=st.integers(100, 5_000))
+    def time_passes(self, duration: int) -> None:
+        self.net.run(self.net.now + duration * MS)
 
     @invariant()
-    def never_above(self) -> None:
+    def budget_is_kept(self) -> None:
         assert not hasattr(self, "net") or not self.net.judge.faults
 
 
-TestStory = Story.TestCase
-TestStory.settings = settings(max_examples=40, stateful_step_count=20, derandomize=True, deadline=None)
+TestCourierHistory = CourierHistory.TestCase
+TestCourierHistory.settings = settings(max_examples=40, stateful_step_count=20, derandomize=True, deadline=None)
--- a/tests/peers/test_demand.py
+++ b/tests/peers/test_demand.py
@@ -1,16 +1,16 @@
-"""What the module's state comes to as budgets: limits, those that others were told of, cold ones, second attempts."""
+"""Budgets from the decision module's state: own and reported limits, slow start, and second attempts."""
 
 from __future__ import annotations
 
 import pytest
 
-from kestrelspar.peers.demand import cold_calls, look
+from kestrelspar.peers.demand import look, slow_start_calls
 from kestrelspar.runtime.loop import SECOND as S
 from snowlock.interface import AttemptEnded, Outcome
 from tests.forwarder import MS, SECOND, Forwarder, route, settings
 
 
-def served() -> Forwarder:
+def forwarder_with_limit() -> Forwarder:
     f = Forwarder(settings(routes_apart=(True,), forwarders=10, limit_column=0, share_left_column=None))
     f.endpoints("a", "b")
     f.arrive(1)
@@ -18,28 +18,30 @@
     return f
 
 
-def test_limits_of_ones_own_and_heard_ones_and_what_waits() -> None:
-    f = served()
+def test_budgets_from_own_and_reported_limits() -> None:
+    f = forwarder_with_limit()
     known, other = (name.encode().ljust(6, b".").decode() for name in ("a", "b"))
     if f.sends[0][1].endpoint == route("b"):
         known, other = other, known
     found = look(f.controller, f.given, 0.9, 1.0)
     assert {key: (d.calls, d.span) for key, d in found.wanted.items()} == {f"e:{known}": (45, S)}
     assert found.routes == {known: 1, other: 1} and not found.down and not found.silent
-    heard = look(f.controller, f.given, 0.9, 0.2, {known: 20.0, other: 100.0}.__getitem__)
-    assert {key: d.calls * S / d.span for key, d in heard.wanted.items()} == {
+    reported = look(f.controller, f.given, 0.9, 0.2, {known: 20.0, other: 100.0}.__getitem__)
+    assert {key: d.calls * S / d.span for key, d in reported.wanted.items()} == {
         f"e:{known}": 18,
         f"e:{other}": 90,
         "r:1": pytest.approx(0.2 * (18 + 90), abs=1),
-    }, "at most an own report"
+    }, "the lower of own and reported limit"
     above = look(f.controller, f.given, 0.9, 1.0, {known: 90.0, other: 0.0}.__getitem__)
-    assert above.wanted[f"e:{known}"].calls == 45, "hearsay makes nobody bolder"
-    cold = look(f.controller, f.given, 0.9, 1.0, cold={known: 0})
-    assert cold.wanted[f"c:{known}"].whole and cold.wanted[f"c:{known}"].calls == cold_calls(50.0, 0, f.given)
+    assert above.wanted[f"e:{known}"].calls == 45, "a reported limit never raises the own one"
+    recovering = look(f.controller, f.given, 0.9, 1.0, recovering={known: 0})
+    assert recovering.wanted[f"c:{known}"].whole and recovering.wanted[f"c:{known}"].calls == slow_start_calls(
+        50.0, 0, f.given
+    )
 
 
-def test_silence_and_outages_as_the_module_sees_them() -> None:
-    f = served()
+def test_silence_and_outages_according_to_the_decision_module() -> None:
+    f = forwarder_with_limit()
     for number in range(2, 8):
         f.arrive(number)
     f.now += 5 * SECOND
@@ -52,9 +54,9 @@
     assert found.down and found.closed == found.down
 
 
-def test_what_a_cold_endpoint_is_sent_grows_in_steps_that_come_late() -> None:
+def test_slow_start_grows_in_delayed_steps() -> None:
     given = settings(cold_from=0.2, ramp_ns=10 * SECOND, fall_ns=SECOND)
-    calls = [cold_calls(100.0, back * S, given) for back in range(0, 11)]
+    calls = [slow_start_calls(100.0, since_return * S, given) for since_return in range(0, 11)]
     assert calls == sorted(calls) and calls[0] == 10 and calls[-1] < 50
-    for back, each in enumerate(calls):
-        assert each <= 0.5 * 100 * (0.2 + 0.8 * max(0.0, back - 2.5) / 10) + 1e-6 or each == 10
+    for since_return, each in enumerate(calls):
+        assert each <= 0.5 * 100 * (0.2 + 0.8 * max(0.0, since_return - 2.5) / 10) + 1e-6 or each == 10
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -236,8 +236,8 @@
     tracker = make_tracker("zz")
     tracker.heard("n1", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
     tracker.heard("n2", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
-    for life, n in ((1, 9), (2, 4), (2, 5)):
-        assert not tracker.heard("n2", life, [Seen("a1", BACK, 0, 0, n)], T + MS)
+    for epoch, n in ((1, 9), (2, 4), (2, 5)):
+        assert not tracker.heard("n2", epoch, [Seen("a1", BACK, 0, 0, n)], T + MS)
     assert set(tracker.holds(T + MS, OTHERS)) == {"a1"}
     assert tracker.heard("n2", 3, [Seen("a1", BACK, 0, 0, 1)], T + MS) and tracker.holds(T + MS, OTHERS) == {}
     for n in range(100):
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -1,4 +1,4 @@
-"""Many couriers' pure modules on the modelled network: budgets hold whatever happens, and who is there is found out."""
+"""Many couriers on a modelled network: budgets are kept and membership converges under any faults."""
 
 from __future__ import annotations
 
@@ -10,60 +10,60 @@
 from kestrelspar.peers.words import Ask, Grant, Said, Stand
 
 BUSY = {"n0": 25.0, "n1": 12.0, **{f"n{i}": 2.0 for i in range(2, 10)}}
-R = 50
+RATE = 50  # calls per second of the budget
 
 
 def fleet(seed: int, faults: Faults | None = None, drift: float = 0.005, **more: object) -> tuple[Net, Traffic]:
-    """Ten couriers, one budget, uneven traffic."""
+    """Ten couriers with one budget and uneven traffic."""
     net = Net(10, seed, faults, drift, **more)  # type: ignore[arg-type]
-    net.budget("e:x", R)
+    net.budget("e:x", RATE)
     for name in net.nodes:
         net.start(name)
     return net, Traffic(net, "e:x", BUSY)
 
 
-def others(net: Net) -> set[str]:
+def notified(net: Net) -> set[str]:
     return {name for name in net.nodes if net.nodes[name].number % 3}
 
 
 def third_cut_then_all_restarted(net: Net) -> None:
-    part = {"n0", "n3", "n6"}
-    net.at(8 * SECOND, lambda: setattr(net, "cut", lambda a, b: (a in part) != (b in part)))
+    cut_off = {"n0", "n3", "n6"}
+    net.at(8 * SECOND, lambda: setattr(net, "cut", lambda a, b: (a in cut_off) != (b in cut_off)))
     net.at(14 * SECOND, lambda: setattr(net, "cut", lambda a, b: False))
     for name in net.nodes:
         net.at(14 * SECOND, lambda name=name: net.start(name))  # type: ignore[misc]
 
 
-def half_hears_nothing(net: Net) -> None:
-    deaf = {f"n{i}" for i in range(0, 10, 2)}
-    net.at(6 * SECOND, lambda: setattr(net, "cut", lambda a, b: b in deaf))
+def half_receive_nothing(net: Net) -> None:
+    unreachable = {f"n{i}" for i in range(0, 10, 2)}
+    net.at(6 * SECOND, lambda: setattr(net, "cut", lambda a, b: b in unreachable))
 
 
-def lenders_stopped_beyond_the_term(net: Net) -> None:
+def lenders_paused_beyond_the_term(net: Net) -> None:
     for i in range(2, 10):
         net.at((6 + i) * SECOND + i * 37 * MS, lambda i=i: net.stop(f"n{i}", 4 * SECOND + i * 91 * MS))  # type: ignore[misc]
     net.at(9 * SECOND, lambda: net.stop("n0", 5 * SECOND))  # and the borrower
 
 
-def killed(folder: bool, again_after: int) -> Callable[[Net], None]:
-    """Lenders are killed while their loans run, and come back; some twice at once."""
+def killed(keep_state: bool, restart_after: int) -> Callable[[Net], None]:
+    """Lenders are killed while their loans run, and restarted; some of them twice in a row."""
 
     def faults(net: Net) -> None:
         for i in range(10):
             when = (7 + i) * SECOND + i * 53 * MS
-            for more in (0, 1_300 * MS) if i % 2 else (0,):
-                net.at(when + more, lambda i=i: net.kill(f"n{i}"))  # type: ignore[misc]
-                net.at(when + more + again_after, lambda i=i: net.start(f"n{i}", folder))  # type: ignore[misc]
+            for delay in (0, 1_300 * MS) if i % 2 else (0,):
+                net.at(when + delay, lambda i=i: net.kill(f"n{i}"))  # type: ignore[misc]
+                net.at(when + delay + restart_after, lambda i=i: net.start(f"n{i}", keep_state))  # type: ignore[misc]
 
     return faults
 
 
-def limit_halved_unheard(net: Net) -> None:
-    """A third does not hear of it: only its parts and the loans of before may be above."""
+def limit_halved_for_two_thirds(net: Net) -> None:
+    """A third of the couriers isn't notified: only their shares and earlier loans may exceed the new limit."""
     net.at(
         8 * SECOND,
         lambda: [
-            n.peer.shares.budget("e:x", R // 2, SECOND)
+            n.peer.shares.budget("e:x", RATE // 2, SECOND)
             for n in net.nodes.values()  # type: ignore[func-returns-value]
             if n.peer is not None and n.number % 3
         ],
@@ -71,17 +71,17 @@
 
 
 CASES: dict[str, tuple[Callable[[Net], None], Faults, float, dict[str, float]]] = {
-    "calm": (lambda net: None, Faults(), 0.005, {}),
+    "no faults": (lambda net: None, Faults(), 0.005, {}),
     "a third cut off for 6 s, then all restarted": (third_cut_then_all_restarted, Faults(), 0.005, {}),
-    "half hear nothing but can speak": (half_hears_nothing, Faults(), 0.005, {}),
-    "stopped beyond the term": (lenders_stopped_beyond_the_term, Faults(), 0.005, {}),
-    "killed, folders kept": (killed(True, 200 * MS), Faults(), 0.005, {}),
-    "killed, folders lost": (killed(False, 200 * MS), Faults(), 0.005, {}),
-    "all doubled, late and out of order": (lambda net: None, Faults(double=1.0, delay=(0, 2 * SECOND)), 0.005, {}),
+    "half can send but receive nothing": (half_receive_nothing, Faults(), 0.005, {}),
+    "paused beyond the term": (lenders_paused_beyond_the_term, Faults(), 0.005, {}),
+    "killed, state kept": (killed(True, 200 * MS), Faults(), 0.005, {}),
+    "killed, state lost": (killed(False, 200 * MS), Faults(), 0.005, {}),
+    "all duplicated, late and out of order": (lambda net: None, Faults(double=1.0, delay=(0, 2 * SECOND)), 0.005, {}),
     "30 % lost": (lambda net: None, Faults(loss=0.3), 0.005, {}),
     "clocks 5 % off": (killed(True, 10 * MS), Faults(delay=(0, SECOND)), 0.05, {"drift": 0.06}),
     "everything at once": (
-        lambda net: (killed(False, 900 * MS)(net), lenders_stopped_beyond_the_term(net), half_hears_nothing(net)),
+        lambda net: (killed(False, 900 * MS)(net), lenders_paused_beyond_the_term(net), half_receive_nothing(net)),
         Faults(0.2, 0.3, (0, SECOND)),
         0.005,
         {},
@@ -91,11 +91,11 @@
 
 @pytest.mark.parametrize("name", CASES)
 @pytest.mark.parametrize("seed", range(2))
-def test_calls_of_all_are_never_above_the_budget(name: str, seed: int) -> None:
-    faults, between, drift, terms = CASES[name]
-    net, traffic = fleet(seed, between, drift, terms=terms)
-    faults(net)
-    for wave in range(1, 12):  # who lends wants its own back while it is still out
+def test_calls_of_all_couriers_never_exceed_the_budget(name: str, seed: int) -> None:
+    apply_faults, network_faults, drift, terms = CASES[name]
+    net, traffic = fleet(seed, network_faults, drift, terms=terms)
+    apply_faults(net)
+    for wave in range(1, 12):  # lenders need their calls back while these are lent
         rates = {f"n{i}": 30.0 if wave % 2 or i in (wave % 10, 0) else 0.5 for i in range(10)}
         net.at(wave * 2_500 * MS, lambda rates=rates: traffic.rates.update(rates))  # type: ignore[misc]
     net.run(30 * SECOND)
@@ -104,19 +104,21 @@
     assert traffic.served > 300 and lent, "nothing was lent, so nothing was tried"
 
 
-def test_a_lowered_limit_holds_for_all_who_heard_after_a_term() -> None:
+def test_a_lowered_limit_is_kept_after_a_term_by_all_that_were_notified() -> None:
     net, traffic = fleet(3)
-    limit_halved_unheard(net)
-    net.run(13 * SECOND)  # a term and a span later
+    limit_halved_for_two_thirds(net)
+    net.run(13 * SECOND)  # a term and a window later
     counted = net.judge.by.copy()
     net.run(23 * SECOND)
-    heard = sum(net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in others(net))
-    unheard = sum(net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in net.nodes.keys() - others(net))
-    assert heard <= 10 * 6 * 3 + 10 * 4 * 3 and unheard <= 10 * R, (heard, unheard)
+    calls_notified = sum(net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in notified(net))
+    calls_others = sum(
+        net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in net.nodes.keys() - notified(net)
+    )
+    assert calls_notified <= 10 * 6 * 3 + 10 * 4 * 3 and calls_others <= 10 * RATE, (calls_notified, calls_others)
     assert traffic.served
 
 
-def test_loans_bring_what_even_shares_leave_unused_and_nobody_starves_alone() -> None:
+def test_loans_use_what_equal_shares_leave_unused_and_no_isolated_courier_starves() -> None:
     for cut, least, most in ((False, 0.85, 1.0), (True, 0.5, 0.72)):
         net, traffic = fleet(1)
         if cut:
@@ -129,11 +131,11 @@
         assert all(net.judge.by[(name, "e:x")] > by[(name, "e:x")] + 20 for name in net.nodes)
 
 
-def test_a_liar_adds_at_most_what_its_part_could_lend_to_each(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_lying_lender_adds_at_most_what_its_share_could_lend_to_each(capsys: pytest.CaptureFixture[str]) -> None:
     net, _ = fleet(2)
 
-    def lends_what_it_has_not(node: Node, now: int) -> None:
-        """Answers each ask with more calls than it owns, again and again."""
+    def lend_too_much(node: Node, now: int) -> None:
+        """Answer each request several times, and with more calls than its share."""
         peer = node.peer
         assert peer is not None
         requests, peer.shares._pending_requests = peer.shares._pending_requests, {}
@@ -143,66 +145,68 @@
                 assert address is not None
                 net._out(node, [(address, peer.sealer.seal(who, [Grant(ask.n, now + n, calls)]))])
 
-    net.nodes["n5"].lies = lends_what_it_has_not
+    net.nodes["n5"].lies = lend_too_much
     net.run(30 * SECOND)
-    assert max(net.judge.most.values()) <= R + 9 * 3 and any(e[2] == "peers-lends-too-much" for e in net.events)
+    assert max(net.judge.most.values()) <= RATE + 9 * 3 and any(e[2] == "peers-lends-too-much" for e in net.events)
 
 
-# Who is there
+# Membership
 
 
-def test_half_of_two_hundred_vanish_at_once_and_all_others_find_out_and_no_one_else_is_accused() -> None:
+def test_loss_of_half_of_two_hundred_couriers_is_detected_without_false_suspicions() -> None:
     net = Net(200, 5, Faults(loss=0.02), seeds=5)
     for name in net.nodes:
         net.start(name)
     net.run(20 * SECOND)
-    gone = [f"n{i}" for i in range(1, 200, 2)]
-    for name in gone:
+    lost = [f"n{i}" for i in range(1, 200, 2)]
+    for name in lost:
         net.kill(name)
     net.run(60 * SECOND)
-    left = [n for n in net.nodes.values() if n.peer is not None]
+    remaining = [n for n in net.nodes.values() if n.peer is not None]
     assert all(
-        sorted(n.peer.members.alive()) == sorted(m.name for m in left if m is not n) for n in left if n.peer is not None
+        sorted(n.peer.members.alive()) == sorted(m.name for m in remaining if m is not n)
+        for n in remaining
+        if n.peer is not None
     )
-    assert all(n.peer.sent < 60 * 50_000 for n in left if n.peer is not None)
+    assert all(n.peer.sent < 60 * 50_000 for n in remaining if n.peer is not None)
 
 
-def stands(net: Net, by: str) -> dict[str, Stand]:
+def states(net: Net, by: str) -> dict[str, Stand]:
     peer = net.nodes[by].peer
     assert peer is not None
     return {name: m.said.stand for name, m in peer.members.members.items()}
 
 
-def test_one_that_was_stopped_accuses_nobody_and_comes_back_itself() -> None:
+def test_a_paused_courier_suspects_nobody_and_rejoins() -> None:
     net, _ = fleet(4)
     net.run(10 * SECOND)
     net.stop("n3", 40 * SECOND)
     net.run(45 * SECOND)
-    assert stands(net, "n0")["n3"] is Stand.DEAD
+    assert states(net, "n0")["n3"] is Stand.DEAD
     net.run(75 * SECOND)
-    assert all(set(stands(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
-    accused = {fields["peer"] for _, _, event, fields in net.events if event in ("peers-suspect", "peers-dead")}
-    assert accused == {"n3"} and any(event == "peers-stalled" and who == "n3" for _, who, event, _ in net.events)
+    assert all(set(states(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
+    suspected = {fields["peer"] for _, _, event, fields in net.events if event in ("peers-suspect", "peers-dead")}
+    assert suspected == {"n3"} and any(event == "peers-stalled" and who == "n3" for _, who, event, _ in net.events)
 
 
-def test_two_halves_that_buried_each_other_meet_again_and_one_that_leaves_is_not_accused() -> None:
+def test_a_partitioned_fleet_rejoins_and_a_leaving_courier_is_not_suspected() -> None:
     net, _ = fleet(6, Faults(loss=0.1))
     net.run(5 * SECOND)
     net.cut = lambda a, b: (int(a[1:]) < 5) != (int(b[1:]) < 5)
     net.run(60 * SECOND)
-    assert stands(net, "n0")["n7"] is Stand.DEAD and stands(net, "n7")["n0"] is Stand.DEAD
+    assert states(net, "n0")["n7"] is Stand.DEAD and states(net, "n7")["n0"] is Stand.DEAD
     net.cut = lambda a, b: False
     net.run(100 * SECOND)
-    assert all(set(stands(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
+    assert all(set(states(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
     leaver = net.nodes["n9"].peer
     assert leaver is not None
     net._out(net.nodes["n9"], leaver.leave(net.nodes["n9"].clock(net.now)))
     net.kill("n9")
     net.run(130 * SECOND)
-    assert all(stands(net, f"n{i}")["n9"] is Stand.LEFT for i in range(9))
+    assert all(states(net, f"n{i}")["n9"] is Stand.LEFT for i in range(9))
 
 
-def test_of_two_with_one_name_the_older_life_steps_back_and_one_beyond_the_number_owns_nothing() -> None:
+def test_of_two_couriers_with_one_name_the_older_epoch_stops_and_a_number_beyond_the_fleet_has_no_share() -> None:
     net, _ = fleet(7)
     net.run(5 * SECOND)
     older = net.nodes["n4"].peer
@@ -213,12 +217,12 @@
     newer = net.nodes["n4"].peer
     assert newer is not None
     net.run(20 * SECOND)
-    said = Said("n4", *net.nodes["n4"].address, 4, newer.about.life, 0, Stand.ALIVE)
-    sealed = newer.sealer.seal("n4", [said])
+    update = Said("n4", *net.nodes["n4"].address, 4, newer.about.life, 0, Stand.ALIVE)
+    sealed = newer.sealer.seal("n4", [update])
     older.hear(sealed, 0)
     assert older.shares.gone and older.shares.allowed("e:x", 10**12) == 0 and not newer.shares.gone
     assert any(event == "peers-name-twice" for event, _ in older.events)
     assert newer.shares.heard("n77", 1, [Ask(1, "e:x", 5, 1.0)], 0, 77) == []
     newer.shares.terms = type(newer.shares.terms)(10, 10)
-    newer.shares.budget("e:x", R, SECOND)
+    newer.shares.budget("e:x", RATE, SECOND)
     assert newer.shares.allowed("e:x", 10**12) == 0
--- a/tests/peers/test_shares.py
+++ b/tests/peers/test_shares.py
@@ -37,10 +37,10 @@
         assert isinstance(messages[0], Ask)
         return messages[0]
 
-    def lend(self, now: int, *messages: Word, life: int = 1) -> list[Grant]:
+    def lend(self, now: int, *messages: Word, epoch: int = 1) -> list[Grant]:
         """The grants of the lender: those at once, and those after it has gathered requests."""
-        out: Out = self.lender.heard("borrower", life, messages, now, 1) + self.lender.tick(now + 60 * MS, [])
-        return [message for _, messages in out for message in messages if isinstance(message, Grant)]
+        out: Out = self.lender.heard("borrower", epoch, messages, now, 1) + self.lender.tick(now + 60 * MS, [])
+        return [message for _, replies in out for message in replies if isinstance(message, Grant)]
 
     def borrow(self, now: int, *grants: Grant, number: int | None = 0) -> int:
         self.borrower.heard("lender", 1, grants, now, number)
