--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -70,7 +70,7 @@
     settings: Settings,
     shared_part: float,
     retry_part: float,
-    reported_limit: Callable[[str], float] = lambda endpoint: 0.0,
+    reported_limit: Callable[[str], float] = lambda _: 0.0,
     recovering: Mapping[str, int] = MappingProxyType({}),
 ) -> Look:
     """All current budgets with the messages that wait for each, and the state of the routes.
