--- a/kestrelspar/peers/__init__.py
+++ b/kestrelspar/peers/__init__.py
@@ -1,1 +1,4 @@
-"""Couriers that share state: who is there, budgets, counts, judgements. Decisions without I/O, and one thin socket."""
+"""State shared between couriers: membership, budgets, counters and endpoint observations.
+
+The protocol modules do no I/O; ``link`` and ``broker_link`` connect them to sockets, clock and log.
+"""
--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -1,6 +1,6 @@
-"""A broker's process: one UDP socket between the loop and ``Broker``, its signals, its log, and its door.
+"""The broker process: a UDP socket between event loop and ``Broker``, signals, the log, and the status socket.
 
-It holds nothing that must outlast it but the number of its life: couriers tell a broker that is new what they want.
+Only its epoch is persisted: couriers send a restarted broker their subscriptions again.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from kestrelspar.peers import kept
 from kestrelspar.peers.brokers import Broker, BrokerAbout
-from kestrelspar.peers.door import Door
+from kestrelspar.peers.door import StatusSocket
 from kestrelspar.peers.peer import Datagrams
 from kestrelspar.peers.seal import MOST, keys
-from kestrelspar.peers.telling import Teller
+from kestrelspar.peers.telling import EventLog
 from kestrelspar.runtime import logs, signals
 from kestrelspar.runtime.loop import MS, Loop
 from kestrelspar.settings import conf as conf_file
@@ -27,47 +27,49 @@
 from kestrelspar.settings.lines import ConfFaults
 
 TICK = 50 * MS
-AT_ONCE = 256  # datagrams read in one turn: ticks and signals come between
-BUFFER = 4_000_000  # bytes that may wait in the socket; the system gives what it allows, and drops the rest
-FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG, None)  # None: cut short
+MAX_DATAGRAMS_PER_TURN = 256  # so that ticks and signals are handled in between
+RECEIVE_BUFFER_BYTES = 4_000_000  # requested; the system may grant less, and drops datagrams beyond it
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG, None)  # None: short write
 Address = tuple[str, int]
 
 
 class BrokerLink:
-    """One broker at work."""
+    """Connects a ``Broker`` to its socket, clock, log and status socket."""
 
-    def __init__(self, loop: Loop, about: BrokerAbout, bound: socket.socket, folder: str) -> None:
-        """``folder``: of its state; none: it has no door."""
+    def __init__(self, loop: Loop, config: BrokerAbout, bound: socket.socket, state_directory: str) -> None:
+        """``state_directory``: if empty, there is no status socket."""
         self.loop, self._socket = loop, bound
-        self.broker = Broker(about, loop.clock(), Random().randrange(1 << 32))
+        self.broker = Broker(config, loop.clock(), Random().randrange(1 << 32))
         self.unsent: Counter[str] = Counter()
-        self._teller = Teller(loop)
-        self._door = Door(loop, folder, self.status, lambda: None) if folder else None
+        self._event_log = EventLog(loop)
+        self._status_socket = (
+            StatusSocket(loop, state_directory, self.status, lambda: None) if state_directory else None
+        )
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Start reading, ticking and answering status requests."""
         self.loop.spawn(self._read)
         self.loop.spawn(self._tick)
-        if self._door is not None:
-            self._door.start()
-        about = self.broker.about
+        if self._status_socket is not None:
+            self._status_socket.start()
+        config = self.broker.about
         logs.event(
             "broker-serves",
-            broker=about.name,
-            life=about.life,
+            broker=config.name,
+            life=config.life,
             listen="{}:{}".format(*self._socket.getsockname()),
-            brokers=len(about.brokers),
+            brokers=len(config.brokers),
         )
 
     def _read(self) -> None:
         while True:
             self.loop.readable(self._socket, None)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     data = self._socket.recv(MOST + 1)
                 except BlockingIOError:
                     break
-                except OSError:  # a port that nobody has any more answers so
+                except OSError:  # ICMP port unreachable for a datagram sent earlier
                     continue
                 self._send(self.broker.hear(data, self.loop.clock()))
 
@@ -80,143 +82,143 @@
         for address, data in datagrams:
             try:
                 self._socket.sendto(data, address)
-            except OSError as error:  # a full buffer, no route: as good as lost
+            except OSError as error:  # full buffer or no route: counts as lost on the network
                 self.unsent[errno.errorcode.get(error.errno or 0, type(error).__name__)] += 1
         if self.broker.events:
             events, self.broker.events = self.broker.events, []
-            self._teller.tell(events)
+            self._event_log.write(events)
 
     def rekey(self, secrets: list[str]) -> None:
-        """Other keys from now on."""
+        """Replace the keys."""
         self.broker.sealer.rekey(keys(secrets))
 
     def status(self) -> dict[str, Any]:
-        """How it stands, for people."""
-        about = self.broker.about
+        """Status for operators."""
+        config = self.broker.about
         return {
-            "broker": about.name,
-            "region": about.region,
+            "broker": config.name,
+            "region": config.region,
             "unsent": dict(self.unsent),
             **self.broker.stand(self.loop.clock()),
         }
 
     def end(self) -> None:
-        """SIGTERM: say so, and stop."""
+        """SIGTERM: notify subscribers, and stop."""
         self._send(self.broker.leave(self.loop.clock()))
-        if self._door is not None:
-            self._door.stop()
+        if self._status_socket is not None:
+            self._status_socket.stop()
         logs.event("broker-ends", broker=self.broker.about.name)
         self.loop.stop()
 
 
-class Told:
-    """What the file says for this broker; ``ValueError`` has all that will not do."""
+class BrokerSettings:
+    """The settings of this broker as read from the file; a ``ValueError`` lists all errors."""
 
     def __init__(self, path: str, name: str) -> None:
         self.conf = conf_file.load(path)
         section = self.conf.told(schema.Peers)
         self.peers = self.conf.one(schema.Peers)
-        faults = []
+        errors = []
         if name not in self.peers.broker:
             known = ", ".join(sorted(self.peers.broker)) or "a line broker REGION/NAME HOST:PORT"
-            faults.append(section.fault("broker", f"none is named {name} (wanted: {known})"))
+            errors.append(section.fault("broker", f"no broker is named {name} (wanted: {known})"))
         self.secrets: list[str] = []
         try:
             self.secrets = resolve.peer_keys(self.conf, broker=True)
         except ConfFaults as error:
-            faults += error.faults
-        if faults:
-            raise ConfFaults(sorted(faults))
+            errors += error.faults
+        if errors:
+            raise ConfFaults(sorted(errors))
         self.listen = self.peers.listen if "listen" in section.places else self.peers.broker[name]
 
 
-def _life(folder: str) -> int:
-    """The number of this life, kept before it is said; ``OSError`` where the folder will not do.
+def _next_epoch(state_directory: str) -> int:
+    """The epoch of this process, persisted before it is sent; ``OSError`` if the state directory is unusable.
 
-    One that is only full will: the number is the clock's then, as after a folder that was lost.
+    A full disk is tolerated: the epoch is then taken from the clock, as after the loss of the state directory.
     """
-    if not folder:
+    if not state_directory:
         return kept.next_life(kept.Kept(0))
-    file = Path(folder) / "broker"
+    file = Path(state_directory) / "broker"
     found = kept.read(file)
     found.life = kept.next_life(found)
     try:
         kept.put(file, found)
     except OSError as error:
-        if error.errno not in FULL:
+        if error.errno not in DISK_FULL_ERRNOS:
             raise
         logs.warn("peers-not-kept", file=file.name, why=str(error))
     return found.life
 
 
-def _reload(link: BrokerLink, told: Told, path: str, name: str) -> None:
-    """SIGHUP: other keys, and another form of the log. What will not do changes nothing."""
+def _reload(link: BrokerLink, settings: BrokerSettings, path: str, name: str) -> None:
+    """SIGHUP: read keys and log settings again. If the settings have an error, nothing changes."""
     try:
-        fresh = Told(path, name)
+        reloaded = BrokerSettings(path, name)
     except ValueError as error:
-        for fault in faults(error):
-            logs.error("configuration-not-taken", why=fault)
+        for line in error_lines(error):
+            logs.error("configuration-not-taken", why=line)
         return
-    log = fresh.conf.one(schema.Log)
+    log = reloaded.conf.one(schema.Log)
     logs.set_up(log.format, log.level)
-    link.rekey(fresh.secrets)
-    later = [
+    link.rekey(reloaded.secrets)
+    restart_needed = [
         key
         for key in ("broker", "couriers", "broker_bytes_per_second")
-        if getattr(fresh.peers, key) != getattr(told.peers, key)
+        if getattr(reloaded.peers, key) != getattr(settings.peers, key)
     ]
-    if fresh.listen != told.listen:
-        later.append("listen")
-    logs.event("configuration-read", at_next_start=" ".join(later).replace("_", "-") or None)
+    if reloaded.listen != settings.listen:
+        restart_needed.append("listen")
+    logs.event("configuration-read", at_next_start=" ".join(restart_needed).replace("_", "-") or None)
 
 
-def faults(error: ValueError) -> list[str]:
-    """Each fault of a configuration, as a line."""
+def error_lines(error: ValueError) -> list[str]:
+    """Each error of a configuration, as one line."""
     return list(map(str, error.faults)) if isinstance(error, ConfFaults) else [str(error)]
 
 
-def main(path: str, name: str, folder: str) -> int:
-    """Serve; exit code 0 after SIGTERM or SIGINT, 2 for a configuration, an address or a folder that will not do."""
-    ear = signals.ear()
+def main(path: str, name: str, state_directory: str) -> int:
+    """Run the broker. Exit code 0 after SIGTERM or SIGINT, 2 for unusable settings, address or state directory."""
+    signal_socket = signals.ear()
     try:
-        told = Told(path, name)
+        settings = BrokerSettings(path, name)
     except ValueError as error:
-        for fault in faults(error):
-            logs.error("configuration", why=fault)
+        for line in error_lines(error):
+            logs.error("configuration", why=line)
         return 2
-    log, peers = told.conf.one(schema.Log), told.peers
+    log, peers = settings.conf.one(schema.Log), settings.peers
     logs.set_up(log.format, log.level)
     loop = Loop()
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.setblocking(False)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     try:
-        bound.bind(told.listen)  # first: a second process of one folder must not raise the life that is kept
+        bound.bind(settings.listen)  # first: a second process with this state directory must not raise the epoch
     except OSError as error:
-        logs.error("can't-start", why="{}:{}: {}".format(*told.listen, error))
+        logs.error("can't-start", why="{}:{}: {}".format(*settings.listen, error))
         return 2
     try:
-        life = _life(folder)
+        epoch = _next_epoch(state_directory)
     except OSError as error:
-        logs.error("can't-start", why=f"the state folder {folder} can't be written: {error}")
+        logs.error("can't-start", why=f"the state directory {state_directory} can't be written: {error}")
         return 2
-    about = BrokerAbout(
+    config = BrokerAbout(
         name,
         name.partition("/")[0],
         peers.broker[name],
-        life,
-        keys(told.secrets),
+        epoch,
+        keys(settings.secrets),
         dict(peers.broker),
         peers.couriers,
         peers.broker_bytes_per_second,
     )
-    link = BrokerLink(loop, about, bound, folder)
-    calls: Mapping[int, Any] = {
+    link = BrokerLink(loop, config, bound, state_directory)
+    handlers: Mapping[int, Any] = {
         signal.SIGTERM: link.end,
         signal.SIGINT: link.end,
-        signal.SIGHUP: lambda: _reload(link, told, path, name),
+        signal.SIGHUP: lambda: _reload(link, settings, path, name),
     }
-    loop.spawn(signals.heed, loop, ear, calls)
+    loop.spawn(signals.heed, loop, signal_socket, handlers)
     link.start()
     loop.run()
     return 0
--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -1,38 +1,43 @@
-"""Words on endpoints by way of brokers: who owns a destination, subscriptions, and what passes a broker. No I/O.
+"""Distribution of endpoint observations by way of brokers: placement, subscriptions and relaying. No I/O.
 
-Everything that decides who is told of a destination lives in this file. Times are microseconds of the caller's clock.
+Everything that decides who is notified about a destination is in this module. Times are microseconds of the caller's
+clock.
 
 Theory of operation
 -------------------
-A broker is a process on a machine set aside for it. It is named ``REGION/NAME``, and all couriers and brokers are told
-all brokers by their settings. The owners of a destination are, in each region, the first ``COPIES`` of that region's
-brokers in the order of a hash of broker and destination (rendezvous hashing) that answer by the view of whoever asks:
-nothing is agreed on, and a broker that is gone costs the destinations that it owned one of their places.
-
-A courier subscribes to the destinations that it has to do with at their owners in its region, and publishes there what
-it saw. A broker passes that on to the subscribers, and to one owner in each other region (the first owner to the
-first, the second to the second), which passes it on to its subscribers and to no broker: there are no loops.
-
-Subscriptions are a lease. Changes are told at once; with each renewal go the count and a digest of what the broker
-should hold, and where it holds something else (it began anew, or words were lost) the whole set is told again, at a
-random time within ``REFILL`` so that a region does not answer one broker's restart in one instant. A broker that does
-not answer two renewals, of ``TRIES`` tries each, counts as gone for this courier: its destinations go to the next in
-order, and it is asked each term whether it is there again.
+A broker is a process on a machine set aside for it. It is named ``REGION/NAME``, and all couriers and brokers know all
+brokers from their settings. The owners of a destination are, in each region, the first ``COPIES`` of that region's
+brokers in the order of a hash of broker and destination (rendezvous hashing) that answer as far as the process that
+asks can tell. There is no agreement protocol, and a failed broker costs the destinations that it owned only one of
+their owners.
+
+A courier subscribes to the destinations that it deals with at their owners in its region, and publishes its
+observations there. A broker relays an observation to the subscribers and forwards it to one owner in each other region
+(the first owner to the first, the second to the second), which relays it to its subscribers and to no broker: there
+are no loops.
+
+Subscriptions are held under a lease. Changes are sent at once. Each renewal carries the count and a digest of the
+destinations that the broker should hold. Where it holds something else (it restarted, or messages were lost), the
+whole set is sent again, at a random time within ``RESUBSCRIBE_JITTER`` so that a region does not answer one broker's
+restart in one instant. A broker that does not answer two renewals, of ``RENEWAL_ATTEMPTS`` attempts each, counts as
+failed for this courier: its destinations go to the next in order, and it is probed once per lease term until it
+answers again.
 
 What a broker guards against:
 
-- a replay after it restarted, when its window of sequence numbers is empty: it passes on the words of those only that
-  have named its present life in a renewal, which nobody could before it began;
-- its own stops: what it reads before it has ticked again may have lain in its socket, looking younger than it is. Words
-  are dropped then, renewals are taken;
-- a courier or another broker that floods it: each has so many words a second, a courier also a part of the bytes that
-  its words take on their way to all whom they concern; each endpoint has so many witnesses at once (``ENOUGH``: more
-  tell nobody anything new), and all that is held is bounded;
-- another process of its name: couriers tell in each renewal the highest life of it that they heard. Two that tell one
-  above its own make it step back: one alone could be a liar that wants it gone.
-
-A word is kept while it is fresh, for repetitions and for who subscribes late; it goes on with its age, which grows
-while it lies here and is rounded down: a word may look younger than it is by the network's delays, but never older.
+- Replays after it restarted, when its window of sequence numbers is empty: it relays observations only of couriers
+  that have named its present epoch in a renewal, which nobody could do before it started.
+- Its own stalls: what it reads before its next tick may have waited in the socket, and then looks younger than it is.
+  Observations are dropped in that case, renewals are accepted.
+- A courier or another broker that floods it: each has a limit of observations per second, and a courier also a share
+  of the bandwidth that relaying its observations to all subscribers takes. For each endpoint the number of witnesses
+  at a time is limited (``MAX_WITNESSES``: more of them give no new information), and all state is bounded.
+- Another process of its name: couriers report in each renewal the highest epoch of this broker that they have received.
+  Two couriers that report one above its own make it step back; a single one could be lying to remove it.
+
+An observation is kept while it is fresh, for repetitions and for couriers that subscribe late. It is sent on with its
+age, which grows while it is kept here and is rounded down: an observation may look younger than it is by the network's
+delays, but never older.
 """
 
 from __future__ import annotations
@@ -46,7 +51,7 @@
 import xxhash
 
 from kestrelspar.peers.members import Events, Out
-from kestrelspar.peers.seal import HEAD, MOST, Dropped, Sealer, encode
+from kestrelspar.peers.seal import HEAD, MOST, DatagramRejectedError, Sealer, encode
 from kestrelspar.peers.words import (
     Ack,
     Datagram,
@@ -62,32 +67,32 @@
     Word,
 )
 
-MS, SECOND = 1_000, 1_000_000
+MS, SECOND = 1_000, 1_000_000  # microseconds
 COPIES = 2  # owners of a destination in each region
-INTEREST = 60 * SECOND  # a destination concerns a courier for so long after it had to do with it
-TOUCH = SECOND  # and is marked so often at most
-MOST_KEYS = 4_096  # destinations that concern one courier; those that it has had least lately to do with go
-AT_ONCE = 512  # of them are placed in one look
-TERM = 15 * SECOND  # of a lease; renewed three times in it
-TRIES, RETRY = 3, 500 * MS  # of a renewal, before it counts as missed
-MISSED = 2  # renewals without an answer, and a broker counts as gone
-REFILL = 3 * SECOND  # within which a whole set is told again; doubles while that does not help
-PIECE = 100  # destinations in a word
-DROP_AFTER = 5 * SECOND  # a stand-in is told so late that the owner has its destinations back
-FRESH = 3 * SECOND  # a word that was seen longer ago is passed on to nobody
-AGAIN = 200 * MS  # a word that is repeated sooner was doubled by the network
-ENOUGH = 4  # witnesses of the same at an endpoint whose words are passed on
-STALL = 500 * MS  # a gap between ticks from which on what is read may have lain in the socket
-PUBLISHED, FORWARDED = 50, 5_000  # words a second of one courier, and of one broker; saved up for one second
-PART = 0.05  # of the bytes a second, what one courier's words may take on their way to those whom they concern
-COST = 120  # bytes of a word for one subscriber, about
-MOST_HELD = 2_000_000  # subscriptions of all
-MOST_FRESH = 65_536  # words that are kept while they are fresh
-OF_ONE = 64  # and of one destination
-SWEEP = SECOND  # between two looks for what is over
-URGENT = 0.25  # of the bytes a second: kept for leases
-TELL_EVERY = 60 * SECOND  # the same loud event
-LIMIT = 4  # of ``judgements.Kind``
+INTEREST_TTL = 60 * SECOND  # how long a courier stays interested in a destination after it last dealt with it
+INTEREST_UPDATE_INTERVAL = SECOND  # the time of last use of a destination is updated at most this often
+MAX_INTERESTS = 4_096  # destinations per courier; beyond that the least recently used are evicted
+MAX_PLACED_PER_CALL = 512  # new destinations whose owners are looked up in one call
+TERM = 15 * SECOND  # of a lease, which is renewed three times per term
+RENEWAL_ATTEMPTS, RENEWAL_RETRY_INTERVAL = 3, 500 * MS  # attempts before a renewal counts as missed
+MAX_MISSED_RENEWALS = 2  # consecutive missed renewals after which a broker counts as failed
+RESUBSCRIBE_JITTER = 3 * SECOND  # a whole set is sent again within this time; doubles while the broker's set differs
+PIECE = 100  # destinations in one message
+UNSUBSCRIBE_DELAY = 5 * SECOND  # for a substitute, so that the owner has the subscription again before it loses it
+OBSERVATION_TTL = 3 * SECOND  # an older observation, other than of a limit, is not relayed
+MIN_REPEAT_INTERVAL = 200 * MS  # an observation repeated sooner is a duplicate made by the network
+MAX_WITNESSES = 4  # witnesses of the same observation of an endpoint that are relayed
+STALL_THRESHOLD = 500 * MS  # a longer gap between ticks means that datagrams may have waited in the socket
+PUBLISH_RATE, FORWARD_RATE = 50, 5_000  # observations per second from one courier, from one broker; burst: one second
+COURIER_BANDWIDTH_SHARE = 0.05  # of the bytes per second: for relaying one courier's observations to all subscribers
+RELAY_COST_BYTES = 120  # approximate size of an observation sent to one subscriber
+MAX_SUBSCRIPTIONS = 2_000_000  # of all couriers together
+MAX_OBSERVATIONS = 65_536  # kept while they are fresh
+MAX_OBSERVATIONS_PER_DESTINATION = 64
+SWEEP_INTERVAL = SECOND  # between two removals of expired leases and observations
+URGENT_RESERVE = 0.25  # of the bytes per second: reserved for leases and for pings between brokers
+EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
+LIMIT_KIND = 4  # of ``judgements.Kind``
 
 Address = tuple[str, int]
 Datagrams = list[tuple[Address, bytes]]
@@ -95,318 +100,328 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerAbout:
-    """What a broker is told of itself and the others."""
+    """Configuration of a broker: itself and the others."""
 
-    name: str  # whole, as in ``brokers``: "REGION/NAME"
+    name: str  # in full, as in ``brokers``: "REGION/NAME"
     region: str
     address: Address
-    life: int  # larger at each start, as a courier's
+    life: int  # epoch: larger at each start, as a courier's
     keys: list[bytes]
-    brokers: dict[str, Address]  # of all regions, this one too
-    couriers: int  # a witness has a place below that
+    brokers: dict[str, Address]  # of all regions, including this one
+    couriers: int  # a witness has a number below that
     bytes_a_second: int = 1_000_000
-    most_subscribers: int = 4_096
+    max_subscribers: int = 4_096
 
 
 def region_of(broker: str) -> str:
-    """The region in a broker's whole name."""
+    """The region in a broker's full name."""
     return broker.rpartition("/")[0]
 
 
-def of_region(brokers: Iterable[str], region: str) -> list[str]:
-    """The brokers of that region, by whole name."""
+def brokers_in_region(brokers: Iterable[str], region: str) -> list[str]:
+    """The brokers of that region, by full name."""
     return sorted(name for name in brokers if region_of(name) == region)
 
 
-def order(brokers: Iterable[str], dest: int) -> list[str]:
-    """These brokers as owners of the destination: the same order for whoever asks."""
+def rendezvous_order(brokers: Iterable[str], dest: int) -> list[str]:
+    """The brokers ranked as owners of the destination: the same order in every process."""
     return sorted(brokers, key=lambda name: (xxhash.xxh64_intdigest(f"{name}\0d:{dest}".encode()), name))
 
 
 def mark(dest: int) -> int:
-    """What a destination adds to a digest."""
+    """The destination's contribution to a digest of a set of destinations."""
     return xxhash.xxh64_intdigest(f"d:{dest}".encode()) >> 2
 
 
-# A courier's side
+# Courier side
 
 
 @dataclass(slots=True)
-class Place:
-    """One broker of the own region, as a courier sees it."""
+class BrokerSession:
+    """A courier's state for one broker of its own region."""
 
     name: str
-    next: int  # renewal, or try of one
-    life: int = 0  # the highest that was heard
+    next_renewal: int  # when the next renewal, or the next attempt of one, is due
+    epoch: int = 0  # the highest that was received
     answering: bool = True
     answered: int | None = None
     n: int = 0  # of the renewal
-    open: bool = False
-    tries: int = 0
+    open: bool = False  # the renewal is unanswered
+    attempts: int = 0
     missed: int = 0
     generation: int = 1
-    told: set[int] = field(default_factory=set)  # what it should hold
-    digest: int = 0
-    add: dict[int, None] = field(default_factory=dict)  # what it is to be told
-    drop: dict[int, int] = field(default_factory=dict)  # what it is to be told that it need not: from when on
-    refill: int = 0  # nothing is added before
-    bad: int = 0  # renewals in a row that found something else held
+    subscribed: set[int] = field(default_factory=set)  # what the broker should hold
+    digest: int = 0  # of ``subscribed``
+    to_add: dict[int, None] = field(default_factory=dict)  # to be subscribed
+    to_drop: dict[int, int] = field(default_factory=dict)  # to be unsubscribed: from when on
+    add_after: int = 0  # no subscription is sent before
+    mismatches: int = 0  # consecutive renewals that found a different set at the broker
 
 
 class Subscriber:
-    """A courier's side: what concerns it, who owns that, and what the owners hold of it. ``Peer.brokers``."""
+    """The courier side: what it is interested in, who owns that, and what the owners hold. ``Peer.brokers``."""
 
     def __init__(
         self, name: str, address: Address, number: int, brokers: Iterable[str], now: int, random: Random
     ) -> None:
-        """``brokers``: whole names of those of the own region."""
+        """``brokers``: full names of those of the own region."""
         self.name, self.address, self.number = name, address, number
         self.events: Events = []
-        self.refused = 0  # destinations beyond ``MOST_KEYS``
+        self.refused = 0  # destinations beyond ``MAX_INTERESTS``
         self.silent = False
-        self.places = {each: Place(each, now + random.randrange(SECOND)) for each in brokers}
-        for place in self.places.values():
-            place.refill = place.next  # who has not said who it is can't subscribe
+        self.places = {each: BrokerSession(each, now + random.randrange(SECOND)) for each in brokers}
+        for session in self.places.values():
+            session.add_after = session.next_renewal  # a subscription needs a lease, which the first renewal begins
         self._random = random
-        self._n = random.randrange(1, 1 << 32)
-        self._used: set[int] = set()  # of what concerns us, since that was marked last
-        self._touched = now
-        self._concern: dict[int, int] = {}  # by destination, the oldest first: when it was last dealt with
-        self._owners: dict[int, list[str]] = {}  # by destination that concerns us
+        self._last_n = random.randrange(1, 1 << 32)
+        self._used: set[int] = set()  # destinations used since their times of last use were updated
+        self._last_update = now
+        self._interests: dict[int, int] = {}  # by destination, the least recently used first: time of last use
+        self._owners: dict[int, list[str]] = {}  # by destination of interest
 
-    def interest(self, dests: Iterable[int], now: int) -> None:
+    def record_interest(self, dests: Iterable[int], now: int) -> None:
         """These destinations were called lately, or have messages waiting. Cheap where they are the same as before."""
         self._used.update(dests)
-        new = self._used - self._concern.keys()
-        if now >= self._touched + TOUCH:
+        new = self._used - self._interests.keys()
+        if now >= self._last_update + INTEREST_UPDATE_INTERVAL:
             for dest in self._used - new:
-                del self._concern[dest]
-                self._concern[dest] = now
-            self._used, self._touched = set(new), now
+                del self._interests[dest]
+                self._interests[dest] = now
+            self._used, self._last_update = set(new), now
         for n, dest in enumerate(new):
-            if n >= AT_ONCE:  # the rest with the next look: this one must be short
+            if n >= MAX_PLACED_PER_CALL:  # the rest follows in the next call: this one must be short
                 break
-            if len(self._concern) >= MOST_KEYS:
-                oldest, last = next(iter(self._concern.items()))
-                if now - last < 2 * TOUCH:  # all of them are in use: who is there stays, else they would change at once
+            if len(self._interests) >= MAX_INTERESTS:
+                oldest, last_used = next(iter(self._interests.items()))
+                if (
+                    now - last_used < 2 * INTEREST_UPDATE_INTERVAL
+                ):  # all are in use: evicting would replace all each time
                     self.refused += len(new) - n
                     self._used -= new
                     break
                 self.refused += 1
-                self._leave(oldest, now)
-            self._concern[dest] = now
-            self._place(dest, now)
+                self._drop_interest(oldest, now)
+            self._interests[dest] = now
+            self._assign_owners(dest, now)
 
-    def ways(self, dest: int) -> list[str]:
-        """The brokers that a word on this destination goes to."""
-        return self._owners.get(dest) or self._find(dest)
+    def owners(self, dest: int) -> list[str]:
+        """The brokers that an observation of this destination is published to."""
+        return self._owners.get(dest) or self._find_owners(dest)
 
-    def _find(self, dest: int) -> list[str]:
-        return [name for name in order(self.places, dest) if self.places[name].answering][:COPIES]
+    def _find_owners(self, dest: int) -> list[str]:
+        return [name for name in rendezvous_order(self.places, dest) if self.places[name].answering][:COPIES]
 
-    def _leave(self, dest: int, now: int) -> None:
-        """It does not concern us any more."""
-        del self._concern[dest]
+    def _drop_interest(self, dest: int, now: int) -> None:
+        """The courier is no longer interested in the destination."""
+        del self._interests[dest]
         for name in self._owners.pop(dest):
-            self._take_from(self.places[name], dest, now)
+            self._schedule_unsubscribe(self.places[name], dest, now)
 
-    def _place(self, dest: int, now: int) -> None:
-        """Find its owners anew."""
-        before, after = self._owners.get(dest, []), self._find(dest)
+    def _assign_owners(self, dest: int, now: int) -> None:
+        """Determine the owners again, and schedule the changes of subscriptions."""
+        before, after = self._owners.get(dest, []), self._find_owners(dest)
         self._owners[dest] = after
         for name in before:
             if name not in after:
-                self._take_from(self.places[name], dest, now + DROP_AFTER)
+                self._schedule_unsubscribe(self.places[name], dest, now + UNSUBSCRIBE_DELAY)
         for name in after:
-            place = self.places[name]
-            place.drop.pop(dest, None)
-            if dest not in place.told:
-                place.add[dest] = None
+            session = self.places[name]
+            session.to_drop.pop(dest, None)
+            if dest not in session.subscribed:
+                session.to_add[dest] = None
 
     @staticmethod
-    def _take_from(place: Place, dest: int, when: int) -> None:
-        place.add.pop(dest, None)
-        if dest in place.told:
-            place.drop[dest] = when
+    def _schedule_unsubscribe(session: BrokerSession, dest: int, when: int) -> None:
+        session.to_add.pop(dest, None)
+        if dest in session.subscribed:
+            session.to_drop[dest] = when
 
     # Leases
 
-    def heard(self, sender: str, life: int, words: Iterable[Word], now: int) -> Out:
-        """What a broker of the own region says of leases."""
-        place = self.places[sender]
-        for word in words:
-            if not isinstance(word, Lease):
+    def receive(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> Out:
+        """Handle the replies of a broker of the own region to lease renewals."""
+        session = self.places[sender]
+        for message in messages:
+            if not isinstance(message, Lease):
                 continue
-            if word.n == 0:  # it leaves
-                self._lost(place, now)
-                place.open, place.next = False, now + self._some(TERM)
-            elif word.n == place.n and place.open:
-                self._leased(place, word.ok, now)
-        if life > place.life:  # it began anew, or is heard for the first time: it is to know that we know
-            place.life, place.next, place.open, place.missed = life, now, False, 0
+            if message.n == 0:  # it is shutting down
+                self._broker_failed(session, now)
+                session.open, session.next_renewal = False, now + self._jitter(TERM)
+            elif message.n == session.n and session.open:
+                self._renewed(session, message.ok, now)
+        if epoch > session.epoch:  # it restarted, or this is its first reply: a renewal must name its epoch
+            session.epoch, session.next_renewal, session.open, session.missed = epoch, now, False, 0
         return []
 
-    def _leased(self, place: Place, ok: bool, now: int) -> None:
-        place.missed, place.answered = 0, now
-        place.open, place.next = False, now + self._some(TERM // 3)
-        if not place.answering:
-            place.answering = True
-            self.events.append(("peers-broker-answers", {"broker": place.name, "life": place.life}))
-            place.refill = now + self._random.randrange(REFILL)
-            for dest in self._concern:
-                self._place(dest, now)
+    def _renewed(self, session: BrokerSession, ok: bool, now: int) -> None:
+        session.missed, session.answered = 0, now
+        session.open, session.next_renewal = False, now + self._jitter(TERM // 3)
+        if not session.answering:
+            session.answering = True
+            self.events.append(("peers-broker-answers", {"broker": session.name, "life": session.epoch}))
+            session.add_after = now + self._random.randrange(RESUBSCRIBE_JITTER)
+            for dest in self._interests:
+                self._assign_owners(dest, now)
         if ok:
-            place.bad = 0
-        elif now >= place.refill:
-            self._again(place, now)
-
-    def _again(self, place: Place, now: int) -> None:
-        """All that it owns is told anew, a while later."""
-        place.refill = now + self._random.randrange(REFILL << min(place.bad, 5))
-        place.bad += 1
-        place.generation += 1
-        place.add = {dest: None for dest in self._concern if place.name in self._owners[dest]}
-        place.told, place.digest, place.drop = set(), 0, {}
-
-    def _lost(self, place: Place, now: int) -> None:
-        """It does not answer: others own what it owned, until it does."""
-        if not place.answering:
+            session.mismatches = 0
+        elif now >= session.add_after:
+            self._resubscribe(session, now)
+
+    def _resubscribe(self, session: BrokerSession, now: int) -> None:
+        """Send all destinations that the broker owns again, after a random delay."""
+        session.add_after = now + self._random.randrange(RESUBSCRIBE_JITTER << min(session.mismatches, 5))
+        session.mismatches += 1
+        session.generation += 1
+        session.to_add = {dest: None for dest in self._interests if session.name in self._owners[dest]}
+        session.subscribed, session.digest, session.to_drop = set(), 0, {}
+
+    def _broker_failed(self, session: BrokerSession, now: int) -> None:
+        """The broker does not answer, or is shutting down: others own its destinations until it answers again."""
+        if not session.answering:
             return
-        place.answering = False
-        place.generation += 1
-        place.told, place.digest, place.drop, place.add = set(), 0, {}, {}
-        self.events.append(("peers-broker-silent", {"broker": place.name, "life": place.life}))
+        session.answering = False
+        session.generation += 1
+        session.subscribed, session.digest, session.to_drop, session.to_add = set(), 0, {}, {}
+        self.events.append(("peers-broker-silent", {"broker": session.name, "life": session.epoch}))
         for other in self.places.values():
-            if other is not place:
-                other.refill = max(other.refill, now + self._random.randrange(REFILL))
-        for dest in self._concern:
-            if place.name in self._owners[dest]:
-                self._place(dest, now)
+            if other is not session:
+                other.add_after = max(other.add_after, now + self._random.randrange(RESUBSCRIBE_JITTER))
+        for dest in self._interests:
+            if session.name in self._owners[dest]:
+                self._assign_owners(dest, now)
 
-    def _some(self, span: int) -> int:
-        """About so long: couriers that began together drift apart."""
-        return int(span * self._random.uniform(0.8, 1.0))
+    def _jitter(self, interval: int) -> int:
+        """80 to 100 % of the interval, so that couriers that started together drift apart."""
+        return int(interval * self._random.uniform(0.8, 1.0))
 
-    # Time
+    # Timers
 
     def tick(self, now: int) -> Out:
-        """What is due: renewals, and what changed."""
+        """Messages that are due: renewals, and changes of subscriptions."""
         if self.silent:
             return []
-        while self._concern:
-            dest, last = next(iter(self._concern.items()))
-            if now - last < INTEREST:
+        while self._interests:
+            dest, last_used = next(iter(self._interests.items()))
+            if now - last_used < INTEREST_TTL:
                 break
-            self._leave(dest, now)
-        return [(place.name, words) for place in self.places.values() if (words := self._due(place, now))]
-
-    def _due(self, place: Place, now: int) -> list[Word]:
-        words: list[Word] = []
-        if now >= place.next:
-            words.append(self._renew(place, now))
-        if not place.answering:
-            return words
-        if place.drop:
-            over = [dest for dest, when in place.drop.items() if now >= when][:PIECE]
-            for dest in over:
-                del place.drop[dest]
-                place.told.discard(dest)
-                place.digest ^= mark(dest)
-            if over:
-                words.append(Unsubscribe(place.generation, over))
-        if place.add and now >= place.refill:
-            added = list(place.add)[:PIECE]
+            self._drop_interest(dest, now)
+        return [(session.name, messages) for session in self.places.values() if (messages := self._due(session, now))]
+
+    def _due(self, session: BrokerSession, now: int) -> list[Word]:
+        messages: list[Word] = []
+        if now >= session.next_renewal:
+            messages.append(self._renew(session, now))
+        if not session.answering:
+            return messages
+        if session.to_drop:
+            dropped = [dest for dest, when in session.to_drop.items() if now >= when][:PIECE]
+            for dest in dropped:
+                del session.to_drop[dest]
+                session.subscribed.discard(dest)
+                session.digest ^= mark(dest)
+            if dropped:
+                messages.append(Unsubscribe(session.generation, dropped))
+        if session.to_add and now >= session.add_after:
+            added = list(session.to_add)[:PIECE]
             for dest in added:
-                del place.add[dest]
-                place.told.add(dest)
-                place.digest ^= mark(dest)
-            words.append(Subscribe(place.generation, added))
-        return words
-
-    def _renew(self, place: Place, now: int) -> Renew:
-        if place.open and place.tries >= (TRIES if place.answering else 1):
-            place.open = False
-            place.missed += 1
-            if place.missed >= MISSED:
-                self._lost(place, now)
-        if not place.open:
-            self._n += 1
-            place.n, place.open, place.tries = self._n, True, 0
-        place.tries += 1
-        place.next = now + self._some(RETRY if place.answering else TERM)
-        return Renew(place.n, *self.address, self.number, place.life, place.generation, len(place.told), place.digest)
-
-    # For people
-
-    def stand(self, now: int) -> dict[str, dict[str, Any]]:
-        """For people, by broker: answering, life, keys, answered_ms (age of the last answer; None: none yet)."""
+                del session.to_add[dest]
+                session.subscribed.add(dest)
+                session.digest ^= mark(dest)
+            messages.append(Subscribe(session.generation, added))
+        return messages
+
+    def _renew(self, session: BrokerSession, now: int) -> Renew:
+        if session.open and session.attempts >= (RENEWAL_ATTEMPTS if session.answering else 1):
+            session.open = False
+            session.missed += 1
+            if session.missed >= MAX_MISSED_RENEWALS:
+                self._broker_failed(session, now)
+        if not session.open:
+            self._last_n += 1
+            session.n, session.open, session.attempts = self._last_n, True, 0
+        session.attempts += 1
+        session.next_renewal = now + self._jitter(RENEWAL_RETRY_INTERVAL if session.answering else TERM)
+        return Renew(
+            session.n,
+            *self.address,
+            self.number,
+            session.epoch,
+            session.generation,
+            len(session.subscribed),
+            session.digest,
+        )
+
+    # Reports
+
+    def status(self, now: int) -> dict[str, dict[str, Any]]:
+        """For operators, by broker: answering, life (epoch), keys, answered_ms (age of the last reply; None: none)."""
         return {
             name: {
-                "answering": place.answering,
-                "life": place.life,
-                "keys": len(place.told),
-                "answered_ms": None if place.answered is None else (now - place.answered) // MS,
+                "answering": session.answering,
+                "life": session.epoch,
+                "keys": len(session.subscribed),
+                "answered_ms": None if session.answered is None else (now - session.answered) // MS,
             }
-            for name, place in self.places.items()
+            for name, session in self.places.items()
         }
 
 
-# A broker's side
+# Broker side
 
 
 @dataclass(slots=True)
-class Allowance:
-    """Words a second that somebody may have passed on, saved up for one second."""
+class TokenBucket:
+    """Limits the observations per second that one sender may have relayed; allows a burst of one second."""
 
     rate: int
-    left: float
-    at: int
+    tokens: float
+    updated_at: int
 
     def take(self, now: int) -> bool:
-        """One word, if it may."""
-        self.left = min(float(self.rate), self.left + self.rate * (now - self.at) / SECOND)
-        self.at = now
-        if self.left < 1:
+        """Take one token; false if there is none."""
+        self.tokens = min(float(self.rate), self.tokens + self.rate * (now - self.updated_at) / SECOND)
+        self.updated_at = now
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
 @dataclass(slots=True)
-class Subscribed:
-    """One courier, as a broker holds it."""
+class CourierLease:
+    """A broker's state for one courier."""
 
     name: str
     address: Address
     number: int
-    life: int
-    until: int  # then it lapses
-    may: Allowance
-    spent: int = 0  # until when what its words took of the bytes a second is its part of them
-    known: int = 0  # the life of ours that it has named
+    epoch: int
+    expires_at: int
+    rate_limit: TokenBucket
+    bandwidth_used_until: int = 0  # its share of the bandwidth is used up until then
+    known_epoch: int = 0  # our epoch as the courier has named it
     generation: int = 0
     dests: set[int] = field(default_factory=set)
     digest: int = 0
 
 
 @dataclass(slots=True)
-class Colleague:
-    """Another broker, as a broker holds it."""
+class RemoteBroker:
+    """A broker's state for one other broker."""
 
-    may: Allowance
-    next: int
-    n: int = 0
-    open: bool = False
+    rate_limit: TokenBucket
+    next_ping: int
+    n: int = 0  # of the last ping
+    open: bool = False  # the last ping is unanswered
     missed: int = 0
 
     @property
     def answering(self) -> bool:
-        """Whether it counts as there."""
-        return self.missed < MISSED * TRIES
+        """Whether it counts as available."""
+        return self.missed < MAX_MISSED_RENEWALS * RENEWAL_ATTEMPTS
 
 
-class Who(NamedTuple):
-    """Whose word on what: what is repeated under the same is the same, or a later one."""
+class ObservationKey(NamedTuple):
+    """Source and subject of an observation: a later one under the same key is a repetition or replaces it."""
 
     endpoint: str
     witness: str
@@ -415,438 +430,481 @@
 
 
 @dataclass(slots=True)
-class Kept:
-    """A witness's last word on an endpoint, while it is fresh."""
+class CachedObservation:
+    """A witness's latest observation of an endpoint, kept while it is fresh."""
 
     number: int
-    life: int
+    epoch: int
     seen: Seen
-    at: int  # when it was seen, by our clock; not earlier than it was
-    passed: int  # when it was passed on last
+    seen_at: int  # by our clock; not earlier than it really was
+    relayed_at: int  # when it was last relayed
 
-    def word(self, who: Who, now: int) -> Relayed:
-        """As it goes to a subscriber."""
-        return Relayed(who.witness, self.number, self.life, self.aged(now), who.origin)
+    def to_message(self, key: ObservationKey, now: int) -> Relayed:
+        """The message to a subscriber."""
+        return Relayed(key.witness, self.number, self.epoch, self.aged(now), key.origin)
 
     def aged(self, now: int) -> Seen:
-        """With the age that it has by now."""
+        """The observation with its present age."""
         seen = self.seen
-        age = min(max(0, now - self.at) // MS, 3_600_000)
+        age = min(max(0, now - self.seen_at) // MS, 3_600_000)
         return Seen(seen.endpoint, seen.kind, age, seen.value, seen.n)
 
 
 class Broker:
-    """All that one broker decides. As ``Peer`` is for a courier: ``hear`` takes what arrived, ``tick`` what is due."""
+    """All decisions of one broker. As ``Peer`` for a courier: ``hear`` handles datagrams, ``tick`` timers."""
 
     def __init__(self, about: BrokerAbout, now: int, seed: int) -> None:
-        """It serves at once, with nothing held: leases are filled again as couriers renew them."""
+        """It serves at once, without state: couriers fill it again as they renew their leases."""
         self.about = about
         self.sealer = Sealer(about.name, about.life, about.keys)
-        self.events: Events = []  # the caller takes them; loud: broker-name-twice, broker-number-twice
+        self.events: Events = []  # emptied by the caller; errors: broker-name-twice, broker-number-twice
         self.stepped_back = False  # a younger process has our name: nothing is sent any more
-        self.silent = False  # or this one ends
+        self.silent = False  # stepped back, or shut down
         self.sent = self.received = self.held_back = self.passed_on = self.forwarded = self.stalled = 0
-        self.refused: Counter[str] = Counter()  # words that were not taken, by why
+        self.refused: Counter[str] = Counter()  # rejected messages, by reason
         self._random = Random(seed)
-        self._subscribed: dict[str, Subscribed] = {}
-        self._keys: dict[int, dict[str, None]] = {}  # by destination: its subscribers
-        self._held = 0  # subscriptions of all
-        self._numbers: dict[int, str] = {}  # by place among the couriers: who has it
-        self._others = {
-            name: Colleague(Allowance(FORWARDED, FORWARDED, now), now + self._random.randrange(TERM // 3))
+        self._subscribed: dict[str, CourierLease] = {}
+        self._subscribers_of: dict[int, dict[str, None]] = {}  # by destination
+        self._subscription_count = 0  # of all couriers together
+        self._courier_by_number: dict[int, str] = {}
+        self._remote_brokers = {
+            name: RemoteBroker(TokenBucket(FORWARD_RATE, FORWARD_RATE, now), now + self._random.randrange(TERM // 3))
             for name in about.brokers
             if name != about.name
         }
         self._regions = {
-            region: of_region(about.brokers, region) for region in sorted({region_of(name) for name in about.brokers})
+            region: brokers_in_region(about.brokers, region)
+            for region in sorted({region_of(name) for name in about.brokers})
         }
-        self._fresh: dict[int, dict[Who, Kept]] = {}  # by destination
-        self._kept = 0  # words in it
-        self._due: dict[tuple[int, Who], None] = {}  # what is passed on with the next tick
-        self._newcomers: dict[str, set[int]] = {}  # who subscribed since the last tick, to what
-        self._above: set[str] = set()  # couriers that have heard of a life above ours
-        self._n = self._random.randrange(1, 1 << 32)
-        self._ticked = self._swept = self._filled = now
-        self._late = False  # we were stopped, and have not ticked since
-        self._room = float(about.bytes_a_second)
-        self._told: dict[tuple[str, str], int] = {}
-        self._dropped: Counter[str] = Counter()
-
-    # What arrives
+        self._observations: dict[int, dict[ObservationKey, CachedObservation]] = {}  # by destination
+        self._observation_count = 0
+        self._to_relay: dict[tuple[int, ObservationKey], None] = {}  # relayed with the next tick
+        self._new_subscriptions: dict[str, set[int]] = {}  # since the last tick, by courier
+        self._seen_newer_epoch: set[str] = set()  # couriers that have reported an epoch above ours
+        self._last_n = self._random.randrange(1, 1 << 32)
+        self._last_tick = self._last_sweep = self._refilled_at = now
+        self._after_stall = False  # the last tick came after a stall: what is read until the next one may be late
+        self._available_bytes = float(about.bytes_a_second)
+        self._reported_at: dict[tuple[str, str], int] = {}  # by event and subject
+        self._reported_drops: Counter[str] = Counter()  # by kind: dropped datagrams that are reported already
+
+    # Incoming datagrams
 
     def hear(self, data: bytes, now: int) -> Datagrams:
-        """A datagram arrived. Answers to it; words are passed on with the next tick."""
+        """Handle a datagram and return the replies; observations are relayed with the next tick."""
         self.received += len(data)
         try:
-            told = self.sealer.open(data)
-        except Dropped as dropped:
-            kind = dropped.args[0]
-            if kind != "old-life" and self._may_tell("broker-dropped", kind, now):
+            datagram = self.sealer.open(data)
+        except DatagramRejectedError as error:
+            kind = error.args[0]
+            if kind != "old-life" and self._may_report("broker-dropped", kind, now):
                 self.events.append(
-                    ("broker-dropped", {"kind": kind, "count": self.sealer.dropped[kind] - self._dropped[kind]})
+                    (
+                        "broker-dropped",
+                        {"kind": kind, "count": self.sealer.dropped[kind] - self._reported_drops[kind]},
+                    )
                 )
-                self._dropped[kind] = self.sealer.dropped[kind]
+                self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if told.sender == self.about.name:  # our own name, with the key: another process, whose life decides
-            if told.life > self.about.life:
-                self._step_back(told.life, now)
+        if datagram.sender == self.about.name:  # another process with our name and the key: the higher epoch wins
+            if datagram.life > self.about.life:
+                self._step_back(datagram.life, now)
             return []
         if self.silent:
             return []
-        late = self._late or now - self._ticked > STALL
-        if told.sender in self._others:
-            return self._of_broker(told, late, now)
-        return self._of_courier(told, late, now)
+        late = self._after_stall or now - self._last_tick > STALL_THRESHOLD
+        if datagram.sender in self._remote_brokers:
+            return self._handle_broker(datagram, late, now)
+        return self._handle_courier(datagram, late, now)
 
-    def _of_courier(self, told: Datagram, late: bool, now: int) -> Datagrams:
+    def _handle_courier(self, datagram: Datagram, late: bool, now: int) -> Datagrams:
         out: Datagrams = []
-        for word in told.words:
-            if isinstance(word, Renew):
-                out += self._renewed(told.sender, told.life, word, now)
+        for message in datagram.words:
+            if isinstance(message, Renew):
+                out += self._renew_lease(datagram.sender, datagram.life, message, now)
                 continue
-            held = self._subscribed.get(told.sender)
-            if held is None or held.life != told.life:
+            lease = self._subscribed.get(datagram.sender)
+            if lease is None or lease.epoch != datagram.life:
                 self.refused["unknown"] += 1
-            elif isinstance(word, Subscribe):
-                self._subscribe(held, word)
-            elif isinstance(word, Unsubscribe):
-                self._unsubscribe(held, word)
-            elif isinstance(word, Publish):
-                self._published(held, word, late, now)
+            elif isinstance(message, Subscribe):
+                self._subscribe(lease, message)
+            elif isinstance(message, Unsubscribe):
+                self._unsubscribe(lease, message)
+            elif isinstance(message, Publish):
+                self._handle_publish(lease, message, late, now)
             else:
                 self.refused["odd"] += 1
         return out
 
-    def _of_broker(self, told: Datagram, late: bool, now: int) -> Datagrams:
-        other, out = self._others[told.sender], []
-        for word in told.words:
-            if isinstance(word, Ping):
-                out.append(Ack(word.n))
-            elif isinstance(word, Ack):
-                if other.open and word.n == other.n:
+    def _handle_broker(self, datagram: Datagram, late: bool, now: int) -> Datagrams:
+        other, replies = self._remote_brokers[datagram.sender], []
+        for message in datagram.words:
+            if isinstance(message, Ping):
+                replies.append(Ack(message.n))
+            elif isinstance(message, Ack):
+                if other.open and message.n == other.n:
                     other.open, other.missed = False, 0
-            elif not isinstance(word, Forward) or region_of(told.sender) == self.about.region:
+            elif not isinstance(message, Forward) or region_of(datagram.sender) == self.about.region:
                 self.refused["odd"] += 1
             elif late:
                 self.refused["late"] += 1
-            elif word.number >= self.about.couriers:
+            elif message.number >= self.about.couriers:
                 self.refused["no-place"] += 1
-            elif not other.may.take(now):
+            elif not other.rate_limit.take(now):
                 self.refused["flood"] += 1
             else:
-                who = Who(word.seen.endpoint, word.witness, told.sender, word.seen.kind == LIMIT)
-                self._take(word.dest, who, Kept(word.number, word.life, word.seen, now - word.seen.age * MS, now), now)
-        return self._send(told.sender, self.about.brokers[told.sender], [*out], now, True)
-
-    def _renewed(self, name: str, life: int, word: Renew, now: int) -> Datagrams:
-        """A lease goes on, or begins. Its holder is told whether what is held is what it should be."""
-        if word.known > self.about.life:
-            self._above.add(name)
-            if len(self._above) >= 2:
-                self._step_back(word.known, now)
+                key = ObservationKey(
+                    message.seen.endpoint, message.witness, datagram.sender, message.seen.kind == LIMIT_KIND
+                )
+                self._accept(
+                    message.dest,
+                    key,
+                    CachedObservation(message.number, message.life, message.seen, now - message.seen.age * MS, now),
+                    now,
+                )
+        return self._send(datagram.sender, self.about.brokers[datagram.sender], [*replies], now, True)
+
+    def _renew_lease(self, name: str, epoch: int, message: Renew, now: int) -> Datagrams:
+        """Renew or create a lease. The reply says whether the held subscriptions match the courier's digest."""
+        if message.known > self.about.life:
+            self._seen_newer_epoch.add(name)
+            if len(self._seen_newer_epoch) >= 2:
+                self._step_back(message.known, now)
                 return []
-        held = self._subscribed.get(name)
-        if word.number >= self.about.couriers:
+        lease = self._subscribed.get(name)
+        if message.number >= self.about.couriers:
             self.refused["no-place"] += 1
             return []
-        if held is None and len(self._subscribed) >= self.about.most_subscribers:
+        if lease is None and len(self._subscribed) >= self.about.max_subscribers:
             self.refused["subscribers"] += 1
-            if self._may_tell("broker-full", "", now):
+            if self._may_report("broker-full", "", now):
                 self.events.append(("broker-full", {"subscribers": len(self._subscribed)}))
             return []
-        if held is None or held.life < life:
-            may = held.may if held is not None else Allowance(PUBLISHED, PUBLISHED, now)  # a start saves nothing up
-            if held is not None:
-                self._forget(held)
-            held = self._subscribed[name] = Subscribed(name, (word.host, word.port), word.number, life, 0, may)
-        if word.generation > held.generation:
-            self._clear(held)
-            held.generation = word.generation
-        held.address, held.number, held.until = (word.host, word.port), word.number, now + TERM
-        held.known = max(held.known, word.known)
-        self._has_place(word.number, name, now)
-        ok = len(held.dests) == word.count and held.digest == word.digest and held.generation == word.generation
-        return self._send(name, held.address, [Lease(word.n, ok)], now, True)
-
-    def _has_place(self, number: int, name: str, now: int) -> None:
-        """Two couriers at one place have one part of each budget twice: in different groups only brokers see both."""
-        rival = self._numbers.get(number)
+        if lease is None or lease.epoch < epoch:
+            rate_limit = (  # a restart does not refill the bucket
+                lease.rate_limit if lease is not None else TokenBucket(PUBLISH_RATE, PUBLISH_RATE, now)
+            )
+            if lease is not None:
+                self._remove_lease(lease)
+            lease = self._subscribed[name] = CourierLease(
+                name, (message.host, message.port), message.number, epoch, 0, rate_limit
+            )
+        if message.generation > lease.generation:
+            self._unsubscribe_all(lease)
+            lease.generation = message.generation
+        lease.address, lease.number, lease.expires_at = (message.host, message.port), message.number, now + TERM
+        lease.known_epoch = max(lease.known_epoch, message.known)
+        self._check_number(message.number, name, now)
+        ok = (
+            len(lease.dests) == message.count
+            and lease.digest == message.digest
+            and lease.generation == message.generation
+        )
+        return self._send(name, lease.address, [Lease(message.n, ok)], now, True)
+
+    def _check_number(self, number: int, name: str, now: int) -> None:
+        """Report two couriers with one number: they spend one share of each budget twice.
+
+        Where they are in different groups, only brokers see both.
+        """
+        rival = self._courier_by_number.get(number)
         if (
             rival is not None
             and rival != name
             and rival in self._subscribed
             and self._subscribed[rival].number == number
         ):
-            if self._may_tell("broker-number-twice", str(number), now):
+            if self._may_report("broker-number-twice", str(number), now):
                 self.events.append(("broker-number-twice", {"courier": name, "rival": rival, "number": number}))
         elif name in self._subscribed:
-            self._numbers[number] = name
+            self._courier_by_number[number] = name
 
-    def _subscribe(self, held: Subscribed, word: Subscribe) -> None:
-        if word.generation < held.generation:
+    def _subscribe(self, lease: CourierLease, message: Subscribe) -> None:
+        if message.generation < lease.generation:
             return
-        if word.generation > held.generation:
-            self._clear(held)
-            held.generation = word.generation
-        for dest in word.dests:
-            if dest in held.dests:
+        if message.generation > lease.generation:
+            self._unsubscribe_all(lease)
+            lease.generation = message.generation
+        for dest in message.dests:
+            if dest in lease.dests:
                 continue
-            if len(held.dests) >= MOST_KEYS or self._held >= MOST_HELD:
+            if len(lease.dests) >= MAX_INTERESTS or self._subscription_count >= MAX_SUBSCRIPTIONS:
                 self.refused["keys"] += 1
                 continue
-            held.dests.add(dest)
-            held.digest ^= mark(dest)
-            self._held += 1
-            self._keys.setdefault(dest, {})[held.name] = None
-            if dest in self._fresh:
-                self._newcomers.setdefault(held.name, set()).add(dest)
-
-    def _unsubscribe(self, held: Subscribed, word: Unsubscribe) -> None:
-        if word.generation == held.generation:
-            for dest in word.dests:
-                self._end(held, dest)
-
-    def _end(self, held: Subscribed, dest: int) -> None:
-        if dest not in held.dests:
+            lease.dests.add(dest)
+            lease.digest ^= mark(dest)
+            self._subscription_count += 1
+            self._subscribers_of.setdefault(dest, {})[lease.name] = None
+            if dest in self._observations:
+                self._new_subscriptions.setdefault(lease.name, set()).add(dest)
+
+    def _unsubscribe(self, lease: CourierLease, message: Unsubscribe) -> None:
+        if message.generation == lease.generation:
+            for dest in message.dests:
+                self._remove_subscription(lease, dest)
+
+    def _remove_subscription(self, lease: CourierLease, dest: int) -> None:
+        if dest not in lease.dests:
             return
-        held.dests.discard(dest)
-        held.digest ^= mark(dest)
-        self._held -= 1
-        names = self._keys[dest]
-        del names[held.name]
+        lease.dests.discard(dest)
+        lease.digest ^= mark(dest)
+        self._subscription_count -= 1
+        names = self._subscribers_of[dest]
+        del names[lease.name]
         if not names:
-            del self._keys[dest]
+            del self._subscribers_of[dest]
 
-    def _clear(self, held: Subscribed) -> None:
-        for dest in list(held.dests):
-            self._end(held, dest)
+    def _unsubscribe_all(self, lease: CourierLease) -> None:
+        for dest in list(lease.dests):
+            self._remove_subscription(lease, dest)
 
-    def _forget(self, held: Subscribed) -> None:
-        self._clear(held)
-        del self._subscribed[held.name]
-        self._newcomers.pop(held.name, None)
-        if self._numbers.get(held.number) == held.name:
-            del self._numbers[held.number]
+    def _remove_lease(self, lease: CourierLease) -> None:
+        self._unsubscribe_all(lease)
+        del self._subscribed[lease.name]
+        self._new_subscriptions.pop(lease.name, None)
+        if self._courier_by_number.get(lease.number) == lease.name:
+            del self._courier_by_number[lease.number]
 
-    # Words on endpoints
+    # Observations
 
-    def _published(self, held: Subscribed, word: Publish, late: bool, now: int) -> None:
+    def _handle_publish(self, lease: CourierLease, message: Publish, late: bool, now: int) -> None:
         if late:
             self.refused["late"] += 1
-        elif held.known != self.about.life:  # a replay from before we began, or one that has not heard us yet
+        elif lease.known_epoch != self.about.life:  # a replay from before our start, or our reply has not arrived yet
             self.refused["unready"] += 1
-        elif not held.may.take(now):
+        elif not lease.rate_limit.take(now):
             self.refused["flood"] += 1
-            if self._may_tell("broker-flooded", held.name, now):
-                self.events.append(("broker-flooded", {"courier": held.name, "words_a_second": PUBLISHED}))
-        elif now < held.spent:  # one word may be larger than its part: then the next waits for it
+            if self._may_report("broker-flooded", lease.name, now):
+                self.events.append(("broker-flooded", {"courier": lease.name, "words_a_second": PUBLISH_RATE}))
+        elif now < lease.bandwidth_used_until:  # one observation may exceed the share: the next has to wait for it
             self.refused["share"] += 1
         else:
-            who = Who(word.seen.endpoint, held.name, "", word.seen.kind == LIMIT)
-            kept = Kept(held.number, held.life, word.seen, now - word.seen.age * MS, now)
-            if self._take(word.dest, who, kept, now):
-                cost = COST * (len(self._keys.get(word.dest, ())) + len(self._regions) - 1)
-                part = PART * self.about.bytes_a_second
-                held.spent = max(held.spent, now - SECOND) + int(cost * SECOND / part)
-
-    def _take(self, dest: int, who: Who, kept: Kept, now: int) -> bool:
-        """A word that is new, and not one of too many, is passed on with the next tick."""
-        if now - kept.at > FRESH and not who.limit:
+            key = ObservationKey(message.seen.endpoint, lease.name, "", message.seen.kind == LIMIT_KIND)
+            observation = CachedObservation(lease.number, lease.epoch, message.seen, now - message.seen.age * MS, now)
+            if self._accept(message.dest, key, observation, now):
+                cost = RELAY_COST_BYTES * (len(self._subscribers_of.get(message.dest, ())) + len(self._regions) - 1)
+                share = COURIER_BANDWIDTH_SHARE * self.about.bytes_a_second
+                lease.bandwidth_used_until = max(lease.bandwidth_used_until, now - SECOND) + int(cost * SECOND / share)
+
+    def _accept(self, dest: int, key: ObservationKey, observation: CachedObservation, now: int) -> bool:
+        """Queue an observation for the next tick, unless it is old, a duplicate or beyond a limit."""
+        if now - observation.seen_at > OBSERVATION_TTL and not key.limit:
             self.refused["old"] += 1
             return False
-        of_dest = self._fresh.get(dest, {})
-        known = of_dest.get(who)
+        of_dest = self._observations.get(dest, {})
+        known = of_dest.get(key)
         if known is not None:
-            before, after = (known.life, known.seen.n), (kept.life, kept.seen.n)
-            if after < before or after == before and now - known.passed < AGAIN:
+            before, after = (known.epoch, known.seen.n), (observation.epoch, observation.seen.n)
+            if after < before or after == before and now - known.relayed_at < MIN_REPEAT_INTERVAL:
                 self.refused["repeated"] += 1
                 return False
             if after == before:
-                kept.at = min(known.at, kept.at)  # the same word by a longer way
-        elif len(of_dest) >= OF_ONE or self._kept >= MOST_FRESH:
+                observation.seen_at = min(known.seen_at, observation.seen_at)  # the same one by a slower path
+        elif len(of_dest) >= MAX_OBSERVATIONS_PER_DESTINATION or self._observation_count >= MAX_OBSERVATIONS:
             self.refused["too-many"] += 1
             return False
-        same = {
+        witnesses = {
             each.witness
             for each, other in of_dest.items()
-            if each.endpoint == who.endpoint
-            and each.origin == who.origin
-            and other.seen.kind == kept.seen.kind
-            and now - other.passed < FRESH
+            if each.endpoint == key.endpoint
+            and each.origin == key.origin
+            and other.seen.kind == observation.seen.kind
+            and now - other.relayed_at < OBSERVATION_TTL
         }
-        if len(same) >= ENOUGH and who.witness not in same:
+        if len(witnesses) >= MAX_WITNESSES and key.witness not in witnesses:
             self.refused["enough"] += 1
             return False
-        self._has_place(kept.number, who.witness, now)
-        self._kept += known is None
-        self._fresh.setdefault(dest, of_dest)[who] = kept
-        self._due[(dest, who)] = None
+        self._check_number(observation.number, key.witness, now)
+        self._observation_count += known is None
+        self._observations.setdefault(dest, of_dest)[key] = observation
+        self._to_relay[(dest, key)] = None
         return True
 
-    def _owners(self, region: str, dest: int) -> list[str]:
+    def _find_owners(self, region: str, dest: int) -> list[str]:
         return [
             name
-            for name in order(self._regions[region], dest)
-            if name == self.about.name or self._others[name].answering
+            for name in rendezvous_order(self._regions[region], dest)
+            if name == self.about.name or self._remote_brokers[name].answering
         ]
 
-    # Time
+    # Timers
 
     def tick(self, now: int) -> Datagrams:
-        """Time has passed; to be called every 50 ms, with the socket read empty between two ticks if that can be."""
-        self._late = now - self._ticked > STALL
-        if self._late:
+        """Handle timers. To be called every 50 ms, if possible with the socket read empty between two ticks."""
+        self._after_stall = now - self._last_tick > STALL_THRESHOLD
+        if self._after_stall:
             self.stalled += 1
-            self.events.append(("broker-stalled", {"ms": (now - self._ticked) // MS}))
-        self._ticked = now
+            self.events.append(("broker-stalled", {"ms": (now - self._last_tick) // MS}))
+        self._last_tick = now
         if self.silent:
             return []
-        out = self._pass_on(now)
-        for name, other in self._others.items():
-            if now >= other.next:
+        out = self._relay(now)
+        for name, other in self._remote_brokers.items():
+            if now >= other.next_ping:
                 other.missed += other.open
-                self._n += 1
-                span = RETRY if 0 < other.missed < MISSED * TRIES else TERM // 3
-                other.n, other.open, other.next = self._n, True, now + int(span * self._random.uniform(0.8, 1.0))
+                self._last_n += 1
+                interval = (
+                    RENEWAL_RETRY_INTERVAL if 0 < other.missed < MAX_MISSED_RENEWALS * RENEWAL_ATTEMPTS else TERM // 3
+                )
+                other.n, other.open, other.next_ping = (
+                    self._last_n,
+                    True,
+                    now + int(interval * self._random.uniform(0.8, 1.0)),
+                )
                 out += self._send(name, self.about.brokers[name], [Ping(other.n)], now, True)
-        if now >= self._swept + SWEEP:
-            self._swept = now
+        if now >= self._last_sweep + SWEEP_INTERVAL:
+            self._last_sweep = now
             self._sweep(now)
         return out
 
-    def _pass_on(self, now: int) -> Datagrams:
-        """One datagram or a few for each that there is something to say to."""
-        whom: dict[str, list[Word]] = {}
-        due, self._due = self._due, {}
-        newcomers, self._newcomers = self._newcomers, {}
-        for dest, who in due:
-            kept = self._fresh.get(dest, {}).get(who)
-            if kept is None or now - kept.at > FRESH and not who.limit:
+    def _relay(self, now: int) -> Datagrams:
+        """Send queued observations, and fresh ones to new subscribers: one or a few datagrams for each receiver."""
+        by_receiver: dict[str, list[Word]] = {}
+        due, self._to_relay = self._to_relay, {}
+        new_subscriptions, self._new_subscriptions = self._new_subscriptions, {}
+        for dest, key in due:
+            observation = self._observations.get(dest, {}).get(key)
+            if observation is None or now - observation.seen_at > OBSERVATION_TTL and not key.limit:
                 continue
-            word = kept.word(who, now)
-            for name in self._keys.get(dest, ()):
-                if name != who.witness:
-                    whom.setdefault(name, []).append(word)
-            if not who.origin:
-                self._forward(dest, who, kept, now, whom)
-        for name, dests in newcomers.items():
+            message = observation.to_message(key, now)
+            for name in self._subscribers_of.get(dest, ()):
+                if name != key.witness:
+                    by_receiver.setdefault(name, []).append(message)
+            if not key.origin:
+                self._forward(dest, key, observation, now, by_receiver)
+        for name, dests in new_subscriptions.items():
             for dest in dests:
-                whom.setdefault(name, []).extend(
-                    kept.word(who, now)
-                    for who, kept in self._fresh.get(dest, {}).items()
-                    if (dest, who) not in due and who.witness != name and (who.limit or now - kept.at <= FRESH)
+                by_receiver.setdefault(name, []).extend(
+                    observation.to_message(key, now)
+                    for key, observation in self._observations.get(dest, {}).items()
+                    if (dest, key) not in due
+                    and key.witness != name
+                    and (key.limit or now - observation.seen_at <= OBSERVATION_TTL)
                 )
         out: Datagrams = []
-        for name in self._random.sample(list(whom), len(whom)):  # where not all fits, it is not always the same
-            held = self._subscribed.get(name)
-            address = held.address if held is not None else self.about.brokers.get(name)
+        # In random order: where the bandwidth does not suffice for all, it is not always the same ones that lose.
+        for name in self._random.sample(list(by_receiver), len(by_receiver)):
+            lease = self._subscribed.get(name)
+            address = lease.address if lease is not None else self.about.brokers.get(name)
             if address is not None:
-                out += self._send(name, address, whom[name], now)
+                out += self._send(name, address, by_receiver[name], now)
         return out
 
-    def _forward(self, dest: int, who: Who, kept: Kept, now: int, whom: dict[str, list[Word]]) -> None:
+    def _forward(
+        self,
+        dest: int,
+        key: ObservationKey,
+        observation: CachedObservation,
+        now: int,
+        by_receiver: dict[str, list[Word]],
+    ) -> None:
         """To one owner in each other region: the first of ours to the first of theirs, the second to the second."""
-        ours = self._owners(self.about.region, dest).index(self.about.name) % COPIES
-        word = Forward(who.witness, kept.number, kept.life, dest, kept.aged(now))
+        rank = self._find_owners(self.about.region, dest).index(self.about.name) % COPIES
+        message = Forward(key.witness, observation.number, observation.epoch, dest, observation.aged(now))
         for region in self._regions:
             if region == self.about.region:
                 continue
-            theirs = self._owners(region, dest)
-            if theirs:
-                whom.setdefault(theirs[min(ours, len(theirs) - 1)], []).append(word)
+            owners = self._find_owners(region, dest)
+            if owners:
+                by_receiver.setdefault(owners[min(rank, len(owners) - 1)], []).append(message)
 
     def _sweep(self, now: int) -> None:
-        """What has lapsed, and words that are fresh no longer."""
-        for held in [held for held in self._subscribed.values() if now >= held.until]:
-            self._forget(held)
-        for dest, of_dest in list(self._fresh.items()):
-            over = [who for who, kept in of_dest.items() if now - kept.passed > FRESH]
-            for who in over:
-                del of_dest[who]
-            self._kept -= len(over)
+        """Remove expired leases and observations, and the records of events that may be reported again."""
+        for lease in [lease for lease in self._subscribed.values() if now >= lease.expires_at]:
+            self._remove_lease(lease)
+        for dest, of_dest in list(self._observations.items()):
+            expired = [key for key, observation in of_dest.items() if now - observation.relayed_at > OBSERVATION_TTL]
+            for key in expired:
+                del of_dest[key]
+            self._observation_count -= len(expired)
             if not of_dest:
-                del self._fresh[dest]
-        self._told = {key: at for key, at in self._told.items() if now < at + TELL_EVERY}
+                del self._observations[dest]
+        self._reported_at = {which: at for which, at in self._reported_at.items() if now < at + EVENT_INTERVAL}
 
     def leave(self, now: int) -> Datagrams:
-        """The process ends: what waits is passed on now, and subscribers are told to go elsewhere."""
+        """Shut down: relay what is queued, and tell subscribers to use other brokers."""
         if self.silent:
             return []
-        out = self._pass_on(now)
-        for held in list(self._subscribed.values()):
-            out += self._send(held.name, held.address, [Lease(0, False)], now, True)
+        out = self._relay(now)
+        for lease in list(self._subscribed.values()):
+            out += self._send(lease.name, lease.address, [Lease(0, False)], now, True)
         self.silent = True
         return out
 
-    def _step_back(self, life: int, now: int) -> None:
-        """Another process has our name, and is younger: the one that couriers listen to."""
+    def _step_back(self, epoch: int, now: int) -> None:
+        """Another process has our name and a higher epoch: couriers accept only its messages."""
         if self.stepped_back:
             return
         self.stepped_back = self.silent = True
-        self._due.clear()
-        self.events.append(("broker-name-twice", {"life": self.about.life, "younger": life}))
+        self._to_relay.clear()
+        self.events.append(("broker-name-twice", {"life": self.about.life, "younger": epoch}))
 
-    def _may_tell(self, event: str, which: str, now: int) -> bool:
-        if now < self._told.get((event, which), -(1 << 60)) + TELL_EVERY or len(self._told) >= MOST_KEYS:
+    def _may_report(self, event: str, which: str, now: int) -> bool:
+        if (
+            now < self._reported_at.get((event, which), -(1 << 60)) + EVENT_INTERVAL
+            or len(self._reported_at) >= MAX_INTERESTS
+        ):
             return False
-        self._told[(event, which)] = now
+        self._reported_at[(event, which)] = now
         return True
 
-    # What leaves
+    # Outgoing datagrams
 
-    def _send(self, name: str, address: Address, words: list[Word], now: int, urgent: bool = False) -> Datagrams:
-        """Words for one, as many to a datagram as go into it, within the bytes a second."""
-        if not words:
+    def _send(self, name: str, address: Address, messages: list[Word], now: int, urgent: bool = False) -> Datagrams:
+        """Pack messages for one receiver into as few datagrams as possible, within the bytes per second."""
+        if not messages:
             return []
-        most = float(self.about.bytes_a_second)
-        self._room = min(most, self._room + most * (now - self._filled) / SECOND)
-        self._filled = now
-        room = MOST - HEAD - 40 - len(name.encode()) - len(self.about.name.encode())
-        parts: list[list[Word]] = [[]]
-        left = room
-        for word in words:
-            size = len(encode(word))
-            if size > room:  # names and endpoints of all that a word has are longer than a datagram
+        bandwidth = float(self.about.bytes_a_second)
+        self._available_bytes = min(bandwidth, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND)
+        self._refilled_at = now
+        capacity = MOST - HEAD - 40 - len(name.encode()) - len(self.about.name.encode())
+        batches: list[list[Word]] = [[]]
+        left = capacity
+        for message in messages:
+            size = len(encode(message))
+            if size > capacity:  # the names and the endpoint in one message can be longer than a datagram
                 self.refused["oversized"] += 1
                 continue
-            if size > left and parts[-1]:
-                parts.append([])
-                left = room
-            parts[-1].append(word)
+            if size > left and batches[-1]:
+                batches.append([])
+                left = capacity
+            batches[-1].append(message)
             left -= size
         out: Datagrams = []
-        for part in parts if parts[0] else []:
-            data = self.sealer.seal(name, part)
-            if len(data) > self._room - (0 if urgent else URGENT * most):
+        for batch in batches if batches[0] else []:
+            data = self.sealer.seal(name, batch)
+            if len(data) > self._available_bytes - (0 if urgent else URGENT_RESERVE * bandwidth):
                 self.held_back += 1
-                if self._may_tell("broker-held-back", "", now):
-                    self.events.append(("broker-held-back", {"datagrams": self.held_back, "bytes_a_second": int(most)}))
+                if self._may_report("broker-held-back", "", now):
+                    self.events.append(
+                        ("broker-held-back", {"datagrams": self.held_back, "bytes_a_second": int(bandwidth)})
+                    )
                 continue
-            self._room -= len(data)
+            self._available_bytes -= len(data)
             self.sent += len(data)
-            self.passed_on += sum(isinstance(word, Relayed) for word in part)
-            self.forwarded += sum(isinstance(word, Forward) for word in part)
+            self.passed_on += sum(isinstance(message, Relayed) for message in batch)
+            self.forwarded += sum(isinstance(message, Forward) for message in batch)
             out.append((address, data))
         return out
 
-    # For people
+    # Reports
 
     def stand(self, now: int) -> dict[str, Any]:
-        """For people: life, subscribers, keys, passed_on, forwarded, held_back, dropped, refused, stalled ..."""
+        """For operators: life (epoch), subscribers, keys, passed_on, forwarded, held_back, refused, stalled ..."""
         return {
             "life": self.about.life,
             "stepped_back": self.stepped_back,
             "subscribers": len(self._subscribed),
-            "keys": len(self._keys),
-            "subscriptions": self._held,
-            "fresh": self._kept,
+            "keys": len(self._subscribers_of),
+            "subscriptions": self._subscription_count,
+            "fresh": self._observation_count,
             "passed_on": self.passed_on,
             "forwarded": self.forwarded,
             "held_back": self.held_back,
             "dropped": dict(self.sealer.dropped),
             "refused": dict(self.refused),
             "stalled": self.stalled,
-            "brokers": {name: other.answering for name, other in self._others.items()},
+            "brokers": {name: other.answering for name, other in self._remote_brokers.items()},
             "bytes_sent": self.sent,
             "bytes_heard": self.received,
         }
--- a/kestrelspar/peers/door.py
+++ b/kestrelspar/peers/door.py
@@ -1,6 +1,6 @@
-"""A local socket in the state folder that only its owner can open: how the peers stand, as one JSON object.
+"""The status socket: a Unix socket in the state directory, accessible only to its owner, that serves one JSON object.
 
-Whoever connects may first send ``fleet`` and a line's end: then the others are asked for their counters before.
+A client may first send ``fleet`` and a newline: then the other couriers are asked for their counters before the reply.
 """
 
 from __future__ import annotations
@@ -18,26 +18,35 @@
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 
 NAME = "peers.sock"
-FLEET, PLAIN = b"fleet\n", b"\n"
-GATHERED = 400 * MS  # answers of the others are waited for so long
-WITHIN = 2 * SECOND  # a reader that takes longer is let go
+FLEET_REQUEST, LOCAL_REQUEST = b"fleet\n", b"\n"
+COUNTER_WAIT = 400 * MS  # for the counters of the other couriers
+CLIENT_TIMEOUT = 2 * SECOND  # for the request, and again for reading the reply
 
 
-class Door:
-    """Answers whoever connects, once."""
+class StatusSocket:
+    """Answers each connection with the status, once."""
 
     def __init__(
-        self, loop: Loop, folder: str, tell: Callable[[], dict[str, Any]], ask_all: Callable[[], None]
+        self,
+        loop: Loop,
+        state_directory: str,
+        status: Callable[[], dict[str, Any]],
+        request_counters: Callable[[], None],
     ) -> None:
-        self.loop, self._path, self._tell, self._ask_all = loop, Path(folder) / NAME, tell, ask_all
+        self.loop, self._path, self._status, self._request_counters = (
+            loop,
+            Path(state_directory) / NAME,
+            status,
+            request_counters,
+        )
 
     def start(self) -> None:
-        """Open it; where that can't be done, the courier serves without."""
+        """Listen; if that fails, the courier serves without a status socket."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
-        mask = os.umask(0o177)  # from its first moment on nobody else may connect
+        mask = os.umask(0o177)  # no other user may connect, from the moment it exists
         try:
-            self._path.unlink(missing_ok=True)  # a former life's
+            self._path.unlink(missing_ok=True)  # of an earlier process
             sock.bind(str(self._path))
             sock.listen(8)
         except OSError as error:
@@ -49,7 +58,7 @@
         self.loop.spawn(self._accept, sock)
 
     def stop(self) -> None:
-        """The process ends."""
+        """Remove the socket file at shutdown."""
         self._path.unlink(missing_ok=True)
 
     def _accept(self, listener: socket.socket) -> None:
@@ -63,30 +72,33 @@
             self.loop.spawn(self._answer, sock)
 
     def _answer(self, sock: socket.socket) -> None:
-        until = self.loop.now + WITHIN
+        deadline = self.loop.now + CLIENT_TIMEOUT
         with suppress(OSError):
-            asked = sock.recv(16) if self.loop.readable(sock, until) else b""
-            if asked == FLEET:
-                self._ask_all()
-                self.loop.sleep(GATHERED)
-            data = msgspec.json.encode(self._tell()) + b"\n"
-            until = self.loop.now + WITHIN
-            while data and self.loop.writable(sock, until):
+            request = sock.recv(16) if self.loop.readable(sock, deadline) else b""
+            if request == FLEET_REQUEST:
+                self._request_counters()
+                self.loop.sleep(COUNTER_WAIT)
+            data = msgspec.json.encode(self._status()) + b"\n"
+            deadline = self.loop.now + CLIENT_TIMEOUT
+            while data and self.loop.writable(sock, deadline):
                 data = data[sock.send(data) :]
         self.loop.forget(sock)
         sock.close()
 
 
-def ask(folder: str, within: float = 5.0, fleet: bool = False) -> dict[str, Any]:
-    """What the courier with this state folder says; ``OSError`` where none does, ``ValueError`` if it is cut short."""
+def ask(state_directory: str, within: float = 5.0, fleet: bool = False) -> dict[str, Any]:
+    """The status of the process with this state directory.
+
+    Raises ``OSError`` if none answers, ``ValueError`` if the reply is truncated.
+    """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(within)
-        sock.connect(str(Path(folder) / NAME))
-        sock.sendall(FLEET if fleet else PLAIN)
-        parts = []
-        while part := sock.recv(65_536):
-            parts.append(part)
-    found = msgspec.json.decode(b"".join(parts))
-    if not isinstance(found, dict):
-        raise ValueError("no object")
-    return found
+        sock.connect(str(Path(state_directory) / NAME))
+        sock.sendall(FLEET_REQUEST if fleet else LOCAL_REQUEST)
+        chunks = []
+        while chunk := sock.recv(65_536):
+            chunks.append(chunk)
+    status = msgspec.json.decode(b"".join(chunks))
+    if not isinstance(status, dict):
+        raise ValueError("the status reply is not a JSON object")
+    return status
--- a/kestrelspar/peers/kept.py
+++ b/kestrelspar/peers/kept.py
@@ -1,4 +1,4 @@
-"""What outlasts a courier's process: its life, the most that it had lent, and its counters."""
+"""State that a courier persists across restarts: its epoch, the most that it had lent, and its counters."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 from kestrelspar.runtime import files, logs
 
-MOST = 256 * 1024  # bytes of the file
+MOST = 256 * 1024  # maximum size of the file in bytes
 
 
 class Kept(Struct):
-    """The file."""
+    """Contents of the state file."""
 
-    life: int
-    lent: dict[str, int] | None = None  # None: nothing is known of what earlier lives lent
+    life: int  # epoch
+    lent: dict[str, int] | None = None  # None: unknown what earlier processes lent
     counts: dict[str, int] = {}
 
 
 def read(file: Path) -> Kept:
-    """What was kept; a life of 0 and no word on loans where there is none, or it can't be read."""
+    """The saved state; epoch 0 and unknown loans if the file is missing or unusable."""
     try:
         if file.stat().st_size > MOST:
             raise ValueError(f"larger than {MOST} bytes")
@@ -35,7 +35,7 @@
 
 
 def write(file: Path, kept: Kept) -> bool:
-    """Keep it, aside and renamed; false where the disk refuses."""
+    """Save by writing a new file and renaming it; log and return false if that fails."""
     try:
         put(file, kept)
     except OSError as error:
@@ -45,7 +45,7 @@
 
 
 def put(file: Path, kept: Kept) -> None:
-    """The same; ``OSError`` where the disk refuses."""
+    """Like ``write``, but raises ``OSError`` on failure."""
     data = msgspec.json.encode(kept)
     if len(data) > MOST:
         raise OSError(f"larger than {MOST} bytes")
@@ -53,5 +53,8 @@
 
 
 def next_life(kept: Kept) -> int:
-    """Larger at each start, also where the folder was lost: the clock's milliseconds, or one more than before."""
+    """The next epoch: the clock's milliseconds or the last epoch plus one, whichever is larger.
+
+    So it rises with each start even if the state directory was lost.
+    """
     return max(kept.life + 1, time.time_ns() // 1_000_000)
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -1,4 +1,4 @@
-"""The one socket between couriers: moves datagrams between loop and ``Peer``, and what comes of them to the core."""
+"""Connects a ``Peer`` to its UDP socket and event loop, and passes its results to the courier core."""
 
 from __future__ import annotations
 
@@ -11,124 +11,133 @@
 
 from kestrelspar.core.courier import NS, Courier, End, Message, Result
 from kestrelspar.peers import demand, kept
-from kestrelspar.peers.door import Door
+from kestrelspar.peers.door import StatusSocket
 from kestrelspar.peers.judgements import Held, Outcome
 from kestrelspar.peers.peer import About, Datagrams, Peer
 from kestrelspar.peers.seal import MOST
 from kestrelspar.peers.seal import keys as keys
 from kestrelspar.peers.shares import Terms, spanned
-from kestrelspar.peers.telling import ONCE_IN, Teller
+from kestrelspar.peers.telling import ERROR_INTERVAL, EventLog
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.loop import MS, Loop
 from kestrelspar.settings import schema
 from snowlock import interface as api
 from snowlock.interface import EndpointId
 
-TICK = 50 * MS
-LEISURE = 20  # times as long as a look at the module takes are between two of them at least
-MOST_TICK = 300 * MS
+TICK = 50 * MS  # shortest pause between ticks
+UPDATE_PAUSE_FACTOR = 20  # the pause between updates of the budgets is at least this multiple of their duration
+MOST_TICK = 300 * MS  # longest pause between ticks
 LEAST_STEP = 300 * MS
-STOPPED = 500 * MS  # a gap between ticks from which on it was us who were stopped, not an endpoint
-KEEP_EVERY = 5_000 * MS  # counters are written down so often; after a disk that refuses, once in a minute
-TENANT_SPAN = 2_000 * MS  # what a tenant may be ahead of its share
-LOOK = 2 * MS  # how often a call that waits for its budget looks again
-AT_ONCE = 64  # datagrams read in one turn
-FAILED = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CONNECT_FAILED)
+STALL_THRESHOLD = 500 * MS  # after a longer gap between ticks this process was stalled, not an endpoint
+KEEP_EVERY = 5_000 * MS  # between two writes of the counters; once a minute after a failed write
+TENANT_WINDOW = 2_000 * MS  # of tenant budgets: the time by which a tenant may run ahead of its share
+BUDGET_POLL_INTERVAL = 2 * MS  # of a call that waits for its budget
+AT_ONCE = 64  # datagrams read in one turn of the loop
+FAILED_OUTCOMES = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CONNECT_FAILED)
 
 
 class PeerLink:
-    """The peers of one courier, at work."""
+    """The courier's connection to the other couriers and to brokers. Implements ``core.courier.Peers``."""
 
     def __init__(
-        self, loop: Loop, courier: Courier, name: str, told: schema.Peers, secrets: list[str], folder: str, seed: int
+        self,
+        loop: Loop,
+        courier: Courier,
+        name: str,
+        config: schema.Peers,
+        secrets: list[str],
+        state_directory: str,
+        seed: int,
     ) -> None:
-        """``OSError`` where the address is taken."""
-        self.loop, self.courier, self.told = loop, courier, told
+        """Raises ``OSError`` if the address is in use."""
+        self.loop, self.courier, self.config = loop, courier, config
         settings = courier.settings
-        self._file = Path(folder) / "peers"
-        self._found = kept.read(self._file)
-        self.life = kept.next_life(self._found)
+        self._state_file = Path(state_directory) / "peers"
+        self._state = kept.read(self._state_file)
+        self.life = kept.next_life(self._state)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
-        self._socket.bind(told.listen)
-        terms = Terms(settings.forwarders, settings.number, told.term, told.drift / 1_000)
+        self._socket.bind(config.listen)
+        terms = Terms(settings.forwarders, settings.number, config.term, config.drift / 1_000)
         about = About(
             name,
-            told.told(),
+            config.told(),
             self.life,
             keys(secrets),
-            dict(told.seed),
+            dict(config.seed),
             terms,
-            told.bytes_per_second,
-            told.period,
-            group=told.group,
-            region=told.region,
-            brokers=dict(told.broker),
+            config.bytes_per_second,
+            config.period,
+            group=config.group,
+            region=config.region,
+            brokers=dict(config.broker),
         )
-        # Before the first word: a life that was heard must not come again.
-        self._found.life = self.life
-        kept.write(self._file, self._found)
-        self.peer = Peer(about, loop.clock(), seed, self._found.lent, self._keep, self._found.counts)
-        self._look = demand.Look()
-        self._parts: dict[EndpointId, float] = {}
-        self._tenants: dict[int, float] = {}
-        self._over: dict[int, int] = {}  # by tenant: messages beyond its share since the last look
-        self._held: dict[str, Held] = {}
-        self._called: set[int] = set()  # destinations that were called since the last tick
-        self._ticked = self._woke = self._keep_at = loop.clock()
-        self._teller = Teller(loop)
+        # Before the first datagram: an epoch that others have received must not be used again.
+        self._state.life = self.life
+        kept.write(self._state_file, self._state)
+        self.peer = Peer(about, loop.clock(), seed, self._state.lent, self._save_lent, self._state.counts)
+        self._snapshot = demand.Look()
+        self._endpoint_rates: dict[EndpointId, float] = {}
+        self._tenant_rates: dict[int, float] = {}
+        self._over_share: dict[int, int] = {}  # by tenant: messages beyond its share since the last update
+        self._suspended: dict[str, Held] = {}
+        self._called_dests: set[int] = set()  # since the last tick
+        self._last_tick = self._resumed_at = self._save_at = loop.clock()
+        self._event_log = EventLog(loop)
         self.unsent: Counter[str] = Counter()
-        self._door = Door(loop, folder, self.status, self.ask_all)
-        self._quiet = self._detached = False  # the settings say so; and nothing that was lent runs any more
+        self._status_socket = StatusSocket(loop, state_directory, self.status, self.request_counters)
+        self._disabled = self._detached = False  # disabled: by the settings; detached: all loans have expired, too
 
-    def _keep(self, lent: dict[str, int]) -> bool:
-        self._found.lent, self._found.counts = lent, self.peer.counts.own()
-        return kept.write(self._file, self._found)
+    def _save_lent(self, lent: dict[str, int]) -> bool:
+        self._state.lent, self._state.counts = lent, self.peer.counts.own()
+        return kept.write(self._state_file, self._state)
 
     def start(self) -> None:
-        """Talk to the others from now on."""
+        """Start to communicate with the other couriers."""
         self.courier.peers = self
         self.courier.at_leave.append(self._leave)
         self.loop.spawn(self._read)
         self.loop.spawn(self._tick)
-        self._door.start()
+        self._status_socket.start()
         settings = self.courier.settings
         logs.event(
             "peers-serve",
             courier=self.peer.about.name,
             life=self.life,
-            listen="{}:{}".format(*self.told.listen),
+            listen="{}:{}".format(*self.config.listen),
             number=settings.number,
             couriers=settings.forwarders,
         )
 
-    def reload(self, told: schema.Peers, secrets: list[str]) -> None:
-        """SIGHUP: other keys, or no talk any more. What was lent stays counted until its term is over."""
-        if told.enabled:
+    def reload(self, config: schema.Peers, secrets: list[str]) -> None:
+        """SIGHUP: replace the keys, or stop to communicate. Loans stay counted until their term has expired."""
+        if config.enabled:
             self.peer.sealer.rekey(keys(secrets))
             return
-        if self._quiet:
+        if self._disabled:
             return
-        self._quiet = True
+        self._disabled = True
         self._send(self.peer.leave(self.loop.clock(), ends=False))
-        logs.event("peers-off", until_ms=2 * self.told.term // MS)
-        self._let_go()
-        longest = max((wanted.span for wanted in self._look.wanted.values()), default=0)
-        self.loop.at(self.loop.now + 2 * self.told.term + 2 * longest, self._detach)
+        logs.event("peers-off", until_ms=2 * self.config.term // MS)
+        self._resume_endpoints()
+        longest = max((wanted.span for wanted in self._snapshot.wanted.values()), default=0)
+        self.loop.at(self.loop.now + 2 * self.config.term + 2 * longest, self._detach)
 
     def _detach(self) -> None:
         self.courier.peers = None
         tenants = self.courier.settings.tenants
-        alone = tuple((n, tenants[n].rate / self.courier.settings.forwarders) for n in self._tenants)
-        self.courier.shares(api.Parts(tuple((id, 0.0) for id in self._parts), alone))
+        equal_shares = tuple((n, tenants[n].rate / self.courier.settings.forwarders) for n in self._tenant_rates)
+        self.courier.shares(api.Parts(tuple((id, 0.0) for id in self._endpoint_rates), equal_shares))
         self._detached = True
 
-    def _let_go(self) -> None:
-        """Hearsay holds nothing back any more."""
+    def _resume_endpoints(self) -> None:
+        """Resume all endpoints that are suspended because of reports of other couriers."""
         self.courier.shares(
-            api.Judged(tuple((self._look.ids[name], 0, False) for name in self._held if name in self._look.ids))
+            api.Judged(
+                tuple((self._snapshot.ids[name], 0, False) for name in self._suspended if name in self._snapshot.ids)
+            )
         )
-        self._held = {}
+        self._suspended = {}
 
     # Datagrams
 
@@ -140,50 +149,50 @@
                     data = self._socket.recv(MOST + 1)
                 except BlockingIOError:
                     break
-                except OSError:  # a port that nobody has any more answers so
+                except OSError:  # ICMP port unreachable for a datagram sent earlier
                     continue
-                if not self._quiet:
+                if not self._disabled:
                     self._send(self.peer.hear(data, self.loop.clock()))
-            if self.peer.news:  # of an endpoint: it is wanted before the next call there
-                self._judge()
+            if self.peer.news:  # take new observations of endpoints into account before the next call
+                self._update_suspensions()
 
     def _send(self, datagrams: Datagrams) -> None:
         for address, data in datagrams:
             try:
                 self._socket.sendto(data, address)
-            except OSError as error:  # a full buffer, no route: as good as lost
+            except OSError as error:  # full buffer or no route: counts as lost on the network
                 self.unsent[type(error).__name__] += 1
         events, self.peer.events = self.peer.events, []
-        self._teller.tell(events)
+        self._event_log.write(events)
 
     def _tick(self) -> None:
         while not self._detached:
             began = self.loop.clock()
-            if began - self._ticked > STOPPED:
-                self._woke = began
-            self._ticked = began
-            self._take_stock(began)
-            took = self.loop.clock() - began
-            if not self._quiet:
-                self.peer.interest(self._called | self._look.concerns, self.loop.clock())
-                self._called.clear()
+            if began - self._last_tick > STALL_THRESHOLD:
+                self._resumed_at = began
+            self._last_tick = began
+            self._update_budgets(began)
+            duration = self.loop.clock() - began
+            if not self._disabled:
+                self.peer.interest(self._called_dests | self._snapshot.concerns, self.loop.clock())
+                self._called_dests.clear()
                 self._send(self.peer.tick(self.loop.clock()))
-                self._judge()
-            self._tell_module()
-            if began >= self._keep_at:
-                self._found.counts = self.peer.counts.own()
-                self._keep_at = began + (KEEP_EVERY if kept.write(self._file, self._found) else ONCE_IN)
-            self.loop.sleep(min(MOST_TICK, max(TICK, LEISURE * took)))
+                self._update_suspensions()
+            self._update_rates()
+            if began >= self._save_at:
+                self._state.counts = self.peer.counts.own()
+                self._save_at = began + (KEEP_EVERY if kept.write(self._state_file, self._state) else ERROR_INTERVAL)
+            self.loop.sleep(min(MOST_TICK, max(TICK, UPDATE_PAUSE_FACTOR * duration)))
 
     def status(self) -> dict[str, Any]:
-        """How it stands, for people."""
+        """Status for operators."""
         peer, now = self.peer, self.loop.clock()
         return {
             "name": peer.about.name,
             "life": self.life,
             "number": peer.about.terms.number,
             "couriers": peer.about.terms.couriers,
-            "talks": not self._quiet and not peer.members.stepped_back,
+            "talks": not self._disabled and not peer.members.stepped_back,
             "ailing": peer.members.ailing,
             "bytes_sent": peer.sent,
             "bytes_heard": peer.heard,
@@ -191,16 +200,16 @@
             "dropped": dict(peer.sealer.dropped),
             "group": peer.about.group,
             "region": peer.about.region,
-            "brokers": {} if peer.brokers is None else peer.brokers.stand(now),
+            "brokers": {} if peer.brokers is None else peer.brokers.status(now),
             "members": [
                 {
                     "name": name,
-                    "stand": m.said.stand.name.lower(),
-                    "number": m.said.number,
-                    "life": m.said.life,
-                    "for_s": (now - m.since) // 1_000_000,
+                    "stand": member.said.stand.name.lower(),
+                    "number": member.said.number,
+                    "life": member.said.life,
+                    "for_s": (now - member.since) // 1_000_000,
                 }
-                for name, m in sorted(peer.members.members.items())
+                for name, member in sorted(peer.members.members.items())
             ],
             "budgets": {key: peer.shares.stand(key, now) for key in peer.shares.names()},
             "endpoints": peer.judgements.stand(now, peer.members.alive()),
@@ -208,16 +217,16 @@
             "counts": peer.counts.fleet(now),
         }
 
-    def ask_all(self) -> None:
-        """Somebody wants the counters of all: they are asked for."""
+    def request_counters(self) -> None:
+        """Request the counters of all couriers."""
         self.peer.counts.want()
 
     def _leave(self) -> None:
-        self._door.stop()
-        if not self._quiet:
+        self._status_socket.stop()
+        if not self._disabled:
             self._send(self.peer.leave(self.loop.clock()))
 
-    # Judgements
+    # Observations of endpoints
 
     def called(self, endpoint: EndpointId, result: Result, sent: int) -> None:
         """See ``core.courier.Peers``."""
@@ -228,46 +237,48 @@
             outcome = Outcome.SERVED
         elif result.outcome is api.Outcome.FULL:
             outcome = Outcome.REFUSED
-        elif result.outcome in FAILED and not result.no_slot and not self._was_stopped(sent, now):
+        elif result.outcome in FAILED_OUTCOMES and not result.no_slot and not self._was_stalled(sent, now):
             outcome = Outcome.FAILED
         self.peer.judgements.saw(name, outcome, sent, now, result.told_wait, limit if 0.01 < limit < 1e6 else 0.0)
         route = self.courier.module.routes.get(endpoint)
         dest = "gone" if route is None else route.dest.id
         if route is not None:
-            self._called.add(route.dest.id)
+            self._called_dests.add(route.dest.id)
         self.peer.counts.add(f"calls/{dest}/{result.outcome.name.lower()}")
 
-    def _was_stopped(self, sent: int, now: int) -> bool:
-        """Whether the process, not the endpoint, may be what kept an answer: then nobody is accused."""
-        return now - self._ticked > STOPPED or sent <= self._woke
+    def _was_stalled(self, sent: int, now: int) -> bool:
+        """Whether this process may have delayed the answer: then no failure of the endpoint is reported."""
+        return now - self._last_tick > STALL_THRESHOLD or sent <= self._resumed_at
 
-    def _judge(self) -> None:
-        """Tell the module what hearsay holds back now, where that has changed."""
+    def _update_suspensions(self) -> None:
+        """Notify the decision module of changes in which endpoints are suspended on reports of other couriers."""
         self.peer.news = False
         judgements, now = self.peer.judgements, self.loop.clock()
-        held = judgements.holds(now, self.peer.members.alive())
-        ids = self._look.ids
+        suspended = judgements.holds(now, self.peer.members.alive())
+        ids = self._snapshot.ids
         changed = [
-            (ids[name], each.until * NS, each.one)
-            for name, each in held.items()
-            if self._held.get(name) != each and name in ids
+            (ids[name], suspension.until * NS, suspension.one)
+            for name, suspension in suspended.items()
+            if self._suspended.get(name) != suspension and name in ids
         ]
-        changed += [(ids[name], 0, False) for name in sorted(self._held.keys() - held.keys()) if name in ids]
-        for name in held.keys() - self._held.keys():
-            logs.event("peers-hold", endpoint=name, one=held[name].one or None, for_ms=(held[name].until - now) // MS)
-        self._held = held
+        changed += [(ids[name], 0, False) for name in sorted(self._suspended.keys() - suspended.keys()) if name in ids]
+        for name in suspended.keys() - self._suspended.keys():
+            logs.event(
+                "peers-hold", endpoint=name, one=suspended[name].one or None, for_ms=(suspended[name].until - now) // MS
+            )
+        self._suspended = suspended
         if changed:
             self.courier.shares(api.Judged(tuple(changed)))
 
-    # Counts
+    # Counters
 
     def came(self, message: Message) -> None:
         """See ``core.courier.Peers``."""
         self.peer.counts.add(f"taken/{self.courier.settings.classes[message.cls].name}")
-        if message.tenant in self._tenants and not self.peer.shares.spend(
+        if message.tenant in self._tenant_rates and not self.peer.shares.spend(
             demand.tenant_key(message.tenant), self.loop.clock()
         ):
-            self._over[message.tenant] = self._over.get(message.tenant, 0) + 1
+            self._over_share[message.tenant] = self._over_share.get(message.tenant, 0) + 1
 
     def ended(self, message: Message, end: End) -> None:
         """See ``core.courier.Peers``."""
@@ -275,62 +286,66 @@
 
     # Budgets
 
-    def _take_stock(self, now: int) -> None:
-        """What endpoints told of their limits, what waits, and how routes stand, as the module has it."""
+    def _update_budgets(self, now: int) -> None:
+        """Update budgets and observations from the state of the decision module: limits, queues and routes."""
         shares, judgements, settings = self.peer.shares, self.peer.judgements, self.courier.settings
-        listens = not self._quiet  # turned off, hearsay counts for nothing
-        cold = judgements.cold(now, settings.ramp_ns // NS) if listens and settings.fall_ns and settings.ramp_ns else {}
-        self._look = look = demand.look(
+        enabled = not self._disabled  # if disabled, reports of other couriers have no effect
+        recovering = (
+            judgements.cold(now, settings.ramp_ns // NS) if enabled and settings.fall_ns and settings.ramp_ns else {}
+        )
+        self._snapshot = snapshot = demand.look(
             self.courier.module,
             settings,
-            self.told.spend / 100,
-            self.told.again / 100,
-            lambda endpoint: judgements.limit(endpoint, now) if listens else 0.0,
-            cold,
+            self.config.spend / 100,
+            self.config.again / 100,
+            lambda endpoint: judgements.limit(endpoint, now) if enabled else 0.0,
+            recovering,
         )
-        judgements.routes(look.routes, look.closed)
-        for name in look.silent:
+        judgements.routes(snapshot.routes, snapshot.closed)
+        for name in snapshot.silent:
             judgements.silence(name, now)
-        for name in look.down:
+        for name in snapshot.down:
             judgements.out(name, now)
         for number, tenant in enumerate(settings.tenants):
             if tenant.rate > 0:
-                calls, span = spanned(tenant.rate, settings.forwarders, TENANT_SPAN)
-                over = self._over.pop(number, 0)
-                look.wanted[demand.tenant_key(number)] = demand.Demand(calls, span, [], over, float(over))
-        for key, wanted in look.wanted.items():
-            place = xxhash.xxh32_intdigest(key.encode()) if wanted.whole else 0
-            shares.budget(key, wanted.calls, wanted.span, wanted.whole, place, now)
+                calls, window = spanned(tenant.rate, settings.forwarders, TENANT_WINDOW)
+                over_share = self._over_share.pop(number, 0)
+                snapshot.wanted[demand.tenant_key(number)] = demand.Demand(
+                    calls, window, [], over_share, float(over_share)
+                )
+        for key, wanted in snapshot.wanted.items():
+            offset = xxhash.xxh32_intdigest(key.encode()) if wanted.whole else 0
+            shares.budget(key, wanted.calls, wanted.span, wanted.whole, offset, now)
             shares.lacks(key, wanted.waiting, wanted.worth, now)
         for key in shares.names():
-            if key not in look.wanted:
+            if key not in snapshot.wanted:
                 shares.drop(key)
 
-    def _tell_module(self) -> None:
-        """What this courier may call, where that has changed."""
+    def _update_rates(self) -> None:
+        """Notify the decision module of changed rates of this courier's shares."""
         now = self.loop.clock()
-        parts: dict[EndpointId, float] = {}
-        tenants: dict[int, float] = {}
-        for key, wanted in self._look.wanted.items():
-            may = self.peer.shares.allowed(key, now)
-            if may is not None:
-                # Right after a start nothing may be called for a span. To the module that is no pace: at a pace of
-                # nothing it would give up at once what can be served a second later.
-                may = may or self.peer.shares.owned(key)
-                rate = max(0.05, may * 1_000_000 / wanted.span)
-                for id in wanted.endpoints:  # on its way back an endpoint has a pace of its own
-                    parts[id] = min(parts.get(id, rate), rate)
+        endpoint_rates: dict[EndpointId, float] = {}
+        tenant_rates: dict[int, float] = {}
+        for key, wanted in self._snapshot.wanted.items():
+            allowed = self.peer.shares.allowed(key, now)
+            if allowed is not None:
+                # Right after a start no call is allowed for one window. The module is not given that as a rate: at rate
+                # zero it would abandon at once messages that can be delivered a second later.
+                allowed = allowed or self.peer.shares.owned(key)
+                rate = max(0.05, allowed * 1_000_000 / wanted.span)
+                for id in wanted.endpoints:  # a recovering endpoint has a second budget: the lower rate applies
+                    endpoint_rates[id] = min(endpoint_rates.get(id, rate), rate)
                 if key.startswith("t:"):
-                    tenants[int(key[2:])] = rate
-        changed = tuple((id, rate) for id, rate in parts.items() if self._parts.get(id) != rate)
-        gone = tuple((id, 0.0) for id in self._parts if id not in parts)
-        shared = tuple((n, rate) for n, rate in tenants.items() if self._tenants.get(n) != rate)
-        self._parts, self._tenants = parts, tenants
-        if changed or gone or shared:
-            self.courier.shares(api.Parts(changed + gone, shared))
-
-    def _keys(self, endpoint: EndpointId, again: bool) -> list[str]:
-        """The budgets that a call there is of."""
+                    tenant_rates[int(key[2:])] = rate
+        changed = tuple((id, rate) for id, rate in endpoint_rates.items() if self._endpoint_rates.get(id) != rate)
+        removed = tuple((id, 0.0) for id in self._endpoint_rates if id not in endpoint_rates)
+        changed_tenants = tuple((n, rate) for n, rate in tenant_rates.items() if self._tenant_rates.get(n) != rate)
+        self._endpoint_rates, self._tenant_rates = endpoint_rates, tenant_rates
+        if changed or removed or changed_tenants:
+            self.courier.shares(api.Parts(changed + removed, changed_tenants))
+
+    def _budget_keys(self, endpoint: EndpointId, again: bool) -> list[str]:
+        """The budgets that a call to the endpoint counts against."""
         route = self.courier.module.routes.get(endpoint)
         if route is None:
             return []
@@ -339,19 +354,19 @@
             demand.cold_key(demand.name(endpoint)),
             *([demand.again_key(route.dest.id)] if again else ()),
         ]
-        return [keys[0], *(key for key in keys[1:] if key in self._look.wanted)]
+        return [keys[0], *(key for key in keys[1:] if key in self._snapshot.wanted)]
 
     def wait_for_room(self, endpoint: EndpointId, again: bool, until: int) -> None:
         """See ``core.courier.Peers``."""
         shares = self.peer.shares
         while self.loop.now < until and not all(
-            shares.may(key, self.loop.clock()) for key in self._keys(endpoint, again)
+            shares.may(key, self.loop.clock()) for key in self._budget_keys(endpoint, again)
         ):
-            self.loop.sleep(LOOK)
+            self.loop.sleep(BUDGET_POLL_INTERVAL)
 
     def spend(self, endpoint: EndpointId, again: bool) -> bool:
-        """See ``core.courier.Peers``. The clock is read anew: the process may have been stopped in this turn."""
-        keys, now, shares = self._keys(endpoint, again), self.loop.clock(), self.peer.shares
+        """See ``core.courier.Peers``. Reads the clock again: the process may have been stalled in this turn."""
+        keys, now, shares = self._budget_keys(endpoint, again), self.loop.clock(), self.peer.shares
         if not all(shares.may(key, now) for key in keys):
             return False
         for key in keys:
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -1,7 +1,7 @@
-"""One courier among couriers: members, budgets and datagrams put together. No I/O.
+"""The protocol between couriers as one object: membership, budgets, observations, counters. No I/O.
 
-``hear`` takes what arrived, ``tick`` what is due; both return the datagrams to send. Everything that leaves is within
-the bytes a second that the settings allow: what does not fit is not sent, as all that is said here may be lost.
+``hear`` handles a datagram, ``tick`` timers; both return the datagrams to send. All traffic is within the configured
+bytes per second: what exceeds them is not sent, as every message of the protocol may be lost anyway.
 """
 
 from __future__ import annotations
@@ -12,157 +12,173 @@
 from random import Random
 from typing import Any
 
-from kestrelspar.peers.brokers import Subscriber, of_region
+from kestrelspar.peers.brokers import Subscriber, brokers_in_region
 from kestrelspar.peers.counts import Counts
 from kestrelspar.peers.judgements import Judgements
 from kestrelspar.peers.members import Events, Members, Out
-from kestrelspar.peers.seal import MOST, Dropped, Sealer, encode
+from kestrelspar.peers.seal import MOST, DatagramRejectedError, Sealer, encode
 from kestrelspar.peers.shares import Shares, Terms
 from kestrelspar.peers.words import Ack, Nack, Ping, Probe, Renew, Said, Seen, Stand, Tally, Want, Word
 
-MS, SECOND = 1_000, 1_000_000
-TELL_EVERY = 60 * SECOND  # a kind of dropped datagram is told so often at most
-URGENT = 0.25  # of the bytes a second: kept for questions and answers
-TELLING = 0.5  # of what may be sent now: for words on endpoints
-DEBT = SECOND  # what was not used for so long may be sent at once
+MS, SECOND = 1_000, 1_000_000  # microseconds
+EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
+URGENT = 0.25  # share of the bytes per second that is reserved for pings, probes, their replies and renewals
+OBSERVATION_SHARE = 0.5  # of the bytes that may be sent now: for observations of endpoints
+DEBT = SECOND  # burst: the unused bandwidth of this time may be sent at once
 
 Datagrams = list[tuple[tuple[str, int], bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class About:
-    """What a courier is told of itself and the others."""
+    """Configuration of a courier: itself and the others."""
 
     name: str
     address: tuple[str, int]
-    life: int
+    life: int  # epoch: larger at each start
     keys: list[bytes]
     seeds: dict[str, tuple[str, int]]
     terms: Terms
     bytes_a_second: int = 20_000
     period: int = SECOND
-    most: int = 1_024
-    most_wait: int = 2 * SECOND  # longest told wait that is believed
-    most_held: float = 0.5  # of all routes, what hearsay may take
-    step: int = SECOND  # between couriers that try an endpoint which is out
-    group: str = ""  # members are only those of the same one, or of none
-    region: str = ""  # whose brokers are used
+    most: int = 1_024  # members that are tracked
+    max_retry_after: int = 2 * SECOND  # longest retry-after delay that is accepted from other couriers
+    max_held_share: float = 0.5  # of all routes: what reports of other couriers may suspend
+    step: int = SECOND  # between the couriers that try a failed endpoint
+    group: str = ""  # only couriers of the same group, or of none, are members
+    region: str = ""  # the brokers of this region are used
     brokers: dict[str, tuple[str, int]] = field(default_factory=dict)  # of all regions, by "REGION/NAME"
 
 
 class Peer:
-    """All that one courier decides about the others."""
+    """All decisions of one courier about the others."""
 
     def __init__(
         self,
         about: About,
         now: int,
         seed: int,
-        kept: dict[str, int] | None = None,
-        keep: Callable[[dict[str, int]], bool] = lambda lent: True,
-        past: dict[str, int] | None = None,
+        saved_lent: dict[str, int] | None = None,
+        save_lent: Callable[[dict[str, int]], bool] = lambda lent: True,
+        saved_counts: dict[str, int] | None = None,
     ) -> None:
-        """``kept``, ``keep``: see ``Shares``; ``past``: counters of former lives, as kept."""
+        """``saved_lent``, ``save_lent``: see ``Shares``; ``saved_counts``: counters of earlier epochs, as persisted."""
         random = Random(seed)
         self.about = about
         self.sealer = Sealer(about.name, about.life, about.keys)
-        me = Said(about.name, *about.address, about.terms.number, about.life, 0, Stand.ALIVE, about.group)
-        self.members = Members(me, about.seeds, about.period, about.most, now, random)
-        self.shares = Shares(about.terms, about.life, now, kept, random, keep)
-        mine = of_region(about.brokers, about.region)
+        own_update = Said(about.name, *about.address, about.terms.number, about.life, 0, Stand.ALIVE, about.group)
+        self.members = Members(own_update, about.seeds, about.period, about.most, now, random)
+        self.shares = Shares(about.terms, about.life, now, saved_lent, random, save_lent)
+        own_brokers = brokers_in_region(about.brokers, about.region)
         self.judgements = Judgements(
             about.name,
             about.life,
-            about.most_wait,
-            about.most_held,
+            about.max_retry_after,
+            about.max_held_share,
             about.step,
             Random(seed + 1),
             about.terms.couriers,
             about.terms.number,
-            set(about.brokers) - set(mine),
+            set(about.brokers) - set(own_brokers),
         )
-        self.counts = Counts(about.name, about.life, now, past or {}, Random(seed + 2))
+        self.counts = Counts(about.name, about.life, now, saved_counts or {}, Random(seed + 2))
         self.brokers = (
-            Subscriber(about.name, about.address, about.terms.number, mine, now, Random(seed + 3)) if mine else None
+            Subscriber(about.name, about.address, about.terms.number, own_brokers, now, Random(seed + 3))
+            if own_brokers
+            else None
         )
-        self.news = False  # heard of endpoints since the caller looked
+        self.news = False  # observations of endpoints have arrived; the caller resets it
         self.events: Events = []
-        self.sent = self.heard = self.held_back = 0  # bytes, bytes, datagrams
-        self._room, self._filled = float(about.bytes_a_second), now
-        self._told: dict[str, int] = {}
-        self._last: Counter[str] = Counter()
+        self.sent = self.heard = self.held_back = 0  # bytes, bytes received, datagrams over the bandwidth limit
+        self._available_bytes, self._refilled_at = float(about.bytes_a_second), now
+        self._reported_at: dict[str, int] = {}
+        self._reported_drops: Counter[str] = Counter()
         if about.terms.number >= about.terms.couriers:
             self.events.append(("peers-owns-nothing", {"number": about.terms.number, "couriers": about.terms.couriers}))
 
     def interest(self, dests: Iterable[int], now: int) -> None:
-        """Destinations that were called since the last tick, or have messages waiting; without brokers nothing."""
+        """Destinations that were called since the last tick, or have messages waiting; ignored without brokers."""
         if self.brokers is not None:
-            self.brokers.interest(dests, now)
+            self.brokers.record_interest(dests, now)
 
-    def brokers_stand(self, now: int) -> dict[str, dict[str, Any]]:
-        """For people, by broker: as ``Subscriber.stand``, and whether it is not believed; none: no brokers."""
+    def broker_status(self, now: int) -> dict[str, dict[str, Any]]:
+        """For operators, by broker: ``Subscriber.status``, and whether its reports are ignored; {} without brokers."""
         if self.brokers is None:
             return {}
         return {
-            name: {**each, "voiceless": self.judgements.unheard(name)} for name, each in self.brokers.stand(now).items()
+            name: {**status, "voiceless": self.judgements.unheard(name)}
+            for name, status in self.brokers.status(now).items()
         }
 
     def hear(self, data: bytes, now: int) -> Datagrams:
-        """A datagram arrived."""
+        """Handle a datagram and return those to send."""
         self.heard += len(data)
         try:
-            told = self.sealer.open(data)
-        except Dropped as dropped:
-            if dropped.args[0] == "old-life" or not self._due(dropped.args[0], now):
+            datagram = self.sealer.open(data)
+        except DatagramRejectedError as error:
+            if error.args[0] == "old-life" or not self._may_report(error.args[0], now):
                 return []
-            kind = dropped.args[0]
-            self.events.append(("peers-dropped", {"kind": kind, "count": self.sealer.dropped[kind] - self._last[kind]}))
-            self._last[kind] = self.sealer.dropped[kind]
+            kind = error.args[0]
+            self.events.append(
+                ("peers-dropped", {"kind": kind, "count": self.sealer.dropped[kind] - self._reported_drops[kind]})
+            )
+            self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if told.sender == self.about.name:  # our own name, with the key: another process, whose life decides
-            self.members.heard(told.sender, told.life, [w for w in told.words if isinstance(w, Said)], now)
+        if datagram.sender == self.about.name:  # another process with our name and the key: the higher epoch wins
+            self.members.heard(
+                datagram.sender,
+                datagram.life,
+                [message for message in datagram.words if isinstance(message, Said)],
+                now,
+            )
             self._step_back()
             return self._send([], now)
-        if told.sender in self.about.brokers:  # has no place among the couriers, whatever it says
-            if self.brokers is None or told.sender not in self.brokers.places:
-                return []  # of another region: our own pass on what theirs took
-            out = self.brokers.heard(told.sender, told.life, told.words, now)
-            self.news |= self.judgements.relayed(told.sender, told.words, now)
+        if datagram.sender in self.about.brokers:  # not a courier, whatever messages it sends
+            if self.brokers is None or datagram.sender not in self.brokers.places:
+                return []  # of another region: brokers of our region relay its observations
+            out = self.brokers.receive(datagram.sender, datagram.life, datagram.words, now)
+            self.news |= self.judgements.relayed(datagram.sender, datagram.words, now)
             return self._send(out, now)
-        out = self.members.heard(told.sender, told.life, told.words, now)
-        out += self.shares.heard(told.sender, told.life, told.words, now, self.members.number(told.sender))
-        number = self.members.number(told.sender)
-        if number is not None and number < self.about.terms.couriers:  # a witness has a place among the couriers
-            self.news |= self.judgements.heard(told.sender, told.life, told.words, now)
-        out += self.counts.heard(told.sender, told.words, now, self.members.gone())
+        out = self.members.heard(datagram.sender, datagram.life, datagram.words, now)
+        out += self.shares.heard(
+            datagram.sender, datagram.life, datagram.words, now, self.members.number(datagram.sender)
+        )
+        number = self.members.number(datagram.sender)
+        # A witness must have a number below the fleet size.
+        if number is not None and number < self.about.terms.couriers:
+            self.news |= self.judgements.heard(datagram.sender, datagram.life, datagram.words, now)
+        out += self.counts.heard(datagram.sender, datagram.words, now, self.members.gone())
         self._step_back()
         return self._send(out, now)
 
     def tick(self, now: int) -> Datagrams:
-        """Time has passed; to be called every 50 ms or so."""
+        """Handle timers; to be called about every 50 ms."""
         alive = self.members.alive()
         out = self.members.tick(now) + self.shares.tick(now, alive)
-        self._fill(now)
+        self._refill(now)
         if self.brokers is None:
-            out += self.judgements.tick(now, alive, int(TELLING * self._room))
-        else:  # who has no group may know of no brokers: it is told as before
+            out += self.judgements.tick(now, alive, int(OBSERVATION_SHARE * self._available_bytes))
+        else:  # members without a group may not use brokers: observations are sent to them directly
             out += self.brokers.tick(now)
-            plain = [name for name in alive if not self.members.group(name)]
-            out += self.judgements.tick(now, plain, int(TELLING * self._room), self.brokers.ways)
+            ungrouped = [name for name in alive if not self.members.group(name)]
+            out += self.judgements.tick(
+                now, ungrouped, int(OBSERVATION_SHARE * self._available_bytes), self.brokers.owners
+            )
         out += self.counts.tick(now, alive)
         self.judgements.members(self.members.members)
         return self._send(out, now)
 
     def leave(self, now: int, ends: bool = True) -> Datagrams:
-        """The process ``ends``, or only stops talking: the others need not wait to find out.
+        """Tell the others that the process ``ends`` or only stops communicating, so that they need no time-out.
 
-        One that ends calls no more; one that goes on owns its part, less what it has lent until that is over.
+        One that ends makes no calls any more; one that goes on keeps its share, less what it has lent until the loans
+        have expired.
         """
         out = self.members.leave()
         self.shares.gone = ends
         self.shares.silent = self.judgements.silent = self.counts.silent = True
         if self.brokers is not None:
-            self.brokers.silent = True  # what it subscribed to lapses
+            self.brokers.silent = True  # its leases expire
         return self._send(out, now)
 
     def _step_back(self) -> None:
@@ -171,79 +187,84 @@
             if self.brokers is not None:
                 self.brokers.silent = True
 
-    def _due(self, kind: str, now: int) -> bool:
-        if now < self._told.get(kind, -(1 << 60)) + TELL_EVERY:
+    def _may_report(self, kind: str, now: int) -> bool:
+        if now < self._reported_at.get(kind, -(1 << 60)) + EVENT_INTERVAL:
             return False
-        self._told[kind] = now
+        self._reported_at[kind] = now
         return True
 
     def _send(self, out: Out, now: int) -> Datagrams:
-        """One datagram for each that there is something to say to, filled up with what is held of members."""
-        parts: tuple[Members | Shares | Judgements | Subscriber | None, ...] = (
+        """Pack messages into one datagram or more for each receiver; free space is used for member updates."""
+        components: tuple[Members | Shares | Judgements | Subscriber | None, ...] = (
             self.members,
             self.shares,
             self.judgements,
             self.brokers,
         )
-        for part in parts:
-            if part is None:
+        for component in components:
+            if component is None:
                 continue
-            self.events += part.events
-            part.events = []
-        whom: dict[str, list[Word]] = {}
-        for name, words in out:
-            whom.setdefault(name, []).extend(words)
-        most = self.about.bytes_a_second
-        self._fill(now)
+            self.events += component.events
+            component.events = []
+        by_receiver: dict[str, list[Word]] = {}
+        for name, messages in out:
+            by_receiver.setdefault(name, []).extend(messages)
+        bandwidth = self.about.bytes_a_second
+        self._refill(now)
         sent: Datagrams = []
-        for name, said in whom.items():
+        for name, to_send in by_receiver.items():
             address = self.about.brokers.get(name) or self.members.address(name)
             if address is None:
                 continue
-            for words in self._cut(name, said):
-                if name not in self.about.brokers:  # that has no use for members
-                    words = self._filled_up(name, words, now)
-                data = self.sealer.seal(name, words)
-                urgent = any(isinstance(word, (Ping, Ack, Probe, Nack, Renew)) for word in words)
-                if len(data) > self._room - (0 if urgent else URGENT * most):
+            for messages in self._split(name, to_send):
+                if name not in self.about.brokers:  # a broker has no use for member updates
+                    messages = self._piggyback(name, messages, now)
+                data = self.sealer.seal(name, messages)
+                urgent = any(isinstance(message, (Ping, Ack, Probe, Nack, Renew)) for message in messages)
+                if len(data) > self._available_bytes - (0 if urgent else URGENT * bandwidth):
                     self.held_back += 1
-                    if self._due("held-back", now):
-                        self.events.append(("peers-held-back", {"datagrams": self.held_back, "bytes_a_second": most}))
+                    if self._may_report("held-back", now):
+                        self.events.append(
+                            ("peers-held-back", {"datagrams": self.held_back, "bytes_a_second": bandwidth})
+                        )
                     continue
-                self._room -= len(data)
+                self._available_bytes -= len(data)
                 self.sent += len(data)
-                self.members.passed_on(words)
+                self.members.passed_on(messages)
                 sent.append((address, data))
         return sent
 
-    def _cut(self, name: str, words: list[Word]) -> list[list[Word]]:
-        """Words for one member, as many to a datagram as go into it."""
-        names = len(name.encode()) + len(self.about.name.encode())
-        found: list[list[Word]] = [[]]
-        for word in words:
-            if found[-1] and Sealer.size([*found[-1], word], names) > MOST:
-                found.append([])
-            found[-1].append(word)
-        return found
-
-    def _fill(self, now: int) -> None:
-        """What may be sent grows with time."""
-        most = float(self.about.bytes_a_second)
-        self._room = min(most * DEBT / SECOND, self._room + most * (now - self._filled) / SECOND)
-        self._filled = now
-
-    def _filled_up(self, name: str, words: list[Word], now: int) -> list[Word]:
-        """What is to be said, and as much of what is held of members as a datagram has room for."""
-        names = len(name.encode()) + len(self.about.name.encode())
-        words = list(words)
-        # Words for all come in dozens of datagrams at once: filled up, most would be over the bound, and unsaid.
-        if self.members.leaving or all(isinstance(word, (Seen, Tally, Want)) for word in words):
-            return words
-        room = MOST - Sealer.size(words, names) - 8  # a longer list's own length
-        along = [] if any(isinstance(word, Seen) for word in words) else self.judgements.along(now)
-        for word in along + self.members.gossip(name):
-            room -= len(encode(word))
+    def _split(self, name: str, messages: list[Word]) -> list[list[Word]]:
+        """Split messages for one receiver so that each part fits into a datagram."""
+        name_bytes = len(name.encode()) + len(self.about.name.encode())
+        batches: list[list[Word]] = [[]]
+        for message in messages:
+            if batches[-1] and Sealer.size([*batches[-1], message], name_bytes) > MOST:
+                batches.append([])
+            batches[-1].append(message)
+        return batches
+
+    def _refill(self, now: int) -> None:
+        """Add the bytes that may be sent for the time since the last call (token bucket)."""
+        bandwidth = float(self.about.bytes_a_second)
+        self._available_bytes = min(
+            bandwidth * DEBT / SECOND, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND
+        )
+        self._refilled_at = now
+
+    def _piggyback(self, name: str, messages: list[Word], now: int) -> list[Word]:
+        """Add as many observations and member updates to the messages as the datagram has room for."""
+        name_bytes = len(name.encode()) + len(self.about.name.encode())
+        messages = list(messages)
+        # Observations and counters go to all members, in dozens of datagrams at once: with additions to each, most of
+        # the datagrams would exceed the bandwidth limit and not be sent.
+        if self.members.leaving or all(isinstance(message, (Seen, Tally, Want)) for message in messages):
+            return messages
+        room = MOST - Sealer.size(messages, name_bytes) - 8  # bytes by which the length prefix of the list may grow
+        observations = [] if any(isinstance(message, Seen) for message in messages) else self.judgements.along(now)
+        for message in observations + self.members.gossip(name):
+            room -= len(encode(message))
             if room < 0:
                 break
-            words.append(word)
-        return words
+            messages.append(message)
+        return messages
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -1,10 +1,11 @@
-"""Datagrams between couriers: sealed by a keyed hash, and opened only if whole, ours, meant for us and new. No I/O.
-
-Theory of operation. A datagram is ``KP1``, a byte that names the key, a hash over all that follows, and the words.
-What arrives is checked from the cheapest on, and dropped at the first check that fails, each counted by its kind: a
-flood of forged ones costs a hash each. The receiver's name is under the hash, so that what was said to one can't be
-replayed to another. Of each sender the highest life and a window of sequence numbers are held: what was heard once,
-or is older than the window, is a replay. A sender's life rises with each start, so its sequence may begin anew.
+"""Authentication of datagrams between couriers, with protection against replays. No I/O.
+
+Theory of operation. A datagram consists of ``KP1``, one byte that identifies the key, a keyed hash over all that
+follows, and the messages. Incoming datagrams are checked in the order of cost, and dropped at the first check that
+fails, with a counter for each kind of failure: each forged datagram of a flood costs one hash. The receiver's name is
+covered by the hash, so a datagram can't be replayed to another receiver. For each sender the highest epoch and a window
+of sequence numbers are stored: a number that was received already, or is older than the window, is a replay. A
+sender's epoch rises with each start, so its sequence numbers may start again.
 """
 
 from __future__ import annotations
@@ -18,113 +19,118 @@
 from kestrelspar.peers.words import Bare, Datagram, Said, Word
 
 MARK = b"KP1"
-MOST = 1_200  # bytes of a datagram: fits any path without fragments
-TAG = 16
-HEAD = len(MARK) + 1 + TAG
-WINDOW = 1_024  # sequence numbers behind the highest that may still come, once each
-SENDERS = 4_096  # whose sequence is held; with a key, more could be made up
+MOST = 1_200  # maximum size of a datagram in bytes: needs no fragmentation on any path
+TAG_SIZE = 16  # bytes of the keyed hash
+HEAD = len(MARK) + 1 + TAG_SIZE  # bytes before the body
+REPLAY_WINDOW = 1_024  # sequence numbers below the highest that are still accepted, once each
+SENDERS = 4_096  # maximum of senders that are tracked: whoever has a key could make up any number of names
 
 _encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
-def _bare(word: Word) -> Word | Bare:
-    """A member of no group goes without the item for it: couriers that know none send and read the same bytes."""
-    if type(word) is not Said or word.group:
-        return word
-    return Bare(word.name, word.host, word.port, word.number, word.life, word.inc, word.stand)
+def _to_wire(message: Word) -> Word | Bare:
+    """Omit the group of a member without one, for compatibility: couriers that know no groups use the same bytes."""
+    if type(message) is not Said or message.group:
+        return message
+    return Bare(message.name, message.host, message.port, message.number, message.life, message.inc, message.stand)
 
 
-def encode(word: Word) -> bytes:
-    """One word, as it goes into a datagram."""
-    return _encode(_bare(word))
+def encode(message: Word) -> bytes:
+    """One message as it is written into a datagram."""
+    return _encode(_to_wire(message))
 
 
-class Dropped(Exception):
-    """A datagram that is not taken; its one argument is the kind."""
+class DatagramRejectedError(Exception):
+    """A datagram was rejected; the only argument is the kind of failure."""
 
 
 def keys(secrets: list[str]) -> list[bytes]:
-    """Keys of full length from what the files say."""
+    """Derive keys of full length from the contents of the key files."""
     return [hashlib.blake2b(secret.encode(), digest_size=32, person=b"kestrelspar key").digest() for secret in secrets]
 
 
 def _tag(key: bytes, data: bytes) -> bytes:
-    return hashlib.blake2b(data, key=key, digest_size=TAG).digest()
+    return hashlib.blake2b(data, key=key, digest_size=TAG_SIZE).digest()
 
 
-def _mark(key: bytes) -> bytes:
+def _key_id(key: bytes) -> bytes:
     return hashlib.blake2b(key, digest_size=1, person=b"kp key").digest()
 
 
 class Sealer:
-    """Seals what one courier says, and opens what it hears. ``keys``: 16 to 64 bytes each; the first one seals."""
+    """Seals the datagrams that one process sends, and opens those that it receives.
+
+    ``keys``: 16 to 64 bytes each; datagrams are sealed with the first one, and opened with any.
+    """
 
     def __init__(self, name: str, life: int, keys: list[bytes]) -> None:
         self.name, self.life = name, life
         self.dropped: Counter[str] = Counter()
         self._seq = 0
-        self._heard: dict[str, tuple[int, int, int]] = {}  # by sender: life, highest sequence, those behind it
+        # By sender: epoch, highest sequence number, and a bit set of the numbers received up to it.
+        self._received: dict[str, tuple[int, int, int]] = {}
         self.rekey(keys)
 
     def rekey(self, keys: list[bytes]) -> None:
-        """Other keys from now on."""
+        """Replace the keys."""
         self._keys = keys
 
     def seal(self, to: str, words: list[Word]) -> bytes:
-        """The datagram; ``ValueError`` where it would be too large."""
+        """The sealed datagram; raises ``ValueError`` if it would be too large."""
         self._seq += 1
-        body = _encode((self.name, self.life, to, self._seq, [_bare(word) for word in words]))  # a ``Datagram``
+        # The fields of a ``Datagram``, in its order.
+        body = _encode((self.name, self.life, to, self._seq, [_to_wire(message) for message in words]))
         if HEAD + len(body) > MOST:
-            raise ValueError(f"{HEAD + len(body)} bytes in a datagram")
+            raise ValueError(f"datagram too large: {HEAD + len(body)} of at most {MOST} bytes")
         key = self._keys[0]
-        return MARK + _mark(key) + _tag(key, body) + body
+        return MARK + _key_id(key) + _tag(key, body) + body
 
     @staticmethod
-    def size(words: list[Word], names: int) -> int:
-        """Bytes that a datagram with these words takes at most, between names of so many bytes together."""
-        return HEAD + 40 + names + len(_encode([_bare(word) for word in words]))
+    def size(messages: list[Word], name_bytes: int) -> int:
+        """Upper bound of a datagram's size; ``name_bytes``: length of the sender's and receiver's names together."""
+        return HEAD + 40 + name_bytes + len(_encode([_to_wire(message) for message in messages]))
 
     def open(self, data: bytes) -> Datagram:
-        """What was said; ``Dropped`` with the kind of what is wrong."""
+        """Verify and decode a datagram; raises ``DatagramRejectedError`` with the kind of failure, and counts it."""
         try:
             return self._open(data)
-        except Dropped as dropped:
-            self.dropped[dropped.args[0]] += 1
+        except DatagramRejectedError as error:
+            self.dropped[error.args[0]] += 1
             raise
 
     def _open(self, data: bytes) -> Datagram:
         if len(data) > MOST:
-            raise Dropped("oversized")
+            raise DatagramRejectedError("oversized")
         if len(data) <= HEAD or not data.startswith(MARK):
-            raise Dropped("foreign")
-        mark, tag, body = data[3:4], data[4:HEAD], data[HEAD:]
-        if not any(_mark(key) == mark and hmac.compare_digest(_tag(key, body), tag) for key in self._keys):
-            raise Dropped("forged")
+            raise DatagramRejectedError("foreign")
+        key_id, tag, body = data[3:4], data[4:HEAD], data[HEAD:]
+        if not any(_key_id(key) == key_id and hmac.compare_digest(_tag(key, body), tag) for key in self._keys):
+            raise DatagramRejectedError("forged")
         try:
-            told = decode(body)
+            datagram = decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            raise Dropped("unreadable") from None
-        if told.to != self.name:
-            raise Dropped("misdirected")
-        self._new(told)
-        return told
-
-    def _new(self, told: Datagram) -> None:
-        """Guards against replays: each sequence number of a life is heard once."""
-        life, highest, behind = self._heard.get(told.sender, (0, 0, 0))
-        if told.life < life:
-            raise Dropped("old-life")
-        if told.life > life:
-            if told.sender not in self._heard and len(self._heard) >= SENDERS:
-                raise Dropped("too-many")
-            self._heard[told.sender] = told.life, told.seq, 1
+            raise DatagramRejectedError("unreadable") from None
+        if datagram.to != self.name:
+            raise DatagramRejectedError("misdirected")
+        self._check_replay(datagram)
+        return datagram
+
+    def _check_replay(self, datagram: Datagram) -> None:
+        """Accept each sequence number of an epoch only once."""
+        epoch, highest, received = self._received.get(datagram.sender, (0, 0, 0))
+        if datagram.life < epoch:
+            raise DatagramRejectedError("old-life")
+        if datagram.life > epoch:
+            if datagram.sender not in self._received and len(self._received) >= SENDERS:
+                raise DatagramRejectedError("too-many")
+            self._received[datagram.sender] = datagram.life, datagram.seq, 1
             return
-        ahead = told.seq - highest
+        ahead = datagram.seq - highest
         if ahead > 0:
-            behind = (behind << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
-            self._heard[told.sender] = life, told.seq, behind
+            received = (received << min(ahead, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            self._received[datagram.sender] = epoch, datagram.seq, received
             return
-        if -ahead >= WINDOW or behind >> -ahead & 1:
-            raise Dropped("replayed")
-        self._heard[told.sender] = life, highest, behind | 1 << -ahead
+        if -ahead >= REPLAY_WINDOW or received >> -ahead & 1:
+            raise DatagramRejectedError("replayed")
+        self._received[datagram.sender] = epoch, highest, received | 1 << -ahead
--- a/kestrelspar/peers/telling.py
+++ b/kestrelspar/peers/telling.py
@@ -1,4 +1,4 @@
-"""What couriers and brokers find among themselves, as lines of the log: what must be seen is loud, once a minute."""
+"""Events of couriers and brokers as log lines: those that need an operator are errors, logged once a minute."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.loop import MS, Loop
 
-LOUD = {
+ERROR_EVENTS = {
     "peers-name-twice",
     "peers-number-twice",
     "peers-owns-nothing",
@@ -16,24 +16,24 @@
     "broker-name-twice",
     "broker-number-twice",
 }
-QUIET = {"peers-borrowed"}
-ONCE_IN = 60_000 * MS  # the same loud event of the same peer
+DEBUG_EVENTS = {"peers-borrowed"}
+ERROR_INTERVAL = 60_000 * MS  # between two log lines for the same error event of the same peer
 
 
-class Teller:
-    """Writes events, and remembers the loud ones."""
+class EventLog:
+    """Logs events, and rate-limits those that are errors."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._told: dict[tuple[str, str], int] = {}
+        self._logged_at: dict[tuple[str, str], int] = {}
 
-    def tell(self, events: Events) -> None:
-        """What was found just now."""
+    def write(self, events: Events) -> None:
+        """Log events at the level that belongs to each."""
         for name, fields in events:
-            if name not in LOUD:
-                logs.event(name, logs.DEBUG if name in QUIET else logs.INFO, **fields)
+            if name not in ERROR_EVENTS:
+                logs.event(name, logs.DEBUG if name in DEBUG_EVENTS else logs.INFO, **fields)
                 continue
             which = name, str(fields.get("peer", fields.get("courier", "")))
-            if self._loop.now >= self._told.get(which, -ONCE_IN) + ONCE_IN:
-                self._told[which] = self._loop.now
+            if self._loop.now >= self._logged_at.get(which, -ERROR_INTERVAL) + ERROR_INTERVAL:
+                self._logged_at[which] = self._loop.now
                 logs.error(name, **fields)
--- a/tests/peers/test_seal.py
+++ b/tests/peers/test_seal.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is forged, replayed, cut, oversized, foreign or meant for another is dropped, each by its kind."""
+"""Forged, replayed, truncated, oversized, foreign and misdirected datagrams are rejected, each with its kind."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kestrelspar.peers.seal import MOST, WINDOW, Dropped, Sealer
+from kestrelspar.peers.seal import MOST, REPLAY_WINDOW, DatagramRejectedError, Sealer
 from kestrelspar.peers.words import Ping
 
 OLD, NEW, WRONG = b"o" * 16, b"n" * 16, b"w" * 16
@@ -17,12 +17,13 @@
     return Sealer("a", 5, [OLD]), Sealer("b", 9, [OLD])
 
 
-def kind(sealer: Sealer, data: bytes) -> str:
+def result(sealer: Sealer, data: bytes) -> str:
+    """The kind of failure, or "accepted"."""
     try:
         sealer.open(data)
-    except Dropped as dropped:
-        return str(dropped.args[0])
-    return "taken"
+    except DatagramRejectedError as error:
+        return str(error.args[0])
+    return "accepted"
 
 
 BAD: dict[str, Callable[[Sealer, bytes], bytes]] = {
@@ -36,35 +37,37 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_what_is_not_taken(name: str) -> None:
+def test_invalid_datagrams_are_rejected(name: str) -> None:
     a, b = pair()
     good = a.seal("b", [Ping(7)])
     assert b.open(good).words == [Ping(7)]
-    assert kind(b, BAD[name](a, good)) == name and b.dropped == {name: 1}
-    assert kind(b, a.seal("b", [Ping(8)])) == "taken", "one that follows is taken all the same"
+    assert result(b, BAD[name](a, good)) == name and b.dropped == {name: 1}
+    assert result(b, a.seal("b", [Ping(8)])) == "accepted", "a valid one that follows is accepted"
 
 
-def test_no_flip_and_no_cut_is_taken() -> None:
+def test_bit_flips_and_truncation_are_rejected() -> None:
     a, b = pair()
     pick = Random(1)
     for _ in range(300):
         data = bytearray(a.seal("b", [Ping(pick.randrange(1 << 30))]))
         data[pick.randrange(len(data))] ^= 1 << pick.randrange(8)
-        assert kind(b, bytes(data)) in ("forged", "foreign")
-        assert kind(b, a.seal("b", [Ping(1)])[: pick.randrange(30)]) in ("forged", "foreign")
+        assert result(b, bytes(data)) in ("forged", "foreign")
+        assert result(b, a.seal("b", [Ping(1)])[: pick.randrange(30)]) in ("forged", "foreign")
 
 
-def test_out_of_order_counts_once_each_within_the_window() -> None:
+def test_datagrams_out_of_order_are_accepted_once_within_the_window() -> None:
     a, b = pair()
-    sent = [a.seal("b", [Ping(n)]) for n in range(2 * WINDOW)]
-    order = list(range(WINDOW // 2))
+    sent = [a.seal("b", [Ping(n)]) for n in range(2 * REPLAY_WINDOW)]
+    order = list(range(REPLAY_WINDOW // 2))
     Random(2).shuffle(order)
-    assert {kind(b, sent[n]) for n in order} == {"taken"} and {kind(b, sent[n]) for n in order} == {"replayed"}
-    assert kind(b, sent[-1]) == "taken" and kind(b, sent[WINDOW - 1]) == "replayed", "beyond the window"
-    assert kind(b, Sealer("a", 6, [OLD]).seal("b", [Ping(1)])) == "taken" and kind(b, sent[-2]) == "old-life"
+    assert {result(b, sent[n]) for n in order} == {"accepted"} and {result(b, sent[n]) for n in order} == {"replayed"}
+    assert result(b, sent[-1]) == "accepted" and result(b, sent[REPLAY_WINDOW - 1]) == "replayed", (
+        "older than the window"
+    )
+    assert result(b, Sealer("a", 6, [OLD]).seal("b", [Ping(1)])) == "accepted" and result(b, sent[-2]) == "old-life"
 
 
-def test_keys_change_while_all_serve() -> None:
+def test_keys_are_replaced_step_by_step_without_interruption() -> None:
     a, b = pair()
     steps = [
         ([OLD], [OLD]),
@@ -78,6 +81,6 @@
     for keys_a, keys_b in steps:
         a.rekey(keys_a)
         b.rekey(keys_b)
-        assert kind(b, a.seal("b", [Ping(1)])) == kind(a, b.seal("a", [Ping(1)])) == "taken"
+        assert result(b, a.seal("b", [Ping(1)])) == result(a, b.seal("a", [Ping(1)])) == "accepted"
     b.rekey([WRONG])
-    assert kind(b, a.seal("b", [Ping(1)])) == "forged"
+    assert result(b, a.seal("b", [Ping(1)])) == "forged"
