--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -135,20 +135,21 @@
 def _next_epoch(state_directory: str) -> int:
     """The epoch of this process, persisted before it is sent; ``OSError`` if the state directory is unusable.
 
-    A full disk is tolerated: the epoch is then taken from the clock, as after the loss of the state directory.
+    A full disk is tolerated: the next start then relies on the clock for a higher epoch, as it does after the loss of
+    the state directory.
     """
     if not state_directory:
         return kept.next_life(kept.Kept(0))
     file = Path(state_directory) / "broker"
-    found = kept.read(file)
-    found.life = kept.next_life(found)
+    state = kept.read(file)
+    state.life = kept.next_life(state)
     try:
-        kept.put(file, found)
+        kept.put(file, state)
     except OSError as error:
         if error.errno not in DISK_FULL_ERRNOS:
             raise
         logs.warn("peers-not-kept", file=file.name, why=str(error))
-    return found.life
+    return state.life
 
 
 def _reload(link: BrokerLink, settings: BrokerSettings, path: str, name: str) -> None:
--- a/kestrelspar/peers/kept.py
+++ b/kestrelspar/peers/kept.py
@@ -34,27 +34,27 @@
         return Kept(0)
 
 
-def write(file: Path, kept: Kept) -> bool:
+def write(file: Path, state: Kept) -> bool:
     """Save by writing a new file and renaming it; log and return false if that fails."""
     try:
-        put(file, kept)
+        put(file, state)
     except OSError as error:
         logs.warn("peers-not-kept", file=file.name, why=str(error))
         return False
     return True
 
 
-def put(file: Path, kept: Kept) -> None:
+def put(file: Path, state: Kept) -> None:
     """Like ``write``, but raises ``OSError`` on failure."""
-    data = msgspec.json.encode(kept)
+    data = msgspec.json.encode(state)
     if len(data) > MOST:
         raise OSError(f"larger than {MOST} bytes")
     files.replace(file, data)
 
 
-def next_life(kept: Kept) -> int:
+def next_life(state: Kept) -> int:
     """The next epoch: the clock's milliseconds or the last epoch plus one, whichever is larger.
 
     So it rises with each start even if the state directory was lost.
     """
-    return max(kept.life + 1, time.time_ns() // 1_000_000)
+    return max(state.life + 1, time.time_ns() // 1_000_000)
--- a/tests/peers/test_brokers.py
+++ b/tests/peers/test_brokers.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from kestrelspar.lab.model import Faults, Net
-from kestrelspar.peers import brokers as b
+from kestrelspar.peers import brokers
 from kestrelspar.peers.brokers import MS, SECOND, Broker, BrokerAbout, Subscriber, mark, rendezvous_order
 from kestrelspar.peers.judgements import Kind, Outcome
 from kestrelspar.peers.peer import About, Peer
@@ -39,9 +39,9 @@
 )
 
 KEY = b"a key of the brokers' tests....."
-T, EPOCH, DEST = 100 * SECOND, 7, 11
+START, EPOCH, DEST = 100 * SECOND, 7, 11
 NAMES = {f"{region}/b{n}": ("10.0.0.2", 100 * at + n) for at, region in enumerate("xyz", 1) for n in range(3)}
-OWNERS = {region: rendezvous_order(b.brokers_in_region(NAMES, region), DEST) for region in "xyz"}
+OWNERS = {region: rendezvous_order(brokers.brokers_in_region(NAMES, region), DEST) for region in "xyz"}
 COURIERS = 40
 
 
@@ -51,8 +51,8 @@
     def __init__(self, **about: Any) -> None:
         self.name = OWNERS["x"][0]
         config: dict[str, Any] = {"keys": [KEY], "brokers": NAMES, "couriers": COURIERS} | about
-        self.broker = Broker(BrokerAbout(self.name, "x", NAMES[self.name], EPOCH, **config), T, 1)
-        self.now = T
+        self.broker = Broker(BrokerAbout(self.name, "x", NAMES[self.name], EPOCH, **config), START, 1)
+        self.now = START
         self.sealers: dict[tuple[str, int], Sealer] = {}
         self.sent: list[bytes] = []  # to the broker
         self.pinged: list[str] = []  # other brokers that it pinged
@@ -60,7 +60,7 @@
     def sealer(self, name: str, epoch: int = 1) -> Sealer:
         return self.sealers.setdefault((name, epoch), Sealer(name, epoch, [KEY]))
 
-    def decode(self, datagrams: b.Datagrams) -> list[tuple[str, Word]]:
+    def decode(self, datagrams: brokers.Datagrams) -> list[tuple[str, Word]]:
         """The broker's messages by receiver. Pings of other brokers are only recorded."""
         found: list[tuple[str, Word]] = []
         for _, data in datagrams:
@@ -131,20 +131,22 @@
 
 
 def test_region_of_a_broker() -> None:
-    assert b.brokers_in_region(NAMES, "x") == ["x/b0", "x/b1", "x/b2"] and b.brokers_in_region(NAMES, "") == []
-    assert b.region_of("a/b/c") == "a/b" and b.region_of("plain") == ""
+    assert (
+        brokers.brokers_in_region(NAMES, "x") == ["x/b0", "x/b1", "x/b2"] and brokers.brokers_in_region(NAMES, "") == []
+    )
+    assert brokers.region_of("a/b/c") == "a/b" and brokers.region_of("plain") == ""
 
 
 # Relaying
 
 
 def test_an_observation_goes_to_subscribers_and_once_to_each_other_region_but_not_to_its_witness() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2, 3)
-    t.subscribe(4, dest=DEST + 1)
-    t.tick()
-    t.send("n1", Publish(DEST, seen(age=40)))
-    found = t.tick(30 * MS)
+    harness = BrokerHarness()
+    harness.subscribe(1, 2, 3)
+    harness.subscribe(4, dest=DEST + 1)
+    harness.tick()
+    harness.send("n1", Publish(DEST, seen(age=40)))
+    found = harness.tick(30 * MS)
     assert relayed(found) == [("n2", "n1"), ("n3", "n1")]
     forwarded = [(to, message) for to, message in found if isinstance(message, Forward)]
     assert sorted(to for to, _ in forwarded) == sorted(OWNERS[region][0] for region in "yz"), (
@@ -152,134 +154,146 @@
     )
     assert all(message == Forward("n1", 1, 1, DEST, seen(age=70)) for _, message in forwarded), "the 30 ms here count"
     assert all(message.seen == seen(age=70) for _, message in found if isinstance(message, Relayed))
-    assert t.tick() == []
+    assert harness.tick() == []
 
 
 def test_a_forwarded_observation_goes_only_to_subscribers_and_is_accepted_only_from_other_regions() -> None:
-    t = BrokerHarness()
-    t.subscribe(1)
+    harness = BrokerHarness()
+    harness.subscribe(1)
     message = Forward("n9", 9, 3, DEST, seen(age=10))
     for sender in (OWNERS["x"][1], "n1", "n30"):
-        t.send(sender, message)
-        assert t.tick() == [], sender
-    assert t.broker.refused["odd"] == 2 and t.broker.refused["unknown"] == 1
-    t.send("y/b1", message)
-    assert t.tick() == [("n1", Relayed("n9", 9, 3, seen(age=60), "y/b1"))], "with its origin"
-    t.send("y/b2", Forward("n9", COURIERS, 3, DEST, seen(2)))
-    assert t.tick() == [] and t.broker.refused["no-place"] == 1
+        harness.send(sender, message)
+        assert harness.tick() == [], sender
+    assert harness.broker.refused["odd"] == 2 and harness.broker.refused["unknown"] == 1
+    harness.send("y/b1", message)
+    assert harness.tick() == [("n1", Relayed("n9", 9, 3, seen(age=60), "y/b1"))], "with its origin"
+    harness.send("y/b2", Forward("n9", COURIERS, 3, DEST, seen(2)))
+    assert harness.tick() == [] and harness.broker.refused["no-place"] == 1
 
 
 def test_repetitions_are_relayed_but_not_duplicates_of_the_network_or_old_observations() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    t.send("n1", Publish(DEST, seen(5)))
-    t.send("n1", Publish(DEST, seen(5)))
-    assert len(relayed(t.tick())) == 1 and t.broker.refused["repeated"] == 1
-    t.wait(300 * MS)
-    t.send("n1", Publish(DEST, seen(5, age=300)))
-    assert len(relayed(t.tick())) == 1
-    t.send("n1", Publish(DEST, seen(4)))
-    assert t.tick() == [] and t.broker.refused["repeated"] == 2, "older than the last one of this witness"
-    t.send("n1", Publish(DEST, seen(6, age=3_001)), Publish(DEST, seen(7, age=9_000, kind=Kind.LIMIT)))
-    assert [message.seen.kind for _, message in t.tick() if isinstance(message, Relayed)] == [Kind.LIMIT]
-    assert t.broker.refused["old"] == 1, "a limit has no such bound of age"
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    harness.send("n1", Publish(DEST, seen(5)))
+    harness.send("n1", Publish(DEST, seen(5)))
+    assert len(relayed(harness.tick())) == 1 and harness.broker.refused["repeated"] == 1
+    harness.wait(300 * MS)
+    harness.send("n1", Publish(DEST, seen(5, age=300)))
+    assert len(relayed(harness.tick())) == 1
+    harness.send("n1", Publish(DEST, seen(4)))
+    assert harness.tick() == [] and harness.broker.refused["repeated"] == 2, "older than the last one of this witness"
+    harness.send("n1", Publish(DEST, seen(6, age=3_001)), Publish(DEST, seen(7, age=9_000, kind=Kind.LIMIT)))
+    assert [message.seen.kind for _, message in harness.tick() if isinstance(message, Relayed)] == [Kind.LIMIT]
+    assert harness.broker.refused["old"] == 1, "a limit has no such bound of age"
 
 
 def test_the_age_grows_by_the_time_in_the_broker_and_never_by_more() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
     pick = Random(4)
     for n in range(1, 200):
         age, delay = pick.randrange(500), pick.randrange(60 * MS)
-        t.now += 250 * MS
-        t.broker.tick(t.now)
-        t.renew("n2", 2, dests=(DEST,))
-        t.renew("n1", 1, dests=(DEST,))
-        t.send("n1", Publish(DEST, seen(n, age)))
-        ((_, message),) = [each for each in t.tick(delay) if isinstance(each[1], Relayed)]
+        harness.now += 250 * MS
+        harness.broker.tick(harness.now)
+        harness.renew("n2", 2, dests=(DEST,))
+        harness.renew("n1", 1, dests=(DEST,))
+        harness.send("n1", Publish(DEST, seen(n, age)))
+        ((_, message),) = [each for each in harness.tick(delay) if isinstance(each[1], Relayed)]
         assert isinstance(message, Relayed) and age + delay / MS - 1 < message.seen.age <= age + delay / MS
 
 
 def test_a_late_subscriber_is_sent_fresh_observations_at_once() -> None:
-    t = BrokerHarness()
-    t.subscribe(1)
-    t.send("n1", Publish(DEST, seen()))
-    t.tick()
-    t.wait(SECOND)
-    t.subscribe(2)
-    assert t.tick() == [("n2", Relayed("n1", 1, 1, seen(age=1_100)))]
-    t.wait(3 * SECOND)
-    t.subscribe(3)
-    assert t.tick() == [] and not t.broker._observations and t.broker._observation_count == 0, (
+    harness = BrokerHarness()
+    harness.subscribe(1)
+    harness.send("n1", Publish(DEST, seen()))
+    harness.tick()
+    harness.wait(SECOND)
+    harness.subscribe(2)
+    assert harness.tick() == [("n2", Relayed("n1", 1, 1, seen(age=1_100)))]
+    harness.wait(3 * SECOND)
+    harness.subscribe(3)
+    assert harness.tick() == [] and not harness.broker._observations and harness.broker._observation_count == 0, (
         "removed when it is no longer fresh"
     )
 
 
 def test_observations_of_a_limited_number_of_witnesses_are_relayed() -> None:
-    t = BrokerHarness()
-    t.subscribe(*range(12))
+    harness = BrokerHarness()
+    harness.subscribe(*range(12))
     for number in range(12):
-        t.send(f"n{number}", Publish(DEST, seen()))
-    found = {witness for _, witness in relayed(t.tick())}
-    assert len(found) == b.MAX_WITNESSES and t.broker.refused["enough"] == 12 - b.MAX_WITNESSES
-    t.send("n11", Publish(DEST, seen(2, kind=Kind.BACK)))
-    assert {witness for _, witness in relayed(t.tick())} == {"n11"}, "another kind is counted separately"
-    t.wait(4 * SECOND)
-    t.send("n10", Publish(DEST, seen(3)))
-    assert {witness for _, witness in relayed(t.tick())} == {"n10"}
+        harness.send(f"n{number}", Publish(DEST, seen()))
+    found = {witness for _, witness in relayed(harness.tick())}
+    assert len(found) == brokers.MAX_WITNESSES and harness.broker.refused["enough"] == 12 - brokers.MAX_WITNESSES
+    harness.send("n11", Publish(DEST, seen(2, kind=Kind.BACK)))
+    assert {witness for _, witness in relayed(harness.tick())} == {"n11"}, "another kind is counted separately"
+    harness.wait(4 * SECOND)
+    harness.send("n10", Publish(DEST, seen(3)))
+    assert {witness for _, witness in relayed(harness.tick())} == {"n10"}
 
 
 # Leases
 
 
 def test_a_lease_expires_by_the_brokers_clock_and_a_digest_shows_what_is_held() -> None:
-    t = BrokerHarness()
-    assert t.renew("n1", 1) == [("n1", Lease(5, True))]
-    t.send("n1", Subscribe(1, [DEST, 12, 13]))
-    assert t.renew("n1", 1, dests=(DEST, 12, 13)) == [("n1", Lease(5, True))]
-    assert t.renew("n1", 1, dests=(DEST, 12)) == [("n1", Lease(5, False))], "fewer destinations"
-    assert t.renew("n1", 1, dests=(DEST, 12, 14)) == [("n1", Lease(5, False))], "as many, but different ones"
-    t.send("n1", Unsubscribe(1, [12]), Subscribe(1, [14, 14]), Unsubscribe(0, [DEST]), Subscribe(0, [77]))
-    assert t.renew("n1", 1, dests=(DEST, 13, 14)) == [("n1", Lease(5, True))], (
+    harness = BrokerHarness()
+    assert harness.renew("n1", 1) == [("n1", Lease(5, True))]
+    harness.send("n1", Subscribe(1, [DEST, 12, 13]))
+    assert harness.renew("n1", 1, dests=(DEST, 12, 13)) == [("n1", Lease(5, True))]
+    assert harness.renew("n1", 1, dests=(DEST, 12)) == [("n1", Lease(5, False))], "fewer destinations"
+    assert harness.renew("n1", 1, dests=(DEST, 12, 14)) == [("n1", Lease(5, False))], "as many, but different ones"
+    harness.send("n1", Unsubscribe(1, [12]), Subscribe(1, [14, 14]), Unsubscribe(0, [DEST]), Subscribe(0, [77]))
+    assert harness.renew("n1", 1, dests=(DEST, 13, 14)) == [("n1", Lease(5, True))], (
         "messages of an older generation are ignored"
     )
-    t.send("n1", Subscribe(2, [DEST]))
-    assert t.renew("n1", 1, dests=(DEST,), generation=2) == [("n1", Lease(5, True))], "a new generation starts empty"
-    assert t.renew("n1", 1, generation=3) == [("n1", Lease(5, True))]
-    t.send("n1", Subscribe(3, [DEST]))
-    t.wait(b.TERM - SECOND)
-    assert t.broker.stand(t.now)["subscribers"] == 1
-    t.wait(2 * SECOND)
-    status = t.broker.stand(t.now)
-    assert status["subscribers"] == status["keys"] == status["subscriptions"] == 0 and not t.broker._courier_by_number
+    harness.send("n1", Subscribe(2, [DEST]))
+    assert harness.renew("n1", 1, dests=(DEST,), generation=2) == [("n1", Lease(5, True))], (
+        "a new generation starts empty"
+    )
+    assert harness.renew("n1", 1, generation=3) == [("n1", Lease(5, True))]
+    harness.send("n1", Subscribe(3, [DEST]))
+    harness.wait(brokers.TERM - SECOND)
+    assert harness.broker.stand(harness.now)["subscribers"] == 1
+    harness.wait(2 * SECOND)
+    status = harness.broker.stand(harness.now)
+    assert (
+        status["subscribers"] == status["keys"] == status["subscriptions"] == 0
+        and not harness.broker._courier_by_number
+    )
 
 
 def test_a_restarted_courier_loses_its_subscriptions() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    assert t.renew("n1", 1, epoch=2) == [("n1", Lease(5, True))] and t.broker.stand(t.now)["subscriptions"] == 1
-    t.send("n1", Publish(DEST, seen()))
-    assert t.tick() == [] and t.broker.sealer.dropped["old-life"] == 1
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    assert (
+        harness.renew("n1", 1, epoch=2) == [("n1", Lease(5, True))]
+        and harness.broker.stand(harness.now)["subscriptions"] == 1
+    )
+    harness.send("n1", Publish(DEST, seen()))
+    assert harness.tick() == [] and harness.broker.sealer.dropped["old-life"] == 1
 
 
 def test_datagrams_to_an_earlier_epoch_of_the_broker_are_not_relayed_when_replayed() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    t.send("n1", Publish(DEST, seen()))
-    assert relayed(t.tick())
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    harness.send("n1", Publish(DEST, seen()))
+    assert relayed(harness.tick())
     restarted = BrokerHarness()
-    restarted.broker = Broker(BrokerAbout(t.name, "x", NAMES[t.name], EPOCH + 1, [KEY], NAMES, COURIERS), T, 1)
-    for data in t.sent:  # all that it received before, replayed to an empty window
+    restarted.broker = Broker(
+        BrokerAbout(harness.name, "x", NAMES[harness.name], EPOCH + 1, [KEY], NAMES, COURIERS), START, 1
+    )
+    for data in harness.sent:  # all that it received before, replayed to an empty window
         restarted.decode(restarted.broker.hear(data, restarted.now))
     assert relayed(restarted.tick()) == [] and restarted.broker.refused["unready"] == 1
 
 
-def subscriber(seed: int = 1, name: str = "n1", number: int = 1) -> Subscriber:
-    return Subscriber(name, ("10.0.0.1", 1_000 + number), number, b.brokers_in_region(NAMES, "x"), T, Random(seed))
+def make_subscriber(seed: int = 1, name: str = "n1", number: int = 1) -> Subscriber:
+    return Subscriber(
+        name, ("10.0.0.1", 1_000 + number), number, brokers.brokers_in_region(NAMES, "x"), START, Random(seed)
+    )
 
 
 def answered(
-    s: Subscriber,
+    courier: Subscriber,
     out: list[tuple[str, list[Word]]],
     now: int,
     epoch: int = EPOCH,
@@ -290,21 +304,21 @@
     for name, messages in out:
         for message in messages:
             if isinstance(message, Renew) and name not in silent:
-                s.receive(name, epoch, [Lease(message.n, ok)], now)
+                courier.receive(name, epoch, [Lease(message.n, ok)], now)
     return dict(out)
 
 
 def test_destinations_of_a_broker_that_does_not_answer_go_to_the_next_and_return() -> None:
-    s, (first, second, third) = subscriber(), OWNERS["x"]
-    now = T
+    courier, (first, second, third) = make_subscriber(), OWNERS["x"]
+    now = START
     subscribed: dict[str, set[int]] = {name: set() for name in OWNERS["x"]}
 
     def run(duration: int, silent: tuple[str, ...] = ()) -> None:
         nonlocal now
         for _ in range(duration // (50 * MS)):
             now += 50 * MS
-            s.record_interest([DEST], now)
-            for name, messages in answered(s, s.tick(now), now, silent=silent).items():
+            courier.record_interest([DEST], now)
+            for name, messages in answered(courier, courier.tick(now), now, silent=silent).items():
                 for message in messages:
                     if isinstance(message, Subscribe):
                         subscribed[name] |= set(message.dests)
@@ -312,87 +326,99 @@
                         subscribed[name] -= set(message.dests)
 
     run(10 * SECOND)
-    assert s.owners(DEST) == [first, second] and subscribed == {first: {DEST}, second: {DEST}, third: set()}
+    assert courier.owners(DEST) == [first, second] and subscribed == {first: {DEST}, second: {DEST}, third: set()}
     run(12 * SECOND, silent=(first,))
-    assert s.owners(DEST) == [second, third] and subscribed[third] == {DEST}
-    assert [name for name, _ in s.events] == ["peers-broker-silent"] and not s.status(now)[first]["answering"]
-    run(b.TERM + 4 * SECOND)
-    assert s.owners(DEST) == [first, second] and subscribed[first] == {DEST}
-    run(b.UNSUBSCRIBE_DELAY)
+    assert courier.owners(DEST) == [second, third] and subscribed[third] == {DEST}
+    assert [name for name, _ in courier.events] == ["peers-broker-silent"] and not courier.status(now)[first][
+        "answering"
+    ]
+    run(brokers.TERM + 4 * SECOND)
+    assert courier.owners(DEST) == [first, second] and subscribed[first] == {DEST}
+    run(brokers.UNSUBSCRIBE_DELAY)
     assert subscribed[third] == set(), "the substitute is unsubscribed after the owner has it again"
-    s.receive(second, EPOCH, [Lease(0, False)], now)
-    assert s.owners(DEST) == [first, third], "one that shuts down is replaced at once"
+    courier.receive(second, EPOCH, [Lease(0, False)], now)
+    assert courier.owners(DEST) == [first, third], "one that shuts down is replaced at once"
     run(2 * SECOND, silent=tuple(OWNERS["x"]))
-    assert s.owners(DEST), "a few lost renewals do not count as a failure"
+    assert courier.owners(DEST), "a few lost renewals do not count as a failure"
 
 
 def test_interests_expire_and_are_bounded_and_the_least_recently_used_is_evicted() -> None:
-    s = subscriber()
-    for n in range(1, b.MAX_INTERESTS // b.MAX_PLACED_PER_CALL + 1):
-        s.record_interest(range(b.MAX_INTERESTS), T)
-        assert len(s._interests) == n * b.MAX_PLACED_PER_CALL, "a limited number in each call"
-    s.record_interest([], T + SECOND)
-    s.record_interest([0], T + 4 * SECOND)
-    s.record_interest([b.MAX_INTERESTS, b.MAX_INTERESTS + 1], T + 4 * SECOND)
-    assert s.refused == 2 and len(s._interests) == b.MAX_INTERESTS and {0, b.MAX_INTERESTS} <= s._interests.keys()
-    assert not {1, 2} & s._interests.keys()
-    now = T + 5 * SECOND
-    while now < T + b.INTEREST_TTL + 10 * SECOND:
-        s.record_interest([0], now)
-        answered(s, s.tick(now), now)
+    courier = make_subscriber()
+    for n in range(1, brokers.MAX_INTERESTS // brokers.MAX_PLACED_PER_CALL + 1):
+        courier.record_interest(range(brokers.MAX_INTERESTS), START)
+        assert len(courier._interests) == n * brokers.MAX_PLACED_PER_CALL, "a limited number in each call"
+    courier.record_interest([], START + SECOND)
+    courier.record_interest([0], START + 4 * SECOND)
+    courier.record_interest([brokers.MAX_INTERESTS, brokers.MAX_INTERESTS + 1], START + 4 * SECOND)
+    assert (
+        courier.refused == 2
+        and len(courier._interests) == brokers.MAX_INTERESTS
+        and {0, brokers.MAX_INTERESTS} <= courier._interests.keys()
+    )
+    assert not {1, 2} & courier._interests.keys()
+    now = START + 5 * SECOND
+    while now < START + brokers.INTEREST_TTL + 10 * SECOND:
+        courier.record_interest([0], now)
+        answered(courier, courier.tick(now), now)
         now += SECOND // 4
-    assert set(s._interests) == {0} and set().union(*(session.subscribed for session in s.places.values())) == {0}
+    assert set(courier._interests) == {0} and set().union(
+        *(session.subscribed for session in courier.places.values())
+    ) == {0}
 
 
 def test_more_destinations_in_use_than_the_maximum_do_not_evict_each_other(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    s, lookups = subscriber(), [0]
+    courier, lookups = make_subscriber(), [0]
 
     def counted(names: Any, dest: int) -> list[str]:
         lookups[0] += 1
         return rendezvous_order(names, dest)
 
-    monkeypatch.setattr(b, "rendezvous_order", counted)
+    monkeypatch.setattr(brokers, "rendezvous_order", counted)
     for n in range(200):  # ten seconds
-        s.record_interest(range(3 * b.MAX_INTERESTS), T + n * 50 * MS)
-    assert len(s._interests) == b.MAX_INTERESTS and lookups[0] == b.MAX_INTERESTS and s.refused >= 2 * b.MAX_INTERESTS
+        courier.record_interest(range(3 * brokers.MAX_INTERESTS), START + n * 50 * MS)
+    assert (
+        len(courier._interests) == brokers.MAX_INTERESTS
+        and lookups[0] == brokers.MAX_INTERESTS
+        and courier.refused >= 2 * brokers.MAX_INTERESTS
+    )
     rare, frequent = 5, range(100, 110)
-    s = subscriber()
+    courier = make_subscriber()
     for n in range(4 * 60 * 20):  # one destination is used only once in ten seconds, between two updates of the others
-        s.record_interest([*frequent, rare] if n % 200 == 7 else frequent, T + n * 50 * MS)
-        s.tick(T + n * 50 * MS)
-        assert n < 7 or rare in s._interests
+        courier.record_interest([*frequent, rare] if n % 200 == 7 else frequent, START + n * 50 * MS)
+        courier.tick(START + n * 50 * MS)
+        assert n < 7 or rare in courier._interests
 
 
 def test_a_courier_renews_its_lease_before_it_subscribes() -> None:
     for seed in range(20):
-        s, known = subscriber(seed), set()
+        courier, known = make_subscriber(seed), set()
         for n in range(40):
-            s.record_interest(range(30), T + n * 50 * MS)
-            for name, messages in s.tick(T + n * 50 * MS):
+            courier.record_interest(range(30), START + n * 50 * MS)
+            for name, messages in courier.tick(START + n * 50 * MS):
                 assert isinstance(messages[0], Renew) or name in known
                 known.add(name)
         assert len(known) == 3
 
 
 def test_subscriptions_after_a_brokers_restart_are_spread_over_time() -> None:
-    fleet = [subscriber(seed, f"n{seed}", seed) for seed in range(200)]
-    restarted, restarted_at, now = OWNERS["x"][0], T + 20 * SECOND, T
+    fleet = [make_subscriber(seed, f"n{seed}", seed) for seed in range(200)]
+    restarted, restarted_at, now = OWNERS["x"][0], START + 20 * SECOND, START
     sent: Counter[int] = Counter()  # destinations by half second
     while now < restarted_at + 15 * SECOND:
         now += 50 * MS
-        for s in fleet:
-            s.record_interest(range(40), now)
-            known = s.places[restarted].epoch
-            messages = answered(s, s.tick(now), now, silent=(restarted,))
+        for courier in fleet:
+            courier.record_interest(range(40), now)
+            known = courier.places[restarted].epoch
+            messages = answered(courier, courier.tick(now), now, silent=(restarted,))
             for message in messages.get(restarted, []):
                 if isinstance(message, Renew):  # after the restart it holds nothing
                     epoch = EPOCH + (now >= restarted_at)
-                    s.receive(restarted, epoch, [Lease(message.n, now < restarted_at or known == epoch)], now)
+                    courier.receive(restarted, epoch, [Lease(message.n, now < restarted_at or known == epoch)], now)
                 elif isinstance(message, Subscribe) and now >= restarted_at:
                     sent[now // (500 * MS)] += len(message.dests)
-    owned = sum(restarted in rendezvous_order(b.brokers_in_region(NAMES, "x"), dest)[:2] for dest in range(40))
+    owned = sum(restarted in rendezvous_order(brokers.brokers_in_region(NAMES, "x"), dest)[:2] for dest in range(40))
     assert sum(sent.values()) == 200 * owned, "every subscription is sent again once"
     assert len(sent) >= 10 and max(sent.values()) <= 0.3 * 200 * owned, sent
 
@@ -402,32 +428,36 @@
 
 def test_after_a_stall_observations_are_dropped_but_leases_are_renewed() -> None:
     for ticks_first in (False, True):
-        t = BrokerHarness()
-        t.subscribe(1, 2)
-        t.tick()
-        t.now += b.TERM - SECOND
+        harness = BrokerHarness()
+        harness.subscribe(1, 2)
+        harness.tick()
+        harness.now += brokers.TERM - SECOND
         if ticks_first:
-            t.tick(0)
-        t.send("n1", Publish(DEST, seen()))
-        t.send("y/b1", Forward("n9", 9, 3, DEST, seen()))
-        assert t.renew("n2", 2, dests=(DEST,)) == [("n2", Lease(5, True))]
-        assert t.tick(0) == [] and t.broker.refused["late"] == 2 and t.broker.stalled == 1
-        t.tick()
-        t.send("n1", Publish(DEST, seen(2)))
-        assert relayed(t.tick()) == [("n2", "n1")], "normal operation from then on"
-        assert t.broker.stalled == 1 and [name for name, _ in t.broker.events] == ["broker-stalled"]
+            harness.tick(0)
+        harness.send("n1", Publish(DEST, seen()))
+        harness.send("y/b1", Forward("n9", 9, 3, DEST, seen()))
+        assert harness.renew("n2", 2, dests=(DEST,)) == [("n2", Lease(5, True))]
+        assert harness.tick(0) == [] and harness.broker.refused["late"] == 2 and harness.broker.stalled == 1
+        harness.tick()
+        harness.send("n1", Publish(DEST, seen(2)))
+        assert relayed(harness.tick()) == [("n2", "n1")], "normal operation from then on"
+        assert harness.broker.stalled == 1 and [name for name, _ in harness.broker.events] == ["broker-stalled"]
 
 
 def test_a_broker_steps_back_when_two_couriers_report_a_higher_epoch_but_not_for_one() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2, 3)
+    harness = BrokerHarness()
+    harness.subscribe(1, 2, 3)
     for _ in range(3):
-        t.renew("n1", 1, known=EPOCH + 1)
-    assert not t.broker.stepped_back
-    assert t.renew("n2", 2, known=EPOCH + 1) == [] and t.broker.stepped_back
-    assert [(name, fields["younger"]) for name, fields in t.broker.events] == [("broker-name-twice", EPOCH + 1)]
-    t.send("n3", Publish(DEST, seen()))
-    assert t.renew("n3", 3) == [] and t.tick() == [] and t.decode(t.broker.leave(t.now)) == []
+        harness.renew("n1", 1, known=EPOCH + 1)
+    assert not harness.broker.stepped_back
+    assert harness.renew("n2", 2, known=EPOCH + 1) == [] and harness.broker.stepped_back
+    assert [(name, fields["younger"]) for name, fields in harness.broker.events] == [("broker-name-twice", EPOCH + 1)]
+    harness.send("n3", Publish(DEST, seen()))
+    assert (
+        harness.renew("n3", 3) == []
+        and harness.tick() == []
+        and harness.decode(harness.broker.leave(harness.now)) == []
+    )
     other = BrokerHarness()
     other.send(other.name, Ping(1), epoch=EPOCH - 1)
     assert not other.broker.stepped_back
@@ -436,156 +466,156 @@
 
 
 def test_two_couriers_with_one_number_are_reported_also_across_regions() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    t.renew("n77", 2)
-    t.send("y/b0", Forward("n78", 1, 1, DEST, seen()))
-    t.renew("n77", 2)
-    assert [(name, fields["courier"], fields["rival"]) for name, fields in t.broker.events] == [
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    harness.renew("n77", 2)
+    harness.send("y/b0", Forward("n78", 1, 1, DEST, seen()))
+    harness.renew("n77", 2)
+    assert [(name, fields["courier"], fields["rival"]) for name, fields in harness.broker.events] == [
         ("broker-number-twice", "n77", "n2"),
         ("broker-number-twice", "n78", "n1"),
     ]
-    assert t.renew("n50", COURIERS) == [] and t.broker.refused["no-place"] == 1
+    assert harness.renew("n50", COURIERS) == [] and harness.broker.refused["no-place"] == 1
 
 
 def test_a_flooding_courier_is_limited_to_its_share_and_others_are_not() -> None:
-    t = BrokerHarness(bytes_a_second=100_000)
-    t.subscribe(*range(10))
+    harness = BrokerHarness(bytes_a_second=100_000)
+    harness.subscribe(*range(10))
     for each in range(40):
         for n in range(20):
-            t.send("n1", Publish(DEST, seen(1 + 20 * each + n, endpoint=f"e{n}")))
-        t.tick()
-    relayed_count = t.broker.passed_on
-    assert t.broker.refused["share"] + t.broker.refused["flood"] > 700
-    assert relayed_count * b.RELAY_COST_BYTES <= 1.2 * b.COURIER_BANDWIDTH_SHARE * 100_000 * 3, (
+            harness.send("n1", Publish(DEST, seen(1 + 20 * each + n, endpoint=f"e{n}")))
+        harness.tick()
+    relayed_count = harness.broker.passed_on
+    assert harness.broker.refused["share"] + harness.broker.refused["flood"] > 700
+    assert relayed_count * brokers.RELAY_COST_BYTES <= 1.2 * brokers.COURIER_BANDWIDTH_SHARE * 100_000 * 3, (
         "its share, and the burst that is allowed"
     )
-    t.send("n2", Publish(DEST, seen(1, endpoint="other")))
-    assert {witness for _, witness in relayed(t.tick())} == {"n2"} and t.broker.held_back == 0
+    harness.send("n2", Publish(DEST, seen(1, endpoint="other")))
+    assert {witness for _, witness in relayed(harness.tick())} == {"n2"} and harness.broker.held_back == 0
     fast = BrokerHarness(bytes_a_second=100_000_000)
     fast.subscribe(1, 2)
     for n in range(200):
         fast.send("n1", Publish(DEST, seen(n + 1, endpoint=f"e{n}")))
-    assert fast.broker.refused["flood"] == 200 - b.PUBLISH_RATE
+    assert fast.broker.refused["flood"] == 200 - brokers.PUBLISH_RATE
     assert [name for name, _ in fast.broker.events] == ["broker-flooded"]
 
 
 def test_state_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    t = BrokerHarness(max_subscribers=3)
-    t.subscribe(1, 2, 3, 4)
-    assert t.broker.stand(t.now)["subscribers"] == 3 and t.broker.refused["subscribers"] == 1
-    monkeypatch.setattr(b, "MAX_INTERESTS", 50)
+    harness = BrokerHarness(max_subscribers=3)
+    harness.subscribe(1, 2, 3, 4)
+    assert harness.broker.stand(harness.now)["subscribers"] == 3 and harness.broker.refused["subscribers"] == 1
+    monkeypatch.setattr(brokers, "MAX_INTERESTS", 50)
     for at in range(0, 100, 10):
-        t.send("n1", Subscribe(1, list(range(1_000 + at, 1_010 + at))))
-    assert len(t.broker._subscribed["n1"].dests) == 50 and t.broker.refused["keys"] == 51
-    monkeypatch.setattr(b, "MAX_SUBSCRIPTIONS", 60)
-    t.send("n2", Subscribe(1, list(range(2_000, 2_040))))
-    assert t.broker.stand(t.now)["subscriptions"] == 60
-    monkeypatch.setattr(b, "MAX_OBSERVATIONS", 80)
+        harness.send("n1", Subscribe(1, list(range(1_000 + at, 1_010 + at))))
+    assert len(harness.broker._subscribed["n1"].dests) == 50 and harness.broker.refused["keys"] == 51
+    monkeypatch.setattr(brokers, "MAX_SUBSCRIPTIONS", 60)
+    harness.send("n2", Subscribe(1, list(range(2_000, 2_040))))
+    assert harness.broker.stand(harness.now)["subscriptions"] == 60
+    monkeypatch.setattr(brokers, "MAX_OBSERVATIONS", 80)
     for n in range(200):
-        t.send("y/b0", Forward("n9", 9, 1, DEST + n % 2, seen(endpoint=f"e{n}")))
-    assert t.broker._observation_count == 80 and all(
-        len(each) <= b.MAX_OBSERVATIONS_PER_DESTINATION for each in t.broker._observations.values()
+        harness.send("y/b0", Forward("n9", 9, 1, DEST + n % 2, seen(endpoint=f"e{n}")))
+    assert harness.broker._observation_count == 80 and all(
+        len(each) <= brokers.MAX_OBSERVATIONS_PER_DESTINATION for each in harness.broker._observations.values()
     )
 
 
 def test_the_bandwidth_limit_holds_and_leases_have_priority_over_observations() -> None:
-    t = BrokerHarness(bytes_a_second=10_000)
-    t.subscribe(*range(20))
-    t.wait(SECOND)
-    sent, began = t.broker.sent, t.now
+    harness = BrokerHarness(bytes_a_second=10_000)
+    harness.subscribe(*range(20))
+    harness.wait(SECOND)
+    sent, began = harness.broker.sent, harness.now
     for n in range(300):
-        t.send(f"y/b{n % 3}", Forward("n30", 30, 1, DEST, seen(n + 1, endpoint=f"e{n}")))
+        harness.send(f"y/b{n % 3}", Forward("n30", 30, 1, DEST, seen(n + 1, endpoint=f"e{n}")))
         if n % 50 == 49:
-            t.tick()
-    assert t.broker.held_back > 0 and t.broker.sent - sent <= 10_000 * (1 + (t.now - began) / SECOND)
-    assert t.renew("n1", 1, dests=(DEST,)) == [("n1", Lease(5, True))]
-    assert "broker-held-back" in [name for name, _ in t.broker.events]
+            harness.tick()
+    assert harness.broker.held_back > 0 and harness.broker.sent - sent <= 10_000 * (1 + (harness.now - began) / SECOND)
+    assert harness.renew("n1", 1, dests=(DEST,)) == [("n1", Lease(5, True))]
+    assert "broker-held-back" in [name for name, _ in harness.broker.events]
 
 
 def test_an_observation_with_names_too_long_for_a_datagram_is_counted_and_dropped() -> None:
-    t, long = BrokerHarness(), "\U0001f41f" * 58
+    harness, long = BrokerHarness(), "\U0001f41f" * 58
     for n in (1, 2):
-        t.renew(f"{long}{n}", n)
-        t.send(f"{long}{n}", Subscribe(1, [DEST]))
-    t.send(f"{long}1", Publish(DEST, seen(endpoint="\U0001f41f" * 195)))
-    t.send(f"{long}1", Publish(DEST, seen(2)))
-    assert [message.seen.n for _, message in t.tick() if isinstance(message, Relayed)] == [2]
-    assert t.broker.refused["oversized"] == 1
+        harness.renew(f"{long}{n}", n)
+        harness.send(f"{long}{n}", Subscribe(1, [DEST]))
+    harness.send(f"{long}1", Publish(DEST, seen(endpoint="\U0001f41f" * 195)))
+    harness.send(f"{long}1", Publish(DEST, seen(2)))
+    assert [message.seen.n for _, message in harness.tick() if isinstance(message, Relayed)] == [2]
+    assert harness.broker.refused["oversized"] == 1
 
 
 def test_at_shutdown_queued_observations_are_relayed_and_subscribers_notified() -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    t.send("n1", Publish(DEST, seen()))
-    found = t.decode(t.broker.leave(t.now))
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    harness.send("n1", Publish(DEST, seen()))
+    found = harness.decode(harness.broker.leave(harness.now))
     assert relayed(found) == [("n2", "n1")] and {to for to, message in found if message == Lease(0, False)} == {
         "n1",
         "n2",
     }
-    assert t.tick() == [] and not t.broker.stepped_back
+    assert harness.tick() == [] and not harness.broker.stepped_back
 
 
 def test_brokers_ping_each_other_and_one_that_does_not_answer_is_skipped() -> None:
-    t = BrokerHarness()
-    t.subscribe(1)
+    harness = BrokerHarness()
+    harness.subscribe(1)
     failed = OWNERS["y"][0]
     for _ in range(1_000):  # fifty seconds
-        t.pinged.clear()
-        t.tick()
-        for name in t.pinged:
+        harness.pinged.clear()
+        harness.tick()
+        for name in harness.pinged:
             if name != failed:
-                t.send(name, Ack(t.broker._remote_brokers[name].n))
-        t.renew("n1", 1, dests=(DEST,))
-    assert [name for name, answers in t.broker.stand(t.now)["brokers"].items() if not answers] == [failed]
-    assert t.send(failed, Ping(4)) == [(failed, Ack(4))]
-    t.send("n1", Publish(DEST, seen()))
-    receivers = {to for to, message in t.tick() if isinstance(message, Forward)}
+                harness.send(name, Ack(harness.broker._remote_brokers[name].n))
+        harness.renew("n1", 1, dests=(DEST,))
+    assert [name for name, answers in harness.broker.stand(harness.now)["brokers"].items() if not answers] == [failed]
+    assert harness.send(failed, Ping(4)) == [(failed, Ack(4))]
+    harness.send("n1", Publish(DEST, seen()))
+    receivers = {to for to, message in harness.tick() if isinstance(message, Forward)}
     assert receivers == {OWNERS["y"][1], OWNERS["z"][0]}
 
 
 # Bad input
 
 BAD: dict[str, Callable[[BrokerHarness, bytes], bytes]] = {
-    "oversized": lambda t, d: d + b"x" * MOST,
-    "foreign": lambda t, d: b"GET / HTTP/1.1\r\n\r\n" + d,
-    "forged": lambda t, d: d[:-1] + bytes([d[-1] ^ 1]),
-    "misdirected": lambda t, d: t.sealer("n1").seal("y/b0", []),
-    "old-life": lambda t, d: Sealer("n1", 0, [KEY]).seal(t.name, []),
-    "replayed": lambda t, d: t.sent[-1],
+    "oversized": lambda harness, data: data + b"x" * MOST,
+    "foreign": lambda harness, data: b"GET / HTTP/1.1\r\n\r\n" + data,
+    "forged": lambda harness, data: data[:-1] + bytes([data[-1] ^ 1]),
+    "misdirected": lambda harness, data: harness.sealer("n1").seal("y/b0", []),
+    "old-life": lambda harness, data: Sealer("n1", 0, [KEY]).seal(harness.name, []),
+    "replayed": lambda harness, data: harness.sent[-1],
 }
 
 
 @pytest.mark.parametrize("name", BAD)
 def test_an_invalid_datagram_is_dropped_and_counted(name: str) -> None:
-    t = BrokerHarness()
-    t.subscribe(1, 2)
-    t.send("n1", Publish(DEST, seen()))
-    t.tick()
-    bad = BAD[name](t, t.sealer("n1").seal(t.name, [Publish(DEST, seen(2))]))
+    harness = BrokerHarness()
+    harness.subscribe(1, 2)
+    harness.send("n1", Publish(DEST, seen()))
+    harness.tick()
+    bad = BAD[name](harness, harness.sealer("n1").seal(harness.name, [Publish(DEST, seen(2))]))
     for _ in range(3):
-        assert t.decode(t.broker.hear(bad, t.now)) == []
-    assert t.tick() == [] and t.broker.stand(t.now)["dropped"] == {name: 3}
-    reported = [fields["kind"] for event, fields in t.broker.events if event == "broker-dropped"]
+        assert harness.decode(harness.broker.hear(bad, harness.now)) == []
+    assert harness.tick() == [] and harness.broker.stand(harness.now)["dropped"] == {name: 3}
+    reported = [fields["kind"] for event, fields in harness.broker.events if event == "broker-dropped"]
     assert reported == ([] if name == "old-life" else [name]), "one event per kind and minute"
-    t.send("n1", Publish(DEST, seen(3)))
-    assert relayed(t.tick()) == [("n2", "n1")], "a valid one that follows is accepted"
+    harness.send("n1", Publish(DEST, seen(3)))
+    assert relayed(harness.tick()) == [("n2", "n1")], "a valid one that follows is accepted"
 
 
 @pytest.mark.parametrize("host", ["", "example.org", "1.2.3", "1.2.3.256", "10.0.0.1\n", "localhost.x"])
 def test_an_address_that_needs_name_resolution_is_rejected(host: str) -> None:
-    t = BrokerHarness()
-    assert t.send("n1", Renew(1, host, 5, 1, 0, 1, 0, 0)) == [] and not t.broker._subscribed
-    assert t.broker.sealer.dropped == {"unreadable": 1}
-    assert t.send("n1", Renew(1, "localhost", 5, 1, 0, 1, 0, 0)) == [("n1", Lease(1, True))]
+    harness = BrokerHarness()
+    assert harness.send("n1", Renew(1, host, 5, 1, 0, 1, 0, 0)) == [] and not harness.broker._subscribed
+    assert harness.broker.sealer.dropped == {"unreadable": 1}
+    assert harness.send("n1", Renew(1, "localhost", 5, 1, 0, 1, 0, 0)) == [("n1", Lease(1, True))]
 
 
 def test_truncated_datagrams_are_rejected() -> None:
-    t = BrokerHarness()
-    whole = t.sealer("n1").seal(t.name, [Renew(1, "10.0.0.1", 5, 1, 0, 1, 0, 0)])
+    harness = BrokerHarness()
+    whole = harness.sealer("n1").seal(harness.name, [Renew(1, "10.0.0.1", 5, 1, 0, 1, 0, 0)])
     for end in range(len(whole)):
-        assert t.broker.hear(whole[:end], t.now) == []
-    assert not t.broker._subscribed and sum(t.broker.sealer.dropped.values()) == len(whole)
+        assert harness.broker.hear(whole[:end], harness.now) == []
+    assert not harness.broker._subscribed and sum(harness.broker.sealer.dropped.values()) == len(whole)
 
 
 COUNT = st.sampled_from([0, 1, 5, EPOCH, EPOCH + 1, 1 << 53])
@@ -639,27 +669,29 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(st.tuples(TEXT, st.lists(MESSAGES, max_size=3), st.sampled_from([0, 50 * MS, SECOND])), max_size=25))
 def test_any_messages_sealed_with_the_key_are_handled_without_errors(sent: list[tuple[str, list[Word], int]]) -> None:
-    t = BrokerHarness()
+    harness = BrokerHarness()
     region = {name: address for name, address in NAMES.items()}
     peer = Peer(
-        About("n0", ("10.0.0.1", 1_000), 1, [KEY], {}, Terms(COURIERS, 0), group="a", region="x", brokers=region), T, 1
+        About("n0", ("10.0.0.1", 1_000), 1, [KEY], {}, Terms(COURIERS, 0), group="a", region="x", brokers=region),
+        START,
+        1,
     )
     peer.judgements.routes({"a": DEST, "b": 0})
     for sender, messages, elapsed in sent:
-        t.now += elapsed
-        for to, receive in ((t.name, t.broker.hear), ("n0", peer.hear)):
-            sealer = t.sealer(sender, EPOCH + 2)
+        harness.now += elapsed
+        for to, receive in ((harness.name, harness.broker.hear), ("n0", peer.hear)):
+            sealer = harness.sealer(sender, EPOCH + 2)
             try:
                 data = sealer.seal(to, messages)
             except ValueError:  # too large to be sent at all
                 continue
-            for _, answer in receive(data, t.now):
+            for _, answer in receive(data, harness.now):
                 assert len(answer) <= MOST
-        peer.interest([DEST, 0], t.now)
-        for _, answer in t.broker.tick(t.now) + peer.tick(t.now):
+        peer.interest([DEST, 0], harness.now)
+        for _, answer in harness.broker.tick(harness.now) + peer.tick(harness.now):
             assert len(answer) <= MOST
-    t.broker.stand(t.now)
-    assert peer.judgements.holds(t.now, []).keys() <= {"a", "b"} and peer.broker_status(t.now)
+    harness.broker.stand(harness.now)
+    assert peer.judgements.holds(harness.now, []).keys() <= {"a", "b"} and peer.broker_status(harness.now)
 
 
 def test_couriers_without_brokers_are_sent_only_messages_that_they_can_decode() -> None:
@@ -750,7 +782,7 @@
         if not hasattr(self, "net"):
             return
         self.net.faults = Faults()
-        self.net.run(self.net.now + b.INTEREST_TTL + 3 * b.TERM)
+        self.net.run(self.net.now + brokers.INTEREST_TTL + 3 * brokers.TERM)
         dests = set(self.net.dests.get("n0", {}).values())
         for name, node in self.net.brokers.items():
             assert node.broker is not None and node.broker._subscribed.keys() == {"n0"}
@@ -763,8 +795,8 @@
 
 
 def test_a_broker_changes_its_keys() -> None:
-    t = BrokerHarness()
-    t.broker.sealer.rekey([b"n" * 32, KEY])
-    assert t.renew("n1", 1), "the old key is still accepted"
+    harness = BrokerHarness()
+    harness.broker.sealer.rekey([b"n" * 32, KEY])
+    assert harness.renew("n1", 1), "the old key is still accepted"
     with pytest.raises(DatagramRejectedError):
-        Sealer("n1", 1, [KEY]).open(t.broker.sealer.seal("n1", []))
+        Sealer("n1", 1, [KEY]).open(harness.broker.sealer.seal("n1", []))
--- a/tests/peers/test_seal.py
+++ b/tests/peers/test_seal.py
@@ -27,12 +27,12 @@
 
 
 BAD: dict[str, Callable[[Sealer, bytes], bytes]] = {
-    "oversized": lambda a, d: d + b"x" * MOST,
-    "foreign": lambda a, d: b"GET / HTTP/1.1\r\n\r\n" + d,
-    "forged": lambda a, d: d[:-1] + bytes([d[-1] ^ 1]),
-    "misdirected": lambda a, d: a.seal("c", [Ping(1)]),
-    "old-life": lambda a, d: Sealer("a", 4, [OLD]).seal("b", [Ping(1)]),
-    "replayed": lambda a, d: d,
+    "oversized": lambda sealer, data: data + b"x" * MOST,
+    "foreign": lambda sealer, data: b"GET / HTTP/1.1\r\n\r\n" + data,
+    "forged": lambda sealer, data: data[:-1] + bytes([data[-1] ^ 1]),
+    "misdirected": lambda sealer, data: sealer.seal("c", [Ping(1)]),
+    "old-life": lambda sealer, data: Sealer("a", 4, [OLD]).seal("b", [Ping(1)]),
+    "replayed": lambda sealer, data: data,
 }
 
 
