--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -153,7 +153,7 @@
     subscribed: set[int] = field(default_factory=set)  # what the broker should hold
     digest: int = 0  # of ``subscribed``
     to_add: dict[int, None] = field(default_factory=dict)  # to be subscribed
-    to_drop: dict[int, int] = field(default_factory=dict)  # to be unsubscribed: from when on
+    to_drop: dict[int, int] = field(default_factory=dict)  # to be unsubscribed, each from this time on
     add_after: int = 0  # no subscription is sent before
     mismatches: int = 0  # consecutive renewals that found a different set at the broker
 
@@ -193,9 +193,9 @@
                 break
             if len(self._interests) >= MAX_INTERESTS:
                 oldest, last_used = next(iter(self._interests.items()))
-                if (
-                    now - last_used < 2 * INTEREST_UPDATE_INTERVAL
-                ):  # all are in use: evicting would replace all each time
+                # If even the least recently used one is in use, the new ones are refused: otherwise destinations in
+                # use would evict each other with every call.
+                if now - last_used < 2 * INTEREST_UPDATE_INTERVAL:
                     self.refused += len(new) - n
                     self._used -= new
                     break
