--- a/kestrelspar/registry/__init__.py
+++ b/kestrelspar/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists from key-value registries: etcd and Consul."""
+"""Endpoint lists from the key-value registries etcd and Consul."""
--- a/kestrelspar/registry/consul.py
+++ b/kestrelspar/registry/consul.py
@@ -1,6 +1,6 @@
-"""Consul's KV store over HTTP: blocking reads of everything below a prefix.
+"""Client of Consul's KV store over HTTP: blocking reads of all keys below a prefix.
 
-Protocol: Consul's "KV Store API" and "Blocking queries" pages. Decides nothing about lists: sync.py does.
+Protocol: Consul's "KV Store API" and "Blocking queries" pages. All decisions about lists are made in sync.py.
 """
 
 from __future__ import annotations
@@ -14,113 +14,120 @@
 from kestrelspar.http import parser
 from kestrelspar.http.nexthop import seconds
 from kestrelspar.registry.link import Broken, Link
-from kestrelspar.registry.stream import BadStream, Objects
+from kestrelspar.registry.stream import JsonObjectSplitter, MalformedStreamError
 from kestrelspar.registry.sync import Item
 from kestrelspar.settings.resolve import Registry
 
 
-class Pair(Struct):
-    """One key of an answer."""
+class KeyValue(Struct):
+    """One key of a response."""
 
     Key: str
     ModifyIndex: int
     Value: bytes | None = None
 
 
-_decoder = msgspec.json.Decoder(Pair)
+_decoder = msgspec.json.Decoder(KeyValue)
 
 
-def pair(raw: bytes) -> Pair:
-    """A key from its object; ``Broken`` where it is not Consul's."""
+def decode_key_value(raw: bytes) -> KeyValue:
+    """Decode the JSON object of a key. Raises ``Broken`` if it is not one of Consul's."""
     try:
         return _decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Broken(f"not consul's answer: {error}") from None
+        raise Broken(f"not a Consul response: {error}") from None
 
 
-def whole_number(text: str) -> int | None:
-    """A header's number; nothing where it is none."""
+def parse_number(text: str) -> int | None:
+    """The number in a header, or None if it is not a number."""
     return int(text) if text.isascii() and text.isdigit() and len(text) < 20 else None
 
 
 class Consul:
-    """One Consul agent or server, as one registry section tells to ask it."""
+    """One Consul agent or server, with the settings of a registry section."""
 
-    def __init__(self, link: Link, told: Registry) -> None:
-        self.link, self.told = link, told
-        self._headers = {"X-Consul-Token": told.token} if told.token else {}
+    def __init__(self, link: Link, config: Registry) -> None:
+        self.link, self.config = link, config
+        self._headers = {"X-Consul-Token": config.token} if config.token else {}
 
-    def _ask(self, method: str, key: str, query: str, body: bytes = b"", wait: int = 0) -> parser.Head:
-        return self.link.ask(method, f"/v1/kv/{quote(key)}?{query}", self._headers, body, wait)
+    def _request(self, method: str, key: str, query: str, body: bytes = b"", wait: int = 0) -> parser.Head:
+        return self.link.request(method, f"/v1/kv/{quote(key)}?{query}", self._headers, body, wait)
 
-    def _refused(self, head: parser.Head) -> Broken:
-        text = self.link.whole(head).decode("latin-1").strip()[:200]
-        why = {403: "the token may not do this", 429: "asked too often", 500: "no leader"}.get(head.status, "")
+    def _response_error(self, head: parser.Head) -> Broken:
+        text = self.link.read_body(head).decode("latin-1").strip()[:200]
+        reason = {403: "the token lacks the permission", 429: "too many requests", 500: "no leader"}.get(
+            head.status, ""
+        )
         return Broken(
-            f"status {head.status}{f', {why}' if why else ''}: {text}", seconds(head.headers.get("retry-after", ""))
+            f"status {head.status}{f', {reason}' if reason else ''}: {text}",
+            seconds(head.headers.get("retry-after", "")),
         )
 
     def read(self, index: int, consistent: bool) -> tuple[parser.Head, int | None, bool, int]:
         """Begin to read the whole list, blocking while it is at the index.
 
-        The head, its index, whether the member knows a leader, and milliseconds since it heard that; ``Broken``
-        where the answer is neither a list nor 404, which is an empty one.
+        Returns the head, its index, whether the member knows a leader, and milliseconds since their last contact.
+        Raises ``Broken`` if the response is neither a list nor 404, which is an empty list.
         """
-        told = self.told.told
+        section = self.config.told
         query = "recurse=true"
         if index:
-            query += f"&index={index}&wait={told.wait // 1000}ms"
-        mode = "consistent" if consistent else told.consistency
+            query += f"&index={index}&wait={section.wait // 1000}ms"
+        mode = "consistent" if consistent else section.consistency
         query += f"&{mode}" if mode != "default" else ""
-        # A sixteenth of the wait is the jitter that the server may add.
-        head = self._ask("GET", told.prefix, query, wait=told.wait * 17 // 16 if index else 0)
+        # The server may add up to 1/16 of the wait as jitter.
+        head = self._request("GET", section.prefix, query, wait=section.wait * 17 // 16 if index else 0)
         if head.status not in (200, 404):
-            raise self._refused(head)
+            raise self._response_error(head)
         headers = head.headers
-        contact = whole_number(headers.get("x-consul-lastcontact", "")) or 0
+        last_contact_ms = parse_number(headers.get("x-consul-lastcontact", "")) or 0
         return (
             head,
-            whole_number(headers.get("x-consul-index", "")),
+            parse_number(headers.get("x-consul-index", "")),
             headers.get("x-consul-knownleader", "true") != "false",
-            contact,
+            last_contact_ms,
         )
 
-    def parts(self, head: parser.Head) -> Iterator[list[Item]]:
-        """The keys of an answer, as its pieces come. Keys that end with a slash are folders, no entries."""
-        objects = Objects()
-        for piece in self.link.pieces(head):
+    def item_batches(self, head: parser.Head) -> Iterator[list[Item]]:
+        """Yield the keys of a response as they arrive. Keys that end with a slash are folders, not entries."""
+        splitter = JsonObjectSplitter()
+        for chunk in self.link.body_chunks(head):
             if head.status == 404:
                 continue
             try:
-                found = objects.take(piece or b"")
-            except BadStream as error:
-                raise Broken(f"not consul's answer: {error}") from None
-            pairs = [pair(raw) for raw in found]
-            yield [Item(p.Key, p.Value or b"", p.ModifyIndex) for p in pairs if not p.Key.endswith("/")]
-        if not objects.between:
-            raise Broken("not consul's answer: cut in the middle")
-
-    # Operators' verbs
+                found = splitter.feed(chunk or b"")
+            except MalformedStreamError as error:
+                raise Broken(f"not a Consul response: {error}") from None
+            key_values = [decode_key_value(raw) for raw in found]
+            yield [
+                Item(key_value.Key, key_value.Value or b"", key_value.ModifyIndex)
+                for key_value in key_values
+                if not key_value.Key.endswith("/")
+            ]
+        if not splitter.at_boundary:
+            raise Broken("not a Consul response: truncated")
+
+    # Operator commands
 
     def all(self) -> list[Item]:
-        """The whole list."""
-        head, _, leader, _ = self.read(0, self.told.told.consistency != "stale")
-        found = [item for part in self.parts(head) for item in part]
+        """Read the whole list."""
+        head, _, leader, _ = self.read(0, self.config.told.consistency != "stale")
+        found = [item for batch in self.item_batches(head) for item in batch]
         if not leader:
             raise Broken("the member knows no leader")
         return found
 
     def get(self, key: str) -> Item | None:
-        """One key."""
-        head = self._ask("GET", key, "consistent")
+        """Read one key."""
+        head = self._request("GET", key, "consistent")
         if head.status not in (200, 404):
-            raise self._refused(head)
-        found = [item for part in self.parts(head) for item in part]
+            raise self._response_error(head)
+        found = [item for batch in self.item_batches(head) for item in batch]
         return found[0] if found else None
 
     def change(self, key: str, value: bytes | None, expected: int) -> bool:
-        """Put (or delete, where the value is None) if the key is at the expected index still; 0: absent."""
-        head = self._ask("DELETE" if value is None else "PUT", key, f"cas={expected}", value or b"")
+        """Put (or delete, if the value is None) if the key is still at the expected index; 0: the key is absent."""
+        head = self._request("DELETE" if value is None else "PUT", key, f"cas={expected}", value or b"")
         if head.status != 200:
-            raise self._refused(head)
-        return self.link.whole(head).strip() == b"true"
+            raise self._response_error(head)
+        return self.link.read_body(head).strip() == b"true"
--- a/kestrelspar/registry/etcd.py
+++ b/kestrelspar/registry/etcd.py
@@ -1,7 +1,8 @@
-"""etcd v3 over its JSON gateway (HTTP/1.1): requests, answers, authentication.
+"""Client of etcd v3 over its JSON gateway (HTTP/1.1): requests, responses, authentication.
 
-Protocol: etcd's "API reference" and "gRPC JSON gateway" pages: keys and values are base64, 64-bit numbers are text,
-a watch's answer is a row of JSON objects with ``result`` or ``error``. Decides nothing about lists: sync.py does.
+Protocol: etcd's "API reference" and "gRPC JSON gateway" pages. Keys and values are base64, 64-bit numbers are text,
+and the response to a watch is a sequence of JSON objects with ``result`` or ``error``. All decisions about lists are
+made in sync.py.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 from msgspec import Struct
 
 from kestrelspar.http import parser
-from kestrelspar.registry.link import Broken, Compacted, Link, Unauthenticated
-from kestrelspar.registry.stream import BadStream, Objects
+from kestrelspar.registry.link import Broken, Compacted, Link, UnauthenticatedError
+from kestrelspar.registry.stream import JsonObjectSplitter, MalformedStreamError
 from kestrelspar.registry.sync import Item
 from kestrelspar.settings.resolve import Registry
 
-OUT_OF_RANGE, UNAUTHENTICATED = 11, 16  # gRPC's status codes
+GRPC_OUT_OF_RANGE, GRPC_UNAUTHENTICATED = 11, 16  # gRPC status codes
 
 
-class Header(Struct):
-    """What every answer begins with."""
+class ResponseHeader(Struct):
+    """Header of every response."""
 
     cluster_id: str | int = ""
     member_id: str | int = ""
     revision: int = 0
 
 
-class Pair(Struct):
+class KeyValue(Struct):
     """A key and its value."""
 
     key: bytes = b""
@@ -38,26 +39,26 @@
     mod_revision: int = 0
 
 
-class RangeAnswer(Struct):
-    """To /v3/kv/range."""
+class RangeResponse(Struct):
+    """Response of /v3/kv/range."""
 
-    header: Header
-    kvs: list[Pair] = []
+    header: ResponseHeader
+    kvs: list[KeyValue] = []
     more: bool = False
     count: int = 0
 
 
 class Event(Struct):
-    """A change in a watch."""
+    """A change reported by a watch."""
 
-    kv: Pair
+    kv: KeyValue
     type: str | int = "PUT"
 
 
-class Watched(Struct):
-    """One object of a watch."""
+class WatchResponse(Struct):
+    """One result of a watch."""
 
-    header: Header
+    header: ResponseHeader
     created: bool = False
     canceled: bool = False
     compact_revision: int = 0
@@ -67,80 +68,83 @@
 
 
 class WatchError(Struct):
-    """The error object of a stream."""
+    """Error object of a stream."""
 
     message: str = ""
     grpc_code: int = 0
     code: int = 0
 
 
-class Line(Struct):
-    """One object of a stream."""
+class StreamMessage(Struct):
+    """One JSON object of a stream."""
 
-    result: Watched | None = None
+    result: WatchResponse | None = None
     error: WatchError | None = None
 
 
-class Refusal(Struct):
-    """The body of an error."""
+class ErrorResponse(Struct):
+    """Body of an error response."""
 
     error: str = ""
     message: str = ""
     code: int = 0
 
 
-class Changed(Struct):
-    """To /v3/kv/txn."""
+class TxnResponse(Struct):
+    """Response of /v3/kv/txn."""
 
-    header: Header
+    header: ResponseHeader
     succeeded: bool = False
 
 
-class Token(Struct):
-    """To /v3/auth/authenticate."""
+class AuthenticateResponse(Struct):
+    """Response of /v3/auth/authenticate."""
 
     token: str = ""
 
 
-def b64(data: bytes) -> str:
-    """As the gateway wants bytes."""
+def encode_base64(data: bytes) -> str:
+    """Encode bytes for the JSON gateway."""
     return base64.b64encode(data).decode()
 
 
 def range_end(prefix: bytes) -> bytes:
-    """The key behind all that begin with the prefix; a NUL for all keys."""
+    """The end of the range of keys with this prefix; a NUL byte stands for all keys."""
     end = prefix.rstrip(b"\xff")
     return end[:-1] + bytes([end[-1] + 1]) if end else b"\0"
 
 
-def _decode(data: bytes, kind: Any) -> Any:
+def _decode(data: bytes, response_type: Any) -> Any:
     try:
-        return msgspec.json.decode(data, type=kind, strict=False)
+        return msgspec.json.decode(data, type=response_type, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Broken(f"not etcd's answer: {error}") from None
+        raise Broken(f"not an etcd response: {error}") from None
 
 
-def refused(status: int, body: bytes) -> Exception:
-    """What an answer other than 200 means."""
+def response_error(status: int, body: bytes) -> Exception:
+    """The exception for a response with a status other than 200."""
     try:
-        told = msgspec.json.decode(body, type=Refusal, strict=False)
+        response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Broken(f"status {status}, not etcd's answer")
-    text = told.error or told.message
-    if told.code == OUT_OF_RANGE and "compacted" in text:
+        return Broken(f"status {status}, not an etcd response")
+    text = response.error or response.message
+    if response.code == GRPC_OUT_OF_RANGE and "compacted" in text:
         return Compacted(0)
-    if status == 401 or told.code == UNAUTHENTICATED or "invalid auth token" in text:
-        return Unauthenticated(f"status {status}: {text[:200]}")
+    if status == 401 or response.code == GRPC_UNAUTHENTICATED or "invalid auth token" in text:
+        return UnauthenticatedError(f"status {status}: {text[:200]}")
     return Broken(f"status {status}: {text[:200]}")
 
 
-def items(pairs: list[Pair]) -> list[Item]:
-    """Pairs of a list."""
-    return [Item(pair.key.decode("utf-8", "surrogateescape"), pair.value, pair.mod_revision) for pair in pairs]
+def items_from_key_values(key_values: list[KeyValue]) -> list[Item]:
+    """Convert the key-value pairs of a list."""
+    return [
+        Item(key_value.key.decode("utf-8", "surrogateescape"), key_value.value, key_value.mod_revision)
+        for key_value in key_values
+    ]
 
 
-def changes(events: list[Event]) -> list[Item]:
-    """Events of a watch."""
+def items_from_events(events: list[Event]) -> list[Item]:
+    """Convert the events of a watch."""
     return [
         Item(
             event.kv.key.decode("utf-8", "surrogateescape"),
@@ -151,132 +155,136 @@
     ]
 
 
-class Account:
-    """The token of one member, shared by its connections: one that finds it expired has it renewed for all."""
+class AuthToken:
+    """The token for one member, shared by its connections: if one finds it expired, it is renewed for all."""
 
     token = ""
 
 
 class Etcd:
-    """One member of an etcd cluster, as one registry section tells to ask it."""
+    """One member of an etcd cluster, with the settings of a registry section."""
 
-    def __init__(self, link: Link, told: Registry, account: Account | None = None) -> None:
-        self.link, self.told = link, told
-        self.prefix = told.told.prefix.encode()
-        self.account = account or Account()
+    def __init__(self, link: Link, config: Registry, auth: AuthToken | None = None) -> None:
+        self.link, self.config = link, config
+        self.prefix = config.told.prefix.encode()
+        self.auth = auth or AuthToken()
 
-    def call(self, path: str, body: dict[str, Any], kind: Any) -> Any:
-        """One request and its answer; a token that has expired is renewed once."""
-        for again in (True, False):
+    def call(self, path: str, body: dict[str, Any], response_type: Any) -> Any:
+        """Send a request and decode its response. An expired token is renewed once."""
+        for may_retry in (True, False):
             head = self._send(path, body)
-            answer = self.link.whole(head)
+            response_body = self.link.read_body(head)
             if head.status == 200:
-                return _decode(answer, kind)
-            error = refused(head.status, answer)
-            self.account.token = "" if isinstance(error, Unauthenticated) else self.account.token
-            if not (isinstance(error, Unauthenticated) and again and self.told.told.username):
+                return _decode(response_body, response_type)
+            error = response_error(head.status, response_body)
+            self.auth.token = "" if isinstance(error, UnauthenticatedError) else self.auth.token
+            if not (isinstance(error, UnauthenticatedError) and may_retry and self.config.told.username):
                 raise error
         raise AssertionError
 
     def _send(self, path: str, body: dict[str, Any]) -> parser.Head:
         headers = {"Content-Type": "application/json"}
-        if self.told.told.username and not self.account.token:
+        if self.config.told.username and not self.auth.token:
             self._authenticate()
-        if self.account.token:
-            headers["Authorization"] = self.account.token
-        return self.link.ask("POST", path, headers, msgspec.json.encode(body))
+        if self.auth.token:
+            headers["Authorization"] = self.auth.token
+        return self.link.request("POST", path, headers, msgspec.json.encode(body))
 
     def _authenticate(self) -> None:
-        body = {"name": self.told.told.username, "password": self.told.password}
-        head = self.link.ask(
+        body = {"name": self.config.told.username, "password": self.config.password}
+        head = self.link.request(
             "POST", "/v3/auth/authenticate", {"Content-Type": "application/json"}, msgspec.json.encode(body)
         )
-        answer = self.link.whole(head)
+        response_body = self.link.read_body(head)
         if head.status != 200:
-            raise Broken(f"not authenticated: {refused(head.status, answer)}")
-        self.account.token = _decode(answer, Token).token
-        if not self.account.token or not self.account.token.isprintable():
+            raise Broken(f"not authenticated: {response_error(head.status, response_body)}")
+        self.auth.token = _decode(response_body, AuthenticateResponse).token
+        if not self.auth.token or not self.auth.token.isprintable():
             raise Broken("not authenticated: no token")
 
-    def _below(self) -> dict[str, Any]:
-        return {"key": b64(self.prefix), "range_end": b64(range_end(self.prefix))}
+    def _key_range(self) -> dict[str, Any]:
+        return {"key": encode_base64(self.prefix), "range_end": encode_base64(range_end(self.prefix))}
 
-    def page(self, after: str, revision: int, limit: int) -> RangeAnswer:
-        """A page of the list behind the key ``after``, at the revision (0: the newest)."""
-        body = self._below() | {"limit": str(limit)}
+    def page(self, after: str, revision: int, limit: int) -> RangeResponse:
+        """Read the page of the list after the key ``after``, at the revision (0: the newest)."""
+        body = self._key_range() | {"limit": str(limit)}
         if after:
-            body["key"] = b64(after.encode("utf-8", "surrogateescape") + b"\0")
+            body["key"] = encode_base64(after.encode("utf-8", "surrogateescape") + b"\0")
         if revision:
             body["revision"] = str(revision)
-        found: RangeAnswer = self.call("/v3/kv/range", body, RangeAnswer)
-        return found
-
-    def check(self) -> RangeAnswer:
-        """How many keys there are, and the newest one."""
-        body = self._below() | {"limit": "1", "keys_only": True, "sort_target": "MOD", "sort_order": "DESCEND"}
-        found: RangeAnswer = self.call("/v3/kv/range", body, RangeAnswer)
-        return found
-
-    def watch(self, revision: int, silence: int) -> Iterator[Watched | None]:
-        """What a watch from this revision tells; None after each ``silence``. Ends only by an exception."""
-        request = self._below() | {"start_revision": str(revision), "progress_notify": True, "fragment": True}
+        response: RangeResponse = self.call("/v3/kv/range", body, RangeResponse)
+        return response
+
+    def check(self) -> RangeResponse:
+        """Read the number of keys and the newest key."""
+        body = self._key_range() | {"limit": "1", "keys_only": True, "sort_target": "MOD", "sort_order": "DESCEND"}
+        response: RangeResponse = self.call("/v3/kv/range", body, RangeResponse)
+        return response
+
+    def watch(self, revision: int, silence: int) -> Iterator[WatchResponse | None]:
+        """Yield the results of a watch from this revision, and None after each ``silence``; ends with an exception."""
+        request = self._key_range() | {"start_revision": str(revision), "progress_notify": True, "fragment": True}
         head = self._send("/v3/watch", {"create_request": request})
         if head.status != 200:
-            error = refused(head.status, self.link.whole(head))
-            self.account.token = "" if isinstance(error, Unauthenticated) else self.account.token
+            error = response_error(head.status, self.link.read_body(head))
+            self.auth.token = "" if isinstance(error, UnauthenticatedError) else self.auth.token
             raise error
-        objects = Objects()
-        for piece in self.link.pieces(head, silence):
-            if piece is None:
+        splitter = JsonObjectSplitter()
+        for chunk in self.link.body_chunks(head, silence):
+            if chunk is None:
                 yield None
                 continue
             try:
-                found = objects.take(piece)
-            except BadStream as error:
-                raise Broken(f"not etcd's answer: {error}") from None
-            for raw in found:
-                line: Line = _decode(raw, Line)
-                if line.error is not None or line.result is None:
-                    told = line.error or WatchError("neither result nor error")
-                    if (told.grpc_code or told.code) == UNAUTHENTICATED or "invalid auth token" in told.message:
-                        self.account.token = ""
-                    raise Broken(f"watch ended: {told.message[:200]}")
-                if line.result.compact_revision:
-                    raise Compacted(line.result.compact_revision)
-                if line.result.canceled:
-                    if "auth token" in line.result.cancel_reason:
-                        self.account.token = ""
-                    raise Broken(f"watch canceled: {line.result.cancel_reason[:200] or 'no reason told'}")
-                yield line.result
+                raw_messages = splitter.feed(chunk)
+            except MalformedStreamError as error:
+                raise Broken(f"not an etcd response: {error}") from None
+            for raw in raw_messages:
+                message: StreamMessage = _decode(raw, StreamMessage)
+                if message.error is not None or message.result is None:
+                    failure = message.error or WatchError("neither result nor error")
+                    if (
+                        failure.grpc_code or failure.code
+                    ) == GRPC_UNAUTHENTICATED or "invalid auth token" in failure.message:
+                        self.auth.token = ""
+                    raise Broken(f"watch ended: {failure.message[:200]}")
+                if message.result.compact_revision:
+                    raise Compacted(message.result.compact_revision)
+                if message.result.canceled:
+                    if "auth token" in message.result.cancel_reason:
+                        self.auth.token = ""
+                    raise Broken(f"watch canceled: {message.result.cancel_reason[:200] or 'no reason given'}")
+                yield message.result
         raise Broken("watch ended")
 
-    # Operators' verbs
+    # Operator commands
 
     def all(self) -> list[Item]:
-        """The whole list, at one revision."""
+        """Read the whole list at one revision."""
         found: list[Item] = []
         after, revision = "", 0
         while True:
-            page = self.page(after, revision, self.told.told.page)
+            page = self.page(after, revision, self.config.told.page)
             revision = revision or page.header.revision
-            found += items(page.kvs)
+            found += items_from_key_values(page.kvs)
             if not page.more or not page.kvs:
                 return found
             after = found[-1].key
 
     def get(self, key: str) -> Item | None:
-        """One key."""
-        found: RangeAnswer = self.call("/v3/kv/range", {"key": b64(key.encode())}, RangeAnswer)
-        return items(found.kvs)[0] if found.kvs else None
+        """Read one key."""
+        response: RangeResponse = self.call("/v3/kv/range", {"key": encode_base64(key.encode())}, RangeResponse)
+        return items_from_key_values(response.kvs)[0] if response.kvs else None
 
     def change(self, key: str, value: bytes | None, expected: int) -> bool:
-        """Put (or delete, where the value is None) if the key is at the expected revision still; 0: absent."""
-        name = b64(key.encode())
+        """Put (or delete, if the value is None) if the key is still at the expected revision; 0: the key is absent."""
+        encoded_key = encode_base64(key.encode())
         request = (
-            {"request_delete_range": {"key": name}}
+            {"request_delete_range": {"key": encoded_key}}
             if value is None
-            else {"request_put": {"key": name, "value": b64(value)}}
+            else {"request_put": {"key": encoded_key, "value": encode_base64(value)}}
+        )
+        compare = {"key": encoded_key, "target": "MOD", "result": "EQUAL", "mod_revision": str(expected)}
+        response: TxnResponse = self.call(
+            "/v3/kv/txn", {"compare": [compare], "success": [request], "failure": []}, TxnResponse
         )
-        compare = {"key": name, "target": "MOD", "result": "EQUAL", "mod_revision": str(expected)}
-        told: Changed = self.call("/v3/kv/txn", {"compare": [compare], "success": [request], "failure": []}, Changed)
-        return told.succeeded
+        return response.succeeded
--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -1,4 +1,4 @@
-"""Follows one registry: carries out what sync.py asks, and hands its news to the courier in slices."""
+"""Follows one registry: sends the requests of sync.py, and passes its updates to the courier in batches."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from kestrelspar.journal.left import Left
 from kestrelspar.registry import keep
 from kestrelspar.registry.consul import Consul
-from kestrelspar.registry.etcd import Etcd, Watched, changes, items
+from kestrelspar.registry.etcd import Etcd, WatchResponse, items_from_events, items_from_key_values
 from kestrelspar.registry.link import Broken, Compacted, Link
 from kestrelspar.registry.sync import (
-    AskPage,
-    AskRead,
-    AskWatch,
-    Belief,
     ConsulSync,
     EtcdSync,
     Item,
-    News,
+    KnownList,
+    PageRequest,
     Pause,
+    ReadRequest,
+    Update,
+    WatchRequest,
 )
 from kestrelspar.runtime import heap, logs
 from kestrelspar.runtime.buffers import BufferPool
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.settings.resolve import Registry
 
-SLICE = 200  # entries that the module is told of between two turns of the loop
-AGAIN = 1 * SECOND  # after a check that disagreed
-KEEP_EVERY = 10 * SECOND  # the kept list is written at most so often
-COME_BACK_MOST = 10 * SECOND
+BATCH_SIZE = 200  # entries passed to the decision module between two turns of the event loop
+RECHECK_DELAY = 1 * SECOND  # after a check that disagreed with the watch
+SAVE_INTERVAL = 10 * SECOND  # minimum between two writes of the saved list
+MAX_RETRY_AFTER = 10 * SECOND
 
 
-class Moved(Exception):
-    """The settings changed while something was under way."""
+class SettingsChanged(Exception):
+    """The settings changed while a request was in progress."""
 
 
 class Follower:
-    """One registry section at work. ``run`` is its task; ``settle`` starts it."""
+    """Follows the registry of one section. ``start`` starts its tasks, ``run`` and the periodic maintenance."""
 
     def __init__(
         self,
@@ -49,361 +49,388 @@
         buffers: BufferPool,
         courier: Courier,
         carrier: Carrier,
-        told: Registry,
-        folder: str | None,
+        config: Registry,
+        state_directory: str | None,
         seed: int,
     ) -> None:
         self.loop, self.buffers, self.courier, self.carrier = loop, buffers, courier, carrier
-        self.told, self.source = told, f"registry {told.label}"
-        self._file = keep.path(folder, told.label) if folder is not None else None  # none: no list is kept
-        self._left = None if self._file is None else Left(self._file.with_suffix(".left"), _left_most(told))
+        self.config, self.source = config, f"registry {config.label}"
+        # None: no list is saved.
+        self._list_file = keep.path(state_directory, config.label) if state_directory is not None else None
+        self._removal_log = (
+            None if self._list_file is None else Left(self._list_file.with_suffix(".left"), _max_removals_bytes(config))
+        )
         self._random = Random(seed)
-        self.belief = Belief(self._read)
-        self.sync = self._sync()
+        self.known_list = KnownList(self._parse)
+        self.sync = self._create_sync()
         self._links: list[Link] = []
-        self._members: list[Etcd | Consul] = []
-        self._life = 0  # goes up when the settings change: what was under way for the old ones ends
-        self._changed = False  # since the list was last kept
-        self._refused = ""  # why the last list could not be kept
-        self._keeping = False
-        self._connect()
-
-    def _sync(self) -> EtcdSync | ConsulSync:
-        told = self.told.told
-        if told.type == "etcd":
-            return EtcdSync(self.belief, len(told.servers), told.patience, self.loop.now, self._random)
+        self._clients: list[Etcd | Consul] = []
+        self._generation = 0  # rises when the settings change, which ends tasks of the old ones
+        self._has_unsaved_changes = False  # the list has changed since it was last saved
+        self._save_error = ""  # why the list could not be saved the last time; empty: it was saved
+        self._saving = False
+        self._create_connections()
+
+    def _create_sync(self) -> EtcdSync | ConsulSync:
+        section = self.config.told
+        if section.type == "etcd":
+            return EtcdSync(self.known_list, len(section.servers), section.patience, self.loop.now, self._random)
         return ConsulSync(
-            self.belief, len(told.servers), told.patience, self.loop.now, self._random, told.consistency == "stale"
+            self.known_list,
+            len(section.servers),
+            section.patience,
+            self.loop.now,
+            self._random,
+            section.consistency == "stale",
         )
 
-    def _connect(self) -> None:
-        told = self.told.told
+    def _create_connections(self) -> None:
+        section = self.config.told
         for link in self._links:
             link.close()
         self._links = [
-            Link(self.loop, self.buffers, server, told.answer_within, self.told.secure, told.server_name)
-            for server in told.servers
+            Link(self.loop, self.buffers, server, section.answer_within, self.config.secure, section.server_name)
+            for server in section.servers
         ]
-        self._members = [
-            Etcd(link, self.told) if told.type == "etcd" else Consul(link, self.told) for link in self._links
+        self._clients = [
+            Etcd(link, self.config) if section.type == "etcd" else Consul(link, self.config) for link in self._links
         ]
 
-    def _hop(self, entry: entries.Entry) -> NextHop:
+    def _make_hop(self, entry: entries.Entry) -> NextHop:
         return entries.hop(entry, self.courier.settings, self.carrier)
 
-    def _read(self, value: bytes) -> NextHop:
-        return self._hop(entries.decode(value))
+    def _parse(self, value: bytes) -> NextHop:
+        return self._make_hop(entries.decode(value))
 
-    # Its life
+    # Start, change of settings, stop
 
     def start(self) -> None:
-        """Take the kept list, if there is one, and begin to follow."""
+        """Restore the saved list, if there is one, and begin to follow the registry."""
         self.courier.map.unheard.add(self.source)
-        self._take_kept()
+        self._restore_list()
         self._tick()
-        self.loop.spawn(self._tend, self._life)
-        self.loop.spawn(self.run, self._life)
-
-    def move(self, told: Registry) -> None:
-        """SIGHUP: other members, prefix or token, or the same again. The list held is used until the new one is
-        whole, and then compared with it."""
-        same = told.told.type == self.told.told.type
-        self.told = told
-        self._life += 1
-        self._connect()
+        self.loop.spawn(self._maintain, self._generation)
+        self.loop.spawn(self.run, self._generation)
+
+    def move(self, config: Registry) -> None:
+        """Apply settings that SIGHUP reloaded: other members, prefix or token, or the same ones again.
+
+        The current list is used until the new one is complete, and then compared with it.
+        """
+        same = config.told.type == self.config.told.type
+        self.config = config
+        self._generation += 1
+        self._create_connections()
         if same:
-            self.sync.moved(len(told.told.servers), told.told.patience, self.loop.now)
+            self.sync.settings_changed(len(config.told.servers), config.told.patience, self.loop.now)
         else:
             before = self.sync
-            self.sync = self._sync()
-            self.sync.heard, self.sync.listed = before.heard, before.listed
-        logs.event("registry-moves", registry=told.label, to=_servers(told), prefix=told.told.prefix)
-        self.loop.spawn(self._tend, self._life)
-        self.loop.spawn(self.run, self._life)
+            self.sync = self._create_sync()
+            self.sync.confirmed_at, self.sync.listed = before.confirmed_at, before.listed
+        logs.event("registry-moves", registry=config.label, to=_servers(config), prefix=config.told.prefix)
+        self.loop.spawn(self._maintain, self._generation)
+        self.loop.spawn(self.run, self._generation)
 
     def stop(self) -> None:
-        """The section is gone: nothing that it listed is used any more."""
-        self._life += 1
+        """The section was removed: stop using the endpoints that it listed."""
+        self._generation += 1
         for link in self._links:
             link.close()
         self.courier.stale.pop(self.source, None)
         self.courier.map.unheard.discard(self.source)
         self.courier.listed(self.source, [], whole=True)
-        if self._file is not None:
-            self._file.unlink(missing_ok=True)
-        if self._left is not None:
-            self._left.clear()
-        logs.event("registry-left", registry=self.told.label)
-
-    def run(self, life: int) -> None:
-        """Do what the sync asks, until the settings change."""
-        while life == self._life:
-            ask = self.sync.ask(self.loop.now)
+        if self._list_file is not None:
+            self._list_file.unlink(missing_ok=True)
+        if self._removal_log is not None:
+            self._removal_log.clear()
+        logs.event("registry-left", registry=self.config.label)
+
+    def run(self, generation: int) -> None:
+        """Send the requests that the sync returns, until the settings change."""
+        while generation == self._generation:
+            request = self.sync.next_request(self.loop.now)
             try:
-                if isinstance(ask, Pause):
-                    self.loop.sleep(max(0, ask.until - self.loop.now))
+                if isinstance(request, Pause):
+                    self.loop.sleep(max(0, request.until - self.loop.now))
                 else:
-                    self._carry_out(ask, life)
-            except Moved:
+                    self._send(request, generation)
+            except SettingsChanged:
                 return
-            except Compacted as gone:
-                if life == self._life and isinstance(self.sync, EtcdSync):
-                    self._apply(self.sync.compacted(self.loop.now, gone.oldest), life)
-            except Broken as broken:
-                if life == self._life:
-                    self._apply(self.sync.broke(self.loop.now, str(broken), wait=broken.wait), life)
+            except Compacted as error:
+                if generation == self._generation and isinstance(self.sync, EtcdSync):
+                    self._apply(self.sync.revision_compacted(self.loop.now, error.oldest), generation)
+            except Broken as error:
+                if generation == self._generation:
+                    self._apply(self.sync.member_failed(self.loop.now, str(error), wait=error.wait), generation)
             except Exception:
-                # A fault in what reads a registry must not end the following of it for good.
-                logs.error("fault", task=f"follower {self.told.label}", why=traceback.format_exc())
-                if life == self._life:
-                    self._apply(self.sync.broke(self.loop.now, "fault"), life)
-
-    def _carry_out(self, ask: AskPage | AskWatch | AskRead, life: int) -> None:
-        member = self._members[self.sync.member]
-        if isinstance(ask, AskRead):
-            assert isinstance(member, Consul)
-            self._read_all(member, ask, life)
+                # A defect in the code that reads a registry must not end this task for good.
+                logs.error("fault", task=f"follower {self.config.label}", why=traceback.format_exc())
+                if generation == self._generation:
+                    self._apply(self.sync.member_failed(self.loop.now, "internal error"), generation)
+
+    def _send(self, request: PageRequest | WatchRequest | ReadRequest, generation: int) -> None:
+        client = self._clients[self.sync.member_index]
+        if isinstance(request, ReadRequest):
+            assert isinstance(client, Consul)
+            self._read_list(client, request, generation)
             return
-        assert isinstance(member, Etcd) and isinstance(self.sync, EtcdSync)
-        if isinstance(ask, AskWatch):
-            self._watch(member, ask, life)
+        assert isinstance(client, Etcd) and isinstance(self.sync, EtcdSync)
+        if isinstance(request, WatchRequest):
+            self._watch(client, request, generation)
             return
-        page = member.page(ask.after, ask.revision, self.told.told.page)
-        self._alive(life)
+        page = client.page(request.after, request.revision, self.config.told.page)
+        self._check_generation(generation)
         self._apply(
-            self.sync.page(
-                self.loop.now, str(page.header.cluster_id), page.header.revision, items(page.kvs), page.more
+            self.sync.receive_page(
+                self.loop.now,
+                str(page.header.cluster_id),
+                page.header.revision,
+                items_from_key_values(page.kvs),
+                page.more,
             ),
-            life,
+            generation,
         )
 
-    def _alive(self, life: int) -> None:
-        if life != self._life:
-            raise Moved
+    def _check_generation(self, generation: int) -> None:
+        if generation != self._generation:
+            raise SettingsChanged
 
-    def _watch(self, member: Etcd, ask: AskWatch, life: int) -> None:
-        """One watch, with a look at the list whenever it has been silent for a while."""
+    def _watch(self, client: Etcd, request: WatchRequest, generation: int) -> None:
+        """Run one watch, and check the list whenever the watch has been silent for a while."""
         sync = self.sync
         assert isinstance(sync, EtcdSync)
-        which = sync.member
+        member_index = sync.member_index
         link = Link(
             self.loop,
             self.buffers,
-            self.told.told.servers[which],
-            self.told.told.answer_within,
-            self.told.secure,
-            self.told.told.server_name,
+            self.config.told.servers[member_index],
+            self.config.told.answer_within,
+            self.config.secure,
+            self.config.told.server_name,
         )
-        self._links.append(link)  # for ``move`` and ``stop`` to close
-        watcher = Etcd(link, self.told, member.account)
-        checked, silence = self.loop.now, min(AGAIN, self.told.told.check)
+        self._links.append(link)  # so that ``move`` and ``stop`` close it
+        watcher = Etcd(link, self.config, client.auth)
+        checked_at, silence = self.loop.now, min(RECHECK_DELAY, self.config.told.check)
         try:
-            for told in watcher.watch(ask.revision, silence):
-                self._alive(life)
-                if told is not None:
-                    self._watched(told, life)
-                if sync.member != which:  # passed over
+            for response in watcher.watch(request.revision, silence):
+                self._check_generation(generation)
+                if response is not None:
+                    self._apply_watch_response(response, generation)
+                if sync.member_index != member_index:  # the member was passed over
                     return
-                due = checked + (AGAIN if sync.doubtful else self.told.told.check)
-                if self.loop.now >= due:
-                    checked = self.loop.now
-                    page = member.check()
-                    self._alive(life)
+                next_check_at = checked_at + (RECHECK_DELAY if sync.check_disagreed else self.config.told.check)
+                if self.loop.now >= next_check_at:
+                    checked_at = self.loop.now
+                    page = client.check()
+                    self._check_generation(generation)
                     newest = max((pair.mod_revision for pair in page.kvs), default=0)
                     self._apply(
-                        sync.checked(
+                        sync.receive_check(
                             self.loop.now, str(page.header.cluster_id), page.header.revision, newest, page.count
                         ),
-                        life,
+                        generation,
                     )
-                    if sync.member != which or sync.state is not sync.state.WATCHING:
+                    if sync.member_index != member_index or sync.state is not sync.state.WATCHING:
                         return
         finally:
             link.close()
             if link in self._links:
                 self._links.remove(link)
 
-    def _watched(self, told: Watched, life: int) -> None:
-        """One object of a watch, its events in slices."""
+    def _apply_watch_response(self, response: WatchResponse, generation: int) -> None:
+        """Apply one response of a watch, its events in batches."""
         assert isinstance(self.sync, EtcdSync)
-        cluster, revision = str(told.header.cluster_id), told.header.revision
-        if told.created and not told.events:
-            self._apply(self.sync.opened(self.loop.now, cluster, revision), life)
+        cluster, revision = str(response.header.cluster_id), response.header.revision
+        if response.created and not response.events:
+            self._apply(self.sync.watch_created(self.loop.now, cluster, revision), generation)
             return
-        found = changes(told.events)
-        for at in range(0, max(1, len(found)), SLICE):
-            part: list[Item] = found[at : at + SLICE]
-            last = at + SLICE >= len(found)
-            self._apply(self.sync.changes(self.loop.now, cluster, revision, part, last and not told.fragment), life)
-
-    def _read_all(self, member: Consul, ask: AskRead, life: int) -> None:
-        """One read of Consul's whole list."""
+        changed_items = items_from_events(response.events)
+        for start in range(0, max(1, len(changed_items)), BATCH_SIZE):
+            batch: list[Item] = changed_items[start : start + BATCH_SIZE]
+            last = start + BATCH_SIZE >= len(changed_items)
+            self._apply(
+                self.sync.receive_changes(self.loop.now, cluster, revision, batch, last and not response.fragment),
+                generation,
+            )
+
+    def _read_list(self, client: Consul, request: ReadRequest, generation: int) -> None:
+        """Read Consul's whole list once."""
         sync = self.sync
         assert isinstance(sync, ConsulSync)
-        head, index, leader, contact = member.read(ask.index, ask.consistent)
-        self._alive(life)
-        passed = sync.head(self.loop.now, index, leader, contact)
-        if passed is not None:
-            member.link.close()  # its body is not read
-            self._apply(passed, life)
+        head, index, leader, contact_ms = client.read(request.index, request.consistent)
+        self._check_generation(generation)
+        rejection = sync.begin_response(self.loop.now, index, leader, contact_ms)
+        if rejection is not None:
+            client.link.close()  # its body is not read
+            self._apply(rejection, generation)
             return
         heap.hold()
         try:
-            for part in member.parts(head):
-                self._alive(life)
-                for at in range(0, len(part), SLICE):
-                    self._apply(sync.part(self.loop.now, part[at : at + SLICE]), life)
-            self._alive(life)
-            self._apply(sync.whole(self.loop.now), life)
+            for batch in client.item_batches(head):
+                self._check_generation(generation)
+                for start in range(0, len(batch), BATCH_SIZE):
+                    self._apply(sync.receive_items(self.loop.now, batch[start : start + BATCH_SIZE]), generation)
+            self._check_generation(generation)
+            self._apply(sync.finish_response(self.loop.now), generation)
         finally:
             heap.release()
 
-    # News
-
-    def _apply(self, news: News, life: int) -> None:
-        """Tell the log and the courier. Removals go first and at once: 500 ms count from the read that told them."""
-        # Before a line says so: who reads it may end the process at once.
-        if self._left is not None and self.told.told.keep and not self._left.note(news.keys) and not self._refused:
-            self.loop.spawn(self._keep)  # so much at once: the list itself, not what it lacks
-        for level, name, fields in news.events:
-            logs.event(name, level, registry=self.told.label, **fields)
-        hops, left = news.hops(), news.left()
-        leaving = [hop for hop in hops if hop.endpoint.state is not hop.endpoint.state.READY]
-        rest = [hop for hop in hops if hop.endpoint.state is hop.endpoint.state.READY]
-        for hop in leaving:
+    # Updates
+
+    def _apply(self, update: Update, generation: int) -> None:
+        """Pass an update to the log and the courier.
+
+        Removals go first and at once: they have to take effect within 500 ms of the read that reported them.
+        """
+        # Before the log lines: whoever reads those may end the process at once.
+        if (
+            self._removal_log is not None
+            and self.config.told.keep
+            and not self._removal_log.note(update.states_by_key)
+            and not self._save_error
+        ):
+            self.loop.spawn(self._save_list)  # too many for the log of removals: save the list itself
+        for level, name, fields in update.events:
+            logs.event(name, level, registry=self.config.label, **fields)
+        hops, removed = update.changed_hops(), update.removed_names()
+        draining = [hop for hop in hops if hop.endpoint.state is not hop.endpoint.state.READY]
+        ready = [hop for hop in hops if hop.endpoint.state is hop.endpoint.state.READY]
+        for hop in draining:
             logs.event("map-leaves", source=self.source, hop=hop.name, state="draining")
-        for gone in left:
-            logs.event("map-leaves", source=self.source, hop=gone.decode("utf-8", "replace"), state="gone")
-        self._changed = self._changed or bool(hops or left)
-        if left or leaving:
-            self.courier.listed(self.source, leaving, left=left)
-        for at in range(0, len(rest), SLICE):
-            self.courier.listed(self.source, rest[at : at + SLICE])
-            if len(rest) > SLICE:
-                self.loop.sleep(0)  # a turn for the others
-                self._alive(life)
+        for removed_name in removed:
+            logs.event("map-leaves", source=self.source, hop=removed_name.decode("utf-8", "replace"), state="gone")
+        self._has_unsaved_changes = self._has_unsaved_changes or bool(hops or removed)
+        if removed or draining:
+            self.courier.listed(self.source, draining, left=removed)
+        for start in range(0, len(ready), BATCH_SIZE):
+            self.courier.listed(self.source, ready[start : start + BATCH_SIZE])
+            if len(ready) > BATCH_SIZE:
+                self.loop.sleep(0)  # let other tasks run
+                self._check_generation(generation)
         heap.grew(len(hops))
         if self.sync.listed:
             self.courier.map.unheard.discard(self.source)
-        self._mark_stale()
+        self._update_deferral()
 
-    def _mark_stale(self) -> None:
-        """Whether hand-ins are deferred because this list is too old."""
-        age = self.loop.now - self.sync.heard
-        if self.told.told.on_stale == "defer" and (
-            age > self.told.told.patience or not self.belief.held and not self.sync.listed
+    def _update_deferral(self) -> None:
+        """Defer new messages while this list is too old, if the settings say so."""
+        age = self.loop.now - self.sync.confirmed_at
+        if self.config.told.on_stale == "defer" and (
+            age > self.config.told.patience or not self.known_list.entries and not self.sync.listed
         ):
-            self.courier.stale[self.source] = min(COME_BACK_MOST, self.told.told.patience)
+            self.courier.stale[self.source] = min(MAX_RETRY_AFTER, self.config.told.patience)
         else:
             self.courier.stale.pop(self.source, None)
 
     def _tick(self) -> None:
-        news = News()
-        self.sync.tick(self.loop.now, news)
-        self._apply(news, self._life)
-
-    def _tend(self, life: int) -> None:
-        """Look at the list's age, and keep it when it has changed."""
-        every = min(SECOND, max(50 * MS, self.told.told.patience // 10))
-        kept = self.loop.now - KEEP_EVERY + every
-        while life == self._life:
-            self.loop.sleep(every)
-            if life != self._life:
+        update = Update()
+        self.sync.tick(self.loop.now, update)
+        self._apply(update, self._generation)
+
+    def _maintain(self, generation: int) -> None:
+        """Check the age of the list regularly, and save the list when it has changed."""
+        interval = min(SECOND, max(50 * MS, self.config.told.patience // 10))
+        saved_at = self.loop.now - SAVE_INTERVAL + interval
+        while generation == self._generation:
+            self.loop.sleep(interval)
+            if generation != self._generation:
                 return
             self._tick()
-            wanted = self._file is not None and self.told.told.keep and self.sync.listed and self._changed
-            if self._left is not None:
-                self._left.mend()
-            if wanted and self.loop.now >= kept + KEEP_EVERY:
-                kept = self.loop.now
-                self._keep()
-
-    # The kept list
-
-    def _take_kept(self) -> None:
-        """Begin with the list of the last life, as old as it is."""
-        told = self.told.told
-        if self._file is None or self._left is None:
+            must_save = (
+                self._list_file is not None and self.config.told.keep and self.sync.listed and self._has_unsaved_changes
+            )
+            if self._removal_log is not None:
+                self._removal_log.mend()
+            if must_save and self.loop.now >= saved_at + SAVE_INTERVAL:
+                saved_at = self.loop.now
+                self._save_list()
+
+    # The saved list
+
+    def _restore_list(self) -> None:
+        """Begin with the list that the previous process saved, whatever its age."""
+        section = self.config.told
+        if self._list_file is None or self._removal_log is None:
             return
-        if not told.keep:
-            self._file.unlink(missing_ok=True)
-            self._left.clear()
+        if not section.keep:
+            self._list_file.unlink(missing_ok=True)
+            self._removal_log.clear()
             return
         try:
-            kept = keep.read(self._file, told.keep)
+            saved = keep.read(self._list_file, section.keep)
         except ValueError as error:
-            logs.error("registry-kept-unusable", registry=self.told.label, why=str(error))
-            self._file.unlink(missing_ok=True)
+            logs.error("registry-kept-unusable", registry=self.config.label, why=str(error))
+            self._list_file.unlink(missing_ok=True)
             return
-        if kept is None:
+        if saved is None:
             return
-        if (kept.head.type, kept.head.prefix) != (told.type, told.prefix):
-            logs.event("registry-kept-other", registry=self.told.label, prefix=kept.head.prefix)
-            self._file.unlink(missing_ok=True)
+        if (saved.head.type, saved.head.prefix) != (section.type, section.prefix):
+            logs.event("registry-kept-other", registry=self.config.label, prefix=saved.head.prefix)
+            self._list_file.unlink(missing_ok=True)
             return
-        news = News()
-        left = self._left.since(kept.head.told)
-        self._left.number = max(self._left.number, kept.head.told)
-        lost = keep.take(self.belief, kept, self._hop, news, left)
-        self._changed = bool(left)
-        age = max(0, time.time_ns() // 1_000_000 - kept.head.at_ms) * MS
-        self.sync.heard = self.loop.now - age
-        self.sync.cluster, self.sync.revision = kept.head.cluster, kept.head.revision
+        update = Update()
+        removed = self._removal_log.since(saved.head.told)
+        self._removal_log.number = max(self._removal_log.number, saved.head.told)
+        unusable = keep.restore(self.known_list, saved, self._make_hop, update, removed)
+        self._has_unsaved_changes = bool(removed)
+        age = max(0, time.time_ns() // 1_000_000 - saved.head.at_ms) * MS
+        self.sync.confirmed_at = self.loop.now - age
+        self.sync.cluster, self.sync.revision = saved.head.cluster, saved.head.revision
         logs.warn(
             "registry-kept",
-            registry=self.told.label,
-            entries=len(self.belief.held),
-            lost=lost or None,
-            left_since=len(left) or None,
+            registry=self.config.label,
+            entries=len(self.known_list.entries),
+            lost=unusable or None,
+            left_since=len(removed) or None,
             age_s=age // SECOND,
-            revision=kept.head.revision,
+            revision=saved.head.revision,
         )
-        self.courier.listed(self.source, news.hops())
-
-    def _keep(self) -> None:
-        assert self._file is not None and self._left is not None
-        if self._keeping or not self.sync.listed:
-            return  # before it is listed, what is held may lack entries
-        told, sync, noted = self.told.told, self.sync, self._left.number
-        at = time.time_ns() // 1_000_000 - (self.loop.now - sync.heard) // MS
-        head = keep.Head(
+        self.courier.listed(self.source, update.changed_hops())
+
+    def _save_list(self) -> None:
+        assert self._list_file is not None and self._removal_log is not None
+        if self._saving or not self.sync.listed:
+            return  # before the first complete list, entries may be missing
+        section, sync, removal_number = self.config.told, self.sync, self._removal_log.number
+        confirmed_at_ms = time.time_ns() // 1_000_000 - (self.loop.now - sync.confirmed_at) // MS
+        head = keep.ListHeader(
             format=keep.FORMAT,
-            type=told.type,
-            prefix=told.prefix,
+            type=section.type,
+            prefix=section.prefix,
             cluster=sync.cluster,
             revision=sync.revision,
-            at_ms=at,
-            count=len(self.belief.held),
+            at_ms=confirmed_at_ms,
+            count=len(self.known_list.entries),
             xxh64="",
-            told=noted,
+            told=removal_number,
         )
-        self._changed, self._keeping = False, True
+        self._has_unsaved_changes, self._saving = False, True
         try:
             size = keep.write(
-                self._file,
-                told.keep,
+                self._list_file,
+                section.keep,
                 head,
-                list(self.belief.held.items()),
+                list(self.known_list.entries.items()),
                 self.courier.settings,
                 lambda: self.loop.sleep(0),
             )
         except OSError as error:
-            why = str(error)
-            self._changed = True  # there may be room again later
+            reason = str(error)
+            self._has_unsaved_changes = True  # there may be space again later
         else:
-            why = "" if size else f"it takes more than {told.keep} bytes"
+            reason = "" if size else f"it takes more than {section.keep} bytes"
             if size:
-                self._left.cut(noted)
+                self._removal_log.cut(removal_number)
         finally:
-            self._keeping = False
-        if why and why != self._refused:
-            logs.warn("registry-not-kept", registry=self.told.label, why=why)
-        self._refused = why
+            self._saving = False
+        if reason and reason != self._save_error:
+            logs.warn("registry-not-kept", registry=self.config.label, why=reason)
+        self._save_error = reason
 
 
-def _left_most(told: Registry) -> int:
-    return told.told.keep // keep.LEFT_PART
+def _max_removals_bytes(config: Registry) -> int:
+    return config.told.keep // keep.REMOVALS_DIVISOR
 
 
-def _servers(told: Registry) -> str:
-    return " ".join(f"{host}:{port}" for host, port in told.told.servers)
+def _servers(config: Registry) -> str:
+    return " ".join(f"{host}:{port}" for host, port in config.told.servers)
--- a/kestrelspar/registry/keep.py
+++ b/kestrelspar/registry/keep.py
@@ -1,8 +1,9 @@
-"""The last good list in the state folder: a courier that starts while the registry is down serves on it.
+"""The last good list, saved in the state directory: a courier that starts while the registry is down serves from it.
 
-A file is a line of JSON with a checksum over the rest, and then, compressed, a line of JSON an entry. It is written
-aside and renamed over the old one, so a crash leaves either; what can't be read counts as absent. Its size is bounded
-by the section's ``keep``, which is taken off the journal's disk beforehand: the list never costs a message its room.
+A file is a line of JSON with a checksum over the rest, followed by compressed JSON lines, one for each entry. It is
+written to a new file that is renamed over the old one, so a crash leaves one of the two. A file that can't be read
+counts as absent. Its size is bounded by the section's ``keep``, which is reserved beforehand out of the disk space of
+the journal, so that a list never takes space needed for a message.
 """
 
 from __future__ import annotations
@@ -20,87 +21,91 @@
 from kestrelspar.core import entries
 from kestrelspar.core.transport_map import FOREVER, NextHop
 from kestrelspar.journal.left import Left
-from kestrelspar.registry.sync import Belief, Held
+from kestrelspar.registry.sync import KnownEntry, KnownList
 from kestrelspar.runtime import files
 from kestrelspar.settings.kinds import MS
 from snowlock import interface as api
 
 FORMAT = 1
-SLICE = 500  # entries packed between two turns of the loop
-MOST_HEAD = 4096
-MOST_UNPACKED = 400_000_000
-LEFT_PART = 4  # of ``keep``, one in so many bytes is for what left since the list was written
-BLOCK = 512
+BATCH_SIZE = 500  # entries packed between two turns of the event loop
+MAX_HEAD_SIZE = 4096
+MAX_UNPACKED_SIZE = 400_000_000
+REMOVALS_DIVISOR = 4  # 1 / REMOVALS_DIVISOR of ``keep`` is for the log of removals since the list was written
+BLOCK_SIZE = 512
 
 
-class Head(Struct, kw_only=True):
-    """The first line."""
+class ListHeader(Struct, kw_only=True):
+    """The first line of the file."""
 
     format: int
     type: str
     prefix: str
     cluster: str
     revision: int
-    at_ms: int  # Unix time at which the list was last known to be current
+    at_ms: int  # Unix time in ms at which the list was last known to be current
     count: int
     xxh64: str
-    told: int = 0  # what journal/left.py noted up to here is in the list
+    told: int = 0  # number of the last record of journal/left.py that the list contains
 
 
-class Row(Struct):
-    """A line of the rest."""
+class ListRow(Struct):
+    """One entry of the list."""
 
     key: str
     revision: int
     entry: entries.Entry
 
 
-class Kept(Struct):
-    """A list that was read back."""
+class SavedList(Struct):
+    """A list that was read from its file."""
 
-    head: Head
-    rows: list[Row]
+    head: ListHeader
+    rows: list[ListRow]
 
 
 def reserve(keep: int) -> int:
-    """Disk that a kept list may take at any moment: the old file and the new one, in whole blocks, and what was told
-    since."""
-    return 2 * (-(-keep // BLOCK) * BLOCK) + Left.reserve(keep // LEFT_PART) if keep else 0
+    """Disk space that a saved list may take at any time, in bytes.
+
+    It is that of the old and the new file, in whole blocks, and of the log of removals.
+    """
+    return 2 * (-(-keep // BLOCK_SIZE) * BLOCK_SIZE) + Left.reserve(keep // REMOVALS_DIVISOR) if keep else 0
 
 
-def entry(hop: NextHop, settings: api.Settings) -> entries.Entry:
-    """A next hop as an entry again."""
-    e = hop.endpoint
+def entry_from_hop(hop: NextHop, settings: api.Settings) -> entries.Entry:
+    """Convert a next hop back to an entry."""
+    endpoint = hop.endpoint
     return entries.Entry(
-        name=e.id.decode(),
+        name=endpoint.id.decode(),
         address=f"{hop.address[0]}:{hop.address[1]}",
-        group=e.destination,
-        status="active" if e.state is api.EndpointState.READY else "leaving",
-        zone=settings.zones[e.zone] if settings.zones else None,
-        type=settings.kinds[e.kind] if settings.kinds else None,
-        weight=e.rate,
-        backup=bool(e.rank),
-        tries=e.tries,
+        group=endpoint.destination,
+        status="active" if endpoint.state is api.EndpointState.READY else "leaving",
+        zone=settings.zones[endpoint.zone] if settings.zones else None,
+        type=settings.kinds[endpoint.kind] if settings.kinds else None,
+        weight=endpoint.rate,
+        backup=bool(endpoint.rank),
+        tries=endpoint.tries,
         target=hop.target,
-        read_timeout_ms=e.patience_ns // (MS * 1000),
-        max_fails=e.fails,
+        read_timeout_ms=endpoint.patience_ns // (MS * 1000),
+        max_fails=endpoint.fails,
         connect_timeout_ms=0 if hop.connect_within == FOREVER else hop.connect_within // MS,
         within_ms=0 if hop.within == FOREVER else hop.within // MS,
     )
 
 
-def path(folder: str, label: str) -> Path:
-    """The file of a registry's list."""
-    safe = "".join(c if c.isalnum() and c.isascii() or c in "-_" else f"%{ord(c):x}" for c in label)
-    return Path(folder) / f"registry-{safe[:120]}.list"
+def path(state_directory: str, label: str) -> Path:
+    """The file of the saved list of a registry."""
+    escaped_label = "".join(
+        char if char.isalnum() and char.isascii() or char in "-_" else f"%{ord(char):x}" for char in label
+    )
+    return Path(state_directory) / f"registry-{escaped_label[:120]}.list"
 
 
-def clear(folder: str, labels: list[str]) -> list[str]:
-    """Remove kept lists of registries that are not followed any more, and half-written ones; their names."""
-    wanted = {path(folder, label).name for label in labels}
-    gone = [
+def clear(state_directory: str, labels: list[str]) -> list[str]:
+    """Remove saved lists of registries that are no longer followed, and incomplete files. Returns the names."""
+    wanted = {path(state_directory, label).name for label in labels}
+    unwanted = [
         name
-        for name in sorted(os.listdir(folder))
+        for name in sorted(os.listdir(state_directory))
         if name.startswith("registry-")
         and (
             name.endswith((".list.new", ".left.new"))
@@ -108,87 +113,98 @@
             and f"{name[:-5]}.list" not in wanted
         )
     ]
-    for name in gone:
-        (Path(folder) / name).unlink(missing_ok=True)
-    return gone
+    for name in unwanted:
+        (Path(state_directory) / name).unlink(missing_ok=True)
+    return unwanted
 
 
 def write(
-    file: Path, most: int, head: Head, held: list[tuple[str, Held]], settings: api.Settings, rest: Callable[[], None]
+    file: Path,
+    max_bytes: int,
+    head: ListHeader,
+    known_entries: list[tuple[str, KnownEntry]],
+    settings: api.Settings,
+    yield_to_loop: Callable[[], None],
 ) -> int:
-    """Write the list; its bytes on disk, or 0 where it is larger than ``most``. ``rest`` lets others run.
+    """Write the list and return its size in bytes, or 0 if it is larger than ``max_bytes``.
 
-    ``OSError`` where the disk refuses: the old file stays.
+    ``yield_to_loop`` lets other tasks run. If the disk fails, ``OSError`` is raised and the old file stays.
     """
     packer, packed, size = zlib.compressobj(1), [], 0
     encode = msgspec.json.encode
-    for at in range(0, len(held), SLICE):
+    for at in range(0, len(known_entries), BATCH_SIZE):
         lines = [
-            encode(Row(key, h.revision, entry(h.hop, settings)))
-            for key, h in held[at : at + SLICE]
-            if h.hop is not None
+            encode(ListRow(key, known.revision, entry_from_hop(known.hop, settings)))
+            for key, known in known_entries[at : at + BATCH_SIZE]
+            if known.hop is not None
         ]
         packed.append(packer.compress(b"\n".join([*lines, b""])))
         size += len(packed[-1])
-        if size > most:
+        if size > max_bytes:
             return 0
-        rest()
+        yield_to_loop()
     packed.append(packer.flush())
     body = b"".join(packed)
     head.xxh64 = xxhash.xxh64_hexdigest(body)
     data = encode(head) + b"\n" + body
-    if len(data) > most:
+    if len(data) > max_bytes:
         return 0
     files.replace(file, data)
     return len(data)
 
 
-def read(file: Path, most: int) -> Kept | None:
-    """The kept list, nothing where there is none; ``ValueError`` where it can't be used."""
+def read(file: Path, max_bytes: int) -> SavedList | None:
+    """The saved list, or None if there is none. Raises ``ValueError`` if it can't be used."""
     try:
-        if file.stat().st_size > most:
-            raise ValueError(f"{file.name} is larger than {most} bytes")
+        if file.stat().st_size > max_bytes:
+            raise ValueError(f"{file.name} is larger than {max_bytes} bytes")
         data = file.read_bytes()
     except FileNotFoundError:
         return None
     except OSError as error:
         raise ValueError(f"{file.name}: {error}") from error
-    first, _, body = data.partition(b"\n")
+    head_line, _, body = data.partition(b"\n")
     try:
-        head = msgspec.json.decode(first, type=Head)
+        head = msgspec.json.decode(head_line, type=ListHeader)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ValueError(f"{file.name}: {error}") from error
     if head.format != FORMAT:
-        raise ValueError(f"{file.name}: format {head.format} is not {FORMAT}")
+        raise ValueError(f"{file.name}: format {head.format}, expected {FORMAT}")
     if xxhash.xxh64_hexdigest(body) != head.xxh64:
-        raise ValueError(f"{file.name}: checksum does not fit")
+        raise ValueError(f"{file.name}: checksum mismatch")
     try:
-        rows = list(_rows(zlib.decompressobj().decompress(body, MOST_UNPACKED)))
+        rows = list(_rows(zlib.decompressobj().decompress(body, MAX_UNPACKED_SIZE)))
     except (zlib.error, msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ValueError(f"{file.name}: {error}") from error
-    return Kept(head, rows)
+    return SavedList(head, rows)
 
 
-def _rows(text: bytes) -> Iterator[Row]:
-    decoder = msgspec.json.Decoder(Row)
+def _rows(text: bytes) -> Iterator[ListRow]:
+    decoder = msgspec.json.Decoder(ListRow)
     for line in text.splitlines():
         yield decoder.decode(line)
 
 
-def take(
-    belief: Belief, kept: Kept, hop: Callable[[entries.Entry], NextHop], news: Any, left: dict[str, api.EndpointState]
+def restore(
+    known_list: KnownList,
+    saved: SavedList,
+    hop: Callable[[entries.Entry], NextHop],
+    update: Any,
+    removed: dict[str, api.EndpointState],
 ) -> int:
-    """Put a kept list into a belief, but for what ``left`` since, by key; how many entries the settings of today
-    don't take any more."""
+    """Put a saved list into a known list, except for entries ``removed`` since then (or draining), by key.
+
+    Returns the number of entries that the current settings no longer accept.
+    """
     lost = 0
-    for row in kept.rows:
-        state = left.get(row.key)
+    for row in saved.rows:
+        state = removed.get(row.key)
         if state is api.EndpointState.GONE:
             continue
-        if state is not None:  # at no revision, so that whatever the registry has of it is read
+        if state is not None:  # at revision 0, so that any revision of the registry replaces it
             row.entry.status, row.revision = "leaving", 0
         try:
-            belief.restore(row.key, hop(row.entry), row.revision, news)
+            known_list.restore(row.key, hop(row.entry), row.revision, update)
         except ValueError:
             lost += 1
     return lost
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 to a registry's member, on the loop: one kept connection, answers whole or in pieces."""
+"""HTTP/1.1 to a member of a registry, on the loop: one persistent connection, responses whole or in chunks."""
 
 from __future__ import annotations
 
@@ -12,61 +12,61 @@
 if TYPE_CHECKING:
     import ssl
 
-MOST_ANSWER = 64_000_000  # bytes of an answer that is read whole
+MAX_RESPONSE_SIZE = 64_000_000  # bytes of a response body
 
 
 class Broken(Exception):
-    """The member could not be asked, or its answer is not what its protocol promises.
+    """The member could not be reached, or its response violates its protocol.
 
-    ``wait``: microseconds that it told to wait.
+    ``wait``: its Retry-After delay in microseconds.
     """
 
-    def __init__(self, why: str, wait: int = 0) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, wait: int = 0) -> None:
+        super().__init__(reason)
         self.wait = wait
 
 
 class Compacted(Exception):
-    """The revision that was asked for is gone; the oldest that is left, 0 if not told."""
+    """The requested revision was compacted. ``oldest`` is the oldest one available, or 0 if the member did not say."""
 
     def __init__(self, oldest: int) -> None:
         super().__init__(f"compacted up to {oldest}")
         self.oldest = oldest
 
 
-class Unauthenticated(Broken):
-    """The token is not taken, or not any more."""
+class UnauthenticatedError(Broken):
+    """The token is not accepted, or has expired."""
 
 
 class Link:
-    """A connection to one member, opened when needed. All errors come as ``Broken``."""
+    """A connection to one member, opened when needed. All errors are raised as ``Broken``."""
 
     def __init__(
         self,
         loop: Loop,
         buffers: BufferPool,
         address: tuple[str, int],
-        within: int,
+        timeout: int,
         secure: Callable[[], ssl.SSLContext] | None = None,
-        name: str = "",
+        server_name: str = "",
     ) -> None:
-        """``secure`` and the ``name`` that the member's certificate must have: where it is called with TLS."""
-        self._secure, self._name = secure, name
-        self.loop, self.buffers, self.address, self._within = loop, buffers, address, within
+        """For TLS, ``secure`` makes the context, and the member's certificate must be valid for ``server_name``."""
+        self._secure, self._server_name = secure, server_name
+        self.loop, self.buffers, self.address, self._timeout = loop, buffers, address, timeout
         self._stream: Stream | None = None
 
     def _open(self) -> tuple[Stream, bool]:
-        """A stream, and whether it has been used before."""
+        """A stream, and whether it was used before."""
         stream, self._stream = self._stream, None
         if stream is not None and stream.quiet():
             return stream, True
         if stream is not None:
             stream.close()
-        deadline = self.loop.now + self._within
+        deadline = self.loop.now + self._timeout
         if self._secure is not None:
-            from kestrelspar.runtime import tls  # only where it is wanted
+            from kestrelspar.runtime import tls  # imported only if TLS is configured
 
-            stream = tls.dial(self.loop, self.buffers, self.address, deadline, self._secure(), self._name)
+            stream = tls.dial(self.loop, self.buffers, self.address, deadline, self._secure(), self._server_name)
         else:
             sock = connect(self.loop, self.address, deadline)
             stream = None if sock is None else Stream(self.loop, sock, self.buffers)
@@ -74,49 +74,52 @@
             raise Broken("no connection")
         return stream, False
 
-    def ask(
+    def request(
         self, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b"", wait: int = 0
     ) -> parser.Head:
-        """Send a request and read the answer's head, which may come ``wait`` later than others."""
-        stream, used = self._open()
+        """Send a request and read the head of its response, for which ``wait`` is added to the timeout."""
+        stream, reused = self._open()
         self._stream = stream
-        call = parser.request(method, path, f"{self.address[0]}:{self.address[1]}", headers or {}, body)
+        request = parser.request(method, path, f"{self.address[0]}:{self.address[1]}", headers or {}, body)
         try:
-            stream.write(call, self.loop.now + self._within)
-            return parser.read_head(stream, self.loop.now + self._within + wait, response=True)
+            stream.write(request, self.loop.now + self._timeout)
+            return parser.read_head(stream, self.loop.now + self._timeout + wait, response=True)
         except Closed:
             self.close()
-            if used and method == "GET":  # it was closed while the request was on its way
-                return self.ask(method, path, headers, body, wait)
-            raise Broken("the connection ended") from None
+            if reused and method == "GET":  # the idle connection was closed while the request was sent
+                return self.request(method, path, headers, body, wait)
+            raise Broken("connection closed") from None
         except Late:
             self.close()
-            raise Broken("no answer in time") from None
+            raise Broken("response timed out") from None
         except parser.BadMessage as error:
             self.close()
             raise Broken(f"not HTTP: {error}") from None
 
-    def pieces(self, head: parser.Head, silence: int | None = None) -> Iterator[bytes | None]:
-        """The answer's body as it comes. After ``silence`` with nothing a None is given, and the caller says
-        whether to go on by asking for the next piece; without it, silence is ``Broken``."""
+    def body_chunks(self, head: parser.Head, silence: int | None = None) -> Iterator[bytes | None]:
+        """Yield the body of a response as it arrives.
+
+        After ``silence`` without data it yields None, and the caller decides whether to continue. Without ``silence``,
+        a time-out raises ``Broken``.
+        """
         stream = self._stream
         if stream is None:
-            raise Broken("the connection ended")
+            raise Broken("connection closed")
         try:
-            length = parser.body_length(head, MOST_ANSWER)
-            chunks = parser.Chunks() if length is None else None
-            left = length if length is not None and length >= 0 else None
-            while not (chunks is not None and chunks.done or left == 0):
-                data = bytes(stream.unread if left is None or chunks is not None else stream.unread[:left])
+            length = parser.body_length(head, MAX_RESPONSE_SIZE)
+            decoder = parser.Chunks() if length is None else None
+            remaining = length if length is not None and length >= 0 else None
+            while not (decoder is not None and decoder.done or remaining == 0):
+                data = bytes(stream.unread if remaining is None or decoder is not None else stream.unread[:remaining])
                 if data:
-                    found, used = chunks.take(data) if chunks is not None else (data, len(data))
-                    stream.consume(used)
-                    left = left - used if left is not None else None
-                    if found:
-                        yield found
+                    decoded, consumed = decoder.take(data) if decoder is not None else (data, len(data))
+                    stream.consume(consumed)
+                    remaining = remaining - consumed if remaining is not None else None
+                    if decoded:
+                        yield decoded
                     continue
                 try:
-                    stream.fill(self.loop.now + (self._within if silence is None else silence))
+                    stream.fill(self.loop.now + (self._timeout if silence is None else silence))
                 except Late:
                     if silence is None:
                         raise
@@ -125,29 +128,29 @@
                 self.close()
         except Closed:
             self.close()
-            if parser.body_length(head, MOST_ANSWER) == -1:
-                return  # told no length: the end of the connection is the end
-            raise Broken("the connection ended in the middle of an answer") from None
+            if parser.body_length(head, MAX_RESPONSE_SIZE) == -1:
+                return  # no length given: the body ends with the connection
+            raise Broken("connection closed in the middle of a response") from None
         except Late:
             self.close()
-            raise Broken("silent in the middle of an answer") from None
+            raise Broken("time-out in the middle of a response") from None
         except parser.BadMessage as error:
             self.close()
             raise Broken(f"not HTTP: {error}") from None
 
-    def whole(self, head: parser.Head) -> bytes:
-        """The answer's whole body."""
-        parts, size = [], 0
-        for piece in self.pieces(head):
-            parts.append(piece or b"")
-            size += len(parts[-1])
-            if size > MOST_ANSWER:
+    def read_body(self, head: parser.Head) -> bytes:
+        """Read the whole body of a response."""
+        chunks, size = [], 0
+        for chunk in self.body_chunks(head):
+            chunks.append(chunk or b"")
+            size += len(chunks[-1])
+            if size > MAX_RESPONSE_SIZE:
                 self.close()
-                raise Broken(f"an answer of more than {MOST_ANSWER} bytes")
-        return b"".join(parts)
+                raise Broken(f"response of more than {MAX_RESPONSE_SIZE} bytes")
+        return b"".join(chunks)
 
     def close(self) -> None:
-        """End the connection; who reads on it finds it closed."""
+        """Close the connection. A task that reads from it gets ``Closed``."""
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
--- a/kestrelspar/registry/stream.py
+++ b/kestrelspar/registry/stream.py
@@ -1,67 +1,67 @@
-"""JSON objects from bytes cut anywhere: an etcd watch is a row of them, a Consul list is an array of them."""
+"""Splits a byte stream into JSON objects. An etcd watch is a sequence of them, a Consul list an array of them."""
 
 from __future__ import annotations
 
 import re
 
-MOST_OBJECT = 4_000_000  # bytes; etcd sends fragments of 1.5 MB at most
+MAX_OBJECT_SIZE = 4_000_000  # bytes; etcd sends fragments of at most 1.5 MB
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|["{}]', re.S)
 
 
-class BadStream(ValueError):
-    """Bytes that are no row of JSON objects."""
+class MalformedStreamError(ValueError):
+    """The bytes are not a sequence of JSON objects."""
 
 
-class Objects:
-    """Cuts a row or an array of objects into single ones; says nothing about what is in them."""
+class JsonObjectSplitter:
+    """Splits a sequence or an array of objects into single ones, without decoding them."""
 
     def __init__(self) -> None:
-        self._rest = b""
-        self._scan = 0  # where in ``_rest`` the next token is looked for
-        self._begin = -1  # where the open object begins
+        self._buffer = b""
+        self._scan_from = 0  # offset in the buffer at which the next token is searched for
+        self._object_start = -1  # offset of the open object; -1: none
         self._depth = 0
 
     @property
-    def between(self) -> bool:
-        """Whether nothing is left but blanks, commas and brackets: an end here cuts no object."""
-        return not self._depth and not self._rest.strip(b" \t\r\n,[]")
+    def at_boundary(self) -> bool:
+        """Whether only blanks, commas and brackets are left, so that an end of the stream here truncates no object."""
+        return not self._depth and not self._buffer.strip(b" \t\r\n,[]")
 
-    def take(self, data: bytes) -> list[bytes]:
-        """The objects that are complete now. ``BadStream`` where there is something else."""
-        self._rest += data
-        found, base = [], 0
-        at = self._scan
+    def feed(self, data: bytes) -> list[bytes]:
+        """Add data and return the objects that are complete. Raises ``MalformedStreamError`` for anything else."""
+        self._buffer += data
+        objects, object_end = [], 0
+        position = self._scan_from
         while True:
-            match = _TOKEN.search(self._rest, at)
+            match = _TOKEN.search(self._buffer, position)
             if match is None:
-                at = len(self._rest)
+                position = len(self._buffer)
                 break
-            token, start = match[0], match.start()
-            if token == b'"':  # a string whose end has not come
-                at = start
+            token, token_start = match[0], match.start()
+            if token == b'"':  # a string whose end has not arrived
+                position = token_start
                 break
-            at = match.end()
+            position = match.end()
             if token == b"{":
                 if not self._depth:
-                    if self._rest[base:start].strip(b" \t\r\n,[]"):
-                        raise BadStream("something between objects")
-                    self._begin = start
+                    if self._buffer[object_end:token_start].strip(b" \t\r\n,[]"):
+                        raise MalformedStreamError("unexpected data between objects")
+                    self._object_start = token_start
                 self._depth += 1
             elif token == b"}":
                 self._depth -= 1
                 if self._depth < 0:
-                    raise BadStream("an end without a beginning")
+                    raise MalformedStreamError("closing brace without an opening one")
                 if not self._depth:
-                    found.append(self._rest[self._begin : at])
-                    base, self._begin = at, -1
+                    objects.append(self._buffer[self._object_start : position])
+                    object_end, self._object_start = position, -1
             elif not self._depth:
-                raise BadStream("a string between objects")
-        keep = self._begin if self._depth else base
-        if not self._depth and self._rest[base:].strip(b' \t\r\n,[]"'):
-            raise BadStream("something between objects")
-        self._rest, self._scan = self._rest[keep:], at - keep
+                raise MalformedStreamError("string between objects")
+        keep_from = self._object_start if self._depth else object_end
+        if not self._depth and self._buffer[object_end:].strip(b' \t\r\n,[]"'):
+            raise MalformedStreamError("unexpected data between objects")
+        self._buffer, self._scan_from = self._buffer[keep_from:], position - keep_from
         if self._depth:
-            self._begin = 0
-        if len(self._rest) > MOST_OBJECT:
-            raise BadStream(f"an object of more than {MOST_OBJECT} bytes")
-        return found
+            self._object_start = 0
+        if len(self._buffer) > MAX_OBJECT_SIZE:
+            raise MalformedStreamError(f"object of more than {MAX_OBJECT_SIZE} bytes")
+        return objects
--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -1,31 +1,34 @@
-"""What a follower of a registry believes, and what it does next. No I/O: events and a time in, news and asks out.
+"""Decides what a follower of a registry holds and which request it sends next. No I/O: it is given events and a time.
 
-Everything that decides about a followed list lives in this file; the wires (etcd.py, consul.py) only turn bytes into
-these events, and follower.py carries out what is asked.
+All decisions about a followed list are made in this file. The protocol clients (etcd.py, consul.py) only translate
+bytes into these events, and follower.py sends the requests.
 
 Theory of operation
 -------------------
-``Belief`` is the list as last heard: by key, the entry and the revision that it was written at. It takes single puts
-and deletions, and compares whole lists; what comes out is ``News``: the last word on each endpoint's name.
+``KnownList`` is the list as last received: for each key, the entry and the revision at which it was written. It takes
+single puts and deletions, and compares whole lists. What results is an ``Update``: the latest state of each endpoint's
+name.
 
-``EtcdSync`` and ``ConsulSync`` are the two protocols' state machines:
+``EtcdSync`` and ``ConsulSync`` are the state machines of the two protocols:
 
-    LISTING   reads the whole list. etcd: in pages, all at the revision of the first one (pinned). Puts are news as
-              they come; removals when the list is whole, as only then is it known what it lacks.
+    LISTING   reads the whole list. etcd: in pages, all at the revision of the first one (pinned). Puts are applied as
+              they arrive, removals when the list is complete: only then is it known which keys it lacks.
     WATCHING  etcd: a watch from the revision after the last complete one. Consul: blocking reads of the whole list.
-    BROKEN    waits, longer each round over all members and with jitter, then asks the next member.
+    BROKEN    waits, longer after each round over all members and with jitter, then asks the next member.
 
-Three guards against believing a member that is wrong:
+Three checks guard against a member that is wrong:
 
-- another cluster (etcd's cluster_id) is passed over: its list is not ours, whatever it says;
-- a member behind the revision already seen is passed over: what it lacks has not left, what it has may have;
-- a revision counts as complete only when its last fragment came, so a watch resumes where nothing is missed.
+- A member of another cluster (by etcd's cluster_id) is passed over: its list is not this one, whatever it contains.
+- A member behind the revision already seen is passed over: a key that it lacks may still exist, and one that it has
+  may have been removed.
+- A revision counts as complete only when its last fragment has arrived, so a resumed watch misses nothing.
 
-A revision that has been compacted can't be resumed from: the whole list again, and the comparison tells removals.
+A watch can't resume from a revision that has been compacted. The whole list is read again, and the comparison with
+what is held yields the removals.
 
-``patience`` is how long the list may go unheard before it is stale; ``heard`` is the last moment at which a member
-said something that proves the list to be current (a page that ends a list, a change, progress, a check that agrees).
-All times are microseconds of the caller's clock.
+``max_age`` (the setting ``patience``) is how long the list may go unconfirmed before it is stale. ``confirmed_at`` is
+the last time at which a member's response proved the list to be current: the last page of a list, a change, a progress
+notification, or a check that agrees. All times are microseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -41,16 +44,17 @@
 from snowlock.interface import EndpointState
 
 MS, SECOND = 1_000, 1_000_000
-WAIT_FIRST, WAIT_MOST = 100 * MS, 5 * SECOND  # between tries, by rounds over all members
-RELISTS = 3  # compactions in a row during lists, before it waits like after a break
-STALE_LOG = 60 * SECOND  # how often a stale list is told
-SPIN = 100 * MS  # blocking reads begin no closer than this
-LOST_MOST = 2  # a list that loses more than one in so many at once is a loud event
+# Between attempts; the delay doubles with each round over all members.
+INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND
+MAX_RELISTS = 3  # compactions in a row while listing, before it waits as after a failure
+STALE_LOG_INTERVAL = 60 * SECOND  # between two log lines about a stale list
+MIN_READ_INTERVAL = 100 * MS  # between the starts of two blocking reads, so that they don't spin
+LARGE_LOSS_DIVISOR = 2  # losing more than 1 / LARGE_LOSS_DIVISOR of the list at once is logged as an error
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key as a registry has it; ``value`` is None where it was deleted. ``revision`` is that of the change."""
+    """A key in the registry. ``value`` is None if it was deleted; ``revision`` is that of its last change."""
 
     key: str
     value: bytes | None
@@ -58,138 +62,138 @@
 
 
 @dataclass(slots=True)
-class News:
-    """What came of an event: the last word on each name (None: it has left), and events for the log."""
+class Update:
+    """The result of an event: the latest entry of each endpoint name (None: removed), and events for the log."""
 
-    said: dict[bytes, NextHop | None] = field(default_factory=dict)
-    keys: dict[str, EndpointState] = field(default_factory=dict)  # the last word on each key
+    hops_by_name: dict[bytes, NextHop | None] = field(default_factory=dict)
+    states_by_key: dict[str, EndpointState] = field(default_factory=dict)
     events: list[tuple[int, str, dict[str, Any]]] = field(default_factory=list)
 
-    def hops(self) -> list[NextHop]:
-        """The entries that are new or changed."""
-        return [hop for hop in self.said.values() if hop is not None]
+    def changed_hops(self) -> list[NextHop]:
+        """Next hops that are new or changed."""
+        return [hop for hop in self.hops_by_name.values() if hop is not None]
 
-    def left(self) -> list[bytes]:
-        """The names that are gone."""
-        return [name for name, hop in self.said.items() if hop is None]
+    def removed_names(self) -> list[bytes]:
+        """Names of endpoints that were removed."""
+        return [name for name, hop in self.hops_by_name.items() if hop is None]
 
 
 @dataclass(slots=True)
-class Held:
-    """A key that is held. ``hop`` is None where its value never could be read."""
+class KnownEntry:
+    """A key of the list. ``hop`` is None if none of its values could be read so far."""
 
     hop: NextHop | None
     revision: int
 
 
-class Belief:
-    """The list as last heard; outlives breaks, moves to other members, and restarts through the kept file.
+class KnownList:
+    """The list as last received. It survives failures, changes of members, and (by the saved file) restarts.
 
-    ``read`` makes an entry from a value, or raises ``ValueError``.
+    ``read`` turns a value into a next hop, or raises ``ValueError``.
     """
 
     def __init__(self, read: Callable[[bytes], NextHop]) -> None:
-        self.held: dict[str, Held] = {}
-        self._read = read
-        self._keys: dict[bytes, list[str]] = {}  # by name; the first key's entry counts
-        self._bad: set[str] = set()  # keys whose value can't be read, each told once
-        self._before: int | None = None  # entries held when the change that is under way began
-        self._went: set[str] = set()  # keys lost or draining in it
-
-    def put(self, item: Item, news: News) -> None:
-        """A key is there with this value. What can't be read leaves the entry as it was."""
+        self.entries: dict[str, KnownEntry] = {}
+        self._parse = read
+        self._keys_by_name: dict[bytes, list[str]] = {}  # by endpoint name; the entry of the first key is used
+        self._unreadable_keys: set[str] = set()  # each is logged once
+        self._size_before: int | None = None  # number of entries when the change in progress began
+        self._removed_keys: set[str] = set()  # keys removed or draining in the change in progress
+
+    def put(self, item: Item, update: Update) -> None:
+        """A key exists with this value. A value that can't be read leaves the entry as it was."""
         assert item.value is not None
-        held = self.held.get(item.key)
-        if held is not None and held.revision == item.revision:
+        entry = self.entries.get(item.key)
+        if entry is not None and entry.revision == item.revision:
             return
         try:
-            hop = self._read(item.value)
+            hop = self._parse(item.value)
         except ValueError as error:
-            if item.key not in self._bad:
-                self._bad.add(item.key)
-                news.events.append(
+            if item.key not in self._unreadable_keys:
+                self._unreadable_keys.add(item.key)
+                update.events.append(
                     (
                         ERROR,
                         "registry-bad-value",
                         {
                             "key": item.key,
                             "why": str(error)[:300],
-                            "kept": "as it was" if held is not None and held.hop is not None else "left out",
+                            "kept": "as it was" if entry is not None and entry.hop is not None else "left out",
                         },
                     )
                 )
-            self.held[item.key] = Held(held.hop if held is not None else None, item.revision)
+            self.entries[item.key] = KnownEntry(entry.hop if entry is not None else None, item.revision)
             return
-        self._bad.discard(item.key)
-        self._hold(item.key, hop, item.revision, news)
+        self._unreadable_keys.discard(item.key)
+        self._store(item.key, hop, item.revision, update)
 
-    def _hold(self, key: str, hop: NextHop, revision: int, news: News) -> None:
-        held = self.held.get(key)
-        before = held.hop if held is not None else None
-        self.held[key] = Held(hop, revision)
+    def _store(self, key: str, hop: NextHop, revision: int, update: Update) -> None:
+        entry = self.entries.get(key)
+        before = entry.hop if entry is not None else None
+        self.entries[key] = KnownEntry(hop, revision)
         if before == hop:
             return
-        news.keys[key] = hop.endpoint.state
+        update.states_by_key[key] = hop.endpoint.state
         if before is not None and before.endpoint.id != hop.endpoint.id:
-            self._unname(key, before.endpoint.id, news)
+            self._release_name(key, before.endpoint.id, update)
             before = None
-        keys = self._keys.setdefault(hop.endpoint.id, [])
+        keys = self._keys_by_name.setdefault(hop.endpoint.id, [])
         if key not in keys:
             keys.append(key)
             if len(keys) > 1:
-                news.events.append((ERROR, "registry-name-twice", {"hop": hop.name, "key": keys[0], "rival": key}))
+                update.events.append((ERROR, "registry-name-twice", {"hop": hop.name, "key": keys[0], "rival": key}))
         if keys[0] == key:
-            news.said[hop.endpoint.id] = hop
+            update.hops_by_name[hop.endpoint.id] = hop
             if before is not None and hop.endpoint.state is not EndpointState.READY:
-                self._count(key)
+                self._count_removal(key)
 
-    def drop(self, key: str, news: News) -> None:
-        """A key is gone."""
-        held = self.held.get(key)
-        if held is None:
+    def drop(self, key: str, update: Update) -> None:
+        """A key was deleted."""
+        entry = self.entries.get(key)
+        if entry is None:
             return
-        self._count(key)
-        del self.held[key]
-        self._bad.discard(key)
-        if held.hop is not None:
-            news.keys[key] = EndpointState.GONE
-            self._unname(key, held.hop.endpoint.id, news)
-
-    def _unname(self, key: str, name: bytes, news: News) -> None:
-        keys = self._keys[name]
+        self._count_removal(key)
+        del self.entries[key]
+        self._unreadable_keys.discard(key)
+        if entry.hop is not None:
+            update.states_by_key[key] = EndpointState.GONE
+            self._release_name(key, entry.hop.endpoint.id, update)
+
+    def _release_name(self, key: str, name: bytes, update: Update) -> None:
+        keys = self._keys_by_name[name]
         first = keys[0] == key
         keys.remove(key)
         if not keys:
-            del self._keys[name]
-            news.said[name] = None
+            del self._keys_by_name[name]
+            update.hops_by_name[name] = None
         elif first:
-            news.said[name] = self.held[keys[0]].hop
+            update.hops_by_name[name] = self.entries[keys[0]].hop
 
-    def _count(self, key: str) -> None:
-        """One more entry lost or draining, in the change that is under way."""
-        if self._before is None:
-            self._before = len(self.held)
-        self._went.add(key)
+    def _count_removal(self, key: str) -> None:
+        """Count an entry that was removed or began to drain in the change in progress."""
+        if self._size_before is None:
+            self._size_before = len(self.entries)
+        self._removed_keys.add(key)
 
-    def lack(self, seen: Iterable[str], news: News) -> None:
-        """A whole list has just these keys."""
-        for key in self.held.keys() - set(seen):
-            self.drop(key, news)
+    def retain_only(self, seen: Iterable[str], update: Update) -> None:
+        """Remove all keys but those of a complete list."""
+        for key in self.entries.keys() - set(seen):
+            self.drop(key, update)
 
-    def settled(self, news: News) -> None:
-        """The change that was under way is complete: if it took most of the list at once, say so loudly."""
-        before, lost, self._before = self._before, len(self._went), None
-        self._went.clear()
-        if before and (not self.held or lost > 1 and lost * LOST_MOST > before):
-            news.events.append((ERROR, "registry-lost-most", {"lost": lost, "of": before, "now": len(self.held)}))
+    def change_completed(self, update: Update) -> None:
+        """The change in progress is complete: log an error if it removed most of the list at once."""
+        before, lost, self._size_before = self._size_before, len(self._removed_keys), None
+        self._removed_keys.clear()
+        if before and (not self.entries or lost > 1 and lost * LARGE_LOSS_DIVISOR > before):
+            update.events.append((ERROR, "registry-lost-most", {"lost": lost, "of": before, "now": len(self.entries)}))
 
-    def restore(self, key: str, hop: NextHop, revision: int, news: News) -> None:
-        """An entry from the kept list."""
-        self._hold(key, hop, revision, news)
+    def restore(self, key: str, hop: NextHop, revision: int, update: Update) -> None:
+        """Add an entry of the saved list."""
+        self._store(key, hop, revision, update)
 
 
 class State(Enum):
-    """What a follower is doing."""
+    """State of a follower."""
 
     LISTING = "listing"
     WATCHING = "watching"
@@ -198,326 +202,361 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Ask: nothing before this time."""
+    """Send nothing before this time."""
 
     until: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskPage:
-    """Ask: a page of the list, from this key on (after it), at this revision; 0: whatever is newest."""
+class PageRequest:
+    """Read the page of the list after this key, at this revision (0: the newest)."""
 
     after: str
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskWatch:
-    """Ask: a watch from this revision on."""
+class WatchRequest:
+    """Open a watch from this revision on."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskRead:
-    """Ask: the whole list; blocking until something is newer than the index, unless it is 0."""
+class ReadRequest:
+    """Read the whole list. Unless the index is 0, the read blocks until something is newer than it."""
 
     index: int
     consistent: bool = False
 
 
-Ask = Pause | AskPage | AskWatch | AskRead
+Request = Pause | PageRequest | WatchRequest | ReadRequest
 
 
 class Sync:
-    """What both protocols share: members, waits, patience."""
+    """What both protocols share: choice of the member, retry delays, and the age of the list."""
 
-    def __init__(self, belief: Belief, members: int, patience: int, now: int, random: Random) -> None:
-        self.belief, self.members, self.patience = belief, members, patience
+    def __init__(self, known_list: KnownList, member_count: int, max_age: int, now: int, random: Random) -> None:
+        self.known_list, self.member_count, self.max_age = known_list, member_count, max_age
         self.state = State.LISTING
-        self.member = random.randrange(members)  # whom to ask now; couriers begin at different ones
-        self.revision = 0  # complete up to here; Consul: the index
+        self.member_index = random.randrange(member_count)  # member in use; couriers begin with different ones
+        self.revision = 0  # the list is complete up to here; Consul: the index
         self.cluster = ""
-        self.heard = now
-        self.listed = False  # a whole list has come since the start
-        self.past = False  # past its patience
+        self.confirmed_at = now
+        self.listed = False  # a complete list has been received since the start
+        self.is_stale = False  # older than ``max_age``
         self._random = random
-        self._fails = 0
-        self._again = now
-        self._told = 0  # when the stale list was last logged
-
-    def broke(self, now: int, why: str, news: News | None = None, wait: int = 0) -> News:
-        """This member failed or can't be believed: wait, and ask the next one. ``wait`` is what it told."""
-        news = news or News()
-        failed, self.state = self.member, State.BROKEN
-        self.member = (self.member + 1) % self.members
-        rounds = self._fails // self.members
-        self._fails += 1
-        most = min(WAIT_MOST, WAIT_FIRST << min(rounds, 10))
-        # Half of it and more, at random: members that return are not met by all couriers at once.
-        self._again = now + max(wait, int(most * (0.5 + self._random.random() / 2)))
-        news.events.append(
+        self._failures = 0
+        self._retry_at = now
+        self._stale_logged_at = 0
+
+    def member_failed(self, now: int, reason: str, update: Update | None = None, wait: int = 0) -> Update:
+        """The member failed or is not trustworthy: wait, then use the next one. ``wait`` is its Retry-After delay."""
+        update = update or Update()
+        failed_member, self.state = self.member_index, State.BROKEN
+        self.member_index = (self.member_index + 1) % self.member_count
+        rounds = self._failures // self.member_count
+        self._failures += 1
+        max_delay = min(MAX_RETRY_DELAY, INITIAL_RETRY_DELAY << min(rounds, 10))
+        # 50 to 100 % of the delay, at random, so that not all couriers reconnect at once to members that recover.
+        self._retry_at = now + max(wait, int(max_delay * (0.5 + self._random.random() / 2)))
+        update.events.append(
             (
                 WARNING,
                 "registry-break",
-                {"member": failed, "why": why, "revision": self.revision, "again_ms": (self._again - now) // MS},
+                {
+                    "member": failed_member,
+                    "why": reason,
+                    "revision": self.revision,
+                    "again_ms": (self._retry_at - now) // MS,
+                },
             )
         )
-        return news
-
-    def fine(self, now: int) -> None:
-        """A member said something that proves the list to be current."""
-        self.heard, self._fails = now, 0
-
-    def tick(self, now: int, news: News) -> None:
-        """Look at the list's age: past its patience, or heard again."""
-        age = now - self.heard
-        if age > self.patience:
-            if not self.past or now - self._told >= STALE_LOG:
-                self.past, self._told = True, now
-                news.events.append(
+        return update
+
+    def confirm_current(self, now: int) -> None:
+        """A response has proved the list to be current."""
+        self.confirmed_at, self._failures = now, 0
+
+    def tick(self, now: int, update: Update) -> None:
+        """Log when the list becomes stale, at intervals while it is, and when it is current again."""
+        age = now - self.confirmed_at
+        if age > self.max_age:
+            if not self.is_stale or now - self._stale_logged_at >= STALE_LOG_INTERVAL:
+                self.is_stale, self._stale_logged_at = True, now
+                update.events.append(
                     (
                         ERROR,
                         "registry-stale",
-                        {"age_s": age // SECOND, "entries": len(self.belief.held), "revision": self.revision},
+                        {"age_s": age // SECOND, "entries": len(self.known_list.entries), "revision": self.revision},
                     )
                 )
-        elif self.past:
-            self.past = False
-            news.events.append((INFO, "registry-heard-again", {"revision": self.revision}))
-
-    def moved(self, members: int, patience: int, now: int) -> None:
-        """The settings name other members, another prefix or account: the whole list, without the old guards."""
-        self.members, self.patience = members, patience
-        self.member, self.state = self._random.randrange(members), State.LISTING
-        self.cluster, self.revision, self._fails, self._again = "", 0, 0, now
-
-    def _ours(self, now: int, cluster: str, revision: int, news: News) -> bool:
-        """Whether to believe this answer; if not, its member is passed over."""
+        elif self.is_stale:
+            self.is_stale = False
+            update.events.append((INFO, "registry-heard-again", {"revision": self.revision}))
+
+    def settings_changed(self, member_count: int, max_age: int, now: int) -> None:
+        """The settings name other members, another prefix or account.
+
+        The whole list is read anew; cluster and revision of the old one no longer count.
+        """
+        self.member_count, self.max_age = member_count, max_age
+        self.member_index, self.state = self._random.randrange(member_count), State.LISTING
+        self.cluster, self.revision, self._failures, self._retry_at = "", 0, 0, now
+
+    def _accepts(self, now: int, cluster: str, revision: int, update: Update) -> bool:
+        """Whether to accept this response. If not, its member is passed over."""
         if self.cluster and cluster and cluster != self.cluster:
-            self.broke(now, f"another cluster, {cluster} and not {self.cluster}", news)
+            self.member_failed(now, f"member of another cluster: {cluster}, expected {self.cluster}", update)
             return False
         if revision < self.revision:
-            self.broke(now, f"behind, at {revision} and not {self.revision}", news)
+            self.member_failed(
+                now, f"member is behind: at revision {revision}, expected {self.revision} or later", update
+            )
             return False
         self.cluster = self.cluster or cluster
         return True
 
 
 class EtcdSync(Sync):
-    """etcd: lists in pages, then a watch."""
-
-    def __init__(self, belief: Belief, members: int, patience: int, now: int, random: Random) -> None:
-        super().__init__(belief, members, patience, now, random)
-        self._pinned = 0
-        self._after = ""
-        self._seen: set[str] = set()
-        self._whole = False  # a whole list has come, and the watch goes on from it
-        self._relists = 0
-        self._deaf = -1  # the revision at which a check has disagreed once
-        self._gone: dict[str, int] = {}  # deleted by a change that is not complete; told again after a break
-
-    def ask(self, now: int) -> Ask:
-        """What to do next."""
-        if now < self._again:
-            return Pause(self._again)
-        if self._whole:
+    """etcd: reads the list in pages, then watches it."""
+
+    def __init__(self, known_list: KnownList, member_count: int, max_age: int, now: int, random: Random) -> None:
+        super().__init__(known_list, member_count, max_age, now, random)
+        self._pinned_revision = 0
+        self._page_after = ""
+        self._seen_keys: set[str] = set()
+        self._has_snapshot = False  # a complete list was read; the watch continues from it
+        self._relist_count = 0
+        self._mismatch_revision = -1  # revision at which one check has disagreed; -1: none
+        # Keys deleted by an incomplete change, which is sent again after a failure.
+        self._pending_removals: dict[str, int] = {}
+
+    def next_request(self, now: int) -> Request:
+        """The next request to send, or how long to wait first."""
+        if now < self._retry_at:
+            return Pause(self._retry_at)
+        if self._has_snapshot:
             self.state = State.WATCHING
-            return AskWatch(self.revision + 1)
+            return WatchRequest(self.revision + 1)
         self.state = State.LISTING
-        return AskPage(self._after, self._pinned)
-
-    def moved(self, members: int, patience: int, now: int) -> None:
-        """See ``Sync.moved``."""
-        super().moved(members, patience, now)
-        self._relist()
-
-    def _relist(self) -> None:
-        self._whole, self._pinned, self._after = False, 0, ""
-        self._seen = set()
-
-    def broke(self, now: int, why: str, news: News | None = None, wait: int = 0) -> News:
-        """See ``Sync.broke``. A list that is not whole begins again: another member may lack its revision."""
-        if not self._whole:
-            self._relist()
-        return super().broke(now, why, news, wait)
-
-    def page(self, now: int, cluster: str, revision: int, items: list[Item], more: bool) -> News:
-        """A page of the list; ``revision`` is the member's own, not the pinned one."""
-        news = News()
-        if not self._ours(now, cluster, max(revision, 1), news):
-            return news
-        if not self._pinned:
-            self._pinned = revision
-        if revision < self._pinned or any(item.revision > self._pinned for item in items):
-            return self.broke(now, f"a page not at revision {self._pinned}", news)
+        return PageRequest(self._page_after, self._pinned_revision)
+
+    def settings_changed(self, member_count: int, max_age: int, now: int) -> None:
+        """See ``Sync.settings_changed``."""
+        super().settings_changed(member_count, max_age, now)
+        self._restart_list()
+
+    def _restart_list(self) -> None:
+        self._has_snapshot, self._pinned_revision, self._page_after = False, 0, ""
+        self._seen_keys = set()
+
+    def member_failed(self, now: int, reason: str, update: Update | None = None, wait: int = 0) -> Update:
+        """See ``Sync.member_failed``. An incomplete list is read anew: another member may lack its revision."""
+        if not self._has_snapshot:
+            self._restart_list()
+        return super().member_failed(now, reason, update, wait)
+
+    def receive_page(self, now: int, cluster: str, revision: int, items: list[Item], more: bool) -> Update:
+        """A page of the list was read. ``revision`` is the member's current one, not the pinned one."""
+        update = Update()
+        if not self._accepts(now, cluster, max(revision, 1), update):
+            return update
+        if not self._pinned_revision:
+            self._pinned_revision = revision
+        if revision < self._pinned_revision or any(item.revision > self._pinned_revision for item in items):
+            return self.member_failed(now, f"page is not at revision {self._pinned_revision}", update)
         if more and not items:
-            return self.broke(now, "an empty page that is not the last", news)
+            return self.member_failed(now, "empty page that is not the last", update)
         for item in items:
-            self._seen.add(item.key)
-            self.belief.put(item, news)
+            self._seen_keys.add(item.key)
+            self.known_list.put(item, update)
         if more:
-            self._after = items[-1].key
-            return news
-        self.belief.lack(self._seen, news)
-        self.belief.settled(news)
+            self._page_after = items[-1].key
+            return update
+        self.known_list.retain_only(self._seen_keys, update)
+        self.known_list.change_completed(update)
         first, self.listed = not self.listed, True
-        self.revision, self._relists = self._pinned, 0
-        self._relist()
-        self._whole = True
-        self.fine(now)
-        news.events.append(
-            (INFO, "registry-listed", {"entries": len(self.belief.held), "revision": self.revision, "first": first})
+        self.revision, self._relist_count = self._pinned_revision, 0
+        self._restart_list()
+        self._has_snapshot = True
+        self.confirm_current(now)
+        update.events.append(
+            (
+                INFO,
+                "registry-listed",
+                {"entries": len(self.known_list.entries), "revision": self.revision, "first": first},
+            )
         )
-        return news
-
-    def compacted(self, now: int, revision: int) -> News:
-        """The revision that was asked for is gone: the whole list again, compared with what is held."""
-        news = News(events=[(WARNING, "registry-compacted", {"asked": self.revision + 1, "oldest": revision})])
-        self._relist()
-        self._relists += 1
-        if self._relists > RELISTS:  # lists take longer than the registry keeps revisions
-            return self.broke(now, "compacted during each list", news)
-        return news
-
-    def opened(self, now: int, cluster: str, revision: int) -> News:
-        """The watch was created, by a member that is at this revision."""
-        news = News()
-        if self._ours(now, cluster, revision, news):
-            self.fine(now)
-        return news
-
-    def changes(self, now: int, cluster: str, revision: int, items: list[Item], complete: bool = True) -> News:
-        """Changes from the watch; none: progress up to ``revision``. ``complete``: no fragment of it follows."""
-        news = News()
+        return update
+
+    def revision_compacted(self, now: int, revision: int) -> Update:
+        """The requested revision was compacted: read the whole list again and compare it with what is held."""
+        update = Update(events=[(WARNING, "registry-compacted", {"asked": self.revision + 1, "oldest": revision})])
+        self._restart_list()
+        self._relist_count += 1
+        if self._relist_count > MAX_RELISTS:  # reading a list takes longer than the registry keeps revisions
+            return self.member_failed(now, "compacted while listing, each time", update)
+        return update
+
+    def watch_created(self, now: int, cluster: str, revision: int) -> Update:
+        """A member that is at this revision has created the watch."""
+        update = Update()
+        if self._accepts(now, cluster, revision, update):
+            self.confirm_current(now)
+        return update
+
+    def receive_changes(
+        self, now: int, cluster: str, revision: int, items: list[Item], complete: bool = True
+    ) -> Update:
+        """Changes from the watch; none: progress up to ``revision``. ``complete``: no further fragment follows."""
+        update = Update()
         if self.cluster and cluster and cluster != self.cluster:
-            return self.broke(now, f"another cluster, {cluster} and not {self.cluster}", news)
+            return self.member_failed(now, f"member of another cluster: {cluster}, expected {self.cluster}", update)
         if not items and revision < self.revision:
-            return self.broke(now, f"progress behind, at {revision} and not {self.revision}", news)
+            return self.member_failed(
+                now, f"progress is behind: at revision {revision}, expected {self.revision} or later", update
+            )
         for item in items:
-            held = self.belief.held.get(item.key)
-            known = held.revision if held is not None else self._gone.get(item.key, 0)
-            if item.revision <= max(known, self.revision):
-                continue  # seen already: a watch that resumes may tell a change twice
+            entry = self.known_list.entries.get(item.key)
+            known_revision = entry.revision if entry is not None else self._pending_removals.get(item.key, 0)
+            if item.revision <= max(known_revision, self.revision):
+                continue  # already applied: a resumed watch may repeat a change
             if item.value is None:
-                self.belief.drop(item.key, news)
-                self._gone[item.key] = item.revision
+                self.known_list.drop(item.key, update)
+                self._pending_removals[item.key] = item.revision
             else:
-                self.belief.put(item, news)
+                self.known_list.put(item, update)
         if complete:
             self.revision = max(
                 [self.revision, *(item.revision for item in items)] if items else [self.revision, revision]
             )
-            self._gone.clear()
-            self.belief.settled(news)
-            self.fine(now)
-        return news
+            self._pending_removals.clear()
+            self.known_list.change_completed(update)
+            self.confirm_current(now)
+        return update
 
-    def checked(self, now: int, cluster: str, revision: int, newest: int, count: int) -> News:
-        """A member says how many keys there are and the newest's revision, while the watch is silent.
+    def receive_check(self, now: int, cluster: str, revision: int, newest: int, count: int) -> Update:
+        """Compare with the number of keys and the newest key's revision, read while the watch is silent.
 
-        One disagreement may be a change on its way; a second one at the same revision means that the watch is deaf.
+        One disagreement may be a change in transit. A second one at the same revision means that the watch no longer
+        delivers changes.
         """
-        news = News()
-        if not self._ours(now, cluster, revision, news):
-            return news
-        if newest <= self.revision and count == len(self.belief.held):
-            self._deaf = -1
-            self.fine(now)
-        elif self._deaf == self.revision:
-            self._deaf = -1
-            self._relist()
-            return self.broke(
+        update = Update()
+        if not self._accepts(now, cluster, revision, update):
+            return update
+        if newest <= self.revision and count == len(self.known_list.entries):
+            self._mismatch_revision = -1
+            self.confirm_current(now)
+        elif self._mismatch_revision == self.revision:
+            self._mismatch_revision = -1
+            self._restart_list()
+            return self.member_failed(
                 now,
-                f"a deaf watch, {count} keys up to {newest} and not {len(self.belief.held)} up to {self.revision}",
-                news,
+                f"watch delivers no changes: {count} keys up to {newest}, "
+                f"held {len(self.known_list.entries)} up to {self.revision}",
+                update,
             )
         else:
-            self._deaf = self.revision
-        return news
+            self._mismatch_revision = self.revision
+        return update
 
     @property
-    def doubtful(self) -> bool:
-        """Whether a check has just disagreed, so that the next one should come soon."""
-        return self._deaf == self.revision
+    def check_disagreed(self) -> bool:
+        """Whether the last check disagreed, so that the next one should follow soon."""
+        return self._mismatch_revision == self.revision
 
 
 class ConsulSync(Sync):
     """Consul: blocking reads of the whole list."""
 
     def __init__(
-        self, belief: Belief, members: int, patience: int, now: int, random: Random, stale: bool = False
+        self,
+        known_list: KnownList,
+        member_count: int,
+        max_age: int,
+        now: int,
+        random: Random,
+        allow_stale: bool = False,
     ) -> None:
-        super().__init__(belief, members, patience, now, random)
-        self.stale = stale  # whether any member may answer, even one without a leader
-        self._seen: set[str] = set()
-        self._index = 0  # of the answer that is being read
-        self._backwards = False  # an index went back: a consistent read tells whether that holds
-        self._asked = now
-        self._idle = 0  # answers in a row that came at once and told nothing new
-
-    def ask(self, now: int) -> Ask:
-        """What to do next."""
-        if now < self._again:
-            return Pause(self._again)
-        self._asked = now
-        if self._backwards:
+        super().__init__(known_list, member_count, max_age, now, random)
+        self.allow_stale = allow_stale  # whether any member may respond, even one that knows no leader
+        self._seen_keys: set[str] = set()
+        self._response_index = 0  # of the response that is being read
+        self._index_decreased = False  # an index decreased; a consistent read confirms or refutes that
+        self._requested_at = now
+        self._unchanged_responses = 0  # consecutive responses that came at once with nothing new
+
+    def next_request(self, now: int) -> Request:
+        """The next request to send, or how long to wait first."""
+        if now < self._retry_at:
+            return Pause(self._retry_at)
+        self._requested_at = now
+        if self._index_decreased:
             self.state = State.LISTING
-            return AskRead(0, True)
+            return ReadRequest(0, True)
         self.state = State.WATCHING if self.revision else State.LISTING
-        return AskRead(self.revision if self.listed else 0)  # a kept list may lack what came since
+        return ReadRequest(self.revision if self.listed else 0)  # a saved list may lack later changes
 
-    def moved(self, members: int, patience: int, now: int) -> None:
-        """See ``Sync.moved``."""
-        super().moved(members, patience, now)
-        self._backwards = False
+    def settings_changed(self, member_count: int, max_age: int, now: int) -> None:
+        """See ``Sync.settings_changed``."""
+        super().settings_changed(member_count, max_age, now)
+        self._index_decreased = False
 
-    def head(self, now: int, index: int | None, leader: bool, contact_ms: int) -> News | None:
-        """The head of an answer: its index, whether its member knows a leader, when it last heard that.
+    def begin_response(self, now: int, index: int | None, leader: bool, contact_ms: int) -> Update | None:
+        """Check the head of a response: its index, whether the member knows a leader, and when it last heard from it.
 
-        News only where the answer is passed over; otherwise its parts may come.
+        Returns an update if the response is rejected; otherwise its items may follow.
         """
-        self._seen = set()
+        self._seen_keys = set()
         if index is None:
-            return self.broke(now, "no X-Consul-Index: not a registry's answer")
-        if not leader and not self.stale:
-            return self.broke(now, "the member knows no leader")
-        if contact_ms * MS > self.patience:
-            return self.broke(now, f"the member heard its leader {contact_ms} ms ago")
-        index = max(1, index)  # a 0 would make the next read not block
-        if index < self.revision and not self._backwards:
-            # The registry was restored, or this member lags: its list must not bring back what has left.
-            self._backwards = True
-            news = self.broke(now, f"index went back, {index} after {self.revision}")
-            self._again = now + SPIN
-            return news
-        self._index = index
+            return self.member_failed(now, "response has no X-Consul-Index header")
+        if not leader and not self.allow_stale:
+            return self.member_failed(now, "the member knows no leader")
+        if contact_ms * MS > self.max_age:
+            return self.member_failed(now, f"the member's last contact with its leader was {contact_ms} ms ago")
+        index = max(1, index)  # with an index of 0 the next read would not block
+        if index < self.revision and not self._index_decreased:
+            # The registry was restored, or this member lags: its list must not bring back removed entries.
+            self._index_decreased = True
+            update = self.member_failed(now, f"index decreased from {self.revision} to {index}")
+            self._retry_at = now + MIN_READ_INTERVAL
+            return update
+        self._response_index = index
         return None
 
-    def part(self, now: int, items: list[Item]) -> News:
-        """Some keys of the answer."""
-        news = News()
+    def receive_items(self, now: int, items: list[Item]) -> Update:
+        """Apply some keys of the response."""
+        update = Update()
         for item in items:
-            self._seen.add(item.key)
-            self.belief.put(item, news)
-        return news
-
-    def whole(self, now: int) -> News:
-        """The answer is whole."""
-        news = News()
-        self.belief.lack(self._seen, news)
-        self.belief.settled(news)
-        self._seen = set()
-        if self._backwards:
-            news.events.append((ERROR, "registry-index-back", {"from": self.revision, "to": self._index}))
+            self._seen_keys.add(item.key)
+            self.known_list.put(item, update)
+        return update
+
+    def finish_response(self, now: int) -> Update:
+        """The response is complete."""
+        update = Update()
+        self.known_list.retain_only(self._seen_keys, update)
+        self.known_list.change_completed(update)
+        self._seen_keys = set()
+        if self._index_decreased:
+            update.events.append((ERROR, "registry-index-back", {"from": self.revision, "to": self._response_index}))
         first, self.listed = not self.listed, True
-        if first or self._backwards:
-            news.events.append(
-                (INFO, "registry-listed", {"entries": len(self.belief.held), "revision": self._index, "first": first})
+        if first or self._index_decreased:
+            update.events.append(
+                (
+                    INFO,
+                    "registry-listed",
+                    {"entries": len(self.known_list.entries), "revision": self._response_index, "first": first},
+                )
             )
-        self._idle = self._idle + 1 if self._index == self.revision and now - self._asked < SECOND else 0
-        self._backwards, self.revision = False, self._index
-        self.fine(now)
-        # Reads that return at once with nothing new would spin; so would a list that changes all the time.
-        self._again = self._asked + min(SECOND, SPIN << min(self._idle, 4))
-        return news
+        self._unchanged_responses = (
+            self._unchanged_responses + 1
+            if self._response_index == self.revision and now - self._requested_at < SECOND
+            else 0
+        )
+        self._index_decreased, self.revision = False, self._response_index
+        self.confirm_current(now)
+        # Reads that return at once with nothing new would spin, and so would reads of a list that changes constantly.
+        self._retry_at = self._requested_at + min(SECOND, MIN_READ_INTERVAL << min(self._unchanged_responses, 4))
+        return update
--- a/tests/registry/alone.py
+++ b/tests/registry/alone.py
@@ -1,4 +1,4 @@
-"""The stand-in registry by itself, for what can't share a test's loop: verbs, programs, libraries of others."""
+"""The stand-in registry in a thread of its own, for tests of commands, programs and third-party libraries."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class Alone:
-    """The stand-in on a loop in a thread of the test."""
+    """Context manager that runs the stand-in registry on an event loop in another thread."""
 
     def __enter__(self) -> Member:
-        made: queue.Queue[Member] = queue.Queue()
+        created: queue.Queue[Member] = queue.Queue()
         self.done = False
 
-        def run() -> None:  # a loop belongs to the thread that makes it
+        def run() -> None:  # a loop belongs to the thread that creates it
             loop = Loop()
-            made.put(Member(loop, Store(), listener()[0]))
+            created.put(Member(loop, Store(), listener()[0]))
             while not self.done:
                 loop.turn()
 
         self.thread = threading.Thread(target=run, daemon=True)
         self.thread.start()
-        return made.get()
+        return created.get()
 
     def __exit__(self, *_: object) -> None:
         self.done = True
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -1,4 +1,4 @@
-"""The program's follower against the stand-in registry, over sockets: both wires, each fault, restarts."""
+"""The follower against the stand-in registry over sockets: both protocols, each fault, restarts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.test_http import Stage, hand_in, ok
 
 PREFIX = "hops/"
-WIRES = ["etcd", "consul"]
+PROTOCOLS = ["etcd", "consul"]
 
 
 def value(name: str, status: str = "active", address: str = "127.0.0.1:9", group: int = 7) -> bytes:
@@ -40,23 +40,34 @@
     ).encode()
 
 
-class Followed:
-    """A courier that follows a stand-in registry of two members."""
+class FollowerHarness:
+    """A courier with a follower of a stand-in registry of two members."""
 
     def __init__(
-        self, folder: Path, wire: str, scene: Scene | None = None, store: Store | None = None, **more: Any
+        self,
+        state_directory: Path,
+        protocol: str,
+        testbed: Scene | None = None,
+        store: Store | None = None,
+        **overrides: Any,
     ) -> None:
-        self.scene = scene or Scene(folder)
-        self.folder, self.wire, self.more = folder, wire, more
+        self.testbed = testbed or Scene(state_directory)
+        self.state_directory, self.protocol, self.overrides = state_directory, protocol, overrides
         self.store = store or Store()
-        self.members = [Member(self.scene.loop, self.store, listener()[0], limit_fragment=3) for _ in range(2)]
+        self.members = [Member(self.testbed.loop, self.store, listener()[0], limit_fragment=3) for _ in range(2)]
         self.follower = Follower(
-            self.scene.loop, self.scene.buffers, self.scene.courier, NoCalls(), self.told(), str(folder), 5
+            self.testbed.loop,
+            self.testbed.buffers,
+            self.testbed.courier,
+            UnusedCarrier(),
+            self.config(),
+            str(state_directory),
+            5,
         )
 
-    def told(self, password: str = "", **more: Any) -> Registry:
+    def config(self, password: str = "", **overrides: Any) -> Registry:
         values: dict[str, Any] = {
-            "type": self.wire,
+            "type": self.protocol,
             "servers": tuple(m.address for m in self.members),
             "prefix": PREFIX,
             "check": 2 * SECOND,
@@ -67,182 +78,186 @@
             "keep": 50_000,
         }
         if password:
-            values |= {"username": "courier", "password_file": "-"} if self.wire == "etcd" else {"token_file": "-"}
-        return Registry("main", schema.Registry(**(values | self.more | more)), password, password)
+            values |= {"username": "courier", "password_file": "-"} if self.protocol == "etcd" else {"token_file": "-"}
+        return Registry("main", schema.Registry(**(values | self.overrides | overrides)), password, password)
 
     def put(self, *names: str, status: str = "active") -> None:
         self.store.commit([((PREFIX + name).encode(), value(name, status), 0) for name in names])
 
-    def gone(self, *names: str) -> None:
+    def remove(self, *names: str) -> None:
         self.store.delete(*(PREFIX + name for name in names))
 
     @property
-    def names(self) -> str:
+    def ready_names(self) -> str:
         return "".join(
             sorted(
                 hop.name
-                for hop in self.scene.courier.map.hops.values()
+                for hop in self.testbed.courier.map.hops.values()
                 if hop.endpoint.state is api.EndpointState.READY
             )
         )
 
     def until(self, names: str, within: int = 30 * SECOND) -> None:
-        self.scene.until(lambda: self.names == names, within)
+        self.testbed.until(lambda: self.ready_names == names, within)
 
     def fault(self, **faults: Any) -> None:
         for member in self.members:
             member.faults = Faults(**faults)
 
 
-class NoCalls:
+class UnusedCarrier:
     def attempt(self, *_: object) -> Any:
-        raise AssertionError("nobody asked for a call")
+        raise AssertionError("unexpected delivery attempt")
 
     def close_idle(self, *_: object) -> None:
         pass
 
 
-@pytest.fixture(params=WIRES)
-def followed(request: pytest.FixtureRequest, tmp_path: Path) -> Followed:
-    found = Followed(tmp_path, request.param)
+@pytest.fixture(params=PROTOCOLS)
+def harness(request: pytest.FixtureRequest, tmp_path: Path) -> FollowerHarness:
+    found = FollowerHarness(tmp_path, request.param)
     found.put(*"abcdefgh")
     found.follower.start()
     found.until("abcdefgh")
     return found
 
 
-def test_puts_drains_and_removals_are_followed(followed: Followed) -> None:
-    followed.put("i")
-    followed.until("abcdefghi")
-    followed.put("a", status="leaving")
-    followed.gone("b", "c", "d", "e", "f")
-    followed.until("ghi")
-    assert followed.scene.courier.map.hops[b"a"].endpoint.state is api.EndpointState.DRAINING
-    followed.gone(*"aghi")
-    followed.until("")
-    followed.put("z")
-    followed.until("z")
-
-
-FAULTS: dict[str, Callable[[Followed], object]] = {
-    "drop": lambda f: [m.drop_all() for m in f.members],
-    "cut in a line": lambda f: f.fault(cut=150),
-    "cut in a head": lambda f: f.fault(cut=5),
-    "garbage": lambda f: (f.fault(garbage=b'{"result":[1'), [m.drop_all() for m in f.members]),
-    "garbage that is JSON": lambda f: (f.fault(garbage=b'[{"a":1}]'), [m.drop_all() for m in f.members]),
-    "status 500": lambda f: (f.fault(status=500), [m.drop_all() for m in f.members]),
-    "status 429": lambda f: (f.fault(status=429), [m.drop_all() for m in f.members]),
-    "refuse": lambda f: (f.fault(refuse=True), [m.drop_all() for m in f.members]),
-    "silent": lambda f: f.fault(silent_until=f.scene.loop.now + 3 * SECOND),
-    "deaf": lambda f: f.fault(deaf=True),
-    "twice": lambda f: f.fault(twice=True),
-    "no leader": lambda f: f.fault(leader=False),
-    "index 0": lambda f: f.fault(index=0),
-    "unpinned": lambda f: f.fault(unpinned=True),
-    "another cluster": lambda f: (f.fault(cluster=77) if f.wire == "etcd" else None, [m.drop_all() for m in f.members]),
-    "behind": lambda f: (f.fault(lag=f.store.revision - 2), [m.drop_all() for m in f.members]),
+def test_puts_drains_and_removals_are_applied(harness: FollowerHarness) -> None:
+    harness.put("i")
+    harness.until("abcdefghi")
+    harness.put("a", status="leaving")
+    harness.remove("b", "c", "d", "e", "f")
+    harness.until("ghi")
+    assert harness.testbed.courier.map.hops[b"a"].endpoint.state is api.EndpointState.DRAINING
+    harness.remove(*"aghi")
+    harness.until("")
+    harness.put("z")
+    harness.until("z")
+
+
+FAULTS: dict[str, Callable[[FollowerHarness], object]] = {
+    "drop": lambda harness: [m.drop_all() for m in harness.members],
+    "cut in a line": lambda harness: harness.fault(cut=150),
+    "cut in a head": lambda harness: harness.fault(cut=5),
+    "garbage": lambda harness: (harness.fault(garbage=b'{"result":[1'), [m.drop_all() for m in harness.members]),
+    "garbage that is JSON": lambda harness: (
+        harness.fault(garbage=b'[{"a":1}]'),
+        [m.drop_all() for m in harness.members],
+    ),
+    "status 500": lambda harness: (harness.fault(status=500), [m.drop_all() for m in harness.members]),
+    "status 429": lambda harness: (harness.fault(status=429), [m.drop_all() for m in harness.members]),
+    "refuse": lambda harness: (harness.fault(refuse=True), [m.drop_all() for m in harness.members]),
+    "silent": lambda harness: harness.fault(silent_until=harness.testbed.loop.now + 3 * SECOND),
+    "deaf": lambda harness: harness.fault(deaf=True),
+    "twice": lambda harness: harness.fault(twice=True),
+    "no leader": lambda harness: harness.fault(leader=False),
+    "index 0": lambda harness: harness.fault(index=0),
+    "unpinned": lambda harness: harness.fault(unpinned=True),
+    "another cluster": lambda harness: (
+        harness.fault(cluster=77) if harness.protocol == "etcd" else None,
+        [m.drop_all() for m in harness.members],
+    ),
+    "behind": lambda harness: (harness.fault(lag=harness.store.revision - 2), [m.drop_all() for m in harness.members]),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_fault_brings_back_nothing_that_has_left_and_ends_with_the_registrys_list(
-    followed: Followed, name: str
-) -> None:
-    followed.gone("a", "b")
-    followed.until("cdefgh")
-    FAULTS[name](followed)
-    followed.put("x")
-    followed.gone("c")
-    seen: set[str] = set()
-    over: list[int] = []
-    followed.scene.loop.at(followed.scene.loop.now + 4 * SECOND, lambda: over.append(1))
-    followed.scene.until(lambda: seen.add(followed.names) or over)
-    assert not any(set(names) & {"a", "b"} for names in seen)
-    followed.fault()
-    followed.until("defghx")
-
-
-def test_compaction_while_it_was_away_misses_no_removal(followed: Followed) -> None:
-    followed.fault(refuse=True)
-    for member in followed.members:
+def test_a_fault_restores_no_removed_entry_and_ends_with_the_current_list(harness: FollowerHarness, name: str) -> None:
+    harness.remove("a", "b")
+    harness.until("cdefgh")
+    FAULTS[name](harness)
+    harness.put("x")
+    harness.remove("c")
+    seen_names: set[str] = set()
+    finished: list[int] = []
+    harness.testbed.loop.at(harness.testbed.loop.now + 4 * SECOND, lambda: finished.append(1))
+    harness.testbed.until(lambda: seen_names.add(harness.ready_names) or finished)
+    assert not any(set(names) & {"a", "b"} for names in seen_names)
+    harness.fault()
+    harness.until("defghx")
+
+
+def test_compaction_during_a_disconnection_loses_no_removal(harness: FollowerHarness) -> None:
+    harness.fault(refuse=True)
+    for member in harness.members:
         member.drop_all()
-    followed.gone("a", "h")
-    followed.put("b", status="leaving")
-    followed.put("new")
-    followed.store.compact(followed.store.revision)
-    followed.fault()
-    followed.until("cdefgnew")
-    assert b"a" not in followed.scene.courier.map.hops and len(followed.scene.courier.map.hops) == 7
+    harness.remove("a", "h")
+    harness.put("b", status="leaving")
+    harness.put("new")
+    harness.store.compact(harness.store.revision)
+    harness.fault()
+    harness.until("cdefgnew")
+    assert b"a" not in harness.testbed.courier.map.hops and len(harness.testbed.courier.map.hops) == 7
 
 
-def test_a_lease_that_lapses_takes_its_keys(followed: Followed) -> None:
-    store, loop = followed.store, followed.scene.loop
+def test_an_expired_lease_removes_its_keys(harness: FollowerHarness) -> None:
+    store, loop = harness.store, harness.testbed.loop
     lease = store.grant(loop.now, 5)
     store.commit([((PREFIX + "l").encode(), value("l"), lease)])
-    followed.until("abcdefghl")
+    harness.until("abcdefghl")
     loop.at(loop.now + 5 * SECOND, lambda: store.lapse(loop.now))
-    followed.until("abcdefgh")
-
-
-@pytest.mark.parametrize("wire", WIRES)
-def test_tokens_are_sent_renewed_and_changed_by_a_move_without_a_gap(tmp_path: Path, wire: str) -> None:
-    f = Followed(tmp_path, wire)
-    f.store.accounts["courier"] = "secret"
-    f.put(*"ab")
-    f.follower.told = f.told("wrong")
-    f.follower._connect()
-    f.follower.start()
-    f.scene.wait(2 * SECOND)
-    assert f.names == ""
-    f.follower.move(f.told("secret"))
-    f.until("ab")
-    f.store.tokens.clear()  # etcd's expire
-    for member in f.members:
+    harness.until("abcdefgh")
+
+
+@pytest.mark.parametrize("protocol", PROTOCOLS)
+def test_tokens_are_sent_renewed_and_replaced_by_new_settings_without_a_gap(tmp_path: Path, protocol: str) -> None:
+    harness = FollowerHarness(tmp_path, protocol)
+    harness.store.accounts["courier"] = "secret"
+    harness.put(*"ab")
+    harness.follower.config = harness.config("wrong")
+    harness.follower._create_connections()
+    harness.follower.start()
+    harness.testbed.wait(2 * SECOND)
+    assert harness.ready_names == ""
+    harness.follower.move(harness.config("secret"))
+    harness.until("ab")
+    harness.store.tokens.clear()  # as if etcd's tokens had expired
+    for member in harness.members:
         member.drop_all()
-    f.gone("a")
-    f.store.compact(f.store.revision)  # so that the list is asked for with the old token, too
-    f.until("b")
-    f.scene.wait(5 * SECOND)  # a check has asked as well
-    f.store.tokens.clear()
-    f.put("c")
-    f.until("bc")
-    f.gone("c")
-    f.until("b")
-    f.store.accounts["courier"] = "other"
-    f.follower.move(f.told("other"))
-    f.scene.wait(SECOND)
-    assert f.names == "b"
-    f.put("c")
-    f.until("bc")
-
-
-def test_a_move_to_another_prefix_or_wire_compares_and_a_stop_leaves_nothing(followed: Followed) -> None:
-    followed.store.commit([(f"new/{n}".encode(), value(n), 0) for n in "ax"])
-    other = "consul" if followed.wire == "etcd" else "etcd"
-    seen: set[str] = set()
-    followed.follower.move(followed.told(prefix="new/", type=other))
-    followed.scene.until(lambda: seen.add(followed.names) or followed.names == "ax")
-    assert all("a" in names for names in seen), "an entry that both lists have was away"
-    followed.follower.stop()
-    assert followed.names == "" and not (followed.folder / "registry-main.list").exists()
-
-
-@pytest.mark.parametrize("wire", WIRES)
-def test_a_courier_that_starts_while_the_registry_is_down_serves_on_the_kept_list(
-    tmp_path: Path, wire: str, capsys: pytest.CaptureFixture[str]
+    harness.remove("a")
+    harness.store.compact(harness.store.revision)  # so that the list is also requested with the old token
+    harness.until("b")
+    harness.testbed.wait(5 * SECOND)  # long enough for a check of the list
+    harness.store.tokens.clear()
+    harness.put("c")
+    harness.until("bc")
+    harness.remove("c")
+    harness.until("b")
+    harness.store.accounts["courier"] = "other"
+    harness.follower.move(harness.config("other"))
+    harness.testbed.wait(SECOND)
+    assert harness.ready_names == "b"
+    harness.put("c")
+    harness.until("bc")
+
+
+def test_a_change_of_prefix_or_protocol_compares_lists_and_a_stop_removes_everything(harness: FollowerHarness) -> None:
+    harness.store.commit([(f"new/{n}".encode(), value(n), 0) for n in "ax"])
+    other_protocol = "consul" if harness.protocol == "etcd" else "etcd"
+    seen_names: set[str] = set()
+    harness.follower.move(harness.config(prefix="new/", type=other_protocol))
+    harness.testbed.until(lambda: seen_names.add(harness.ready_names) or harness.ready_names == "ax")
+    assert all("a" in names for names in seen_names), "an entry that both lists contain was missing"
+    harness.follower.stop()
+    assert harness.ready_names == "" and not (harness.state_directory / "registry-main.list").exists()
+
+
+@pytest.mark.parametrize("protocol", PROTOCOLS)
+def test_a_courier_that_starts_while_the_registry_is_down_uses_the_saved_list(
+    tmp_path: Path, protocol: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    first = Followed(tmp_path, wire)
+    first = FollowerHarness(tmp_path, protocol)
     first.put(*"abc")
     first.follower.start()
     file = tmp_path / "registry-main.list"
-    first.scene.until(file.exists)
-    first.gone("a")
+    first.testbed.until(file.exists)
+    first.remove("a")
     first.until("bc")
-    first.scene.wait(12 * SECOND)  # kept again
-    second = Followed(tmp_path, wire, Scene(tmp_path), Store())
+    first.testbed.wait(12 * SECOND)  # long enough to save the list again
+    second = FollowerHarness(tmp_path, protocol, Scene(tmp_path), Store())
     second.fault(refuse=True)
     second.follower.start()
-    assert second.names == "bc" and "event=registry-kept" in capsys.readouterr().out
+    assert second.ready_names == "bc" and "event=registry-kept" in capsys.readouterr().out
     second.fault()
     second.members[0].store.revision = 50
     second.store.cluster = first.store.cluster
@@ -250,112 +265,110 @@
     second.until("cd")
 
 
-def test_a_kept_list_that_is_damaged_other_or_too_large_counts_as_absent(tmp_path: Path) -> None:
-    f = Followed(tmp_path, "etcd")
-    f.put(*"abc")
-    f.follower.start()
+def test_a_saved_list_that_is_damaged_foreign_or_too_large_counts_as_absent(tmp_path: Path) -> None:
+    harness = FollowerHarness(tmp_path, "etcd")
+    harness.put(*"abc")
+    harness.follower.start()
     file = tmp_path / "registry-main.list"
-    f.scene.until(file.exists)
-    good = file.read_bytes()
-    kept = keep.read(file, LIMIT)
-    assert kept is not None and [row.entry.name for row in kept.rows] == list("abc")
-    pick = Random(3)
+    harness.testbed.until(file.exists)
+    intact = file.read_bytes()
+    saved = keep.read(file, LIMIT)
+    assert saved is not None and [row.entry.name for row in saved.rows] == list("abc")
+    random = Random(3)
     for _ in range(200):
-        bad = bytearray(good)
-        bad[pick.randrange(len(bad))] ^= 1 << pick.randrange(8)
-        file.write_bytes(bytes(bad)[: pick.choice([len(bad), pick.randrange(len(bad))])])
+        damaged = bytearray(intact)
+        damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)
+        file.write_bytes(bytes(damaged)[: random.choice([len(damaged), random.randrange(len(damaged))])])
         try:
             found = keep.read(file, LIMIT)
         except ValueError:
             continue
-        assert found is not None and found.rows == kept.rows  # a flip in the head's own text only
+        assert found is not None and found.rows == saved.rows  # the flipped bit is in a text of the header
     with pytest.raises(ValueError, match="larger"):
         keep.read(file, 10)
     assert keep.clear(str(tmp_path), ["other"]) == ["registry-main.list"]
 
 
-def test_a_full_disk_keeps_the_old_list_and_a_larger_one_is_not_kept(
+def test_a_full_disk_leaves_the_old_list_and_an_oversized_one_is_not_saved(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    f = Followed(tmp_path, "etcd", keep=2_000)
-    f.put(*"abc")
-    f.follower.start()
+    harness = FollowerHarness(tmp_path, "etcd", keep=2_000)
+    harness.put(*"abc")
+    harness.follower.start()
     file = tmp_path / "registry-main.list"
-    f.scene.until(file.exists)
-    good = file.read_bytes()
+    harness.testbed.until(file.exists)
+    intact = file.read_bytes()
 
-    def full(*_: object) -> int:
+    def fail(*_: object) -> int:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(keep.os, "rename", full)
-        f.put("d")
-        f.scene.wait(12 * SECOND)
-    assert file.read_bytes() == good and not list(tmp_path.glob("*.new"))
-    f.store.commit([(f"{PREFIX}{n}".encode(), value(f"{Random(n).random()}"), 0) for n in range(300)])
-    f.scene.wait(12 * SECOND)
-    out = capsys.readouterr().out
-    assert file.read_bytes() == good and "No space left" in out and "takes more than 2000 bytes" in out
+        patch.setattr(keep.os, "rename", fail)
+        harness.put("d")
+        harness.testbed.wait(12 * SECOND)
+    assert file.read_bytes() == intact and not list(tmp_path.glob("*.new"))
+    harness.store.commit([(f"{PREFIX}{n}".encode(), value(f"{Random(n).random()}"), 0) for n in range(300)])
+    harness.testbed.wait(12 * SECOND)
+    output = capsys.readouterr().out
+    assert file.read_bytes() == intact and "No space left" in output and "takes more than 2000 bytes" in output
 
 
 @pytest.mark.parametrize(("on_stale", "ready"), [("serve", True), ("defer", False)])
-def test_past_its_patience_the_list_goes_on_or_hand_ins_are_deferred(
-    tmp_path: Path, on_stale: str, ready: bool
-) -> None:
-    stage = Stage(tmp_path, ok)
-    f = Followed(tmp_path, "etcd", stage, on_stale=on_stale)
-    address = f"127.0.0.1:{stage.peer.address[1]}"
-    f.store.put(PREFIX + "far", value("far", address=address, group=8))
-    f.follower.carrier = stage.pool
-    f.follower.start()
-    stage.until(lambda: b"far" in stage.courier.map.hops)
-    assert stage.courier.serving
-    f.fault(refuse=True)
-    for member in f.members:
+def test_a_stale_list_stays_in_use_or_new_messages_are_deferred(tmp_path: Path, on_stale: str, ready: bool) -> None:
+    testbed = Stage(tmp_path, ok)
+    harness = FollowerHarness(tmp_path, "etcd", testbed, on_stale=on_stale)
+    address = f"127.0.0.1:{testbed.peer.address[1]}"
+    harness.store.put(PREFIX + "far", value("far", address=address, group=8))
+    harness.follower.carrier = testbed.pool
+    harness.follower.start()
+    testbed.until(lambda: b"far" in testbed.courier.map.hops)
+    assert testbed.courier.serving
+    harness.fault(refuse=True)
+    for member in harness.members:
         member.drop_all()
-    stage.wait(15 * SECOND)
-    got = stage.talk(hand_in(X_Route_To="dest=8"))
-    assert (b" 202 " in got) is ready and (b"Retry-After: 10" in got) is not ready
-    assert stage.courier.serving is ready and b"far" in stage.courier.map.hops
-    f.fault()
-    stage.until(lambda: stage.courier.serving and f.follower.sync.heard > stage.loop.now - SECOND)
-    assert b" 202 " in stage.talk(hand_in("t2", X_Route_To="dest=8"))
-
-
-def test_a_drain_is_obeyed_at_once_and_what_waits_goes_to_the_next_hop(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
-    f = Followed(tmp_path, "etcd", stage)
-    f.follower.carrier = stage.pool
-    address = f"127.0.0.1:{stage.peer.address[1]}"
+    testbed.wait(15 * SECOND)
+    response = testbed.talk(hand_in(X_Route_To="dest=8"))
+    assert (b" 202 " in response) is ready and (b"Retry-After: 10" in response) is not ready
+    assert testbed.courier.serving is ready and b"far" in testbed.courier.map.hops
+    harness.fault()
+    testbed.until(lambda: testbed.courier.serving and harness.follower.sync.confirmed_at > testbed.loop.now - SECOND)
+    assert b" 202 " in testbed.talk(hand_in("t2", X_Route_To="dest=8"))
+
+
+def test_a_drain_takes_effect_at_once_and_waiting_messages_go_to_the_other_hop(tmp_path: Path) -> None:
+    testbed = Stage(tmp_path, ok)
+    harness = FollowerHarness(tmp_path, "etcd", testbed)
+    harness.follower.carrier = testbed.pool
+    address = f"127.0.0.1:{testbed.peer.address[1]}"
     for name in ("one", "two"):
-        f.store.put(PREFIX + name, value(name, address=address, group=8))
-    f.follower.start()
-    stage.until(lambda: len(stage.courier.map.hops) == 3)
+        harness.store.put(PREFIX + name, value(name, address=address, group=8))
+    harness.follower.start()
+    testbed.until(lambda: len(testbed.courier.map.hops) == 3)
     calls: list[tuple[int, str]] = []
-    attempt = stage.pool.attempt
+    attempt = testbed.pool.attempt
 
-    def noted(message: Any, hop: Any, deadline: int, leave: Callable[[], bool]) -> Any:
-        calls.append((stage.loop.now, hop.name))
+    def record_attempt(message: Any, hop: Any, deadline: int, leave: Callable[[], bool]) -> Any:
+        calls.append((testbed.loop.now, hop.name))
         return attempt(message, hop, deadline, leave)
 
-    stage.pool.attempt = noted  # type: ignore[method-assign]
-    stage.talk(hand_in("first", X_Route_To="dest=8"))
-    stage.until(lambda: not stage.journal.entries)
-    used = calls[0][1]
-    other = "two" if used == "one" else "one"
-    f.store.put(PREFIX + used, value(used, "leaving", address, 8))
-    stage.until(lambda: stage.courier.map.hops[used.encode()].endpoint.state is api.EndpointState.DRAINING)
-    told = stage.loop.now
+    testbed.pool.attempt = record_attempt  # type: ignore[method-assign]
+    testbed.talk(hand_in("first", X_Route_To="dest=8"))
+    testbed.until(lambda: not testbed.journal.entries)
+    first_hop = calls[0][1]
+    other_hop = "two" if first_hop == "one" else "one"
+    harness.store.put(PREFIX + first_hop, value(first_hop, "leaving", address, 8))
+    testbed.until(lambda: testbed.courier.map.hops[first_hop.encode()].endpoint.state is api.EndpointState.DRAINING)
+    drained_at = testbed.loop.now
     for n in range(5):
-        stage.talk(hand_in(f"t{n}", X_Route_To="dest=8"))
-    stage.until(lambda: not stage.journal.entries)
-    assert {name for at, name in calls if at > told} == {other} and len(calls) == 6
+        testbed.talk(hand_in(f"t{n}", X_Route_To="dest=8"))
+    testbed.until(lambda: not testbed.journal.entries)
+    assert {name for at, name in calls if at > drained_at} == {other_hop} and len(calls) == 6
 
 
-# Client libraries of others against the stand-in: it must be the protocol, not just our own idea of it.
+# Third-party client libraries against the stand-in, to check that it follows the real protocols.
 
 
-def test_an_etcd_library_of_others_works_with_the_stand_in() -> None:
+def test_a_third_party_etcd_library_works_with_the_stand_in() -> None:
     from etcd3gw.client import Etcd3Client
 
     with Alone() as member:
@@ -367,13 +380,13 @@
         lease = client.lease(ttl=60)
         assert client.put("k4", "leased", lease) and 0 < lease.ttl() <= 60
         assert client.delete("k1") and client.get("k1") == []
-        told = [next(events) for _ in range(6)]
-        assert [bytes(e["kv"]["key"]) for e in told] == [b"k1", b"k2", b"k3", b"k3", b"k4", b"k1"]
-        assert told[5]["type"] == "DELETE"
+        received = [next(events) for _ in range(6)]
+        assert [bytes(e["kv"]["key"]) for e in received] == [b"k1", b"k2", b"k3", b"k3", b"k4", b"k1"]
+        assert received[5]["type"] == "DELETE"
         cancel()
 
 
-def test_a_consul_library_of_others_works_with_the_stand_in() -> None:
+def test_a_third_party_consul_library_works_with_the_stand_in() -> None:
     import consul
 
     with Alone() as member:
@@ -382,6 +395,6 @@
         index, found = client.kv.get("k/", recurse=True)
         assert [row["Value"] for row in found] == [b"one", b"two"] and int(index) == 3
         assert not client.kv.put("k/1", "no", cas=1) and client.kv.put("k/1", "new", cas=found[0]["ModifyIndex"])
-        again, row = client.kv.get("k/1", index=index, wait="5s")
-        assert int(again) > int(index) and row["Value"] == b"new"
+        next_index, row = client.kv.get("k/1", index=index, wait="5s")
+        assert int(next_index) > int(index) and row["Value"] == b"new"
         assert client.kv.delete("k/", recurse=True) and client.kv.get("k/", recurse=True)[1] is None
