--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -80,9 +80,9 @@
         """Send a request and read the head of its response, for which ``wait`` is added to the timeout."""
         stream, reused = self._open()
         self._stream = stream
-        request = parser.request(method, path, f"{self.address[0]}:{self.address[1]}", headers or {}, body)
+        request_bytes = parser.request(method, path, f"{self.address[0]}:{self.address[1]}", headers or {}, body)
         try:
-            stream.write(request, self.loop.now + self._timeout)
+            stream.write(request_bytes, self.loop.now + self._timeout)
             return parser.read_head(stream, self.loop.now + self._timeout + wait, response=True)
         except Closed:
             self.close()
--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -311,7 +311,7 @@
             return False
         if revision < self.revision:
             self.member_failed(
-                now, f"member is behind: at revision {revision}, expected {self.revision} or later", update
+                now, f"member is behind: at revision {revision}, expected at least {self.revision}", update
             )
             return False
         self.cluster = self.cluster or cluster
@@ -415,7 +415,7 @@
             return self.member_failed(now, f"member of another cluster: {cluster}, expected {self.cluster}", update)
         if not items and revision < self.revision:
             return self.member_failed(
-                now, f"progress is behind: at revision {revision}, expected {self.revision} or later", update
+                now, f"progress is behind: at revision {revision}, expected at least {self.revision}", update
             )
         for item in items:
             entry = self.known_list.entries.get(item.key)
@@ -519,7 +519,7 @@
         if index < self.revision and not self._index_decreased:
             # The registry was restored, or this member lags: its list must not bring back removed entries.
             self._index_decreased = True
-            update = self.member_failed(now, f"index decreased from {self.revision} to {index}")
+            update = self.member_failed(now, f"index decreased to {index} from {self.revision}")
             self._retry_at = now + MIN_READ_INTERVAL
             return update
         self._response_index = index
--- a/tests/registry/test_sync.py
+++ b/tests/registry/test_sync.py
@@ -318,16 +318,16 @@
 class SimulatedRegistry:
     """A log of changes, from which the responses of members are derived."""
 
-    def __init__(self, random: Random) -> None:
-        self.random, self.revision, self.compacted = random, 1, 0
+    def __init__(self, rng: Random) -> None:
+        self.rng, self.revision, self.compacted = rng, 1, 0
         self.log: list[tuple[int, Item]] = []
 
     def change(self) -> None:
         self.revision += 1
-        for key in self.random.sample("abcdefg", self.random.choice([1, 1, 1, 2, 7])):
+        for key in self.rng.sample("abcdefg", self.rng.choice([1, 1, 1, 2, 7])):
             exists = key in self.state(self.revision)
-            state, port = self.random.choice(["active", "leaving"]), self.random.randrange(1, 9)
-            value = None if exists and self.random.random() < 0.5 else f"{key}/{state}/{port}"
+            state, port = self.rng.choice(["active", "leaving"]), self.rng.randrange(1, 9)
+            value = None if exists and self.rng.random() < 0.5 else f"{key}/{state}/{port}"
             if value is not None or exists:
                 self.log.append((self.revision, item(key, self.revision, value)))
 
@@ -348,16 +348,16 @@
 
 def respond(harness: SyncHarness, registry: SimulatedRegistry, no_faults: bool) -> None:
     """Respond to one request as some member would, with a random fault unless ``no_faults``."""
-    random, request = registry.random, harness.next_request()
-    fault = "" if no_faults else random.choice(["", "", "", "cut", "lag", "cluster", "twice"])
+    rng, request = registry.rng, harness.next_request()
+    fault = "" if no_faults else rng.choice(["", "", "", "cut", "lag", "cluster", "twice"])
     if fault == "cut":
         harness.apply(harness.sync.member_failed(harness.now, "cut"))
         return
-    at = max(1, registry.revision - random.randrange(1, 4)) if fault == "lag" else registry.revision
+    at = max(1, registry.revision - rng.randrange(1, 4)) if fault == "lag" else registry.revision
     cluster = "d" if fault == "cluster" and harness.sync.cluster else "c"
     if isinstance(request, ReadRequest):
         keys = list(registry.state(at).values())
-        if receive_list(harness, at, *keys) and not no_faults and random.random() < 0.2:
+        if receive_list(harness, at, *keys) and not no_faults and rng.random() < 0.2:
             harness.apply(harness.sync.member_failed(harness.now, "after"))
         return
     sync = harness.etcd()
@@ -378,9 +378,9 @@
         return
     items = [change for when, change in registry.log if request.revision <= when <= at]
     for _ in range(2 if fault == "twice" else 1):
-        split_points = sorted(random.sample(range(len(items) + 1), min(2, len(items) + 1)))
+        split_points = sorted(rng.sample(range(len(items) + 1), min(2, len(items) + 1)))
         for begin, end in zip([0, *split_points], [*split_points, len(items)], strict=True):
-            if not no_faults and random.random() < 0.2:
+            if not no_faults and rng.random() < 0.2:
                 harness.apply(harness.sync.member_failed(harness.now, "in the middle"))
                 return
             if end > begin:
@@ -399,14 +399,14 @@
 def test_after_each_period_without_faults_the_map_equals_the_registry(
     seed: int, kind: type[EtcdSync] | type[ConsulSync]
 ) -> None:
-    random = Random(seed)
-    registry, harness = SimulatedRegistry(random), SyncHarness(kind, members=random.choice([1, 3]))
-    for _ in range(random.randrange(1, 6)):
-        for _ in range(random.randrange(12)):
-            if random.random() < 0.5:
+    rng = Random(seed)
+    registry, harness = SimulatedRegistry(rng), SyncHarness(kind, members=rng.choice([1, 3]))
+    for _ in range(rng.randrange(1, 6)):
+        for _ in range(rng.randrange(12)):
+            if rng.random() < 0.5:
                 registry.change()
-            elif random.random() < 0.2 and isinstance(harness.sync, EtcdSync):
-                registry.compacted = registry.revision - random.randrange(2)
+            elif rng.random() < 0.2 and isinstance(harness.sync, EtcdSync):
+                registry.compacted = registry.revision - rng.randrange(2)
             else:
                 respond(harness, registry, no_faults=False)
         for _ in range(12):  # without faults: at most one round of members and a list of three pages
