--- a/kestrelspar/settings/__init__.py
+++ b/kestrelspar/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and checks all configuration, and fills in its defaults."""
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -1,7 +1,7 @@
-"""What a value in ``kestrelspar.conf`` may be: how each kind is read from a word, shown and described.
+"""Kinds of values in ``kestrelspar.conf``: how each is parsed from a word, formatted and described.
 
-A field of a section's struct is ``Annotated`` with the ``msgspec.Meta`` that one of these functions makes;
-parser, checks, ``config show`` and docs/configuration.md all go by it.
+A field of a section's struct is ``Annotated`` with a ``msgspec.Meta`` made by one of these functions. The parser, the
+checks, ``config show`` and docs/configuration.md all use that metadata.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 TIMES = {"us": 1, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
 SIZES = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
 SWITCHES = {"on": True, "yes": True, "true": True, "off": False, "no": False, "false": False}
-MOST_SECRET = 4096
+MAX_SECRET_LENGTH = 4096
 
 
-def _meta(kind: str, doc: str, least: int | None = None, most: int | None = None, **extra: Any) -> Meta:
-    return Meta(ge=least, le=most, description=doc, extra={"kind": kind, **extra})
+def _meta(kind: str, doc: str, minimum: int | None = None, maximum: int | None = None, **extra: Any) -> Meta:
+    return Meta(ge=minimum, le=maximum, description=doc, extra={"kind": kind, **extra})
 
 
-def duration(doc: str, least: int, most: int) -> Meta:
-    """A time with its unit, kept as microseconds."""
-    return _meta("duration", doc, least, most)
+def duration(doc: str, minimum: int, maximum: int) -> Meta:
+    """A time with its unit, stored in microseconds."""
+    return _meta("duration", doc, minimum, maximum)
 
 
-def size(doc: str, least: int, most: int) -> Meta:
+def size(doc: str, minimum: int, maximum: int) -> Meta:
     """A number of bytes with its unit."""
-    return _meta("size", doc, least, most)
+    return _meta("size", doc, minimum, maximum)
 
 
-def number(doc: str, least: int, most: int) -> Meta:
+def number(doc: str, minimum: int, maximum: int) -> Meta:
     """A whole number."""
-    return _meta("number", doc, least, most)
+    return _meta("number", doc, minimum, maximum)
 
 
-def text(doc: str, most: int = 200, least: int = 0) -> Meta:
-    """One word, or text in quotes; ``most`` and ``least`` in bytes of UTF-8."""
-    return Meta(description=doc, extra={"kind": "text", "most": most, "least": least})
+def text(doc: str, maximum: int = 200, minimum: int = 0) -> Meta:
+    """One word, or text in quotes. ``maximum`` and ``minimum`` count bytes of UTF-8."""
+    return Meta(description=doc, extra={"kind": "text", "most": maximum, "least": minimum})
 
 
 def choice(doc: str, *names: str) -> Meta:
@@ -58,7 +58,7 @@
 
 
 def address(doc: str) -> Meta:
-    """HOST:PORT, an IPv4 address or localhost: there is no name look-up."""
+    """HOST:PORT, where the host is an IPv4 address or localhost: names are not resolved."""
     return _meta("address", doc)
 
 
@@ -68,25 +68,25 @@
 
 
 def secret(doc: str) -> Meta:
-    """A file that holds a secret; only its owner may read it."""
+    """A file with a secret, which only its owner may read."""
     return _meta("secret", doc)
 
 
 def span(value: int, units: dict[str, int] = TIMES) -> str:
-    """A number with the largest unit that leaves it whole, as it is written in the file."""
-    unit = max((u for u, factor in units.items() if value % factor == 0), key=units.__getitem__)
+    """Format a number with the largest unit that divides it, as it is written in the file."""
+    unit = max((unit for unit, factor in units.items() if value % factor == 0), key=units.__getitem__)
     return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIMES else 'B'}"
 
 
 def wanted(meta: Meta) -> str:
-    """What a value must be, for errors and pages."""
+    """Describe the values that are accepted, for error messages and the documentation."""
     extra = meta.extra or {}
     kind = extra["kind"]
     if kind == "duration":
         return f"a time from {span(meta.ge or 0)} to {span(meta.le or 0)}, like 500ms or 30s"  # type: ignore[arg-type]
     if kind == "size":
-        least, most = span(meta.ge or 0, SIZES), span(meta.le or 0, SIZES)  # type: ignore[arg-type]
-        return f"a size from {least} to {most}, like 64KB or 3MB"
+        minimum, maximum = span(meta.ge or 0, SIZES), span(meta.le or 0, SIZES)  # type: ignore[arg-type]
+        return f"a size from {minimum} to {maximum}, like 64KB or 3MB"
     if kind == "number":
         return f"a whole number from {meta.ge} to {meta.le}"
     if kind == "choice":
@@ -119,7 +119,7 @@
     return host, int(port)
 
 
-def _whole(word: str) -> int:
+def _integer(word: str) -> int:
     if not re.fullmatch(r"-?[0-9]{1,18}", word):
         raise ValueError
     return int(word)
@@ -128,7 +128,7 @@
 _READERS: dict[str, Callable[[str], Any]] = {
     "duration": lambda word: _quantity(word, TIMES),
     "size": lambda word: _quantity(word, SIZES),
-    "number": _whole,
+    "number": _integer,
     "switch": SWITCHES.__getitem__,
     "address": _address,
     "text": str,
@@ -138,8 +138,8 @@
 }
 
 
-def value(word: str, meta: Meta, folder: str) -> Any:
-    """The word as a value of this kind; ``ValueError`` says what is wrong, without what is wanted."""
+def value(word: str, meta: Meta, base_directory: str) -> Any:
+    """Parse a word as a value of this kind. ``ValueError`` says what is wrong, but not what is accepted."""
     extra = meta.extra or {}
     kind = extra["kind"]
     try:
@@ -147,19 +147,19 @@
     except (ValueError, KeyError):
         raise ValueError(f"{word!r:.60} will not do") from None
     if kind in ("path", "secret"):
-        return os.path.join(folder, found)
+        return os.path.join(base_directory, found)
     if kind == "choice" and found not in extra["names"]:
         raise ValueError(f"{word!r:.60} is unknown")
     if kind == "text" and (not extra["least"] <= len(found.encode()) <= extra["most"] or "\0" in found):
         raise ValueError(f"{word!r:.60} has {len(found.encode())} bytes" if "\0" not in found else "holds a NUL")
-    least, most = meta.ge, meta.le
-    if least is not None and found < least or most is not None and found > most:
+    minimum, maximum = meta.ge, meta.le
+    if minimum is not None and found < minimum or maximum is not None and found > maximum:
         raise ValueError(f"{word!r:.60} is out of bounds")
     return found
 
 
 def shown(found: Any, meta: Meta) -> str:
-    """The value as it would be written in the file."""
+    """Format a value as it would be written in the file."""
     kind = (meta.extra or {})["kind"]
     if kind == "duration":
         return span(found)
@@ -173,16 +173,16 @@
 
 
 def read_secret(file: str) -> str:
-    """The secret in a file; ``ValueError`` where it can't be read or others may read it."""
+    """Read the secret in a file. Raises ``ValueError`` if it can't be read, or if others may read it."""
     try:
-        with open(file, encoding="utf-8") as opened:
-            mode = stat.S_IMODE(os.fstat(opened.fileno()).st_mode)
+        with open(file, encoding="utf-8") as file_object:
+            mode = stat.S_IMODE(os.fstat(file_object.fileno()).st_mode)
             if mode & 0o077:
                 raise ValueError(f"{file} may be read by others, mode {mode:03o} (wanted: 600 or less)")
-            found = opened.read(MOST_SECRET + 1).rstrip("\r\n")
+            found = file_object.read(MAX_SECRET_LENGTH + 1).rstrip("\r\n")
     except (OSError, UnicodeDecodeError) as error:
-        why = error.strerror if isinstance(error, OSError) else "not UTF-8 text"
-        raise ValueError(f"{file} can't be read: {why}") from None
-    if not found or len(found) > MOST_SECRET or not found.isprintable():
+        reason = error.strerror if isinstance(error, OSError) else "not UTF-8 text"
+        raise ValueError(f"{file} can't be read: {reason}") from None
+    if not found or len(found) > MAX_SECRET_LENGTH or not found.isprintable():
         raise ValueError(f"{file} holds no usable secret (wanted: one line of printable text)")
     return found
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -1,8 +1,8 @@
-"""The line format of ``kestrelspar.conf``: files to sections, without knowing what any key means.
+"""The line format of ``kestrelspar.conf``: splits files into sections, without interpreting their keys.
 
-A line without indent opens a section, with a label where there may be several; indented lines are
-``key word ...``. ``#`` begins a comment, double quotes hold blanks, ``include PATTERN`` reads other files.
-Faults are gathered, never raised one by one: whoever mends a file wants to see all of them.
+A line without indentation opens a section, with a label if there may be several of its kind. Indented lines have the
+form ``key word ...``. ``#`` begins a comment, double quotes enclose blanks, and ``include PATTERN`` reads other files.
+Errors are collected instead of raised one by one, so that all errors of a file are reported together.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 import re
 from dataclasses import dataclass, field
 
-MOST_BYTES = 4_000_000  # of one file: a mistaken path must not fill the memory
-MOST_FILES = 200
+MAX_FILE_SIZE = 4_000_000  # characters of one file; a wrong path must not fill the memory
+MAX_FILES = 200  # read in all, includes counted
 _WORD = re.compile(r'[ \t]*(?:(#.*)|"((?:[^"\\]|\\.)*)"(?=[ \t#]|$)|([^\s"#][^\s"]*)(?=[ \t]|$))')
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Place:
-    """Where something stands."""
+    """A line of a file; line 0 stands for the whole file."""
 
     path: str
     line: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """One thing that will not do: where, in which key, what is wrong and what is wanted."""
+    """An error in the configuration: its place, its key, what is wrong and what is accepted."""
 
     place: Place
     key: str
@@ -41,7 +41,7 @@
 
 
 class ConfFaults(ValueError):
-    """All faults of a configuration, in the order of files and lines."""
+    """All errors of a configuration, in the order of files and lines."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Line:
-    """One setting as written."""
+    """One setting, as written."""
 
     place: Place
     key: str
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """One section as written."""
+    """One section, as written."""
 
     place: Place
     kind: str
@@ -68,17 +68,17 @@
 
 
 def words(text: str) -> tuple[str, ...]:
-    """The words of a line, quotes and comment taken off; ``ValueError`` where a quote does not end."""
+    """Split a line into words, without quotes and comment. Raises ``ValueError`` for a quote that does not end."""
     found: list[str] = []
-    at, text = 0, text.rstrip()
-    while at < len(text):
-        match = _WORD.match(text, at)
+    position, text = 0, text.rstrip()
+    while position < len(text):
+        match = _WORD.match(text, position)
         if match is None:
             raise ValueError(
-                f"can't be read from {text[at:].strip()!r:.40} on (wanted: words, or text in "
+                f"can't be read from {text[position:].strip()!r:.40} on (wanted: words, or text in "
                 'double quotes that end, with \\" and \\\\ inside)'
             )
-        at = match.end()
+        position = match.end()
         if match[1] is not None:
             break
         found.append(str(match[3]) if match[2] is None else re.sub(r"\\(.)", r"\1", match[2]))
@@ -86,16 +86,16 @@
 
 
 def quoted(word: str) -> str:
-    """The word as it must be written so that ``words`` gives it back."""
+    """Quote a word, if necessary, so that ``words`` returns it unchanged."""
     if word and not re.search(r'[\s"#\\]', word):
         return word
     return '"' + word.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 def read(path: str) -> tuple[list[Block], list[Fault]]:
-    """The sections of this file and of those that it includes, and all that is wrong with their form."""
+    """The sections of this file and of the files that it includes, and all errors of their syntax."""
     reader = _Reader()
-    reader.file(path, None)
+    reader.read_file(path, None)
     return reader.blocks, reader.faults
 
 
@@ -103,35 +103,35 @@
     def __init__(self) -> None:
         self.blocks: list[Block] = []
         self.faults: list[Fault] = []
-        self._open: list[str] = []  # files being read: one that includes itself would never end
-        self._count = 0
-
-    def file(self, path: str, asked: Place | None) -> None:
-        """Read one file; ``asked`` is the include line that named it."""
-        real, place = os.path.realpath(path), asked or Place(path, 0)
-        self._count += 1
-        if real in self._open or self._count > MOST_FILES:
-            why = "includes itself" if real in self._open else f"is one of more than {MOST_FILES} files"
-            self.faults.append(Fault(place, "include", f"{path} {why}"))
+        self._open_files: list[str] = []  # files being read, to detect one that includes itself
+        self._file_count = 0
+
+    def read_file(self, path: str, included_from: Place | None) -> None:
+        """Read one file. ``included_from`` is the place of the include line that named it."""
+        real_path, place = os.path.realpath(path), included_from or Place(path, 0)
+        self._file_count += 1
+        if real_path in self._open_files or self._file_count > MAX_FILES:
+            reason = "includes itself" if real_path in self._open_files else f"is one of more than {MAX_FILES} files"
+            self.faults.append(Fault(place, "include", f"{path} {reason}"))
             return
         try:
             with open(path, encoding="utf-8") as file:
-                text = file.read(MOST_BYTES + 1)
+                text = file.read(MAX_FILE_SIZE + 1)
         except (OSError, UnicodeDecodeError) as error:
-            why = str(error.strerror) if isinstance(error, OSError) else "not UTF-8 text"
-            self.faults.append(Fault(place, "include" if asked else "", f"{path} can't be read: {why}"))
+            reason = str(error.strerror) if isinstance(error, OSError) else "not UTF-8 text"
+            self.faults.append(Fault(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
             return
-        if len(text) > MOST_BYTES:
-            self.faults.append(Fault(place, "", f"{path} is longer than {MOST_BYTES} bytes"))
+        if len(text) > MAX_FILE_SIZE:
+            self.faults.append(Fault(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
             return
-        self._open.append(real)
+        self._open_files.append(real_path)
         block: Block | None = None
         for number, line in enumerate(text.split("\n"), 1):
-            block = self._line(Place(path, number), line, block)
-        self._open.pop()
+            block = self._read_line(Place(path, number), line, block)
+        self._open_files.pop()
 
-    def _line(self, place: Place, text: str, block: Block | None) -> Block | None:
-        """One line; the section that the next one belongs to."""
+    def _read_line(self, place: Place, text: str, block: Block | None) -> Block | None:
+        """Read one line and return the section that the next one belongs to."""
         try:
             found = words(text)
         except ValueError as error:
@@ -142,7 +142,7 @@
         if text[0] in " \t":
             if block is None:
                 self.faults.append(
-                    Fault(place, "", f"{found[0]!r} stands in no section (a line without indent opens one)")
+                    Fault(place, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
                 )
             else:
                 block.lines.append(Line(place, found[0], found[1:]))
@@ -169,6 +169,6 @@
             path = os.path.join(os.path.dirname(place.path), pattern)
             found = sorted(glob.glob(path))
             if not found and not glob.has_magic(pattern):
-                found = [path]  # its absence is a fault; a pattern may match nothing
+                found = [path]  # a missing file is an error, but a pattern may match nothing
             for name in found:
-                self.file(name, place)
+                self.read_file(name, place)
--- a/kestrelspar/settings/pages.py
+++ b/kestrelspar/settings/pages.py
@@ -1,4 +1,4 @@
-"""docs/configuration.md and the answers of ``config show`` and ``config explain``, all from the structs."""
+"""Generates docs/configuration.md and the output of ``config show`` and ``config explain`` from the structs."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 HEAD = """# Configuration
 
-Made from the structs in `kestrelspar/settings/schema.py` by `kestrelspar config page`; do not edit it here.
+Generated from the structs in `kestrelspar/settings/schema.py` by `kestrelspar config page`. Do not edit it here.
 
-The platform's JSON (`RELAY_CONFIG`, with `RELAY_NAME`, `RELAY_LISTEN`, `RELAY_DISCOVERY` and `RELAY_STATE` before the
-keys of the same name) tells a courier what it is. Everything else stands in `deploy/kestrelspar.conf`, or in the file
-that `KESTRELSPAR_CONF` names. There everything is off.
+The platform's JSON (`RELAY_CONFIG`, with `RELAY_NAME`, `RELAY_LISTEN`, `RELAY_DISCOVERY` and `RELAY_STATE` taking
+precedence over the keys of the same name) describes a courier: its name, addresses and limits, and the platform's
+settings. All other settings are in `deploy/kestrelspar.conf`, or in the file that `KESTRELSPAR_CONF` names. In
+`deploy/kestrelspar.conf`, everything is off.
 
     log
         format      logfmt
@@ -27,19 +28,19 @@
         prefix      /kestrelspar/endpoints/
         patience    30s
 
-A line without indent opens a section, with a label where there may be several; indented lines are `key value ...`.
-`#` begins a comment, double quotes hold blanks, `include conf.d/*.conf` reads other files, relative to the one that
-says it. Times and sizes carry a unit: `500ms`, `30s`, `2m`, `64KB`, `3MB`. Keys of several values may be repeated.
-Files are named relative to the file that names them. A secret is a file that only its owner may read.
+A line without indentation opens a section, with a label if there may be several of its kind. Indented lines have the
+form `key value ...`. `#` begins a comment, double quotes enclose blanks, and `include conf.d/*.conf` reads other files,
+relative to the file with that line. Times and sizes have a unit: `500ms`, `30s`, `2m`, `64KB`, `3MB`. Keys with several
+values may be repeated. Paths are relative to the file that names them. A secret is a file that only its owner may read.
 
-Every fault is told at once, as `FILE:LINE: section.key: what is wrong (what is wanted; did you mean ...?)`, with exit
-code 2: `kestrelspar config check`. Variables of former versions (`KESTRELSPAR_SMPP`, `KESTRELSPAR_PLUGINS`,
-`KESTRELSPAR_MAP`) are such a fault, too.
+`kestrelspar config check` reports all errors at once, as
+`FILE:LINE: section.key: what is wrong (what is wanted; did you mean ...?)`, with exit code 2. Variables of former
+versions (`KESTRELSPAR_SMPP`, `KESTRELSPAR_PLUGINS`, `KESTRELSPAR_MAP`) are also reported as errors.
 """
 
 
 def default(key: Key) -> str:
-    """A key's default as it would be written."""
+    """The default of a key, as it would be written."""
     if key.default is NODEFAULT:
         return "needed"
     if key.default in ("", (), {}):
@@ -50,19 +51,19 @@
 
 
 def value(key: Key) -> str:
-    """What a key takes."""
+    """The values that a key accepts."""
     text = kinds.wanted(key.meta)
     return {"one": text, "many": f"one or more: {text}", "named": f"NAME and {text}; repeated"}[key.shape]
 
 
 def explain(section: type[Section]) -> Iterator[tuple[str, str, str, str]]:
-    """(key, what it takes, default, meaning) of a section's keys."""
+    """Yield (key, accepted values, default, meaning) for each key of a section."""
     for key in keys(section).values():
         yield key.name, value(key), default(key), key.doc
 
 
 def page() -> str:
-    """docs/configuration.md."""
+    """The text of docs/configuration.md."""
     parts = [HEAD]
     for title, section in SECTIONS.items():
         parts.append(
@@ -70,18 +71,18 @@
             "| key | value | default | meaning |\n| --- | --- | --- | --- |\n"
         )
         parts += [
-            f"| `{name}` | {takes} | {'needed' if told == 'needed' else f'`{told}`'} | {meaning} |\n"
-            for name, takes, told, meaning in explain(section)
+            f"| `{name}` | {accepted} | {'needed' if default_text == 'needed' else f'`{default_text}`'} | {meaning} |\n"
+            for name, accepted, default_text, meaning in explain(section)
         ]
     return "".join(parts)
 
 
 def conf_text(conf: Conf, only_set: bool = False) -> str:
-    """The configuration as it is in force, in its own form; secrets stay files."""
+    """The effective configuration in the format of its file. Secrets are shown as the names of their files."""
     parts: list[str] = []
     for title, section in SECTIONS.items():
         found = conf.many(section)
-        rows = [(told.label, told.values) for told in found]
+        rows = [(section.label, section.values) for section in found]
         if not rows and not section.LABELED and not only_set:
             rows = [("", section())]
         for label, values in rows:
--- a/kestrelspar/settings/platform.py
+++ b/kestrelspar/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's JSON: read, checked and given defaults. Errors name the faulty key."""
+"""Reads the platform's JSON, checks it and fills in defaults. Errors name the invalid key."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def address(text: Any) -> tuple[str, int]:
-    """HOST:PORT; ``ValueError`` where it is not that."""
+    """Parse HOST:PORT. Raises ``ValueError`` for anything else."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r:.60} is not HOST:PORT")
@@ -25,7 +25,7 @@
 
 
 def place(name: Any, names: tuple[str, ...], what: str) -> int:
-    """The place of a name in the settings' list."""
+    """The index of a name in a list of the settings."""
     for index, known in enumerate(names):
         if name == known:
             return index
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the program is told at its start."""
+    """The configuration with which the program starts."""
 
     name: str
     listen: tuple[str, int]
@@ -52,7 +52,7 @@
 
 
 def positive(value: Any) -> float:
-    """A number above 0; ``ValueError`` otherwise."""
+    """Parse a number above 0 and below 1e9. Raises ``ValueError`` for anything else."""
     number = float(value)
     if not 0 < number < 1e9:
         raise ValueError
@@ -60,7 +60,7 @@
 
 
 def _seed(value: Any) -> int:
-    """Any text or number will do for random numbers; hexadecimal text is taken at its value."""
+    """Any text or number can seed the random numbers. Hexadecimal text is used as a number."""
     text = str(value)
     try:
         return int(text, 16)
@@ -75,7 +75,7 @@
 
 
 def read_json(path: str) -> Any:
-    """The JSON in a file; errors name the file."""
+    """Read the JSON in a file. Errors name the file."""
     try:
         return ujson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -83,9 +83,9 @@
 
 
 def read(environment: Mapping[str, str], again: bool = False) -> Config:
-    """Configuration from RELAY_CONFIG's file; the other RELAY_ variables go before it.
+    """Read the configuration from RELAY_CONFIG's file. The other RELAY_ variables take precedence over it.
 
-    Read again, the file is newer than the environment: where discovery is, it says.
+    If it is read again, the file is newer than the environment, so the file's address of discovery takes precedence.
     """
     if "RELAY_CONFIG" not in environment:
         raise SettingsError("RELAY_CONFIG: missing")
@@ -100,7 +100,7 @@
         name=top.get("name", str, "courier"),
         listen=top.get("listen", address),
         discovery=top.get("discovery", address),
-        state=top.get("state", _folder),
+        state=top.get("state", _state_directory),
         seed=top.get("seed", _seed, 1),
         sockets=int(limits.get("sockets", positive, 1024)),
         memory=int(limits.get("memory_mb", positive, 64.0) * 1_000_000),
@@ -118,11 +118,11 @@
 
 def _object_or_error(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise SettingsError("config: an object is needed")
+        raise SettingsError("config: must be an object")
     return value
 
 
-def _folder(value: Any) -> str:
+def _state_directory(value: Any) -> str:
     if not os.path.isdir(str(value)):
         raise ValueError
     return str(value)
--- a/kestrelspar/settings/resolve.py
+++ b/kestrelspar/settings/resolve.py
@@ -1,4 +1,4 @@
-"""Sections that name classes, tenants, zones and kinds of the platform's settings, with those names looked up."""
+"""Resolves names in sections: classes, tenants, zones and kinds of the platform's settings, and files of secrets."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from typing import TYPE_CHECKING
 
 from kestrelspar.settings import kinds, schema
-from kestrelspar.settings.conf import Conf, Told
+from kestrelspar.settings.conf import Conf, ConfSection
 from kestrelspar.settings.lines import ConfFaults, Fault
 from snowlock import interface as api
 
 if TYPE_CHECKING:
     import ssl
 
-    from kestrelspar.keys import Keys  # with ssl: only where it is wanted
+    from kestrelspar.keys import Keys  # it imports ssl, so only if TLS is used
 
-PASSWORD = 8  # bytes of an SMPP password at most
+PASSWORD = 8  # maximum length of an SMPP password in bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """A contractor that may bind."""
+    """An account with which a contractor may bind."""
 
     system_id: str
     password: str
     tenant: int
     cls: int
     window: int
-    dest: int | None = None  # messages for this destination are delivered to it
+    dest: int | None = None  # destination whose messages are delivered to this account
     zone: int = 0
     kind: int = 0
     outbind: tuple[str, int] | None = None
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """An SMPP gateway: a next hop."""
+    """An SMPP gateway, which is a next hop."""
 
     name: str
     address: tuple[str, int]
@@ -51,7 +51,7 @@
     password: str
     bind: str
     window: int
-    response: int  # microseconds, as all times here
+    response: int  # time-out in microseconds, the unit of all times here
     enquire: int
     throttle_wait: int
     source_addr: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Smpp:
-    """The SMPP front."""
+    """The SMPP front end."""
 
     listen: tuple[str, int]
     system_id: str
@@ -92,199 +92,204 @@
     service_types: dict[str, int]
     destinations: dict[str, int]  # by prefix of the destination address
     gateways: tuple[Gateway, ...]
-    keep_ended: int = 0  # how long an ended message can be asked for
+    keep_ended: int = 0  # how long query_sm can find an ended message
     tls: str = ""  # the section's label
-    parts_within: int = 10_000_000  # how long the parts of a long message are waited for; 0: they are not joined
+    parts_within: int = 10_000_000  # time-out for the parts of a long message; 0: parts are not joined
 
 
 @dataclass(frozen=True, slots=True)
 class Registry:
-    """A registry to follow, its secrets read."""
+    """A registry to follow, with its secrets."""
 
     label: str
     told: schema.Registry
     password: str = ""
     token: str = ""
-    secure: Callable[[], ssl.SSLContext] | None = None  # the newest keys for a call, where it is called with TLS
+    secure: Callable[[], ssl.SSLContext] | None = None  # makes a context with the newest keys, if TLS is used
 
 
-class _Names:
-    """Looks names up and gathers what is wrong."""
+class _NameResolver:
+    """Resolves names and collects the errors."""
 
     def __init__(self) -> None:
-        self.faults: list[Fault] = []
+        self.errors: list[Fault] = []
 
-    def place(self, told: Told, key: str, name: str, names: tuple[str, ...], what: str) -> int:
-        """The name's place in the settings' list; the first where none is told or the settings name none."""
+    def index_of(self, section: ConfSection, key: str, name: str, names: tuple[str, ...], what: str) -> int:
+        """The index of a name in a list of the settings; 0 if no name is given or the list has no names."""
         if not name or not any(names):
             return 0
         if name in names:
             return names.index(name)
-        close = difflib.get_close_matches(name, names, 1, 0.6)
-        near = f"; did you mean {close[0]}?" if close else ""
-        self.faults.append(told.fault(key, f"unknown {what} {name!r:.40} (wanted: {', '.join(names)}{near})"))
+        matches = difflib.get_close_matches(name, names, 1, 0.6)
+        suggestion = f"; did you mean {matches[0]}?" if matches else ""
+        self.errors.append(section.fault(key, f"unknown {what} {name!r:.40} (wanted: {', '.join(names)}{suggestion})"))
         return 0
 
-    def secret(self, told: Told, key: str, path: str, most: int = 4096, hashes: bool = False) -> str:
-        """The secret in the file; ``hashes``: a hash of it will do."""
+    def secret(
+        self, section: ConfSection, key: str, path: str, max_length: int = 4096, allow_hash: bool = False
+    ) -> str:
+        """Read the secret in a file. With ``allow_hash`` it may be a hash of the secret."""
         if not path:
             return ""
         try:
             found = kinds.read_secret(path)
         except ValueError as error:
-            self.faults.append(told.fault(key, str(error)))
+            self.errors.append(section.fault(key, str(error)))
             return ""
-        if most == PASSWORD and found.startswith("$scrypt$"):
-            from kestrelspar import passwords  # with OpenSSL's 2.5 MB: only where a hash is used
-
-            if not hashes or not passwords.usable(found):
-                what = "holds a hash that can't be used" if hashes else "holds a hash, where a password is needed"
-                self.faults.append(told.fault(key, f"{path} {what}"))
-        elif len(found.encode()) > most:
-            self.faults.append(told.fault(key, f"{path} holds more than {most} bytes"))
+        if max_length == PASSWORD and found.startswith("$scrypt$"):
+            from kestrelspar import passwords  # loads OpenSSL (2.5 MB), so only if a hash is used
+
+            if not allow_hash or not passwords.usable(found):
+                what = "holds a hash that can't be used" if allow_hash else "holds a hash, where a password is needed"
+                self.errors.append(section.fault(key, f"{path} {what}"))
+        elif len(found.encode()) > max_length:
+            self.errors.append(section.fault(key, f"{path} holds more than {max_length} bytes"))
         return found
 
-    def done(self) -> None:
-        """``ConfFaults`` if anything was wrong."""
-        if self.faults:
-            raise ConfFaults(sorted(self.faults))
+    def raise_errors(self) -> None:
+        """Raise ``ConfFaults`` if there were errors."""
+        if self.errors:
+            raise ConfFaults(sorted(self.errors))
 
 
 def smpp(conf: Conf, settings: api.Settings) -> Smpp | None:
-    """The SMPP front; nothing where it is off."""
-    front = conf.told(schema.Smpp)
-    top = conf.one(schema.Smpp)
-    if not top.enabled:
+    """The SMPP front end, or None if it is off."""
+    smpp_section = conf.told(schema.Smpp)
+    smpp_values = conf.one(schema.Smpp)
+    if not smpp_values.enabled:
         return None
-    look = _Names()
+    resolver = _NameResolver()
     classes = tuple(c.name for c in settings.classes)
     tenants = tuple(t.name for t in settings.tenants)
     accounts, gateways = [], []
-    for told in conf.many(schema.SmppAccount):
-        a = told.values
-        assert isinstance(a, schema.SmppAccount)
-        if len(told.label.encode()) > 15:
-            look.faults.append(told.fault("", f"{told.label!r:.40} is longer than a system_id of 15 bytes"))
+    for section in conf.many(schema.SmppAccount):
+        account = section.values
+        assert isinstance(account, schema.SmppAccount)
+        if len(section.label.encode()) > 15:
+            resolver.errors.append(section.fault("", f"{section.label!r:.40} is longer than a system_id of 15 bytes"))
         accounts.append(
             Account(
-                told.label,
-                look.secret(told, "password-file", a.password_file, PASSWORD, not a.outbind),
-                look.place(told, "tenant", a.tenant, tenants, "tenant"),
-                look.place(told, "message-class", a.message_class, classes, "class"),
-                a.window,
-                None if a.destination < 0 else a.destination,
-                look.place(told, "zone", a.zone, settings.zones, "zone"),
-                look.place(told, "type", a.type, settings.kinds, "type"),
-                a.outbind[0] if a.outbind else None,
-                tuple(ipaddress.IPv4Network(network) for network in a.networks),
-                a.certificate,
+                section.label,
+                resolver.secret(section, "password-file", account.password_file, PASSWORD, not account.outbind),
+                resolver.index_of(section, "tenant", account.tenant, tenants, "tenant"),
+                resolver.index_of(section, "message-class", account.message_class, classes, "class"),
+                account.window,
+                None if account.destination < 0 else account.destination,
+                resolver.index_of(section, "zone", account.zone, settings.zones, "zone"),
+                resolver.index_of(section, "type", account.type, settings.kinds, "type"),
+                account.outbind[0] if account.outbind else None,
+                tuple(ipaddress.IPv4Network(network) for network in account.networks),
+                account.certificate,
             )
         )
-        if a.certificate and not top.tls:
-            look.faults.append(told.fault("certificate", "can't be seen without smpp.tls"))
-    for told in conf.many(schema.SmppGateway):
-        g = told.values
-        assert isinstance(g, schema.SmppGateway)
+        if account.certificate and not smpp_values.tls:
+            resolver.errors.append(section.fault("certificate", "can't be checked without smpp.tls"))
+    for section in conf.many(schema.SmppGateway):
+        gateway = section.values
+        assert isinstance(gateway, schema.SmppGateway)
         gateways.append(
             Gateway(
-                told.label,
-                g.address,
-                g.destination,
-                look.place(told, "zone", g.zone, settings.zones, "zone"),
-                look.place(told, "type", g.type, settings.kinds, "type"),
-                g.system_id,
-                look.secret(told, "password-file", g.password_file, PASSWORD),
-                g.bind,
-                g.window,
-                g.response,
-                g.enquire_link,
-                g.throttle_wait,
-                g.source_addr,
-                g.destination_addr,
-                g.split,
-                g.coding,
-                g.sessions,
-                g.rate,
-                g.rank,
-                g.bind_wait,
-                g.bind_wait_most,
-                g.idle_unbind,
-                g.stay_bound or bool(g.inbound),
-                g.outcome,
-                g.response_id,
-                g.receipt_id,
-                dict(g.inbound),
-                look.place(told, "inbound-class", g.inbound_class, classes, "class") if g.inbound else 0,
-                look.place(told, "inbound-tenant", g.inbound_tenant, tenants, "tenant"),
-                g.outbind_system_id,
-                look.secret(told, "outbind-password-file", g.outbind_password_file, PASSWORD),
-                g.tls,
-                g.server_name,
+                section.label,
+                gateway.address,
+                gateway.destination,
+                resolver.index_of(section, "zone", gateway.zone, settings.zones, "zone"),
+                resolver.index_of(section, "type", gateway.type, settings.kinds, "type"),
+                gateway.system_id,
+                resolver.secret(section, "password-file", gateway.password_file, PASSWORD),
+                gateway.bind,
+                gateway.window,
+                gateway.response,
+                gateway.enquire_link,
+                gateway.throttle_wait,
+                gateway.source_addr,
+                gateway.destination_addr,
+                gateway.split,
+                gateway.coding,
+                gateway.sessions,
+                gateway.rate,
+                gateway.rank,
+                gateway.bind_wait,
+                gateway.bind_wait_most,
+                gateway.idle_unbind,
+                gateway.stay_bound or bool(gateway.inbound),
+                gateway.outcome,
+                gateway.response_id,
+                gateway.receipt_id,
+                dict(gateway.inbound),
+                resolver.index_of(section, "inbound-class", gateway.inbound_class, classes, "class")
+                if gateway.inbound
+                else 0,
+                resolver.index_of(section, "inbound-tenant", gateway.inbound_tenant, tenants, "tenant"),
+                gateway.outbind_system_id,
+                resolver.secret(section, "outbind-password-file", gateway.outbind_password_file, PASSWORD),
+                gateway.tls,
+                gateway.server_name,
             )
         )
-    services = {
-        name: look.place(front, "service-type", cls, classes, "class") for name, cls in top.service_type.items()
+    service_types = {
+        name: resolver.index_of(smpp_section, "service-type", cls, classes, "class")
+        for name, cls in smpp_values.service_type.items()
     }
-    look.done()
+    resolver.raise_errors()
     return Smpp(
-        top.listen,
-        top.system_id,
-        top.bind_within,
-        top.enquire_link,
-        top.response,
-        top.receipt_hold,
-        top.most_sessions,
+        smpp_values.listen,
+        smpp_values.system_id,
+        smpp_values.bind_within,
+        smpp_values.enquire_link,
+        smpp_values.response,
+        smpp_values.receipt_hold,
+        smpp_values.most_sessions,
         tuple(accounts),
-        services,
-        dict(top.destination),
+        service_types,
+        dict(smpp_values.destination),
         tuple(gateways),
-        top.keep_ended,
-        top.tls,
-        top.parts_within if top.join else 0,
+        smpp_values.keep_ended,
+        smpp_values.tls,
+        smpp_values.parts_within if smpp_values.join else 0,
     )
 
 
 def registries(conf: Conf) -> list[Registry]:
-    """The registries that are to be followed, with their secrets."""
-    look, found = _Names(), []
-    for told in conf.many(schema.Registry):
-        r = told.values
-        assert isinstance(r, schema.Registry)
-        if r.enabled:
+    """The registries to follow, with their secrets."""
+    resolver, found = _NameResolver(), []
+    for section in conf.many(schema.Registry):
+        registry = section.values
+        assert isinstance(registry, schema.Registry)
+        if registry.enabled:
             found.append(
                 Registry(
-                    told.label,
-                    r,
-                    look.secret(told, "password-file", r.password_file),
-                    look.secret(told, "token-file", r.token_file),
+                    section.label,
+                    registry,
+                    resolver.secret(section, "password-file", registry.password_file),
+                    resolver.secret(section, "token-file", registry.token_file),
                 )
             )
-    look.done()
+    resolver.raise_errors()
     return found
 
 
 def peer_keys(conf: Conf, broker: bool = False) -> list[str]:
-    """The secrets that couriers share, the one that seals first; for a courier nothing where peers are off."""
-    told, look = conf.told(schema.Peers), _Names()
+    """The keys that couriers share, beginning with the one that seals. Empty for a courier if peers are off."""
+    section, resolver = conf.told(schema.Peers), _NameResolver()
     peers = conf.one(schema.Peers)
     if not peers.enabled and not broker:
         return []
     if not peers.key_file:
-        look.faults.append(told.fault("key-file", "names 0 files (wanted: the key's, or two while it changes)"))
-    found = [look.secret(told, "key-file", file) for file in peers.key_file]
-    look.faults += [
-        told.fault("key-file", f"holds {len(secret)} bytes (wanted: 16 or more)")
+        resolver.errors.append(section.fault("key-file", "names 0 files (wanted: the key's, or two while it changes)"))
+    found = [resolver.secret(section, "key-file", file) for file in peers.key_file]
+    resolver.errors += [
+        section.fault("key-file", f"holds {len(secret)} bytes (wanted: 16 or more)")
         for secret in found
         if secret and len(secret.encode()) < 16
     ]
-    look.done()
+    resolver.raise_errors()
     return found
 
 
 def keys(conf: Conf) -> Keys | None:
-    """The sections ``tls`` with their files, read; nothing, and no ssl, where there is none and nothing names one."""
-    naming = [*conf.many(schema.Registry), *conf.many(schema.SmppGateway), conf.told(schema.Smpp)]
-    if not conf.many(schema.Tls) and not any(getattr(told.values, "tls", "") for told in naming):
+    """The ``tls`` sections with their files. None, without importing ssl, if no section exists or is named."""
+    tls_users = [*conf.many(schema.Registry), *conf.many(schema.SmppGateway), conf.told(schema.Smpp)]
+    if not conf.many(schema.Tls) and not any(getattr(section.values, "tls", "") for section in tls_users):
         return None
     from kestrelspar.keys import Keys
 
--- a/kestrelspar/settings/schema.py
+++ b/kestrelspar/settings/schema.py
@@ -1,7 +1,7 @@
-"""The sections of ``kestrelspar.conf``, one struct each: keys, kinds, bounds, defaults and what they mean.
+"""The sections of ``kestrelspar.conf``, one struct each: keys with their kinds, bounds, defaults and help texts.
 
-A key's name in the file is the field's with dashes. A field without a default is needed. A tuple takes several
-words and may be repeated; a dict takes ``key NAME VALUE`` and is repeated. Times are microseconds.
+A key in the file has the name of its field, with dashes. A field without a default is required. A tuple takes several
+words and may be repeated. A dict takes ``key NAME VALUE`` and may be repeated. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -28,122 +28,135 @@
 
 Address = tuple[str, int]
 HOUR = 3_600 * SECOND
-MOST_NAME = 60  # characters of a courier's or broker's name in a datagram
+MAX_NAME_LENGTH = 60  # characters of the name of a courier or broker in a datagram
 
 
 class Section(Struct, frozen=True, kw_only=True):
-    """What all sections have."""
+    """Base class of all sections."""
 
     TITLE: ClassVar[str] = ""
-    LABELED: ClassVar[bool] = False  # whether there may be several, each with a label
+    LABELED: ClassVar[bool] = False  # whether there may be several sections, each with a label
 
     def wrong(self) -> list[tuple[str, str]]:
-        """Keys that do not go together: (key, what is wrong)."""
+        """Errors of keys that contradict each other: (key, what is wrong)."""
         return []
 
 
 class Log(Section, frozen=True, kw_only=True):
-    """What the program writes on standard output, one line an event."""
+    """Log lines on standard output, one for each event."""
 
     TITLE: ClassVar[str] = "log"
-    format: Annotated[str, choice("how a line is written", "logfmt", "json")] = "logfmt"
-    level: Annotated[str, choice("the least severe events that are written", "debug", "info", "warning", "error")] = (
-        "info"
-    )
+    format: Annotated[str, choice("format of a log line", "logfmt", "json")] = "logfmt"
+    level: Annotated[
+        str, choice("lowest severity of the events that are logged", "debug", "info", "warning", "error")
+    ] = "info"
 
 
 class Plugins(Section, frozen=True, kw_only=True):
-    """Scripts of one rule a line, run at each message's arrival and end."""
+    """Scripts with one rule in each line, run when a message arrives and when it ends."""
 
     TITLE: ClassVar[str] = "plugins"
-    enabled: Annotated[bool, switch("whether the scripts are run")] = False
-    scripts: Annotated[tuple[str, ...], path("the scripts, run in this order")] = ()
+    enabled: Annotated[bool, switch("whether to run the scripts")] = False
+    scripts: Annotated[tuple[str, ...], path("scripts, run in this order")] = ()
 
 
 class Map(Section, frozen=True, kw_only=True):
-    """A transport map of the operators' own, beside discovery's; `kestrelspar nginx import` writes one."""
+    """A transport map of the operators, in addition to that of discovery; `kestrelspar nginx import` writes one."""
 
     TITLE: ClassVar[str] = "map"
     LABELED: ClassVar[bool] = True
-    file: Annotated[str, path("the map, as JSON")]
+    file: Annotated[str, path("map in JSON")]
 
 
 class Tls(Section, frozen=True, kw_only=True):
-    """A certificate and key, and who is trusted; other sections name it by its label. Read again on SIGHUP."""
+    """A certificate with its key, and trusted authorities; other sections refer to its label. Reloaded on SIGHUP."""
 
     TITLE: ClassVar[str] = "tls"
     LABELED: ClassVar[bool] = True
-    certificate: Annotated[str, path("our certificate and its chain, PEM")] = ""
-    key: Annotated[str, path("its key, PEM, which only its owner may read; in the certificate's file by default")] = ""
+    certificate: Annotated[str, path("own certificate with its chain, PEM")] = ""
+    key: Annotated[
+        str, path("private key, PEM, which only its owner may read; default: in the file of the certificate")
+    ] = ""
     authorities: Annotated[
-        str, path("the authorities that peers' certificates are checked against, PEM; none is trusted by default")
+        str, path("certificate authorities that are trusted for peers' certificates, PEM; default: none")
     ] = ""
-    minimum: Annotated[str, choice("the oldest version that is spoken", "1.2", "1.3")] = "1.2"
+    minimum: Annotated[str, choice("oldest TLS version that is accepted", "1.2", "1.3")] = "1.2"
     clients: Annotated[
-        str, choice("of a listener: whether clients show a certificate", "none", "wanted", "required")
+        str, choice("for a listener: whether clients present a certificate", "none", "wanted", "required")
     ] = "none"
 
     def wrong(self) -> list[tuple[str, str]]:
-        """A key without a certificate, and clients that could not be checked."""
+        """A key without a certificate, and client certificates without authorities to check them."""
         found = []
         if self.key and not self.certificate:
-            found.append(("key", "needs a certificate beside it"))
+            found.append(("key", "needs a certificate, too"))
         if self.clients != "none" and not self.authorities:
             found.append(("clients", "can't be checked without authorities"))
         return found
 
 
 class Smpp(Section, frozen=True, kw_only=True):
-    """The SMPP 3.4 front."""
+    """The SMPP 3.4 front end."""
 
     TITLE: ClassVar[str] = "smpp"
-    enabled: Annotated[bool, switch("whether it is served")] = False
-    listen: Annotated[Address, address("where contractors bind")] = ("127.0.0.1", 2775)
-    tls: Annotated[str, text("the section tls that it is served with; none: plain", 100)] = ""
-    system_id: Annotated[str, text("our name in bind responses", 15)] = "kestrelspar"
-    bind_within: Annotated[int, duration("a connection that has not bound by then is closed", 100 * MS, HOUR)] = (
-        5 * SECOND
-    )
-    enquire_link: Annotated[int, duration("silence before the link is tried", 100 * MS, HOUR)] = 30 * SECOND
-    response: Annotated[int, duration("how long a contractor's answer is waited for", 10 * MS, HOUR)] = 5 * SECOND
-    receipt_hold: Annotated[int, duration("how long a receipt is offered", SECOND, 168 * HOUR)] = HOUR
+    enabled: Annotated[bool, switch("whether the front end is on")] = False
+    listen: Annotated[Address, address("address at which contractors bind")] = ("127.0.0.1", 2775)
+    tls: Annotated[str, text("label of the section tls for its listener; none: without TLS", 100)] = ""
+    system_id: Annotated[str, text("own system_id in bind responses", 15)] = "kestrelspar"
+    bind_within: Annotated[
+        int, duration("time-out after which a connection without a bind is closed", 100 * MS, HOUR)
+    ] = 5 * SECOND
+    enquire_link: Annotated[int, duration("silence after which an enquire_link is sent", 100 * MS, HOUR)] = 30 * SECOND
+    response: Annotated[int, duration("time-out for a response of a contractor", 10 * MS, HOUR)] = 5 * SECOND
+    receipt_hold: Annotated[int, duration("how long delivery of a receipt is attempted", SECOND, 168 * HOUR)] = HOUR
     keep_ended: Annotated[
-        int, duration("how long query_sm knows an ended message, restarts included; 0s: not", 0, 720 * HOUR)
+        int, duration("how long query_sm finds an ended message, also after restarts; 0s: not at all", 0, 720 * HOUR)
     ] = HOUR
-    join: Annotated[bool, switch("whether the parts of a long message become one message")] = True
+    join: Annotated[bool, switch("whether the parts of a long message are joined into one message")] = True
     parts_within: Annotated[
-        int, duration("parts that are not all there by then end, each for itself", SECOND, HOUR)
+        int,
+        duration(
+            "time-out for the parts of a long message; if some are missing, each part ends separately", SECOND, HOUR
+        ),
     ] = 10 * SECOND
-    most_sessions: Annotated[int, number("sessions at once", 1, 100_000)] = 64
-    service_type: Annotated[dict[str, str], text("a class for a service_type", 40)] = {}
-    destination: Annotated[dict[str, int], number("a destination for a prefix of destination_addr", 0, 2**31)] = {}
+    most_sessions: Annotated[int, number("maximum number of concurrent sessions", 1, 100_000)] = 64
+    service_type: Annotated[dict[str, str], text("message class for a service_type", 40)] = {}
+    destination: Annotated[dict[str, int], number("destination for a prefix of destination_addr", 0, 2**31)] = {}
 
 
 class SmppAccount(Section, frozen=True, kw_only=True):
-    """A contractor that may bind; the label is its system_id."""
+    """An account with which a contractor may bind. The label is its system_id."""
 
     TITLE: ClassVar[str] = "smpp-account"
     LABELED: ClassVar[bool] = True
     password_file: Annotated[
-        str, secret("its password, 8 bytes at most, or the hash of it that `kestrelspar smpp passwd` prints")
+        str, secret("its password, at most 8 bytes, or its hash as `kestrelspar smpp passwd` prints it")
     ]
-    networks: Annotated[tuple[str, ...], text("where it may bind from, like 10.1.0.0/16; anywhere by default", 18)] = ()
-    certificate: Annotated[str, text("the name that the client's certificate must have; none: any, or none", 200)] = ""
-    message_class: Annotated[str, text("the class of messages without a service_type", 40, 1)]
-    tenant: Annotated[str, text("its tenant, as the settings name it; the first one by default", 200)] = ""
-    window: Annotated[int, number("submits and receipts out at once", 1, 10_000)] = 10
+    networks: Annotated[
+        tuple[str, ...], text("networks from which it may bind, like 10.1.0.0/16; default: any", 18)
+    ] = ()
+    certificate: Annotated[
+        str, text("name that the client's certificate must have; none: any, or no certificate", 200)
+    ] = ""
+    message_class: Annotated[str, text("class of messages without a service_type", 40, 1)]
+    tenant: Annotated[str, text("its tenant, as named in the settings; default: the first one", 200)] = ""
+    window: Annotated[int, number("maximum number of submits and receipts in flight", 1, 10_000)] = 10
     destination: Annotated[
-        int, number("messages for this destination are delivered to its bound receivers; -1: none are", -1, 2**31)
+        int, number("destination whose messages are delivered to its bound receivers; -1: none", -1, 2**31)
     ] = -1
-    zone: Annotated[str, text("of those, its zone, as the settings name it; the first one by default")] = ""
-    type: Annotated[str, text("of those, its kind, as the settings name it; the first one by default")] = ""
+    zone: Annotated[
+        str, text("zone of that destination's endpoint, as named in the settings; default: the first one")
+    ] = ""
+    type: Annotated[
+        str, text("kind of that destination's endpoint, as named in the settings; default: the first one")
+    ] = ""
     outbind: Annotated[
         tuple[Address, ...],
-        address("where it is asked to bind when something waits for it and it has not; one at most"),
+        address("address to which an outbind is sent if messages wait and it is not bound; at most one"),
     ] = ()
 
     def wrong(self) -> list[tuple[str, str]]:
-        """One address at most, and networks that are some."""
+        """More than one address, and invalid networks."""
         found = [("outbind", "names more than one address (wanted: one HOST:PORT)")] if len(self.outbind) > 1 else []
         for network in self.networks:
             try:
@@ -154,66 +167,64 @@
 
 
 class SmppGateway(Section, frozen=True, kw_only=True):
-    """An SMPP gateway: a next hop; the label is its name."""
+    """An SMPP gateway, which is a next hop. The label is its name."""
 
     TITLE: ClassVar[str] = "smpp-gateway"
     LABELED: ClassVar[bool] = True
-    address: Annotated[Address, address("where it listens")]
-    tls: Annotated[str, text("the section tls that it is called with; none: plain", 100)] = ""
-    server_name: Annotated[str, text("the name that its certificate must have; its address by default", 200)] = ""
-    destination: Annotated[int, number("the destination that it serves", 0, 2**31)]
-    system_id: Annotated[str, text("our account there", 15)]
-    password_file: Annotated[str, secret("its password, 8 bytes at most")]
-    zone: Annotated[str, text("its zone, as the settings name it; the first one by default")] = ""
-    type: Annotated[str, text("its kind, as the settings name it; the first one by default")] = ""
+    address: Annotated[Address, address("address at which it listens")]
+    tls: Annotated[str, text("label of the section tls for calls to it; none: without TLS", 100)] = ""
+    server_name: Annotated[str, text("name that its certificate must have; default: its address", 200)] = ""
+    destination: Annotated[int, number("destination that it serves", 0, 2**31)]
+    system_id: Annotated[str, text("own system_id at the gateway", 15)]
+    password_file: Annotated[str, secret("password for that, at most 8 bytes")]
+    zone: Annotated[str, text("its zone, as named in the settings; default: the first one")] = ""
+    type: Annotated[str, text("its kind, as named in the settings; default: the first one")] = ""
     bind: Annotated[
         str,
         choice(
-            "how to bind; pair: transmitters, and one receiver where something is to be heard",
+            "type of bind; pair: transmitters, and one receiver if something is to be received",
             "transmitter",
             "transceiver",
             "pair",
         ),
     ] = "transceiver"
-    sessions: Annotated[int, number("sessions at once, opened as they are needed", 1, 64)] = 1
-    window: Annotated[int, number("submits out at once on each session", 1, 10_000)] = 10
+    sessions: Annotated[int, number("maximum number of sessions, opened as needed", 1, 64)] = 1
+    window: Annotated[int, number("maximum number of submits in flight on each session", 1, 10_000)] = 10
     rate: Annotated[
-        int, number("submits a second that were agreed on, over all sessions; 0: found out by its refusals", 0, 100_000)
+        int, number("agreed rate in submits per second over all sessions; 0: learned from its refusals", 0, 100_000)
+    ] = 0
+    rank: Annotated[
+        int, number("priority; a standby has a higher number and is used if no gateway with a lower one works", 0, 100)
     ] = 0
-    rank: Annotated[int, number("a standby's is higher: it is used when none of a lower rank serves", 0, 100)] = 0
     bind_wait: Annotated[
         int,
-        duration(
-            "the wait after a bind that failed; it doubles each time, and half of it is drawn at random", 10 * MS, HOUR
-        ),
+        duration("delay after a failed bind; it doubles each time, and half of it is random", 10 * MS, HOUR),
     ] = 200 * MS
-    bind_wait_most: Annotated[int, duration("the longest such wait; also after a refused account", 10 * MS, HOUR)] = (
-        30 * SECOND
-    )
-    idle_unbind: Annotated[
-        int, duration("a session that had nothing to do for so long is unbound; 0s: never", 0, 24 * HOUR)
-    ] = 0
-    stay_bound: Annotated[bool, switch("whether a session is kept up while nothing is sent")] = False
+    bind_wait_most: Annotated[
+        int, duration("maximum of that delay; also used after a refused account", 10 * MS, HOUR)
+    ] = 30 * SECOND
+    idle_unbind: Annotated[int, duration("idle time after which a session is unbound; 0s: never", 0, 24 * HOUR)] = 0
+    stay_bound: Annotated[bool, switch("whether a session stays bound while nothing is sent")] = False
     outcome: Annotated[
-        str, choice("what ends a message: the gateway's response, or its delivery receipt", "response", "receipt")
+        str, choice("what ends a message: the response of the gateway, or its delivery receipt", "response", "receipt")
     ] = "response"
-    response_id: Annotated[str, choice("how message ids are spelt in its responses", "text", "hex", "decimal")] = "text"
-    receipt_id: Annotated[str, choice("and in its receipts", "text", "hex", "decimal")] = "text"
+    response_id: Annotated[str, choice("format of message ids in its responses", "text", "hex", "decimal")] = "text"
+    receipt_id: Annotated[str, choice("format of message ids in its receipts", "text", "hex", "decimal")] = "text"
     inbound: Annotated[
         dict[str, int],
-        number("a destination for messages of the gateway's own, by a prefix of their destination_addr", 0, 2**31),
+        number("destination for messages from the gateway, by a prefix of their destination_addr", 0, 2**31),
     ] = {}
-    inbound_class: Annotated[str, text("their class; the first one by default", 40)] = ""
-    inbound_tenant: Annotated[str, text("their tenant; the first one by default", 200)] = ""
-    outbind_system_id: Annotated[str, text("the name by which it may ask us to bind", 15)] = ""
-    outbind_password_file: Annotated[str, secret("and the password for that, 8 bytes at most")] = ""
-    response: Annotated[int, duration("how long an answer is waited for", 10 * MS, HOUR)] = 10 * SECOND
-    enquire_link: Annotated[int, duration("silence before the link is tried", 100 * MS, HOUR)] = 30 * SECOND
-    throttle_wait: Annotated[int, duration("the wait that throttling stands for", 10 * MS, HOUR)] = SECOND
+    inbound_class: Annotated[str, text("class of messages from the gateway; default: the first one", 40)] = ""
+    inbound_tenant: Annotated[str, text("tenant of messages from the gateway; default: the first one", 200)] = ""
+    outbind_system_id: Annotated[str, text("system_id of its outbind requests", 15)] = ""
+    outbind_password_file: Annotated[str, secret("password of its outbind requests, at most 8 bytes")] = ""
+    response: Annotated[int, duration("time-out for a response", 10 * MS, HOUR)] = 10 * SECOND
+    enquire_link: Annotated[int, duration("silence after which an enquire_link is sent", 100 * MS, HOUR)] = 30 * SECOND
+    throttle_wait: Annotated[int, duration("delay after a throttling status", 10 * MS, HOUR)] = SECOND
     split: Annotated[
         str,
         choice(
-            "how a text longer than one short message goes: in one message_payload, or in parts",
+            "how a text longer than one short message is sent: in one message_payload, or in parts",
             "payload",
             "udh",
             "sar",
@@ -222,26 +233,26 @@
     coding: Annotated[
         str,
         choice(
-            "bodies that came by another wire: as they are, or as texts in the smallest "
+            "bodies that came by another protocol: unchanged, or as texts in the smallest "
             "alphabet (GSM 03.38, Latin-1, UCS-2)",
             "raw",
             "text",
         ),
     ] = "raw"
-    source_addr: Annotated[str, text("for messages that bring none", 20)] = ""
-    destination_addr: Annotated[str, text("for messages that bring none", 20)] = ""
+    source_addr: Annotated[str, text("source address of messages without one", 20)] = ""
+    destination_addr: Annotated[str, text("destination address of messages without one", 20)] = ""
 
     def wrong(self) -> list[tuple[str, str]]:
-        """What could not be heard, and half of a pair."""
+        """Keys that need a receiver, and incomplete or contradictory pairs of keys."""
         found = []
-        hears = self.bind != "transmitter"
-        for key, wanted in (
+        can_receive = self.bind != "transmitter"
+        for key, needed in (
             ("outcome", self.outcome == "receipt"),
             ("inbound", bool(self.inbound)),
             ("stay-bound", self.stay_bound),
         ):
-            if wanted and not hears:
-                found.append((key, "can't be heard by a transmitter (wanted: bind transceiver, or bind pair)"))
+            if needed and not can_receive:
+                found.append((key, "can't be received by a transmitter (wanted: bind transceiver, or bind pair)"))
         if (self.response_id == "text") != (self.receipt_id == "text"):
             found.append(("receipt-id", "and response-id are both text, or both numbers (hex, decimal)"))
         if bool(self.outbind_system_id) != bool(self.outbind_password_file):
@@ -252,45 +263,52 @@
 
 
 class Registry(Section, frozen=True, kw_only=True):
-    """An endpoint list in a key-value registry, followed by watches or blocking reads."""
+    """A list of endpoints in a key-value registry, followed by watches or blocking reads."""
 
     TITLE: ClassVar[str] = "registry"
     LABELED: ClassVar[bool] = True
-    type: Annotated[str, choice("which protocol it speaks", "etcd", "consul")]
-    servers: Annotated[tuple[Address, ...], address("its members; the next one is asked when one fails")]
-    prefix: Annotated[str, text("the keys below it are the list", 500, 1)]
-    tls: Annotated[str, text("the section tls that it is called with; none: plain", 100)] = ""
-    server_name: Annotated[
-        str, text("the name that its members' certificates must have; their address by default", 200)
-    ] = ""
-    enabled: Annotated[bool, switch("whether it is followed")] = True
-    patience: Annotated[int, duration("after so long unheard the list is stale", SECOND, 24 * HOUR)] = 30 * SECOND
+    type: Annotated[str, choice("protocol of the registry", "etcd", "consul")]
+    servers: Annotated[tuple[Address, ...], address("its members; if one fails, the next one is used")]
+    prefix: Annotated[str, text("prefix of the keys that form the list", 500, 1)]
+    tls: Annotated[str, text("label of the section tls for calls to it; none: without TLS", 100)] = ""
+    server_name: Annotated[str, text("name that its members' certificates must have; default: their address", 200)] = ""
+    enabled: Annotated[bool, switch("whether to follow the registry")] = True
+    patience: Annotated[
+        int, duration("age at which a list that no response has confirmed is stale", SECOND, 24 * HOUR)
+    ] = 30 * SECOND
     on_stale: Annotated[
-        str, choice("what a stale list means: go on with it, or be not ready and defer hand-ins", "serve", "defer")
+        str,
+        choice(
+            "what to do with a stale list: continue to use it, or be not ready and defer new messages", "serve", "defer"
+        ),
     ] = "serve"
-    answer_within: Annotated[int, duration("an answer that takes longer is a break", 100 * MS, HOUR)] = 5 * SECOND
-    check: Annotated[int, duration("etcd: how often a silent watch is compared with the list", 100 * MS, HOUR)] = (
+    answer_within: Annotated[
+        int, duration("time-out for a response; the member then counts as failed", 100 * MS, HOUR)
+    ] = 5 * SECOND
+    check: Annotated[int, duration("etcd: how often the list is checked while a watch is silent", 100 * MS, HOUR)] = (
         10 * SECOND
     )
-    wait: Annotated[int, duration("consul: how long a read blocks while nothing changes", SECOND, 600 * SECOND)] = (
+    wait: Annotated[int, duration("consul: how long a read blocks if nothing changes", SECOND, 600 * SECOND)] = (
         10 * SECOND
     )
-    consistency: Annotated[str, choice("consul: which members may answer", "default", "consistent", "stale")] = (
-        "default"
-    )
-    page: Annotated[int, number("etcd: entries asked for at once", 1, 10_000)] = 500
-    username: Annotated[str, text("etcd: the name to authenticate by", 200)] = ""
-    password_file: Annotated[str, secret("etcd: that name's password")] = ""
-    token_file: Annotated[str, secret("consul: the token for reading below the prefix")] = ""
+    consistency: Annotated[
+        str, choice("consul: consistency mode, that is, which members may respond", "default", "consistent", "stale")
+    ] = "default"
+    page: Annotated[int, number("etcd: maximum number of entries in a page", 1, 10_000)] = 500
+    username: Annotated[str, text("etcd: user name for authentication", 200)] = ""
+    password_file: Annotated[str, secret("etcd: password of that user")] = ""
+    token_file: Annotated[str, secret("consul: token for reading the keys below the prefix")] = ""
     keep: Annotated[
         int,
         size(
-            "disk for the last good list, so that a start without the registry serves on it; 0B: none", 0, 1_000_000_000
+            "disk space for saving the last good list, for use after a start without the registry; 0B: none",
+            0,
+            1_000_000_000,
         ),
     ] = 1_000_000
 
     def wrong(self) -> list[tuple[str, str]]:
-        """Keys of one protocol used with the other, and half an account."""
+        """Keys of one protocol used with the other, incomplete credentials, and a time-out that is too short."""
         found = []
         if not self.servers:
             found.append(("servers", "names no server (wanted: one HOST:PORT or more)"))
@@ -300,108 +318,117 @@
             found.append(("token-file", "is consul's (wanted with etcd: username and password-file)"))
         if self.type == "etcd" and bool(self.username) != bool(self.password_file):
             found.append(("username", "and password-file go together"))
-        quiet, name = (2 * self.check, "check") if self.type == "etcd" else (2 * self.wait, "wait")
-        if quiet > self.patience:
-            found.append((name, f"is more than half of patience, {span(self.patience)}: a quiet list would be stale"))
+        max_silence, name = (2 * self.check, "check") if self.type == "etcd" else (2 * self.wait, "wait")
+        if max_silence > self.patience:
+            found.append(
+                (name, f"is more than half of patience, {span(self.patience)}: an unchanged list would be stale")
+            )
         if self.type == "consul" and self.prefix.startswith("/"):
             found.append(("prefix", "begins with / (wanted: consul's keys have none in front)"))
         return found
 
 
 class Peers(Section, frozen=True, kw_only=True):
-    """Couriers that share budgets, over UDP. How many there are, and this one's place, the platform's settings tell."""
+    """Sharing of budgets with other couriers, over UDP. Their number and this one's place are platform settings."""
 
     TITLE: ClassVar[str] = "peers"
-    enabled: Annotated[bool, switch("whether this courier talks to others")] = False
-    listen: Annotated[Address, address("where datagrams arrive (UDP)")] = ("127.0.0.1", 2770)
+    enabled: Annotated[bool, switch("whether this courier communicates with others")] = False
+    listen: Annotated[Address, address("address at which datagrams are received (UDP)")] = ("127.0.0.1", 2770)
     advertise: Annotated[
         tuple[Address, ...],
-        address("what others are told, where that is not the address listened on: behind NAT or a relay; one at most"),
+        address("address given to others, if not the one listened on: behind NAT or a relay; at most one"),
     ] = ()
     seed: Annotated[
         dict[str, Address],
-        address("a courier that is asked first, by its name; its address here goes before what is said of it"),
+        address("a courier to contact first, by its name; this address takes precedence over reported ones"),
     ] = {}
     key_file: Annotated[
         tuple[str, ...],
         secret(
-            "the key that all couriers have, 16 bytes of text or more; a second "
-            "one is understood too, while keys are changed"
+            "key shared by all couriers, 16 bytes of text or more; a second one is also accepted while keys are changed"
         ),
     ] = ()
     group: Annotated[
-        str, text("the couriers that this one knows all of and shares budgets with; by default all are one group", 60)
+        str, text("group of couriers that know each other and share budgets; default: all are one group", 60)
     ] = ""
-    region: Annotated[str, text("where it stands: its brokers are those of this region", MOST_NAME - 2)] = ""
+    region: Annotated[str, text("its region: it uses the brokers of this region", MAX_NAME_LENGTH - 2)] = ""
     broker: Annotated[
         dict[str, Address],
         address(
-            "a process that passes on what couriers saw of endpoints, by "
-            "REGION/NAME; those of all regions, the same at all couriers and "
+            "a process that relays observations of endpoints between couriers, by "
+            "REGION/NAME; list those of all regions, the same at all couriers and "
             "brokers"
         ),
     ] = {}
     couriers: Annotated[
-        int, number("how many there are, for a broker; a courier has it from the platform's settings", 1, 1_000_000)
-    ] = 1_000_000
-    broker_bytes_per_second: Annotated[
-        int, size("what a broker sends at most, whatever happens", 10_000, 1_000_000_000)
+        int, number("for a broker: number of couriers; a courier has it from the platform's settings", 1, 1_000_000)
     ] = 1_000_000
-    bytes_per_second: Annotated[int, size("what it sends at most, whatever happens", 2_000, 1_000_000_000)] = 20_000
+    broker_bytes_per_second: Annotated[int, size("upper bound of what a broker sends", 10_000, 1_000_000_000)] = (
+        1_000_000
+    )
+    bytes_per_second: Annotated[int, size("upper bound of what this courier sends", 2_000, 1_000_000_000)] = 20_000
     period: Annotated[
-        int, duration("how often one of the others is asked whether it is there", 100 * MS, 60 * SECOND)
+        int, duration("interval of the probes, each to one of the other couriers", 100 * MS, 60 * SECOND)
     ] = SECOND
     term: Annotated[
         int,
-        duration("how long what was lent of a budget may be used; the same at all couriers", 500 * MS, 600 * SECOND),
+        duration("how long a loan of a budget may be used; the same at all couriers", 500 * MS, 600 * SECOND),
     ] = 3 * SECOND
-    drift: Annotated[int, number("how much clocks may run apart, in a thousand; the same at all couriers", 1, 200)] = 10
+    drift: Annotated[int, number("maximum drift of clocks in parts per thousand; the same at all couriers", 1, 200)] = (
+        10
+    )
     spend: Annotated[
         int,
         number(
-            "how much of a limit is shared, in percent: the rest is for calls that the network pushes together", 1, 100
+            "part of a limit that couriers share, in percent; the rest is for calls that the network bunches", 1, 100
         ),
     ] = 90
     again: Annotated[
         int,
         number(
-            "how much of a limit second and later attempts may take, of all couriers together, in "
-            "percent; 100: no bound of their own. The same at all couriers",
+            "part of that shared part for second and later attempts of all couriers together, "
+            "in percent; 100: no separate bound. The same at all couriers",
             1,
             100,
         ),
     ] = 100
     held: Annotated[
-        int, number("how many of all endpoints may be left alone on the word of others, in percent", 0, 100)
+        int, number("share of all endpoints that may be restricted by reports of other couriers, in percent", 0, 100)
     ] = 50
 
     def wrong(self) -> list[tuple[str, str]]:
-        """Half a section, and keys that nobody could change; and brokers, which read them also where this is off."""
-        found = self._wrong_brokers()
+        """Too few or too many keys or addresses, and errors of the brokers.
+
+        Brokers read their keys also if the section is off.
+        """
+        found = self._broker_errors()
         if not self.enabled <= len(self.key_file) <= 2:
             found.append(("key-file", f"names {len(self.key_file)} files (wanted: the key's, or two while it changes)"))
         if len(self.advertise) > 1:
             found.append(("advertise", "names more than one address (wanted: one HOST:PORT)"))
         return found
 
-    def _wrong_brokers(self) -> list[tuple[str, str]]:
-        """What would leave a courier without the brokers that are meant for it."""
+    def _broker_errors(self) -> list[tuple[str, str]]:
+        """Errors that would leave a courier without its brokers."""
         found = []
-        for key, word in (("group", self.group), ("region", self.region)):
-            if word != "".join(word.split()) or not word.isprintable() or "/" in word:
-                found.append((key, f"{word!r:.60} is no word (wanted: no blanks, and no /)"))
-        taken: dict[Address, str] = {}
+        for key, text_value in (("group", self.group), ("region", self.region)):
+            if text_value != "".join(text_value.split()) or not text_value.isprintable() or "/" in text_value:
+                found.append((key, f"{text_value!r:.60} is not a word (wanted: no blanks, and no /)"))
+        names_by_address: dict[Address, str] = {}
         regions = []
-        for name, where in self.broker.items():
-            region, slash, rest = name.partition("/")
-            if not (region and slash and rest) or "/" in rest or len(name) > MOST_NAME:
+        for name, broker_address in self.broker.items():
+            region, slash, broker_name = name.partition("/")
+            if not (region and slash and broker_name) or "/" in broker_name or len(name) > MAX_NAME_LENGTH:
                 found.append(
-                    (f"broker {name}", f"is no name of a broker (wanted: REGION/NAME, at most {MOST_NAME} characters)")
+                    (
+                        f"broker {name}",
+                        f"is not the name of a broker (wanted: REGION/NAME, at most {MAX_NAME_LENGTH} characters)",
+                    )
                 )
             elif region not in regions:
                 regions.append(region)
-            if taken.setdefault(where, name) != name:
-                found.append((f"broker {name}", f"has the address of {taken[where]}"))
+            if names_by_address.setdefault(broker_address, name) != name:
+                found.append((f"broker {name}", f"has the address of {names_by_address[broker_address]}"))
         if not self.region and (self.group or self.broker):
             found.append(
                 (
@@ -420,7 +447,7 @@
         return found
 
     def told(self) -> Address:
-        """The address that others are told."""
+        """The address that others use."""
         return self.advertise[0] if self.advertise else self.listen
 
 
