--- a/kestrelspar/nginx/__init__.py
+++ b/kestrelspar/nginx/__init__.py
@@ -1,1 +1,1 @@
-"""From nginx configuration to a transport map."""
+"""Conversion of nginx configuration to a transport map."""
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -74,7 +74,7 @@
 
 def span(value: int, units: dict[str, int] = TIMES) -> str:
     """Format a number with the largest unit that divides it, as it is written in the file."""
-    unit = max((unit for unit, factor in units.items() if value % factor == 0), key=units.__getitem__)
+    unit = max((name for name, factor in units.items() if value % factor == 0), key=units.__getitem__)
     return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIMES else 'B'}"
 
 
--- a/kestrelspar/settings/pages.py
+++ b/kestrelspar/settings/pages.py
@@ -82,7 +82,7 @@
     parts: list[str] = []
     for title, section in SECTIONS.items():
         found = conf.many(section)
-        rows = [(section.label, section.values) for section in found]
+        rows = [(conf_section.label, conf_section.values) for conf_section in found]
         if not rows and not section.LABELED and not only_set:
             rows = [("", section())]
         for label, values in rows:
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -1,4 +1,4 @@
-"""Configuration, plug-ins and the nginx importer."""
+"""Platform configuration, plug-ins and the nginx importer."""
 
 from __future__ import annotations
 
@@ -21,55 +21,55 @@
 from snowlock.settings import SettingsError
 from tests.bench import PAYMENT, READING, Scene
 from tests.forwarder import Forwarder, message_class, route
-from tests.forwarder import settings as module_settings
+from tests.forwarder import settings as controller_settings
 from tests.test_wire import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 
 
 # Configuration
 
 
-def test_the_configuration_that_readme_starts_with_will_do(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_the_example_configuration_of_the_readme_is_valid(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.chdir(tmp_path)
     (tmp_path / "state").mkdir()
-    told = config.read({"RELAY_CONFIG": str(ROOT / "deploy" / "example.json"), "RELAY_STATE": "state"})
-    assert told.settings.classes and told.known["endpoints"]
+    loaded = config.read({"RELAY_CONFIG": str(ROOT / "deploy" / "example.json"), "RELAY_STATE": "state"})
+    assert loaded.settings.classes and loaded.known["endpoints"]
 
 
-def written(folder: Path, change: dict[str, Any] | None = None) -> dict[str, str]:
+def written(directory: Path, overrides: dict[str, Any] | None = None) -> dict[str, str]:
     raw: dict[str, Any] = {
         "name": "n3",
         "listen": "127.0.0.1:8443",
         "discovery": "127.0.0.1:8500",
         "seed": "8c1f",
-        "state": str(folder),
+        "state": str(directory),
         "limits": {"cores": 1.0, "sockets": 512, "disk_mb": 3},
         "settings": SETTINGS,
     }
-    (folder / "config.json").write_text(json.dumps(raw | (change or {})))
-    return {"RELAY_CONFIG": str(folder / "config.json")}
+    (directory / "config.json").write_text(json.dumps(raw | (overrides or {})))
+    return {"RELAY_CONFIG": str(directory / "config.json")}
 
 
 def test_configuration_is_read_with_defaults_and_variables(tmp_path: Path) -> None:
-    told = config.read(written(tmp_path) | {"RELAY_NAME": "n9"})
-    assert (told.name, told.listen, told.seed, told.sockets) == ("n9", ("127.0.0.1", 8443), 0x8C1F, 512)
-    assert told.disk_bytes == 3_000_000 and told.settings.classes[0].safety is api.Safety.UNSAFE
+    loaded = config.read(written(tmp_path) | {"RELAY_NAME": "n9"})
+    assert (loaded.name, loaded.listen, loaded.seed, loaded.sockets) == ("n9", ("127.0.0.1", 8443), 0x8C1F, 512)
+    assert loaded.disk_bytes == 3_000_000 and loaded.settings.classes[0].safety is api.Safety.UNSAFE
     assert config.read(written(tmp_path, {"limits": {}})).sockets == 1024
 
 
-def test_all_faults_of_a_configuration_are_told_at_once(tmp_path: Path) -> None:
-    # Guards against a start that is refused once for each fault, one after the other.
-    bad = {
+def test_all_errors_of_a_configuration_are_reported_at_once(tmp_path: Path) -> None:
+    # Otherwise a start would fail once for each error, one after the other.
+    invalid = {
         "settings": SETTINGS | {"limits": {"max_attempts": "x"}, "classes": [{"semantics": "odd"}, 3]},
         "listen": "nowhere",
         "known": [],
         "limits": {"sockets": 0},
     }
-    with pytest.raises(SettingsError) as found:
-        config.read(written(tmp_path, bad))
-    assert sorted(fault.partition(": ")[0] for fault in found.value.faults) == [
+    with pytest.raises(SettingsError) as caught:
+        config.read(written(tmp_path, invalid))
+    assert sorted(fault.partition(": ")[0] for fault in caught.value.faults) == [
         "config.known",
         "config.limits.sockets",
         "config.listen",
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "key"),
+    ("overrides", "key"),
     [
         ({"listen": "nowhere"}, "config.listen"),
         ({"listen": "127.0.0.1:99999"}, "config.listen"),
@@ -97,27 +97,27 @@
         ({"known": []}, "config.known"),
     ],
 )
-def test_errors_of_configuration_name_the_key(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_errors_of_configuration_name_the_key(tmp_path: Path, overrides: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=r"^" + key.replace("[", r"\[").replace("]", r"\]") + ":"):
-        config.read(written(tmp_path, change))
+        config.read(written(tmp_path, overrides))
 
 
 # Plug-ins
 
 
-def rules(folder: Path, text: str) -> list[plugins.Rule]:
-    (folder / "s.rules").write_text(text)
-    return plugins.read(folder / "s.rules")
+def read_rules(directory: Path, text: str) -> list[plugins.Rule]:
+    (directory / "s.rules").write_text(text)
+    return plugins.read(directory / "s.rules")
 
 
-def scripted(folder: Path, text: str) -> tuple[Scene, plugins.Plugins, Message]:
-    scene = Scene(folder)
+def make_scene_with_rules(directory: Path, text: str) -> tuple[Scene, plugins.Plugins, Message]:
+    scene = Scene(directory)
     message = Message("t1", READING, 0, 7, scene.loop.now + SECOND, b"urgent: 5", scene.ends, "k")
-    return scene, plugins.Plugins(scene.loop, scene.courier.settings, rules(folder, text)), message
+    return scene, plugins.Plugins(scene.loop, scene.courier.settings, read_rules(directory, text)), message
 
 
 def test_rules_change_defer_and_reject(tmp_path: Path) -> None:
-    _, hook, message = scripted(
+    _, plugin_host, message = make_scene_with_rules(
         tmp_path,
         """
         # two colons in the condition
@@ -128,15 +128,15 @@
         on arrival when 1: reject "too late to be asked"
     """,
     )
-    answer = hook.arrival(message)
+    answer = plugin_host.arrival(message)
     assert (message.cls, message.dest) == (PAYMENT, 8)
     assert answer is not None and answer.defer and answer.come_back == 500 * MS
     message.key, message.dest = "other", 7
-    assert (answer := hook.arrival(message)) is not None and not answer.defer and "never" in answer.reason
+    assert (answer := plugin_host.arrival(message)) is not None and not answer.defer and "never" in answer.reason
 
 
-def test_a_rule_that_fails_is_logged_and_passed_over(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    _, hook, message = scripted(
+def test_a_rule_that_fails_is_logged_and_skipped(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    _, plugin_host, message = make_scene_with_rules(
         tmp_path,
         """on arrival when size + body == 1: reject "a"
 on arrival when 1 // 0: reject "b"
@@ -150,9 +150,9 @@
         + " + ".join(["1"] * 150)
         + ''': reject "too many steps"''',
     )
-    assert hook.arrival(message) is None and (message.cls, message.dest) == (READING, 7)
-    hook.end(message, End(FAILED))
-    hook.end(message, End(DELIVERED))
+    assert plugin_host.arrival(message) is None and (message.cls, message.dest) == (READING, 7)
+    plugin_host.end(message, End(FAILED))
+    plugin_host.end(message, End(DELIVERED))
     lines = capsys.readouterr().out.splitlines()
     assert sum("event=plugin-passed-over" in line for line in lines) == 9
     assert [line for line in lines if 'text="lost t1 0"' in line and "s.rules:7" in line]
@@ -178,14 +178,14 @@
         "on arrival when len(body, 1): defer 1",
     ],
 )
-def test_a_faulty_script_is_refused_with_file_and_line(tmp_path: Path, line: str) -> None:
+def test_an_invalid_script_is_rejected_with_file_and_line(tmp_path: Path, line: str) -> None:
     with pytest.raises(plugins.ScriptError, match=r"s\.rules:2: "):
-        rules(tmp_path, "# fine\n" + line)
+        read_rules(tmp_path, "# fine\n" + line)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.text(st.sampled_from("abcdesiz()+-*'\":,.<>= 019\n"), max_size=60))
-def test_garbage_is_refused_or_worked_out(text: str) -> None:
+def test_garbage_is_rejected_or_evaluated(text: str) -> None:
     try:
         rule = plugins.Rule(f"on arrival when {text}: defer {text}", "x:1")
         rule.condition.work_out(dict.fromkeys(plugins.ARRIVAL, 1))
@@ -193,13 +193,13 @@
         pass
 
 
-def test_the_core_asks_plug_ins_before_a_message_is_taken_on(tmp_path: Path) -> None:
-    scene, hook, message = scripted(tmp_path, 'on arrival when 1: reject "closed today"')
-    scene.courier.hooks.append(hook)
-    given_answers: list[bool] = []
-    scene.loop.spawn(scene.courier.carry, message, lambda a: given_answers.append(a.taken) or True)
-    scene.until(lambda: given_answers)
-    assert given_answers == [False] and not scene.journal.entries
+def test_plug_ins_run_before_a_message_is_accepted(tmp_path: Path) -> None:
+    scene, plugin_host, message = make_scene_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
+    scene.courier.hooks.append(plugin_host)
+    accepted: list[bool] = []
+    scene.loop.spawn(scene.courier.carry, message, lambda a: accepted.append(a.taken) or True)
+    scene.until(lambda: accepted)
+    assert accepted == [False] and not scene.journal.entries
 
 
 # The nginx importer
@@ -229,14 +229,16 @@
 """
 
 
-def test_an_import_names_what_it_loses_and_is_loaded(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_import_reports_unsupported_directives_and_can_be_loaded(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     source, target = tmp_path / "nginx.conf", tmp_path / "map.json"
     source.write_text(NGINX)
     assert nginx_import([str(source), "--zone", "room-b"], standalone_mode=False) in (0, None)
-    out, lost = capsys.readouterr()
-    target.write_text(out)
-    lines = sorted(int(line.split(":")[1]) for line in lost.splitlines())
-    assert lines == [4, 6, 7, 10, 17, 18, 19, 19, 20] and all(str(source) in x for x in lost.splitlines())
+    output, unsupported = capsys.readouterr()
+    target.write_text(output)
+    lines = sorted(int(line.split(":")[1]) for line in unsupported.splitlines())
+    assert lines == [4, 6, 7, 10, 17, 18, 19, 19, 20] and all(str(source) in x for x in unsupported.splitlines())
     scene = Scene(tmp_path)
     hops = [
         entries.hop(row, scene.courier.settings, object())  # type: ignore[arg-type]
@@ -250,15 +252,15 @@
 
 
 @pytest.mark.parametrize(("text", "value"), [("5", 5000), ("250ms", 250), ("1m30s", 90_000)])
-def test_times_of_nginx(text: str, value: int) -> None:
+def test_nginx_times_are_converted_to_milliseconds(text: str, value: int) -> None:
     assert nginx.milliseconds(text) == value
-    for bad in ("", "x", "5y", "-1", text + " "):
+    for invalid in ("", "x", "5y", "-1", text + " "):
         with pytest.raises(ValueError):
-            nginx.milliseconds(bad)
+            nginx.milliseconds(invalid)
 
 
-def test_the_module_keeps_the_bounds_of_an_imported_map() -> None:
-    forwarder = Forwarder(module_settings(message_class(), max_attempts=8))
+def test_the_controller_applies_the_bounds_of_an_imported_map() -> None:
+    forwarder = Forwarder(controller_settings(message_class(), max_attempts=8))
     forwarder.feed(
         api.EndpointList(
             api.ListKind.DELTA,
