--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -391,7 +391,7 @@
         assert self._list_file is not None and self._removal_log is not None
         if self._saving or not self.sync.listed:
             return  # before the first complete list, entries may be missing
-        section, sync, removal_number = self.config.told, self.sync, self._removal_log.number
+        section, sync, removal_revision = self.config.told, self.sync, self._removal_log.number
         confirmed_at_ms = time.time_ns() // 1_000_000 - (self.loop.now - sync.confirmed_at) // MS
         head = keep.ListHeader(
             format=keep.FORMAT,
@@ -402,7 +402,7 @@
             at_ms=confirmed_at_ms,
             count=len(self.known_list.entries),
             xxh64="",
-            told=removal_number,
+            told=removal_revision,
         )
         self._has_unsaved_changes, self._saving = False, True
         try:
@@ -420,7 +420,7 @@
         else:
             reason = "" if size else f"it takes more than {section.keep} bytes"
             if size:
-                self._removal_log.cut(removal_number)
+                self._removal_log.cut(removal_revision)
         finally:
             self._saving = False
         if reason and reason != self._save_error:
--- a/kestrelspar/registry/keep.py
+++ b/kestrelspar/registry/keep.py
@@ -45,7 +45,7 @@
     at_ms: int  # Unix time in ms at which the list was last known to be current
     count: int
     xxh64: str
-    told: int = 0  # number of the last record of journal/left.py that the list contains
+    told: int = 0  # the list contains the rows of journal/left.py up to this revision
 
 
 class ListRow(Struct):
@@ -132,10 +132,10 @@
     """
     packer, packed, size = zlib.compressobj(1), [], 0
     encode = msgspec.json.encode
-    for at in range(0, len(known_entries), BATCH_SIZE):
+    for start in range(0, len(known_entries), BATCH_SIZE):
         lines = [
             encode(ListRow(key, known.revision, entry_from_hop(known.hop, settings)))
-            for key, known in known_entries[at : at + BATCH_SIZE]
+            for key, known in known_entries[start : start + BATCH_SIZE]
             if known.hop is not None
         ]
         packed.append(packer.compress(b"\n".join([*lines, b""])))
@@ -192,11 +192,11 @@
     update: Any,
     removed: dict[str, api.EndpointState],
 ) -> int:
-    """Put a saved list into a known list, except for entries ``removed`` since then (or draining), by key.
+    """Put a saved list into a known list. ``removed`` has the keys reported as gone or draining since then.
 
     Returns the number of entries that the current settings no longer accept.
     """
-    lost = 0
+    rejected = 0
     for row in saved.rows:
         state = removed.get(row.key)
         if state is api.EndpointState.GONE:
@@ -206,5 +206,5 @@
         try:
             known_list.restore(row.key, hop(row.entry), row.revision, update)
         except ValueError:
-            lost += 1
-    return lost
+            rejected += 1
+    return rejected
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -96,13 +96,13 @@
     """The sections of this file and of the files that it includes, and all errors of their syntax."""
     reader = _Reader()
     reader.read_file(path, None)
-    return reader.blocks, reader.faults
+    return reader.blocks, reader.errors
 
 
 class _Reader:
     def __init__(self) -> None:
         self.blocks: list[Block] = []
-        self.faults: list[Fault] = []
+        self.errors: list[Fault] = []
         self._open_files: list[str] = []  # files being read, to detect one that includes itself
         self._file_count = 0
 
@@ -112,17 +112,17 @@
         self._file_count += 1
         if real_path in self._open_files or self._file_count > MAX_FILES:
             reason = "includes itself" if real_path in self._open_files else f"is one of more than {MAX_FILES} files"
-            self.faults.append(Fault(place, "include", f"{path} {reason}"))
+            self.errors.append(Fault(place, "include", f"{path} {reason}"))
             return
         try:
             with open(path, encoding="utf-8") as file:
                 text = file.read(MAX_FILE_SIZE + 1)
         except (OSError, UnicodeDecodeError) as error:
             reason = str(error.strerror) if isinstance(error, OSError) else "not UTF-8 text"
-            self.faults.append(Fault(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
+            self.errors.append(Fault(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
             return
         if len(text) > MAX_FILE_SIZE:
-            self.faults.append(Fault(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
+            self.errors.append(Fault(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
             return
         self._open_files.append(real_path)
         block: Block | None = None
@@ -135,13 +135,13 @@
         try:
             found = words(text)
         except ValueError as error:
-            self.faults.append(Fault(place, block.kind if block and text[:1] in " \t" else "", str(error)))
+            self.errors.append(Fault(place, block.kind if block and text[:1] in " \t" else "", str(error)))
             return block
         if not found:
             return block
         if text[0] in " \t":
             if block is None:
-                self.faults.append(
+                self.errors.append(
                     Fault(place, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
                 )
             else:
@@ -151,7 +151,7 @@
             self._include(place, found[1:])
             return None
         if len(found) > 2:
-            self.faults.append(
+            self.errors.append(
                 Fault(
                     place,
                     found[0],
@@ -164,7 +164,7 @@
 
     def _include(self, place: Place, patterns: tuple[str, ...]) -> None:
         if not patterns:
-            self.faults.append(Fault(place, "include", "names no file"))
+            self.errors.append(Fault(place, "include", "names no file"))
         for pattern in patterns:
             path = os.path.join(os.path.dirname(place.path), pattern)
             found = sorted(glob.glob(path))
