--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -118,7 +118,7 @@
                         {
                             "key": item.key,
                             "why": str(error)[:300],
-                            "kept": "previous value" if entry is not None and entry.hop is not None else "none",
+                            "kept": "as it was" if entry is not None and entry.hop is not None else "left out",
                         },
                     )
                 )
