--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -1,10 +1,11 @@
-"""Long messages in parts: which part a PDU is, and when a set of parts is whole. No I/O.
-
-Theory of operation. A part is known by a reference, how many there are, and its place: in a user data header (3GPP
-TS 23.040, 9.2.3.24: information elements 0x00 with an 8-bit reference and 0x08 with a 16-bit one) or in the three SAR
-parameters of SMPP 3.4 (5.3.2.22 to 24). A set is the parts of one reference from one account, between the same two
-addresses, of the same service type and coding. Parts come in any order; the same one may come again. A set that is not
-whole in time ends, each part for itself. How many sets and bytes are held is bounded: beyond that a part is deferred.
+"""Concatenated messages: identifies, reassembles and produces parts. No I/O.
+
+A part carries a reference, the number of parts, and its own position: in a user data header (3GPP TS 23.040,
+9.2.3.24: information elements 0x00 with an 8-bit reference and 0x08 with a 16-bit one) or in the three SAR parameters
+of SMPP 3.4 (5.3.2.22 to 24). Parts belong to one message if they have the same reference, account, source and
+destination address, service type and coding. They may arrive in any order, and more than once. The parts of a message
+that is still incomplete at its time-out end one by one, each with its own final state. The number of incomplete
+messages and the bytes of each are bounded; parts beyond that are deferred.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Pdu, Status
 
-UDHI = 0x40  # of esm_class: the text begins with a user data header
-CONCAT_8, CONCAT_16 = 0x00, 0x08
-MOST_SETS = 500
-MOST_BYTES = 64 * 1024  # of a whole message
+UDHI = 0x40  # flag in esm_class: the text begins with a user data header
+CONCAT_8, CONCAT_16 = 0x00, 0x08  # information elements with an 8-bit and a 16-bit reference
+MAX_INCOMPLETE_MESSAGES = 500
+MAX_MESSAGE_BYTES = 64 * 1024  # of a complete message
 SAR = (p.SAR_MSG_REF_NUM, p.SAR_TOTAL_SEGMENTS, p.SAR_SEGMENT_SEQNUM)
-SAR_SIZES = {p.SAR_MSG_REF_NUM: 2, p.SAR_TOTAL_SEGMENTS: 1, p.SAR_SEGMENT_SEQNUM: 1}
+SAR_LENGTHS = {p.SAR_MSG_REF_NUM: 2, p.SAR_TOTAL_SEGMENTS: 1, p.SAR_SEGMENT_SEQNUM: 1}
 
 
-class BadPart(ValueError):
-    """A part's numbers do not fit together; ``status`` is what its sender is answered."""
+class InvalidPartError(ValueError):
+    """A part is malformed; ``status`` is the command_status of the response."""
 
     def __init__(self, text: str, status: Status) -> None:
         super().__init__(text)
@@ -34,169 +35,176 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Which part of what."""
+    """Which part of which message."""
 
-    how: str  # "udh8", "udh16" or "sar": references of different kinds are different
+    how: str  # "udh8", "udh16" or "sar"; references of different kinds are unrelated
     ref: int
     total: int
-    place: int  # from 1
+    place: int  # position, from 1
 
 
-def header(text: bytes) -> tuple[dict[int, bytes], bytes]:
-    """The elements of a user data header and the text behind it; ``BadPart`` where it is cut short."""
+def split_header(text: bytes) -> tuple[dict[int, bytes], bytes]:
+    """Split off a user data header: its elements and the text after it; ``InvalidPartError`` if it is truncated."""
     if not text or 1 + text[0] > len(text):
-        raise BadPart("the user data header is cut short", Status.ESME_RINVESMCLASS)
-    raw, found, at = text[1 : 1 + text[0]], {}, 0
+        raise InvalidPartError(f"user data header truncated at {len(text)} bytes", Status.ESME_RINVESMCLASS)
+    raw, elements, at = text[1 : 1 + text[0]], {}, 0
     while at < len(raw):
         if at + 2 > len(raw) or at + 2 + raw[at + 1] > len(raw):
-            raise BadPart("an element of the user data header is cut short", Status.ESME_RINVESMCLASS)
-        found[raw[at]] = raw[at + 2 : at + 2 + raw[at + 1]]
+            raise InvalidPartError(
+                f"element at offset {at} of the user data header is truncated", Status.ESME_RINVESMCLASS
+            )
+        elements[raw[at]] = raw[at + 2 : at + 2 + raw[at + 1]]
         at += 2 + raw[at + 1]
-    return found, text[1 + text[0] :]
+    return elements, text[1 + text[0] :]
 
 
 def part_of(pdu: Pdu, text: bytes) -> tuple[Part | None, bytes]:
-    """Which part a submit_sm or data_sm is, and its text without the header; no part: the text as it was.
+    """Which part a submit_sm or data_sm is, and its text without the header; (None, text) if it is no part.
 
-    A header that has other elements beside the reference (ports, say) is for the handset: such a message is not
-    joined, as what it says would be lost.
+    A header with elements other than the reference, such as ports, is meant for the handset. Such a message is not
+    reassembled, as these elements would be lost.
     """
     if pdu.number("esm_class") & UDHI:
-        elements, rest = header(text)
+        elements, rest = split_header(text)
         wide = CONCAT_16 in elements
-        told = elements.get(CONCAT_16 if wide else CONCAT_8)
-        if told is None or len(elements) > 1:
+        reference = elements.get(CONCAT_16 if wide else CONCAT_8)
+        if reference is None or len(elements) > 1:
             return None, text
-        if len(told) != (4 if wide else 3):
-            raise BadPart("a reference of the wrong size", Status.ESME_RINVESMCLASS)
-        found = Part("udh16" if wide else "udh8", int.from_bytes(told[:-2], "big"), told[-2], told[-1])
-        return _checked(found, Status.ESME_RINVESMCLASS), rest
-    told_sar = {tag: pdu.tlv(tag) for tag in SAR}
-    if all(value is None for value in told_sar.values()):
+        if len(reference) != (4 if wide else 3):
+            raise InvalidPartError(f"concatenation element has {len(reference)} bytes", Status.ESME_RINVESMCLASS)
+        part = Part("udh16" if wide else "udh8", int.from_bytes(reference[:-2], "big"), reference[-2], reference[-1])
+        return _validated(part, Status.ESME_RINVESMCLASS), rest
+    sar = {tag: pdu.tlv(tag) for tag in SAR}
+    if all(value is None for value in sar.values()):
         return None, text
     numbers = []
-    for tag, value in told_sar.items():
+    for tag, value in sar.items():
         if value is None:
-            raise BadPart("SAR parameters go together", Status.ESME_RMISSINGOPTPARAM)
-        if len(value) != SAR_SIZES[tag]:
-            raise BadPart("a SAR parameter of the wrong size", Status.ESME_RINVOPTPARAMVAL)
+            raise InvalidPartError(f"SAR parameter {tag:#06x} is missing", Status.ESME_RMISSINGOPTPARAM)
+        if len(value) != SAR_LENGTHS[tag]:
+            raise InvalidPartError(f"SAR parameter {tag:#06x} has {len(value)} bytes", Status.ESME_RINVOPTPARAMVAL)
         numbers.append(int.from_bytes(value, "big"))
-    return _checked(Part("sar", *numbers), Status.ESME_RINVOPTPARAMVAL), text
+    return _validated(Part("sar", *numbers), Status.ESME_RINVOPTPARAMVAL), text
 
 
-def _checked(part: Part, status: Status) -> Part:
+def _validated(part: Part, status: Status) -> Part:
     if not 0 < part.place <= part.total:
-        raise BadPart(f"part {part.place} of {part.total}", status)
+        raise InvalidPartError(f"invalid part number: {part.place} of {part.total}", status)
     return part
 
 
-class Place(Enum):
-    """What became of a part."""
+class PartDisposition(Enum):
+    """What happens to a part."""
 
     HELD = "held"
-    WHOLE = "its set is whole"
-    REPEATED = "it is held already"
-    NO_ROOM = "too many sets or bytes"
+    WHOLE = "completes its message"
+    REPEATED = "duplicate of a held part"
+    NO_ROOM = "too many incomplete messages or bytes"
 
 
 Key = tuple[object, ...]
 
 
 @dataclass(slots=True)
-class Set:
-    """The parts of one message so far: by place, the number and the size of each."""
+class IncompleteMessage:
+    """The parts of a message that have arrived: by position, the number and the size of each."""
 
     total: int
-    until: int
+    expires_at: int
     parts: dict[int, tuple[int, int]] = field(default_factory=dict)
 
     @property
     def numbers(self) -> list[int]:
-        """The parts' messages, in their order."""
+        """The message numbers of the parts, in the order of their positions."""
         return [self.parts[place][0] for place in sorted(self.parts)]
 
 
-class Joiner:
-    """The sets that are not whole. Times in microseconds."""
-
-    def __init__(self, within: int) -> None:
-        self._within = within
-        self._sets: dict[Key, Set] = {}
-
-    def look(self, key: Key, part: Part, size: int) -> tuple[Place, int]:
-        """What would become of a part, before it is journalled; the number of the one that it repeats."""
-        found = self._sets.get((*key, part.how, part.ref, part.total))
-        if found is None:
-            return (Place.NO_ROOM if len(self._sets) >= MOST_SETS or size > MOST_BYTES else Place.HELD), 0
-        if part.place in found.parts:
-            return Place.REPEATED, found.parts[part.place][0]
-        if size + sum(held for _, held in found.parts.values()) > MOST_BYTES:
-            return Place.NO_ROOM, 0
-        return (Place.WHOLE if len(found.parts) + 1 == found.total else Place.HELD), 0
-
-    def add(self, now: int, key: Key, part: Part, number: int, size: int, deadline: int) -> Set | None:
-        """Hold a part; its set if that makes it whole, which is let go of then.
-
-        A set waits no longer than the first ``deadline`` of its parts: each is owed its end by then.
+class Reassembler:
+    """Holds incomplete messages. Times are in microseconds."""
+
+    def __init__(self, timeout: int) -> None:
+        self._timeout = timeout
+        self._incomplete: dict[Key, IncompleteMessage] = {}
+
+    def classify(self, key: Key, part: Part, size: int) -> tuple[PartDisposition, int]:
+        """What would happen to a part, and the number of the held part that it duplicates, or 0. Changes nothing."""
+        incomplete = self._incomplete.get((*key, part.how, part.ref, part.total))
+        if incomplete is None:
+            return (
+                PartDisposition.NO_ROOM
+                if len(self._incomplete) >= MAX_INCOMPLETE_MESSAGES or size > MAX_MESSAGE_BYTES
+                else PartDisposition.HELD
+            ), 0
+        if part.place in incomplete.parts:
+            return PartDisposition.REPEATED, incomplete.parts[part.place][0]
+        if size + sum(held for _, held in incomplete.parts.values()) > MAX_MESSAGE_BYTES:
+            return PartDisposition.NO_ROOM, 0
+        return (PartDisposition.WHOLE if len(incomplete.parts) + 1 == incomplete.total else PartDisposition.HELD), 0
+
+    def add(self, now: int, key: Key, part: Part, number: int, size: int, deadline: int) -> IncompleteMessage | None:
+        """Hold a part. If it completes its message, the message is removed and returned.
+
+        A message expires no later than the earliest ``deadline`` of its parts, as each of them needs its final state
+        by then.
         """
-        name = (*key, part.how, part.ref, part.total)
-        found = self._sets.setdefault(name, Set(part.total, now + self._within))
-        found.until = min(found.until, deadline)
-        found.parts[part.place] = number, size
-        return self._sets.pop(name) if len(found.parts) == found.total else None
+        message_key = (*key, part.how, part.ref, part.total)
+        incomplete = self._incomplete.setdefault(message_key, IncompleteMessage(part.total, now + self._timeout))
+        incomplete.expires_at = min(incomplete.expires_at, deadline)
+        incomplete.parts[part.place] = number, size
+        return self._incomplete.pop(message_key) if len(incomplete.parts) == incomplete.total else None
 
-    def late(self, now: int) -> Iterator[Set]:
-        """The sets whose time is up; they are let go of."""
-        for name in [name for name, found in self._sets.items() if found.until <= now]:
-            yield self._sets.pop(name)
+    def pop_expired(self, now: int) -> Iterator[IncompleteMessage]:
+        """Remove and yield the messages that have expired."""
+        for key in [key for key, incomplete in self._incomplete.items() if incomplete.expires_at <= now]:
+            yield self._incomplete.pop(key)
 
     @property
-    def next_late(self) -> int | None:
-        """When the next set's time is up."""
-        return min((found.until for found in self._sets.values()), default=None)
+    def next_expiry(self) -> int | None:
+        """The earliest expiry, None if no message is incomplete."""
+        return min((incomplete.expires_at for incomplete in self._incomplete.values()), default=None)
 
 
-# Towards gateways: how a text is cut. Sizes after 3GPP TS 23.040: 140 octets on the air, 160 letters of 7 bits; a
-# header of 6 octets leaves 134 and 153, one of 7 octets 133 and 152. SAR leaves the header to the gateway: the
-# smaller sizes, in whole letters of UCS-2.
+# Splitting of texts for gateways. Sizes after 3GPP TS 23.040: 140 octets on the air interface, or 160 characters of 7
+# bits; a header of 6 octets leaves 134 and 153, one of 7 octets 133 and 152. With SAR the gateway chooses the header,
+# so the smaller sizes apply, 133 octets being rounded down to whole UCS-2 characters.
 
 GSM, IA5, LATIN_1, BINARY, UCS_2 = 0, 1, 3, 4, 8  # data_coding
-ESCAPE = 0x1B  # the next letter is one of the extension table
-MOST_PARTS = 255
+ESCAPE = 0x1B  # the next character is from the GSM extension table
+MAX_PARTS = 255  # the number of parts is one octet
 
 
 def room(coding: int, text: bytes, how: str = "") -> int:
-    """Octets of a text that one PDU holds on the air: whole (no ``how``), or as a part by "udh" or "sar"."""
-    letters = coding in (GSM, IA5) and not any(octet > 0x7F for octet in text)
-    return {"": (140, 160), "udh": (134, 153), "sar": (132, 152)}[how][letters]
+    """Capacity of one PDU in octets of text: unsplit (empty ``how``), or for a part by "udh" or "sar"."""
+    seven_bit = coding in (GSM, IA5) and not any(octet > 0x7F for octet in text)
+    return {"": (140, 160), "udh": (134, 153), "sar": (132, 152)}[how][seven_bit]
 
 
 def split(text: bytes, coding: int, how: str) -> list[bytes]:
-    """The text in as few parts as hold it, none ending inside an escape or a surrogate pair.
+    """Split a text into as few parts as possible, never inside an escape sequence or a surrogate pair.
 
-    ``ValueError`` where it takes more than 255.
+    Raises ``ValueError`` if that takes more than 255 parts.
     """
     if len(text) <= room(coding, text):
         return [text]
-    most, found, at = room(coding, text, how), [], 0
+    max_length, pieces, at = room(coding, text, how), [], 0
     while at < len(text):
-        end = min(len(text), at + most)
+        end = min(len(text), at + max_length)
         if end < len(text):
             if coding == UCS_2:
                 end -= (end - at) % 2
-                if 0xD8 <= text[end - 2] <= 0xDB:  # the first half of a pair
+                if 0xD8 <= text[end - 2] <= 0xDB:  # high surrogate
                     end -= 2
-            elif coding == GSM and most > 140 and _escapes(text, at, end):
+            elif coding == GSM and max_length > 140 and _ends_in_escape(text, at, end):
                 end -= 1
-        found.append(text[at:end])
+        pieces.append(text[at:end])
         at = end
-    if len(found) > MOST_PARTS:
-        raise ValueError(f"{len(found)} parts, {MOST_PARTS} at the most")
-    return found
+    if len(pieces) > MAX_PARTS:
+        raise ValueError(f"text needs {len(pieces)} parts, at most {MAX_PARTS} are possible")
+    return pieces
 
 
-def _escapes(text: bytes, begin: int, end: int) -> bool:
-    """Whether the last letter before ``end`` is an escape, and not what another escape stands for."""
+def _ends_in_escape(text: bytes, begin: int, end: int) -> bool:
+    """Whether the last character before ``end`` is an escape that is not itself escaped."""
     count = 0
     while end - 1 - count >= begin and text[end - 1 - count] == ESCAPE:
         count += 1
@@ -204,7 +212,7 @@
 
 
 def marked(text: bytes, how: str, ref: int, total: int, place: int) -> tuple[bytes, list[tuple[int, bytes]]]:
-    """A part with what says which one it is: its text with a header in front, or its SAR parameters."""
+    """Mark a part with its position: its text with a user data header in front, or its SAR parameters."""
     if how == "udh":
         return bytes([5, CONCAT_8, 3, ref % 256, total, place]) + text, []
     return text, [
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -1,4 +1,4 @@
-"""The SMPP server: contractors bind, hand in messages by submit_sm, and get receipts by deliver_sm."""
+"""SMPP server (message centre): clients bind, submit messages by submit_sm and get receipts by deliver_sm."""
 
 from __future__ import annotations
 
@@ -20,34 +20,37 @@
 from kestrelspar.settings.resolve import Account, Smpp
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # with ssl: only where it is wanted
+    from kestrelspar.keys import Keys  # imports ssl, which is loaded only if TLS is configured
 from kestrelspar.passwords import Verifier
 from kestrelspar.smpp import errors, parts, table
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.door import Door, within
-from kestrelspar.smpp.parts import Place
+from kestrelspar.smpp.parts import PartDisposition
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.receivers import Receivers
 from kestrelspar.smpp.session import Lost, NotSent, Session
 from kestrelspar.smpp.table import BINDS, Bound, Side
 
-SPARED = 50 * MS  # a connection that new may just be about to bind
-DIAL_AGAIN = 5 * SECOND  # an account that does not come is asked to bind no more often
-MOST_REFUSED = 3  # binds on one connection
-WAIT_FIRST, WAIT_MOST = 100 * MS, 5 * SECOND
-RECEIVES = (Bound.RX, Bound.TRX)
-MOST_AHEAD = 30 * 86_400 * SECOND  # a schedule_delivery_time further off is refused
-_TIME = re.compile(r"(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d)(\d\d)([+\-R])")
+MIN_UNBOUND_AGE = 50 * MS  # a younger connection may be about to bind
+OUTBIND_INTERVAL = 5 * SECOND  # minimum time between two outbinds to one account
+MAX_REFUSED_BINDS = 3  # per connection
+INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND  # of a receipt
+RECEIVER_STATES = (Bound.RX, Bound.TRX)
+MAX_SCHEDULE_DELAY = 30 * 86_400 * SECOND  # a later schedule_delivery_time is refused
+_SMPP_TIME = re.compile(r"(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d)(\d\d)([+\-R])")
 
 
 def validity(text: str, wall: datetime) -> int | None:
-    """A validity_period as microseconds from now; nothing if it is not told, ``ValueError`` if unusable."""
+    """Parse an SMPP time, absolute or relative, into microseconds from ``wall``.
+
+    Returns None for an empty string; raises ``ValueError`` if the time is malformed.
+    """
     if not text:
         return None
-    match = _TIME.fullmatch(text)
+    match = _SMPP_TIME.fullmatch(text)
     if match is None:
-        raise ValueError("no SMPP time")
-    year, month, day, hour, minute, second, tenth, quarters = (int(part) for part in match.groups()[:8])
+        raise ValueError(f"not an SMPP time: {text!r}")
+    year, month, day, hour, minute, second, tenth, quarters = (int(group) for group in match.groups()[:8])
     if match[9] == "R":
         days = year * 365 + month * 30 + day
         return (((days * 24 + hour) * 60 + minute) * 60 + second) * SECOND
@@ -56,26 +59,26 @@
     return ((at - offset if match[9] == "+" else at + offset) - wall) // timedelta(microseconds=1)
 
 
-class Guest:
-    """A contractor's connection."""
+class ClientConnection:
+    """A connection of an SMPP client."""
 
     def __init__(self, session: Session) -> None:
         self.session = session
         self.account: Account | None = None
-        self.handing = 0  # submit_sm without an answer yet
-        self.refused = 0  # binds
-        self.unheard = 0  # receipts in a row that it did not acknowledge
-        self.since = session.loop.now
+        self.pending_submits = 0  # submit requests without a response yet
+        self.refused_binds = 0  # outbinds included
+        self.unacknowledged_receipts = 0  # consecutive receipts without an acknowledgement
+        self.connected_at = session.loop.now
         self.host = session.name.partition(":")[0]
 
-    def names(self) -> list[str]:
-        """The names in its certificate, where it has shown one."""
-        found: list[str] = getattr(self.session.stream, "names", list)()
-        return found
+    def certificate_names(self) -> list[str]:
+        """The names in the client certificate, if one was presented."""
+        names: list[str] = getattr(self.session.stream, "names", list)()
+        return names
 
 
 class SmppServer:
-    """The sender side of messages that came over SMPP."""
+    """The sender side of messages that were submitted over SMPP."""
 
     name = "smpp"
 
@@ -84,22 +87,25 @@
         loop: Loop,
         buffers: BufferPool,
         courier: Courier,
-        told: Smpp,
-        outbound: Callable[[str, str], Callable[[Stream], None] | None] = lambda system_id, password: None,
+        config: Smpp,
+        claim_outbind: Callable[[str, str], Callable[[Stream], None] | None] = lambda system_id, password: None,
         keys: Keys | None = None,
     ) -> None:
-        """``outbound`` is asked, by name and password, who binds on the connection that a gateway has made to us."""
-        self._keys, self._door, self._verifier = keys, Door(), Verifier()
-        self._outbound = outbound
-        self._dialling: dict[str, int] = {}  # by account: when it may be asked to bind again
-        self.receivers = Receivers(loop, told.accounts, told.response, self._receiver, self._missed)
-        self.loop, self.buffers, self.courier, self.told = loop, buffers, courier, told
-        self._guests: list[Guest] = []
-        self._hopeful: list[Parking] = []  # receipts that wait for somebody to bind
-        self._open: dict[str, dict[int, Message]] = {}  # by the id that their sender knows, and their number
-        self._joiner = parts.Joiner(told.parts_within)
-        self._parts: dict[int, Message] = {}  # that wait for others, by number
-        self._sweep: Timer | None = None
+        """``claim_outbind`` maps the system_id and password of an outbind to the owner of the gateway's connection.
+
+        It returns None if they match no configured gateway.
+        """
+        self._keys, self._bind_throttle, self._verifier = keys, Door(), Verifier()
+        self._claim_outbind = claim_outbind
+        self._next_outbind_at: dict[str, int] = {}  # by account: earliest time of the next outbind
+        self.receivers = Receivers(loop, config.accounts, config.response, self._find_receiver, self._request_bind)
+        self.loop, self.buffers, self.courier, self.told = loop, buffers, courier, config
+        self._guests: list[ClientConnection] = []
+        self._waiting_for_bind: list[Parking] = []  # receipts that wait until a client binds
+        self._open_by_id: dict[str, dict[int, Message]] = {}  # by message_id returned to the client, and number
+        self._reassembler = parts.Reassembler(config.parts_within)
+        self._held_parts: dict[int, Message] = {}  # by number: parts that wait for the rest of their message
+        self._expiry_timer: Timer | None = None
         self._operations: dict[Command, Callable[[Account, Pdu], Pdu]] = {
             Command.QUERY_SM: self._query,
             Command.CANCEL_SM: self._cancel,
@@ -107,7 +113,7 @@
         }
 
     def accept(self, listener: socket.socket) -> None:
-        """Take connections for as long as the process runs."""
+        """Accept connections as long as the process runs."""
         while True:
             self.loop.readable(listener, None)
             try:
@@ -118,7 +124,7 @@
                 logs.warn("not-accepted", front="smpp", why=str(error))
                 self.loop.sleep(20 * MS)
                 continue
-            if self._door.waits(peer[0], self.loop.now):  # it was refused again and again, and has been told so
+            if self._bind_throttle.waits(peer[0], self.loop.now):  # after repeated refusals
                 sock.close()
                 continue
             if len(self._guests) >= self.told.most_sessions and not self._make_room():
@@ -127,27 +133,31 @@
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.loop.spawn(self._receive, sock, f"{peer[0]}:{peer[1]}")
+            self.loop.spawn(self._serve_connection, sock, f"{peer[0]}:{peer[1]}")
 
     def _make_room(self) -> bool:
-        """Close the oldest connection that has not bound: silent ones must not keep contractors out."""
-        for guest in self._guests:
-            if guest.session.state is Bound.OPEN and not guest.session.closed and guest.since <= self.loop.now - SPARED:
-                logs.event("smpp-closed-unbound", peer=guest.session.name)
-                guest.session.close()
+        """Close the oldest connection that has not bound, so that idle connections cannot lock clients out."""
+        for client in self._guests:
+            if (
+                client.session.state is Bound.OPEN
+                and not client.session.closed
+                and client.connected_at <= self.loop.now - MIN_UNBOUND_AGE
+            ):
+                logs.event("smpp-closed-unbound", peer=client.session.name)
+                client.session.close()
                 return True
         return False
 
-    def _receive(self, sock: socket.socket, name: str) -> None:
-        """One connection that was made to us: keys first where they are wanted, in its own task and time."""
+    def _serve_connection(self, sock: socket.socket, name: str) -> None:
+        """Serve an accepted connection in its own task, starting with the TLS handshake if TLS is configured."""
         if not self.told.tls or self._keys is None:
-            self._host(Stream(self.loop, sock, self.buffers), name)
+            self._run_session(Stream(self.loop, sock, self.buffers), name)
             return
-        from kestrelspar.runtime.tls import TlsStream  # only where it is wanted
+        from kestrelspar.runtime.tls import TlsStream  # loads ssl, so only if TLS is configured
 
         stream = TlsStream(self.loop, sock, self.buffers, self._keys.server(self.told.tls), True, guest=True)
-        guest = Guest(Session(self.loop, stream, name, self.told.enquire, self.told.response))
-        self._guests.append(guest)  # it counts, and gives way, like one that has not bound
+        client = ClientConnection(Session(self.loop, stream, name, self.told.enquire, self.told.response))
+        self._guests.append(client)  # counts as unbound, and may be closed to make room
         try:
             stream.handshake(self.loop.now + self.told.bind_within)
         except (Closed, Late) as error:
@@ -155,51 +165,53 @@
             stream.close()
             return
         finally:
-            self._guests.remove(guest)
-        self._host(stream, name)
-
-    def _host(self, stream: Stream, name: str) -> None:
-        """One connection from bind to its end."""
-        guest = Guest(Session(self.loop, stream, name, self.told.enquire, self.told.response))
-        self._guests.append(guest)
-        init = self.loop.at(
+            self._guests.remove(client)
+        self._run_session(stream, name)
+
+    def _run_session(self, stream: Stream, name: str) -> None:
+        """Serve a session from its bind until it ends."""
+        client = ClientConnection(Session(self.loop, stream, name, self.told.enquire, self.told.response))
+        self._guests.append(client)
+        bind_timer = self.loop.at(
             self.loop.now + self.told.bind_within,
-            lambda: guest.session.close() if guest.session.state is Bound.OPEN else None,
+            lambda: client.session.close() if client.session.state is Bound.OPEN else None,
         )
         try:
-            guest.session.run(lambda pdu: self._handle(guest, pdu))
+            client.session.run(lambda pdu: self._handle(client, pdu))
         finally:
-            init.cancel()
-            self._guests.remove(guest)
+            bind_timer.cancel()
+            self._guests.remove(client)
 
-    def _handle(self, guest: Guest, pdu: Pdu) -> None:
-        refused = table.refusal(Side.CENTRE, guest.session.state, pdu)
-        if refused is not None:
-            guest.session.post(refused)
+    def _handle(self, client: ClientConnection, pdu: Pdu) -> None:
+        refusal = table.refusal(Side.CENTRE, client.session.state, pdu)
+        if refusal is not None:
+            client.session.post(refusal)
         elif pdu.command is Command.OUTBIND:
-            self._asked_to_bind(guest, pdu)
+            self._handle_outbind(client, pdu)
         elif pdu.command in BINDS:
-            self._bind(guest, pdu)
-        elif guest.account is None:
-            guest.session.post(pdu.reply(Status.ESME_RINVBNDSTS))
+            self._bind(client, pdu)
+        elif client.account is None:
+            client.session.post(pdu.reply(Status.ESME_RINVBNDSTS))
         elif pdu.command in self._operations:
-            guest.session.post(self._operations[pdu.command](guest.account, pdu))
-        elif guest.handing >= guest.account.window:
-            guest.session.post(pdu.reply(Status.ESME_RTHROTTLED))
+            client.session.post(self._operations[pdu.command](client.account, pdu))
+        elif client.pending_submits >= client.account.window:
+            client.session.post(pdu.reply(Status.ESME_RTHROTTLED))
         elif pdu.command is Command.SUBMIT_MULTI:
-            guest.handing += 1
-            self.loop.spawn(self._hand_in_all, guest, guest.account, pdu)
+            client.pending_submits += 1
+            self.loop.spawn(self._submit_multi, client, client.account, pdu)
         else:
-            guest.handing += 1
-            self.loop.spawn(self._hand_in, guest, guest.account, pdu)
+            client.pending_submits += 1
+            self.loop.spawn(self._submit, client, client.account, pdu)
 
-    def _bind(self, guest: Guest, pdu: Pdu) -> None:
+    def _bind(self, client: ClientConnection, pdu: Pdu) -> None:
         account = next((a for a in self.told.accounts if a.system_id == pdu.text("system_id")), None)
         status = Status.ESME_ROK
         if account is None:
             status = Status.ESME_RINVSYSID
         elif (
-            not within(guest.host, account.networks) or account.certificate and account.certificate not in guest.names()
+            not within(client.host, account.networks)
+            or account.certificate
+            and account.certificate not in client.certificate_names()
         ):
             status = Status.ESME_RBINDFAIL
         elif not self._verifier.same(account.password, pdu.text("password")):
@@ -207,58 +219,62 @@
         elif self.courier.closing is not None:
             status = Status.ESME_RBINDFAIL
         if status is Status.ESME_ROK:
-            guest.account, guest.session.state = account, BINDS[pdu.command]
-            self._door.welcome(guest.host)
-            guest.session.name = f"{pdu.text('system_id')}@{guest.session.name}"
+            client.account, client.session.state = account, BINDS[pdu.command]
+            self._bind_throttle.welcome(client.host)
+            client.session.name = f"{pdu.text('system_id')}@{client.session.name}"
         else:
-            guest.refused += 1
-            logs.warn("smpp-bind-refused", peer=guest.session.name, system_id=pdu.text("system_id"), status=status.name)
+            client.refused_binds += 1
+            logs.warn(
+                "smpp-bind-refused", peer=client.session.name, system_id=pdu.text("system_id"), status=status.name
+            )
             if status is not Status.ESME_RBINDFAIL or self.courier.closing is None:
-                wait = self._door.refused(guest.host, self.loop.now)
+                wait = self._bind_throttle.refused(client.host, self.loop.now)
                 if wait:
-                    logs.warn("smpp-address-waits", address=guest.host, wait_ms=wait // MS)
+                    logs.warn("smpp-address-waits", address=client.host, wait_ms=wait // MS)
         answer = pdu.reply(status, system_id=self.told.system_id)
         answer.tlvs.append((p.SC_INTERFACE_VERSION, b"\x34"))
-        if guest.session.post(answer) and guest.session.state in RECEIVES:
-            for parking in self._hopeful:
-                parking.resume()
-            self._hopeful.clear()
-        if guest.refused >= MOST_REFUSED and guest.session.state is Bound.OPEN:  # guessing, or asking again without end
-            guest.session.close()
-
-    def _asked_to_bind(self, guest: Guest, pdu: Pdu) -> None:
-        """A gateway's outbind: if it is one of ours, its connection is the client's from now on."""
-        take = self._outbound(pdu.text("system_id"), pdu.text("password"))
-        if take is not None and guest.session.hand_over():
-            take(guest.session.stream)
+        if client.session.post(answer) and client.session.state in RECEIVER_STATES:
+            for waiting in self._waiting_for_bind:
+                waiting.resume()
+            self._waiting_for_bind.clear()
+        if (
+            client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is Bound.OPEN
+        ):  # password guessing or a retry loop
+            client.session.close()
+
+    def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
+        """Handle an outbind; the connection of a configured gateway is handed over to the gateway client."""
+        adopt = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
+        if adopt is not None and client.session.hand_over():
+            adopt(client.session.stream)
             return
-        logs.warn("smpp-outbind-refused", peer=guest.session.name, system_id=pdu.text("system_id"))
-        guest.refused += 1
-        guest.session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
-        if guest.refused >= MOST_REFUSED:
-            guest.session.close()
-
-    def _receiver(self, account: Account) -> tuple[Session | None, bool]:
-        """A session that hears this account's messages and has room, and whether there is any that hears."""
+        logs.warn("smpp-outbind-refused", peer=client.session.name, system_id=pdu.text("system_id"))
+        client.refused_binds += 1
+        client.session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
+        if client.refused_binds >= MAX_REFUSED_BINDS:
+            client.session.close()
+
+    def _find_receiver(self, account: Account) -> tuple[Session | None, bool]:
+        """The least loaded receiver session of the account with room in its window, and whether one is bound at all."""
         bound = [
-            g.session
-            for g in self._guests
-            if g.account is not None
-            and g.session.state in RECEIVES
-            and g.account.system_id == account.system_id
-            and not (g.session.closed or g.session.retired)
+            c.session
+            for c in self._guests
+            if c.account is not None
+            and c.session.state in RECEIVER_STATES
+            and c.account.system_id == account.system_id
+            and not (c.session.closed or c.session.retired)
         ]
         free = [session for session in bound if session.outstanding < account.window]
         return min(free, key=lambda session: session.outstanding, default=None), bool(bound)
 
-    def _missed(self, account: Account) -> None:
-        """Something waits for an account that has not bound: connect to it, and ask it to (outbind)."""
-        if account.outbind is None or self._dialling.get(account.system_id, 0) > self.loop.now:
+    def _request_bind(self, account: Account) -> None:
+        """Send an outbind to an account that has something to receive and has not bound."""
+        if account.outbind is None or self._next_outbind_at.get(account.system_id, 0) > self.loop.now:
             return
-        self._dialling[account.system_id] = self.loop.now + DIAL_AGAIN
-        self.loop.spawn(self._dial, account)
+        self._next_outbind_at[account.system_id] = self.loop.now + OUTBIND_INTERVAL
+        self.loop.spawn(self._send_outbind, account)
 
-    def _dial(self, account: Account) -> None:
+    def _send_outbind(self, account: Account) -> None:
         assert account.outbind is not None
         if len(self._guests) >= self.told.most_sessions:
             return
@@ -277,99 +293,103 @@
         except (Closed, Late):
             stream.close()
             return
-        self._host(stream, f"{account.outbind[0]}:{account.outbind[1]}")
+        self._run_session(stream, f"{account.outbind[0]}:{account.outbind[1]}")
 
     def alert(self, gateway: str, pdu: Pdu) -> None:
-        """Pass an alert_notification on to every session that hears, of accounts with a destination of their own."""
-        heard = [
-            g.session
-            for g in self._guests
-            if g.account is not None
-            and g.account.dest is not None
-            and g.session.state in RECEIVES
-            and not g.session.closed
+        """Forward an alert_notification to all receiver sessions of accounts that have a destination."""
+        receivers = [
+            c.session
+            for c in self._guests
+            if c.account is not None
+            and c.account.dest is not None
+            and c.session.state in RECEIVER_STATES
+            and not c.session.closed
         ]
-        logs.event("smpp-alert", peer=gateway, source_addr=pdu.text("source_addr"), sessions=len(heard))
-        for session in heard:
+        logs.event("smpp-alert", peer=gateway, source_addr=pdu.text("source_addr"), sessions=len(receivers))
+        for session in receivers:
             alert = Pdu(Command.ALERT_NOTIFICATION, session.next(), fields=dict(pdu.fields), tlvs=list(pdu.tlvs))
             self.loop.spawn(lambda session=session, alert=alert: session.post(alert))
 
-    def _hand_in(self, guest: Guest, account: Account, pdu: Pdu) -> None:
-        """A submit_sm in its message's own task."""
+    def _submit(self, client: ClientConnection, account: Account, pdu: Pdu) -> None:
+        """Process a submit_sm or data_sm in the task of its message."""
         try:
-            message = self._message(account, pdu)
-        except _Refused as error:
-            guest.handing -= 1
-            logs.event("smpp-submit-refused", peer=guest.session.name, sequence=pdu.sequence, status=error.status.name)
-            guest.session.post(pdu.reply(error.status))
+            message = self._build_message(account, pdu)
+        except _SubmitRefusedError as error:
+            client.pending_submits -= 1
+            logs.event("smpp-submit-refused", peer=client.session.name, sequence=pdu.sequence, status=error.status.name)
+            client.session.post(pdu.reply(error.status))
             return
 
-        def answer(given: Answer) -> bool:
-            guest.handing -= 1
-            if not given.taken:
+        def answer(result: Answer) -> bool:
+            client.pending_submits -= 1
+            if not result.taken:
                 logs.event(
-                    "deferred" if given.defer else "rejected", trace=message.trace, why=given.reason, front="smpp"
+                    "deferred" if result.defer else "rejected", trace=message.trace, why=result.reason, front="smpp"
                 )
-                guest.session.post(pdu.reply(errors.status(given)))
+                client.session.post(pdu.reply(errors.status(result)))
                 return False
-            # A client that is gone did not hear that its message is taken on, and will hand it in again.
-            here = not guest.session.stream.ended()
-            return self._taken(message, here and guest.session.post(pdu.reply(message_id=message.trace)))
+            # A client that has disconnected does not know that its message was accepted, and will submit it again.
+            connected = not client.session.stream.ended()
+            return self._confirm_acceptance(
+                message, connected and client.session.post(pdu.reply(message_id=message.trace))
+            )
 
         if "part" not in message.extra:
             self.courier.carry(message, answer)
             return
-        part, key = parts.Part(**message.extra["part"]), _set(message)
-        place, twin = self._joiner.look(key, part, len(message.body))
-        if place is Place.REPEATED and twin in self._parts:  # its answer was lost: the same answer again
-            guest.handing -= 1
-            guest.session.post(pdu.reply(message_id=self._parts[twin].trace))
-        elif place is Place.NO_ROOM:
+        part, key = parts.Part(**message.extra["part"]), _reassembly_key(message)
+        disposition, original = self._reassembler.classify(key, part, len(message.body))
+        if disposition is PartDisposition.REPEATED and original in self._held_parts:  # the first response was lost
+            client.pending_submits -= 1
+            client.session.post(pdu.reply(message_id=self._held_parts[original].trace))
+        elif disposition is PartDisposition.NO_ROOM:
             answer(Answer(False, True, Reason.FULL))
         elif self.courier.keep(message, answer):
             self._hold_part(message)
 
     def _hold_part(self, message: Message) -> None:
-        """A part is ours: wait for the others, or go on if it is the last one."""
-        self._parts[message.number] = message
-        part, key = parts.Part(**message.extra["part"]), _set(message)
-        place, twin = self._joiner.look(key, part, len(message.body))
-        if place is Place.REPEATED:  # both were handed in at once, and each was answered
-            self._part_ends(message)
+        """Hold an accepted part until the other parts are there; reassemble the message if it is the last one."""
+        self._held_parts[message.number] = message
+        part, key = parts.Part(**message.extra["part"]), _reassembly_key(message)
+        disposition, _ = self._reassembler.classify(key, part, len(message.body))
+        if disposition is PartDisposition.REPEATED:  # submitted twice at the same time, and both accepted
+            self._fail_part(message)
             return
-        # A little before the deadline, so that the end is told in time.
-        whole = self._joiner.add(
+        # 200 ms before the deadline, so that the final state is reported in time.
+        complete = self._reassembler.add(
             self.loop.now, key, part, message.number, len(message.body), message.deadline - 200 * MS
         )
-        if whole is not None:
-            self._join([self._parts[number] for number in whole.numbers])
+        if complete is not None:
+            self._reassemble([self._held_parts[number] for number in complete.numbers])
         else:
-            self._set_sweep()
-
-    def _set_sweep(self) -> None:
-        """Look again when the next set's time is up, which may be sooner than it was."""
-        if self._sweep is not None:
-            self._sweep.cancel()
-        due = self._joiner.next_late
-        self._sweep = None if due is None else self.loop.at(due, self._part_times)
-
-    def _part_times(self) -> None:
-        """Sets whose time is up end, each part for itself."""
-        for late in self._joiner.late(self.loop.now):
-            for number in late.numbers:
-                self._part_ends(self._parts[number])
-        self._set_sweep()
-
-    def _part_ends(self, message: Message) -> None:
-        self._parts.pop(message.number, None)
+            self._schedule_expiry()
+
+    def _schedule_expiry(self) -> None:
+        """Set the timer to the next expiry of an incomplete message, which may be earlier than the previous one."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        due = self._reassembler.next_expiry
+        self._expiry_timer = None if due is None else self.loop.at(due, self._expire_parts)
+
+    def _expire_parts(self) -> None:
+        """End the parts of all expired incomplete messages, each with its own final state."""
+        for expired in self._reassembler.pop_expired(self.loop.now):
+            for number in expired.numbers:
+                self._fail_part(self._held_parts[number])
+        self._schedule_expiry()
+
+    def _fail_part(self, message: Message) -> None:
+        self._held_parts.pop(message.number, None)
         self.loop.spawn(self.courier.end_kept, message, FAILED)
 
-    def _join(self, found: list[Message]) -> None:
-        """The parts become one message, which owes each of them its receipt."""
-        first = found[0]
-        told = first.extra["smpp"] | {"esm_class": first.extra["smpp"]["esm_class"] & ~parts.UDHI}
-        owed = [{"shown": _shown(m), "registered_delivery": m.extra["smpp"]["registered_delivery"]} for m in found]
-        extra = first.extra | {"smpp": told, "payload": True, "parts": owed, "shown": ""}
+    def _reassemble(self, held: list[Message]) -> None:
+        """Replace the parts by one message, which owes a receipt for each of them."""
+        first = held[0]
+        fields = first.extra["smpp"] | {"esm_class": first.extra["smpp"]["esm_class"] & ~parts.UDHI}
+        receipts_owed = [
+            {"shown": _sender_id(m), "registered_delivery": m.extra["smpp"]["registered_delivery"]} for m in held
+        ]
+        extra = first.extra | {"smpp": fields, "payload": True, "parts": receipts_owed, "shown": ""}
         del extra["part"]
         trace = os.urandom(8).hex()
         whole = Message(
@@ -377,37 +397,42 @@
             first.cls,
             first.tenant,
             first.dest,
-            min(m.deadline for m in found),
-            b"".join(m.body for m in found),
+            min(m.deadline for m in held),
+            b"".join(m.body for m in held),
             self,
             trace,
             extra,
-            start=max(m.start for m in found),
+            start=max(m.start for m in held),
         )
-        if not self.courier.join(whole, found):
+        if not self.courier.join(whole, held):
             if self.loop.now >= whole.deadline:
-                for part in found:
-                    self._part_ends(part)
+                for part in held:
+                    self._fail_part(part)
                 return
-            self.loop.at(self.loop.now + SECOND, lambda: self._join(found))  # the journal may have room then
+            self.loop.at(
+                self.loop.now + SECOND, lambda: self._reassemble(held)
+            )  # retry: the journal may have room by then
             return
-        for part in found:
-            self._parts.pop(part.number, None)
-            self._let_go(part)
-        self._note(whole)
-
-    def _taken(self, message: Message, heard: bool) -> bool:
-        """A message is ours if its sender has heard that it is."""
-        if heard:
-            self._note(message)
-        return heard
-
-    def _hand_in_all(self, guest: Guest, account: Account, pdu: Pdu) -> None:
-        """A submit_multi: each destination is a message of its own, under one id; one response when all are known."""
-        shown, lost = os.urandom(8).hex(), []
-        made: list[tuple[p.Dest, Message]] = []
-        for place, dest in enumerate(pdu.dests):
-            one = Pdu(
+        for part in held:
+            self._held_parts.pop(part.number, None)
+            self._unregister_open(part)
+        self._register_open(whole)
+
+    def _confirm_acceptance(self, message: Message, response_sent: bool) -> bool:
+        """Accept a message only if the positive response was sent to its client."""
+        if response_sent:
+            self._register_open(message)
+        return response_sent
+
+    def _submit_multi(self, client: ClientConnection, account: Account, pdu: Pdu) -> None:
+        """Process a submit_multi: one message for each destination, all under one message_id.
+
+        The single response is sent when every message has been accepted or refused.
+        """
+        sender_id, unsuccessful = os.urandom(8).hex(), []
+        messages: list[tuple[p.Dest, Message]] = []
+        for index, dest in enumerate(pdu.dests):
+            single = Pdu(
                 Command.SUBMIT_SM,
                 pdu.sequence,
                 0,
@@ -422,94 +447,94 @@
             )
             try:
                 if dest.is_list:
-                    raise _Refused(Status.ESME_RINVDLNAME)  # no lists are kept here
-                made.append((dest, self._message(account, one, f"{shown}-{place}", shown)))
-            except _Refused as error:
-                lost.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, error.status))
-        waiting: list[tuple[Message, Parking]] = []
-        left = [len(made)]
-        told = Parking(self.loop)
+                    raise _SubmitRefusedError(Status.ESME_RINVDLNAME)  # distribution lists are not supported
+                messages.append((dest, self._build_message(account, single, f"{sender_id}-{index}", sender_id)))
+            except _SubmitRefusedError as error:
+                unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, error.status))
+        accepted: list[tuple[Message, Parking]] = []
+        undecided = [len(messages)]
+        all_decided = Parking(self.loop)
 
         def respond() -> None:
-            """When all have been decided: what was taken is ours only if this is heard."""
-            guest.handing -= 1
-            here = not guest.session.stream.ended()
-            if waiting:
-                answer = pdu.reply(message_id=shown)
-                answer.unsuccess = lost
+            """Send the response; accepted messages are kept only if it was sent."""
+            client.pending_submits -= 1
+            connected = not client.session.stream.ended()
+            if accepted:
+                response = pdu.reply(message_id=sender_id)
+                response.unsuccess = unsuccessful
             else:
-                answer = pdu.reply(lost[0].status if lost else Status.ESME_RSUBMITFAIL)
-            heard = here and guest.session.post(answer)
-            for message, parking in waiting:
-                parking.resume(self._taken(message, heard))
-
-        def decided() -> None:
-            left[0] -= 1
-            if not left[0]:
-                told.resume()
-
-        def hand_in(dest: p.Dest, message: Message) -> None:
-            asked: list[bool] = []
-
-            def answer(given: Answer) -> bool:
-                asked.append(True)
-                decided()
-                if not given.taken:
+                response = pdu.reply(unsuccessful[0].status if unsuccessful else Status.ESME_RSUBMITFAIL)
+            response_sent = connected and client.session.post(response)
+            for message, confirmation in accepted:
+                confirmation.resume(self._confirm_acceptance(message, response_sent))
+
+        def count_decision() -> None:
+            undecided[0] -= 1
+            if not undecided[0]:
+                all_decided.resume()
+
+        def submit(dest: p.Dest, message: Message) -> None:
+            decision: list[bool] = []
+
+            def answer(result: Answer) -> bool:
+                decision.append(True)
+                count_decision()
+                if not result.taken:
                     logs.event(
-                        "deferred" if given.defer else "rejected", trace=message.trace, why=given.reason, front="smpp"
+                        "deferred" if result.defer else "rejected", trace=message.trace, why=result.reason, front="smpp"
                     )
-                    lost.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, errors.status(given)))
+                    unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, errors.status(result)))
                     return False
-                parking = Parking(self.loop)
-                waiting.append((message, parking))
-                return bool(self.loop.park(parking))
+                confirmation = Parking(self.loop)
+                accepted.append((message, confirmation))
+                return bool(self.loop.park(confirmation))
 
             try:
                 self.courier.carry(message, answer)
             finally:
-                if not asked:  # a fault on the way: the others' response must not wait for it
-                    lost.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, Status.ESME_RSYSERR))
-                    decided()
-
-        for dest, message in made:
-            self.loop.spawn(hand_in, dest, message)
-        if made:
-            self.loop.park(told)
+                if not decision:  # after an internal error: the response to the others must not wait for this one
+                    unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, Status.ESME_RSYSERR))
+                    count_decision()
+
+        for dest, message in messages:
+            self.loop.spawn(submit, dest, message)
+        if messages:
+            self.loop.park(all_decided)
         respond()
 
-    def _message(self, account: Account, pdu: Pdu, trace: str = "", shown: str = "") -> Message:
-        """The message in a submit_sm or data_sm. ``shown``: the id that its sender is told, where it is another."""
+    def _build_message(self, account: Account, pdu: Pdu, trace: str = "", sender_id: str = "") -> Message:
+        """Build the message of a submit_sm or data_sm; ``sender_id`` is its message_id if that is not ``trace``."""
         settings = self.courier.settings
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
         if payload is not None and pdu.message or len(body) > p.MOST_BODY:
-            raise _Refused(Status.ESME_RINVMSGLEN)
+            raise _SubmitRefusedError(Status.ESME_RINVMSGLEN)
         tlvs = [(tag, value.hex()) for tag, value in pdu.tlvs if tag != p.MESSAGE_PAYLOAD]
         part = None
         if self.told.parts_within:
             try:
                 part, body = parts.part_of(pdu, body)
-            except parts.BadPart as error:
-                raise _Refused(error.status) from None
+            except parts.InvalidPartError as error:
+                raise _SubmitRefusedError(error.status) from None
             tlvs = [(tag, value) for tag, value in tlvs if part is None or tag not in parts.SAR]
         if sum(len(value) for _, value in tlvs) > 2 * p.MOST_TLVS:
-            raise _Refused(Status.ESME_ROPTPARNOTALLWD)
-        start = self._scheduled(pdu.text("schedule_delivery_time"))
+            raise _SubmitRefusedError(Status.ESME_ROPTPARNOTALLWD)
+        start = self._parse_schedule(pdu.text("schedule_delivery_time"))
         service = pdu.text("service_type")
         cls = self.told.service_types.get(service, account.cls if not service else None)
         if cls is None:
-            raise _Refused(Status.ESME_RINVSERTYP)
+            raise _SubmitRefusedError(Status.ESME_RINVSERTYP)
         try:
-            left = validity(pdu.text("validity_period"), datetime.now(UTC))
+            remaining = validity(pdu.text("validity_period"), datetime.now(UTC))
         except (ValueError, OverflowError):
-            raise _Refused(Status.ESME_RINVEXPIRY) from None
-        most = settings.classes[cls].deadline_ns // 1000
-        if left is not None and left <= 0:
-            raise _Refused(Status.ESME_RINVEXPIRY)
+            raise _SubmitRefusedError(Status.ESME_RINVEXPIRY) from None
+        max_lifetime = settings.classes[cls].deadline_ns // 1000
+        if remaining is not None and remaining <= 0:
+            raise _SubmitRefusedError(Status.ESME_RINVEXPIRY)
         address = pdu.text("destination_addr")
-        prefix = max((x for x in self.told.destinations if address.startswith(x)), key=len, default=None)
+        prefix = max((known for known in self.told.destinations if address.startswith(known)), key=len, default=None)
         if prefix is None:
-            raise _Refused(Status.ESME_RINVDSTADR)
+            raise _SubmitRefusedError(Status.ESME_RINVDSTADR)
         trace = trace or os.urandom(8).hex()
         extra = {
             "smpp": p.kept(pdu),
@@ -517,54 +542,59 @@
             "account": account.system_id,
             "payload": payload is not None,
             "submitted": int(time.time()),
-            **({"shown": shown} if shown else {}),
+            **({"shown": sender_id} if sender_id else {}),
             **({"part": dataclasses.asdict(part)} if part is not None else {}),
         }
-        begin = max(self.loop.now, start)
-        deadline = begin + most if left is None else min(begin + most, self.loop.now + left)
-        if deadline <= begin:
-            raise _Refused(Status.ESME_RINVEXPIRY)
+        earliest = max(self.loop.now, start)
+        deadline = (
+            earliest + max_lifetime if remaining is None else min(earliest + max_lifetime, self.loop.now + remaining)
+        )
+        if deadline <= earliest:
+            raise _SubmitRefusedError(Status.ESME_RINVEXPIRY)
         return Message(
             trace, cls, account.tenant, self.told.destinations[prefix], deadline, body, self, trace, extra, start=start
         )
 
-    def _scheduled(self, text: str) -> int:
-        """When a message may first be sent; 0: at once."""
+    def _parse_schedule(self, text: str) -> int:
+        """The earliest time of the first delivery attempt; 0 means at once."""
         try:
-            ahead = validity(text, datetime.now(UTC))
+            delay = validity(text, datetime.now(UTC))
         except (ValueError, OverflowError):
-            raise _Refused(Status.ESME_RINVSCHED) from None
-        if ahead is None:
+            raise _SubmitRefusedError(Status.ESME_RINVSCHED) from None
+        if delay is None:
             return 0
-        if not 0 < ahead <= MOST_AHEAD:
-            raise _Refused(Status.ESME_RINVSCHED)
-        return self.loop.now + ahead
+        if not 0 < delay <= MAX_SCHEDULE_DELAY:
+            raise _SubmitRefusedError(Status.ESME_RINVSCHED)
+        return self.loop.now + delay
 
-    # What is asked about messages that were taken on
+    # Operations on accepted messages
 
-    def _note(self, message: Message) -> None:
-        """A message of ours is open: it may be asked about by its ids."""
-        for shown in _ids(message):
-            self._open.setdefault(shown, {})[message.number] = message
+    def _register_open(self, message: Message) -> None:
+        """Make an open message known to query_sm, cancel_sm and replace_sm under its ids."""
+        for sender_id in _sender_ids(message):
+            self._open_by_id.setdefault(sender_id, {})[message.number] = message
 
     def took(self, message: Message) -> bool:
-        """A message of ours is open again after a restart; a part waits for its others, and is kept here."""
-        self._note(message)
+        """Register a message recovered after a restart.
+
+        Returns true for a part that has no final state yet: it is held here until its message is complete.
+        """
+        self._register_open(message)
         if "part" not in message.extra or self.courier.journal.entries[message.number].verdict:
             return False
         self.loop.spawn(self._hold_part, message)
         return True
 
-    def _let_go(self, message: Message) -> None:
-        for shown in _ids(message):
-            found = self._open.get(shown, {})
-            found.pop(message.number, None)
-            if not found:
-                self._open.pop(shown, None)
+    def _unregister_open(self, message: Message) -> None:
+        for sender_id in _sender_ids(message):
+            same_id = self._open_by_id.get(sender_id, {})
+            same_id.pop(message.number, None)
+            if not same_id:
+                self._open_by_id.pop(sender_id, None)
 
-    def _named(self, account: Account, pdu: Pdu) -> list[Message]:
-        """The open messages of this account that a PDU names by id, each only for the address that sent it."""
-        found = self._open.get(pdu.text("message_id"), {}).values()
+    def _find_open(self, account: Account, pdu: Pdu) -> list[Message]:
+        """The open messages of the account with the message_id of a PDU; source_addr has to match as well."""
+        found = self._open_by_id.get(pdu.text("message_id"), {}).values()
         return [
             m
             for m in found
@@ -572,188 +602,191 @@
         ]
 
     def _query(self, account: Account, pdu: Pdu) -> Pdu:
-        """query_sm: an open message is on its way; an ended one is known for ``keep-ended``."""
-        if self._named(account, pdu):
+        """query_sm: ENROUTE for an open message; the final state is known for the configured ``keep-ended`` time."""
+        if self._find_open(account, pdu):
             return pdu.reply(message_id=pdu.text("message_id"), message_state=p.State.ENROUTE)
         row = self.courier.journal.ended(f"{account.system_id} {pdu.text('message_id')}")
-        told = ujson.loads(row) if row is not None else None
-        if told is None or told["source"] != pdu.text("source_addr"):
-            return pdu.reply(Status.ESME_RQUERYFAIL if told else Status.ESME_RINVMSGID)
-        final = datetime.fromtimestamp(told["at"], UTC).strftime("%y%m%d%H%M%S000+")
-        return pdu.reply(message_id=pdu.text("message_id"), message_state=told["state"], final_date=final)
+        ended = ujson.loads(row) if row is not None else None
+        if ended is None or ended["source"] != pdu.text("source_addr"):
+            return pdu.reply(Status.ESME_RQUERYFAIL if ended else Status.ESME_RINVMSGID)
+        final = datetime.fromtimestamp(ended["at"], UTC).strftime("%y%m%d%H%M%S000+")
+        return pdu.reply(message_id=pdu.text("message_id"), message_state=ended["state"], final_date=final)
 
     def _cancel(self, account: Account, pdu: Pdu) -> Pdu:
-        """cancel_sm: by id, or all from one address to another; only what surely never ran is withdrawn."""
+        """cancel_sm, by id or by source and destination address; withdraws only messages that were never attempted."""
         if pdu.text("message_id"):
-            found = self._named(account, pdu)
+            found = self._find_open(account, pdu)
             if not found:
                 return pdu.reply(Status.ESME_RINVMSGID)
         else:
-            wanted = {name: pdu.text(name) for name in ("source_addr", "destination_addr", "service_type")}
-            wanted = {name: value for name, value in wanted.items() if value or name != "service_type"}
+            criteria = {name: pdu.text(name) for name in ("source_addr", "destination_addr", "service_type")}
+            criteria = {name: value for name, value in criteria.items() if value or name != "service_type"}
             found = [
                 m
-                for group in self._open.values()
+                for group in self._open_by_id.values()
                 for m in group.values()
                 if m.extra["account"] == account.system_id
-                and all(m.extra["smpp"][name] == value for name, value in wanted.items())
+                and all(m.extra["smpp"][name] == value for name, value in criteria.items())
             ]
-        able = [m for m in found if self.courier.untried(m)]
-        done = [self.courier.withdraw(m) for m in able]
-        # By id all of it must go, by addresses whatever still can.
-        good = bool(done) and all(done) and (len(able) == len(found) or not pdu.text("message_id"))
-        return pdu.reply(Status.ESME_ROK if good else Status.ESME_RCANCELFAIL)
+        cancellable = [m for m in found if self.courier.untried(m)]
+        withdrawn = [self.courier.withdraw(m) for m in cancellable]
+        # By id, all of the messages have to be cancelled; by addresses, only those that still can be.
+        succeeded = (
+            bool(withdrawn) and all(withdrawn) and (len(cancellable) == len(found) or not pdu.text("message_id"))
+        )
+        return pdu.reply(Status.ESME_ROK if succeeded else Status.ESME_RCANCELFAIL)
 
     def _replace(self, account: Account, pdu: Pdu) -> Pdu:
-        """replace_sm: another text for a message that was never attempted. Its times and destination stay."""
-        found = self._named(account, pdu)
+        """replace_sm: new text for a message that was never attempted; its times and its destination stay."""
+        found = self._find_open(account, pdu)
         if not found:
             return pdu.reply(Status.ESME_RINVMSGID)
         if pdu.text("schedule_delivery_time") or pdu.text("validity_period"):
-            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the deadline that was promised stays
+            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the deadline was fixed when the message was accepted
         if any("parts" in message.extra for message in found):
-            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the id is one part's, the text would be the whole's
+            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the id names one part, the text is that of all
         for message in found:
-            told = message.extra["smpp"] | {
+            fields = message.extra["smpp"] | {
                 "registered_delivery": pdu.number("registered_delivery"),
                 "sm_default_msg_id": pdu.number("sm_default_msg_id"),
             }
-            extra = message.extra | {"smpp": told, "payload": False}
+            extra = message.extra | {"smpp": fields, "payload": False}
             if not self.courier.replace(message, pdu.message, extra):
                 return pdu.reply(Status.ESME_RREPLACEFAIL)
         return pdu.reply()
 
     def settle(self, message: Message, end: End) -> None:
-        """Send the receipt, and again until it is acknowledged, on whichever session can take it."""
-        self._let_go(message)
+        """Record the final state for query_sm, and send the receipts until they are acknowledged or timed out."""
+        self._unregister_open(message)
         late = self.loop.now >= message.deadline - 100 * MS or "part" in message.extra
         if self.told.keep_ended:
             number, _ = errors.state(end, late)
-            row = {"state": number, "at": int(time.time()), "source": message.extra["smpp"]["source_addr"]}
-            for shown in _ids(message):
+            record = {"state": number, "at": int(time.time()), "source": message.extra["smpp"]["source_addr"]}
+            for sender_id in _sender_ids(message):
                 self.courier.journal.keep_ended(
-                    f"{message.extra['account']} {shown}", ujson.dumps(row), self.told.keep_ended
+                    f"{message.extra['account']} {sender_id}", ujson.dumps(record), self.told.keep_ended
                 )
-        owed = message.extra.get("parts")
-        if owed is None:
-            self._tell(message, end, late)
+        receipts_owed = message.extra.get("parts")
+        if receipts_owed is None:
+            self._send_receipt(message, end, late)
             return
-        left, heard = [len(owed)], Parking(self.loop)
+        remaining, all_done = [len(receipts_owed)], Parking(self.loop)
 
-        def tell(part: Message) -> None:
+        def send_for_part(part: Message) -> None:
             try:
-                self._tell(part, end, late)
+                self._send_receipt(part, end, late)
             finally:
-                left[0] -= 1
-                if not left[0]:
-                    heard.resume()
-
-        for row in owed:
-            told = message.extra["smpp"] | {"registered_delivery": row["registered_delivery"]}
-            extra = message.extra | {"smpp": told, "shown": row["shown"]}
-            self.loop.spawn(tell, dataclasses.replace(message, extra=extra))
-        self.loop.park(heard)
-
-    def _tell(self, message: Message, end: End, late: bool) -> None:
-        """One receipt, until it is acknowledged or given up."""
-        wanted = int(message.extra["smpp"].get("registered_delivery", 0)) & 3
-        if not wanted or wanted == 2 and end.state == DELIVERED:
+                remaining[0] -= 1
+                if not remaining[0]:
+                    all_done.resume()
+
+        for owed in receipts_owed:
+            fields = message.extra["smpp"] | {"registered_delivery": owed["registered_delivery"]}
+            extra = message.extra | {"smpp": fields, "shown": owed["shown"]}
+            self.loop.spawn(send_for_part, dataclasses.replace(message, extra=extra))
+        self.loop.park(all_done)
+
+    def _send_receipt(self, message: Message, end: End, late: bool) -> None:
+        """Send one receipt until it is acknowledged, or until ``receipt-hold`` is over."""
+        requested = int(message.extra["smpp"].get("registered_delivery", 0)) & 3
+        if not requested or requested == 2 and end.state == DELIVERED:
             return
         account = message.extra["account"]
-        give_up, wait = self.loop.now + self.told.receipt_hold, WAIT_FIRST
-        while self.loop.now < give_up:
-            able = [
-                g
-                for g in self._guests
-                if g.session.state in RECEIVES
-                and g.account is not None
-                and g.account.system_id == account
-                and not (g.session.closed or g.session.retired)
-                and g.session.outstanding < g.account.window
+        give_up_at, delay = self.loop.now + self.told.receipt_hold, INITIAL_RETRY_DELAY
+        while self.loop.now < give_up_at:
+            candidates = [
+                c
+                for c in self._guests
+                if c.session.state in RECEIVER_STATES
+                and c.account is not None
+                and c.account.system_id == account
+                and not (c.session.closed or c.session.retired)
+                and c.session.outstanding < c.account.window
             ]
-            guest = min(able, key=lambda g: g.unheard, default=None)  # one that is silent must not keep all receipts
-            if guest is None:
+            # A session that does not answer must not attract all receipts.
+            client = min(candidates, key=lambda c: c.unacknowledged_receipts, default=None)
+            if client is None:
                 for known in self.told.accounts:
-                    if known.system_id == account and not self._receiver(known)[1]:
-                        self._missed(known)
-                hope = Parking(self.loop)
-                self._hopeful.append(hope)
-                if self.loop.park(hope, min(give_up, self.loop.now + WAIT_MOST)) is LATE:
-                    self._hopeful = [other for other in self._hopeful if other is not hope]
+                    if known.system_id == account and not self._find_receiver(known)[1]:
+                        self._request_bind(known)
+                bind = Parking(self.loop)
+                self._waiting_for_bind.append(bind)
+                if self.loop.park(bind, min(give_up_at, self.loop.now + MAX_RETRY_DELAY)) is LATE:
+                    self._waiting_for_bind = [other for other in self._waiting_for_bind if other is not bind]
                 continue
             try:
-                receipt = self._receipt(message, end, late)
-                answer = guest.session.ask(receipt, self.loop.now + self.told.response)
-                guest.unheard = 0
+                receipt = self._build_receipt(message, end, late)
+                answer = client.session.ask(receipt, self.loop.now + self.told.response)
+                client.unacknowledged_receipts = 0
                 if answer.status == 0:
                     return
                 logs.event(
-                    "smpp-receipt-refused", trace=message.trace, peer=guest.session.name, status=f"{answer.status:#x}"
+                    "smpp-receipt-refused", trace=message.trace, peer=client.session.name, status=f"{answer.status:#x}"
                 )
             except (NotSent, Lost, Late):
-                guest.unheard += 1
-                logs.event("smpp-receipt-unheard", trace=message.trace, peer=guest.session.name)
-            self.loop.sleep(wait)
-            wait = min(WAIT_MOST, 2 * wait)
+                client.unacknowledged_receipts += 1
+                logs.event("smpp-receipt-unheard", trace=message.trace, peer=client.session.name)
+            self.loop.sleep(delay)
+            delay = min(MAX_RETRY_DELAY, 2 * delay)
         logs.warn("smpp-receipt-given-up", trace=message.trace, account=account)
 
-    def _receipt(self, message: Message, end: End, late: bool) -> Pdu:
-        """The deliver_sm that tells a message's end."""
-        told = message.extra["smpp"]
-        number, word = errors.state(end, late)
+    def _build_receipt(self, message: Message, end: End, late: bool) -> Pdu:
+        """The deliver_sm that reports the final state of a message."""
+        submitted_fields = message.extra["smpp"]
+        number, stat = errors.state(end, late)
         submitted = datetime.fromtimestamp(message.extra.get("submitted", 0), UTC)
         text = (
-            f"id:{_shown(message)} sub:001 dlvrd:{int(end.state == DELIVERED):03d} "
+            f"id:{_sender_id(message)} sub:001 dlvrd:{int(end.state == DELIVERED):03d} "
             f"submit date:{submitted:%y%m%d%H%M} done date:{datetime.now(UTC):%y%m%d%H%M} "
-            f"stat:{word} err:000 text:"
+            f"stat:{stat} err:000 text:"
         )
-        shown = _shown(message)
-        tlvs = [(p.RECEIPTED_MESSAGE_ID, shown.encode() + b"\0"), (p.MESSAGE_STATE, bytes([number]))]
+        sender_id = _sender_id(message)
+        tlvs = [(p.RECEIPTED_MESSAGE_ID, sender_id.encode() + b"\0"), (p.MESSAGE_STATE, bytes([number]))]
         if end.after_ms:
             tlvs.append((p.RETRY_AFTER_MS, end.after_ms.to_bytes(4, "big")))
         fields = {
-            "source_addr_ton": told["dest_addr_ton"],
-            "source_addr_npi": told["dest_addr_npi"],
-            "source_addr": told["destination_addr"],
-            "dest_addr_ton": told["source_addr_ton"],
-            "dest_addr_npi": told["source_addr_npi"],
-            "destination_addr": told["source_addr"],
+            "source_addr_ton": submitted_fields["dest_addr_ton"],
+            "source_addr_npi": submitted_fields["dest_addr_npi"],
+            "source_addr": submitted_fields["destination_addr"],
+            "dest_addr_ton": submitted_fields["source_addr_ton"],
+            "dest_addr_npi": submitted_fields["source_addr_npi"],
+            "destination_addr": submitted_fields["source_addr"],
             "esm_class": 4,
         }
         return Pdu(Command.DELIVER_SM, fields=fields, message=text.encode(), tlvs=tlvs)
 
     def leave(self) -> None:
-        """Unbind everybody."""
-        for guest in list(self._guests):
-            self.loop.spawn(guest.session.unbind)
+        """Unbind all sessions."""
+        for client in list(self._guests):
+            self.loop.spawn(client.session.unbind)
 
 
-def _ids(message: Message) -> list[str]:
-    """The ids that its sender knows a message by: those of its parts, where it came in parts."""
-    owed = message.extra.get("parts")
-    return [_shown(message)] if owed is None else [str(row["shown"]) for row in owed]
+def _sender_ids(message: Message) -> list[str]:
+    """The ids by which the sender knows a message: for a reassembled message, the ids of its parts."""
+    receipts_owed = message.extra.get("parts")
+    return [_sender_id(message)] if receipts_owed is None else [str(owed["shown"]) for owed in receipts_owed]
 
 
-def _set(message: Message) -> parts.Key:
-    """What the parts of one message have in common beside their reference."""
-    told = message.extra["smpp"]
+def _reassembly_key(message: Message) -> parts.Key:
+    """What the parts of one message have in common besides their reference."""
+    fields = message.extra["smpp"]
     return (
         message.extra["account"],
-        told["source_addr"],
-        told["destination_addr"],
-        told["service_type"],
-        told["data_coding"],
+        fields["source_addr"],
+        fields["destination_addr"],
+        fields["service_type"],
+        fields["data_coding"],
         message.dest,
     )
 
 
-def _shown(message: Message) -> str:
-    """The id that the sender knows a message by."""
+def _sender_id(message: Message) -> str:
+    """The id by which the sender knows a message."""
     return str(message.extra.get("shown", message.trace))
 
 
-class _Refused(Exception):
-    """A submit_sm that is answered with an error."""
+class _SubmitRefusedError(Exception):
+    """A submit request is answered with an error status."""
 
     def __init__(self, status: Status) -> None:
         super().__init__(status.name)
--- a/tests/smpp/test_inbound.py
+++ b/tests/smpp/test_inbound.py
@@ -26,7 +26,7 @@
     accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in told.accounts)  # type: ignore[arg-type]
     stage.server.told = dataclasses.replace(told, accounts=accounts)
     stage.server.receivers.__init__(  # type: ignore[misc]
-        stage.loop, accounts, told.response, stage.server._receiver, stage.server._missed
+        stage.loop, accounts, told.response, stage.server._find_receiver, stage.server._request_bind
     )
 
 
@@ -98,7 +98,7 @@
     arrives(stage, gate, "9991", b"x")
     stage.until(lambda: contractor.receipts)
     if status is None:  # silent: its session is ended before the message goes to another one
-        stage.until(lambda: not stage.server._receiver(stage.server.told.accounts[0])[1])
+        stage.until(lambda: not stage.server._find_receiver(stage.server.told.accounts[0])[1])
         again = stage.contractor(Command.BIND_RECEIVER)
         stage.until(lambda: again.receipts)
     stage.until(lambda: ends)
--- a/tests/smpp/test_parts.py
+++ b/tests/smpp/test_parts.py
@@ -1,4 +1,4 @@
-"""Long messages in parts: told apart, joined in any order, bounded, and each part's receipt comes once."""
+"""Concatenated messages: identification, reassembly in any order, bounds, splitting, and one receipt for each part."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from kestrelspar.smpp import parts
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.client import Doubt
-from kestrelspar.smpp.parts import BadPart, Joiner, Part, Place
+from kestrelspar.smpp.parts import InvalidPartError, Part, PartDisposition, Reassembler
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
 from kestrelspar.smpp.text import coded
 from tests.smpp.test_operations import asked, keeps, state
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
 from tests.test_smpp import Stage
 
-TEXT = [b"one ", b"two ", b"three"]
+PART_TEXTS = [b"one ", b"two ", b"three"]
 UDH, SAR = "udh", "sar"
 
 
@@ -39,13 +39,13 @@
         (b"\x05\x00\x03\x09\x02\x01hi", [], 0x40, (Part("udh8", 9, 2, 1), b"hi")),
         (b"\x06\x08\x04\x01\x09\x02\x02hi", [], 0x43, (Part("udh16", 265, 2, 2), b"hi")),
         (b"hi", sar(7, 3, 3), 0, (Part("sar", 7, 3, 3), b"hi")),
-        (b"\x05\x00\x03\x09\x02\x01hi", [], 0, (None, b"\x05\x00\x03\x09\x02\x01hi")),  # no header is told
+        (b"\x05\x00\x03\x09\x02\x01hi", [], 0, (None, b"\x05\x00\x03\x09\x02\x01hi")),  # no header indicator
         (
             b"\x06\x05\x04\x0b\x84\x23\xf0hi",
             [],
             0x40,
-            (None, b"\x06\x05\x04\x0b\x84\x23\xf0hi"),
-        ),  # ports: for the handset
+            (None, b"\x06\x05\x04\x0b\x84\x23\xf0hi"),  # port numbers, for the handset
+        ),
         (b"\x0b\x00\x03\x09\x02\x01\x05\x04\x0b\x84\x23\xf0hi", [], 0x40, None),
         (b"", [], 0x40, Status.ESME_RINVESMCLASS),
         (b"\x09\x00", [], 0x40, Status.ESME_RINVESMCLASS),
@@ -58,10 +58,10 @@
         (b"hi", [(p.SAR_MSG_REF_NUM, b"\1"), *sar(1, 2, 1)[1:]], 0, Status.ESME_RINVOPTPARAMVAL),
     ],
 )
-def test_which_part_a_pdu_is(text: bytes, tlvs: list[tuple[int, bytes]], esm: int, found: object) -> None:
+def test_identification_of_parts(text: bytes, tlvs: list[tuple[int, bytes]], esm: int, found: object) -> None:
     pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": esm}, text, tlvs)
     if isinstance(found, Status):
-        with pytest.raises(BadPart) as caught:
+        with pytest.raises(InvalidPartError) as caught:
             parts.part_of(pdu, text)
         assert caught.value.status is found
     else:
@@ -70,27 +70,31 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.permutations(range(1, 7)), st.lists(st.integers(1, 6), max_size=6))
-def test_any_order_and_any_repeats_make_one_whole(order: list[int], repeats: list[int]) -> None:
-    joiner, number, whole = Joiner(SECOND), itertools.count(1), []
+def test_parts_in_any_order_with_duplicates_make_one_message(order: list[int], repeats: list[int]) -> None:
+    reassembler, number, complete = Reassembler(SECOND), itertools.count(1), []
     for place in [*repeats, *order]:
         part = Part("sar", 1, 6, place)
-        if whole or joiner.look(("a",), part, 10)[0] is Place.REPEATED:
+        if complete or reassembler.classify(("a",), part, 10)[0] is PartDisposition.REPEATED:
             continue
-        found = joiner.add(0, ("a",), part, next(number) * 10 + place, 10, 1 << 60)
-        whole += [found] if found else []
-    assert len(whole) == 1 and [n % 10 for n in whole[0].numbers] == [1, 2, 3, 4, 5, 6] and joiner.next_late is None
-
-
-def test_sets_are_bounded_and_let_go_of_in_time() -> None:
-    joiner = Joiner(SECOND)
-    for n in range(parts.MOST_SETS):
-        assert joiner.look((n,), Part("sar", 1, 2, 1), 10)[0] is Place.HELD
-        joiner.add(n, (n,), Part("sar", 1, 2, 1), n, 60_000, 1 << 60)
-    assert joiner.look(("one more",), Part("sar", 1, 2, 1), 10)[0] is Place.NO_ROOM
-    assert joiner.look((0,), Part("sar", 1, 2, 2), 60_000)[0] is Place.NO_ROOM  # a message larger than any
-    assert joiner.look((0,), Part("sar", 1, 2, 2), 10)[0] is Place.WHOLE
-    assert joiner.look((0,), Part("udh8", 1, 2, 1), 10)[0] is Place.NO_ROOM  # another kind is another set
-    assert [found.numbers for found in joiner.late(SECOND + 1)] == [[0], [1]] and joiner.next_late == SECOND + 2
+        found = reassembler.add(0, ("a",), part, next(number) * 10 + place, 10, 1 << 60)
+        complete += [found] if found else []
+    assert len(complete) == 1 and [n % 10 for n in complete[0].numbers] == [1, 2, 3, 4, 5, 6]
+    assert reassembler.next_expiry is None
+
+
+def test_incomplete_messages_are_bounded_and_expire() -> None:
+    reassembler = Reassembler(SECOND)
+    for n in range(parts.MAX_INCOMPLETE_MESSAGES):
+        assert reassembler.classify((n,), Part("sar", 1, 2, 1), 10)[0] is PartDisposition.HELD
+        reassembler.add(n, (n,), Part("sar", 1, 2, 1), n, 60_000, 1 << 60)
+    assert reassembler.classify(("one more",), Part("sar", 1, 2, 1), 10)[0] is PartDisposition.NO_ROOM
+    # Exceeds the maximum message size.
+    assert reassembler.classify((0,), Part("sar", 1, 2, 2), 60_000)[0] is PartDisposition.NO_ROOM
+    assert reassembler.classify((0,), Part("sar", 1, 2, 2), 10)[0] is PartDisposition.WHOLE
+    # Another kind of reference: another message.
+    assert reassembler.classify((0,), Part("udh8", 1, 2, 1), 10)[0] is PartDisposition.NO_ROOM
+    assert [found.numbers for found in reassembler.pop_expired(SECOND + 1)] == [[0], [1]]
+    assert reassembler.next_expiry == SECOND + 2
 
 
 def submit_part(
@@ -102,23 +106,23 @@
     service: str = "WO",
     text: bytes | None = None,
 ) -> Pdu:
-    told = {"service_type": service, "source_addr": "100", "destination_addr": "3725550", "registered_delivery": 1}
-    text = TEXT[place - 1] if text is None else text
+    fields = {"service_type": service, "source_addr": "100", "destination_addr": "3725550", "registered_delivery": 1}
+    text = PART_TEXTS[place - 1] if text is None else text
     if how == UDH:
         header = bytes([5, 0, 3, ref, 3, place])
-        return asked(stage, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **told)
-    return asked(stage, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **told)
+        return asked(stage, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **fields)
+    return asked(stage, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **fields)
 
 
 @pytest.mark.parametrize("how", [UDH, SAR])
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-def test_parts_in_any_order_become_one_call_and_each_has_its_receipt(tmp_path: Path, how: str, service: str) -> None:
+def test_parts_in_any_order_become_one_call_with_a_receipt_for_each(tmp_path: Path, how: str, service: str) -> None:
     stage = keeps(Stage(tmp_path))
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     names = [submit_part(stage, contractor, how, 9, place, service).text("message_id") for place in (3, 1, 1, 2)]
-    assert names[1] == names[2], "a part whose answer was lost is told the same again"
+    assert names[1] == names[2], "a duplicate part has to get the same response again"
     stage.until(lambda: len(contractor.receipts) == 3 and not stage.journal.entries)
     assert contractor.ends() == {name: {State.DELIVERED} for name in names}
     (sent,) = gate.submits
@@ -127,7 +131,7 @@
     assert [state(stage, contractor, name) for name in names] == [State.DELIVERED] * 4
 
 
-def test_a_part_that_never_comes_ends_the_others_once(tmp_path: Path) -> None:
+def test_a_missing_part_expires_the_others_once(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -135,16 +139,16 @@
     names = [submit_part(stage, contractor, SAR, 9, place).text("message_id") for place in (1, 3)]
     stage.until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
     assert contractor.ends() == {name: {State.EXPIRED} for name in names} and not gate.submits
-    assert submit_part(stage, contractor, SAR, 9, 2).status == 0  # begins a set of its own
+    assert submit_part(stage, contractor, SAR, 9, 2).status == 0  # begins a new message
 
 
-def test_parts_end_by_their_own_deadline_also_when_a_later_set_has_the_earlier_one(tmp_path: Path) -> None:
+def test_parts_end_by_their_own_deadline_even_if_a_later_message_expires_first(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
     begin = stage.loop.now
     submit_part(stage, contractor, SAR, 1, 1)
-    brief = asked(
+    short_lived = asked(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -157,14 +161,16 @@
         validity_period="000000000003000R",
     )
     stage.until(lambda: contractor.receipts)
-    assert contractor.ends() == {brief.text("message_id"): {State.EXPIRED}} and stage.loop.now - begin <= 3 * SECOND
+    assert (
+        contractor.ends() == {short_lived.text("message_id"): {State.EXPIRED}} and stage.loop.now - begin <= 3 * SECOND
+    )
 
 
-def test_one_parts_id_does_not_replace_the_whole(tmp_path: Path) -> None:
+def test_the_id_of_one_part_cannot_replace_the_whole_message(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
-    told = {
+    fields = {
         "source_addr": "100",
         "destination_addr": "3725550",
         "service_type": "WO",
@@ -172,7 +178,7 @@
         "schedule_delivery_time": "000000000100000R",
     }
     names = [
-        asked(stage, contractor, Command.SUBMIT_SM, TEXT[n - 1], sar(7, 3, n), **told).text("message_id")
+        asked(stage, contractor, Command.SUBMIT_SM, PART_TEXTS[n - 1], sar(7, 3, n), **fields).text("message_id")
         for n in (1, 2, 3)
     ]
     stage.until(lambda: len(stage.journal.entries) == 1)
@@ -192,9 +198,9 @@
     assert contractor.ends() == {name: {State.DELETED} for name in names}
 
 
-def test_parts_outlast_a_restart_and_a_crash_between_joining_and_letting_go(tmp_path: Path) -> None:
+def test_parts_survive_a_restart_and_a_crash_during_reassembly(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
-    stage.open(gateway(("127.0.0.1", 1)))  # nobody is there
+    stage.open(gateway(("127.0.0.1", 1)))  # no gateway listens there
     contractor = stage.contractor()
     names = [submit_part(stage, contractor, UDH, 4, place).text("message_id") for place in (2, 1)]
     second = Stage(tmp_path)
@@ -212,22 +218,23 @@
     assert [s.tlv(p.MESSAGE_PAYLOAD) for s in gate.submits] == [b"one two three"]
 
 
-def test_a_bad_part_is_refused_and_joining_can_be_off(tmp_path: Path) -> None:
+def test_malformed_parts_are_refused_and_reassembly_can_be_disabled(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    told = {"service_type": "WO", "source_addr": "100", "destination_addr": "3725550"}
+    fields = {"service_type": "WO", "source_addr": "100", "destination_addr": "3725550"}
     assert (
-        asked(stage, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **told).status == Status.ESME_RINVESMCLASS
+        asked(stage, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **fields).status
+        == Status.ESME_RINVESMCLASS
     )
     stage.server.told = dataclasses.replace(stage.server.told, parts_within=0)
     assert submit_part(stage, contractor, SAR, 1, 1).status == 0
     stage.until(lambda: gate.submits)
-    assert gate.submits[0].message == TEXT[0] and gate.submits[0].tlv(p.SAR_TOTAL_SEGMENTS) == b"\3"
+    assert gate.submits[0].message == PART_TEXTS[0] and gate.submits[0].tlv(p.SAR_TOTAL_SEGMENTS) == b"\3"
 
 
-# Towards gateways
+# Splitting for gateways
 
 
 @pytest.mark.parametrize(
@@ -239,16 +246,16 @@
         (b"a" * 161, 0, "sar", [152, 9]),
         (b"\xe9" * 140, 3, "udh", [140]),
         (b"\xe9" * 141, 3, "udh", [134, 7]),
-        (b"\xe9" * 141, 0, "udh", [134, 7]),  # no letters of 7 bits, whatever is told
-        (b"a" * 152 + b"\x1b\x65" + b"a" * 20, 0, "udh", [152, 22]),  # a euro sign is not cut
-        (b"a" * 151 + b"\x1b\x1b" + b"a" * 20, 0, "udh", [153, 20]),  # nor is an escaped escape one that begins
+        (b"\xe9" * 141, 0, "udh", [134, 7]),  # not 7-bit text, whatever data_coding says
+        (b"a" * 152 + b"\x1b\x65" + b"a" * 20, 0, "udh", [152, 22]),  # a euro sign is not split
+        (b"a" * 151 + b"\x1b\x1b" + b"a" * 20, 0, "udh", [153, 20]),  # an escaped escape does not begin a sequence
         ("é".encode("utf-16-be") * 70, 8, "udh", [140]),
         ("é".encode("utf-16-be") * 71, 8, "udh", [134, 8]),
         (("é" * 66 + "😀" + "é" * 10).encode("utf-16-be"), 8, "udh", [132, 24]),
         (b"x" * 141, 4, "udh", [134, 7]),
     ],
 )
-def test_texts_are_cut_where_the_air_needs_it_and_nowhere_else(
+def test_texts_are_split_only_where_the_air_interface_needs_it(
     text: bytes, coding: int, how: str, sizes: list[int]
 ) -> None:
     found = parts.split(text, coding, how)
@@ -257,20 +264,20 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.text(st.sampled_from("aé€[😀\x1b"), min_size=1, max_size=700), st.sampled_from(["udh", "sar"]))
-def test_cut_texts_come_back_whole_through_our_own_joining(text: str, how: str) -> None:
+def test_split_texts_can_be_reassembled(text: str, how: str) -> None:
     coding, body = coded(text.encode())
-    cut = parts.split(body, coding, how)
+    pieces = parts.split(body, coding, how)
     if coding == parts.UCS_2:
-        assert all(part.decode("utf-16-be") for part in cut)
-    back = []
-    for place, piece in enumerate(cut, 1):
-        data, tlvs = parts.marked(piece, how, 300, len(cut), place)
+        assert all(part.decode("utf-16-be") for part in pieces)
+    rejoined = []
+    for place, piece in enumerate(pieces, 1):
+        data, tlvs = parts.marked(piece, how, 300, len(pieces), place)
         assert len(data) <= (160 if coding == parts.GSM else 140)
         pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": parts.UDHI if how == "udh" else 0}, data, tlvs)
         part, rest = parts.part_of(pdu, data)
-        assert part is not None and (part.total, part.place) == (len(cut), place)
-        back.append(rest)
-    assert b"".join(back) == body
+        assert part is not None and (part.total, part.place) == (len(pieces), place)
+        rejoined.append(rest)
+    assert b"".join(rejoined) == body
 
 
 @pytest.mark.parametrize(
@@ -284,20 +291,20 @@
         (b"\xff\xfe", 4, b"\xff\xfe"),
     ],
 )
-def test_the_smallest_alphabet_that_has_all_letters(text: str | bytes, coding: int, octets: bytes) -> None:
+def test_the_smallest_alphabet_with_all_characters_is_chosen(text: str | bytes, coding: int, octets: bytes) -> None:
     assert coded(text.encode() if isinstance(text, str) else text) == (coding, octets)
 
 
-LONG = b"a" * 400  # three parts
+LONG_TEXT = b"a" * 400  # three parts
 
 
-def long_one(stage: Stage, contractor: StandInContractor, service: str) -> str:
+def submit_long(stage: Stage, contractor: StandInContractor, service: str) -> str:
     answer = asked(
         stage,
         contractor,
         Command.SUBMIT_SM,
         b"",
-        [(p.MESSAGE_PAYLOAD, LONG)],
+        [(p.MESSAGE_PAYLOAD, LONG_TEXT)],
         service_type=service,
         source_addr="100",
         destination_addr="3725550",
@@ -307,12 +314,12 @@
 
 
 @pytest.mark.parametrize("how", [UDH, SAR])
-def test_a_long_text_goes_in_parts_and_is_delivered_when_all_are(tmp_path: Path, how: str) -> None:
+def test_a_long_text_is_sent_in_parts_and_delivered_when_all_are(tmp_path: Path, how: str) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address, split=how, window=2))
     contractor = stage.contractor()
-    names = [long_one(stage, contractor, "PAY") for _ in range(2)]
+    names = [submit_long(stage, contractor, "PAY") for _ in range(2)]
     stage.until(lambda: len(contractor.receipts) == 2)
     assert contractor.ends() == {name: {State.DELIVERED} for name in names} and len(gate.submits) == 6
     found: dict[int, dict[int, bytes]] = {}
@@ -320,25 +327,25 @@
         part, text = parts.part_of(pdu, pdu.message)
         assert part is not None and part.total == 3
         found.setdefault(part.ref, {})[part.place] = text
-    assert [b"".join(pieces[n] for n in (1, 2, 3)) for pieces in found.values()] == [LONG, LONG]
+    assert [b"".join(pieces[n] for n in (1, 2, 3)) for pieces in found.values()] == [LONG_TEXT, LONG_TEXT]
     assert gate.most_out <= 2
 
 
-# The status of each submit_sm in turn (None: no answer), the class; ends, and how often each part went out.
+# The status of each submit_sm in turn (None: no response), the class, the final state, and the number of attempts.
 @pytest.mark.parametrize(
     ("statuses", "service", "end", "times"),
     [
-        ([0, Status.ESME_RSYSERR], "PAY", State.UNDELIVERABLE, 1),  # one part in doubt: never again
+        ([0, Status.ESME_RSYSERR], "PAY", State.UNDELIVERABLE, 1),  # one part may have been processed: no retry
         ([0, 0, None], "PAY", State.UNDELIVERABLE, 1),
         ([0, Status.ESME_RTHROTTLED], "PAY", State.UNDELIVERABLE, 1),
-        ([Status.ESME_RTHROTTLED], "PAY", State.DELIVERED, 2),  # the first was turned away: nothing has run
+        ([Status.ESME_RTHROTTLED], "PAY", State.DELIVERED, 2),  # the first part was refused: nothing has been processed
         ([0, Status.ESME_RSYSERR], "RD", State.DELIVERED, 2),
         ([0, Status.ESME_RTHROTTLED], "WO", State.DELIVERED, 2),
         ([0, 0, None], "RD", State.DELIVERED, 2),
         ([Status.ESME_RINVDSTADR], "RD", State.REJECTED, 1),
     ],
 )
-def test_class_rules_hold_for_the_whole(
+def test_class_rules_apply_to_the_whole_message(
     tmp_path: Path, statuses: list[int | None], service: str, end: State, times: int
 ) -> None:
     stage = Stage(tmp_path)
@@ -346,7 +353,7 @@
     gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0)
     stage.open(gateway(gate.address, split="sar", window=8))
     contractor = stage.contractor()
-    name = long_one(stage, contractor, service)
+    name = submit_long(stage, contractor, service)
     stage.until(lambda: contractor.receipts and not stage.journal.entries)
     states = contractor.ends()[name]
     assert len(states) == 1 and (states == {end} or end is State.REJECTED and states <= {5, 8})
@@ -354,28 +361,30 @@
     assert len(first) == times and len({pdu.tlv(p.SAR_MSG_REF_NUM) for pdu in first}) == times
 
 
-def test_parts_after_a_failed_one_are_not_sent_and_the_first_send_counts(tmp_path: Path) -> None:
+def test_no_part_is_sent_after_a_failed_one_and_the_window_begins_with_the_first(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     left = [0, 0, Status.ESME_RSYSERR]
     gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0, pause=lambda _: 200_000)
     stage.open(gateway(gate.address, split="sar", window=1))
     contractor = stage.contractor()
-    stage.loop.spawn(long_one, stage, contractor, "WO")
+    stage.loop.spawn(submit_long, stage, contractor, "WO")
     stage.until(lambda: len(gate.submits) == 2)
     (entry,) = stage.journal.entries.values()
-    assert entry.maybe_since is not None and entry.maybe_since <= gate.calls[0], "the window begins with the first part"
+    assert entry.maybe_since is not None and entry.maybe_since <= gate.calls[0], (
+        "the execution window has to begin with the first part"
+    )
     left[:] = [Status.ESME_RSYSERR]
     stage.until(lambda: len(gate.submits) == 3)
     again = Stage(tmp_path / "..")
     gate = StandInGateway(again, script=lambda pdu: 0 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1" else 8)
     again.open(gateway(gate.address, split="sar", window=1))
     contractor = again.contractor()
-    long_one(again, contractor, "PAY")
+    submit_long(again, contractor, "PAY")
     again.until(lambda: contractor.receipts)
     assert len(gate.submits) == 2
 
 
-def test_a_late_answer_of_one_part_does_not_deliver_the_whole(tmp_path: Path) -> None:
+def test_a_late_response_to_one_part_does_not_deliver_the_message(tmp_path: Path) -> None:
     def pause(pdu: Pdu) -> int:
         return 450_000 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\2" else 390_000 if pdu.message == b"other" else 5_000
 
@@ -388,14 +397,14 @@
     )
     stage.open(gateway(gate.address, "one", split="sar", window=9))
     contractor = stage.contractor()
-    name = long_one(stage, contractor, "RD")
+    name = submit_long(stage, contractor, "RD")
     stage.wait(200_000)
     asked(stage, contractor, Command.SUBMIT_SM, b"other", service_type="PAY", destination_addr="3725550")
     stage.until(lambda: name in contractor.ends())
     assert len([pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\3"]) >= 2
 
 
-def test_an_attempt_in_parts_is_over_when_the_last_late_one_is() -> None:
+def test_an_attempt_in_parts_ends_with_its_last_late_response() -> None:
     doubt = Doubt(SECOND, 3)
     doubt.out = 2
     doubt.settle(Pdu(Command.SUBMIT_SM_RESP))
