--- a/kestrelspar/smpp/inbound.py
+++ b/kestrelspar/smpp/inbound.py
@@ -1,4 +1,4 @@
-"""Messages that gateways send of their own (mobile-originated): taken on like any other, and routed by address."""
+"""Mobile-originated messages from gateways: accepted like any other message, and routed by destination address."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Pdu, Status
 
-# What a gateway is answered whose message is not taken on: it may come again, or had better not.
-DEFERRED, REJECTED = Status.ESME_RX_T_APPN, Status.ESME_RX_R_APPN
+# Responses to a gateway for messages that are not accepted: temporary (the gateway may send again) and permanent.
+DEFERRED_STATUS, REJECTED_STATUS = Status.ESME_RX_T_APPN, Status.ESME_RX_R_APPN
 
 
 class Arrivals:
-    """The sender side of messages that came from gateways: nobody is told their ends, but the log."""
+    """The sender side of messages from gateways. Their final states go only to the log."""
 
     name = "smpp-inbound"
 
-    def __init__(self, courier: Courier, alerts: Callable[[str, Pdu], None] = lambda gateway, pdu: None) -> None:
-        """``alerts`` passes an alert_notification on."""
-        self._courier, self._alerts = courier, alerts
+    def __init__(self, courier: Courier, forward_alert: Callable[[str, Pdu], None] = lambda gateway, pdu: None) -> None:
+        """``forward_alert`` forwards an alert_notification to the clients that are bound."""
+        self._courier, self._forward_alert = courier, forward_alert
 
     def message(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
-        """A deliver_sm or data_sm in its message's own task; answered when it is journalled."""
+        """Process a deliver_sm or data_sm in the task of its message; answered as soon as it is journalled."""
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
         tlvs = [(tag, value.hex()) for tag, value in pdu.tlvs if tag != p.MESSAGE_PAYLOAD]
         address = pdu.text("destination_addr")
-        prefix = max((x for x in gateway.inbound if address.startswith(x)), key=len, default=None)
+        prefix = max((known for known in gateway.inbound if address.startswith(known)), key=len, default=None)
         if prefix is None:
             self._refuse(gateway, pdu, answer, Status.ESME_RINVDSTADR)
             return
@@ -63,15 +63,15 @@
             extra,
         )
 
-        def told(given: Answer) -> bool:
-            if given.taken:
+        def respond(result: Answer) -> bool:
+            if result.taken:
                 return answer(Status.ESME_ROK)
-            logs.event("deferred" if given.defer else "rejected", trace=trace, why=given.reason, front=self.name)
-            status = Status.ESME_RINVDSTADR if given.why is Reason.UNKNOWN_DEST else REJECTED
-            answer(DEFERRED if given.defer else status)
+            logs.event("deferred" if result.defer else "rejected", trace=trace, why=result.reason, front=self.name)
+            status = Status.ESME_RINVDSTADR if result.why is Reason.UNKNOWN_DEST else REJECTED_STATUS
+            answer(DEFERRED_STATUS if result.defer else status)
             return False
 
-        self._courier.carry(message, told)
+        self._courier.carry(message, respond)
 
     @staticmethod
     def _refuse(gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool], status: Status) -> None:
@@ -85,15 +85,15 @@
         answer(status)
 
     def alert(self, gateway: Gateway, pdu: Pdu) -> None:
-        """An alert_notification: passed on to who is bound now, as it says that a handset can be reached now."""
-        self._alerts(gateway.name, pdu)
+        """Forward an alert_notification to the clients bound now, as it says that a handset can be reached now."""
+        self._forward_alert(gateway.name, pdu)
 
     def took(self, message: Message) -> bool:
-        """Nothing is kept here."""
+        """Recovered messages are never held back."""
         return False
 
     def settle(self, message: Message, end: End) -> None:
-        """The gateway was answered when the message was taken on: an end that is bad is for the operators."""
+        """Log a message that was not delivered; the gateway got its response when the message was accepted."""
         if end.state != DELIVERED:
             logs.warn(
                 "smpp-inbound-lost",
--- a/kestrelspar/smpp/receipts.py
+++ b/kestrelspar/smpp/receipts.py
@@ -1,4 +1,4 @@
-"""Delivery receipts as outcomes: what a deliver_sm says of a message, and whose it is. No I/O.
+"""Delivery receipts: parses them, and assigns them to the messages that wait for them. No I/O.
 
 Sources: SMPP 3.4, section 5.2.12 (esm_class), 5.3.2.35 (message_state), appendix B (the receipt's text).
 """
@@ -12,8 +12,8 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Pdu, State
 
-TYPE, RECEIPT, INTERMEDIATE = 0x3C, 0x04, 0x20  # of esm_class: the message's type
-_WORDS = {
+MESSAGE_TYPE_MASK, DELIVERY_RECEIPT, INTERMEDIATE_NOTIFICATION = 0x3C, 0x04, 0x20  # message type in esm_class
+_STATES_BY_STAT = {
     "DELIVRD": State.DELIVERED,
     "EXPIRED": State.EXPIRED,
     "DELETED": State.DELETED,
@@ -23,11 +23,12 @@
     "REJECTD": State.REJECTED,
     "ENROUTE": State.ENROUTE,
 }
-_ID = re.compile(r"\bid:\s*([^\s]+)", re.I)
-_STAT = re.compile(r"\bstat:\s*([A-Z]+)", re.I)
+_ID_PATTERN = re.compile(r"\bid:\s*([^\s]+)", re.I)
+_STAT_PATTERN = re.compile(r"\bstat:\s*([A-Z]+)", re.I)
 
-# What a final state is to us. REJECTED and DELETED: it surely never took effect, so handing it in again is harmless.
-# EXPIRED and UNDELIVERABLE: the gateway tried, and a receipt of the last try may have been lost on its way to it.
+# The courier's final state for each final message_state. With REJECTED and DELETED the message certainly had no effect,
+# so submitting it again is harmless. With EXPIRED and UNDELIVERABLE the gateway tried to deliver it, and the
+# confirmation of the last try may have been lost on its way to the gateway.
 ENDS = {
     State.DELIVERED: DELIVERED,
     State.ACCEPTED: DELIVERED,
@@ -41,95 +42,102 @@
 
 @dataclass(frozen=True, slots=True)
 class Receipt:
-    """A receipt: the gateway's id of a message, and what became of it."""
+    """A receipt: the gateway's id of a message, and its message_state."""
 
     id: str
     state: State
 
     @property
     def end(self) -> str | None:
-        """The message's end; nothing while it is still on its way."""
+        """The final state of the message; None while it is still en route."""
         return ENDS.get(self.state)
 
 
 def is_receipt(pdu: Pdu) -> bool:
-    """Whether a gateway's deliver_sm or data_sm tells of a message of ours rather than being one."""
-    return pdu.number("esm_class") & TYPE in (RECEIPT, INTERMEDIATE)
+    """Whether a deliver_sm or data_sm from a gateway is a receipt rather than a mobile-originated message."""
+    return pdu.number("esm_class") & MESSAGE_TYPE_MASK in (DELIVERY_RECEIPT, INTERMEDIATE_NOTIFICATION)
 
 
 def read(pdu: Pdu) -> Receipt | None:
-    """The receipt in a PDU: its parameters where it has them, else its text; nothing if it names no message."""
-    known, state = pdu.tlv(p.RECEIPTED_MESSAGE_ID), pdu.tlv(p.MESSAGE_STATE)
+    """Parse a receipt from the parameters of a PDU, else from its text; None if the id or the state is missing."""
+    receipted_id, state_value = pdu.tlv(p.RECEIPTED_MESSAGE_ID), pdu.tlv(p.MESSAGE_STATE)
     text = (pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b"").decode("latin-1")
-    name = known.split(b"\0")[0].decode("latin-1") if known else ""
-    if not name and (found := _ID.search(text)):
-        name = found[1]
-    what = None
-    if state:
-        what = State(state[0]) if state[0] in State._value2member_map_ else State.UNKNOWN
-    elif found := _STAT.search(text):
-        what = _WORDS.get(found[1].upper(), State.UNKNOWN)
-    if not name or what is None:
+    message_id = receipted_id.split(b"\0")[0].decode("latin-1") if receipted_id else ""
+    if not message_id and (match := _ID_PATTERN.search(text)):
+        message_id = match[1]
+    state = None
+    if state_value:
+        state = State(state_value[0]) if state_value[0] in State._value2member_map_ else State.UNKNOWN
+    elif match := _STAT_PATTERN.search(text):
+        state = _STATES_BY_STAT.get(match[1].upper(), State.UNKNOWN)
+    if not message_id or state is None:
         return None
-    if pdu.number("esm_class") & TYPE == INTERMEDIATE and what not in (State.DELIVERED, State.ACCEPTED):
-        what = State.ENROUTE  # the gateway goes on trying, whatever it met with so far
-    return Receipt(name, what)
+    if pdu.number("esm_class") & MESSAGE_TYPE_MASK == INTERMEDIATE_NOTIFICATION and state not in (
+        State.DELIVERED,
+        State.ACCEPTED,
+    ):
+        state = State.ENROUTE  # an intermediate notification: the gateway is still trying
+    return Receipt(message_id, state)
 
 
-def key(name: str, base: str) -> str:
-    """An id such that two spellings of it are one: as ``text``, or as a ``hex`` or ``decimal`` number.
+def normalized_id(message_id: str, base: str) -> str:
+    """Normalize a message_id, read as ``text`` or as a ``hex`` or ``decimal`` number, for comparison.
 
-    Gateways are known to answer a submit_sm with the one and to name the other in the receipt. A name that is no such
-    number is taken as text: it can only fail to match, never match another message's.
+    Some gateways return the id in one number base in submit_sm_resp and in another one in the receipt. An id that is
+    not a number of the given base is compared as text, so it may fail to match, but never matches another message.
     """
     if base == "text":
-        return "t" + name
+        return "t" + message_id
     try:
-        if not re.fullmatch(r"[0-9A-Fa-f]+", name):
+        if not re.fullmatch(r"[0-9A-Fa-f]+", message_id):
             raise ValueError
-        return f"n{int(name, 16 if base == 'hex' else 10)}"
+        return f"n{int(message_id, 16 if base == 'hex' else 10)}"
     except ValueError:
-        return "t" + name
+        return "t" + message_id
 
 
 class Ledger:
-    """Who waits for which receipt, by gateway."""
+    """Which message waits for which receipts of which gateway."""
 
     def __init__(self) -> None:
-        self._owner: dict[tuple[str, str], int] = {}
-        self._ids: dict[int, tuple[str, dict[str, str]]] = {}  # by message: gateway, and ids by key
-        self._count: dict[str, int] = {}  # of messages, by gateway
+        self._message_numbers: dict[tuple[str, str], int] = {}  # by gateway and normalized id
+        self._awaited: dict[int, tuple[str, dict[str, str]]] = {}  # by message: gateway, and ids by normalized id
+        self._pending_counts: dict[str, int] = {}  # by gateway: number of waiting messages
 
     def expect(self, number: int, gate: str, ids: list[str], base: str) -> None:
-        """The message waits for a receipt for each of these ids, as the gateway's responses spelt them."""
+        """Wait for a receipt for each of these ids, as they stood in the responses of the gateway."""
         self.drop(number)
-        keys = {key(name, base): name for name in ids if name}
-        self._ids[number] = gate, keys
-        self._count[gate] = self._count.get(gate, 0) + 1
-        for known in keys:
-            self._owner[gate, known] = number
+        awaited = {normalized_id(message_id, base): message_id for message_id in ids if message_id}
+        self._awaited[number] = gate, awaited
+        self._pending_counts[gate] = self._pending_counts.get(gate, 0) + 1
+        for normalized in awaited:
+            self._message_numbers[gate, normalized] = number
 
-    def owner(self, gate: str, name: str, base: str) -> int | None:
-        """The message that a receipt is for."""
-        return self._owner.get((gate, key(name, base)))
+    def owner(self, gate: str, message_id: str, base: str) -> int | None:
+        """The number of the message that a receipt is for."""
+        return self._message_numbers.get((gate, normalized_id(message_id, base)))
 
     def waiting(self, gate: str) -> int:
-        """How many messages wait for receipts of this gateway."""
-        return self._count.get(gate, 0)
+        """The number of messages that wait for receipts of a gateway."""
+        return self._pending_counts.get(gate, 0)
 
-    def left(self, number: int, name: str, base: str) -> list[str]:
-        """The ids that a message still waits for when this one is delivered."""
-        return [told for known, told in self._ids[number][1].items() if known != key(name, base)]
+    def left(self, number: int, message_id: str, base: str) -> list[str]:
+        """The ids that a message still waits for after the receipt for one of them."""
+        return [
+            other
+            for normalized, other in self._awaited[number][1].items()
+            if normalized != normalized_id(message_id, base)
+        ]
 
     def several(self, number: int) -> bool:
-        """Whether a message waits for more than one."""
-        return len(self._ids[number][1]) > 1
+        """Whether a message waits for more than one receipt."""
+        return len(self._awaited[number][1]) > 1
 
     def drop(self, number: int) -> None:
-        """The message waits no more."""
-        gate, keys = self._ids.pop(number, ("", {}))
-        for known in keys:
-            if self._owner.get((gate, known)) == number:  # a gateway may have used an id a second time
-                del self._owner[gate, known]
+        """Stop waiting for the receipts of a message."""
+        gate, awaited = self._awaited.pop(number, ("", {}))
+        for normalized in awaited:
+            if self._message_numbers.get((gate, normalized)) == number:  # a gateway may have reused the id since
+                del self._message_numbers[gate, normalized]
         if gate:
-            self._count[gate] -= 1
+            self._pending_counts[gate] -= 1
--- a/tests/smpp/test_receipts.py
+++ b/tests/smpp/test_receipts.py
@@ -1,4 +1,4 @@
-"""Delivery receipts as outcomes: one end each, whichever way they come."""
+"""Delivery receipts as outcomes: exactly one final state for each message, however and whenever they arrive."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from kestrelspar.runtime.loop import MS
 from kestrelspar.smpp import receipts
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
-from kestrelspar.smpp.receipts import Ledger, key, read
+from kestrelspar.smpp.receipts import Ledger, normalized_id, read
 from tests.smpp.test_operations import submitted
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
 from tests.test_smpp import Stage
@@ -26,7 +26,7 @@
     return stage, gate, stage.contractor()
 
 
-def accepted(stage: Stage, gate: StandInGateway, count: int = 1) -> None:
+def wait_for_acceptance(stage: Stage, gate: StandInGateway, count: int = 1) -> None:
     stage.until(lambda: len(stage.courier._awaiting) == count)
 
 
@@ -44,25 +44,25 @@
     ],
 )
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-def test_the_receipt_is_the_end(tmp_path: Path, service: str, stat: str, state: int) -> None:
+def test_the_receipt_decides_the_final_state(tmp_path: Path, service: str, stat: str, state: int) -> None:
     stage, gate, contractor = staged(tmp_path)
     name = submitted(stage, contractor, b"a", service)
-    accepted(stage, gate)
+    wait_for_acceptance(stage, gate)
     assert not contractor.receipts and not stage.courier.out and gate.submits[0].number("registered_delivery") == 1
     gate.receipt("id-a", "ENROUTE")
     gate.receipt("id-other", stat)
     gate.receipt("id-a", stat)
-    gate.receipt("id-a", "DELIVRD")  # a second one says nothing any more
+    gate.receipt("id-a", "DELIVRD")  # a second receipt changes nothing
     stage.until(lambda: contractor.receipts and len(gate.heard) == 4 and not stage.journal.entries)
     assert contractor.ends() == {name: {state}} and len(contractor.receipts) == 1
     assert len(gate.submits) == 1 and {pdu.status for pdu in gate.heard} == {0}
 
 
-def test_a_receipt_may_come_before_its_response_and_on_another_session(tmp_path: Path) -> None:
+def test_a_receipt_may_arrive_before_its_response_and_on_another_session(tmp_path: Path) -> None:
     stage, gate, contractor = staged(tmp_path, bind="pair")
     first = submitted(stage, contractor, b"a")
-    accepted(stage, gate)
-    stage.until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound for the receipt
+    wait_for_acceptance(stage, gate)
+    stage.until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound to receive the receipt
     gate.receipt("id-a", "UNDELIV")
     stage.until(lambda: first in contractor.ends())
     gate.before = lambda pdu, stream: gate.receipt("id-b", "DELIVRD") or stage.loop.sleep(20 * MS)
@@ -72,31 +72,33 @@
     assert [pdu.status for pdu in gate.heard] == [0, 0] and len(gate.submits) == 2
 
 
-def test_receipts_come_after_a_reconnect(tmp_path: Path) -> None:
+def test_receipts_are_received_after_a_reconnect(tmp_path: Path) -> None:
     stage, gate, contractor = staged(tmp_path)
     name = submitted(stage, contractor, b"a")
-    accepted(stage, gate)
+    wait_for_acceptance(stage, gate)
     old = gate.streams.pop(Command.BIND_TRANSCEIVER)
     old.close()
-    stage.until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # nothing was sent: it is kept up to hear
+    stage.until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # rebound only to receive
     gate.receipt("id-a", "DELIVRD")
     stage.until(lambda: name in contractor.ends())
     assert contractor.ends() == {name: {DELIVRD}} and len(gate.submits) == 1
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-def test_receipts_come_after_a_restart(tmp_path: Path, service: str) -> None:
+def test_receipts_are_received_after_a_restart(tmp_path: Path, service: str) -> None:
     stage, gate, contractor = staged(tmp_path)
     name = submitted(stage, contractor, b"a", service)
-    accepted(stage, gate)
-    again = Stage(tmp_path)  # as after SIGKILL: the first one's loop never runs again
+    wait_for_acceptance(stage, gate)
+    again = Stage(tmp_path)  # as after SIGKILL: the first process's loop never runs again
     other = StandInGateway(again)
     again.open(gateway(other.address, outcome="receipt"))
-    heir = again.contractor()
+    successor = again.contractor()
     again.until(lambda: Command.BIND_TRANSCEIVER in other.streams)
     other.receipt("id-a", "DELIVRD")
-    again.until(lambda: heir.receipts and not again.journal.entries)
-    assert heir.ends() == {name: {DELIVRD}} and not other.submits, "sent again while the gateway had it"
+    again.until(lambda: successor.receipts and not again.journal.entries)
+    assert successor.ends() == {name: {DELIVRD}} and not other.submits, (
+        "must not be sent again while the gateway has it"
+    )
 
 
 @pytest.mark.parametrize(
@@ -109,22 +111,22 @@
         (None, Status.ESME_RINVMSGID, UNDELIV),
     ],
 )
-def test_one_that_never_comes_ends_once_before_its_time(
+def test_a_message_without_a_receipt_ends_once_before_its_deadline(
     tmp_path: Path, query: State | None, cancel: int, state: int
 ) -> None:
     stage, gate, contractor = staged(tmp_path)
 
-    def tells(pdu: Pdu) -> Pdu:
+    def reply(pdu: Pdu) -> Pdu:
         if pdu.command is Command.CANCEL_SM:
             return pdu.reply(cancel)
         return pdu.reply(Status.ESME_RQUERYFAIL) if query is None else pdu.reply(message_state=query)
 
-    gate.tells = tells
+    gate.tells = reply
     begun = stage.loop.now
     name = submitted(stage, contractor, b"a", "PAY")
     stage.until(lambda: name in contractor.ends())
-    told = contractor.ends()[name]
-    assert told == {state} or state == UNDELIV and told == {EXPIRED}
+    states = contractor.ends()[name]
+    assert states == {state} or state == UNDELIV and states == {EXPIRED}
     assert stage.loop.now - begun < stage.courier.settings.classes[2].deadline_ns // 1000
     assert gate.asked[0].text("message_id") == "id-a" and len(gate.submits) == 1
     gate.receipt("id-a", "DELIVRD")
@@ -132,10 +134,10 @@
     assert len(contractor.receipts) == 1
 
 
-def test_a_receipt_is_acknowledged_only_when_it_is_journalled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_receipt_is_acknowledged_only_after_it_is_journalled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     stage, gate, contractor = staged(tmp_path)
     name = submitted(stage, contractor, b"a", "PAY")
-    accepted(stage, gate)
+    wait_for_acceptance(stage, gate)
     with monkeypatch.context() as full:
         full.setattr(Journal, "_append", lambda self, record: False)
         gate.receipt("id-a", "DELIVRD")
@@ -150,7 +152,7 @@
     stage, gate, contractor = staged(tmp_path, response_id="hex", receipt_id="decimal")
     gate.name = lambda pdu: "00002A"
     name = submitted(stage, contractor)
-    accepted(stage, gate)
+    wait_for_acceptance(stage, gate)
     gate.receipt("0000000042", "DELIVRD")
     stage.until(lambda: name in contractor.ends())
     assert contractor.ends() == {name: {DELIVRD}}
@@ -164,8 +166,8 @@
     stage, gate, contractor = staged(tmp_path, split="sar")
     gate.name = lambda pdu: str(len(gate.submits))
     name = submitted(stage, contractor, b"x" * 254)
-    # Two parts come from 254 letters; the third id is one that nobody waits for.
-    accepted(stage, gate)
+    # 254 characters make two parts; no message waits for the third id.
+    wait_for_acceptance(stage, gate)
     for place, stat in enumerate(stats, 1):
         assert name not in contractor.ends()
         gate.receipt(str(place), stat)
@@ -174,24 +176,24 @@
     assert contractor.ends() == {name: {state}} and len(gate.submits) == 2
 
 
-def test_what_waits_is_not_cancelled_and_takes_no_slot(tmp_path: Path) -> None:
+def test_messages_awaiting_a_receipt_are_not_cancelled_and_take_no_slot(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=1)
     gate = StandInGateway(stage)
     gate.name = lambda pdu: pdu.message.decode()
     stage.open(gateway(gate.address, outcome="receipt"))
     contractor = stage.contractor()
     names = [submitted(stage, contractor, text) for text in (b"a", b"b", b"c")]
-    accepted(stage, gate, 3)
+    wait_for_acceptance(stage, gate, 3)
     assert not any(stage.courier.withdraw(message) for message, _, _ in stage.courier._awaiting.values())
     for text in "cab":
         gate.receipt(text, "DELIVRD")
     stage.until(lambda: len(contractor.ends()) == 3)
     assert contractor.ends() == {name: {DELIVRD} for name in names}
-    stage.wait(30_000 * MS)  # past every deadline: nothing is told a second time
+    stage.wait(30_000 * MS)  # past every deadline: nothing is reported twice
     assert len(contractor.receipts) == 3 and not gate.asked
 
 
-def test_receipts_are_read_from_parameters_or_text() -> None:
+def test_receipts_are_parsed_from_parameters_or_text() -> None:
     text = Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"ID:7 sub:1 Stat:delivrd err:0")
     assert read(text) == receipts.Receipt("7", State.DELIVERED)
     text.tlvs = [(0x001E, b"8\0"), (0x0427, b"\5")]
@@ -200,12 +202,12 @@
     assert read(text) == receipts.Receipt("7", State.UNKNOWN)
     assert read(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"stat:DELIVRD")) is None
     assert read(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"id:7")) is None
-    later = Pdu(Command.DELIVER_SM, fields={"esm_class": 0x20}, message=b"id:7 stat:UNDELIV")
-    assert read(later) == receipts.Receipt("7", State.ENROUTE), "an intermediate notification ends nothing"
+    intermediate = Pdu(Command.DELIVER_SM, fields={"esm_class": 0x20}, message=b"id:7 stat:UNDELIV")
+    assert read(intermediate) == receipts.Receipt("7", State.ENROUTE), "an intermediate notification is no final state"
 
 
 @pytest.mark.parametrize(
-    ("one", "base", "other", "base_2", "same"),
+    ("first", "first_base", "second", "second_base", "equal"),
     [
         ("2a", "hex", "42", "decimal", True),
         ("002A", "hex", "2a", "hex", True),
@@ -217,11 +219,11 @@
         ("-1", "decimal", "-1", "hex", True),
     ],
 )
-def test_keys_of_ids(one: str, base: str, other: str, base_2: str, same: bool) -> None:
-    assert (key(one, base) == key(other, base_2)) is same
+def test_normalization_of_ids(first: str, first_base: str, second: str, second_base: str, equal: bool) -> None:
+    assert (normalized_id(first, first_base) == normalized_id(second, second_base)) is equal
 
 
-def test_an_id_that_a_gateway_uses_twice_goes_to_the_later_message() -> None:
+def test_an_id_that_a_gateway_reuses_belongs_to_the_later_message() -> None:
     ledger = Ledger()
     ledger.expect(1, "g", ["a"], "text")
     ledger.expect(2, "g", ["a", "b"], "text")
