--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -1,7 +1,7 @@
-"""What any SMPP 3.4 message centre must answer: a table of cases. No I/O; ``probe`` runs them.
+"""Conformance cases for SMPP 3.4 message centres, with the expected responses. No I/O; ``probe`` runs them.
 
-Sources: SMPP Protocol Specification v3.4, issue 1.2; each case names its clause. Where the specification leaves a
-choice (a status of two that both fit, a close instead of an answer), the case wants any of them.
+Source: SMPP Protocol Specification v3.4, issue 1.2; each case names its clause. Where the specification leaves a
+choice (two applicable statuses, or closing the connection instead of a response), the case accepts each of them.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from kestrelspar.smpp.pdu import Command, Dest, Pdu, Status
 from kestrelspar.smpp.table import BINDS, Bound, Side
 
-SEQUENCE = 0x01020304  # of the request that a case is about
-UNKNOWN_ID = "no-such-message"
-_BAD_BODY = (
+REQUEST_SEQUENCE = 0x01020304  # sequence_number of the request under test
+UNKNOWN_MESSAGE_ID = "no-such-message"
+_MALFORMED_BODY_STATUSES = (
     Status.ESME_RINVPARLEN,
     Status.ESME_RINVMSGLEN,
     Status.ESME_RINVCMDLEN,
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """By what name the cases bind, and what they send messages with."""
+    """The credentials that the cases bind with, and the fields of the messages that they submit."""
 
     system_id: str
     password: str
@@ -53,71 +53,71 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """The answers that will do."""
-
-    commands: tuple[int, ...] = ()  # none: no answer at all
-    statuses: tuple[int, ...] | None = None  # nothing: any but ``never``
-    never: tuple[int, ...] = ()
-    sequence: int = SEQUENCE
-    may_close: bool = False  # instead of answering
-    must_close: bool = False  # after the answer
-    tlv: int | None = None  # a parameter that the answer must have
-
-    def fault(self, answer: Pdu | None, closed: bool) -> str:
-        """What is wrong with an answer, or with its lack; empty if it will do."""
-        if answer is None:
+class ExpectedResponse:
+    """The responses that a case accepts."""
+
+    commands: tuple[int, ...] = ()  # empty: no response may come
+    statuses: tuple[int, ...] | None = None  # None: all except ``forbidden``
+    forbidden: tuple[int, ...] = ()
+    sequence: int = REQUEST_SEQUENCE
+    may_close: bool = False  # instead of responding
+    must_close: bool = False  # after the response
+    required_tlv: int | None = None  # an optional parameter that the response must have
+
+    def find_fault(self, response: Pdu | None, closed: bool) -> str:
+        """What is wrong with a response, or with its absence; empty if it is accepted."""
+        if response is None:
             if not self.commands:
-                return "" if not closed or self.may_close else "the connection was closed"
+                return "" if not closed or self.may_close else "connection closed"
             if closed:
-                return "" if self.may_close else "the connection was closed without an answer"
-            return "no answer"
+                return "" if self.may_close else "connection closed without a response"
+            return "no response"
         if not self.commands:
-            return f"an answer where none is due: {answer.command.name.lower()}"
-        if answer.command not in self.commands:
-            return f"answered by {answer.command.name.lower()} with {shown(answer.status)}"
-        if answer.sequence != self.sequence:
-            return f"sequence_number {answer.sequence:#x}, not {self.sequence:#x}"
-        if self.statuses is not None and answer.status not in self.statuses:
-            return f"status {shown(answer.status)}"
-        if answer.status in self.never:
-            return f"status {shown(answer.status)}"
-        if self.tlv is not None and answer.tlv(self.tlv) is None:
-            return f"without the parameter {self.tlv:#06x}"
+            return f"unexpected response: {response.command.name.lower()}"
+        if response.command not in self.commands:
+            return f"unexpected response {response.command.name.lower()} with status {shown(response.status)}"
+        if response.sequence != self.sequence:
+            return f"sequence_number {response.sequence:#x}, expected {self.sequence:#x}"
+        if self.statuses is not None and response.status not in self.statuses:
+            return f"unexpected status {shown(response.status)}"
+        if response.status in self.forbidden:
+            return f"unexpected status {shown(response.status)}"
+        if self.required_tlv is not None and response.tlv(self.required_tlv) is None:
+            return f"response lacks the parameter {self.required_tlv:#06x}"
         return ""
 
     def __str__(self) -> str:
-        names = " or ".join(Command(command).name.lower() for command in self.commands) or "no answer"
+        text = " or ".join(Command(command).name.lower() for command in self.commands) or "no response"
         if self.statuses is not None and len(self.statuses) < 4:
-            names += " with " + " or ".join(shown(status) for status in self.statuses)
+            text += " with " + " or ".join(shown(status) for status in self.statuses)
         elif self.statuses is not None:
-            names += " with an error"
-        elif self.never:
-            names += " but not with " + " or ".join(shown(status) for status in self.never)
-        return names + (" or a close" if self.may_close else "")
+            text += " with an error"
+        elif self.forbidden:
+            text += " but not with " + " or ".join(shown(status) for status in self.forbidden)
+        return text + (" or the connection closed" if self.may_close else "")
 
 
 def shown(status: int) -> str:
-    """A status by its name."""
+    """The name of a status, or its number if it is not defined."""
     return Status(status).name if status in Status._value2member_map_ else f"{status:#x}"
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One exchange: in which state, the bytes sent in these pieces, and the answer wanted."""
+    """One exchange: the session state, the bytes sent, in chunks, and the expected response."""
 
     group: str
     name: str
     clause: str
     state: Bound
-    pieces: tuple[bytes, ...]
-    wanted: Wanted
-    goes_on: bool = True  # whether enquire_link must be answered afterwards
-    refuses: bool = field(default=False)  # a refused bind: the address may have to make its peace
+    chunks: tuple[bytes, ...]
+    wanted: ExpectedResponse
+    session_continues: bool = True  # whether enquire_link has to be answered afterwards
+    refused_bind: bool = field(default=False)  # may count as a refused bind, for which servers throttle an address
 
 
-def _request(account: Account, command: Command, **more: object) -> Pdu:
-    """A request of this kind that is in order."""
+def _valid_request(account: Account, command: Command, **overrides: object) -> Pdu:
+    """A valid request of this kind, with some fields replaced."""
     fields: dict[str, object] = {
         "source_addr": account.source,
         "destination_addr": account.destination,
@@ -126,112 +126,122 @@
     if command in BINDS:
         fields = {"system_id": account.system_id, "password": account.password, "interface_version": 0x34}
     elif command in (Command.QUERY_SM, Command.CANCEL_SM, Command.REPLACE_SM):
-        fields["message_id"] = UNKNOWN_ID
+        fields["message_id"] = UNKNOWN_MESSAGE_ID
     elif command is Command.OUTBIND:
         fields = {"system_id": account.system_id, "password": account.password}
     elif command is Command.ALERT_NOTIFICATION:
         fields = {"source_addr": account.source, "esme_addr": account.destination}
-    made = Pdu(command, SEQUENCE, 0, fields | more)
+    request = Pdu(command, REQUEST_SEQUENCE, 0, fields | overrides)
     if command is Command.SUBMIT_MULTI:
-        made.dests = [Dest(account.destination, 1, 1)]
+        request.dests = [Dest(account.destination, 1, 1)]
     if command in (Command.SUBMIT_SM, Command.SUBMIT_MULTI, Command.DELIVER_SM, Command.REPLACE_SM):
-        made.message = b"conformance"
+        request.message = b"conformance"
     if command is Command.DATA_SM:
-        made.tlvs = [(p.MESSAGE_PAYLOAD, b"conformance")]
-    return made
+        request.tlvs = [(p.MESSAGE_PAYLOAD, b"conformance")]
+    return request
 
 
-def _answer(command: Command) -> int:
+def _response_to(command: Command) -> int:
     return command | p.RESPONSE
 
 
-def _patched(data: bytes, **header: int) -> bytes:
-    """A PDU with another length, command, status or sequence in its header."""
-    old = dict(zip(("size", "command", "status", "sequence"), p.HEADER.unpack_from(data), strict=True))
-    new = old | header
-    return p.HEADER.pack(new["size"], new["command"], new["status"], new["sequence"]) + data[p.HEADER.size :]
+def _with_header(data: bytes, **header: int) -> bytes:
+    """Replace the length, command, status or sequence in the header of an encoded PDU."""
+    original = dict(zip(("size", "command", "status", "sequence"), p.HEADER.unpack_from(data), strict=True))
+    patched = original | header
+    return (
+        p.HEADER.pack(patched["size"], patched["command"], patched["status"], patched["sequence"])
+        + data[p.HEADER.size :]
+    )
 
 
-def _whole(command: int, body: bytes, sequence: int = SEQUENCE, status: int = 0) -> bytes:
+def _raw_pdu(command: int, body: bytes, sequence: int = REQUEST_SEQUENCE, status: int = 0) -> bytes:
     return p.HEADER.pack(p.HEADER.size + len(body), command, status, sequence) + body
 
 
 def cases(account: Account) -> list[Case]:
-    """All of them."""
+    """All conformance cases."""
     return [
-        *_by_state(account),
-        *_binds(account),
-        *_headers(account),
-        *_fields(account),
-        *_parameters(account),
-        *_meaning(account),
-        *_unasked(account),
+        *_state_cases(account),
+        *_bind_cases(account),
+        *_header_cases(account),
+        *_field_cases(account),
+        *_parameter_cases(account),
+        *_semantic_cases(account),
+        *_unsolicited_response_cases(account),
     ]
 
 
-def _by_state(account: Account) -> Iterator[Case]:
-    """Each request in each state of a session."""
+def _state_cases(account: Account) -> Iterator[Case]:
+    """Each request in each session state."""
     for command in table.requests():
         for state in Bound:
-            refused = table.refusal(Side.CENTRE, state, Pdu(command))
+            refusal = table.refusal(Side.CENTRE, state, Pdu(command))
             if command is Command.OUTBIND or command is Command.ALERT_NOTIFICATION:
-                # No response exists; a centre may nack what is not its to receive, or pass over it.
-                wanted, goes_on = Wanted((Command.GENERIC_NACK,), may_close=True), False
+                # No response is defined; a message centre may reject the request with a generic_nack, or ignore it.
+                expected, session_continues = ExpectedResponse((Command.GENERIC_NACK,), may_close=True), False
             elif command is Command.DELIVER_SM:
-                wanted = Wanted(
+                expected = ExpectedResponse(
                     (Command.GENERIC_NACK, Command.DELIVER_SM_RESP),
                     (Status.ESME_RINVCMDID, Status.ESME_RINVBNDSTS),
                     may_close=True,
                 )
-                goes_on = False
-            elif refused is not None:
-                commands = (refused.command, Command.GENERIC_NACK)
-                wanted, goes_on = Wanted(commands, (refused.status,), may_close=state is Bound.OPEN), False
+                session_continues = False
+            elif refusal is not None:
+                commands = (refusal.command, Command.GENERIC_NACK)
+                expected, session_continues = (
+                    ExpectedResponse(commands, (refusal.status,), may_close=state is Bound.OPEN),
+                    False,
+                )
             else:
-                wanted = Wanted((_answer(command),), never=(Status.ESME_RINVBNDSTS, Status.ESME_RINVCMDID))
-                goes_on = command is not Command.UNBIND
+                expected = ExpectedResponse(
+                    (_response_to(command),), forbidden=(Status.ESME_RINVBNDSTS, Status.ESME_RINVCMDID)
+                )
+                session_continues = command is not Command.UNBIND
                 if command is Command.UNBIND:
-                    wanted = Wanted((_answer(command),), (Status.ESME_ROK,), must_close=state is not Bound.OPEN)
+                    expected = ExpectedResponse(
+                        (_response_to(command),), (Status.ESME_ROK,), must_close=state is not Bound.OPEN
+                    )
                 elif command is Command.ENQUIRE_LINK:
-                    wanted = Wanted((_answer(command),), (Status.ESME_ROK,))
+                    expected = ExpectedResponse((_response_to(command),), (Status.ESME_ROK,))
             yield Case(
                 "states",
                 f"{command.name.lower()} while {state.value}",
                 "2.2, table 2-1",
                 state,
-                (p.encode(_request(account, command)),),
-                wanted,
-                goes_on,
+                (p.encode(_valid_request(account, command)),),
+                expected,
+                session_continues,
             )
 
 
-def _binds(account: Account) -> Iterator[Case]:
-    """Who may bind, and how often."""
+def _bind_cases(account: Account) -> Iterator[Case]:
+    """Binds: versions, and wrong credentials."""
     for command in BINDS:
-        name, answer = command.name.lower(), _answer(command)
+        name, response = command.name.lower(), _response_to(command)
         yield Case(
             "binds",
             f"{name} in order",
             "4.1.2",
             Bound.OPEN,
-            (p.encode(_request(account, command)),),
-            Wanted((answer,), (Status.ESME_ROK,)),
+            (p.encode(_valid_request(account, command)),),
+            ExpectedResponse((response,), (Status.ESME_ROK,)),
         )
         yield Case(
             "binds",
             f"{name} tells the version it speaks",
             "4.1.2, sc_interface_version",
             Bound.OPEN,
-            (p.encode(_request(account, command)),),
-            Wanted((answer,), tlv=p.SC_INTERFACE_VERSION),
+            (p.encode(_valid_request(account, command)),),
+            ExpectedResponse((response,), required_tlv=p.SC_INTERFACE_VERSION),
         )
         yield Case(
             "binds",
             f"{name} with another password",
             "5.1.3",
             Bound.OPEN,
-            (p.encode(_request(account, command, password="wr0ng")),),
-            Wanted((answer,), (Status.ESME_RINVPASWD, Status.ESME_RBINDFAIL), may_close=True),
+            (p.encode(_valid_request(account, command, password="wr0ng")),),
+            ExpectedResponse((response,), (Status.ESME_RINVPASWD, Status.ESME_RBINDFAIL), may_close=True),
             False,
             True,
         )
@@ -240,8 +250,8 @@
             f"{name} with an unknown system_id",
             "5.1.3",
             Bound.OPEN,
-            (p.encode(_request(account, command, system_id="nobody-known")),),
-            Wanted((answer,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
+            (p.encode(_valid_request(account, command, system_id="nobody-known")),),
+            ExpectedResponse((response,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
             False,
             True,
         )
@@ -250,8 +260,8 @@
             f"{name} with an empty system_id",
             "5.2.1",
             Bound.OPEN,
-            (p.encode(_request(account, command, system_id="")),),
-            Wanted((answer,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
+            (p.encode(_valid_request(account, command, system_id="")),),
+            ExpectedResponse((response,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
             False,
             True,
         )
@@ -261,16 +271,16 @@
                 f"{name} with interface_version {version:#04x}",
                 "5.2.4",
                 Bound.OPEN,
-                (p.encode(_request(account, command, interface_version=version)),),
-                Wanted((answer,), never=(Status.ESME_RINVCMDID,)),
+                (p.encode(_valid_request(account, command, interface_version=version)),),
+                ExpectedResponse((response,), forbidden=(Status.ESME_RINVCMDID,)),
                 version != 0,
             )
 
 
-def _headers(account: Account) -> Iterator[Case]:
-    """Lengths, ids and sequence numbers."""
-    enquire = p.encode(Pdu(Command.ENQUIRE_LINK, SEQUENCE))
-    alive = Wanted((Command.ENQUIRE_LINK_RESP,), (Status.ESME_ROK,))
+def _header_cases(account: Account) -> Iterator[Case]:
+    """Command lengths, command ids, sequence numbers, and PDUs split over several writes."""
+    enquire = p.encode(Pdu(Command.ENQUIRE_LINK, REQUEST_SEQUENCE))
+    enquire_answered = ExpectedResponse((Command.ENQUIRE_LINK_RESP,), (Status.ESME_ROK,))
     for state in (Bound.OPEN, Bound.TRX):
         for size in (0, 4, 15, 0x7FFFFFFF, 0xFFFFFFFF):
             yield Case(
@@ -278,8 +288,8 @@
                 f"command_length {size:#x} while {state.value}",
                 "3.2, 5.1.1",
                 state,
-                (_patched(enquire, size=size),),
-                Wanted((Command.GENERIC_NACK,), (Status.ESME_RINVCMDLEN,), sequence=0, may_close=True),
+                (_with_header(enquire, size=size),),
+                ExpectedResponse((Command.GENERIC_NACK,), (Status.ESME_RINVCMDLEN,), sequence=0, may_close=True),
                 False,
             )
         for command in (0x0000000A, 0x00000100, 0x00010200, 0x7FFFFFFF):
@@ -288,16 +298,16 @@
                 f"unknown command_id {command:#010x} while {state.value}",
                 "4.3.1",
                 state,
-                (_whole(command, b""),),
-                Wanted((Command.GENERIC_NACK,), (Status.ESME_RINVCMDID,)),
+                (_raw_pdu(command, b""),),
+                ExpectedResponse((Command.GENERIC_NACK,), (Status.ESME_RINVCMDID,)),
             )
         yield Case(
             "headers",
             f"an unknown response id while {state.value}",
             "4.3.1",
             state,
-            (_whole(0x8000000A, b""),),
-            Wanted((), may_close=state is Bound.OPEN),
+            (_raw_pdu(0x8000000A, b""),),
+            ExpectedResponse((), may_close=state is Bound.OPEN),
             state is not Bound.OPEN,
         )
     for sequence in (1, 0x7FFFFFFF, 0):
@@ -306,16 +316,16 @@
             f"sequence_number {sequence:#x} is returned",
             "5.1.4",
             Bound.TRX,
-            (_patched(enquire, sequence=sequence),),
-            Wanted((Command.ENQUIRE_LINK_RESP,), sequence=sequence),
+            (_with_header(enquire, sequence=sequence),),
+            ExpectedResponse((Command.ENQUIRE_LINK_RESP,), sequence=sequence),
         )
     yield Case(
         "headers",
         "a request's command_status is not looked at",
         "5.1.3",
         Bound.TRX,
-        (_patched(enquire, status=0x58),),
-        alive,
+        (_with_header(enquire, status=0x58),),
+        enquire_answered,
     )
     yield Case(
         "headers",
@@ -323,30 +333,37 @@
         "3.1",
         Bound.TRX,
         tuple(enquire[at : at + 1] for at in range(len(enquire))),
-        alive,
+        enquire_answered,
     )
-    submit = p.encode(_request(account, Command.SUBMIT_SM))
+    submit = p.encode(_valid_request(account, Command.SUBMIT_SM))
     yield Case(
         "headers",
         "a submit_sm in two halves",
         "3.1",
         Bound.TRX,
         (submit[: len(submit) // 2], submit[len(submit) // 2 :]),
-        Wanted((Command.SUBMIT_SM_RESP,), never=(Status.ESME_RINVCMDLEN,)),
+        ExpectedResponse((Command.SUBMIT_SM_RESP,), forbidden=(Status.ESME_RINVCMDLEN,)),
+    )
+    yield Case(
+        "headers",
+        "two PDUs in one write",
+        "3.1",
+        Bound.TRX,
+        (enquire + _with_header(enquire, sequence=7),),
+        enquire_answered,
     )
-    yield Case("headers", "two PDUs in one write", "3.1", Bound.TRX, (enquire + _patched(enquire, sequence=7),), alive)
     yield Case(
         "headers",
         "enquire_link with a body",
         "4.11.1",
         Bound.TRX,
-        (_whole(Command.ENQUIRE_LINK, b"\0\0"),),
-        Wanted((Command.ENQUIRE_LINK_RESP, Command.GENERIC_NACK)),
+        (_raw_pdu(Command.ENQUIRE_LINK, b"\0\0"),),
+        ExpectedResponse((Command.ENQUIRE_LINK_RESP, Command.GENERIC_NACK)),
     )
 
 
-def _fields(account: Account) -> Iterator[Case]:
-    """Each request without its end, and each of its strings too long."""
+def _field_cases(account: Account) -> Iterator[Case]:
+    """Truncated requests, and requests with a string that exceeds its field."""
     for command in (
         Command.SUBMIT_SM,
         Command.DATA_SM,
@@ -357,54 +374,63 @@
         *BINDS,
     ):
         state = Bound.OPEN if command in BINDS else Bound.TRX
-        name, wanted = command.name.lower(), Wanted((_answer(command), Command.GENERIC_NACK), _BAD_BODY, may_close=True)
-        good = p.encode(_request(account, command))
-        case = partial(Case, "fields", state=state, wanted=wanted, goes_on=False, refuses=command in BINDS)
-        yield case(name=f"{name} without a body", clause="3.2", pieces=(_whole(command, b""),))
-        body = good[p.HEADER.size :]
-        cut = body[: body.index(b"\0")]
-        yield case(name=f"{name} whose first string has no end", clause="3.1.1", pieces=(_whole(command, cut or b"x"),))
-        if command is not Command.DATA_SM:  # else its mandatory part may be whole
-            yield case(name=f"{name} that lacks its last byte", clause="3.2", pieces=(_whole(command, body[:-1]),))
-        for field_name, most in p.FIELDS[command]:
-            if most > 0:
+        name, expected = (
+            command.name.lower(),
+            ExpectedResponse((_response_to(command), Command.GENERIC_NACK), _MALFORMED_BODY_STATUSES, may_close=True),
+        )
+        encoded = p.encode(_valid_request(account, command))
+        case = partial(
+            Case, "fields", state=state, wanted=expected, session_continues=False, refused_bind=command in BINDS
+        )
+        yield case(name=f"{name} without a body", clause="3.2", chunks=(_raw_pdu(command, b""),))
+        body = encoded[p.HEADER.size :]
+        first_string = body[: body.index(b"\0")]
+        yield case(
+            name=f"{name} whose first string has no end",
+            clause="3.1.1",
+            chunks=(_raw_pdu(command, first_string or b"x"),),
+        )
+        if command is not Command.DATA_SM:  # whose mandatory fields may be complete without the last byte
+            yield case(name=f"{name} that lacks its last byte", clause="3.2", chunks=(_raw_pdu(command, body[:-1]),))
+        for field_name, size in p.FIELDS[command]:
+            if size > 0:
                 yield case(
-                    name=f"{name} with a {field_name} of {most} letters and no end in time",
+                    name=f"{name} with a {field_name} of {size} letters and no end in time",
                     clause="3.1.1",
-                    pieces=(_long(account, command, field_name, most),),
+                    chunks=(_with_unterminated_field(account, command, field_name, size),),
                 )
 
 
-def _long(account: Account, command: Command, name: str, most: int) -> bytes:
-    """A request with one string that fills its field, so that no room is left for its end."""
-    request, parts = _request(account, command), []
-    for known, size in p.FIELDS[command]:
-        if known == name:
-            parts.append(b"9" * most + b"\0")
+def _with_unterminated_field(account: Account, command: Command, name: str, max_size: int) -> bytes:
+    """A request with one string that fills its field, so that its terminator exceeds it."""
+    request, encoded = _valid_request(account, command), []
+    for field_name, size in p.FIELDS[command]:
+        if field_name == name:
+            encoded.append(b"9" * max_size + b"\0")
         elif size < 0:
-            parts.append(b"\1\1\1\1" + account.destination.encode() + b"\0")
+            encoded.append(b"\1\1\1\1" + account.destination.encode() + b"\0")
         elif size:
-            parts.append(request.text(known).encode() + b"\0")
+            encoded.append(request.text(field_name).encode() + b"\0")
         else:
-            parts.append(bytes([request.number(known)]))
+            encoded.append(bytes([request.number(field_name)]))
     if command in (Command.SUBMIT_SM, Command.SUBMIT_MULTI, Command.REPLACE_SM):
-        parts.append(bytes([len(request.message)]) + request.message)
-    return _whole(command, b"".join(parts))
+        encoded.append(bytes([len(request.message)]) + request.message)
+    return _raw_pdu(command, b"".join(encoded))
 
 
-def _parameters(account: Account) -> Iterator[Case]:
-    """Optional parameters."""
-    good = _request(account, Command.SUBMIT_SM)
-    taken = Wanted(
+def _parameter_cases(account: Account) -> Iterator[Case]:
+    """Optional parameters, valid and malformed."""
+    request = _valid_request(account, Command.SUBMIT_SM)
+    accepted = ExpectedResponse(
         (Command.SUBMIT_SM_RESP,),
-        never=(
+        forbidden=(
             Status.ESME_RINVOPTPARSTREAM,
             Status.ESME_ROPTPARNOTALLWD,
             Status.ESME_RINVPARLEN,
             Status.ESME_RINVCMDLEN,
         ),
     )
-    broken = Wanted(
+    rejected = ExpectedResponse(
         (Command.SUBMIT_SM_RESP, Command.GENERIC_NACK),
         (
             Status.ESME_RINVOPTPARSTREAM,
@@ -415,10 +441,10 @@
         ),
         may_close=True,
     )
-    data = p.encode(good)
+    data = p.encode(request)
 
     def with_tail(tail: bytes) -> tuple[bytes, ...]:
-        return (_whole(Command.SUBMIT_SM, data[p.HEADER.size :] + tail),)
+        return (_raw_pdu(Command.SUBMIT_SM, data[p.HEADER.size :] + tail),)
 
     for name, tail in (
         ("an unknown parameter", struct.pack(">HH", 0x3FFF, 2) + b"xy"),
@@ -427,7 +453,7 @@
         ("a user_message_reference", struct.pack(">HHH", 0x0204, 2, 7)),
         ("the same parameter twice", 2 * struct.pack(">HHH", 0x0204, 2, 7)),
     ):
-        yield Case("parameters", f"submit_sm with {name}", "3.3", Bound.TRX, with_tail(tail), taken)
+        yield Case("parameters", f"submit_sm with {name}", "3.3", Bound.TRX, with_tail(tail), accepted)
     for name, tail in (
         ("half a tag", b"\x02"),
         ("a tag without a length", b"\x02\x04"),
@@ -435,30 +461,34 @@
         ("a value cut short", b"\x02\x04\x00\x02\x07"),
         ("a length beyond the PDU", b"\x02\x04\xff\xff\x00\x07"),
     ):
-        yield Case("parameters", f"submit_sm with {name}", "3.2.4.1", Bound.TRX, with_tail(tail), broken, False)
+        yield Case("parameters", f"submit_sm with {name}", "3.2.4.1", Bound.TRX, with_tail(tail), rejected, False)
     yield Case(
         "parameters",
         "submit_sm with a message_payload instead of a short_message",
         "4.4.1",
         Bound.TRX,
-        (p.encode(Pdu(Command.SUBMIT_SM, SEQUENCE, 0, good.fields, b"", [(p.MESSAGE_PAYLOAD, b"x" * 300)])),),
-        taken,
+        (
+            p.encode(
+                Pdu(Command.SUBMIT_SM, REQUEST_SEQUENCE, 0, request.fields, b"", [(p.MESSAGE_PAYLOAD, b"x" * 300)])
+            ),
+        ),
+        accepted,
     )
     yield Case(
         "parameters",
         "submit_sm with both",
         "4.4.1, 5.3.2.32",
         Bound.TRX,
-        (p.encode(Pdu(Command.SUBMIT_SM, SEQUENCE, 0, good.fields, b"x", [(p.MESSAGE_PAYLOAD, b"y")])),),
-        Wanted(
+        (p.encode(Pdu(Command.SUBMIT_SM, REQUEST_SEQUENCE, 0, request.fields, b"x", [(p.MESSAGE_PAYLOAD, b"y")])),),
+        ExpectedResponse(
             (Command.SUBMIT_SM_RESP,),
             (Status.ESME_RINVMSGLEN, Status.ESME_ROPTPARNOTALLWD, Status.ESME_RINVPARLEN, Status.ESME_RSUBMITFAIL),
         ),
     )
 
 
-def _meaning(account: Account) -> Iterator[Case]:
-    """Fields that are whole and mean nothing."""
+def _semantic_cases(account: Account) -> Iterator[Case]:
+    """Well-formed fields with invalid values, and valid messages."""
 
     def submit(clause: str, name: str, statuses: tuple[Status, ...], **fields: object) -> Case:
         return Case(
@@ -466,8 +496,8 @@
             f"submit_sm with {name}",
             clause,
             Bound.TRX,
-            (p.encode(_request(account, Command.SUBMIT_SM, **fields)),),
-            Wanted((Command.SUBMIT_SM_RESP,), statuses),
+            (p.encode(_valid_request(account, Command.SUBMIT_SM, **fields)),),
+            ExpectedResponse((Command.SUBMIT_SM_RESP,), statuses),
         )
 
     for text in ("tomorrow", "261301000000000+", "0000000000000000"):
@@ -481,48 +511,52 @@
     yield submit(
         "5.2.9", "an empty destination_addr", (Status.ESME_RINVDSTADR, Status.ESME_RINVDSTTON), destination_addr=""
     )
-    good = p.encode(_request(account, Command.SUBMIT_SM))
-    at = len(good) - len(b"conformance") - 1
+    encoded = p.encode(_valid_request(account, Command.SUBMIT_SM))
+    length_at = len(encoded) - len(b"conformance") - 1
     for size in (255, 12):
         yield Case(
             "meaning",
             f"submit_sm whose sm_length says {size} of 11",
             "5.2.21",
             Bound.TRX,
-            (good[:at] + bytes([size]) + good[at + 1 :],),
-            Wanted((Command.SUBMIT_SM_RESP, Command.GENERIC_NACK), _BAD_BODY),
+            (encoded[:length_at] + bytes([size]) + encoded[length_at + 1 :],),
+            ExpectedResponse((Command.SUBMIT_SM_RESP, Command.GENERIC_NACK), _MALFORMED_BODY_STATUSES),
             False,
         )
-    fields = p.encode(_request(account, Command.SUBMIT_MULTI))[p.HEADER.size :]
-    count = fields.index(b"\0", fields.index(b"\0") + 3) + 1  # behind service_type and source address
-    listed = len(b"\1\1\1" + account.destination.encode() + b"\0")
+    fields = p.encode(_valid_request(account, Command.SUBMIT_MULTI))[p.HEADER.size :]
+    count_at = fields.index(b"\0", fields.index(b"\0") + 3) + 1  # after service_type and source address
+    dests_length = len(b"\1\1\1" + account.destination.encode() + b"\0")
     for name, dests, statuses in (
         ("no destination", b"\0", (Status.ESME_RINVNUMDESTS,)),
         ("the dest_flag 3", b"\1\3\1\1" + account.destination.encode() + b"\0", (Status.ESME_RINVDESTFLAG,)),
-        ("fewer destinations than it says", b"\xfe\1\1\1" + account.destination.encode() + b"\0", _BAD_BODY),
+        (
+            "fewer destinations than it says",
+            b"\xfe\1\1\1" + account.destination.encode() + b"\0",
+            _MALFORMED_BODY_STATUSES,
+        ),
     ):
         yield Case(
             "meaning",
             f"submit_multi with {name}",
             "4.5.1, 5.2.24",
             Bound.TRX,
-            (_whole(Command.SUBMIT_MULTI, fields[:count] + dests + fields[count + 1 + listed :]),),
-            Wanted((Command.SUBMIT_MULTI_RESP, Command.GENERIC_NACK), statuses),
+            (_raw_pdu(Command.SUBMIT_MULTI, fields[:count_at] + dests + fields[count_at + 1 + dests_length :]),),
+            ExpectedResponse((Command.SUBMIT_MULTI_RESP, Command.GENERIC_NACK), statuses),
             False,
         )
-    for command, other in (
+    for command, failure in (
         (Command.QUERY_SM, Status.ESME_RQUERYFAIL),
         (Command.CANCEL_SM, Status.ESME_RCANCELFAIL),
         (Command.REPLACE_SM, Status.ESME_RREPLACEFAIL),
     ):
-        for name in (UNKNOWN_ID, "x" * 64):
+        for message_id in (UNKNOWN_MESSAGE_ID, "x" * 64):
             yield Case(
                 "meaning",
-                f"{command.name.lower()} of the unknown message {name:.16}",
+                f"{command.name.lower()} of the unknown message {message_id:.16}",
                 "5.1.3",
                 Bound.TRX,
-                (p.encode(_request(account, command, message_id=name)),),
-                Wanted((_answer(command),), (Status.ESME_RINVMSGID, other)),
+                (p.encode(_valid_request(account, command, message_id=message_id)),),
+                ExpectedResponse((_response_to(command),), (Status.ESME_RINVMSGID, failure)),
             )
     for command in (Command.SUBMIT_SM, Command.DATA_SM, Command.SUBMIT_MULTI):
         yield Case(
@@ -530,13 +564,13 @@
             f"{command.name.lower()} in order",
             "4.4.2, 4.5.2, 4.7.2",
             Bound.TRX,
-            (p.encode(_request(account, command)),),
-            Wanted((_answer(command),), (Status.ESME_ROK,)),
+            (p.encode(_valid_request(account, command)),),
+            ExpectedResponse((_response_to(command),), (Status.ESME_ROK,)),
         )
 
 
-def _unasked(account: Account) -> Iterator[Case]:
-    """Responses that nobody asked for: passed over, and the session goes on."""
+def _unsolicited_response_cases(account: Account) -> Iterator[Case]:
+    """Responses without a request: ignored, and the session continues."""
     for command in Command:
         if command & p.RESPONSE:
             yield Case(
@@ -544,6 +578,6 @@
                 f"{command.name.lower()} that nobody asked for",
                 "4.3.1",
                 Bound.TRX,
-                (_whole(command, b"", status=0x58),),
-                Wanted(),
+                (_raw_pdu(command, b"", status=0x58),),
+                ExpectedResponse(),
             )
--- a/kestrelspar/smpp/probe.py
+++ b/kestrelspar/smpp/probe.py
@@ -1,4 +1,4 @@
-"""An ESME for people and tools: binds to any message centre, asks, and runs the conformance cases against it."""
+"""A simple SMPP client (ESME) for command-line tools, and a runner of the conformance cases of ``conform``."""
 
 from __future__ import annotations
 
@@ -12,176 +12,183 @@
 from kestrelspar.smpp.pdu import Command, Pdu
 from kestrelspar.smpp.table import BINDS, Bound
 
-BY_STATE = {bound: command for command, bound in BINDS.items()}
-AFTER = 0x0FFFFFFF  # sequence_number of the enquire_link that asks whether the session goes on
-Dial = Callable[[int], Stream | None]  # a connection by a deadline
+BIND_BY_STATE = {bound: command for command, bound in BINDS.items()}
+LIVENESS_SEQUENCE = 0x0FFFFFFF  # sequence_number of the enquire_link that checks whether the session still works
+Dial = Callable[[int], Stream | None]  # connects until a deadline; None if that fails
 
 
 class Refused(Exception):
-    """The other side did not answer as it must for us to go on."""
+    """The other side refused a request, did not answer, or sent something other than a PDU."""
 
 
 class Esme:
-    """One connection, read and written by one task."""
+    """A client connection, read and written by one task."""
 
-    def __init__(self, loop: Loop, stream: Stream, heard: Callable[[Pdu], None] = lambda pdu: None) -> None:
-        """``heard`` gets the requests of the other side, which are acknowledged."""
-        self.loop, self.stream, self._heard = loop, stream, heard
-        self._rest = bytearray()
+    def __init__(self, loop: Loop, stream: Stream, on_request: Callable[[Pdu], None] = lambda pdu: None) -> None:
+        """``on_request`` is called with each request of the other side, which is then acknowledged."""
+        self.loop, self.stream, self._on_request = loop, stream, on_request
+        self._unparsed = bytearray()
         self._sequence = 0
 
     def send(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write raw bytes."""
         self.stream.write(data, self.loop.now + 5 * SECOND)
 
     def read(self, deadline: int) -> Pdu:
-        """The next PDU that is no request. ``Closed``, ``Late``, or ``Refused`` for what is no PDU."""
+        """Read the next response. Raises ``Closed``, ``Late``, or ``Refused`` if something other than a PDU arrives."""
         while not (pdu := self.next(deadline)).command & p.RESPONSE:
             pass
         return pdu
 
     def next(self, deadline: int) -> Pdu:
-        """The next PDU; a request is acknowledged and has been told to ``heard``."""
+        """Read the next PDU; a request is passed to ``on_request`` and acknowledged."""
         while True:
             try:
-                size = p.whole(self._rest)
+                size = p.whole(self._unparsed)
                 if size:
-                    data = bytes(self._rest[:size])
-                    del self._rest[:size]
+                    data = bytes(self._unparsed[:size])
+                    del self._unparsed[:size]
                     pdu = p.decode(data)
                     if not pdu.command & p.RESPONSE:
-                        self._heard(pdu)
+                        self._on_request(pdu)
                         if pdu.command not in (Command.ALERT_NOTIFICATION, Command.OUTBIND):
                             self.send(p.encode(pdu.reply()))
                     return pdu
             except (p.BadLength, p.BadPdu) as error:
-                raise Refused(f"no PDU came: {error}") from None
+                raise Refused(f"invalid PDU received: {error}") from None
             self.stream.fill(deadline)
-            self._rest += self.stream.unread
+            self._unparsed += self.stream.unread
             self.stream.consume(len(self.stream.unread))
 
-    def ask(self, pdu: Pdu, within: int) -> Pdu:
-        """A request and its response; ``Refused`` says why there is none."""
+    def ask(self, pdu: Pdu, timeout: int) -> Pdu:
+        """Send a request and return its response; raises ``Refused`` if there is none."""
         self._sequence += 1
         pdu.sequence = self._sequence
         try:
             self.send(p.encode(pdu))
-            deadline = self.loop.now + within
-            while (answer := self.read(deadline)).sequence != pdu.sequence:
+            deadline = self.loop.now + timeout
+            while (response := self.read(deadline)).sequence != pdu.sequence:
                 pass
         except Closed:
-            raise Refused(f"{pdu.command.name.lower()}: the connection was closed") from None
+            raise Refused(f"{pdu.command.name.lower()}: connection closed") from None
         except Late:
-            raise Refused(f"{pdu.command.name.lower()}: no answer in time") from None
-        return answer
-
-    def bind(self, how: Command, account: Account, within: int) -> None:
-        """Bind, or ``Refused``."""
-        answer = self.ask(
-            Pdu(how, fields={"system_id": account.system_id, "password": account.password, "interface_version": 0x34}),
-            within,
+            raise Refused(f"{pdu.command.name.lower()}: no response in time") from None
+        return response
+
+    def bind(self, command: Command, account: Account, timeout: int) -> None:
+        """Bind; raises ``Refused`` if the bind fails."""
+        response = self.ask(
+            Pdu(
+                command,
+                fields={"system_id": account.system_id, "password": account.password, "interface_version": 0x34},
+            ),
+            timeout,
         )
-        if answer.status or answer.command != how | p.RESPONSE:
-            raise Refused(f"{how.name.lower()}: {shown(answer.status)}")
+        if response.status or response.command != command | p.RESPONSE:
+            raise Refused(f"{command.name.lower()}: {shown(response.status)}")
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of one case: no ``fault`` is good."""
+    """The result of one case; an empty ``fault`` means that it passed."""
 
     case: Case
     fault: str
 
 
 class Examiner:
-    """Runs cases one after the other, each on a connection of its own."""
+    """Runs cases one after the other, each on its own connection."""
 
-    def __init__(self, loop: Loop, dial: Dial, account: Account, within: int) -> None:
-        """``within``: microseconds for each answer."""
-        self.loop, self._dial, self._account, self._within = loop, dial, account, within
+    def __init__(self, loop: Loop, dial: Dial, account: Account, timeout: int) -> None:
+        """``timeout``: for connecting and for each response, in microseconds."""
+        self.loop, self._dial, self._account, self._timeout = loop, dial, account, timeout
 
-    def run(self, cases: Iterable[Case], told: Callable[[Verdict], None]) -> None:
-        """All of them; a refused bind is followed by a good one, so that nobody takes us for a guesser."""
+    def run(self, cases: Iterable[Case], report: Callable[[Verdict], None]) -> None:
+        """Run all cases and report each verdict.
+
+        After a refused bind a valid one follows, so that the server does not throttle the address as if it guessed
+        passwords.
+        """
         for case in cases:
             try:
-                fault = self._one(case)
+                fault = self._run_case(case)
             except Refused as error:
                 fault = str(error)
-            if case.refuses:
-                self._peace()
-            told(Verdict(case, fault))
+            if case.refused_bind:
+                self._clear_bind_refusals()
+            report(Verdict(case, fault))
 
-    def _open(self) -> Esme:
-        stream = self._dial(self.loop.now + self._within)
+    def _connect(self) -> Esme:
+        stream = self._dial(self.loop.now + self._timeout)
         if stream is None:
             raise Refused("no connection")
         return Esme(self.loop, stream)
 
-    def _peace(self) -> None:
+    def _clear_bind_refusals(self) -> None:
         try:
-            esme = self._open()
+            esme = self._connect()
             try:
-                esme.bind(Command.BIND_TRANSCEIVER, self._account, self._within)
-                esme.ask(Pdu(Command.UNBIND), self._within)
+                esme.bind(Command.BIND_TRANSCEIVER, self._account, self._timeout)
+                esme.ask(Pdu(Command.UNBIND), self._timeout)
             finally:
                 esme.stream.close()
         except Refused:
             pass
 
-    def _one(self, case: Case) -> str:
-        esme = self._open()
+    def _run_case(self, case: Case) -> str:
+        esme = self._connect()
         try:
             if case.state is not Bound.OPEN:
-                esme.bind(BY_STATE[case.state], self._account, self._within)
+                esme.bind(BIND_BY_STATE[case.state], self._account, self._timeout)
             return self._exchange(esme, case)
         finally:
             esme.stream.close()
 
     def _exchange(self, esme: Esme, case: Case) -> str:
-        answer, closed = None, False
-        enquire = p.encode(Pdu(Command.ENQUIRE_LINK, AFTER))
+        response, closed = None, False
+        enquire = p.encode(Pdu(Command.ENQUIRE_LINK, LIVENESS_SEQUENCE))
         try:
-            for place, piece in enumerate(case.pieces):
-                if place:
-                    self.loop.sleep(2 * MS)  # pieces that the system does not put together again
-                esme.send(piece)
-            if not case.wanted.commands and case.goes_on:
+            for index, chunk in enumerate(case.chunks):
+                if index:
+                    self.loop.sleep(2 * MS)  # so that the operating system does not join the chunks
+                esme.send(chunk)
+            if not case.wanted.commands and case.session_continues:
                 esme.send(enquire)
-            answer = esme.read(self.loop.now + self._within)
+            response = esme.read(self.loop.now + self._timeout)
         except Closed:
             closed = True
         except Late:
             pass
-        if answer is not None and not case.wanted.commands and answer.sequence == AFTER:
-            return ""  # it passed over what it had to, and goes on
-        fault = case.wanted.fault(answer, closed)
+        if response is not None and not case.wanted.commands and response.sequence == LIVENESS_SEQUENCE:
+            return ""  # the PDU was ignored as expected, and the session continues
+        fault = case.wanted.find_fault(response, closed)
         if fault or closed:
             return fault
         if case.wanted.must_close:
-            return self._closes(esme)
-        return self._goes_on(esme, enquire) if case.goes_on else ""
+            return self._check_closed(esme)
+        return self._check_liveness(esme, enquire) if case.session_continues else ""
 
-    def _closes(self, esme: Esme) -> str:
+    def _check_closed(self, esme: Esme) -> str:
         try:
-            esme.read(self.loop.now + self._within)
+            esme.read(self.loop.now + self._timeout)
         except Closed:
             return ""
         except Late:
             pass
-        return "the connection was not closed after it"
+        return "connection not closed after the response"
 
-    def _goes_on(self, esme: Esme, enquire: bytes) -> str:
+    def _check_liveness(self, esme: Esme, enquire: bytes) -> str:
         try:
             esme.send(enquire)
-            while (answer := esme.read(self.loop.now + self._within)).sequence != AFTER:
+            while (response := esme.read(self.loop.now + self._timeout)).sequence != LIVENESS_SEQUENCE:
                 pass
         except (Closed, Late, Refused):
-            return "the session did not go on"
-        return "" if answer.command is Command.ENQUIRE_LINK_RESP else "enquire_link was refused after it"
+            return "session does not answer enquire_link afterwards"
+        return "" if response.command is Command.ENQUIRE_LINK_RESP else "enquire_link refused afterwards"
 
 
 def plain(loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> Dial:
-    """Connections without keys."""
+    """Connections without TLS."""
 
     def dial(deadline: int) -> Stream | None:
         sock = connect(loop, address, deadline)
--- a/tests/smpp/test_inbound.py
+++ b/tests/smpp/test_inbound.py
@@ -1,4 +1,4 @@
-"""What gateways send of their own, and contractors as next hops; outbind in both directions."""
+"""Mobile-originated messages, SMPP clients as next hops, and outbind in both directions."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 INBOUND = {"37255": 901, "999": 950}
 
 
-def account(stage: Stage, **more: object) -> None:
+def give_account_a_destination(stage: Stage, **more: object) -> None:
     import dataclasses
 
-    told = stage.server.told
-    accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in told.accounts)  # type: ignore[arg-type]
-    stage.server.told = dataclasses.replace(told, accounts=accounts)
+    config = stage.server.told
+    accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in config.accounts)  # type: ignore[arg-type]
+    stage.server.told = dataclasses.replace(config, accounts=accounts)
     stage.server.receivers.__init__(  # type: ignore[misc]
-        stage.loop, accounts, told.response, stage.server._find_receiver, stage.server._request_bind
+        stage.loop, accounts, config.response, stage.server._find_receiver, stage.server._request_bind
     )
 
 
 def staged(folder: Path, **more: object) -> tuple[Stage, StandInGateway]:
     stage = Stage(folder)
-    account(stage, **more)
+    give_account_a_destination(stage, **more)
     gate = StandInGateway(stage)
     other = StandInGateway(stage)
     stage.open(gateway(gate.address, inbound=INBOUND, stay_bound=True), gateway(other.address, "far", dest=901))
@@ -41,7 +41,7 @@
     return stage, gate
 
 
-def arrives(
+def send_from_gateway(
     stage: Stage,
     gate: StandInGateway,
     to: str,
@@ -58,19 +58,19 @@
 
 
 @pytest.mark.parametrize("command", [Command.DELIVER_SM, Command.DATA_SM])
-def test_a_gateways_own_message_is_routed_by_its_address(tmp_path: Path, command: Command) -> None:
+def test_a_mobile_originated_message_is_routed_by_its_address(tmp_path: Path, command: Command) -> None:
     stage, gate = staged(tmp_path)
-    answer = arrives(stage, gate, "372551", b"to a next hop", command)
+    answer = send_from_gateway(stage, gate, "372551", b"to a next hop", command)
     assert answer.command == command | p.RESPONSE and answer.status == 0
     stage.until(lambda: stage.far.submits and not stage.journal.entries)  # type: ignore[attr-defined]
     sent = stage.far.submits[0]  # type: ignore[attr-defined]
     assert (sent.message or sent.tlv(p.MESSAGE_PAYLOAD)) == b"to a next hop" and sent.text("source_addr") == "55"
-    assert arrives(stage, gate, "1234").status == Status.ESME_RINVDSTADR
+    assert send_from_gateway(stage, gate, "1234").status == Status.ESME_RINVDSTADR
 
 
-def test_a_gateways_own_message_waits_for_a_receiver_to_bind(tmp_path: Path) -> None:
+def test_a_mobile_originated_message_waits_for_a_receiver_to_bind(tmp_path: Path) -> None:
     stage, gate = staged(tmp_path)
-    assert arrives(stage, gate, "9991", b"hi").status == 0
+    assert send_from_gateway(stage, gate, "9991", b"hi").status == 0
     stage.wait(SECOND)
     assert len(stage.journal.entries) == 1
     contractor = stage.contractor(Command.BIND_RECEIVER)
@@ -78,26 +78,28 @@
     assert [(m.message, m.text("destination_addr")) for m in contractor.receipts] == [(b"hi", "9991")]
 
 
-def test_it_is_answered_only_when_it_is_journalled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_mobile_originated_message_is_answered_only_after_it_is_journalled(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     stage, gate = staged(tmp_path)
     with monkeypatch.context() as full:
         full.setattr(Journal, "_append", lambda self, record: False)
-        assert arrives(stage, gate, "9991").status == Status.ESME_RX_T_APPN
-    assert not stage.journal.entries and arrives(stage, gate, "9991").status == 0 and stage.journal.entries
+        assert send_from_gateway(stage, gate, "9991").status == Status.ESME_RX_T_APPN
+    assert not stage.journal.entries and send_from_gateway(stage, gate, "9991").status == 0 and stage.journal.entries
 
 
 @pytest.mark.parametrize(
     ("status", "end"), [(Status.ESME_ROK, DELIVERED), (Status.ESME_RX_R_APPN, FAILED), (None, DELIVERED)]
 )
-def test_a_contractors_answer_is_the_outcome(tmp_path: Path, status: Status | None, end: str) -> None:
+def test_the_response_of_the_receiver_is_the_outcome(tmp_path: Path, status: Status | None, end: str) -> None:
     stage, gate = staged(tmp_path)
     ends: list[str] = []
-    stage.arrivals.settle = lambda message, told: ends.append(told.state)  # type: ignore[method-assign]
+    stage.arrivals.settle = lambda message, reported: ends.append(reported.state)  # type: ignore[method-assign]
     contractor = stage.contractor(Command.BIND_RECEIVER)
     contractor.replies = status
-    arrives(stage, gate, "9991", b"x")
+    send_from_gateway(stage, gate, "9991", b"x")
     stage.until(lambda: contractor.receipts)
-    if status is None:  # silent: its session is ended before the message goes to another one
+    if status is None:  # no response: its session is closed before the message goes to another one
         stage.until(lambda: not stage.server._find_receiver(stage.server.told.accounts[0])[1])
         again = stage.contractor(Command.BIND_RECEIVER)
         stage.until(lambda: again.receipts)
@@ -105,7 +107,7 @@
     assert ends == [end] and len(contractor.receipts) == 1
 
 
-def test_an_alert_is_passed_on(tmp_path: Path) -> None:
+def test_an_alert_notification_is_forwarded(tmp_path: Path) -> None:
     stage, gate = staged(tmp_path)
     contractor = stage.contractor()
     gate.write(gate.bound(), Pdu(Command.ALERT_NOTIFICATION, 5, fields={"source_addr": "55", "esme_addr": "9"}))
@@ -114,49 +116,49 @@
 
 
 @pytest.mark.parametrize(("password", "bound"), [("come", True), ("wrong", False)])
-def test_a_gateway_may_ask_us_to_bind(tmp_path: Path, password: str, bound: bool) -> None:
+def test_outbind_of_a_gateway(tmp_path: Path, password: str, bound: bool) -> None:
     stage = Stage(tmp_path)
     stage.open(gateway(("127.0.0.1", 9), outbind_system_id="gw", outbind_password="come", inbound=INBOUND))
-    heard: list[Pdu] = []
-    kept: list[Stream] = []
+    received: list[Pdu] = []
+    streams: list[Stream] = []
 
     def dial() -> None:
         sock = connect(stage.loop, stage.address, stage.loop.now + SECOND)
         assert sock is not None
         stream = Stream(stage.loop, sock, stage.buffers)
-        kept.append(stream)
+        streams.append(stream)
         stream.write(p.encode(Pdu(Command.OUTBIND, 1, fields={"system_id": "gw", "password": password})), None)
-        heard.append(read(stream))
-        stream.write(p.encode(heard[0].reply(system_id="gw")), None)
+        received.append(read(stream))
+        stream.write(p.encode(received[0].reply(system_id="gw")), None)
         stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 9)), None)
-        heard.append(read(stream))
+        received.append(read(stream))
 
     stage.loop.spawn(dial)
-    stage.until(lambda: len(heard) == 2 if bound else heard)
+    stage.until(lambda: len(received) == 2 if bound else received)
     if bound:
-        assert [pdu.command for pdu in heard] == [Command.BIND_TRANSCEIVER, Command.ENQUIRE_LINK_RESP]
-        assert heard[0].text("system_id") == "us"
-        stage.wait(6 * SECOND)  # the time within which a guest has to bind
+        assert [pdu.command for pdu in received] == [Command.BIND_TRANSCEIVER, Command.ENQUIRE_LINK_RESP]
+        assert received[0].text("system_id") == "us"
+        stage.wait(6 * SECOND)  # past the time within which an incoming connection has to bind
         assert next(iter(stage.gates._links.values())).hears()
     else:
-        assert heard[0].command is Command.GENERIC_NACK
+        assert received[0].command is Command.GENERIC_NACK
 
 
-def test_a_contractor_that_has_not_bound_is_asked_to(tmp_path: Path) -> None:
+def test_an_outbind_is_sent_to_an_account_that_has_not_bound(tmp_path: Path) -> None:
     sock, address = listener()
     stage, gate = staged(tmp_path, outbind=address)
-    asked: list[Pdu] = []
-    made: list[StandInContractor] = []
+    requests: list[Pdu] = []
+    contractors: list[StandInContractor] = []
 
     def host() -> None:
         stage.loop.readable(sock, None)
         conn, _ = sock.accept()
         conn.setblocking(False)
         stream = Stream(stage.loop, conn, stage.buffers)
-        asked.append(read(stream))
-        made.append(StandInContractor(stage.loop, stage, address, Command.BIND_RECEIVER, stream=stream))
+        requests.append(read(stream))
+        contractors.append(StandInContractor(stage.loop, stage, address, Command.BIND_RECEIVER, stream=stream))
 
     stage.loop.spawn(host)
-    arrives(stage, gate, "9991", b"hi")
-    stage.until(lambda: made and made[0].receipts and not stage.journal.entries)
-    assert asked[0].command is Command.OUTBIND and made[0].receipts[0].message == b"hi"
+    send_from_gateway(stage, gate, "9991", b"hi")
+    stage.until(lambda: contractors and contractors[0].receipts and not stage.journal.entries)
+    assert requests[0].command is Command.OUTBIND and contractors[0].receipts[0].message == b"hi"
