--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -397,12 +397,12 @@
                 yield case(
                     name=f"{name} with a {field_name} of {size} letters and no end in time",
                     clause="3.1.1",
-                    chunks=(_with_unterminated_field(account, command, field_name, size),),
+                    chunks=(_with_overlong_field(account, command, field_name, size),),
                 )
 
 
-def _with_unterminated_field(account: Account, command: Command, name: str, max_size: int) -> bytes:
-    """A request with one string that fills its field, so that its terminator exceeds it."""
+def _with_overlong_field(account: Account, command: Command, name: str, max_size: int) -> bytes:
+    """A request with one string that fills its field, so that its terminator lies beyond the field."""
     request, encoded = _valid_request(account, command), []
     for field_name, size in p.FIELDS[command]:
         if field_name == name:
@@ -549,13 +549,13 @@
         (Command.CANCEL_SM, Status.ESME_RCANCELFAIL),
         (Command.REPLACE_SM, Status.ESME_RREPLACEFAIL),
     ):
-        for message_id in (UNKNOWN_MESSAGE_ID, "x" * 64):
+        for unknown_id in (UNKNOWN_MESSAGE_ID, "x" * 64):
             yield Case(
                 "meaning",
-                f"{command.name.lower()} of the unknown message {message_id:.16}",
+                f"{command.name.lower()} of the unknown message {unknown_id:.16}",
                 "5.1.3",
                 Bound.TRX,
-                (p.encode(_valid_request(account, command, message_id=message_id)),),
+                (p.encode(_valid_request(account, command, message_id=unknown_id)),),
                 ExpectedResponse((_response_to(command),), (Status.ESME_RINVMSGID, failure)),
             )
     for command in (Command.SUBMIT_SM, Command.DATA_SM, Command.SUBMIT_MULTI):
--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -127,7 +127,10 @@
         self._incomplete: dict[Key, IncompleteMessage] = {}
 
     def classify(self, key: Key, part: Part, size: int) -> tuple[PartDisposition, int]:
-        """What would happen to a part, and the number of the held part that it duplicates, or 0. Changes nothing."""
+        """What would happen to a part, and the number of the held part that it duplicates, or 0.
+
+        Changes nothing: the part is not journalled yet.
+        """
         incomplete = self._incomplete.get((*key, part.how, part.ref, part.total))
         if incomplete is None:
             return (
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -124,7 +124,7 @@
                 logs.warn("not-accepted", front="smpp", why=str(error))
                 self.loop.sleep(20 * MS)
                 continue
-            if self._bind_throttle.waits(peer[0], self.loop.now):  # after repeated refusals
+            if self._bind_throttle.waits(peer[0], self.loop.now):  # its refused binds were answered
                 sock.close()
                 continue
             if len(self._guests) >= self.told.most_sessions and not self._make_room():
@@ -149,7 +149,10 @@
         return False
 
     def _serve_connection(self, sock: socket.socket, name: str) -> None:
-        """Serve an accepted connection in its own task, starting with the TLS handshake if TLS is configured."""
+        """Serve an accepted connection in its own task.
+
+        With TLS the handshake comes first, and has a time limit of its own.
+        """
         if not self.told.tls or self._keys is None:
             self._run_session(Stream(self.loop, sock, self.buffers), name)
             return
@@ -237,9 +240,8 @@
             for waiting in self._waiting_for_bind:
                 waiting.resume()
             self._waiting_for_bind.clear()
-        if (
-            client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is Bound.OPEN
-        ):  # password guessing or a retry loop
+        # The client guesses passwords or retries in a loop.
+        if client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is Bound.OPEN:
             client.session.close()
 
     def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
@@ -392,7 +394,7 @@
         extra = first.extra | {"smpp": fields, "payload": True, "parts": receipts_owed, "shown": ""}
         del extra["part"]
         trace = os.urandom(8).hex()
-        whole = Message(
+        reassembled = Message(
             trace,
             first.cls,
             first.tenant,
@@ -404,8 +406,8 @@
             extra,
             start=max(m.start for m in held),
         )
-        if not self.courier.join(whole, held):
-            if self.loop.now >= whole.deadline:
+        if not self.courier.join(reassembled, held):
+            if self.loop.now >= reassembled.deadline:
                 for part in held:
                     self._fail_part(part)
                 return
@@ -416,7 +418,7 @@
         for part in held:
             self._held_parts.pop(part.number, None)
             self._unregister_open(part)
-        self._register_open(whole)
+        self._register_open(reassembled)
 
     def _confirm_acceptance(self, message: Message, response_sent: bool) -> bool:
         """Accept a message only if the positive response was sent to its client."""
@@ -613,7 +615,7 @@
         return pdu.reply(message_id=pdu.text("message_id"), message_state=ended["state"], final_date=final)
 
     def _cancel(self, account: Account, pdu: Pdu) -> Pdu:
-        """cancel_sm, by id or by source and destination address; withdraws only messages that were never attempted."""
+        """cancel_sm, by id or by source and destination address; withdraws messages of which no attempt can have run."""
         if pdu.text("message_id"):
             found = self._find_open(account, pdu)
             if not found:
