--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -615,7 +615,10 @@
         return pdu.reply(message_id=pdu.text("message_id"), message_state=ended["state"], final_date=final)
 
     def _cancel(self, account: Account, pdu: Pdu) -> Pdu:
-        """cancel_sm, by id or by source and destination address; withdraws only messages that cannot have been sent."""
+        """cancel_sm, by id or by source and destination address.
+
+        Withdraws only messages of which no attempt can have run.
+        """
         if pdu.text("message_id"):
             found = self._find_open(account, pdu)
             if not found:
