--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -58,7 +58,7 @@
     return elements, text[1 + text[0] :]
 
 
-def part_of(pdu: Pdu, text: bytes) -> tuple[Part | None, bytes]:
+def identify_part(pdu: Pdu, text: bytes) -> tuple[Part | None, bytes]:
     """Which part a submit_sm or data_sm is, and its text without the header; (None, text) if it is no part.
 
     A header with elements other than the reference, such as ports, is meant for the handset. Such a message is not
@@ -176,20 +176,20 @@
 MAX_PARTS = 255  # the number of parts is one octet
 
 
-def room(coding: int, text: bytes, how: str = "") -> int:
+def part_capacity(coding: int, text: bytes, how: str = "") -> int:
     """Capacity of one PDU in octets of text: unsplit (empty ``how``), or for a part by "udh" or "sar"."""
     seven_bit = coding in (GSM, IA5) and not any(octet > 0x7F for octet in text)
     return {"": (140, 160), "udh": (134, 153), "sar": (132, 152)}[how][seven_bit]
 
 
 def split(text: bytes, coding: int, how: str) -> list[bytes]:
-    """Split a text into as few parts as possible, never inside an escape sequence or a surrogate pair.
+    """Split a text into few parts, never inside a surrogate pair or an escape sequence of a 7-bit text.
 
     Raises ``ValueError`` if that takes more than 255 parts.
     """
-    if len(text) <= room(coding, text):
+    if len(text) <= part_capacity(coding, text):
         return [text]
-    max_length, pieces, at = room(coding, text, how), [], 0
+    max_length, pieces, at = part_capacity(coding, text, how), [], 0
     while at < len(text):
         end = min(len(text), at + max_length)
         if end < len(text):
--- a/kestrelspar/smpp/receipts.py
+++ b/kestrelspar/smpp/receipts.py
@@ -104,22 +104,22 @@
         self._awaited: dict[int, tuple[str, dict[str, str]]] = {}  # by message: gateway, and ids by normalized id
         self._pending_counts: dict[str, int] = {}  # by gateway: number of waiting messages
 
-    def expect(self, number: int, gate: str, ids: list[str], base: str) -> None:
+    def expect(self, number: int, gateway: str, ids: list[str], base: str) -> None:
         """Wait for a receipt for each of these ids, as they stood in the responses of the gateway."""
         self.drop(number)
         awaited = {normalized_id(message_id, base): message_id for message_id in ids if message_id}
-        self._awaited[number] = gate, awaited
-        self._pending_counts[gate] = self._pending_counts.get(gate, 0) + 1
+        self._awaited[number] = gateway, awaited
+        self._pending_counts[gateway] = self._pending_counts.get(gateway, 0) + 1
         for normalized in awaited:
-            self._message_numbers[gate, normalized] = number
+            self._message_numbers[gateway, normalized] = number
 
-    def owner(self, gate: str, message_id: str, base: str) -> int | None:
+    def owner(self, gateway: str, message_id: str, base: str) -> int | None:
         """The number of the message that a receipt is for."""
-        return self._message_numbers.get((gate, normalized_id(message_id, base)))
+        return self._message_numbers.get((gateway, normalized_id(message_id, base)))
 
-    def waiting(self, gate: str) -> int:
+    def waiting(self, gateway: str) -> int:
         """The number of messages that wait for receipts of a gateway."""
-        return self._pending_counts.get(gate, 0)
+        return self._pending_counts.get(gateway, 0)
 
     def left(self, number: int, message_id: str, base: str) -> list[str]:
         """The ids that a message still waits for after the receipt for one of them."""
@@ -135,9 +135,9 @@
 
     def drop(self, number: int) -> None:
         """Stop waiting for the receipts of a message."""
-        gate, awaited = self._awaited.pop(number, ("", {}))
+        gateway, awaited = self._awaited.pop(number, ("", {}))
         for normalized in awaited:
-            if self._message_numbers.get((gate, normalized)) == number:  # a gateway may have reused the id since
-                del self._message_numbers[gate, normalized]
-        if gate:
-            self._pending_counts[gate] -= 1
+            if self._message_numbers.get((gateway, normalized)) == number:  # a gateway may have reused the id since
+                del self._message_numbers[gateway, normalized]
+        if gateway:
+            self._pending_counts[gateway] -= 1
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -515,7 +515,7 @@
         part = None
         if self.told.parts_within:
             try:
-                part, body = parts.part_of(pdu, body)
+                part, body = parts.identify_part(pdu, body)
             except parts.InvalidPartError as error:
                 raise _SubmitRefusedError(error.status) from None
             tlvs = [(tag, value) for tag, value in tlvs if part is None or tag not in parts.SAR]
--- a/tests/smpp/test_parts.py
+++ b/tests/smpp/test_parts.py
@@ -62,10 +62,10 @@
     pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": esm}, text, tlvs)
     if isinstance(found, Status):
         with pytest.raises(InvalidPartError) as caught:
-            parts.part_of(pdu, text)
+            parts.identify_part(pdu, text)
         assert caught.value.status is found
     else:
-        assert parts.part_of(pdu, text) == (found or (None, text))
+        assert parts.identify_part(pdu, text) == (found or (None, text))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
@@ -274,7 +274,7 @@
         data, tlvs = parts.marked(piece, how, 300, len(pieces), place)
         assert len(data) <= (160 if coding == parts.GSM else 140)
         pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": parts.UDHI if how == "udh" else 0}, data, tlvs)
-        part, rest = parts.part_of(pdu, data)
+        part, rest = parts.identify_part(pdu, data)
         assert part is not None and (part.total, part.place) == (len(pieces), place)
         rejoined.append(rest)
     assert b"".join(rejoined) == body
@@ -324,7 +324,7 @@
     assert contractor.ends() == {name: {State.DELIVERED} for name in names} and len(gate.submits) == 6
     found: dict[int, dict[int, bytes]] = {}
     for pdu in gate.submits:
-        part, text = parts.part_of(pdu, pdu.message)
+        part, text = parts.identify_part(pdu, pdu.message)
         assert part is not None and part.total == 3
         found.setdefault(part.ref, {})[part.place] = text
     assert [b"".join(pieces[n] for n in (1, 2, 3)) for pieces in found.values()] == [LONG_TEXT, LONG_TEXT]
