--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -183,7 +183,7 @@
 
 
 def split(text: bytes, coding: int, how: str) -> list[bytes]:
-    """Split a text into few parts, never inside a surrogate pair or an escape sequence of a 7-bit text.
+    """Split a text into as few parts as possible, never inside a surrogate pair or an escape of 7-bit text.
 
     Raises ``ValueError`` if that takes more than 255 parts.
     """
