--- a/kestrelspar/smpp/pdu.py
+++ b/kestrelspar/smpp/pdu.py
@@ -1,4 +1,4 @@
-"""SMPP 3.4 PDUs: bytes to fields and back. Decides nothing, opens nothing."""
+"""Encoding and decoding of SMPP 3.4 PDUs. No I/O and no decisions."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import Any
 
 HEADER = struct.Struct(">IIII")
-MOST_PDU = 70 * 1024  # a message_payload of 64 KiB and what goes with it; fits one buffer
+MAX_PDU_BYTES = 70 * 1024  # a message_payload of 64 KiB with the other fields; fits into one buffer
 RESPONSE = 0x80000000
 
 
 class Command(IntEnum):
-    """The operations served."""
+    """The command_id values of the supported operations."""
 
     GENERIC_NACK = 0x80000000
     BIND_RECEIVER = 0x00000001
@@ -98,7 +98,7 @@
 
 
 class State(IntEnum):
-    """message_state, section 5.2.28; SCHEDULED is 5.0's."""
+    """The message_state values of SMPP 3.4, section 5.2.28; SCHEDULED was added by SMPP 5.0."""
 
     SCHEDULED = 0
     ENROUTE = 1
@@ -114,12 +114,13 @@
 RECEIPTED_MESSAGE_ID, MESSAGE_STATE, MESSAGE_PAYLOAD = 0x001E, 0x0427, 0x0424
 SC_INTERFACE_VERSION = 0x0210
 SAR_MSG_REF_NUM, SAR_TOTAL_SEGMENTS, SAR_SEGMENT_SEQNUM = 0x020C, 0x020E, 0x020F
-CONGESTION_STATE = 0x0428  # 5.0: 0 idle to 99 congested, 100 full
-MOST_DESTS = 254  # of a submit_multi
-RETRY_AFTER_MS = 0x1401  # in the range for vendors: when a returned message may be handed in again
+CONGESTION_STATE = 0x0428  # SMPP 5.0: from 0 (idle) to 99 (congested), 100 (full)
+MAX_DESTINATIONS = 254  # of a submit_multi
+RETRY_AFTER_MS = 0x1401  # in the vendor-specific range: delay before a returned message may be submitted again
 
-# A number: the most bytes of a C-octet string, its end included. 0: an integer of one byte.
-_BIND = (
+# Name and maximum length of each field: the bytes of a C-octet string with its terminating zero; 0 stands for an
+# integer of one byte.
+_BIND_LAYOUT = (
     ("system_id", 16),
     ("password", 9),
     ("system_type", 13),
@@ -128,8 +129,8 @@
     ("addr_npi", 0),
     ("address_range", 41),
 )
-_BIND_RESP = (("system_id", 16),)
-_SM = (
+_BIND_RESP_LAYOUT = (("system_id", 16),)
+_SM_LAYOUT = (
     ("service_type", 6),
     ("source_addr_ton", 0),
     ("source_addr_npi", 0),
@@ -147,9 +148,9 @@
     ("data_coding", 0),
     ("sm_default_msg_id", 0),
 )
-_SOURCE = (("source_addr_ton", 0), ("source_addr_npi", 0), ("source_addr", 21))
-_DEST = (("dest_addr_ton", 0), ("dest_addr_npi", 0), ("destination_addr", 21))
-_DATA = (
+_SOURCE_LAYOUT = (("source_addr_ton", 0), ("source_addr_npi", 0), ("source_addr", 21))
+_DESTINATION_LAYOUT = (("dest_addr_ton", 0), ("dest_addr_npi", 0), ("destination_addr", 21))
+_DATA_LAYOUT = (
     ("service_type", 6),
     ("source_addr_ton", 0),
     ("source_addr_npi", 0),
@@ -161,34 +162,35 @@
     ("registered_delivery", 0),
     ("data_coding", 0),
 )
-_DESTS, _UNSUCCESS = -1, -2  # a submit_multi's destinations; those of its response that were not taken
+# Lengths that stand for the list of destinations of a submit_multi, and for the rejected ones in its response.
+_DESTINATION_LIST, _UNSUCCESS_LIST = -1, -2
 FIELDS: dict[Command, tuple[tuple[str, int], ...]] = {
-    Command.BIND_RECEIVER: _BIND,
-    Command.BIND_TRANSMITTER: _BIND,
-    Command.BIND_TRANSCEIVER: _BIND,
-    Command.BIND_RECEIVER_RESP: _BIND_RESP,
-    Command.BIND_TRANSMITTER_RESP: _BIND_RESP,
-    Command.BIND_TRANSCEIVER_RESP: _BIND_RESP,
-    Command.OUTBIND: _BIND[:2],
-    Command.SUBMIT_SM: _SM,
-    Command.DELIVER_SM: _SM,
+    Command.BIND_RECEIVER: _BIND_LAYOUT,
+    Command.BIND_TRANSMITTER: _BIND_LAYOUT,
+    Command.BIND_TRANSCEIVER: _BIND_LAYOUT,
+    Command.BIND_RECEIVER_RESP: _BIND_RESP_LAYOUT,
+    Command.BIND_TRANSMITTER_RESP: _BIND_RESP_LAYOUT,
+    Command.BIND_TRANSCEIVER_RESP: _BIND_RESP_LAYOUT,
+    Command.OUTBIND: _BIND_LAYOUT[:2],
+    Command.SUBMIT_SM: _SM_LAYOUT,
+    Command.DELIVER_SM: _SM_LAYOUT,
     Command.SUBMIT_SM_RESP: (("message_id", 65),),
     Command.DELIVER_SM_RESP: (("message_id", 65),),
-    Command.QUERY_SM: (("message_id", 65), *_SOURCE),
+    Command.QUERY_SM: (("message_id", 65), *_SOURCE_LAYOUT),
     Command.QUERY_SM_RESP: (("message_id", 65), ("final_date", 17), ("message_state", 0), ("error_code", 0)),
-    Command.CANCEL_SM: (("service_type", 6), ("message_id", 65), *_SOURCE, *_DEST),
+    Command.CANCEL_SM: (("service_type", 6), ("message_id", 65), *_SOURCE_LAYOUT, *_DESTINATION_LAYOUT),
     Command.REPLACE_SM: (
         ("message_id", 65),
-        *_SOURCE,
+        *_SOURCE_LAYOUT,
         ("schedule_delivery_time", 17),
         ("validity_period", 17),
         ("registered_delivery", 0),
         ("sm_default_msg_id", 0),
     ),
-    Command.DATA_SM: _DATA,
+    Command.DATA_SM: _DATA_LAYOUT,
     Command.DATA_SM_RESP: (("message_id", 65),),
-    Command.SUBMIT_MULTI: (_SM[0], *_SOURCE, ("dests", _DESTS), *_SM[7:]),
-    Command.SUBMIT_MULTI_RESP: (("message_id", 65), ("unsuccess", _UNSUCCESS)),
+    Command.SUBMIT_MULTI: (_SM_LAYOUT[0], *_SOURCE_LAYOUT, ("dests", _DESTINATION_LIST), *_SM_LAYOUT[7:]),
+    Command.SUBMIT_MULTI_RESP: (("message_id", 65), ("unsuccess", _UNSUCCESS_LIST)),
     Command.ALERT_NOTIFICATION: (
         ("source_addr_ton", 0),
         ("source_addr_npi", 0),
@@ -198,19 +200,19 @@
         ("esme_addr", 65),
     ),
 }
-_HAVE_SM = frozenset({Command.SUBMIT_SM, Command.DELIVER_SM, Command.SUBMIT_MULTI, Command.REPLACE_SM})
-SM_FIELDS = tuple(name for name, _ in _SM)
-DATA_FIELDS = tuple(name for name, _ in _DATA)
-_SM_TEXTS = frozenset(name for name, most in _SM if most)
-MOST_BODY, MOST_TLVS = 64 * 1024, 8 * 1024  # bytes of a message, and of its optional parameters, that are taken on
+_WITH_SHORT_MESSAGE = frozenset({Command.SUBMIT_SM, Command.DELIVER_SM, Command.SUBMIT_MULTI, Command.REPLACE_SM})
+SM_FIELDS = tuple(name for name, _ in _SM_LAYOUT)
+DATA_FIELDS = tuple(name for name, _ in _DATA_LAYOUT)
+_SM_STRINGS = frozenset(name for name, max_length in _SM_LAYOUT if max_length)
+MOST_BODY, MOST_TLVS = 64 * 1024, 8 * 1024  # maximum bytes of a message body, and of its optional parameters
 
 
 class BadLength(Exception):
-    """The stream holds no PDU here; where the next one starts is not known."""
+    """The command_length is invalid, so the start of the next PDU in the stream is unknown."""
 
 
 class BadPdu(Exception):
-    """A PDU with a whole header and a body that will not do; ``status`` is what its sender is answered."""
+    """A PDU with a complete header, but an unknown command or an invalid body; ``status`` goes into the response."""
 
     def __init__(self, text: str, command: int, sequence: int, status: Status) -> None:
         super().__init__(text)
@@ -229,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsuccess:
-    """A destination of a submit_multi that was not taken, and why."""
+    """A destination of a submit_multi that was not accepted, with the reason as a command_status."""
 
     addr: str
     ton: int = 0
@@ -239,7 +241,7 @@
 
 @dataclass(slots=True)
 class Pdu:
-    """One PDU. Integer fields that are absent count as 0, strings as empty."""
+    """One PDU. Absent integer fields count as 0, absent strings as empty."""
 
     command: Command
     sequence: int = 0
@@ -248,18 +250,18 @@
     message: bytes = b""  # short_message
     tlvs: list[tuple[int, bytes]] = field(default_factory=list)
     dests: list[Dest] = field(default_factory=list)  # of a submit_multi
-    unsuccess: list[Unsuccess] = field(default_factory=list)  # of its response
+    unsuccess: list[Unsuccess] = field(default_factory=list)  # of a submit_multi_resp
 
     def text(self, name: str) -> str:
-        """A C-octet string."""
+        """The value of a C-octet string field."""
         return str(self.fields.get(name, ""))
 
     def number(self, name: str) -> int:
-        """An integer."""
+        """The value of an integer field."""
         return int(self.fields.get(name, 0))
 
     def tlv(self, tag: int) -> bytes | None:
-        """The first optional parameter with this tag."""
+        """The value of the first optional parameter with this tag."""
         return next((value for known, value in self.tlvs if known == tag), None)
 
     def reply(self, status: int = 0, **fields: Any) -> Pdu:
@@ -268,115 +270,115 @@
 
 
 def kept(pdu: Pdu) -> dict[str, Any]:
-    """What a message keeps of the PDU that it came in: the fields of a submit_sm, for whoever passes it on."""
-    return {name: pdu.fields.get(name, "" if name in _SM_TEXTS else 0) for name in SM_FIELDS}
+    """The submit_sm fields of a received PDU; stored with its message for the delivery attempts."""
+    return {name: pdu.fields.get(name, "" if name in _SM_STRINGS else 0) for name in SM_FIELDS}
 
 
-def _c_octet(name: str, value: str, most: int) -> bytes:
+def _c_octet(name: str, value: str, max_length: int) -> bytes:
     text = value.encode("latin-1")
-    if len(text) >= most or b"\0" in text:
-        raise ValueError(f"{name} is too long or holds a zero byte")
+    if len(text) >= max_length or b"\0" in text:
+        raise ValueError(f"{name} is too long or contains a zero byte")
     return text + b"\0"
 
 
 def encode(pdu: Pdu) -> bytes:
-    """The PDU's bytes. ``ValueError`` where a field is too long."""
+    """The PDU as bytes; raises ``ValueError`` if a field is too long."""
     parts = []
-    bare = pdu.command & RESPONSE and pdu.status  # the body is not returned with an error
-    for name, most in () if bare else FIELDS.get(pdu.command, ()):
-        if most == _DESTS:
-            if not 0 < len(pdu.dests) <= MOST_DESTS:
-                raise ValueError(f"{len(pdu.dests)} destinations")
+    without_body = pdu.command & RESPONSE and pdu.status  # a response with an error status has no body
+    for name, max_length in () if without_body else FIELDS.get(pdu.command, ()):
+        if max_length == _DESTINATION_LIST:
+            if not 0 < len(pdu.dests) <= MAX_DESTINATIONS:
+                raise ValueError(f"{len(pdu.dests)} destinations, allowed are 1 to 254")
             parts.append(bytes([len(pdu.dests)]))
             for dest in pdu.dests:
                 parts.append(b"\2" if dest.is_list else bytes([1, dest.ton, dest.npi]))
                 parts.append(_c_octet(name, dest.addr, 21))
-        elif most == _UNSUCCESS:
+        elif max_length == _UNSUCCESS_LIST:
             parts.append(bytes([len(pdu.unsuccess)]))
-            for lost in pdu.unsuccess:
-                parts.append(bytes([lost.ton, lost.npi]) + _c_octet(name, lost.addr, 21))
-                parts.append(lost.status.to_bytes(4, "big"))
-        elif not most:
+            for rejected in pdu.unsuccess:
+                parts.append(bytes([rejected.ton, rejected.npi]) + _c_octet(name, rejected.addr, 21))
+                parts.append(rejected.status.to_bytes(4, "big"))
+        elif not max_length:
             parts.append(bytes([pdu.number(name)]))
         else:
-            parts.append(_c_octet(name, pdu.text(name), most))
-    if pdu.command in _HAVE_SM:
+            parts.append(_c_octet(name, pdu.text(name), max_length))
+    if pdu.command in _WITH_SHORT_MESSAGE:
         if len(pdu.message) > 254:
-            raise ValueError("short_message is too long")
+            raise ValueError("short_message is longer than 254 bytes")
         parts.append(bytes([len(pdu.message)]) + pdu.message)
-    for tag, value in () if bare else pdu.tlvs:
+    for tag, value in () if without_body else pdu.tlvs:
         if len(value) > 0xFFFF:
-            raise ValueError(f"optional parameter {tag:#06x} is too long")
+            raise ValueError(f"optional parameter {tag:#06x} is longer than 65535 bytes")
         parts.append(struct.pack(">HH", tag, len(value)) + value)
     body = b"".join(parts)
     return HEADER.pack(HEADER.size + len(body), pdu.command, pdu.status, pdu.sequence) + body
 
 
 def whole(data: memoryview | bytearray) -> int:
-    """The size of the PDU at the start of the data, or 0 while it is not all there."""
+    """The length of the PDU at the start of the data, or 0 while the data does not hold all of it."""
     if len(data) < 4:
         return 0
     size = int.from_bytes(data[:4], "big")
-    if not HEADER.size <= size <= MOST_PDU:
-        raise BadLength(f"command_length {size}")
+    if not HEADER.size <= size <= MAX_PDU_BYTES:
+        raise BadLength(f"invalid command_length {size}")
     return size if len(data) >= size else 0
 
 
 def decode(data: bytes) -> Pdu:
-    """One whole PDU."""
+    """Decode one complete PDU; raises ``BadPdu`` if it is malformed."""
     size, command, status, sequence = HEADER.unpack_from(data)
     try:
         known = Command(command)
     except ValueError:
-        raise BadPdu("unknown command", command, sequence, Status.ESME_RINVCMDID) from None
-    pdu, at = Pdu(known, sequence, status), HEADER.size
-    if at == size and (command & RESPONSE):
-        return pdu  # an error's response, or one without a body
+        raise BadPdu("unknown command_id", command, sequence, Status.ESME_RINVCMDID) from None
+    pdu, offset = Pdu(known, sequence, status), HEADER.size
+    if offset == size and (command & RESPONSE):
+        return pdu  # an error response, or a response without a body
 
-    def bad(text: str, status: Status = Status.ESME_RINVPARLEN) -> BadPdu:
+    def malformed(text: str, status: Status = Status.ESME_RINVPARLEN) -> BadPdu:
         return BadPdu(text, command, sequence, status)
 
     def integer(name: str, width: int = 1) -> int:
-        nonlocal at
-        if at + width > size:
-            raise bad(f"{name} is missing")
-        at += width
-        return int.from_bytes(data[at - width : at], "big")
-
-    def text(name: str, most: int) -> str:
-        nonlocal at
-        end = data.find(b"\0", at, at + most)
+        nonlocal offset
+        if offset + width > size:
+            raise malformed(f"{name} is missing")
+        offset += width
+        return int.from_bytes(data[offset - width : offset], "big")
+
+    def text(name: str, max_length: int) -> str:
+        nonlocal offset
+        end = data.find(b"\0", offset, offset + max_length)
         if end < 0:
-            raise bad(f"{name} has no end")
-        begin, at = at, end + 1
+            raise malformed(f"{name} has no terminating zero within its maximum length")
+        begin, offset = offset, end + 1
         return data[begin:end].decode("latin-1")
 
-    for name, most in FIELDS.get(known, ()):
-        if most == _DESTS:
+    for name, max_length in FIELDS.get(known, ()):
+        if max_length == _DESTINATION_LIST:
             for _ in range(integer(name)):
                 flag = integer("dest_flag")
                 if flag not in (1, 2):
-                    raise bad(f"dest_flag {flag}", Status.ESME_RINVDESTFLAG)
+                    raise malformed(f"invalid dest_flag {flag}", Status.ESME_RINVDESTFLAG)
                 ton, npi = (integer("dest_addr_ton"), integer("dest_addr_npi")) if flag == 1 else (0, 0)
                 pdu.dests.append(Dest(text("destination_addr", 21), ton, npi, flag == 2))
-            if not 0 < len(pdu.dests) <= MOST_DESTS:
-                raise bad(f"{len(pdu.dests)} destinations", Status.ESME_RINVNUMDESTS)
-        elif most == _UNSUCCESS:
+            if not 0 < len(pdu.dests) <= MAX_DESTINATIONS:
+                raise malformed(f"{len(pdu.dests)} destinations, allowed are 1 to 254", Status.ESME_RINVNUMDESTS)
+        elif max_length == _UNSUCCESS_LIST:
             for _ in range(integer(name)):
                 ton, npi = integer("dest_addr_ton"), integer("dest_addr_npi")
                 pdu.unsuccess.append(Unsuccess(text("destination_addr", 21), ton, npi, integer("status", 4)))
         else:
-            pdu.fields[name] = text(name, most) if most else integer(name)
-    if known in _HAVE_SM:
-        if at >= size or at + 1 + data[at] > size:
-            raise bad("short_message is cut short", Status.ESME_RINVMSGLEN)
-        pdu.message, at = data[at + 1 : at + 1 + data[at]], at + 1 + data[at]
-    while at < size:
-        if at + 4 > size:
-            raise bad("optional parameters are cut short", Status.ESME_RINVOPTPARSTREAM)
-        tag, length = struct.unpack_from(">HH", data, at)
-        if at + 4 + length > size:
-            raise bad("optional parameter is cut short", Status.ESME_RINVOPTPARSTREAM)
-        pdu.tlvs.append((tag, data[at + 4 : at + 4 + length]))
-        at += 4 + length
+            pdu.fields[name] = text(name, max_length) if max_length else integer(name)
+    if known in _WITH_SHORT_MESSAGE:
+        if offset >= size or offset + 1 + data[offset] > size:
+            raise malformed("short_message is truncated", Status.ESME_RINVMSGLEN)
+        pdu.message, offset = data[offset + 1 : offset + 1 + data[offset]], offset + 1 + data[offset]
+    while offset < size:
+        if offset + 4 > size:
+            raise malformed("optional parameters are truncated", Status.ESME_RINVOPTPARSTREAM)
+        tag, length = struct.unpack_from(">HH", data, offset)
+        if offset + 4 + length > size:
+            raise malformed("optional parameter is truncated", Status.ESME_RINVOPTPARSTREAM)
+        pdu.tlvs.append((tag, data[offset + 4 : offset + 4 + length]))
+        offset += 4 + length
     return pdu
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -319,7 +319,7 @@
     command: Command, number: int, word: str, message: bytes, many: int, tag: int
 ) -> None:
     fields = {name: word if most else number for name, most in p.FIELDS.get(command, ()) if most >= 0}
-    pdu = Pdu(command, 5, 0, fields, message if command in p._HAVE_SM else b"", [(tag, message)])
+    pdu = Pdu(command, 5, 0, fields, message if command in p._WITH_SHORT_MESSAGE else b"", [(tag, message)])
     if command is Command.SUBMIT_MULTI:
         pdu.dests = [Dest(word, 0 if n % 2 else number, 0 if n % 2 else 1, bool(n % 2)) for n in range(many)]
     if command is Command.SUBMIT_MULTI_RESP:
