--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -1,4 +1,4 @@
-"""Delivery attempts over SMPP, their outcomes by response or by receipt, and what gateways send of their own."""
+"""Delivery attempts to SMPP gateways, outcomes by response or by receipt, and requests that gateways send."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import errors, parts, receipts
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.link import HOW, Lane, Link
+from kestrelspar.smpp.link import BIND_COMMANDS, BoundSession, Link
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
 from kestrelspar.smpp.session import Lost, NotSent
 from kestrelspar.smpp.table import BINDS, Side, refusal
@@ -24,18 +24,19 @@
 from snowlock.interface import Outcome
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # with ssl: only where it is wanted
+    from kestrelspar.keys import Keys  # imports ssl, so only for type checks
 
-QUEUE_MOST = 2 * SECOND  # what waits longer for its turn is the module's again: it holds a slot
-MOST_EARLY = 1_000  # receipts of one gateway that wait for a response; more are to come again
-ASK_WITHIN = 400 * MS  # for each question about a message whose receipt has not come
+# After this wait for a session an attempt returns to the decision module, as it occupies a slot.
+MAX_QUEUE_TIME = 2 * SECOND
+MAX_EARLY_RECEIPTS = 1_000  # of one gateway, waiting for a submit_sm_resp; it has to send further ones again
+QUERY_TIMEOUT = 400 * MS  # for each query_sm or cancel_sm about a message whose receipt is missing
 
 
 class Doubt:
-    """Submits of one attempt whose time is over and that are still out on an open session."""
+    """Submits of one delivery attempt that timed out and are still in flight on an open session."""
 
     def __init__(self, deadline: int, parts: int = 1) -> None:
-        self.deadline = deadline  # of its message: after that nobody asks
+        self.deadline = deadline  # of the message: no attempt can follow it
         self.parts = parts
         self.out = 0
         self.over = False
@@ -43,22 +44,22 @@
         self.waiting: Parking | None = None
 
     def settle(self, answer: Pdu | None) -> None:
-        """Its answer came after all, or its session has ended."""
+        """One of the submits got a late response, or its session has ended."""
         self.out -= 1
         self.over = self.out <= 0
-        self.answer = answer if self.parts == 1 else None  # one part's answer says nothing of the others
+        self.answer = answer if self.parts == 1 else None  # the response to one part says nothing about the others
         if self.over and self.waiting is not None:
             self.waiting.resume()
 
 
 class Inbound(Protocol):
-    """Who takes what a gateway sends of its own."""
+    """Receiver of the messages and alerts that gateways send."""
 
     def message(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
-        """A message, in a task of its own; ``answer`` tells the gateway, and whether it heard."""
+        """Handle a message, in its own task; ``answer`` sends the response and returns whether it was written."""
 
     def alert(self, gateway: Gateway, pdu: Pdu) -> None:
-        """An alert_notification, which has no answer."""
+        """Handle an alert_notification, which has no response."""
 
 
 class Gateways:
@@ -77,7 +78,7 @@
         seed: int = 0,
         keys: Keys | None = None,
     ) -> None:
-        """``courier`` is told the outcomes that come by receipt; ``inbound`` gets the gateways' own messages."""
+        """``courier`` gets the outcomes reported by receipts; ``inbound`` gets the messages that gateways send."""
         self.loop, self.buffers, self.settings = loop, buffers, settings
         self._courier, self._inbound = courier, inbound
         self._links: dict[bytes, Link] = {}
@@ -91,12 +92,12 @@
                 self._handle,
                 keys,
             )
-            link.wants_to_hear = self._wants(gateway)
+            link.needs_receiving = self._receiving_predicate(gateway)
             self._links[gateway.name.encode()] = link
-        self._doubts: dict[int, Doubt] = {}
+        self._unresolved: dict[int, Doubt] = {}
         self._ledger = receipts.Ledger()
 
-    def _wants(self, gateway: Gateway) -> Callable[[], bool]:
+    def _receiving_predicate(self, gateway: Gateway) -> Callable[[], bool]:
         return lambda: gateway.stay_bound or self._ledger.waiting(gateway.name) > 0
 
     def hops(self) -> list[NextHop]:
@@ -111,108 +112,113 @@
         ]
 
     def start(self) -> None:
-        """Bind where a session is to be kept up."""
+        """Bind to the gateways that need a permanent session."""
         for link in self._links.values():
-            link.tend()
+            link.ensure_receiving()
 
     def attempt(self, message: Message, hop: NextHop, deadline: int, leave: Leave) -> Result:
-        """One delivery attempt, from bind to outcome: one submit_sm, or one for each part of a long message."""
+        """Make one delivery attempt: bind if needed, and send one submit_sm, or one for each part of a long message."""
         link = self._links[hop.endpoint.id]
-        link.busy += 1
+        link.attempts_in_progress += 1
         try:
             return self._attempt(message, link, deadline, leave)
         finally:
-            link.busy -= 1
+            link.attempts_in_progress -= 1
 
     def _attempt(self, message: Message, link: Link, deadline: int, leave: Leave) -> Result:
         gateway = link.gateway
         try:
-            link.reference += 1
-            requests = submits(message, gateway, link.reference)
+            link.last_reference += 1
+            requests = submits(message, gateway, link.last_reference)
             for request in requests:
                 p.encode(request)
         except ValueError as error:
             logs.warn("smpp-unsendable", trace=message.trace, hop=gateway.name, why=str(error))
-            return Result(Outcome.MOOT, note="no submit_sm can hold it")
-        earlier = self._earlier(message, deadline, gateway)
-        if earlier is not None:
-            return earlier
-        doubt = Doubt(message.deadline, len(requests))
-        first = self._submit(message, link, requests[0], deadline, leave, doubt)
+            return Result(Outcome.MOOT, note="message does not fit into a submit_sm")
+        earlier_result = self._earlier_result(message, deadline, gateway)
+        if earlier_result is not None:
+            return earlier_result
+        unresolved = Doubt(message.deadline, len(requests))
+        first = self._submit(message, link, requests[0], deadline, leave, unresolved)
         if len(requests) == 1 or first.outcome is not Outcome.OK:
             return first
         results: list[Result | None] = [first, *[None] * (len(requests) - 1)]
-        over = Parking(self.loop)
+        all_ended = Parking(self.loop)
 
-        def more() -> bool:
-            """Asked right before each part's first byte: another one may have failed while it waited for the window."""
-            failed = any(known is not None and known.outcome is not Outcome.OK for known in results)
+        def may_continue() -> bool:
+            """Called right before the first byte of a part: another may have failed while it waited for a session."""
+            failed = any(result is not None and result.outcome is not Outcome.OK for result in results)
             return not failed and leave.still()
 
-        def part(place: int) -> None:
+        def send_part(index: int) -> None:
             try:
-                results[place] = self._submit(message, link, requests[place], deadline, more, doubt)
+                results[index] = self._submit(message, link, requests[index], deadline, may_continue, unresolved)
             finally:
-                if results[place] is None:
-                    results[place] = Result(Outcome.ERROR, note="fault")
+                if results[index] is None:
+                    results[index] = Result(Outcome.ERROR, note="internal error")
                 if all(results):
-                    over.resume()
+                    all_ended.resume()
 
-        # The first one alone: a gateway that takes nothing is asked once, and then nothing has run.
-        for place in range(1, len(requests)):
-            self.loop.spawn(part, place)
-        self.loop.park(over)
-        return _together([result for result in results if result is not None])
+        # The first part is sent alone, so that nothing has run if the gateway refuses it.
+        for index in range(1, len(requests)):
+            self.loop.spawn(send_part, index)
+        self.loop.park(all_ended)
+        return _combined_result([result for result in results if result is not None])
 
     def _submit(
-        self, message: Message, link: Link, request: Pdu, deadline: int, leave: Callable[[], bool], doubt: Doubt
+        self, message: Message, link: Link, request: Pdu, deadline: int, leave: Callable[[], bool], unresolved: Doubt
     ) -> Result:
-        """One submit_sm, from its place in the window to its outcome."""
-        begun, timeout = self.loop.now, max(0, deadline - self.loop.now)
-        # The time-out is the call's: what waits for its turn must not time out as soon as it has left.
-        lane = link.take(max(deadline, min(begun + QUEUE_MOST, message.deadline - timeout)))
-        waited, deadline = self.loop.now - begun, min(message.deadline, self.loop.now + timeout)
-        if lane is None:
-            wait = max(0, link.backoff.due - self.loop.now)
+        """Wait for a session with room, send one submit_sm, and return its outcome."""
+        started_at, timeout = self.loop.now, max(0, deadline - self.loop.now)
+        # The time-out starts when the submit is sent: one that waited in the queue must not time out at once.
+        bound = link.acquire(max(deadline, min(started_at + MAX_QUEUE_TIME, message.deadline - timeout)))
+        waited, deadline = self.loop.now - started_at, min(message.deadline, self.loop.now + timeout)
+        if bound is None:
+            wait = max(0, link.backoff.retry_at - self.loop.now)
             return Result(Outcome.CONNECT_FAILED, wait, note="no session")
-        if not isinstance(lane, Lane):
+        if not isinstance(bound, BoundSession):
             return Result(Outcome.MOOT, note="window full", waited=waited)
         try:
-            # Others of its clump may have been throttled while it waited for the bind or for the window.
+            # Other messages may have been throttled while this one waited for a bind or for a session with room.
             if not leave():
                 return Result(Outcome.MOOT, note="barred meanwhile", waited=waited)
-            return dataclasses.replace(self._ask(message, link, lane, request, deadline, doubt), waited=waited)
+            return dataclasses.replace(self._send(message, link, bound, request, deadline, unresolved), waited=waited)
         finally:
-            link.give(lane)
+            link.release(bound)
 
-    def _ask(self, message: Message, link: Link, lane: Lane, request: Pdu, deadline: int, doubt: Doubt) -> Result:
+    def _send(
+        self, message: Message, link: Link, bound: BoundSession, request: Pdu, deadline: int, unresolved: Doubt
+    ) -> Result:
         gateway, sent = link.gateway, self.loop.now
         try:
-            answer = lane.session.ask(request, min(deadline, sent + gateway.response), doubt.settle)
+            answer = bound.session.ask(request, min(deadline, sent + gateway.response), unresolved.settle)
         except NotSent:
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         except Lost:
             return Result(Outcome.RESET)
         except Late:
-            # SMPP can't call it back, and the others on the session need their answers: it ends after them.
-            self._doubts = {n: d for n, d in self._doubts.items() if d.deadline > self.loop.now}
-            self._doubts[message.number] = doubt
-            doubt.out += 1
-            lane.window.lost(self.loop.now)
-            lane.session.retire()
+            # SMPP cannot withdraw a submit in flight, and other requests on the session need their responses, so the
+            # session ends after them.
+            self._unresolved = {
+                number: earlier for number, earlier in self._unresolved.items() if earlier.deadline > self.loop.now
+            }
+            self._unresolved[message.number] = unresolved
+            unresolved.out += 1
+            bound.window.record_loss(self.loop.now)
+            bound.session.retire()
             return Result(Outcome.TIMEOUT)
-        news = link.answered(lane, sent, answer)
+        must_report = link.record_response(bound, sent, answer)
         result = self._result(gateway, answer)
-        if result.outcome is Outcome.FULL and not news:
-            # The pace keeps to the limit from now on, and the told wait holds for all: the module, which would take
-            # each of a clump's refusals for one more, has nothing to learn.
+        if result.outcome is Outcome.FULL and not must_report:
+            # Rate control keeps to the limit and delays all submits. The decision module would count each of several
+            # refusals of one burst, so none is reported.
             return Result(Outcome.MOOT, result.told_wait, note="throttled")
         return result
 
     @staticmethod
     def _result(gateway: Gateway, answer: Pdu) -> Result:
-        """The outcome that an answer tells; with receipts it may only say that the message was accepted."""
-        if answer.command is not Command.SUBMIT_SM_RESP:  # a generic_nack is one, too: nobody looked at the message
+        """The outcome of a response; if outcomes come by receipt, success only means that the message was accepted."""
+        if answer.command is not Command.SUBMIT_SM_RESP:  # also a generic_nack: the message was not processed
             status = answer.status or Status.ESME_RSYSERR
             return errors.result(status, gateway.throttle_wait)
         result = errors.result(answer.status, gateway.throttle_wait)
@@ -221,23 +227,23 @@
             return dataclasses.replace(result, later=(Gateways.name, awaits))
         return result
 
-    def _earlier(self, message: Message, deadline: int, gateway: Gateway) -> Result | None:
-        """What came of an earlier attempt that timed out; nothing if another may be made.
+    def _earlier_result(self, message: Message, deadline: int, gateway: Gateway) -> Result | None:
+        """The outcome of an earlier attempt that timed out; none if another attempt may be made.
 
-        Guards against two attempts of a message at once: while the first is out on an open session, the
-        next waits. An answer that came late spares it.
+        Two attempts of a message must not run at once, so the next one waits while the first is in flight on an open
+        session. A late response makes it unnecessary.
         """
-        doubt = self._doubts.get(message.number)
-        if doubt is None:
+        unresolved = self._unresolved.get(message.number)
+        if unresolved is None:
             return None
-        if not doubt.over:
-            doubt.waiting = Parking(self.loop)
-            if self.loop.park(doubt.waiting, deadline) is LATE:
-                return Result(Outcome.MOOT, note="an earlier attempt is still out")
-        del self._doubts[message.number]
-        if doubt.answer is None:
+        if not unresolved.over:
+            unresolved.waiting = Parking(self.loop)
+            if self.loop.park(unresolved.waiting, deadline) is LATE:
+                return Result(Outcome.MOOT, note="an earlier attempt is still in flight")
+        del self._unresolved[message.number]
+        if unresolved.answer is None:
             return None
-        result = self._result(gateway, doubt.answer)
+        result = self._result(gateway, unresolved.answer)
         return None if result.outcome in NEVER_RAN else result
 
     # Outcomes by receipt
@@ -248,116 +254,125 @@
         base = "text" if link is None else link.gateway.response_id
         self._ledger.expect(message.number, awaits["gate"], awaits["ids"], base)
         if link is not None:
-            early, link.early = link.early, []
-            for parking in early:
+            waiting, link.early_receipts = link.early_receipts, []
+            for parking in waiting:
                 parking.resume()
-            link.tend()
+            link.ensure_receiving()
 
     def forget(self, message: Message) -> None:
         """See ``core.courier.Later``."""
         self._ledger.drop(message.number)
 
     def overdue(self, message: Message, awaits: dict[str, Any]) -> str:
-        """No receipt has come: the gateway is asked what became of it, and to withdraw what it still has.
+        """No receipt has arrived: query the gateway for the final state, and cancel what it has not delivered.
 
-        Nothing is sent again whatever the class: the gateway may still be at it.
+        The message is not sent again, whatever its class, as the gateway may still be processing it.
         """
         link = self._links.get(str(awaits["gate"]).encode())
         if link is None:
             return FAILED
-        ends = [self._asked(link, message, name) for name in awaits["ids"]]
+        ends = [self._query_or_cancel(link, message, message_id) for message_id in awaits["ids"]]
         if len(set(ends)) == 1 and (ends[0] == DELIVERED or not awaits.get("some")):
             return ends[0]
-        return FAILED  # some parts are there, or may be
+        return FAILED  # some parts were or may have been delivered
 
-    def _asked(self, link: Link, message: Message, name: str) -> str:
-        """The end of one part by query_sm; where it is still on its way, by cancel_sm."""
-        told = message.extra.get("smpp", {})
+    def _query_or_cancel(self, link: Link, message: Message, message_id: str) -> str:
+        """Determine the final state of one part by query_sm; if it has none yet, by cancel_sm."""
+        submitted = message.extra.get("smpp", {})
         source = {
-            key: told.get(key, "" if key == "source_addr" else 0)
+            key: submitted.get(key, "" if key == "source_addr" else 0)
             for key in ("source_addr_ton", "source_addr_npi", "source_addr")
         }
         source["source_addr"] = source["source_addr"] or link.gateway.source_addr
         dest = {
-            key: told.get(key, "" if key == "destination_addr" else 0)
+            key: submitted.get(key, "" if key == "destination_addr" else 0)
             for key in ("dest_addr_ton", "dest_addr_npi", "destination_addr")
         }
         dest["destination_addr"] = dest["destination_addr"] or link.gateway.destination_addr
-        lane = next((lane for lane in link.lanes if lane.open and lane.session.state in BINDS.values()), None)
-        if lane is None or not name:
+        bound = next((bound for bound in link.sessions if bound.open and bound.session.state in BINDS.values()), None)
+        if bound is None or not message_id:
             return FAILED
         try:
-            answer = lane.session.ask(
-                Pdu(Command.QUERY_SM, fields={"message_id": name, **source}), self.loop.now + ASK_WITHIN
+            answer = bound.session.ask(
+                Pdu(Command.QUERY_SM, fields={"message_id": message_id, **source}), self.loop.now + QUERY_TIMEOUT
             )
             state = answer.number("message_state")
             if answer.command is Command.QUERY_SM_RESP and not answer.status and state in receipts.ENDS:
                 return receipts.ENDS[State(state)]
-            answer = lane.session.ask(
-                Pdu(Command.CANCEL_SM, fields={"message_id": name, **source, **dest}), self.loop.now + ASK_WITHIN
+            answer = bound.session.ask(
+                Pdu(Command.CANCEL_SM, fields={"message_id": message_id, **source, **dest}),
+                self.loop.now + QUERY_TIMEOUT,
             )
         except (NotSent, Lost, Late, ValueError):
             return FAILED
-        # Withdrawn before it was delivered: it surely took no effect, and may be handed in again.
+        # Cancelled before delivery: it certainly took no effect and may be submitted again.
         return RETURNED if answer.command is Command.CANCEL_SM_RESP and not answer.status else FAILED
 
-    def _receipt(self, link: Link, lane: Lane, pdu: Pdu) -> None:
-        """A receipt, acknowledged when what it says is in the journal; in a task of its own."""
-        gateway, told = link.gateway, receipts.read(pdu)
-        if told is None or self._courier is None or gateway.outcome != "receipt":
-            logs.event("smpp-receipt-unread", peer=lane.session.name)
-            lane.session.post(pdu.reply())
+    def _handle_receipt(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
+        """Handle a receipt in its own task; it is acknowledged after its outcome has been journalled."""
+        gateway, receipt = link.gateway, receipts.read(pdu)
+        if receipt is None or self._courier is None or gateway.outcome != "receipt":
+            logs.event("smpp-receipt-unread", peer=bound.session.name)
+            bound.session.post(pdu.reply())
             return
-        give_up = self.loop.now + gateway.response
-        while (number := self._ledger.owner(gateway.name, told.id, gateway.receipt_id)) is None:
-            # It may have come before the answer to the submit that it is for, or on another session.
-            if not link.busy or self.loop.now >= give_up:
-                logs.event("smpp-receipt-unknown", peer=lane.session.name, id=told.id, state=told.state.name.lower())
-                lane.session.post(pdu.reply())
+        wait_until = self.loop.now + gateway.response
+        while (number := self._ledger.owner(gateway.name, receipt.id, gateway.receipt_id)) is None:
+            # The receipt may arrive before the submit_sm_resp that it belongs to, or on another session.
+            if not link.attempts_in_progress or self.loop.now >= wait_until:
+                logs.event(
+                    "smpp-receipt-unknown", peer=bound.session.name, id=receipt.id, state=receipt.state.name.lower()
+                )
+                bound.session.post(pdu.reply())
                 return
-            if len(link.early) >= MOST_EARLY:
-                lane.session.post(pdu.reply(Status.ESME_RX_T_APPN))
+            if len(link.early_receipts) >= MAX_EARLY_RECEIPTS:
+                bound.session.post(pdu.reply(Status.ESME_RX_T_APPN))
                 return
-            early = Parking(self.loop)
-            link.early.append(early)
-            if self.loop.park(early, min(give_up, self.loop.now + 50 * MS)) is LATE and early in link.early:
-                link.early.remove(early)
-        lane.session.post(pdu.reply(Status.ESME_ROK if self._outcome(gateway, number, told) else Status.ESME_RX_T_APPN))
-
-    def _outcome(self, gateway: Gateway, number: int, told: receipts.Receipt) -> bool:
-        """What a receipt means for its message; false when that could not be journalled."""
+            parking = Parking(self.loop)
+            link.early_receipts.append(parking)
+            if (
+                self.loop.park(parking, min(wait_until, self.loop.now + 50 * MS)) is LATE
+                and parking in link.early_receipts
+            ):
+                link.early_receipts.remove(parking)
+        bound.session.post(
+            pdu.reply(Status.ESME_ROK if self._apply_receipt(gateway, number, receipt) else Status.ESME_RX_T_APPN)
+        )
+
+    def _apply_receipt(self, gateway: Gateway, number: int, receipt: receipts.Receipt) -> bool:
+        """Apply a receipt to its message; false if the outcome could not be journalled."""
         assert self._courier is not None
-        if told.end is None:
+        if receipt.end is None:
             return True
-        if told.end == DELIVERED:
-            left = self._ledger.left(number, told.id, gateway.receipt_id)
-            if left:  # the others of a long message
-                if not self._courier.awaits_now(number, {"gate": gateway.name, "ids": left, "some": True}):
+        if receipt.end == DELIVERED:
+            remaining = self._ledger.left(number, receipt.id, gateway.receipt_id)
+            if remaining:  # other parts of a long message
+                if not self._courier.awaits_now(number, {"gate": gateway.name, "ids": remaining, "some": True}):
                     return False
-                self._ledger.expect(number, gateway.name, left, gateway.response_id)
+                self._ledger.expect(number, gateway.name, remaining, gateway.response_id)
                 return True
-        end = told.end
+        end = receipt.end
         if end == RETURNED and self._courier.awaited(number).get("some", self._ledger.several(number)):
-            end = FAILED  # a part is there, or may be: the whole is not as if it had never been sent
+            end = FAILED  # another part was or may have been delivered, so the message may have taken effect
         return self._courier.told(number, end)
 
-    # What gateways send of their own
+    # Requests from gateways
 
-    def _handle(self, link: Link, lane: Lane, pdu: Pdu) -> None:
-        """A request of a gateway's; must not wait."""
-        session = lane.session
+    def _handle(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
+        """Handle a request from a gateway; must not block."""
+        session = bound.session
         refused = refusal(Side.ESME, session.state, pdu)
         if refused is not None:
             session.post(refused)
         elif pdu.command is Command.OUTBIND:
-            session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVBNDSTS))  # we are binding as it is
+            # This side is binding already.
+            session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVBNDSTS))
         elif pdu.command is Command.ALERT_NOTIFICATION:
             if self._inbound is not None:
                 self._inbound.alert(link.gateway, pdu)
         elif pdu.command not in (Command.DELIVER_SM, Command.DATA_SM):
-            return  # the session has answered it
+            return  # answered by the session
         elif receipts.is_receipt(pdu):
-            self.loop.spawn(self._receipt, link, lane, pdu)
+            self.loop.spawn(self._handle_receipt, link, bound, pdu)
         elif self._inbound is not None and link.gateway.inbound:
             self.loop.spawn(self._inbound.message, link.gateway, pdu, lambda status: session.post(pdu.reply(status)))
         else:
@@ -370,7 +385,7 @@
             session.post(pdu.reply())
 
     def outbound(self, system_id: str, password: str) -> Callable[[Stream], None] | None:
-        """A gateway has connected to us and asks us to bind: who takes its connection, if it is one of ours."""
+        """Called for an outbind: what takes over the connection, or none if no gateway has these credentials."""
         for link in self._links.values():
             gateway = link.gateway
             if (
@@ -378,61 +393,67 @@
                 and gateway.outbind_system_id == system_id
                 and errors.same_secret(gateway.outbind_password, password)
             ):
-                how = Command.BIND_RECEIVER if gateway.bind == "pair" else HOW[gateway.bind]
+                command = Command.BIND_RECEIVER if gateway.bind == "pair" else BIND_COMMANDS[gateway.bind]
                 logs.event("smpp-outbind", peer=gateway.name)
-                return partial(self.loop.spawn, link.asked, how)
+                return partial(self.loop.spawn, link.accept_outbind, command)
         return None
 
     def close_idle(self, hop: NextHop) -> None:
-        """End the gateway's sessions where nothing is out or to be heard."""
+        """Unbind the gateway's sessions that have nothing in flight and are not needed to receive."""
         self._links[hop.endpoint.id].close_idle()
 
     def leave(self) -> None:
-        """Unbind where nothing is out. What is out may yet be answered, and otherwise is the journal's."""
+        """Unbind the sessions with nothing in flight. Others may still get responses; the journal covers the rest."""
         for link in self._links.values():
-            link.leave()
+            link.shut_down()
 
 
-def _together(results: list[Result]) -> Result:
-    """The outcome of an attempt in parts: delivered when all are. Once one has run, the whole may have."""
-    bad = [result for result in results if result.outcome is not Outcome.OK]
-    if not bad:
+def _combined_result(results: list[Result]) -> Result:
+    """The outcome of an attempt in parts: delivered if all parts are; once one has run, the message may have."""
+    failed = [result for result in results if result.outcome is not Outcome.OK]
+    if not failed:
         later = [result.later for result in results if result.later is not None]
         if not later:
             return results[0]
-        ids = [name for _, awaits in later for name in awaits["ids"]]
+        ids = [message_id for _, awaits in later for message_id in awaits["ids"]]
         return dataclasses.replace(results[0], later=(later[0][0], later[0][1] | {"ids": ids}))
-    wait = max(result.told_wait for result in bad)
-    note = f"{len(results) - len(bad)} of {len(results)} parts were taken, then {bad[0].outcome.name.lower()}"
-    return Result(Outcome.TIMEOUT if bad[0].outcome is Outcome.TIMEOUT else Outcome.ERROR, wait, note=note)
+    wait = max(result.told_wait for result in failed)
+    note = f"{len(results) - len(failed)} of {len(results)} parts were accepted, then {failed[0].outcome.name.lower()}"
+    return Result(Outcome.TIMEOUT if failed[0].outcome is Outcome.TIMEOUT else Outcome.ERROR, wait, note=note)
 
 
 def submits(message: Message, gateway: Gateway, reference: int) -> list[Pdu]:
-    """The submit_sm for a message, whichever front it came by; TLVs are carried as they came.
+    """The submit_sm for a message from any front end; TLVs are passed unchanged.
 
-    Several where it is longer than one short message and the gateway is told to get parts; ``reference`` is theirs.
+    Several if the message is longer than a short message and the gateway is configured for parts; ``reference`` is
+    their concatenation reference number.
     """
-    told = message.extra.get("smpp", {})
-    fields = {name: told[name] for name in p.SM_FIELDS if name in told}
+    submitted = message.extra.get("smpp", {})
+    fields = {name: submitted[name] for name in p.SM_FIELDS if name in submitted}
     fields.setdefault("source_addr", gateway.source_addr)
     fields.setdefault("destination_addr", gateway.destination_addr)
     fields.update(registered_delivery=int(gateway.outcome == "receipt"), schedule_delivery_time="", validity_period="")
     tlvs = [(int(tag), bytes.fromhex(value)) for tag, value in message.extra.get("tlvs", [])]
     body = message.body
-    if gateway.coding == "text" and not told:
-        from kestrelspar.smpp import text  # only where it is wanted
+    if gateway.coding == "text" and not submitted:
+        from kestrelspar.smpp import text  # imports the GSM codec, so only if needed
 
         fields["data_coding"], body = text.coded(body)
-    header = int(fields.get("esm_class", 0)) & parts.UDHI  # its own header: it can't have a second one
-    if gateway.split != "payload" and not header:
-        cut = parts.split(body, int(fields.get("data_coding", 0)), gateway.split)
-        if len(cut) > 1:
-            found = []
-            for place, piece in enumerate(cut, 1):
-                text_, more = parts.marked(piece, gateway.split, reference, len(cut), place)
-                marks = {"esm_class": int(fields.get("esm_class", 0)) | (parts.UDHI if gateway.split == "udh" else 0)}
-                found.append(Pdu(Command.SUBMIT_SM, fields=fields | marks, message=text_, tlvs=[*tlvs, *more]))
-            return found
+    # A message with its own user data header cannot have a second one.
+    has_header = int(fields.get("esm_class", 0)) & parts.UDHI
+    if gateway.split != "payload" and not has_header:
+        pieces = parts.split(body, int(fields.get("data_coding", 0)), gateway.split)
+        if len(pieces) > 1:
+            requests = []
+            for sequence, piece in enumerate(pieces, 1):
+                short_message, part_tlvs = parts.marked(piece, gateway.split, reference, len(pieces), sequence)
+                part_fields = {
+                    "esm_class": int(fields.get("esm_class", 0)) | (parts.UDHI if gateway.split == "udh" else 0)
+                }
+                requests.append(
+                    Pdu(Command.SUBMIT_SM, fields=fields | part_fields, message=short_message, tlvs=[*tlvs, *part_tlvs])
+                )
+            return requests
         if len(body) <= 254:
             return [Pdu(Command.SUBMIT_SM, fields=fields, message=body, tlvs=tlvs)]
     if len(body) > 254 or message.extra.get("payload"):
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -1,4 +1,4 @@
-"""The sessions to one gateway: bound when needed, their windows and the gateway's pace kept, unbound when idle."""
+"""The sessions to one gateway: binds when needed, keeps to windows and rate, unbinds when idle."""
 
 from __future__ import annotations
 
@@ -11,194 +11,202 @@
 from kestrelspar.runtime.loop import Loop, Parking, Timer, connect
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.pace import Backoff, Pace, Window
+from kestrelspar.smpp.pace import Backoff, RateControl, Window
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.session import Lost, NotSent, Session
 from kestrelspar.smpp.table import Bound
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # with ssl: only where it is wanted
+    from kestrelspar.keys import Keys  # imports ssl, so only for type checks
 
-HOW = {
+BIND_COMMANDS = {
     "transmitter": Command.BIND_TRANSMITTER,
     "transceiver": Command.BIND_TRANSCEIVER,
     "pair": Command.BIND_TRANSMITTER,
 }
-SENDS, HEARS = (Bound.TX, Bound.TRX), (Bound.RX, Bound.TRX)
+TRANSMITTING_STATES, RECEIVING_STATES = (Bound.TX, Bound.TRX), (Bound.RX, Bound.TRX)
 FULL = (Status.ESME_RTHROTTLED, Status.ESME_RMSGQFUL)
-NO_USE = (Status.ESME_RINVPASWD, Status.ESME_RINVSYSID)  # asking again soon changes nothing, and may lock the account
-COLD = 4  # after a failure a session begins with so small a part of its window
-Handle = Callable[["Link", "Lane", Pdu], None]
+# An early retry after one of these cannot succeed, and may lock the account.
+PERMANENT_BIND_ERRORS = (Status.ESME_RINVPASWD, Status.ESME_RINVSYSID)
+SLOW_START_DIVISOR = 4  # the first session after a failure starts with its window divided by this
+Handle = Callable[["Link", "BoundSession", Pdu], None]
 
 
-class Lane:
-    """One bound session to a gateway, and how much may be out on it."""
+class BoundSession:
+    """One bound session to a gateway, with its window."""
 
     def __init__(self, session: Session, window: Window) -> None:
         self.session, self.window = session, window
-        self.used = session.loop.now
+        self.last_used_at = session.loop.now
 
     @property
     def open(self) -> bool:
-        """Whether new requests may go there."""
+        """Whether new requests may be sent on it."""
         return not (self.session.closed or self.session.retired) and self.session.state is not Bound.OPEN
 
 
 class Link:
-    """One gateway. Who wants to send takes a lane and gives it back; those who wait go in turn."""
+    """The sessions to one gateway: a sender acquires one for each request and releases it; waiting ones go in turn."""
 
     def __init__(
         self,
         loop: Loop,
         buffers: BufferPool,
         gateway: Gateway,
-        connect_within: int,
+        connect_timeout: int,
         seed: int,
         handle: Handle,
         keys: Keys | None = None,
     ) -> None:
         self.keys = keys
         self.loop, self.buffers, self.gateway = loop, buffers, gateway
-        self.pace = Pace(float(gateway.rate))
+        self.rate_control = RateControl(float(gateway.rate))
         self.backoff = Backoff(gateway.bind_wait, gateway.bind_wait_most, seed)
-        self.lanes: list[Lane] = []
-        self.reference = 0  # of the last message in parts
-        self.busy = 0  # attempts under way: a receipt may come before the answer that it belongs to
-        self.early: list[Parking] = []  # receipts that wait for that answer
-        self.wants_to_hear: Callable[[], bool] = lambda: gateway.stay_bound
-        self._connect_within, self._handle = connect_within, handle
+        self.sessions: list[BoundSession] = []
+        self.last_reference = 0  # concatenation reference number of the last message
+        self.attempts_in_progress = (
+            0  # delivery attempts in progress: a receipt may arrive before the response that it belongs to
+        )
+        self.early_receipts: list[Parking] = []  # tasks of receipts that wait for that response
+        self.needs_receiving: Callable[[], bool] = lambda: gateway.stay_bound
+        self._connect_timeout, self._handle = connect_timeout, handle
         self._binding = False
-        self._troubled = False  # the last bind failed, or a session broke
-        self._turns: deque[Parking] = deque()
-        self._timer: Timer | None = None
-        self._sweep: Timer | None = None
-        self._left = False
+        self._slow_start = False  # since a bind failed, or a session was lost
+        self._queue: deque[Parking] = deque()
+        self._rate_timer: Timer | None = None
+        self._idle_timer: Timer | None = None
+        self._shutting_down = False
 
-    # Those who send
+    # Sending
 
-    def take(self, deadline: int) -> Lane | None | object:
-        """A lane with room, in turn and at the gateway's pace; nothing if there is no session, ``LATE`` if late."""
+    def acquire(self, deadline: int) -> BoundSession | None | object:
+        """Wait for a session with room, within the rate; none if no session can be bound, ``LATE`` at the deadline."""
         turn = Parking(self.loop)
-        self._turns.append(turn)
-        self._pump()
-        taken: Lane | None | object = self.loop.park(turn, deadline)
-        return taken
-
-    def give(self, lane: Lane) -> None:
-        """A lane's request has its answer, or will have none."""
-        lane.window.out -= 1
-        lane.used = self.loop.now
-        self._pump()
-        if not lane.window.out:
-            self._watch_idle()
-
-    def answered(self, lane: Lane, sent: int, answer: Pdu) -> bool:
-        """Learn from the answer to a request that left at ``sent``; whether that is a refusal for the module.
-
-        A limit is the pace's to keep; a gateway that is shut, or has its queue full, is to be left alone.
+        self._queue.append(turn)
+        self._serve_queue()
+        acquired: BoundSession | None | object = self.loop.park(turn, deadline)
+        return acquired
+
+    def release(self, bound: BoundSession) -> None:
+        """A request on this session has its response, or will have none."""
+        bound.window.in_flight -= 1
+        bound.last_used_at = self.loop.now
+        self._serve_queue()
+        if not bound.window.in_flight:
+            self._schedule_idle_check()
+
+    def record_response(self, bound: BoundSession, sent: int, response: Pdu) -> bool:
+        """Adapt rate and window to the response to a request sent at ``sent``; whether to report a refusal.
+
+        A rate limit is handled here. The decision module has to know of a gateway that refuses all submits or whose
+        queue is full, so that it sends nothing there.
         """
-        now, state = self.loop.now, answer.tlv(p.CONGESTION_STATE)
-        congestion = state[0] if state and state[0] <= 100 else None
-        news = self.pace.answered(now, sent, answer.status == Status.ESME_RTHROTTLED, self.gateway.throttle_wait)
-        news = lane.window.answered(now, sent, answer.status == Status.ESME_RMSGQFUL, congestion) or news
-        if answer.status == Status.ESME_RMSGQFUL:
-            self.pace.waits_until = max(self.pace.waits_until, now + self.gateway.throttle_wait)
-        if news:
+        now, congestion_state = self.loop.now, response.tlv(p.CONGESTION_STATE)
+        congestion = congestion_state[0] if congestion_state and congestion_state[0] <= 100 else None
+        must_report = self.rate_control.record_response(
+            now, sent, response.status == Status.ESME_RTHROTTLED, self.gateway.throttle_wait
+        )
+        must_report = (
+            bound.window.record_response(now, sent, response.status == Status.ESME_RMSGQFUL, congestion) or must_report
+        )
+        if response.status == Status.ESME_RMSGQFUL:
+            self.rate_control.not_before = max(self.rate_control.not_before, now + self.gateway.throttle_wait)
+        if must_report:
             logs.event(
                 "smpp-throttled",
                 logs.DEBUG,
-                peer=lane.session.name,
-                rate=round(self.pace.rate, 1),
-                window=int(lane.window.size),
+                peer=bound.session.name,
+                rate=round(self.rate_control.rate, 1),
+                window=int(bound.window.size),
             )
-        return news
+        return must_report
 
-    def _open(self) -> list[Lane]:
-        return [lane for lane in self.lanes if lane.open and lane.session.state in SENDS]
+    def _transmitting(self) -> list[BoundSession]:
+        return [bound for bound in self.sessions if bound.open and bound.session.state in TRANSMITTING_STATES]
 
-    def _pump(self) -> None:
-        """Let those who wait go, as far as sessions, windows and pace allow; bind where that is what is missing."""
-        while self._turns:
-            if self._turns[0].given:  # its time was over
-                self._turns.popleft()
+    def _serve_queue(self) -> None:
+        """Serve waiting senders as far as sessions, windows and rate allow; bind another session if one is needed."""
+        while self._queue:
+            if self._queue[0].given:  # its deadline has passed
+                self._queue.popleft()
                 continue
-            now, lanes = self.loop.now, self._open()
-            if not lanes:
-                if not self._binding and not self._bind(HOW[self.gateway.bind]):
-                    turns, self._turns = self._turns, deque()
-                    for turn in turns:
+            now, sessions = self.loop.now, self._transmitting()
+            if not sessions:
+                if not self._binding and not self._bind(BIND_COMMANDS[self.gateway.bind]):
+                    queue, self._queue = self._queue, deque()
+                    for turn in queue:
                         turn.resume(None)
                 return
-            due = self.pace.next(now)
+            due = self.rate_control.earliest_send(now)
             if due > now:
-                self._wake(due)
+                self._schedule(due)
                 return
-            lane = max(lanes, key=lambda lane: lane.window.room)
-            if not lane.window.room:
-                if len(lanes) < self.gateway.sessions:
-                    self._bind(HOW[self.gateway.bind])
+            bound = max(sessions, key=lambda bound: bound.window.room)
+            if not bound.window.room:
+                if len(sessions) < self.gateway.sessions:
+                    self._bind(BIND_COMMANDS[self.gateway.bind])
                 return
-            if lane.session.stream.ended():  # known here before its reader has come to it
-                self._troubled = True
-                lane.session.close()
+            if bound.session.stream.ended():  # the connection is closed, and its reading task has not noticed yet
+                self._slow_start = True
+                bound.session.close()
                 continue
-            lane.window.out += 1
-            self.pace.sent(now)
-            self._turns.popleft().resume(lane)
+            bound.window.in_flight += 1
+            self.rate_control.record_sent(now)
+            self._queue.popleft().resume(bound)
 
-    def _wake(self, due: int) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self.loop.at(due, self._pump)
+    def _schedule(self, due: int) -> None:
+        if self._rate_timer is not None:
+            self._rate_timer.cancel()
+        self._rate_timer = self.loop.at(due, self._serve_queue)
 
     # Binding
 
-    def _bind(self, how: Command) -> bool:
-        """Start to bind one more session; false where it is not time for that yet."""
+    def _bind(self, command: Command) -> bool:
+        """Start to bind one more session; false during the backoff delay and during shutdown."""
         if self._binding:
             return True
-        if self._left or self.backoff.due > self.loop.now:
+        if self._shutting_down or self.backoff.retry_at > self.loop.now:
             return False
         self._binding = True
-        self.loop.spawn(self._bind_one, how)
+        self.loop.spawn(self._run_bind, command)
         return True
 
-    def _bind_one(self, how: Command) -> None:
+    def _run_bind(self, command: Command) -> None:
         try:
-            bound = self._bound(how)
+            succeeded = self._connect_and_bind(command)
         finally:
             self._binding = False
-        if bound:
-            self.backoff.bound()
-        self.tend()
-        self._pump()
-
-    def _bound(self, how: Command) -> bool:
-        """Connect and bind; whether that succeeded. After a failure the next one waits."""
-        deadline = self.loop.now + self._connect_within
+        if succeeded:
+            self.backoff.succeeded()
+        self.ensure_receiving()
+        self._serve_queue()
+
+    def _connect_and_bind(self, command: Command) -> bool:
+        """Connect and bind; returns whether it succeeded. A failure starts the backoff delay."""
+        deadline = self.loop.now + self._connect_timeout
         stream = self._connect(deadline)
         if stream is None:
-            self._failed("no connection")
+            self._bind_failed("no connection")
             return False
-        return self.adopt(stream, how, deadline)
+        return self.bind_on(stream, command, deadline)
 
     def _connect(self, deadline: int) -> Stream | None:
         if self.gateway.tls and self.keys is not None:
-            from kestrelspar.runtime import tls  # only where it is wanted
+            from kestrelspar.runtime import tls  # imports ssl, so only if needed
 
             context = self.keys.client(self.gateway.tls)
             return tls.dial(self.loop, self.buffers, self.gateway.address, deadline, context, self.gateway.server_name)
         sock = connect(self.loop, self.gateway.address, deadline)
         return None if sock is None else Stream(self.loop, sock, self.buffers)
 
-    def adopt(self, stream: Stream, how: Command, deadline: int) -> bool:
-        """Bind on a connection, whichever side made it; whether it is a lane now."""
+    def bind_on(self, stream: Stream, command: Command, deadline: int) -> bool:
+        """Bind on a connection, whichever side opened it; returns whether it succeeded."""
         gateway = self.gateway
         session = Session(self.loop, stream, gateway.name, gateway.enquire, gateway.response)
-        lane = Lane(session, Window(gateway.window))
-        self.loop.spawn(self._host, lane)
+        bound = BoundSession(session, Window(gateway.window))
+        self.loop.spawn(self._run_session, bound)
         bind = Pdu(
-            how,
+            command,
             fields={
                 "system_id": gateway.system_id,
                 "password": gateway.password,
@@ -206,91 +214,97 @@
             },
         )
         try:
-            answer = session.ask(bind, deadline)
+            response = session.ask(bind, deadline)
         except (NotSent, Lost, Late):
             session.close()
-            self._failed("no answer")
+            self._bind_failed("no answer")
             return False
-        if answer.status or answer.command != how | p.RESPONSE:
-            logs.warn("smpp-bind-refused", peer=gateway.name, status=f"{answer.status:#x}")
+        if response.status or response.command != command | p.RESPONSE:
+            logs.warn("smpp-bind-refused", peer=gateway.name, status=f"{response.status:#x}")
             session.close()
-            self._failed(f"status {answer.status:#x}", answer.status in NO_USE)
+            self._bind_failed(f"status {response.status:#x}", response.status in PERMANENT_BIND_ERRORS)
             return False
         if session.closed:
             return False
-        if self._troubled:  # it has just come back: not with all at once
-            lane.window.size = max(1.0, gateway.window / COLD)
-            self._troubled = False
-        self.lanes.append(lane)
-        logs.event("smpp-bound", peer=gateway.name, how=session.state.value, sessions=len(self.lanes))
+        if self._slow_start:  # the gateway has just recovered, and does not get the full window at once
+            bound.window.size = max(1.0, gateway.window / SLOW_START_DIVISOR)
+            self._slow_start = False
+        self.sessions.append(bound)
+        logs.event("smpp-bound", peer=gateway.name, how=session.state.value, sessions=len(self.sessions))
         return True
 
-    def asked(self, how: Command, stream: Stream) -> None:
-        """The gateway has made a connection for us to bind on."""
-        if self.adopt(stream, how, self.loop.now + self.gateway.response):
-            self.backoff.bound()
-            self._pump()
+    def accept_outbind(self, command: Command, stream: Stream) -> None:
+        """Bind on a connection that the gateway opened (outbind)."""
+        if self.bind_on(stream, command, self.loop.now + self.gateway.response):
+            self.backoff.succeeded()
+            self._serve_queue()
 
-    def _failed(self, why: str, refused: bool = False) -> None:
-        self._troubled = True
+    def _bind_failed(self, why: str, refused: bool = False) -> None:
+        self._slow_start = True
         wait = self.backoff.failed(self.loop.now, refused)
         logs.event("smpp-bind-failed", peer=self.gateway.name, why=why, again_ms=wait // 1000)
 
-    def _host(self, lane: Lane) -> None:
-        """A session until its end; then those who need another one get it."""
+    def _run_session(self, bound: BoundSession) -> None:
+        """Run a session until its end; then bind another one where it is needed."""
         try:
-            lane.session.run(lambda pdu: self._handle(self, lane, pdu))
+            bound.session.run(lambda pdu: self._handle(self, bound, pdu))
         finally:
-            if lane in self.lanes:
-                self.lanes.remove(lane)
-                self._troubled = self._troubled or bool(lane.window.out)
-            self.tend()
-            self._pump()
+            if bound in self.sessions:
+                self.sessions.remove(bound)
+                self._slow_start = self._slow_start or bool(bound.window.in_flight)
+            self.ensure_receiving()
+            self._serve_queue()
 
     def hears(self) -> bool:
-        """Whether the gateway can reach us now."""
-        return any(lane.open and lane.session.state in HEARS for lane in self.lanes)
+        """Whether a session is open on which the gateway can send requests."""
+        return any(bound.open and bound.session.state in RECEIVING_STATES for bound in self.sessions)
 
-    def tend(self) -> None:
-        """Keep a session up where something is to be heard: receipts, or messages of the gateway's own."""
-        if self._left or self._binding or not self.wants_to_hear() or self.hears():
+    def ensure_receiving(self) -> None:
+        """Keep a receiving session bound while receipts or messages from the gateway are expected."""
+        if self._shutting_down or self._binding or not self.needs_receiving() or self.hears():
             return
-        how = Command.BIND_RECEIVER if self.gateway.bind == "pair" else HOW[self.gateway.bind]
-        if not self._bind(how):
-            self.loop.at(max(self.loop.now + 1, self.backoff.due), self.tend)
+        command = Command.BIND_RECEIVER if self.gateway.bind == "pair" else BIND_COMMANDS[self.gateway.bind]
+        if not self._bind(command):
+            self.loop.at(max(self.loop.now + 1, self.backoff.retry_at), self.ensure_receiving)
 
     # Unbinding
 
-    def _watch_idle(self) -> None:
-        if self.gateway.idle_unbind and self._sweep is None:
-            self._sweep = self.loop.at(self.loop.now + self.gateway.idle_unbind, self._unbind_idle)
+    def _schedule_idle_check(self) -> None:
+        if self.gateway.idle_unbind and self._idle_timer is None:
+            self._idle_timer = self.loop.at(self.loop.now + self.gateway.idle_unbind, self._unbind_idle)
 
     def _unbind_idle(self) -> None:
-        """Unbind what has had nothing to do for so long, but for the one that hears."""
-        self._sweep = None
+        """Unbind sessions without requests for the idle time, except for a receiving one that is still needed."""
+        self._idle_timer = None
         since = self.loop.now - self.gateway.idle_unbind
-        self._unbind(lambda lane: lane.used <= since)
-        if any(not lane.window.out and self._spare(lane) for lane in self.lanes):
-            self._watch_idle()
-
-    def _spare(self, lane: Lane) -> bool:
-        """Whether the gateway can still reach us without it, where that is wanted."""
-        others = [o for o in self.lanes if o is not lane and o.open and o.session.state in HEARS]
-        return lane.session.state not in HEARS or bool(others) or not self.wants_to_hear()
-
-    def _unbind(self, which: Callable[[Lane], bool]) -> None:
-        for lane in [lane for lane in self.lanes if lane.open and not lane.window.out and which(lane)]:
-            if self._spare(lane):
-                self.lanes.remove(lane)
-                self.loop.spawn(lane.session.unbind)
+        self._unbind_where(lambda bound: bound.last_used_at <= since)
+        if any(not bound.window.in_flight and self._may_unbind(bound) for bound in self.sessions):
+            self._schedule_idle_check()
+
+    def _may_unbind(self, bound: BoundSession) -> bool:
+        """Whether it may be unbound: another session receives, or none has to."""
+        others = [
+            other
+            for other in self.sessions
+            if other is not bound and other.open and other.session.state in RECEIVING_STATES
+        ]
+        return bound.session.state not in RECEIVING_STATES or bool(others) or not self.needs_receiving()
+
+    def _unbind_where(self, condition: Callable[[BoundSession], bool]) -> None:
+        for bound in [
+            bound for bound in self.sessions if bound.open and not bound.window.in_flight and condition(bound)
+        ]:
+            if self._may_unbind(bound):
+                self.sessions.remove(bound)
+                self.loop.spawn(bound.session.unbind)
 
     def close_idle(self) -> None:
-        """Unbind where nothing is out and nothing is to be heard."""
-        self._unbind(lambda lane: True)
-
-    def leave(self) -> None:
-        """The process ends: unbind where nothing is out, and bind no more."""
-        self._left = True
-        for lane in self.lanes:
-            if not lane.window.out:
-                self.loop.spawn(lane.session.unbind)
+        """Unbind the sessions with nothing in flight, except for a receiving one that is still needed."""
+        self._unbind_where(lambda bound: True)
+
+    def shut_down(self) -> None:
+        """The process ends: unbind the sessions with nothing in flight, and bind no more."""
+        self._shutting_down = True
+        for bound in self.sessions:
+            if not bound.window.in_flight:
+                self.loop.spawn(bound.session.unbind)
--- a/kestrelspar/smpp/pace.py
+++ b/kestrelspar/smpp/pace.py
@@ -1,16 +1,16 @@
-"""How much a gateway takes: windows, one rate, and when to bind again. No I/O; times in microseconds.
-
-Whether, where and when a message goes is the decision module's. This says how many submits may be out on each session
-now, when the next one may leave, and how long to wait before another bind.
-
-Theory of operation. A window bounds what is out on one session; it halves on ESME_RMSGQFUL and shrinks by a fifth
-where congestion_state or response times tell of a queue, at most once for what was sent before the last cut, and grows
-by one a window of answers (additive increase, multiplicative decrease: Chiu and Jain 1989). The rate is the gateway's,
-over all its sessions, as limits are kept by account. It is unbounded until the first ESME_RTHROTTLED; the ceiling is
-then what was served within a second while it was asked for more. After a cut the rate follows CUBIC's curve (RFC 9438,
-section 4.2): fast to near the ceiling, level about it, and beyond it ever faster, so that a limit is met without much
-overshoot and a raised one is found again. A burst alone tells no rate: then the rate doubles each ``DOUBLES`` until
-the next refusal tells more.
+"""Flow control for a gateway: windows, the submit rate, and the backoff of binds. No I/O; times in microseconds.
+
+The decision module chooses whether, where and when a message is sent. This module limits how many submits may be in
+flight on each session and when the next one may be sent, and computes the delay before the next bind.
+
+Theory of operation. A window bounds the submits in flight on one session. It halves on ESME_RMSGQFUL and shrinks by a
+fifth when congestion_state or response times indicate a queue, at most once for all submits sent before the last
+reduction, and grows by one for each window of responses (additive increase, multiplicative decrease: Chiu and Jain
+1989). The rate applies to the gateway, over all its sessions, as gateways limit by account. It is unbounded until the
+first ESME_RTHROTTLED; the ceiling is then the number of submits served within a second under excess demand. After a
+reduction the rate follows the curve of CUBIC (RFC 9438, section 4.2): fast to near the ceiling, level about it, and
+ever faster beyond it, so that it reaches a limit with little overshoot and finds a raised one. A burst alone does not
+show the rate: then the rate doubles every ``DOUBLING_TIME`` until the next refusal gives a better estimate.
 """
 
 from __future__ import annotations
@@ -20,168 +20,173 @@
 from collections import deque
 
 SECOND = 1_000_000
-SPAN = SECOND  # limits are mostly told by the second: what was served within one is what a second holds
-CUT, SHRINK = 0.5, 0.8  # of a window: told to be full, or slow
-BACK = 0.95  # of the ceiling: where the rate goes on after a refusal
-PLATEAU = 3 * SECOND  # until the rate is at the ceiling again; as long after that it has gone as far beyond it
-DOUBLES = 700_000  # while no ceiling was seen for long enough
-LEAST_RATE = 0.5  # submits a second: less would not notice that a limit is gone
-CONGESTED, HELD = 90, 80  # congestion_state: 80 to 89 is optimum load, above is too much (SMPP 5.0, 4.8.4.18)
-SLOW, SLOW_BY = 4.0, 200_000  # answers that take so many times the quickest, and so much longer, tell of a queue
-FORGET = 0.02  # how much of the way to a slower answer the quickest one moves: routes change
+RATE_WINDOW = SECOND  # limits are mostly defined per second, so served submits are counted over one
+QUEUE_FULL_FACTOR, CONGESTION_FACTOR = 0.5, 0.8  # by which a window is multiplied
+RESUME_FACTOR = 0.95  # of the ceiling: the rate after a refusal
+RECOVERY_TIME = 3 * SECOND  # until the rate is at the ceiling; after twice that it is as far above as it began below
+DOUBLING_TIME = 700_000  # of the rate, while the ceiling is uncertain
+MIN_RATE = 0.5  # submits per second; with less, the end of a limit would go unnoticed
+CONGESTED, OPTIMUM_LOAD = 90, 80  # congestion_state: 80 to 89 is optimum load, above is congestion (SMPP 5.0, 4.8.4.18)
+# A response indicates a queue if its latency exceeds the minimum by both the factor and the margin.
+SLOW_FACTOR, SLOW_MARGIN = 4.0, 200_000
+MIN_LATENCY_GAIN = 0.02  # weight of a slower response in the minimum latency, which follows a changed route this way
 
 
 class Window:
-    """How many submits may be out on one session."""
+    """How many submits may be in flight on one session."""
 
-    __slots__ = ("cut_at", "most", "out", "quickest", "size")
+    __slots__ = ("in_flight", "max_size", "min_latency", "reduced_at", "size")
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.size = float(most)
-        self.out = 0
-        self.cut_at = -1  # what was sent before is the same lesson
-        self.quickest = 0.0  # answer, in microseconds
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size
+        self.size = float(max_size)
+        self.in_flight = 0
+        self.reduced_at = -1  # responses to submits sent before the last reduction cause no further one
+        self.min_latency = 0.0  # of a response, in microseconds; 0: unknown
 
     @property
     def room(self) -> int:
-        """How many more may be sent now."""
-        return max(0, max(1, int(self.size)) - self.out)
+        """How many more submits may be sent now."""
+        return max(0, max(1, int(self.size)) - self.in_flight)
 
-    def _shrink(self, now: int, by: float) -> None:
-        self.size, self.cut_at = max(1.0, self.size * by), now
+    def _reduce(self, now: int, factor: float) -> None:
+        self.size, self.reduced_at = max(1.0, self.size * factor), now
 
-    def answered(self, now: int, sent: int, full: bool, congestion: int | None) -> bool:
-        """An answer to a submit that left at ``sent``; ``congestion``: the congestion_state it told, 0 to 100.
+    def record_response(self, now: int, sent: int, full: bool, congestion: int | None) -> bool:
+        """Adapt to the response to a submit sent at ``sent``; ``congestion`` is its congestion_state, from 0 to 100.
 
-        Whether it told that the queue is full, and that is news.
+        Returns whether it reported a full queue for the first time since the last reduction.
         """
-        took = float(now - sent)
-        fresh = sent > self.cut_at
+        latency = float(now - sent)
+        is_new = sent > self.reduced_at
         if full:
-            if fresh:
-                self._shrink(now, CUT)
-            return fresh
-        slow = self.quickest > 0 and took > max(SLOW * self.quickest, self.quickest + SLOW_BY)
-        self.quickest = (
-            took if not self.quickest or took < self.quickest else self.quickest + FORGET * (took - self.quickest)
+            if is_new:
+                self._reduce(now, QUEUE_FULL_FACTOR)
+            return is_new
+        slow = self.min_latency > 0 and latency > max(SLOW_FACTOR * self.min_latency, self.min_latency + SLOW_MARGIN)
+        self.min_latency = (
+            latency
+            if not self.min_latency or latency < self.min_latency
+            else self.min_latency + MIN_LATENCY_GAIN * (latency - self.min_latency)
         )
         if congestion is not None and congestion >= CONGESTED or congestion is None and slow:
-            if fresh:
-                self._shrink(now, SHRINK)
-        elif congestion is None or congestion < HELD:
-            self.size = min(float(self.most), self.size + 1.0 / self.size)
+            if is_new:
+                self._reduce(now, CONGESTION_FACTOR)
+        elif congestion is None or congestion < OPTIMUM_LOAD:
+            self.size = min(float(self.max_size), self.size + 1.0 / self.size)
         return False
 
-    def lost(self, now: int) -> None:
-        """No answer came in time, or the session broke."""
-        if now > self.cut_at:
-            self._shrink(now, CUT)
-
-
-class Pace:
-    """One gateway's rate over all its sessions, and the wait that it told."""
-
-    def __init__(self, most: float = 0.0) -> None:
-        """``most``: submits a second that were agreed on; 0: none known."""
-        self.most = most
-        self.rate = most  # submits a second now; 0: not bounded
-        self.ceiling = 0.0  # what it was seen to take; 0: never refused
-        self.waits_until = 0
-        self.refused = 0
-        self._guess = False  # the ceiling was seen over less than a span: a burst tells no rate
-        self._due = 0.0  # when the next may leave
-        self._begun = 0  # when there was last nothing served within a span
-        self._cut_at = -1
-        self._from = 0  # when the way back to the ceiling began
-        self._base = 0.0  # and at which rate
-        self._again = 0  # refusals in a row with nothing served in between
-        self._refusing = 0  # since when
-        self._served: deque[int] = deque()  # when what was served within a span had left
-
-    def next(self, now: int) -> int:
-        """When the next submit may leave; ``now`` or earlier: at once."""
-        self._climb(now)
-        return max(self.waits_until, math.ceil(self._due))
-
-    def sent(self, now: int) -> None:
-        """One leaves."""
+    def record_loss(self, now: int) -> None:
+        """Shrink the window after a submit without a response in time."""
+        if now > self.reduced_at:
+            self._reduce(now, QUEUE_FULL_FACTOR)
+
+
+class RateControl:
+    """The submit rate of one gateway over all its sessions, and its retry-after delay."""
+
+    def __init__(self, max_rate: float = 0.0) -> None:
+        """``max_rate``: the agreed submits per second; 0 if unknown."""
+        self.max_rate = max_rate
+        self.rate = max_rate  # submits per second; 0: unbounded
+        self.ceiling = 0.0  # submits per second that were served at the last refusal; 0: never refused
+        self.not_before = 0
+        self.refusals = 0
+        self._ceiling_uncertain = False  # measured over less than half of the rate window, as in a burst
+        self._theoretical_arrival = 0.0  # of the next submit (GCRA)
+        self._active_since = 0  # sending time of the first submit served after a rate window with none
+        self._reduced_at = -1
+        self._recovery_start = 0  # when the rate starts to recover to the ceiling
+        self._recovery_rate = 0.0  # the rate at that time
+        self._consecutive_refusals = 0  # without a submit served in between, one at most for each reduction
+        self._refused_since = 0  # the first of them
+        self._served_at: deque[int] = deque()  # sending times of the submits served, over the rate window
+
+    def earliest_send(self, now: int) -> int:
+        """The time from which the next submit may be sent; not in the future if it may be sent now."""
+        self._update_rate(now)
+        return max(self.not_before, math.ceil(self._theoretical_arrival))
+
+    def record_sent(self, now: int) -> None:
+        """Count a submit that is sent now."""
         if self.rate:
-            gap = SECOND / self.rate
-            self._due = max(self._due, now - gap) + gap
+            interval = SECOND / self.rate
+            self._theoretical_arrival = max(self._theoretical_arrival, now - interval) + interval
 
-    def _climb(self, now: int) -> None:
-        """The rate by the time since the last cut: towards the ceiling, level about it, and beyond, ever faster."""
-        if not self.ceiling or now <= self._from:
+    def _update_rate(self, now: int) -> None:
+        """Set the rate by the time since the last reduction: towards the ceiling, level about it, then ever faster."""
+        if not self.ceiling or now <= self._recovery_start:
             return
-        at = (now - self._from) / PLATEAU
-        if self._guess:
-            self.rate = self._base * 2.0 ** (at * PLATEAU / DOUBLES)
+        progress = (now - self._recovery_start) / RECOVERY_TIME
+        if self._ceiling_uncertain:
+            self.rate = self._recovery_rate * 2.0 ** (progress * RECOVERY_TIME / DOUBLING_TIME)
         else:
-            self.rate = self.ceiling + (self.ceiling - self._base) * (at - 1.0) ** 3
-        if self.most:
-            self.rate = min(self.rate, self.most)
+            self.rate = self.ceiling + (self.ceiling - self._recovery_rate) * (progress - 1.0) ** 3
+        if self.max_rate:
+            self.rate = min(self.rate, self.max_rate)
 
-    def answered(self, now: int, sent: int, throttled: bool, wait: int = 0) -> bool:
-        """An answer to a submit that left at ``sent``; where it was throttled, ``wait`` is what that stands for.
+    def record_response(self, now: int, sent: int, throttled: bool, retry_after: int = 0) -> bool:
+        """Adapt to the response to a submit sent at ``sent``; ``retry_after`` applies if it was throttled.
 
-        Whether it was throttled and is shut rather than limited: refused for more than a span, with nothing served
-        in between.
+        Returns whether the gateway is unavailable rather than limited: it has refused for at least a rate window and
+        served nothing in between.
         """
-        while self._served and self._served[0] <= now - SPAN:
-            self._served.popleft()
+        while self._served_at and self._served_at[0] <= now - RATE_WINDOW:
+            self._served_at.popleft()
         if not throttled:
-            if not self._served:
-                self._begun = sent
-            self._served.append(sent)
-            if sent > self._cut_at:
-                self._again = 0
+            if not self._served_at:
+                self._active_since = sent
+            self._served_at.append(sent)
+            if sent > self._reduced_at:
+                self._consecutive_refusals = 0
             return False
-        self.refused += 1
-        self.waits_until = max(self.waits_until, now + wait)
-        if sent <= self._cut_at:  # it left before the last lesson, and tells the same
+        self.refusals += 1
+        self.not_before = max(self.not_before, now + retry_after)
+        if sent <= self._reduced_at:  # sent before the last reduction, so it says nothing new
             return False
-        # Nothing served since: it is the same limit, still shut. The rate was not tried, only the wait was too short.
-        wait = max(wait, min(SPAN // 4, wait << self._again))
-        self.waits_until = max(self.waits_until, now + wait)
-        self._due = max(self._due, float(now + wait))
-        if not self._again:
-            self._refusing = now
-            self._guess = not self.ceiling and now - self._begun < SPAN // 2
-            self.ceiling = max(LEAST_RATE, self._seen(now))
-            self._base = max(LEAST_RATE, BACK * self.ceiling)
-        self.rate, self._from, self._cut_at = self._base, now + wait, now
-        self._again += 1
-        return now - self._refusing >= SPAN
-
-    def _seen(self, now: int) -> float:
-        """Submits a second that it was seen to take while it was asked for more."""
-        if not self.rate or self._guess:
-            return float(len(self._served))
-        open_for = now - max(self._begun, self._from, now - SPAN)  # of the last span: not idle, and not waiting
-        if open_for < SPAN // 5:  # too little to tell: below the rate that was kept
-            return SHRINK * self.rate
-        since = sum(sent > now - open_for for sent in self._served)
-        return min(self.rate, since * SECOND / open_for)
+        # With nothing served since the last refusal, the same limit still applies: the delay was too short, and the
+        # rate has not been tried. So the delay doubles, up to a quarter of the rate window.
+        retry_after = max(retry_after, min(RATE_WINDOW // 4, retry_after << self._consecutive_refusals))
+        self.not_before = max(self.not_before, now + retry_after)
+        self._theoretical_arrival = max(self._theoretical_arrival, float(now + retry_after))
+        if not self._consecutive_refusals:
+            self._refused_since = now
+            self._ceiling_uncertain = not self.ceiling and now - self._active_since < RATE_WINDOW // 2
+            self.ceiling = max(MIN_RATE, self._observed_rate(now))
+            self._recovery_rate = max(MIN_RATE, RESUME_FACTOR * self.ceiling)
+        self.rate, self._recovery_start, self._reduced_at = self._recovery_rate, now + retry_after, now
+        self._consecutive_refusals += 1
+        return now - self._refused_since >= RATE_WINDOW
+
+    def _observed_rate(self, now: int) -> float:
+        """Submits per second that were served under excess demand."""
+        if not self.rate or self._ceiling_uncertain:
+            return float(len(self._served_at))
+        # The part of the rate window without idle and waiting times.
+        observed_for = now - max(self._active_since, self._recovery_start, now - RATE_WINDOW)
+        if observed_for < RATE_WINDOW // 5:  # too short to measure: somewhat below the last rate
+            return CONGESTION_FACTOR * self.rate
+        served = sum(sent_at > now - observed_for for sent_at in self._served_at)
+        return min(self.rate, served * SECOND / observed_for)
 
 
 class Backoff:
-    """When to bind again: waits that grow, drawn at random so that couriers do not come in step."""
+    """Exponential backoff of binds, with jitter so that couriers do not retry in step."""
 
-    def __init__(self, first: int, most: int, seed: int) -> None:
-        """Waits in microseconds; each is drawn between half and the whole of the current step."""
-        self._first, self._most = first, most
+    def __init__(self, initial_delay: int, max_delay: int, seed: int) -> None:
+        """Delays are drawn from between half and all of a step, which grows from the initial to the maximum delay."""
+        self._initial_delay, self._max_delay = initial_delay, max_delay
         self._random = random.Random(seed)
         self._step = 0
-        self.due = 0
+        self.retry_at = 0
 
     def failed(self, now: int, refused: bool = False) -> int:
-        """A bind failed; returns the wait. ``refused``: by a status that trying again won't change, so the longest."""
-        self._step = self._most if refused else min(self._most, 2 * self._step or self._first)
+        """A bind failed; returns the delay, the longest if ``refused`` with a status that a retry will not change."""
+        self._step = self._max_delay if refused else min(self._max_delay, 2 * self._step or self._initial_delay)
         wait = self._step // 2 + self._random.randrange(self._step // 2 + 1)
-        self.due = now + wait
+        self.retry_at = now + wait
         return wait
 
-    def bound(self) -> None:
-        """A bind succeeded."""
-        self._step = self.due = 0
+    def succeeded(self) -> None:
+        """A bind succeeded: reset the delay."""
+        self._step = self.retry_at = 0
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -1,4 +1,4 @@
-"""One SMPP connection, from either side: requests matched to responses, enquire_link, unbind."""
+"""One SMPP session, as client or server: matches responses to requests, answers and sends enquire_link and unbind."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 
 class NotSent(Exception):
-    """The session ended, or time was over, before the request's last byte was written."""
+    """The session ended, or the deadline passed, before the last byte of the request was written."""
 
 
 class Lost(Exception):
-    """The session ended after the request was written and before its response came."""
+    """The session ended after the request was written and before its response arrived."""
 
 
 class Session:
-    """Reads in one task; any task may write or ask."""
+    """One task reads; any task may write PDUs and send requests. Times are in microseconds."""
 
-    def __init__(self, loop: Loop, stream: Stream, name: str, enquire: int, answer_within: int) -> None:
+    def __init__(self, loop: Loop, stream: Stream, name: str, enquire_interval: int, response_timeout: int) -> None:
         self.loop, self.stream, self.name = loop, stream, name
-        self._enquire, self._answer_within = enquire, answer_within
+        self._enquire_interval, self._response_timeout = enquire_interval, response_timeout
         self.closed = False
         self.state = Bound.OPEN
-        self.outstanding = 0  # requests without a response
-        self.heard = loop.now
+        self.outstanding = 0  # requests that wait for their response
+        self.last_received_at = loop.now
         self._sequence = 0
-        self._rest = bytearray()  # read, and no whole PDU yet: one may be longer than a buffer
+        self._received = bytearray()  # bytes not decoded yet, as a PDU may be longer than a buffer
         self._pending: dict[int, Parking] = {}
-        self._given_up: dict[int, Callable[[Pdu | None], None]] = {}  # who wants to know of a late answer
-        self._unbound: Pdu | None = None  # the other side's unbind, not answered yet
-        self.retired = False  # takes no new requests, and ends when none is out
+        self._late_handlers: dict[int, Callable[[Pdu | None], None]] = {}  # by sequence number of a timed-out request
+        self._unbind_request: Pdu | None = None  # received from the peer and not answered yet
+        self.retired = False  # sends no new requests, and ends when none is in flight
         self._writing = False
-        self._turns: list[Parking] = []  # of those who want to write
+        self._write_queue: list[Parking] = []  # tasks that wait for another one to finish writing
 
     def run(self, handle: Callable[[Pdu], None]) -> None:
-        """Read until the session ends. ``handle`` gets the requests; it must not wait."""
-        self.loop.spawn(self._beat)
-        rest = self._rest
+        """Read until the session ends; ``handle`` is called with each request and must not block."""
+        self.loop.spawn(self._monitor_link)
+        received = self._received
         try:
             while not self.closed:
-                if not (size := p.whole(rest)):
+                if not (size := p.whole(received)):
                     self.stream.fill(None)
-                    rest += self.stream.unread
+                    received += self.stream.unread
                     self.stream.consume(len(self.stream.unread))
                     continue
-                data = bytes(rest[:size])
-                del rest[:size]
-                self.heard = self.loop.now
+                data = bytes(received[:size])
+                del received[:size]
+                self.last_received_at = self.loop.now
                 try:
-                    self._take(p.decode(data), handle)
+                    self._dispatch(p.decode(data), handle)
                 except p.BadPdu as error:
                     self._reject(error)
         except p.BadLength as error:
@@ -65,35 +65,37 @@
         finally:
             self.close()
 
-    def _take(self, pdu: Pdu, handle: Callable[[Pdu], None]) -> None:
+    def _dispatch(self, pdu: Pdu, handle: Callable[[Pdu], None]) -> None:
         if pdu.command & p.RESPONSE:
             waiting = self._pending.pop(pdu.sequence, None)
             if waiting is not None:
-                how = BINDS.get(Command(pdu.command & ~p.RESPONSE)) if pdu.command != Command.GENERIC_NACK else None
-                if how is not None and not pdu.status:
-                    self.state = how  # at once: a receipt may follow in the same bytes
+                new_state = (
+                    BINDS.get(Command(pdu.command & ~p.RESPONSE)) if pdu.command != Command.GENERIC_NACK else None
+                )
+                if new_state is not None and not pdu.status:
+                    self.state = new_state  # set here, as a receipt may follow in the bytes already read
                 waiting.resume(pdu)
-            else:  # its request has been given up
+            else:  # its request has timed out, or was never sent
                 logs.event("smpp-late", peer=self.name, command=pdu.command.name.lower(), sequence=pdu.sequence)
-                late = self._given_up.pop(pdu.sequence, None)
-                if late is not None:
-                    late(pdu)
+                on_late = self._late_handlers.pop(pdu.sequence, None)
+                if on_late is not None:
+                    on_late(pdu)
         elif pdu.command is Command.ENQUIRE_LINK:
             self.post(pdu.reply())
         elif pdu.command is Command.UNBIND:
-            self._unbound = pdu
+            self._unbind_request = pdu
             self.retire()
-            if not self.closed:  # its answers to what is out may still come: else they would count as lost
-                self.loop.at(self.loop.now + self._answer_within, lambda: self.loop.spawn(self._let_go))
+            if not self.closed:  # wait for its responses to requests in flight, which would count as lost otherwise
+                self.loop.at(self.loop.now + self._response_timeout, lambda: self.loop.spawn(self._finish))
         else:
             handle(pdu)
 
     def _reject(self, error: p.BadPdu) -> None:
-        """Answer a body that will not do with its response, an unknown command with a generic_nack."""
+        """Answer a malformed request: with its own response type, or with a generic_nack if the command is unknown."""
         logs.warn("smpp-bad-pdu", peer=self.name, why=str(error))
         if error.command & p.RESPONSE:
             waiting = self._pending.pop(error.sequence, None)
-            if waiting is not None:  # an answer that nobody can read: the request may have run
+            if waiting is not None:  # the response is unreadable, so the request may have run
                 waiting.resume(Pdu(Command.GENERIC_NACK, error.sequence, Status.ESME_RSYSERR))
             return
         answerable = error.status is not Status.ESME_RINVCMDID and error.command != Command.OUTBIND
@@ -101,32 +103,34 @@
         self.post(Pdu(command, error.sequence, error.status))
 
     def next(self) -> int:
-        """The sequence number of our next request."""
+        """The sequence number of the next request to send."""
         self._sequence = self._sequence % 0x7FFFFFFF + 1
         return self._sequence
 
     def hand_over(self) -> bool:
-        """Stop reading and leave the connection open, for another session on it; false where that can't be.
+        """Stop reading and leave the connection open for another session; false where that is impossible.
 
-        Called from the reader's own ``handle``; what it has read beyond the PDU must be nothing.
+        Called from ``handle``, in the reading task. Impossible if bytes beyond the PDU have been read, if requests are
+        in flight, or if the session is closed.
         """
-        if self._rest or self._pending or self.closed:
+        if self._received or self._pending or self.closed:
             return False
-        self.closed = True  # so that nothing here closes the connection any more
+        self.closed = True  # so that this session no longer closes the connection
         return True
 
     def post(self, pdu: Pdu) -> bool:
-        """Write a PDU that nobody answers; whether it was written."""
+        """Write a PDU that has no response; returns whether it was written."""
         try:
-            self._write(p.encode(pdu), self.loop.now + self._answer_within)
+            self._write(p.encode(pdu), self.loop.now + self._response_timeout)
         except NotSent:
             return False
         return True
 
     def ask(self, pdu: Pdu, deadline: int, late: Callable[[Pdu | None], None] | None = None) -> Pdu:
-        """Write a request and wait for its response. ``NotSent``, ``Lost`` or ``Late`` if there is none.
+        """Write a request and return its response; raises ``NotSent``, ``Lost`` or ``Late`` if there is none.
 
-        After ``Late`` the request is still out: ``late`` is called with its answer, or when the session ends.
+        After ``Late`` the request is still in flight: ``late`` is called with its response, or with none when the
+        session ends.
         """
         pdu.sequence = self.next()
         waiting = Parking(self.loop)
@@ -134,39 +138,39 @@
         self.outstanding += 1
         try:
             self._write(p.encode(pdu), deadline)
-            answer = self.loop.park(waiting, deadline)
+            response = self.loop.park(waiting, deadline)
         finally:
             self._pending.pop(pdu.sequence, None)
             self.outstanding -= 1
-        if answer is LATE:
+        if response is LATE:
             if late is not None:
-                self._given_up[pdu.sequence] = late
+                self._late_handlers[pdu.sequence] = late
             raise Late
         if self.retired:
             self.retire()
-        if answer is None:
+        if response is None:
             raise Lost
-        assert isinstance(answer, Pdu)
-        return answer
+        assert isinstance(response, Pdu)
+        return response
 
     def retire(self) -> None:
-        """No new requests; the session ends when the last answer is here or given up."""
+        """Send no new requests; the session ends when the last one in flight has its response or has timed out."""
         self.retired = True
         if not self.outstanding:
-            self._let_go()
+            self._finish()
 
-    def _let_go(self) -> None:
-        """End the session; who asked us to unbind gets the answer first."""
-        if self._unbound is not None and not self.closed:
-            asked, self._unbound = self._unbound, None
-            self.post(asked.reply())
+    def _finish(self) -> None:
+        """End the session; an unbind request of the peer is answered first."""
+        if self._unbind_request is not None and not self.closed:
+            request, self._unbind_request = self._unbind_request, None
+            self.post(request.reply())
         self.close()
 
     def _write(self, data: bytes, deadline: int) -> None:
-        """Write whole PDUs one after the other, whoever asks; one cut short ends the session."""
+        """Write one PDU at a time, whichever task calls; a partial write ends the session."""
         while self._writing and not self.closed:
             turn = Parking(self.loop)
-            self._turns.append(turn)
+            self._write_queue.append(turn)
             if self.loop.park(turn, deadline) is LATE:
                 raise NotSent
         if self.closed:
@@ -179,38 +183,38 @@
             raise NotSent from None
         finally:
             self._writing = False
-            if self._turns:
-                self._turns.pop(0).resume()
+            if self._write_queue:
+                self._write_queue.pop(0).resume()
 
-    def _beat(self) -> None:
-        """Ask whether the link is up when nothing has been heard for a while; end it when nobody answers."""
+    def _monitor_link(self) -> None:
+        """Send enquire_link when nothing was received for the interval; end the session if it gets no response."""
         while not self.closed:
-            self.loop.sleep(max(1_000, self.heard + self._enquire - self.loop.now))
-            if self.closed or self.loop.now - self.heard < self._enquire:
+            self.loop.sleep(max(1_000, self.last_received_at + self._enquire_interval - self.loop.now))
+            if self.closed or self.loop.now - self.last_received_at < self._enquire_interval:
                 continue
             try:
-                self.ask(Pdu(Command.ENQUIRE_LINK), self.loop.now + self._answer_within)
+                self.ask(Pdu(Command.ENQUIRE_LINK), self.loop.now + self._response_timeout)
             except (NotSent, Lost, Late):
                 if not self.closed:
                     logs.warn("smpp-link-dead", peer=self.name)
                     self.close()
 
     def unbind(self) -> None:
-        """End the session in order."""
+        """Send unbind, wait for its response, and close the connection."""
         try:
             if not self.closed:
-                self.ask(Pdu(Command.UNBIND), self.loop.now + self._answer_within)
+                self.ask(Pdu(Command.UNBIND), self.loop.now + self._response_timeout)
         except (NotSent, Lost, Late):
             pass
         self.close()
 
     def close(self) -> None:
-        """End the session; requests without a response are lost."""
+        """Close the connection; requests without a response are lost."""
         if self.closed:
             return
         self.closed = True
         self.stream.close()
-        for parking in [*self._pending.values(), *self._turns]:
+        for parking in [*self._pending.values(), *self._write_queue]:
             parking.resume(None)
-        for late in self._given_up.values():
-            late(None)
+        for on_late in self._late_handlers.values():
+            on_late(None)
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -341,12 +341,12 @@
     submitted(stage, stage.contractor())
     stage.until(lambda: gate.submits)
     link = next(iter(stage.gates._links.values()))
-    session = link.lanes[0].session
+    session = link.sessions[0].session
     assert session.state is Bound.TRX
     posted: list[Pdu] = []
     session.post = lambda pdu: posted.append(pdu) or True  # type: ignore[method-assign, func-returns-value]
     for command in table.requests():
-        stage.gates._handle(link, link.lanes[0], Pdu(command, 3))
+        stage.gates._handle(link, link.sessions[0], Pdu(command, 3))
     assert {pdu.command.name: pdu.status for pdu in posted if pdu.status == 0} == {
         "DELIVER_SM_RESP": 0,
         "DATA_SM_RESP": 0,
--- a/tests/smpp/test_pace.py
+++ b/tests/smpp/test_pace.py
@@ -9,7 +9,7 @@
 import pytest
 
 from kestrelspar.runtime.loop import MS, SECOND
-from kestrelspar.smpp.pace import Backoff, Pace, Window
+from kestrelspar.smpp.pace import Backoff, RateControl, Window
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from tests.smpp.test_operations import submitted
 from tests.smpp_standins import StandInGateway, gateway
@@ -56,21 +56,21 @@
     return take
 
 
-def drive(pace: Pace, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
+def drive(control: RateControl, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
     """Deliver so many; when the last one was served, and how many were refused."""
     out: deque[tuple[int, int, bool]] = deque()
     done = refused = last = 0
     while done < count:
         if out and out[0][0] <= now:
             at, sent, served = out.popleft()
-            pace.answered(now, sent, not served, 100 * MS)
+            control.record_response(now, sent, not served, 100 * MS)
             done, refused, last = done + served, refused + (not served), at
-        elif len(out) < window and done + len(out) < count and pace.next(now) <= now:
-            pace.sent(now)
+        elif len(out) < window and done + len(out) < count and control.earliest_send(now) <= now:
+            control.record_sent(now)
             out.append((now + 5 * MS, now, limit(now)))
         else:
             ahead = [out[0][0]] if out else []
-            now = max(now + 1, min([*ahead, *([pace.next(now)] if len(out) < window else [])]))
+            now = max(now + 1, min([*ahead, *([control.earliest_send(now)] if len(out) < window else [])]))
     return last, refused
 
 
@@ -81,57 +81,57 @@
 )
 @pytest.mark.parametrize("rate", [20, 200])
 def test_a_limit_is_found_and_kept_to(limiter: Callable[[int], Limiter], rate: int) -> None:
-    pace, count = Pace(), 60 * rate
+    control, count = RateControl(), 60 * rate
     limit = limiter(rate)
-    took, refused = drive(pace, limit, count)
+    took, refused = drive(control, limit, count)
     assert took < 1.2 * 60 * SECOND and refused < 0.05 * count
     assert took > 0.97 * 60 * SECOND, "the stand-in's limit does not hold"
 
 
 def test_a_limit_that_is_raised_is_found_again() -> None:
-    pace = Pace()
-    drive(pace, by_the_second(20), 200)
-    took, _ = drive(pace, by_the_second(200), 2000, now=11 * SECOND)
+    control = RateControl()
+    drive(control, by_the_second(20), 200)
+    took, _ = drive(control, by_the_second(200), 2000, now=11 * SECOND)
     assert took < 35 * SECOND, "twice the time of a pace that knew it"
 
 
 def test_an_agreed_rate_is_never_refused() -> None:
-    assert drive(Pace(50.0), within_a_second(50), 500)[1] == 0
+    assert drive(RateControl(50.0), within_a_second(50), 500)[1] == 0
 
 
 def test_one_clump_of_refusals_is_one_lesson() -> None:
-    pace = Pace()
+    control = RateControl()
     for place in range(40):
-        pace.answered(1_000 + place, place, False)
+        control.record_response(1_000 + place, place, False)
     for place in range(20):
-        pace.answered(2_000 + place, 100 + place, True, 100 * MS)
-    assert pace.refused == 20 and pace.ceiling == 40 and pace.next(2_019) == 2_019 + 100 * MS
+        control.record_response(2_000 + place, 100 + place, True, 100 * MS)
+    assert control.refusals == 20 and control.ceiling == 40 and control.earliest_send(2_019) == 2_019 + 100 * MS
 
 
 def test_a_window_halves_once_for_what_was_out_and_grows_back() -> None:
     window = Window(16)
     for _ in range(16):
-        window.answered(10, 0, True, None)
+        window.record_response(10, 0, True, None)
     assert window.room == 8
     for at in range(20, 180):
-        window.answered(at, at - 5, False, None)
+        window.record_response(at, at - 5, False, None)
     assert window.room == 16
-    window.answered(300, 290, False, 95)
+    window.record_response(300, 290, False, 95)
     assert int(window.size) == 12
     before = window.size
-    window.answered(310, 305, False, 85)
+    window.record_response(310, 305, False, 85)
     assert window.size == before, "optimum load: neither more nor less"
-    window.answered(400, 390, False, 20)
+    window.record_response(400, 390, False, 20)
     assert window.size > before
 
 
 def test_a_window_shrinks_where_answers_take_ever_longer() -> None:
     window = Window(10)
     for at in range(10):
-        window.answered(at * 10 * MS + 10 * MS, at * 10 * MS, False, None)
-    window.answered(1_000 * MS, 400 * MS, False, None)
+        window.record_response(at * 10 * MS + 10 * MS, at * 10 * MS, False, None)
+    window.record_response(1_000 * MS, 400 * MS, False, None)
     assert window.room == 8
-    window.lost(2_000 * MS)
+    window.record_loss(2_000 * MS)
     assert window.room == 4
 
 
@@ -141,9 +141,9 @@
     assert len(first) > 10 and all(100 * MS <= wait <= 200 * MS for wait in first)
     one = waits[0]
     steps = [one.failed(0) for _ in range(12)]
-    assert all(15 * SECOND <= wait <= 30 * SECOND for wait in steps[-3:]) and one.due == steps[-1]
-    one.bound()
-    assert one.due == 0 and one.failed(0) <= 200 * MS
+    assert all(15 * SECOND <= wait <= 30 * SECOND for wait in steps[-3:]) and one.retry_at == steps[-1]
+    one.succeeded()
+    assert one.retry_at == 0 and one.failed(0) <= 200 * MS
     assert one.failed(0, refused=True) >= 15 * SECOND
 
 
@@ -155,12 +155,12 @@
     submitted(stage, contractor, b"one")
     link = next(iter(stage.gates._links.values()))
     stage.until(lambda: len(contractor.ends()) == 1)
-    assert len(link.lanes) == 1
+    assert len(link.sessions) == 1
     stage.loop.spawn(lambda: [contractor.submit(b"%d" % place, "WO") for place in range(30)])
     stage.until(lambda: len(contractor.ends()) == 31)
-    assert len(link.lanes) == 3 and gate.most_out == 6
+    assert len(link.sessions) == 3 and gate.most_out == 6
     stage.wait(5 * SECOND)
-    assert not link.lanes
+    assert not link.sessions
 
 
 def test_a_gateway_that_is_away_is_not_stormed(tmp_path: Path) -> None:
@@ -174,7 +174,7 @@
     assert 5 <= before - gate.cuts + 1 <= 20, "ten seconds of binds with waits up to two seconds"
     gate.cuts = 0
     stage.until(lambda: gate.submits)
-    assert next(iter(stage.gates._links.values())).lanes[0].window.size < 4, "cold: not with the whole window"
+    assert next(iter(stage.gates._links.values())).sessions[0].window.size < 4, "cold: not with the whole window"
     stage.until(lambda: len(contractor.ends()) == 20)
 
 
