--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -147,7 +147,7 @@
 
         def may_continue() -> bool:
             """Called right before the first byte of a part: another may have failed while it waited for a session."""
-            failed = any(result is not None and result.outcome is not Outcome.OK for result in results)
+            failed = any(ended is not None and ended.outcome is not Outcome.OK for ended in results)
             return not failed and leave.still()
 
         def send_part(index: int) -> None:
--- a/kestrelspar/smpp/door.py
+++ b/kestrelspar/smpp/door.py
@@ -1,45 +1,49 @@
-"""Who may come in: networks by account, and addresses that wait after repeated refusals. No I/O."""
+"""Access control of the SMPP server: networks by account, and backoff of addresses with refused binds. No I/O."""
 
 from __future__ import annotations
 
 from ipaddress import IPv4Address, IPv4Network
 
 SECOND = 1_000_000
-FREE = 3  # refused binds of one address before it waits
-FIRST, MOST = SECOND, 60 * SECOND  # the wait, and what it grows to
-FORGET = 300 * SECOND  # without a refusal
-MOST_KNOWN = 1_024  # addresses; beyond that the one refused longest ago is forgotten
+FIRST_DELAYED_REFUSAL = 3  # from this refused bind on an address has to wait
+INITIAL_DELAY, MAX_DELAY = SECOND, 60 * SECOND  # doubles with each refusal
+REFUSAL_TTL = 300 * SECOND  # an address without a refusal for this long starts anew
+MOST_KNOWN = 1_024  # addresses; beyond that the one refused longest ago is dropped
 
 
 class Door:
-    """Counts refusals by address."""
+    """Counts refused binds by address. Times are in microseconds."""
 
     def __init__(self) -> None:
-        self._refused: dict[str, tuple[int, int]] = {}  # how many, and when the last one was
+        self._refused: dict[str, tuple[int, int]] = {}  # by address: the number, and the time of the last
 
     def refused(self, address: str, now: int) -> int:
-        """A bind from there was refused; returns the wait, 0 for none yet."""
+        """Count a refused bind; returns the delay for the address, 0 for none yet."""
         count, last = self._refused.pop(address, (0, now))
-        count = 1 if now - last > FORGET else count + 1
+        count = 1 if now - last > REFUSAL_TTL else count + 1
         while len(self._refused) >= MOST_KNOWN:
             del self._refused[next(iter(self._refused))]
         self._refused[address] = count, now
-        return self._wait(count)
+        return self._delay(count)
 
     @staticmethod
-    def _wait(count: int) -> int:
-        return 0 if count < FREE else min(MOST, FIRST << min(count - FREE, 10))
+    def _delay(count: int) -> int:
+        return (
+            0
+            if count < FIRST_DELAYED_REFUSAL
+            else min(MAX_DELAY, INITIAL_DELAY << min(count - FIRST_DELAYED_REFUSAL, 10))
+        )
 
     def waits(self, address: str, now: int) -> bool:
-        """Whether a connection from there is not taken yet."""
+        """Whether connections from the address are refused at this time."""
         count, last = self._refused.get(address, (0, now))
-        return now < last + self._wait(count)
+        return now < last + self._delay(count)
 
     def welcome(self, address: str) -> None:
-        """A bind from there succeeded."""
+        """A bind from the address succeeded: reset its count."""
         self._refused.pop(address, None)
 
 
 def within(address: str, networks: tuple[IPv4Network, ...]) -> bool:
-    """Whether an account may be used from there; no network told: from anywhere."""
+    """Whether the address is in one of the networks; always if none is configured."""
     return not networks or any(IPv4Address(address) in network for network in networks)
--- a/kestrelspar/smpp/errors.py
+++ b/kestrelspar/smpp/errors.py
@@ -1,4 +1,4 @@
-"""The tables between SMPP's errors and the core's outcomes and answers."""
+"""Translates between SMPP status codes and the outcomes, refusals and final states of the core."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from kestrelspar.smpp.pdu import Status
 from snowlock.interface import Outcome
 
-# A gateway's command_status in submit_sm_resp. What is not listed may have run: an error.
+# Outcomes by the command_status of a response. With a status that is neither here nor in REJECTED, the message may have
+# run: an error.
 OUTCOMES = {
     Status.ESME_ROK: Outcome.OK,
     Status.ESME_RTHROTTLED: Outcome.FULL,
     Status.ESME_RMSGQFUL: Outcome.FULL,
-    Status.ESME_RINVBNDSTS: Outcome.CONNECT_FAILED,  # it takes us for not bound: nothing was looked at
-    Status.ESME_RX_T_APPN: Outcome.FULL,  # a contractor's program can't take it now
+    Status.ESME_RINVBNDSTS: Outcome.CONNECT_FAILED,  # not bound, to the gateway: it processed nothing
+    Status.ESME_RX_T_APPN: Outcome.FULL,  # temporary error of the application that receives the message
 }
 
-# The gateway finds fault with the message itself: it did not run, and would be rejected again.
+# The message itself is invalid: it did not run, and would be rejected again.
 REJECTED = frozenset(
     {
         0x01,
@@ -33,7 +34,7 @@
         0x50,
         0x51,  # addresses, service type, esm_class, numbering
         0x65,
-        0x66,  # a contractor's program will not have it
+        0x66,  # permanent error of the receiving application, or rejection by it
         0x61,
         0x62,
         0xC0,
@@ -44,8 +45,8 @@
     }
 )
 
-# What a client is answered that could not hand its message in.
-ANSWERS = {
+# The status for a client whose message was deferred, by reason.
+DEFERRALS = {
     Reason.CLOSING: Status.ESME_RTHROTTLED,
     Reason.FULL: Status.ESME_RMSGQFUL,
     Reason.DISK: Status.ESME_RMSGQFUL,
@@ -55,32 +56,33 @@
 }
 REJECTIONS = {Reason.UNKNOWN_DEST: Status.ESME_RINVDSTADR}
 
+# message_state and text of a receipt.
 DELIVRD, EXPIRED, UNDELIV, REJECTD = (2, "DELIVRD"), (3, "EXPIRED"), (5, "UNDELIV"), (8, "REJECTD")
 DELETED = (4, "DELETED")
 
 
-def same_secret(one: str, other: str) -> bool:
-    """Whether two secrets are the same; takes as long whichever letter differs."""
-    return hmac.compare_digest(one.encode(), other.encode())
+def same_secret(secret: str, other: str) -> bool:
+    """Whether two secrets are equal, compared in constant time."""
+    return hmac.compare_digest(secret.encode(), other.encode())
 
 
 def result(status: int, throttle_wait: int) -> Result:
-    """A gateway's answer as an outcome; SMPP tells no wait, so the gateway's configured one stands for it."""
-    other = Outcome.REJECTED if status in REJECTED else Outcome.ERROR
-    outcome = OUTCOMES.get(status, other)  # type: ignore[call-overload]
+    """The outcome for a command_status; the retry-after delay is the configured one, as SMPP carries none."""
+    default = Outcome.REJECTED if status in REJECTED else Outcome.ERROR
+    outcome = OUTCOMES.get(status, default)  # type: ignore[call-overload]
     wait = throttle_wait if outcome is Outcome.FULL else 0
     return Result(outcome, wait, note=f"status {status:#x}" if status else "")
 
 
 def status(answer: Answer) -> Status:
-    """The command_status for a message that was not taken on."""
+    """The command_status for a message that was not accepted."""
     if answer.defer:
-        return ANSWERS[answer.why]
+        return DEFERRALS[answer.why]
     return REJECTIONS.get(answer.why, Status.ESME_RSUBMITFAIL)
 
 
 def state(end: End, late: bool) -> tuple[int, str]:
-    """A receipt's message_state. REJECTD: handing it in again is harmless."""
+    """The message_state of a receipt and its text; with REJECTD it is safe to submit the message again."""
     if end.state == DELIVERED:
         return DELIVRD
     if end.state == RETURNED:
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -1,4 +1,4 @@
-"""Contractors as next hops: delivery attempts by deliver_sm to whoever of an account has bound to receive."""
+"""Delivery attempts to contractors: deliver_sm on a session that their account has bound to receive."""
 
 from __future__ import annotations
 
@@ -17,75 +17,85 @@
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
-NOBODY = 500 * MS  # the wait told where nobody has bound
-BUSY = 50 * MS  # and where all windows are full
-_LATER = {"schedule_delivery_time": "", "validity_period": "", "registered_delivery": 0, "replace_if_present_flag": 0}
+# Retry-after delays reported to the decision module.
+NOT_BOUND_RETRY_AFTER = 500 * MS
+FULL_RETRY_AFTER = 50 * MS
+# Fields of submit_sm that a deliver_sm does not use.
+_UNUSED_FIELDS = {
+    "schedule_delivery_time": "",
+    "validity_period": "",
+    "registered_delivery": 0,
+    "replace_if_present_flag": 0,
+}
 
 
 class Receivers:
-    """Makes delivery attempts to contractors. ``find``: a session of the account with room, and whether one is bound.
+    """Makes delivery attempts to contractors.
 
-    ``missed`` is told of an account that something waits for and that has not bound.
+    ``find`` returns a session of the account with room, if any, and whether one is bound to receive; ``missed`` is
+    called for an account that has not bound and has a message waiting.
     """
 
     def __init__(
         self,
         loop: Loop,
         accounts: tuple[Account, ...],
-        response: int,
+        response_timeout: int,
         find: Callable[[Account], tuple[Session | None, bool]],
         missed: Callable[[Account], None],
     ) -> None:
-        self.loop, self._response, self._find, self._missed = loop, response, find, missed
-        self._accounts = {b"account " + a.system_id.encode(): a for a in accounts if a.dest is not None}
+        self.loop, self._response_timeout, self._find, self._missed = loop, response_timeout, find, missed
+        self._accounts = {
+            b"account " + account.system_id.encode(): account for account in accounts if account.dest is not None
+        }
 
     def hops(self) -> list[NextHop]:
-        """The accounts that messages are delivered to, as entries of the transport map."""
+        """The accounts with a destination as entries of the transport map."""
         return [
-            NextHop(api.Endpoint(name, a.dest, a.zone, a.kind), ("", 0), self)
-            for name, a in self._accounts.items()
-            if a.dest is not None
+            NextHop(api.Endpoint(name, account.dest, account.zone, account.kind), ("", 0), self)
+            for name, account in self._accounts.items()
+            if account.dest is not None
         ]
 
     def attempt(self, message: Message, hop: NextHop, deadline: int, leave: Leave) -> Result:
-        """One deliver_sm, from the choice of a session to its outcome."""
+        """Make one delivery attempt: choose a session, send one deliver_sm, and return its outcome."""
         account = self._accounts[hop.endpoint.id]
-        request = deliver(message)
+        request = deliver_sm(message)
         try:
             p.encode(request)
         except ValueError as error:
             logs.warn("smpp-unsendable", trace=message.trace, hop=hop.name, why=str(error))
-            return Result(Outcome.MOOT, note="no deliver_sm can hold it")
+            return Result(Outcome.MOOT, note="message does not fit into a deliver_sm")
         session, bound = self._find(account)
         if session is None and not bound:
             self._missed(account)
-            return Result(Outcome.CONNECT_FAILED, NOBODY, note="nobody has bound")
+            return Result(Outcome.CONNECT_FAILED, NOT_BOUND_RETRY_AFTER, note="not bound")
         if session is None:
-            return Result(Outcome.MOOT, BUSY, note="window full")
+            return Result(Outcome.MOOT, FULL_RETRY_AFTER, note="window full")
         if not leave():
             return Result(Outcome.MOOT, note="barred meanwhile")
         try:
-            answer = session.ask(request, min(deadline, self.loop.now + self._response))
+            response = session.ask(request, min(deadline, self.loop.now + self._response_timeout))
         except NotSent:
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         except Lost:
             return Result(Outcome.RESET)
         except Late:
-            # It can't be called back: only with its session's end may the message go to another one.
+            # A deliver_sm cannot be withdrawn, so the session ends before the message may be sent on another one.
             session.close()
             return Result(Outcome.TIMEOUT)
-        if answer.command is not Command.DELIVER_SM_RESP:
-            return Result(Outcome.ERROR, note=answer.command.name.lower())
-        return errors.result(answer.status, NOBODY)
+        if response.command is not Command.DELIVER_SM_RESP:
+            return Result(Outcome.ERROR, note=response.command.name.lower())
+        return errors.result(response.status, NOT_BOUND_RETRY_AFTER)
 
     def close_idle(self, hop: NextHop) -> None:
-        """The sessions are the contractors'."""
+        """Does nothing, as contractors open and close their sessions."""
 
 
-def deliver(message: Message) -> Pdu:
-    """The deliver_sm for a message, whichever front it came by."""
-    told = message.extra.get("smpp", {})
-    fields = {name: told[name] for name in p.SM_FIELDS if name in told} | _LATER
+def deliver_sm(message: Message) -> Pdu:
+    """The deliver_sm for a message from any front end."""
+    submitted = message.extra.get("smpp", {})
+    fields = {name: submitted[name] for name in p.SM_FIELDS if name in submitted} | _UNUSED_FIELDS
     tlvs = [(int(tag), bytes.fromhex(value)) for tag, value in message.extra.get("tlvs", [])]
     if len(message.body) > 254 or message.extra.get("payload"):
         return Pdu(Command.DELIVER_SM, fields=fields, tlvs=[*tlvs, (p.MESSAGE_PAYLOAD, message.body)])
--- a/kestrelspar/smpp/table.py
+++ b/kestrelspar/smpp/table.py
@@ -1,7 +1,7 @@
-"""What each PDU is answered in each state of a session, from either side. One table; no I/O.
+"""Which requests are served in which session state, for both sides, and the responses to the others. No I/O.
 
-Rows after SMPP 3.4, table 2-1 and section 5.1.2. A PDU that the table does not serve has a defined answer all the same:
-its own response with a status, or a generic_nack where it has no response or is not this side's to receive.
+Follows SMPP 3.4, table 2-1 and section 5.1.2. A request that is not served gets its own response type with an error
+status, or a generic_nack if it has no response or is meant for the other side.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Bound(Enum):
-    """A session's state."""
+    """The state of a session: open, or bound in one of three ways."""
 
     OPEN = "open"
     TX = "transmitter"
@@ -21,57 +21,57 @@
 
 
 class Side(Enum):
-    """Who reads the PDU: the message centre (our server) or the ESME (our client of a gateway)."""
+    """The side that receives a PDU: the message centre (the SMPP server) or the ESME (the client of a gateway)."""
 
     CENTRE = "message centre"
     ESME = "ESME"
 
 
 BINDS = {Command.BIND_TRANSMITTER: Bound.TX, Command.BIND_RECEIVER: Bound.RX, Command.BIND_TRANSCEIVER: Bound.TRX}
-_EVERY = frozenset(Bound)
-_NONE: frozenset[Bound] = frozenset()
-_SENDS, _HEARS = frozenset({Bound.TX, Bound.TRX}), frozenset({Bound.RX, Bound.TRX})
+_ALL_STATES = frozenset(Bound)
+_NO_STATE: frozenset[Bound] = frozenset()
+_TRANSMITTING, _RECEIVING = frozenset({Bound.TX, Bound.TRX}), frozenset({Bound.RX, Bound.TRX})
 
-# By side and request: the states in which it is served, and the status of its response in the others; a status of
-# None: generic_nack with ESME_RINVCMDID, as the request is the other side's, or has no response.
+# By side and request: the states in which it is served, and the status of its response in other states. None stands
+# for a generic_nack with ESME_RINVCMDID, as the request is meant for the other side or has no response.
 _ROWS: dict[Side, dict[Command, tuple[frozenset[Bound], Status | None]]] = {
     Side.CENTRE: {
         Command.BIND_TRANSMITTER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
         Command.BIND_RECEIVER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
         Command.BIND_TRANSCEIVER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
-        Command.UNBIND: (_EVERY, None),
-        Command.ENQUIRE_LINK: (_EVERY, None),
-        Command.SUBMIT_SM: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.SUBMIT_MULTI: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.DATA_SM: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.QUERY_SM: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.CANCEL_SM: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.REPLACE_SM: (_SENDS, Status.ESME_RINVBNDSTS),
-        Command.DELIVER_SM: (_NONE, None),
-        Command.OUTBIND: (frozenset({Bound.OPEN}), None),  # a gateway has connected, and asks us to bind
-        Command.ALERT_NOTIFICATION: (_NONE, None),
+        Command.UNBIND: (_ALL_STATES, None),
+        Command.ENQUIRE_LINK: (_ALL_STATES, None),
+        Command.SUBMIT_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.SUBMIT_MULTI: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.DATA_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.QUERY_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.CANCEL_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.REPLACE_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
+        Command.DELIVER_SM: (_NO_STATE, None),
+        Command.OUTBIND: (frozenset({Bound.OPEN}), None),  # a gateway has connected, and requests a bind
+        Command.ALERT_NOTIFICATION: (_NO_STATE, None),
     },
     Side.ESME: {
         Command.OUTBIND: (frozenset({Bound.OPEN}), None),
-        Command.UNBIND: (_EVERY, None),
-        Command.ENQUIRE_LINK: (_EVERY, None),
-        Command.DELIVER_SM: (_HEARS, Status.ESME_RINVBNDSTS),
-        Command.DATA_SM: (_HEARS, Status.ESME_RINVBNDSTS),
-        Command.ALERT_NOTIFICATION: (_HEARS, None),
-        Command.BIND_TRANSMITTER: (_NONE, None),
-        Command.BIND_RECEIVER: (_NONE, None),
-        Command.BIND_TRANSCEIVER: (_NONE, None),
-        Command.SUBMIT_SM: (_NONE, None),
-        Command.SUBMIT_MULTI: (_NONE, None),
-        Command.QUERY_SM: (_NONE, None),
-        Command.CANCEL_SM: (_NONE, None),
-        Command.REPLACE_SM: (_NONE, None),
+        Command.UNBIND: (_ALL_STATES, None),
+        Command.ENQUIRE_LINK: (_ALL_STATES, None),
+        Command.DELIVER_SM: (_RECEIVING, Status.ESME_RINVBNDSTS),
+        Command.DATA_SM: (_RECEIVING, Status.ESME_RINVBNDSTS),
+        Command.ALERT_NOTIFICATION: (_RECEIVING, None),
+        Command.BIND_TRANSMITTER: (_NO_STATE, None),
+        Command.BIND_RECEIVER: (_NO_STATE, None),
+        Command.BIND_TRANSCEIVER: (_NO_STATE, None),
+        Command.SUBMIT_SM: (_NO_STATE, None),
+        Command.SUBMIT_MULTI: (_NO_STATE, None),
+        Command.QUERY_SM: (_NO_STATE, None),
+        Command.CANCEL_SM: (_NO_STATE, None),
+        Command.REPLACE_SM: (_NO_STATE, None),
     },
 }
 
 
 def refusal(side: Side, state: Bound, pdu: Pdu) -> Pdu | None:
-    """The answer to a request that is not served in this state; nothing where it is served."""
+    """The response to a request that is not served in this state; none if it is served."""
     served, status = _ROWS[side][pdu.command]
     if state in served:
         return None
@@ -81,5 +81,5 @@
 
 
 def requests() -> list[Command]:
-    """Every request there is."""
+    """All commands that are requests."""
     return [command for command in Command if not command & RESPONSE]
--- a/kestrelspar/smpp/text.py
+++ b/kestrelspar/smpp/text.py
@@ -1,4 +1,4 @@
-"""Texts in SMPP's alphabets: GSM 03.38 with its extension table, Latin-1, UCS-2. No I/O."""
+"""Encodes text in the alphabets of SMPP: GSM 03.38 with its extension table, Latin-1, UCS-2. No I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 
 def coded(body: bytes) -> tuple[int, bytes]:
-    """The data_coding and octets for a body that came by another wire: UTF-8 in the smallest alphabet that has all
-    its letters, anything else as binary. GSM letters are one octet each, not packed, as SMPP carries them."""
+    """The data_coding and octets for the body of a message that was not submitted by SMPP.
+
+    UTF-8 is converted to the smallest alphabet that has all its characters; any other body is sent as binary. GSM
+    characters take one octet each and are not packed, as usual in SMPP.
+    """
     try:
         text = body.decode()
     except UnicodeDecodeError:
         return BINARY, body
     try:
-        found = bytes(_codec.encode(text)[0])
-        if _codec.decode(found)[0] == text:
-            return GSM, found
+        encoded = bytes(_codec.encode(text)[0])
+        if _codec.decode(encoded)[0] == text:
+            return GSM, encoded
     except (UnicodeError, ValueError, KeyError):
         pass
     try:
