--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -35,7 +35,7 @@
     if payments:
         assert all(times == 1 for times in gate.effects.values())
         assert gate.effects.total() >= states[DELIVRD]
-    assert not gate.copies, "two attempts of a message at once"
+    assert not gate.concurrent_copies, "two attempts of a message at once"
     return states
 
 
@@ -101,7 +101,7 @@
     contractor = stage.contractor()
 
     def leave() -> None:
-        while gate.out < 3:
+        while gate.in_flight < 3:
             stage.loop.sleep(MS)
         stream = gate.bound()
         gate.write(stream, Pdu(Command.UNBIND, 77))
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -303,7 +303,7 @@
     gate = StandInGateway(again)
     again.open(gateway(gate.address))
     again.until(lambda: gate.effects[b"later"], within=120 * SECOND)
-    assert gate.first[b"later"] - begin >= 60 * SECOND and gate.effects[b"later"] == 1
+    assert gate.first_effect_at[b"later"] - begin >= 60 * SECOND and gate.effects[b"later"] == 1
 
 
 @FIXED
--- a/tests/smpp/test_pace.py
+++ b/tests/smpp/test_pace.py
@@ -165,14 +165,14 @@
 
 def test_a_gateway_that_is_away_is_not_stormed(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=40)
-    gate = StandInGateway(stage, "accept", cuts=10_000)
+    gate = StandInGateway(stage, "accept", closes=10_000)
     stage.open(gateway(gate.address, bind_wait=200 * MS, bind_wait_most=2 * SECOND, stay_bound=True))
     contractor = stage.contractor()
     submit_all(stage, contractor, "WO", 20)
-    before = gate.cuts
+    before = gate.closes
     stage.wait(10 * SECOND)
-    assert 5 <= before - gate.cuts + 1 <= 20, "ten seconds of binds with waits up to two seconds"
-    gate.cuts = 0
+    assert 5 <= before - gate.closes + 1 <= 20, "ten seconds of binds with waits up to two seconds"
+    gate.closes = 0
     stage.until(lambda: gate.submits)
     assert next(iter(stage.gates._links.values())).sessions[0].window.size < 4, "cold: not with the whole window"
     stage.until(lambda: len(contractor.ends()) == 20)
--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -1,4 +1,4 @@
-"""A gateway and a contractor of our own, on loopback: the other sides of the SMPP front."""
+"""Stand-in gateway and contractor on loopback, as the peers of the SMPP front end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from tests.bench import PAYMENT, READING, WORK_ORDER, Scene, listener
 
-CUTS = ("accept", "bind", "bound", "cut short", "submit", "half answer", "answered")
+# Steps at which the stand-in gateway can close the connection.
+CLOSE_STEPS = ("accept", "bind", "bound", "partial submit", "submit", "partial response", "response")
 
 
 def read(stream: Stream) -> Pdu:
@@ -25,32 +26,35 @@
 
 
 class StandInGateway:
-    """Counts what takes effect; cuts the connection at one step, ``cuts`` times; answers as told."""
+    """Counts accepted submits by text; closes ``closes`` connections at one step; responds with scripted statuses.
+
+    ``script`` returns the status of a submit_sm_resp, or none for no response; ``pause`` returns its delay.
+    """
 
     def __init__(
         self,
         scene: Scene,
-        cut: str = "",
-        cuts: int = 1,
+        close_at: str = "",
+        closes: int = 1,
         script: Callable[[Pdu], int | None] = lambda _: 0,
         pause: Callable[[Pdu], int] = lambda _: 5 * MS,
     ) -> None:
         self.pause = pause
-        self.scene, self.loop, self.cut, self.cuts, self.script = scene, scene.loop, cut, cuts, script
+        self.scene, self.loop, self.close_at, self.closes, self.script = scene, scene.loop, close_at, closes, script
         self.listener, self.address = listener()
-        self.effects: Counter[bytes] = Counter()
-        self.first: dict[bytes, int] = {}
-        self.last: dict[bytes, int] = {}
+        self.effects: Counter[bytes] = Counter()  # submits with status 0, by text
+        self.first_effect_at: dict[bytes, int] = {}
+        self.last_effect_at: dict[bytes, int] = {}
         self.submits: list[Pdu] = []
-        self.heard: list[Pdu] = []  # responses to what we asked
-        self.asked: list[Pdu] = []  # query_sm and cancel_sm
+        self.heard: list[Pdu] = []  # responses to the requests of this gateway
+        self.asked: list[Pdu] = []  # query_sm and cancel_sm requests
         self.tells: Callable[[Pdu], Pdu] = lambda pdu: pdu.reply(Status.ESME_RINVMSGID)
-        self.streams: dict[Command, Stream] = {}  # by the bind, or whatever else came on it last
+        self.streams: dict[Command, Stream] = {}  # by the last request of each command
         self.name: Callable[[Pdu], str] = lambda pdu: "g1"
         self.before: Callable[[Pdu, Stream], None] = lambda pdu, stream: None  # right before a submit_sm is answered
-        self.calls: list[int] = []
-        self.out = self.most_out = self.copies = 0
-        self.on: dict[bytes, Stream] = {}  # where a submit_sm waits for its answer
+        self.calls: list[int] = []  # times of submits
+        self.in_flight = self.most_out = self.concurrent_copies = 0
+        self.pending: dict[bytes, Stream] = {}  # streams of submits without a response, by text
         self.loop.spawn(self.accept)
 
     def accept(self) -> None:
@@ -60,22 +64,22 @@
             sock.setblocking(False)
             self.loop.spawn(self.serve, Stream(self.loop, sock, self.scene.buffers))
 
-    def cuts_now(self, step: str) -> bool:
-        hit = step == self.cut and self.cuts > 0
-        self.cuts -= hit
-        return hit
+    def closes_at(self, step: str) -> bool:
+        closing = step == self.close_at and self.closes > 0
+        self.closes -= closing
+        return closing
 
     def serve(self, stream: Stream) -> None:
         with contextlib.suppress(Closed, Late):
-            self.steps(stream)
+            self.serve_requests(stream)
         stream.close()
 
-    def steps(self, stream: Stream) -> None:
-        if self.cuts_now("accept"):
+    def serve_requests(self, stream: Stream) -> None:
+        if self.closes_at("accept"):
             return
         while True:
-            if self.cut == "cut short" and self.submits_next(stream) and self.cuts_now("cut short"):
-                return  # some bytes of a submit_sm are here, not all: it was never whole
+            if self.close_at == "partial submit" and self.next_is_submit(stream) and self.closes_at("partial submit"):
+                return  # a part of a submit_sm has arrived
             pdu = read(stream)
             if pdu.command & p.RESPONSE:
                 self.heard.append(pdu)
@@ -86,50 +90,52 @@
                 continue
             if pdu.command is not Command.SUBMIT_SM:
                 self.streams[pdu.command] = stream
-                if pdu.command is Command.BIND_TRANSCEIVER and self.cuts_now("bind"):
+                if pdu.command is Command.BIND_TRANSCEIVER and self.closes_at("bind"):
                     return
                 self.write(stream, pdu.reply(system_id="stand-in"))
-                if pdu.command is Command.BIND_TRANSCEIVER and self.cuts_now("bound"):
+                if pdu.command is Command.BIND_TRANSCEIVER and self.closes_at("bound"):
                     return
                 continue
-            self.loop.spawn(self.submitted, stream, pdu)
+            self.loop.spawn(self.handle_submit, stream, pdu)
 
-    def submits_next(self, stream: Stream) -> bool:
+    def next_is_submit(self, stream: Stream) -> bool:
         while len(stream.unread) < 8:
             stream.fill(None)
         return int.from_bytes(stream.unread[4:8], "big") == Command.SUBMIT_SM
 
-    def submitted(self, stream: Stream, pdu: Pdu) -> None:
+    def handle_submit(self, stream: Stream, pdu: Pdu) -> None:
         text = pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""
         status = self.script(pdu)
         self.calls.append(self.loop.now)
         self.submits.append(pdu)
-        earlier = self.on.get(text)
-        self.copies += earlier is not None and earlier.sock.fileno() >= 0 and not earlier.ended()
-        self.on[text] = stream
+        earlier = self.pending.get(text)
+        self.concurrent_copies += earlier is not None and earlier.sock.fileno() >= 0 and not earlier.ended()
+        self.pending[text] = stream
         if not status:
             self.effects[text] += 1
-            self.first.setdefault(text, self.loop.now)
-            self.last[text] = self.loop.now
-        self.out += 1
-        self.most_out = max(self.most_out, self.out)
+            self.first_effect_at.setdefault(text, self.loop.now)
+            self.last_effect_at[text] = self.loop.now
+        self.in_flight += 1
+        self.most_out = max(self.most_out, self.in_flight)
         self.loop.sleep(self.pause(pdu))
-        self.out -= 1
-        if self.cuts_now("submit"):
+        self.in_flight -= 1
+        if self.closes_at("submit"):
             stream.close()
         elif status is not None:
-            self.on.pop(text, None)  # two destinations may be sent one text
+            self.pending.pop(text, None)  # two destinations may get the same text
             self.before(pdu, stream)
-            answer = p.encode(pdu.reply(status, message_id=self.name(pdu)))
-            half = self.cuts_now("half answer")
-            self.write_bytes(stream, answer[:9] if half else answer)
-            if half or self.cuts_now("answered"):
+            response = p.encode(pdu.reply(status, message_id=self.name(pdu)))
+            partial = self.closes_at("partial response")
+            self.write_bytes(stream, response[:9] if partial else response)
+            if partial or self.closes_at("response"):
                 stream.close()
 
     def bound(self) -> Stream:
-        """The session that hears."""
+        """The stream of the session that is bound to receive."""
         return next(
-            self.streams[how] for how in (Command.BIND_RECEIVER, Command.BIND_TRANSCEIVER) if how in self.streams
+            self.streams[command]
+            for command in (Command.BIND_RECEIVER, Command.BIND_TRANSCEIVER)
+            if command in self.streams
         )
 
     def receipt(self, name: str, stat: str, stream: Stream | None = None, **fields: object) -> None:
@@ -149,7 +155,7 @@
 
 
 class StandInContractor:
-    """Binds, submits, acknowledges receipts and counts them."""
+    """Binds, submits messages, and acknowledges and collects receipts."""
 
     def __init__(
         self,
@@ -161,10 +167,10 @@
         stream: Stream | None = None,
     ) -> None:
         self.loop, self.sequence = loop, 0
-        self.replies: Status | None = Status.ESME_ROK  # to what is delivered; nothing: silence
+        self.replies: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; none: no response
         self.answers: list[Pdu] = []
         self.receipts: list[Pdu] = []
-        self.drop_receipts = 0  # leave so many without an acknowledgement, and close
+        self.drop_receipts = 0  # number of receipts to leave without a response, closing the connection
         if stream is None:
             sock = connect(loop, address, loop.now + SECOND)
             assert sock is not None
@@ -209,18 +215,18 @@
             self.stream.close()
 
     def ends(self) -> dict[str, set[int]]:
-        """The final states told for each message id."""
-        found: dict[str, set[int]] = {}
+        """The message_state values in the receipts, by message id."""
+        states: dict[str, set[int]] = {}
         for receipt in self.receipts:
             name = (receipt.tlv(p.RECEIPTED_MESSAGE_ID) or b"").rstrip(b"\0").decode()
-            found.setdefault(name, set()).add((receipt.tlv(p.MESSAGE_STATE) or b"\0")[0])
-        return found
+            states.setdefault(name, set()).add((receipt.tlv(p.MESSAGE_STATE) or b"\0")[0])
+        return states
 
     def accepted(self) -> list[str]:
         return [
-            a.text("message_id")
-            for a in self.answers
-            if a.command is Command.SUBMIT_SM_RESP and a.status == Status.ESME_ROK
+            answer.text("message_id")
+            for answer in self.answers
+            if answer.command is Command.SUBMIT_SM_RESP and answer.status == Status.ESME_ROK
         ]
 
 
--- a/tests/test_smpp.py
+++ b/tests/test_smpp.py
@@ -1,4 +1,4 @@
-"""SMPP on the same core: one final answer each, resends only as the class allows, waits obeyed."""
+"""The SMPP front end: one final state for each message, retries as its class allows, rate limits respected."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.server import SmppServer, validity
 from tests.bench import READING, Scene, listener
-from tests.smpp_standins import CUTS, StandInContractor, StandInGateway, front, gateway
+from tests.smpp_standins import CLOSE_STEPS, StandInContractor, StandInGateway, front, gateway
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=80)
 NAMES = {"RD": "reading", "WO": "work-order", "PAY": "payment"}
 DELIVRD, UNDELIV, REJECTD = 2, 5, 8
-words = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=5)
-numbers = st.integers(0, 255)
+short_texts = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=5)
+byte_values = st.integers(0, 255)
 
 
 class Stage(Scene):
-    """A courier with the SMPP front, in one process; ``again`` starts the next process on the same folder."""
+    """A courier with the SMPP front end; a second one on the same directory acts as the process after a restart."""
 
-    def __init__(self, folder: Path, *gateways: Gateway, **more: object) -> None:
-        super().__init__(folder, **more)
-        self.folder = folder
+    def __init__(self, directory: Path, *gateways: Gateway, **more: object) -> None:
+        super().__init__(directory, **more)
+        self.directory = directory
         self.listener, self.address = listener()
         self.server = SmppServer(
             self.loop,
@@ -72,38 +72,40 @@
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-@pytest.mark.parametrize("cut", CUTS)
-def test_a_cut_at_every_step(tmp_path: Path, cut: str, service: str) -> None:
+@pytest.mark.parametrize("step", CLOSE_STEPS)
+def test_a_lost_connection_at_any_step_leaves_one_final_state_and_no_second_payment(
+    tmp_path: Path, step: str, service: str
+) -> None:
     stage = Stage(tmp_path)
-    gate = StandInGateway(stage, cut)
+    gate = StandInGateway(stage, step)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     texts = submit_all(stage, contractor, service, 3)
     stage.until(lambda: len(contractor.ends()) == 3 and not stage.journal.entries)
-    assert gate.cuts == 0, "the cut was never made"
+    assert gate.closes == 0, "the connection was not closed"
     ends = contractor.ends()
     assert len(contractor.receipts) == 3 and set(ends) == set(contractor.accepted())
     assert all(len(states) == 1 for states in ends.values())
     states = sorted(next(iter(s)) for s in ends.values())
-    if service == "PAY":  # what may have run is failed, and never goes again
+    if service == "PAY":  # a payment that may have run is failed and not retried
         assert all(gate.effects[text] <= 1 for text in texts)
         assert set(states) <= {DELIVRD, UNDELIV}
-        if cut in ("accept", "bind", "bound", "cut short", "answered"):
+        if step in ("accept", "bind", "bound", "partial submit", "response"):
             assert gate.effects.total() >= states.count(DELIVRD)
         else:
             assert UNDELIV in states
     else:
         assert states == [DELIVRD] * 3 and all(gate.effects[text] >= 1 for text in texts)
     if service == "WO":
-        assert all(gate.last[text] - gate.first[text] < 7_500 * MS for text in texts)
+        assert all(gate.last_effect_at[text] - gate.first_effect_at[text] < 7_500 * MS for text in texts)
 
 
-def test_throttling_in_mid_clump_is_obeyed_by_all_messages(tmp_path: Path) -> None:
-    told: list[int] = []
+def test_throttling_amid_a_burst_delays_all_messages(tmp_path: Path) -> None:
+    throttled_at: list[int] = []
 
     def script(_: Pdu) -> int:
         if len(gate.calls) == 2:
-            told.append(stage.loop.now)
+            throttled_at.append(stage.loop.now)
             return Status.ESME_RTHROTTLED
         return 0
 
@@ -115,11 +117,13 @@
     stage.until(lambda: len(contractor.ends()) == 6)
     assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
     assert all(gate.effects[text] == 1 for text in texts)
-    assert not [at for at in gate.calls if told[0] < at < told[0] + 300 * MS], "sent during a told wait"
-    assert gate.most_out == 1, "more out at once than the window"
+    assert not [at for at in gate.calls if throttled_at[0] < at < throttled_at[0] + 300 * MS], (
+        "submitted during the retry-after delay"
+    )
+    assert gate.most_out == 1, "more in flight than the window allows"
 
 
-def test_a_time_out_resends_only_what_may_be_resent(tmp_path: Path) -> None:
+def test_only_messages_that_may_be_retried_are_retried_after_a_time_out(tmp_path: Path) -> None:
     silent: set[bytes] = set()
 
     def script(pdu: Pdu) -> int | None:
@@ -132,31 +136,31 @@
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
-    submit_all_more(stage, contractor, b"PAY-9", "PAY")
+    submit_one(stage, contractor, b"PAY-9", "PAY")
     stage.until(lambda: len(contractor.ends()) == 2)
     assert gate.effects[b"RD-0"] == 2 and gate.effects[b"PAY-9"] == 1
     assert sorted(next(iter(s)) for s in contractor.ends().values()) == [DELIVRD, UNDELIV]
 
 
-def test_no_second_attempt_while_the_first_is_out_on_an_open_session(tmp_path: Path) -> None:
+def test_no_second_attempt_while_the_first_is_in_flight_on_an_open_session(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(
         stage,
         script=lambda pdu: 0 if pdu.message != b"RD-0" or gate.calls else None,
         pause=lambda pdu: 390 * MS if pdu.message.startswith(b"PAY") else 5 * MS,
     )
-    stage.open(gateway(gate.address, "one"), gateway(gate.address, "two"))  # the second is free to resend on
+    stage.open(gateway(gate.address, "one"), gateway(gate.address, "two"))  # the second one could take a retry
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
-    for i in range(4):  # answered in time, they keep the session open past the reading's time-out
+    for i in range(4):  # responses in time keep the session open past the time-out of the reading
         stage.wait(130 * MS)
-        submit_all_more(stage, contractor, b"PAY-%d" % i, "PAY")
+        submit_one(stage, contractor, b"PAY-%d" % i, "PAY")
     stage.until(lambda: len(contractor.ends()) == 5)
     assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
-    assert gate.copies == 0 and gate.effects[b"RD-0"] == 2 and len(gate.submits) == 6
+    assert gate.concurrent_copies == 0 and gate.effects[b"RD-0"] == 2 and len(gate.submits) == 6
 
 
-def test_an_answer_that_came_late_spares_the_next_attempt(tmp_path: Path) -> None:
+def test_a_late_response_makes_the_next_attempt_unnecessary(tmp_path: Path) -> None:
     pauses = {b"RD-0": 500 * MS, b"PAY-0": 350 * MS}
     stage = Stage(tmp_path)
     gate = StandInGateway(stage, pause=lambda pdu: pauses[pdu.message])
@@ -164,14 +168,14 @@
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
     stage.wait(200 * MS)
-    submit_all_more(stage, contractor, b"PAY-0", "PAY")
+    submit_one(stage, contractor, b"PAY-0", "PAY")
     stage.until(lambda: len(contractor.ends()) == 2)
     assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
-    assert gate.effects == {b"RD-0": 1, b"PAY-0": 1} and gate.copies == 0
+    assert gate.effects == {b"RD-0": 1, b"PAY-0": 1} and gate.concurrent_copies == 0
 
 
 @pytest.mark.parametrize("service", ["RD", "PAY"])
-def test_what_a_gateway_rejects_for_good_is_not_tried_again(tmp_path: Path, service: str) -> None:
+def test_a_permanent_rejection_is_not_retried(tmp_path: Path, service: str) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage, script=lambda _: Status.ESME_RINVDSTADR)
     stage.open(gateway(gate.address))
@@ -182,48 +186,48 @@
     assert len(gate.submits) == 2
 
 
-def submit_all_more(stage: Stage, contractor: StandInContractor, text: bytes, service: str) -> None:
+def submit_one(stage: Stage, contractor: StandInContractor, text: bytes, service: str) -> None:
     before = len(contractor.answers)
     stage.loop.spawn(lambda: contractor.submit(text, service))
     stage.until(lambda: len(contractor.answers) > before)
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-def test_a_restart_with_calls_out_owes_each_message_its_end(tmp_path: Path, service: str) -> None:
+def test_a_restart_with_submits_in_flight_gives_each_message_its_final_state(tmp_path: Path, service: str) -> None:
     old = Stage(tmp_path)
-    mute = StandInGateway(old, script=lambda _: None)
-    old.open(gateway(mute.address, response=10 * SECOND))
+    silent_gate = StandInGateway(old, script=lambda _: None)
+    old.open(gateway(silent_gate.address, response=10 * SECOND))
     contractor = old.contractor()
     texts = submit_all(old, contractor, service, 2)
-    old.until(lambda: len(mute.calls) == 2)
-    taken = contractor.accepted()  # and now the process is killed: nothing of it runs any more
+    old.until(lambda: len(silent_gate.calls) == 2)
+    accepted = contractor.accepted()  # this process does not run any more, as if killed
     new = Stage(tmp_path)
     gate = StandInGateway(new)
     new.open(gateway(gate.address))
-    late = new.contractor(Command.BIND_RECEIVER)
-    new.until(lambda: len(late.ends()) == 2)
-    assert set(late.ends()) == set(taken) and len(late.receipts) == 2
-    wanted = {UNDELIV} if service == "PAY" else {DELIVRD}
-    assert all(states == wanted for states in late.ends().values())
+    receiver = new.contractor(Command.BIND_RECEIVER)
+    new.until(lambda: len(receiver.ends()) == 2)
+    assert set(receiver.ends()) == set(accepted) and len(receiver.receipts) == 2
+    expected = {UNDELIV} if service == "PAY" else {DELIVRD}
+    assert all(states == expected for states in receiver.ends().values())
     assert all(gate.effects[text] == (0 if service == "PAY" else 1) for text in texts)
 
 
-def test_a_contractor_that_is_gone_before_its_answer_was_not_taken_on(tmp_path: Path) -> None:
+def test_a_message_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor(Command.BIND_TRANSMITTER)
 
-    def leave_at_once() -> None:
+    def submit_and_disconnect() -> None:
         contractor.submit(b"PAY-0", "PAY")
         contractor.stream.close()
 
-    stage.loop.spawn(leave_at_once)
+    stage.loop.spawn(submit_and_disconnect)
     stage.until(lambda: stage.courier._last == 1 and not stage.server._guests)
     assert not stage.journal.entries and not stage.courier.open and not gate.submits
 
 
-def test_a_receipt_that_was_not_acknowledged_comes_again_the_same(tmp_path: Path) -> None:
+def test_an_unacknowledged_receipt_is_sent_again_with_the_same_state(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -236,24 +240,24 @@
     assert second.ends() == first.ends() and gate.effects[b"PAY-0"] == 1
 
 
-def test_a_full_courier_says_so_and_keeps_nothing(tmp_path: Path) -> None:
+def test_a_full_courier_refuses_with_a_status_and_journals_nothing(tmp_path: Path) -> None:
     stage = Stage(tmp_path, max_open=2)
-    mute = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(mute.address, response=10 * SECOND))
+    silent_gate = StandInGateway(stage, script=lambda _: None)
+    stage.open(gateway(silent_gate.address, response=10 * SECOND))
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 3)
     assert [a.status for a in contractor.answers[1:]].count(Status.ESME_RMSGQFUL) == 1
     assert len(stage.journal.entries) == 2
     stage.courier.closing = stage.loop.now
-    submit_all_more(stage, contractor, b"x", "RD")
+    submit_one(stage, contractor, b"x", "RD")
     assert contractor.answers[-1].status == Status.ESME_RTHROTTLED
 
 
-def test_binds_and_bad_submits_get_the_fitting_status(tmp_path: Path) -> None:
+def test_refused_binds_and_invalid_submits_get_their_status(tmp_path: Path) -> None:
     stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
     assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
     receiver = stage.contractor(Command.BIND_RECEIVER)
-    submit_all_more(stage, receiver, b"x", "RD")
+    submit_one(stage, receiver, b"x", "RD")
     assert receiver.answers[-1].status == Status.ESME_RINVBNDSTS
     sender = stage.contractor(Command.BIND_TRANSMITTER)
     for fields, status in (
@@ -263,8 +267,8 @@
         ({"validity_period": "soon"}, Status.ESME_RINVEXPIRY),
         ({"schedule_delivery_time": "261231000000000R"}, Status.ESME_RINVSCHED),
     ):
-        before, told = len(sender.answers), {"destination_addr": "372"} | fields
-        stage.loop.spawn(lambda told=told: sender.ask(Command.SUBMIT_SM, b"x", **told))
+        before, submit_fields = len(sender.answers), {"destination_addr": "372"} | fields
+        stage.loop.spawn(lambda submit_fields=submit_fields: sender.ask(Command.SUBMIT_SM, b"x", **submit_fields))
         stage.until(lambda before=before: len(sender.answers) > before)
         assert sender.answers[-1].status == status
     for command, answer in (
@@ -280,7 +284,7 @@
     assert not stage.journal.entries
 
 
-def test_what_the_contractor_sent_is_carried_to_the_gateway(tmp_path: Path) -> None:
+def test_fields_and_tlvs_of_a_submit_reach_the_gateway(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -303,7 +307,7 @@
 
 
 @pytest.mark.parametrize("bind", ["transmitter", "transceiver"])
-def test_any_sender_sides_message_goes_to_a_gateway(tmp_path: Path, bind: str) -> None:
+def test_a_message_of_any_sender_side_is_delivered_to_a_gateway(tmp_path: Path, bind: str) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address, bind=bind))
@@ -319,29 +323,29 @@
     assert {(pdu.text("source_addr"), pdu.text("destination_addr")) for pdu in gate.submits} == {("1", "2")}
 
 
-def test_closing_defers_unbinds_and_keeps_what_is_owed(tmp_path: Path) -> None:
+def test_closing_defers_new_messages_unbinds_and_leaves_the_rest_in_the_journal(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
-    mute = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(mute.address, response=20 * SECOND))
+    silent_gate = StandInGateway(stage, script=lambda _: None)
+    stage.open(gateway(silent_gate.address, response=20 * SECOND))
     stage.courier.at_leave += [stage.server.leave, stage.gates.leave]
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 1)
-    stage.until(lambda: mute.calls)
+    stage.until(lambda: silent_gate.calls)
     stage.courier.close()
-    submit_all_more(stage, contractor, b"RD-1", "RD")
+    submit_one(stage, contractor, b"RD-1", "RD")
     assert contractor.answers[-1].status == Status.ESME_RTHROTTLED
     stage.until(lambda: stage.loop._stopped)
     assert contractor.answers[-1].command is Command.UNBIND and len(stage.journal.entries) == 1
 
 
-def test_a_link_that_does_not_answer_is_closed(tmp_path: Path) -> None:
+def test_a_session_without_responses_is_closed(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     sock, address = listener()
     stage.open(gateway(address, enquire=50 * MS, response=50 * MS))
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 1)
     stage.until(lambda: contractor.ends() or not stage.courier.open)
-    assert list(map(set, contractor.ends().values())) in ([], [{REJECTD}])  # it never ran
+    assert list(map(set, contractor.ends().values())) in ([], [{REJECTD}])  # certainly not run
     sock.close()
 
 
@@ -350,7 +354,7 @@
     assert validity("", wall) is None
     assert validity("000000000130000R", wall) == 90 * SECOND
     assert validity("261201120010000+", wall) == 10 * SECOND
-    assert validity("261201140010008+", wall) == 10 * SECOND  # two hours ahead of Greenwich
+    assert validity("261201140010008+", wall) == 10 * SECOND  # two hours ahead of UTC
     for text in ("261301000000000+", "abc", "2612011200100000"):
         with pytest.raises(ValueError):
             validity(text, wall)
@@ -359,33 +363,33 @@
 @FIXED
 @given(
     st.sampled_from([Command.SUBMIT_SM, Command.DELIVER_SM, Command.BIND_RECEIVER, Command.ENQUIRE_LINK]),
-    words,
-    numbers,
+    short_texts,
+    byte_values,
     st.binary(max_size=254),
     st.integers(1, 50),
     st.lists(st.tuples(st.integers(0, 0xFFFF), st.binary(max_size=40)), max_size=4),
 )
-def test_pdus_come_back_from_any_cuts(
-    command: Command, word: str, number: int, message: bytes, step: int, tlvs: list[tuple[int, bytes]]
+def test_pdus_are_decoded_from_any_fragments(
+    command: Command, text: str, number: int, message: bytes, step: int, tlvs: list[tuple[int, bytes]]
 ) -> None:
-    fields: dict[str, object] = {"service_type": word, "esm_class": number, "system_id": word}
+    fields: dict[str, object] = {"service_type": text, "esm_class": number, "system_id": text}
     if command not in (Command.SUBMIT_SM, Command.DELIVER_SM):
         message = b""
     pdu = Pdu(command, number, 0, fields, message, tlvs)
-    data, come = p.encode(pdu) * 2, b""
+    data, received = p.encode(pdu) * 2, b""
     found = []
     for at in range(0, len(data), step):
-        come += data[at : at + step]
-        while size := p.whole(memoryview(come)):
-            found.append(p.decode(come[:size]))
-            come = come[size:]
-    assert len(found) == 2 and come == b"" and p.encode(found[0]) == data[: len(data) // 2]
+        received += data[at : at + step]
+        while size := p.whole(memoryview(received)):
+            found.append(p.decode(received[:size]))
+            received = received[size:]
+    assert len(found) == 2 and received == b"" and p.encode(found[0]) == data[: len(data) // 2]
     assert found[0].tlvs == tlvs
 
 
 @FIXED
 @given(st.sampled_from([*Command, 0x99, 0x103]), st.binary(max_size=120))
-def test_garbage_in_a_body_is_a_bad_pdu_and_nothing_else(command: int, body: bytes) -> None:
+def test_garbage_in_a_body_raises_only_bad_pdu(command: int, body: bytes) -> None:
     data = struct.pack(">IIII", 16 + len(body), command, 0, 1) + body
     try:
         assert p.decode(data).sequence == 1
@@ -394,11 +398,11 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\x05hello", bytes(40), b"\xff" * 64])
-def test_a_stream_of_something_else_is_answered_and_closed(tmp_path: Path, data: bytes) -> None:
+def test_a_stream_that_is_not_smpp_is_answered_and_closed(tmp_path: Path, data: bytes) -> None:
     stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
     got: list[bytes] = []
 
-    def talk() -> None:
+    def exchange() -> None:
         sock = connect(stage.loop, stage.address, stage.loop.now + SECOND)
         assert sock is not None
         sock.send(data)
@@ -410,29 +414,29 @@
                 got.append(b"")
         sock.close()
 
-    stage.loop.spawn(talk)
+    stage.loop.spawn(exchange)
     stage.until(lambda: got and got[-1] == b"")
     assert got[0][:12] == struct.pack(">III", 16, Command.GENERIC_NACK, Status.ESME_RINVCMDLEN)
-    stage.contractor()  # and others are still served
+    stage.contractor()  # other clients are still served
 
 
-def test_who_does_not_bind_gives_way_and_who_is_refused_thrice_is_let_go(tmp_path: Path) -> None:
-    # Guards against silent connections, or guessers of passwords, that take all the sessions there are.
+def test_unbound_connections_are_closed_to_make_room_and_three_refused_binds_end_a_connection(tmp_path: Path) -> None:
+    # Silent connections, and clients that guess passwords, must not use up the limit of sessions.
     stage = Stage(tmp_path)
     stage.open()
-    most = stage.server.told.most_sessions
+    max_sessions = stage.server.told.most_sessions
     silent = []
-    for _ in range(most):
+    for _ in range(max_sessions):
         sock = socket.create_connection(stage.address)
         sock.setblocking(False)
         silent.append(sock)
         stage.until(lambda: len(stage.server._guests) == len(silent))
     stage.wait(60 * MS)
     contractor = stage.contractor()
-    assert contractor.answers[0].status == 0 and len(stage.server._guests) <= most
-    bad = p.encode(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "nobody", "password": "x"}))
+    assert contractor.answers[0].status == 0 and len(stage.server._guests) <= max_sessions
+    bad_bind = p.encode(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "nobody", "password": "x"}))
     got, sock = b"", silent[-1]
-    sock.send(bad * 5)
+    sock.send(bad_bind * 5)
     while True:
         stage.loop.turn()
         try:
@@ -449,7 +453,7 @@
         sock.close()
 
 
-def test_a_pdu_longer_than_a_buffer_is_read_whole(tmp_path: Path) -> None:
+def test_a_pdu_longer_than_a_buffer_is_decoded(tmp_path: Path) -> None:
     stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
     contractor = stage.contractor()
     body = bytes(range(256)) * 200
