--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -1,4 +1,4 @@
-"""Failure at every step, of both roles: one final answer each, and nothing sent that its class forbids."""
+"""Failures of gateways and contractors at every step: one final state each, and no retry that the class forbids."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from snowlock.interface import Outcome
 from tests.smpp.test_operations import asked, submitted
-from tests.smpp.test_pace import within_a_second
+from tests.smpp.test_pace import sliding_window
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
 from tests.test_smpp import Stage, submit_all
 
@@ -24,10 +24,10 @@
 SERVICES = ("RD", "WO", "PAY")
 
 
-def checked(
+def await_final_states(
     stage: Stage, gate: StandInGateway, contractor: StandInContractor, count: int, payments: bool
 ) -> Counter[int]:
-    """Wait for the ends: exactly one each; a payment took effect once at most, and surely where it is delivered."""
+    """Wait for the final states, one for each message; a payment takes effect at most once, and if delivered, once."""
     stage.until(lambda: len(contractor.ends()) == count and not stage.journal.entries, 300 * SECOND)
     ends = contractor.ends()
     assert all(len(states) == 1 for states in ends.values())
@@ -35,46 +35,46 @@
     if payments:
         assert all(times == 1 for times in gate.effects.values())
         assert gate.effects.total() >= states[DELIVRD]
-    assert not gate.concurrent_copies, "two attempts of a message at once"
+    assert not gate.concurrent_copies, "two concurrent attempts of a message"
     return states
 
 
-def answers_with(what: str) -> object:
-    """How a gateway spoils its answer to the first submit."""
+def malformed_responses(fault: str) -> object:
+    """A function that returns the PDUs that replace the response to the first submit."""
 
-    def spoil(gate: StandInGateway, stream: object, pdu: Pdu) -> list[bytes]:
-        good = pdu.reply(0, message_id="g")
-        if what == "never asked":
-            return [p.encode(Pdu(Command.SUBMIT_SM_RESP, 0x7000, 0, {"message_id": "x"})), p.encode(good)]
-        if what == "twice":
-            return [p.encode(good), p.encode(good)]
-        if what == "other type":
+    def replace(gate: StandInGateway, stream: object, pdu: Pdu) -> list[bytes]:
+        valid = pdu.reply(0, message_id="g")
+        if fault == "unknown sequence":
+            return [p.encode(Pdu(Command.SUBMIT_SM_RESP, 0x7000, 0, {"message_id": "x"})), p.encode(valid)]
+        if fault == "twice":
+            return [p.encode(valid), p.encode(valid)]
+        if fault == "other type":
             return [p.encode(Pdu(Command.QUERY_SM_RESP, pdu.sequence, 0, {"message_id": "x"}))]
-        if what == "nack":
+        if fault == "nack":
             return [p.encode(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))]
-        if what == "nack without a status":
+        if fault == "nack without a status":
             return [p.encode(Pdu(Command.GENERIC_NACK, pdu.sequence, 0))]
-        if what == "a body that will not do":
+        if fault == "malformed body":
             return [p.HEADER.pack(18, Command.SUBMIT_SM_RESP, 0, pdu.sequence) + b"xx"]
-        return [b"\0\0\0\3garbage"]  # no length
+        return [b"\0\0\0\3garbage"]  # invalid command_length
 
-    return spoil
+    return replace
 
 
 @pytest.mark.parametrize("service", SERVICES)
 @pytest.mark.parametrize(
-    "what", ["never asked", "twice", "other type", "nack", "nack without a status", "a body that will not do", "no PDU"]
+    "fault", ["unknown sequence", "twice", "other type", "nack", "nack without a status", "malformed body", "no PDU"]
 )
-def test_a_gateway_that_answers_wrongly(tmp_path: Path, what: str, service: str) -> None:
+def test_a_gateway_that_sends_malformed_responses(tmp_path: Path, fault: str, service: str) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
-    spoil, real, spoilt = answers_with(what), gate.write_bytes, []
+    replacements, real, replaced = malformed_responses(fault), gate.write_bytes, []
 
     def write(stream: object, data: bytes) -> None:
         pdu = p.decode(data)
-        if pdu.command is Command.SUBMIT_SM_RESP and not spoilt:
-            spoilt.append(pdu)
-            for piece in spoil(gate, stream, Pdu(Command.SUBMIT_SM, pdu.sequence)):  # type: ignore[operator]
+        if pdu.command is Command.SUBMIT_SM_RESP and not replaced:
+            replaced.append(pdu)
+            for piece in replacements(gate, stream, Pdu(Command.SUBMIT_SM, pdu.sequence)):  # type: ignore[operator]
                 real(stream, piece)  # type: ignore[arg-type]
         else:
             real(stream, data)  # type: ignore[arg-type]
@@ -83,61 +83,61 @@
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     submit_all(stage, contractor, service, 3)
-    states = checked(stage, gate, contractor, 3, service == "PAY")
-    assert spoilt
-    if what in ("never asked", "twice"):
+    states = await_final_states(stage, gate, contractor, 3, service == "PAY")
+    assert replaced
+    if fault in ("unknown sequence", "twice"):
         assert states == {DELIVRD: 3} and gate.effects.total() == 3
-    elif service == "PAY" or what == "nack":  # ESME_RINVCMDID: it would be rejected again, so it is not sent again
+    elif service == "PAY" or fault == "nack":  # ESME_RINVCMDID is a permanent rejection: no retry
         assert states[UNDELIV] >= 1 and gate.effects.total() == 3
     else:
         assert states == {DELIVRD: 3} and gate.effects.total() > 3
 
 
 @pytest.mark.parametrize("service", SERVICES)
-def test_a_gateway_that_unbinds_with_submits_out(tmp_path: Path, service: str) -> None:
+def test_a_gateway_that_unbinds_with_submits_in_flight(tmp_path: Path, service: str) -> None:
     stage = Stage(tmp_path, slots=20)
     gate = StandInGateway(stage, pause=lambda _: 40 * MS)
     stage.open(gateway(gate.address, window=10))
     contractor = stage.contractor()
 
-    def leave() -> None:
+    def unbind() -> None:
         while gate.in_flight < 3:
             stage.loop.sleep(MS)
         stream = gate.bound()
         gate.write(stream, Pdu(Command.UNBIND, 77))
 
-    stage.loop.spawn(leave)
+    stage.loop.spawn(unbind)
     submit_all(stage, contractor, service, 8)
-    states = checked(stage, gate, contractor, 8, service == "PAY")
-    assert states == {DELIVRD: 8} and gate.effects.total() == 8, "its answers to what was out were not waited for"
+    states = await_final_states(stage, gate, contractor, 8, service == "PAY")
+    assert states == {DELIVRD: 8} and gate.effects.total() == 8, "responses to submits in flight were not awaited"
 
 
 @pytest.mark.parametrize("service", SERVICES)
 def test_a_gateway_that_stops_reading(tmp_path: Path, service: str, monkeypatch: pytest.MonkeyPatch) -> None:
     real_connect = link.connect
 
-    def connect(*given: Any) -> socket.socket | None:
-        sock = real_connect(*given)
+    def connect(*args: Any) -> socket.socket | None:
+        sock = real_connect(*args)
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)  # so that our writes block
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)  # so that writes block
         return sock
 
     monkeypatch.setattr(link, "connect", connect)
     stage = Stage(tmp_path, slots=20)
     gate = StandInGateway(stage)
-    real, stuck = gate.serve, []
+    real, stalled = gate.serve, []
 
     def serve(stream: object) -> None:
-        if not stuck:
-            stuck.append(stream)
+        if not stalled:
+            stalled.append(stream)
             sock = stream.sock  # type: ignore[attr-defined]
             got = b""
-            while len(got) < 16:  # its bind is answered, and nothing is read after that
+            while len(got) < 16:  # answers the bind, and reads nothing after it
                 stage.loop.readable(sock, None)
                 got += sock.recv(1)
             while len(got) < int.from_bytes(got[:4], "big"):
                 got += sock.recv(1)
-            sock.send(p.encode(p.decode(got).reply(system_id="stuck")))
+            sock.send(p.encode(p.decode(got).reply(system_id="stalled")))
             return
         real(stream)  # type: ignore[arg-type]
 
@@ -160,18 +160,18 @@
         ]
     )
     stage.until(lambda: len(contractor.accepted()) == 8)
-    states = checked(stage, gate, contractor, 8, service == "PAY")
-    assert stuck and states[UNDELIV] <= 2, "what did not go out whole never ran"
+    states = await_final_states(stage, gate, contractor, 8, service == "PAY")
+    assert stalled and states[UNDELIV] <= 2, "a partially written submit did not run"
 
 
 @pytest.mark.parametrize("service", SERVICES)
-def test_a_link_that_falls_silent_with_fifty_out(tmp_path: Path, service: str) -> None:
+def test_a_session_that_stops_responding_with_fifty_in_flight(tmp_path: Path, service: str) -> None:
     stage = Stage(tmp_path, slots=120, max_open=200)
-    quiet: list[bytes] = []
+    unanswered: list[bytes] = []
 
     def script(pdu: Pdu) -> int | None:
-        if len(quiet) < 50 and pdu.message not in quiet:
-            quiet.append(pdu.message)
+        if len(unanswered) < 50 and pdu.message not in unanswered:
+            unanswered.append(pdu.message)
             return None
         return 0
 
@@ -181,15 +181,15 @@
     submit_all(stage, contractor, "RD", 1)
     stage.loop.spawn(lambda: [contractor.submit(f"{service}{n}".encode(), service) for n in range(60)])
     stage.until(lambda: len(contractor.answers) == 62)
-    # Its window is 50: where more than that arrive in one turn, what is above is refused.
-    states = checked(stage, gate, contractor, len(contractor.accepted()), service == "PAY")
-    assert len(quiet) > 1 and states.total() > 50 and (service == "PAY") == (states[UNDELIV] > 0)
+    # The contractor's window is 50: submits beyond it that arrive in one turn of the loop are refused.
+    states = await_final_states(stage, gate, contractor, len(contractor.accepted()), service == "PAY")
+    assert len(unanswered) > 1 and states.total() > 50 and (service == "PAY") == (states[UNDELIV] > 0)
 
 
 @pytest.mark.parametrize("outcome", ["response", "receipt"])
-def test_a_thousand_with_throttling_in_the_middle(tmp_path: Path, outcome: str) -> None:
+def test_a_thousand_messages_through_a_throttling_gateway(tmp_path: Path, outcome: str) -> None:
     stage = Stage(tmp_path, slots=40, max_open=1_200)
-    limit = within_a_second(200)
+    limit = sliding_window(200)
 
     def script(pdu: Pdu) -> int:
         return 0 if limit(stage.loop.now) else Status.ESME_RTHROTTLED
@@ -203,41 +203,41 @@
     stage.open(gateway(gate.address, window=20, throttle_wait=20 * MS, outcome=outcome))
     contractor = stage.contractor()
 
-    def hand_in() -> None:
+    def submit_in_bursts() -> None:
         for number in range(1_000):
             contractor.submit(b"%d" % number, SERVICES[number % 3])
             if not number % 20:
                 stage.loop.sleep(5 * MS)
 
-    stage.loop.spawn(hand_in)
+    stage.loop.spawn(submit_in_bursts)
     stage.until(lambda: len(contractor.answers) == 1_001, 300 * SECOND)
-    taken = len(contractor.accepted())
-    states = checked(stage, gate, contractor, taken, False)
+    accepted = len(contractor.accepted())
+    states = await_final_states(stage, gate, contractor, accepted, False)
     payments = [b"%d" % number for number in range(1_000) if SERVICES[number % 3] == "PAY"]
-    assert all(gate.effects[text] <= 1 for text in payments) and states.total() == taken
-    assert len(gate.effects) >= states[DELIVRD] > taken // 2, "a busy machine may time some out"
+    assert all(gate.effects[text] <= 1 for text in payments) and states.total() == accepted
+    assert len(gate.effects) >= states[DELIVRD] > accepted // 2, "on a busy machine some may time out"
 
 
-def test_what_waits_for_its_turn_does_not_time_out_as_it_leaves(tmp_path: Path) -> None:
+def test_queueing_time_does_not_count_towards_the_time_out(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=40)
     gate = StandInGateway(stage, pause=lambda _: 30 * MS)
     stage.open(gateway(gate.address, rate=8, window=20))
     contractor = stage.contractor()
     found: list[Result] = []
     real = stage.gates._attempt
-    stage.gates._attempt = lambda *given: found.append(real(*given)) or found[-1]  # type: ignore[method-assign]
-    for text in (b"a", b"b", b"c", b"d"):  # the module learns how quick it is
+    stage.gates._attempt = lambda *args: found.append(real(*args)) or found[-1]  # type: ignore[method-assign]
+    for text in (b"a", b"b", b"c", b"d"):  # the decision module learns its latency
         submitted(stage, contractor, text, "RD")
         stage.until(lambda text=text: text in gate.effects)  # type: ignore[misc]
     stage.loop.spawn(lambda: [contractor.submit(b"%d" % n, "RD") for n in range(10)])
-    checked(stage, gate, contractor, 14, False)
+    await_final_states(stage, gate, contractor, 14, False)
     assert Counter(result.outcome for result in found) == {Outcome.OK: 14} and max(r.waited for r in found) > 400 * MS
 
 
 @pytest.mark.parametrize("service", SERVICES)
 @pytest.mark.parametrize("step", ["bind", "submit", "answered", "accepted", "receipt"])
 def test_a_kill_at_every_step(tmp_path: Path, step: str, service: str) -> None:
-    """The first process just stops, as SIGKILL would stop it, and another one takes its folder up."""
+    """The first process stops, as after SIGKILL, and another one starts on its directory."""
     outcome = "receipt" if step in ("accepted", "receipt") else "response"
     stage = Stage(tmp_path)
     silent = step == "submit"
@@ -245,52 +245,52 @@
     gate.name = lambda pdu: pdu.message.decode()
     stage.open(gateway(gate.address, outcome=outcome) if step != "bind" else gateway(("127.0.0.1", 9)))
     contractor = stage.contractor()
-    name = submitted(stage, contractor, b"one", service)
+    message_id = submitted(stage, contractor, b"one", service)
     if step == "bind":
         stage.until(lambda: stage.courier.open)
     elif step in ("submit", "answered"):
         stage.until(lambda: gate.submits)
     else:
         stage.until(lambda: stage.courier._awaiting)
-    if step == "receipt":  # the gateway has sent it, and nobody has read it
+    if step == "receipt":  # sent by the gateway and not read
         gate.receipt("one", "DELIVRD")
-    again = Stage(tmp_path)
-    heir_gate = StandInGateway(again)
-    again.open(gateway(heir_gate.address, outcome=outcome))
-    heir = again.contractor()
+    successor = Stage(tmp_path)
+    new_gate = StandInGateway(successor)
+    successor.open(gateway(new_gate.address, outcome=outcome))
+    new_contractor = successor.contractor()
     if outcome == "receipt":
-        again.until(lambda: Command.BIND_TRANSCEIVER in heir_gate.streams)
-        heir_gate.receipt("one", "DELIVRD")  # not acknowledged, so it comes again
-    again.until(lambda: heir.receipts and not again.journal.entries)
-    assert len(heir.receipts) == 1 and set(heir.ends()) == {name}
-    state = next(iter(heir.ends()[name]))
+        successor.until(lambda: Command.BIND_TRANSCEIVER in new_gate.streams)
+        new_gate.receipt("one", "DELIVRD")  # sent again, as it was not acknowledged
+    successor.until(lambda: new_contractor.receipts and not successor.journal.entries)
+    assert len(new_contractor.receipts) == 1 and set(new_contractor.ends()) == {message_id}
+    state = next(iter(new_contractor.ends()[message_id]))
     ran = step != "bind"
     if outcome == "receipt":
-        assert state == DELIVRD and not heir_gate.submits
+        assert state == DELIVRD and not new_gate.submits
     elif service == "PAY" and ran:
-        assert state == UNDELIV and not heir_gate.submits
+        assert state == UNDELIV and not new_gate.submits
     else:
-        assert state == DELIVRD and len(heir_gate.submits) == 1
+        assert state == DELIVRD and len(new_gate.submits) == 1
 
 
-@pytest.mark.parametrize("step", ["waiting", "out", "awaiting"])
-def test_sigterm_at_every_step_leaves_in_time_and_loses_nothing(tmp_path: Path, step: str) -> None:
+@pytest.mark.parametrize("step", ["waiting", "in flight", "awaiting"])
+def test_sigterm_at_every_step_ends_in_time_and_loses_nothing(tmp_path: Path, step: str) -> None:
     stage = Stage(tmp_path)
-    gate = StandInGateway(stage, pause=lambda _: 3 * SECOND if step == "out" else MS)
+    gate = StandInGateway(stage, pause=lambda _: 3 * SECOND if step == "in flight" else MS)
     gate.name = lambda pdu: pdu.message.decode()
     stage.open(
         gateway(gate.address if step != "waiting" else ("127.0.0.1", 9), outcome="receipt", response=10 * SECOND)
     )
     contractor = stage.contractor()
-    name = submitted(stage, contractor, b"one", "PAY")
+    message_id = submitted(stage, contractor, b"one", "PAY")
     stage.until(
         {
             "waiting": lambda: stage.courier.open,
-            "out": lambda: gate.submits,
+            "in flight": lambda: gate.submits,
             "awaiting": lambda: stage.courier._awaiting,
         }[step]
     )
-    begun = stage.loop.now
+    started_at = stage.loop.now
     stage.courier.close()
     assert (
         asked(
@@ -299,35 +299,37 @@
         == Status.ESME_RTHROTTLED
     )
     stage.until(lambda: stage.loop._stopped)
-    assert stage.loop.now - begun < 3_700 * MS and name not in contractor.ends()
-    again = Stage(tmp_path)
-    heir_gate = StandInGateway(again)
-    again.open(gateway(heir_gate.address))
-    heir = again.contractor()
-    again.until(lambda: heir.receipts and not again.journal.entries)
-    states = {"waiting": {DELIVRD}, "out": {UNDELIV}, "awaiting": {UNDELIV}}
-    assert heir.ends()[name] == states[step] or heir.ends()[name] == {3}
-    assert len(heir_gate.submits) == (step == "waiting")
-
-
-@pytest.mark.parametrize("cut", ["half a PDU", "receipt unread", "unbind with a receipt out", "answers nothing"])
-def test_a_contractor_that_fails_gets_its_receipt_on_another_session(tmp_path: Path, cut: str) -> None:
+    assert stage.loop.now - started_at < 3_700 * MS and message_id not in contractor.ends()
+    successor = Stage(tmp_path)
+    new_gate = StandInGateway(successor)
+    successor.open(gateway(new_gate.address))
+    new_contractor = successor.contractor()
+    successor.until(lambda: new_contractor.receipts and not successor.journal.entries)
+    states = {"waiting": {DELIVRD}, "in flight": {UNDELIV}, "awaiting": {UNDELIV}}
+    assert new_contractor.ends()[message_id] == states[step] or new_contractor.ends()[message_id] == {3}
+    assert len(new_gate.submits) == (step == "waiting")
+
+
+@pytest.mark.parametrize(
+    "fault", ["half a PDU", "receipt unacknowledged", "unbind with a receipt in flight", "no responses"]
+)
+def test_a_contractor_that_failed_gets_its_receipt_on_another_session(tmp_path: Path, fault: str) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage, pause=lambda _: 20 * MS)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    if cut == "receipt unread":
+    if fault == "receipt unacknowledged":
         contractor.drop_receipts = 1
-    elif cut != "half a PDU":
+    elif fault != "half a PDU":
         contractor.replies = None
-    name = submitted(stage, contractor, b"one", "PAY")
-    if cut == "half a PDU":
+    message_id = submitted(stage, contractor, b"one", "PAY")
+    if fault == "half a PDU":
         contractor.stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 5))[:9], None)
         contractor.stream.close()
     else:
         stage.until(lambda: contractor.receipts)
-        if cut == "unbind with a receipt out":
+        if fault == "unbind with a receipt in flight":
             contractor.ask(Command.UNBIND)
-    again = stage.contractor()
-    stage.until(lambda: again.receipts and not stage.journal.entries)
-    assert again.ends() == {name: {DELIVRD}} and gate.effects == {b"one": 1}
+    second = stage.contractor()
+    stage.until(lambda: second.receipts and not stage.journal.entries)
+    assert second.ends() == {message_id: {DELIVRD}} and gate.effects == {b"one": 1}
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -1,4 +1,4 @@
-"""SMPP's operations on messages that were taken on, and each PDU in each state of a session."""
+"""The SMPP operations on accepted messages, and the response to each request in each session state."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     dests: list[Dest] | None = None,
     **fields: Any,
 ) -> Pdu:
-    """One request and its response."""
+    """Send one request and return its response."""
     before = len(contractor.answers)
     contractor.sequence += 1
     request = Pdu(command, contractor.sequence, 0, fields, message, tlvs or [], dests or [])
@@ -58,25 +58,25 @@
     return answer.text("message_id")
 
 
-def named(
+def request_by_id(
     stage: Stage, contractor: StandInContractor, command: Command, name: str, message: bytes = b"", source: str = "100"
 ) -> Pdu:
     return asked(stage, contractor, command, message, message_id=name, source_addr=source)
 
 
 def state(stage: Stage, contractor: StandInContractor, name: str) -> int:
-    answer = named(stage, contractor, Command.QUERY_SM, name)
+    answer = request_by_id(stage, contractor, Command.QUERY_SM, name)
     return answer.number("message_state") if answer.status == 0 else -answer.status
 
 
-def keeps(stage: Stage, span: int = 60 * SECOND) -> Stage:
-    stage.server.told = dataclasses.replace(stage.server.told, keep_ended=span)
+def keeps(stage: Stage, retention: int = 60 * SECOND) -> Stage:
+    stage.server.told = dataclasses.replace(stage.server.told, keep_ended=retention)
     return stage
 
 
 @pytest.mark.parametrize("bound", list(Bound))
 @pytest.mark.parametrize("command", table.requests(), ids=lambda c: c.name.lower())
-def test_every_request_in_every_state_has_its_answer(tmp_path: Path, command: Command, bound: Bound) -> None:
+def test_every_request_in_every_state_gets_its_response(tmp_path: Path, command: Command, bound: Bound) -> None:
     stage = Stage(tmp_path)
     stage.open()
     contractor = stage.contractor(
@@ -86,7 +86,10 @@
     expected = table.refusal(Side.CENTRE, bound, request)
     answer = asked(stage, contractor, command, dests=[Dest("1")], message_id="none")
     if command is Command.OUTBIND:
-        assert (answer.command, answer.status) == (Command.GENERIC_NACK, Status.ESME_RINVCMDID)  # no gateway of ours
+        assert (answer.command, answer.status) == (
+            Command.GENERIC_NACK,
+            Status.ESME_RINVCMDID,
+        )  # not from a configured gateway
     elif expected is None:
         assert answer.command == command | p.RESPONSE and answer.status not in (
             Status.ESME_RINVBNDSTS,
@@ -98,8 +101,8 @@
     assert table.refusal(Side.ESME, bound, request) is None or command not in (Command.UNBIND, Command.ENQUIRE_LINK)
 
 
-def test_the_table_serves_what_the_specification_lists() -> None:
-    # SMPP 3.4, table 2-1: who may send what in which state.
+def test_the_state_table_matches_the_specification() -> None:
+    # SMPP 3.4, table 2-1: the requests that each side may send in each state.
     def served(side: Side, command: Command) -> set[str]:
         return {bound.name for bound in Bound if table.refusal(side, bound, Pdu(command)) is None}
 
@@ -115,7 +118,7 @@
     for command in (Command.DELIVER_SM, Command.DATA_SM, Command.ALERT_NOTIFICATION):
         assert served(Side.ESME, command) == {"RX", "TRX"}
     assert served(Side.ESME, Command.OUTBIND) == {"OPEN"}
-    assert served(Side.CENTRE, Command.OUTBIND) == {"OPEN"}  # our listener is an ESME's, too
+    assert served(Side.CENTRE, Command.OUTBIND) == {"OPEN"}  # the listener also acts as an ESME's
 
 
 def test_data_sm_is_a_message_like_any_other(tmp_path: Path) -> None:
@@ -139,7 +142,7 @@
     assert gate.submits[0].tlv(p.MESSAGE_PAYLOAD) == b"long" * 100 and gate.submits[0].tlv(0x0204) == b"\0\7"
 
 
-def test_submit_multi_tells_which_were_not_taken_and_each_other_ends_once(tmp_path: Path) -> None:
+def test_submit_multi_lists_rejected_destinations_and_each_other_one_ends_once(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -166,23 +169,23 @@
     assert refused.status == Status.ESME_RINVDSTADR and not stage.courier.open
 
 
-def test_a_submit_multi_whose_sender_is_gone_leaves_nothing(tmp_path: Path) -> None:
+def test_a_submit_multi_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     request = Pdu(Command.SUBMIT_MULTI, 9, 0, {"service_type": "WO"}, b"x", dests=[Dest("3725551"), Dest("3725552")])
 
-    def send_and_go() -> None:
+    def send_and_disconnect() -> None:
         contractor.stream.write(p.encode(request), None)
         contractor.stream.close()
 
-    stage.loop.spawn(send_and_go)
+    stage.loop.spawn(send_and_disconnect)
     stage.wait(SECOND)
     assert not gate.submits and not stage.journal.entries and not stage.courier.open
 
 
-def test_query_tells_open_and_ended_ones_also_after_a_restart(tmp_path: Path) -> None:
+def test_query_returns_the_state_of_open_and_ended_messages_also_after_a_restart(tmp_path: Path) -> None:
     stage = keeps(Stage(tmp_path))
     gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"slow" else 0)
     stage.open(gateway(gate.address, response=20 * SECOND))
@@ -191,85 +194,87 @@
     stage.until(lambda: done in contractor.ends())
     assert state(stage, contractor, done) == State.DELIVERED and state(stage, contractor, slow) == State.ENROUTE
     assert state(stage, contractor, "unknown") == -Status.ESME_RINVMSGID
-    assert named(stage, contractor, Command.QUERY_SM, done, source="101").status == Status.ESME_RQUERYFAIL
+    assert request_by_id(stage, contractor, Command.QUERY_SM, done, source="101").status == Status.ESME_RQUERYFAIL
     stage.courier.journal._compact()
-    again = keeps(Stage(tmp_path))
-    again.open(gateway(gate.address))
-    contractor = again.contractor()
-    assert state(again, contractor, done) == State.DELIVERED and state(again, contractor, slow) == State.ENROUTE
-    answer = named(again, contractor, Command.QUERY_SM, done)
+    successor = keeps(Stage(tmp_path))
+    successor.open(gateway(gate.address))
+    contractor = successor.contractor()
+    assert state(successor, contractor, done) == State.DELIVERED and state(successor, contractor, slow) == State.ENROUTE
+    answer = request_by_id(successor, contractor, Command.QUERY_SM, done)
     assert len(answer.text("final_date")) == 16 and answer.text("final_date").endswith("000+")
 
 
-def test_what_is_known_of_ended_ones_is_bounded_and_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_retained_states_of_ended_messages_are_bounded_and_expire(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     journal = Stage(tmp_path).journal
     for n in range(20_000):
         journal.keep_ended(f"acme {n}", "x" * 40, 60 * SECOND)
     assert journal.ended("acme 19999") and not journal.ended("acme 0")
     assert journal._size <= journal._limit and journal._ended_live <= journal._limit // 4
-    assert journal.taken(1, 5, "{}", b"x" * 60_000), "a message must still find its room"
+    assert journal.taken(1, 5, "{}", b"x" * 60_000), "ended messages leave no room for a new one"
     journal.keep_ended("brief", "y", 1)
     assert journal.ended("brief") is None
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
-def test_cancel_withdraws_what_never_ran_and_nothing_else(tmp_path: Path, service: str) -> None:
+def test_cancel_withdraws_only_messages_that_never_ran(tmp_path: Path, service: str) -> None:
     stage = Stage(tmp_path)
-    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"out" else 0)
+    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
     stage.open(gateway(gate.address, window=1, response=20 * SECOND))
     contractor = stage.contractor()
     later = submitted(stage, contractor, b"later", service, schedule_delivery_time="000000000100000R")
-    out = submitted(stage, contractor, b"out", service)
+    in_flight = submitted(stage, contractor, b"in flight", service)
     stage.until(lambda: gate.submits)
-    assert named(stage, contractor, Command.CANCEL_SM, out).status == Status.ESME_RCANCELFAIL
-    assert named(stage, contractor, Command.CANCEL_SM, later, source="1").status == Status.ESME_RINVMSGID
-    assert named(stage, contractor, Command.CANCEL_SM, later).status == 0
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, in_flight).status == Status.ESME_RCANCELFAIL
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, later, source="1").status == Status.ESME_RINVMSGID
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == 0
     stage.until(lambda: later in contractor.ends())
     assert contractor.ends()[later] == {State.DELETED}
     stage.until(lambda: len(stage.journal.entries) == 1)
-    assert named(stage, contractor, Command.CANCEL_SM, later).status == Status.ESME_RINVMSGID
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == Status.ESME_RINVMSGID
     stage.wait(90 * SECOND)
     assert [s.message for s in gate.submits].count(b"later") == 0
     assert all(len(states) == 1 for states in contractor.ends().values())
 
 
-def test_cancel_by_addresses_takes_all_that_still_can_be(tmp_path: Path) -> None:
+def test_cancel_by_addresses_withdraws_all_that_can_be_withdrawn(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open(gateway(StandInGateway(stage).address))
     contractor = stage.contractor()
     first = [submitted(stage, contractor, schedule_delivery_time="000000000100000R") for _ in range(3)]
     other = submitted(stage, contractor, destination_addr="3725559", schedule_delivery_time="000000000100000R")
-    told = {"source_addr": "100", "destination_addr": "3725550"}
-    assert asked(stage, contractor, Command.CANCEL_SM, service_type="RD", **told).status == Status.ESME_RCANCELFAIL
-    assert asked(stage, contractor, Command.CANCEL_SM, **told).status == 0
+    addresses = {"source_addr": "100", "destination_addr": "3725550"}
+    assert asked(stage, contractor, Command.CANCEL_SM, service_type="RD", **addresses).status == Status.ESME_RCANCELFAIL
+    assert asked(stage, contractor, Command.CANCEL_SM, **addresses).status == 0
     stage.until(lambda: len(contractor.ends()) == 3)
     assert set(contractor.ends()) == set(first) and state(stage, contractor, other) == State.ENROUTE
 
 
-def test_replace_changes_only_what_was_never_attempted_and_lasts(tmp_path: Path) -> None:
+def test_replace_changes_only_messages_without_an_attempt_and_survives_a_restart(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
-    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"out" else 0)
+    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
     stage.open(gateway(gate.address, response=20 * SECOND))
     contractor = stage.contractor()
-    out = submitted(stage, contractor, b"out")
+    in_flight = submitted(stage, contractor, b"in flight")
     later = submitted(stage, contractor, b"old", schedule_delivery_time="000000000003000R")
     stage.until(lambda: gate.submits)
-    assert named(stage, contractor, Command.REPLACE_SM, out, b"new").status == Status.ESME_RREPLACEFAIL
-    assert named(stage, contractor, Command.REPLACE_SM, "none", b"new").status == Status.ESME_RINVMSGID
-    assert named(stage, contractor, Command.REPLACE_SM, later, b"new").status == 0
-    again = Stage(tmp_path)
-    gate = StandInGateway(again)
-    again.open(gateway(gate.address))
-    again.until(lambda: gate.effects[b"new"], within=60 * SECOND)
+    assert request_by_id(stage, contractor, Command.REPLACE_SM, in_flight, b"new").status == Status.ESME_RREPLACEFAIL
+    assert request_by_id(stage, contractor, Command.REPLACE_SM, "none", b"new").status == Status.ESME_RINVMSGID
+    assert request_by_id(stage, contractor, Command.REPLACE_SM, later, b"new").status == 0
+    successor = Stage(tmp_path)
+    gate = StandInGateway(successor)
+    successor.open(gateway(gate.address))
+    successor.until(lambda: gate.effects[b"new"], within=60 * SECOND)
     assert not gate.effects[b"old"] and gate.effects[b"new"] == 1
 
 
-def test_a_scheduled_message_waits_through_a_restart_and_its_deadline_counts_from_then(tmp_path: Path) -> None:
+def test_a_scheduled_message_waits_through_a_restart_and_its_deadline_counts_from_the_schedule(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    for bad, status in (
+    for schedule, status in (
         ("000000000000000R", Status.ESME_RINVSCHED),
         ("999999999999999R", Status.ESME_RINVSCHED),
         ("x", Status.ESME_RINVSCHED),
@@ -281,11 +286,11 @@
                 Command.SUBMIT_SM,
                 service_type="WO",
                 destination_addr="3725550",
-                schedule_delivery_time=bad,
+                schedule_delivery_time=schedule,
             ).status
             == status
         )
-    early = asked(
+    expires_early = asked(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -294,16 +299,16 @@
         schedule_delivery_time="000000000100000R",
         validity_period="000000000050000R",
     )
-    assert early.status == Status.ESME_RINVEXPIRY
-    begin = stage.loop.now
+    assert expires_early.status == Status.ESME_RINVEXPIRY
+    started_at = stage.loop.now
     submitted(stage, contractor, b"later", schedule_delivery_time="000000000100000R")
     stage.wait(40 * SECOND)
     assert not gate.submits
-    again = Stage(tmp_path)
-    gate = StandInGateway(again)
-    again.open(gateway(gate.address))
-    again.until(lambda: gate.effects[b"later"], within=120 * SECOND)
-    assert gate.first_effect_at[b"later"] - begin >= 60 * SECOND and gate.effects[b"later"] == 1
+    successor = Stage(tmp_path)
+    gate = StandInGateway(successor)
+    successor.open(gateway(gate.address))
+    successor.until(lambda: gate.effects[b"later"], within=120 * SECOND)
+    assert gate.first_effect_at[b"later"] - started_at >= 60 * SECOND and gate.effects[b"later"] == 1
 
 
 @FIXED
@@ -315,26 +320,26 @@
     st.integers(1, 254),
     st.integers(0, 0xFFFF),
 )
-def test_every_pdu_comes_back_as_it_was(
-    command: Command, number: int, word: str, message: bytes, many: int, tag: int
+def test_every_pdu_is_decoded_as_it_was_encoded(
+    command: Command, number: int, text: str, message: bytes, count: int, tag: int
 ) -> None:
-    fields = {name: word if most else number for name, most in p.FIELDS.get(command, ()) if most >= 0}
+    fields = {name: text if max_length else number for name, max_length in p.FIELDS.get(command, ()) if max_length >= 0}
     pdu = Pdu(command, 5, 0, fields, message if command in p._WITH_SHORT_MESSAGE else b"", [(tag, message)])
     if command is Command.SUBMIT_MULTI:
-        pdu.dests = [Dest(word, 0 if n % 2 else number, 0 if n % 2 else 1, bool(n % 2)) for n in range(many)]
+        pdu.dests = [Dest(text, 0 if n % 2 else number, 0 if n % 2 else 1, bool(n % 2)) for n in range(count)]
     if command is Command.SUBMIT_MULTI_RESP:
-        pdu.unsuccess = [Unsuccess(word, number, 1, number) for _ in range(many)]
+        pdu.unsuccess = [Unsuccess(text, number, 1, number) for _ in range(count)]
     data = p.encode(pdu)
     assert p.whole(bytearray(data)) == len(data) and p.decode(data) == pdu
-    for cut in range(17, len(data), max(1, len(data) // 20)):
-        short = cut.to_bytes(4, "big") + data[4:cut]
+    for length in range(17, len(data), max(1, len(data) // 20)):
+        truncated = length.to_bytes(4, "big") + data[4:length]
         try:
-            assert p.decode(short) != pdu
+            assert p.decode(truncated) != pdu
         except p.BadPdu as error:
             assert error.sequence == 5
 
 
-def test_what_a_gateway_sends_is_answered_by_the_table(tmp_path: Path) -> None:
+def test_requests_of_a_gateway_are_answered_by_the_state_table(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -354,48 +359,48 @@
     assert {pdu.status for pdu in posted if pdu.command is Command.GENERIC_NACK} == {Status.ESME_RINVCMDID}
 
 
-def test_what_waits_between_attempts_is_withdrawn_only_if_none_may_have_run(tmp_path: Path) -> None:
+def test_a_message_between_attempts_is_withdrawn_only_if_none_may_have_run(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=1)
-    answers = {b"maybe": Status.ESME_RSYSERR, b"full": Status.ESME_RTHROTTLED}
+    answers = {b"may have run": Status.ESME_RSYSERR, b"full": Status.ESME_RTHROTTLED}
     gate = StandInGateway(stage, script=lambda pdu: answers.get(pdu.message, 0))
     stage.open(gateway(gate.address, throttle_wait=5 * SECOND))
     contractor = stage.contractor()
-    maybe = submitted(stage, contractor, b"maybe", "RD")
+    may_have_run = submitted(stage, contractor, b"may have run", "RD")
     stage.until(lambda: gate.submits and not stage.courier.out)
-    assert named(stage, contractor, Command.CANCEL_SM, maybe).status == Status.ESME_RCANCELFAIL
-    del answers[b"maybe"]
-    stage.until(lambda: maybe in contractor.ends())
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, may_have_run).status == Status.ESME_RCANCELFAIL
+    del answers[b"may have run"]
+    stage.until(lambda: may_have_run in contractor.ends())
     full = submitted(stage, contractor, b"full", "PAY")
     stage.until(lambda: gate.submits[-1].message == b"full" and not stage.courier.out)
-    assert named(stage, contractor, Command.REPLACE_SM, full, b"new").status == Status.ESME_RREPLACEFAIL
-    assert named(stage, contractor, Command.CANCEL_SM, full).status == 0
+    assert request_by_id(stage, contractor, Command.REPLACE_SM, full, b"new").status == Status.ESME_RREPLACEFAIL
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, full).status == 0
     number = stage.courier._last
     stage.until(lambda: full in contractor.ends())
     assert contractor.ends()[full] == {State.DELETED} and number not in stage.courier._controller.messages
-    after = submitted(stage, contractor, b"after", "PAY")  # the only slot is free
+    after = submitted(stage, contractor, b"after", "PAY")  # the only slot is free again
     stage.until(lambda: after in contractor.ends())
     assert [s.message for s in gate.submits].count(b"full") == 1
 
 
-def test_what_is_about_to_leave_is_not_withdrawn(tmp_path: Path) -> None:
+def test_a_message_that_waits_for_the_window_is_not_withdrawn(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage, pause=lambda _: 300_000)
     stage.open(gateway(gate.address, window=1))
     contractor = stage.contractor()
     submitted(stage, contractor, b"first", "PAY")
-    second = submitted(stage, contractor, b"second", "PAY")  # the module has sent it; it waits for the window
+    second = submitted(stage, contractor, b"second", "PAY")  # sent by the decision module, and waiting for the window
     stage.until(lambda: stage.courier.out == 2)
-    assert named(stage, contractor, Command.CANCEL_SM, second).status == Status.ESME_RCANCELFAIL
+    assert request_by_id(stage, contractor, Command.CANCEL_SM, second).status == Status.ESME_RCANCELFAIL
     stage.until(lambda: second in contractor.ends())
     assert contractor.ends()[second] == {State.DELIVERED}
 
 
-def test_replacing_does_not_count_twice_in_the_journal(tmp_path: Path) -> None:
+def test_a_replaced_message_counts_once_in_the_journal(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
     later = submitted(stage, contractor, b"old", schedule_delivery_time="000000000100000R")
     for text in (b"x" * 200, b"y" * 100):
-        assert named(stage, contractor, Command.REPLACE_SM, later, text).status == 0
+        assert request_by_id(stage, contractor, Command.REPLACE_SM, later, text).status == 0
     journal = stage.journal
     assert journal._live == sum(journal._weights.values()) and len(journal.entries) == 1
--- a/tests/smpp/test_others.py
+++ b/tests/smpp/test_others.py
@@ -1,4 +1,4 @@
-"""A client library written by others against the program itself: long texts, receipts, query."""
+"""The program with a third-party SMPP client library: long texts, receipts, queries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 __all__ = ["world"]
 
 
-def test_a_library_of_others_binds_sends_in_parts_and_asks(tmp_path: Path, world: str) -> None:
+def test_a_third_party_client_binds_submits_in_parts_and_queries(tmp_path: Path, world: str) -> None:
     port = free_port()
     program = Program(tmp_path, world, KESTRELSPAR_CONF=smpp_conf(tmp_path, port)).ready()
     client = smpplib.client.Client("127.0.0.1", port, timeout=FAR, allow_unknown_opt_params=True)
@@ -26,21 +26,21 @@
     client.connect()
     client.bind_transceiver(system_id="acme", password="pw")
 
-    def sent(**fields: object) -> str:
+    def submit(**fields: object) -> str:
         pdu = client.send_message(source_addr="100", destination_addr="3721", registered_delivery=True, **fields)
         while pdu.sequence not in answers:
             client.read_once()
         return str(answers[pdu.sequence])
 
-    pieces, coding, esm = smpplib.gsm.make_parts("long " * 80)
-    names = [sent(short_message=piece, data_coding=coding, esm_class=esm) for piece in pieces]
-    assert len(names) == 3
+    parts, coding, esm_class = smpplib.gsm.make_parts("long " * 80)
+    message_ids = [submit(short_message=part, data_coding=coding, esm_class=esm_class) for part in parts]
+    assert len(message_ids) == 3
     while len(receipts) < 3:
         client.read_once()
-    assert {name.rstrip(b"\0").decode() for name in receipts} == set(names) and len(World.calls) == 1
-    later = sent(short_message=b"x", schedule_delivery_time="000000000100000R")
-    for name, state in ((names[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (later, 1)):
-        query = client.query_message(message_id=name, source_addr_ton=0, source_addr_npi=0, source_addr="100")
+    assert {receipt.rstrip(b"\0").decode() for receipt in receipts} == set(message_ids) and len(World.calls) == 1
+    scheduled = submit(short_message=b"x", schedule_delivery_time="000000000100000R")
+    for message_id, state in ((message_ids[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (scheduled, 1)):
+        query = client.query_message(message_id=message_id, source_addr_ton=0, source_addr_npi=0, source_addr="100")
         while query.sequence not in answers:
             client.read_once()
         assert answers[query.sequence] == state
--- a/tests/smpp/test_pace.py
+++ b/tests/smpp/test_pace.py
@@ -1,4 +1,4 @@
-"""How much a gateway takes: the decisions alone, and on sockets."""
+"""Flow control for gateways: windows, rate and backoff, computed alone and on sockets."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 Limiter = Callable[[int], bool]
 
 
-def bucket(rate: int, burst: int) -> Limiter:
-    held, last = float(burst), 0
+def token_bucket(rate: int, burst: int) -> Limiter:
+    tokens, last = float(burst), 0
 
-    def take(now: int) -> bool:
-        nonlocal held, last
-        held, last = min(float(burst), held + (now - last) * rate / SECOND), now
-        if held < 1:
+    def admit(now: int) -> bool:
+        nonlocal tokens, last
+        tokens, last = min(float(burst), tokens + (now - last) * rate / SECOND), now
+        if tokens < 1:
             return False
-        held -= 1
+        tokens -= 1
         return True
 
-    return take
+    return admit
 
 
-def by_the_second(rate: int) -> Limiter:
+def fixed_window(rate: int) -> Limiter:
     served: dict[int, int] = {}
 
-    def take(now: int) -> bool:
+    def admit(now: int) -> bool:
         served[now // SECOND] = served.get(now // SECOND, 0) + 1
         return served[now // SECOND] <= rate
 
-    return take
+    return admit
 
 
-def within_a_second(rate: int) -> Limiter:
+def sliding_window(rate: int) -> Limiter:
     served: deque[int] = deque()
 
-    def take(now: int) -> bool:
+    def admit(now: int) -> bool:
         while served and served[0] <= now - SECOND:
             served.popleft()
         if len(served) >= rate:
@@ -53,62 +53,64 @@
         served.append(now)
         return True
 
-    return take
+    return admit
 
 
-def drive(control: RateControl, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
-    """Deliver so many; when the last one was served, and how many were refused."""
-    out: deque[tuple[int, int, bool]] = deque()
+def simulate(control: RateControl, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
+    """Submit until ``count`` are served; returns when the last one was, and the number of refusals."""
+    in_flight: deque[tuple[int, int, bool]] = deque()
     done = refused = last = 0
     while done < count:
-        if out and out[0][0] <= now:
-            at, sent, served = out.popleft()
+        if in_flight and in_flight[0][0] <= now:
+            at, sent, served = in_flight.popleft()
             control.record_response(now, sent, not served, 100 * MS)
             done, refused, last = done + served, refused + (not served), at
-        elif len(out) < window and done + len(out) < count and control.earliest_send(now) <= now:
+        elif len(in_flight) < window and done + len(in_flight) < count and control.earliest_send(now) <= now:
             control.record_sent(now)
-            out.append((now + 5 * MS, now, limit(now)))
+            in_flight.append((now + 5 * MS, now, limit(now)))
         else:
-            ahead = [out[0][0]] if out else []
-            now = max(now + 1, min([*ahead, *([control.earliest_send(now)] if len(out) < window else [])]))
+            next_response = [in_flight[0][0]] if in_flight else []
+            now = max(
+                now + 1, min([*next_response, *([control.earliest_send(now)] if len(in_flight) < window else [])])
+            )
     return last, refused
 
 
 @pytest.mark.parametrize(
     "limiter",
-    [lambda r: bucket(r, r), lambda r: bucket(r, r // 20), by_the_second, within_a_second],
-    ids=["bucket of a second", "small bucket", "by the second", "within a second"],
+    [lambda r: token_bucket(r, r), lambda r: token_bucket(r, r // 20), fixed_window, sliding_window],
+    ids=["bucket of a second", "small bucket", "fixed window", "sliding window"],
 )
 @pytest.mark.parametrize("rate", [20, 200])
-def test_a_limit_is_found_and_kept_to(limiter: Callable[[int], Limiter], rate: int) -> None:
+def test_a_limit_is_found_and_respected(limiter: Callable[[int], Limiter], rate: int) -> None:
     control, count = RateControl(), 60 * rate
     limit = limiter(rate)
-    took, refused = drive(control, limit, count)
+    took, refused = simulate(control, limit, count)
     assert took < 1.2 * 60 * SECOND and refused < 0.05 * count
-    assert took > 0.97 * 60 * SECOND, "the stand-in's limit does not hold"
+    assert took > 0.97 * 60 * SECOND, "the simulated limit does not hold"
 
 
-def test_a_limit_that_is_raised_is_found_again() -> None:
+def test_a_raised_limit_is_found() -> None:
     control = RateControl()
-    drive(control, by_the_second(20), 200)
-    took, _ = drive(control, by_the_second(200), 2000, now=11 * SECOND)
-    assert took < 35 * SECOND, "twice the time of a pace that knew it"
+    simulate(control, fixed_window(20), 200)
+    took, _ = simulate(control, fixed_window(200), 2000, now=11 * SECOND)
+    assert took < 35 * SECOND, "more than about twice the time at the known rate"
 
 
 def test_an_agreed_rate_is_never_refused() -> None:
-    assert drive(RateControl(50.0), within_a_second(50), 500)[1] == 0
+    assert simulate(RateControl(50.0), sliding_window(50), 500)[1] == 0
 
 
-def test_one_clump_of_refusals_is_one_lesson() -> None:
+def test_refusals_of_one_burst_reduce_the_rate_once() -> None:
     control = RateControl()
-    for place in range(40):
-        control.record_response(1_000 + place, place, False)
-    for place in range(20):
-        control.record_response(2_000 + place, 100 + place, True, 100 * MS)
+    for index in range(40):
+        control.record_response(1_000 + index, index, False)
+    for index in range(20):
+        control.record_response(2_000 + index, 100 + index, True, 100 * MS)
     assert control.refusals == 20 and control.ceiling == 40 and control.earliest_send(2_019) == 2_019 + 100 * MS
 
 
-def test_a_window_halves_once_for_what_was_out_and_grows_back() -> None:
+def test_a_window_halves_once_for_the_submits_in_flight_and_grows_back() -> None:
     window = Window(16)
     for _ in range(16):
         window.record_response(10, 0, True, None)
@@ -120,12 +122,12 @@
     assert int(window.size) == 12
     before = window.size
     window.record_response(310, 305, False, 85)
-    assert window.size == before, "optimum load: neither more nor less"
+    assert window.size == before, "optimum load changes nothing"
     window.record_response(400, 390, False, 20)
     assert window.size > before
 
 
-def test_a_window_shrinks_where_answers_take_ever_longer() -> None:
+def test_a_window_shrinks_when_responses_slow_down() -> None:
     window = Window(10)
     for at in range(10):
         window.record_response(at * 10 * MS + 10 * MS, at * 10 * MS, False, None)
@@ -135,19 +137,19 @@
     assert window.room == 4
 
 
-def test_binds_wait_longer_each_time_and_not_in_step() -> None:
-    waits = [[Backoff(200 * MS, 30 * SECOND, seed) for _ in range(1)][0] for seed in range(20)]
-    first = {backoff.failed(0) for backoff in waits}
+def test_bind_delays_grow_and_have_jitter() -> None:
+    backoffs = [[Backoff(200 * MS, 30 * SECOND, seed) for _ in range(1)][0] for seed in range(20)]
+    first = {backoff.failed(0) for backoff in backoffs}
     assert len(first) > 10 and all(100 * MS <= wait <= 200 * MS for wait in first)
-    one = waits[0]
-    steps = [one.failed(0) for _ in range(12)]
-    assert all(15 * SECOND <= wait <= 30 * SECOND for wait in steps[-3:]) and one.retry_at == steps[-1]
-    one.succeeded()
-    assert one.retry_at == 0 and one.failed(0) <= 200 * MS
-    assert one.failed(0, refused=True) >= 15 * SECOND
+    repeated = backoffs[0]
+    steps = [repeated.failed(0) for _ in range(12)]
+    assert all(15 * SECOND <= wait <= 30 * SECOND for wait in steps[-3:]) and repeated.retry_at == steps[-1]
+    repeated.succeeded()
+    assert repeated.retry_at == 0 and repeated.failed(0) <= 200 * MS
+    assert repeated.failed(0, refused=True) >= 15 * SECOND
 
 
-def test_sessions_are_opened_as_they_are_needed_and_unbound_when_idle(tmp_path: Path) -> None:
+def test_sessions_are_opened_on_demand_and_unbound_when_idle(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=40)
     gate = StandInGateway(stage, pause=lambda _: 50 * MS)
     stage.open(gateway(gate.address, sessions=3, window=2, idle_unbind=2 * SECOND))
@@ -156,14 +158,14 @@
     link = next(iter(stage.gates._links.values()))
     stage.until(lambda: len(contractor.ends()) == 1)
     assert len(link.sessions) == 1
-    stage.loop.spawn(lambda: [contractor.submit(b"%d" % place, "WO") for place in range(30)])
+    stage.loop.spawn(lambda: [contractor.submit(b"%d" % index, "WO") for index in range(30)])
     stage.until(lambda: len(contractor.ends()) == 31)
     assert len(link.sessions) == 3 and gate.most_out == 6
     stage.wait(5 * SECOND)
     assert not link.sessions
 
 
-def test_a_gateway_that_is_away_is_not_stormed(tmp_path: Path) -> None:
+def test_an_unavailable_gateway_is_not_flooded_with_binds(tmp_path: Path) -> None:
     stage = Stage(tmp_path, slots=40)
     gate = StandInGateway(stage, "accept", closes=10_000)
     stage.open(gateway(gate.address, bind_wait=200 * MS, bind_wait_most=2 * SECOND, stay_bound=True))
@@ -171,14 +173,14 @@
     submit_all(stage, contractor, "WO", 20)
     before = gate.closes
     stage.wait(10 * SECOND)
-    assert 5 <= before - gate.closes + 1 <= 20, "ten seconds of binds with waits up to two seconds"
+    assert 5 <= before - gate.closes + 1 <= 20, "binds in ten seconds with delays up to two seconds"
     gate.closes = 0
     stage.until(lambda: gate.submits)
-    assert next(iter(stage.gates._links.values())).sessions[0].window.size < 4, "cold: not with the whole window"
+    assert next(iter(stage.gates._links.values())).sessions[0].window.size < 4, "slow start after an outage"
     stage.until(lambda: len(contractor.ends()) == 20)
 
 
-def test_a_refused_account_is_not_tried_at_once(tmp_path: Path) -> None:
+def test_a_refused_account_is_not_retried_at_once(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     gate = StandInGateway(stage)
     binds: list[Pdu] = []
@@ -190,23 +192,23 @@
     gate.write = refuse  # type: ignore[method-assign, assignment]
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    name = submitted(stage, contractor, b"a", "PAY")
-    stage.until(lambda: name in contractor.ends())
-    assert contractor.ends()[name] == {8} and len(binds) == 1, "it surely never ran, and the account is not locked"
+    message_id = submitted(stage, contractor, b"a", "PAY")
+    stage.until(lambda: message_id in contractor.ends())
+    assert contractor.ends()[message_id] == {8} and len(binds) == 1, "certainly not run, and the account is not locked"
 
 
-def test_a_standby_gateway_serves_while_the_first_does_not(tmp_path: Path) -> None:
+def test_a_standby_gateway_takes_over_while_the_first_is_unavailable(tmp_path: Path) -> None:
     stage = Stage(tmp_path)
     first, second = StandInGateway(stage), StandInGateway(stage)
     stage.open(gateway(first.address, "first", rank=0, dest=900), gateway(second.address, "second", rank=1, dest=900))
     contractor = stage.contractor()
-    for place in range(5):  # one by one: a clump may be sent on where the first is not tried yet
-        submitted(stage, contractor, b"%d" % place)
-        stage.until(lambda place=place: len(contractor.ends()) == place + 1)  # type: ignore[misc]
+    for index in range(5):  # one by one: of a burst, some may go to the second before the first has been tried
+        submitted(stage, contractor, b"%d" % index)
+        stage.until(lambda index=index: len(contractor.ends()) == index + 1)  # type: ignore[misc]
     assert len(first.submits) == 5 and not second.submits
     first.listener.close()
     first.streams[Command.BIND_TRANSCEIVER].close()
-    for place in range(5):
-        submitted(stage, contractor, b"more-%d" % place)
+    for index in range(5):
+        submitted(stage, contractor, b"more-%d" % index)
     stage.until(lambda: len(contractor.ends()) == 10)
     assert len(second.submits) == 5
