--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -52,7 +52,7 @@
             self.waiting.resume()
 
 
-class Inbound(Protocol):
+class InboundHandler(Protocol):
     """Receiver of the messages and alerts that gateways send."""
 
     def message(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
@@ -74,7 +74,7 @@
         settings: api.Settings,
         gateways: tuple[Gateway, ...],
         courier: Courier | None = None,
-        inbound: Inbound | None = None,
+        inbound: InboundHandler | None = None,
         seed: int = 0,
         keys: Keys | None = None,
     ) -> None:
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -29,7 +29,7 @@
 # An early retry after one of these cannot succeed, and may lock the account.
 PERMANENT_BIND_ERRORS = (Status.ESME_RINVPASWD, Status.ESME_RINVSYSID)
 SLOW_START_DIVISOR = 4  # the first session after a failure starts with its window divided by this
-Handle = Callable[["Link", "BoundSession", Pdu], None]
+RequestHandler = Callable[["Link", "BoundSession", Pdu], None]
 
 
 class BoundSession:
@@ -55,7 +55,7 @@
         gateway: Gateway,
         connect_timeout: int,
         seed: int,
-        handle: Handle,
+        handle: RequestHandler,
         keys: Keys | None = None,
     ) -> None:
         self.keys = keys
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -119,7 +119,7 @@
         return True
 
     def post(self, pdu: Pdu) -> bool:
-        """Write a PDU that has no response; returns whether it was written."""
+        """Write a response, or a request that has none; returns whether it was written."""
         try:
             self._write(p.encode(pdu), self.loop.now + self._response_timeout)
         except NotSent:
--- a/tests/smpp/test_others.py
+++ b/tests/smpp/test_others.py
@@ -32,15 +32,15 @@
             client.read_once()
         return str(answers[pdu.sequence])
 
-    parts, coding, esm_class = smpplib.gsm.make_parts("long " * 80)
-    message_ids = [submit(short_message=part, data_coding=coding, esm_class=esm_class) for part in parts]
+    parts, coding, esm_flags = smpplib.gsm.make_parts("long " * 80)
+    message_ids = [submit(short_message=part, data_coding=coding, esm_class=esm_flags) for part in parts]
     assert len(message_ids) == 3
     while len(receipts) < 3:
         client.read_once()
     assert {receipt.rstrip(b"\0").decode() for receipt in receipts} == set(message_ids) and len(World.calls) == 1
     scheduled = submit(short_message=b"x", schedule_delivery_time="000000000100000R")
-    for message_id, state in ((message_ids[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (scheduled, 1)):
-        query = client.query_message(message_id=message_id, source_addr_ton=0, source_addr_npi=0, source_addr="100")
+    for submitted_id, state in ((message_ids[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (scheduled, 1)):
+        query = client.query_message(message_id=submitted_id, source_addr_ton=0, source_addr_npi=0, source_addr="100")
         while query.sequence not in answers:
             client.read_once()
         assert answers[query.sequence] == state
