--- a/kestrelspar/smpp/errors.py
+++ b/kestrelspar/smpp/errors.py
@@ -81,7 +81,7 @@
     return REJECTIONS.get(answer.why, Status.ESME_RSUBMITFAIL)
 
 
-def state(end: End, late: bool) -> tuple[int, str]:
+def state(end: End, expired: bool) -> tuple[int, str]:
     """The message_state of a receipt and its text; with REJECTD it is safe to submit the message again."""
     if end.state == DELIVERED:
         return DELIVRD
@@ -89,4 +89,4 @@
         return REJECTD
     if end.state == WITHDRAWN:
         return DELETED
-    return EXPIRED if late else UNDELIV
+    return EXPIRED if expired else UNDELIV
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -71,7 +71,7 @@
         self.needs_receiving: Callable[[], bool] = lambda: gateway.stay_bound
         self._connect_timeout, self._handle = connect_timeout, handle
         self._binding = False
-        self._slow_start = False  # since a bind failed, or a session was lost
+        self._slow_start = False  # true after a failed bind or a lost session, until the next bind succeeds
         self._queue: deque[Parking] = deque()
         self._rate_timer: Timer | None = None
         self._idle_timer: Timer | None = None
@@ -81,10 +81,10 @@
 
     def acquire(self, deadline: int) -> BoundSession | None | object:
         """Wait for a session with room, within the rate; none if no session can be bound, ``LATE`` at the deadline."""
-        turn = Parking(self.loop)
-        self._queue.append(turn)
+        parking = Parking(self.loop)
+        self._queue.append(parking)
         self._serve_queue()
-        acquired: BoundSession | None | object = self.loop.park(turn, deadline)
+        acquired: BoundSession | None | object = self.loop.park(parking, deadline)
         return acquired
 
     def release(self, bound: BoundSession) -> None:
@@ -134,8 +134,8 @@
             if not sessions:
                 if not self._binding and not self._bind(BIND_COMMANDS[self.gateway.bind]):
                     queue, self._queue = self._queue, deque()
-                    for turn in queue:
-                        turn.resume(None)
+                    for parking in queue:
+                        parking.resume(None)
                 return
             due = self.rate_control.earliest_send(now)
             if due > now:
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -126,10 +126,10 @@
             return False
         return True
 
-    def ask(self, pdu: Pdu, deadline: int, late: Callable[[Pdu | None], None] | None = None) -> Pdu:
+    def ask(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
         """Write a request and return its response; raises ``NotSent``, ``Lost`` or ``Late`` if there is none.
 
-        After ``Late`` the request is still in flight: ``late`` is called with its response, or with none when the
+        After ``Late`` the request is still in flight: ``on_late`` is called with its response, or with none when the
         session ends.
         """
         pdu.sequence = self.next()
@@ -143,8 +143,8 @@
             self._pending.pop(pdu.sequence, None)
             self.outstanding -= 1
         if response is LATE:
-            if late is not None:
-                self._late_handlers[pdu.sequence] = late
+            if on_late is not None:
+                self._late_handlers[pdu.sequence] = on_late
             raise Late
         if self.retired:
             self.retire()
@@ -169,9 +169,9 @@
     def _write(self, data: bytes, deadline: int) -> None:
         """Write one PDU at a time, whichever task calls; a partial write ends the session."""
         while self._writing and not self.closed:
-            turn = Parking(self.loop)
-            self._write_queue.append(turn)
-            if self.loop.park(turn, deadline) is LATE:
+            parking = Parking(self.loop)
+            self._write_queue.append(parking)
+            if self.loop.park(parking, deadline) is LATE:
                 raise NotSent
         if self.closed:
             raise NotSent
--- a/tests/smpp/test_pace.py
+++ b/tests/smpp/test_pace.py
@@ -59,13 +59,13 @@
 def simulate(control: RateControl, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
     """Submit until ``count`` are served; returns when the last one was, and the number of refusals."""
     in_flight: deque[tuple[int, int, bool]] = deque()
-    done = refused = last = 0
-    while done < count:
+    served_count = refused = last = 0
+    while served_count < count:
         if in_flight and in_flight[0][0] <= now:
-            at, sent, served = in_flight.popleft()
+            responded_at, sent, served = in_flight.popleft()
             control.record_response(now, sent, not served, 100 * MS)
-            done, refused, last = done + served, refused + (not served), at
-        elif len(in_flight) < window and done + len(in_flight) < count and control.earliest_send(now) <= now:
+            served_count, refused, last = served_count + served, refused + (not served), responded_at
+        elif len(in_flight) < window and served_count + len(in_flight) < count and control.earliest_send(now) <= now:
             control.record_sent(now)
             in_flight.append((now + 5 * MS, now, limit(now)))
         else:
@@ -85,16 +85,16 @@
 def test_a_limit_is_found_and_respected(limiter: Callable[[int], Limiter], rate: int) -> None:
     control, count = RateControl(), 60 * rate
     limit = limiter(rate)
-    took, refused = simulate(control, limit, count)
-    assert took < 1.2 * 60 * SECOND and refused < 0.05 * count
-    assert took > 0.97 * 60 * SECOND, "the simulated limit does not hold"
+    finished_at, refused = simulate(control, limit, count)
+    assert finished_at < 1.2 * 60 * SECOND and refused < 0.05 * count
+    assert finished_at > 0.97 * 60 * SECOND, "the simulated limit does not hold"
 
 
 def test_a_raised_limit_is_found() -> None:
     control = RateControl()
     simulate(control, fixed_window(20), 200)
-    took, _ = simulate(control, fixed_window(200), 2000, now=11 * SECOND)
-    assert took < 35 * SECOND, "more than about twice the time at the known rate"
+    finished_at, _ = simulate(control, fixed_window(200), 2000, now=11 * SECOND)
+    assert finished_at < 35 * SECOND, "more than about twice the time at the known rate"
 
 
 def test_an_agreed_rate_is_never_refused() -> None:
