--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -1,13 +1,13 @@
-"""Hollow couriers: hundreds in a process, each with all that couriers share and nothing of a message's path.
+"""Hollow couriers: hundreds in a process, each with the full peer protocol and without the message path.
 
-A hollow courier is a real ``Peer`` behind a UDP socket of its own, turned as ``peers/link.py`` turns it: members,
-words, budgets, judgements and counts; what it keeps is written to memory. In the place of messages and calls it has
-drawn ones: they wait for their budget, are spent from it, and their outcomes are seen and counted. Member systems are
-not called.
+A hollow courier is a real ``Peer`` behind a UDP socket of its own, driven as ``peers/link.py`` drives it: membership,
+peer messages, budgets, judgements and counters; its state is saved to memory. Messages and calls come from a random
+workload: they wait for their budget, are charged to it, and their outcomes are observed and counted. Member systems
+are not called.
 
     python -m kestrelspar.lab.hollow        commands on stdin, reports on stdout; see ``Host``
 
-It ends when its stdin closes, and after the time that it was given.
+The process ends when its stdin closes, and when its configured lifetime is over.
 """
 
 from __future__ import annotations
@@ -35,169 +35,182 @@
 from kestrelspar.peers.words import Stand
 from kestrelspar.runtime.loop import MS, SECOND
 
-BUFFER = 1_000_000  # bytes that may wait at a courier: it reads at its turn, behind hundreds of others
-PATIENCE = 4  # seconds' worth of messages that wait at the most; more are given up
-BUSY, SHARE = 3.0, 0.2  # a part of the couriers has so many times the messages: so there is something to lend
-WAIT = 300 * MS  # what an endpoint tells now and then
+RECEIVE_BUFFER_BYTES = 1_000_000  # of a courier's socket: hundreds of other couriers are served between two reads
+MAX_BACKLOG_SECONDS = 4  # seconds' worth of messages that may wait; further ones are abandoned
+BUSY_FACTOR, BUSY_SHARE = 3.0, 0.2  # a share of the couriers has a multiple of the mean rate, so that shares are lent
+RETRY_AFTER = 300 * MS  # reported by an endpoint that refuses a call
 
 
-class Told(Struct, frozen=True):
-    """What all hollow couriers of a play are told."""
+class HollowConfig(Struct, frozen=True):
+    """Configuration of all hollow couriers of a run. Times in microseconds."""
 
-    couriers: int  # in all, real ones too
+    couriers: int  # hollow and real ones
     seed: int
-    rate: float = 1.0  # messages a second, on average
-    failing: float = 0.001  # of the calls
-    limits: dict[str, float] = {}  # by endpoint: calls a second
-    spend: int = 90  # percent of a limit that is shared
+    rate: float = 1.0  # messages per second and courier, on average
+    failing: float = 0.001  # share of calls that fail; the same share is refused
+    limits: dict[str, float] = {}  # by endpoint: calls per second
+    spend: int = 90  # percent of each limit that the couriers share
     term: int = 3 * SECOND
     period: int = SECOND
     bytes_a_second: int = 20_000
     key: str = ""
-    span: int = 600 * SECOND  # the process ends by itself after that
+    span: int = 600 * SECOND  # lifetime of the process
 
 
-class One(Struct, frozen=True):
-    """One hollow courier of a host."""
+class HollowCourierConfig(Struct, frozen=True):
+    """Configuration of one hollow courier of a host."""
 
     name: str
     number: int
-    zone: str  # its group of members
+    zone: str  # its membership group
     advertise: Address | None = None
     seeds: dict[str, Address] = {}
 
 
-def budgets(told: Told) -> dict[str, tuple[int, int]]:
-    """Calls and span by the budget's key, as real couriers work them out of a told limit."""
-    return {f"e:{name}": spanned(limit * told.spend / 100, told.couriers) for name, limit in told.limits.items()}
+def endpoint_budgets(config: HollowConfig) -> dict[str, tuple[int, int]]:
+    """Calls and window by budget key, as real couriers derive them from a configured limit."""
+    return {f"e:{name}": spanned(limit * config.spend / 100, config.couriers) for name, limit in config.limits.items()}
 
 
-class Drawn:
-    """Messages of one courier, and how their calls end, from its seed. No I/O."""
+class Workload:
+    """Random messages of one courier and outcomes of their calls, deterministic for its seed. No I/O.
 
-    def __init__(self, told: Told, number: int) -> None:
-        self._random = Random(told.seed * 1_000_003 + number)
-        busy = self._random.random() < SHARE
-        self.rate = told.rate * (BUSY if busy else (1 - SHARE * BUSY) / (1 - SHARE))
-        self.names, self.failing = sorted(told.limits), told.failing
+    Arrivals are a Poisson process.
+    """
+
+    def __init__(self, config: HollowConfig, number: int) -> None:
+        self._random = Random(config.seed * 1_000_003 + number)
+        busy = self._random.random() < BUSY_SHARE
+        self.rate = config.rate * (BUSY_FACTOR if busy else (1 - BUSY_SHARE * BUSY_FACTOR) / (1 - BUSY_SHARE))
+        self.names, self.failing = sorted(config.limits), config.failing
         self.waiting = dict.fromkeys(self.names, 0)
-        self.came = self.given_up = 0
-        self.out: deque[tuple[int, str]] = deque()  # calls on their way
-        self.routes = {name: place for place, name in enumerate(self.names, 1)}
+        self.arrived = self.abandoned = 0
+        self.in_flight: deque[tuple[int, str]] = deque()  # calls: time and endpoint
+        self.routes = {name: destination for destination, name in enumerate(self.names, 1)}
         self._next: int | None = None
 
-    def come(self, now: int) -> int:
-        """Messages that came since the last time; they wait."""
-        before = self.came
+    def arrive(self, now: int) -> int:
+        """Queue the messages that arrived since the previous call, and return their number."""
+        before = self.arrived
         if self.rate <= 0 or not self.names:
             return 0
         if self._next is None:
             self._next = now + int(self._random.expovariate(self.rate) * SECOND)
         while self._next <= now:
             name = self._random.choice(self.names)
-            if self.waiting[name] < max(1.0, PATIENCE * self.rate):
+            if self.waiting[name] < max(1.0, MAX_BACKLOG_SECONDS * self.rate):
                 self.waiting[name] += 1
             else:
-                self.given_up += 1
-            self.came += 1
+                self.abandoned += 1
+            self.arrived += 1
             self._next += max(1, int(self._random.expovariate(self.rate) * SECOND))
-        return self.came - before
+        return self.arrived - before
 
     def outcome(self) -> tuple[Outcome, int]:
-        """How a call ends, and the wait that is told with it."""
+        """The outcome of a call, and the retry-after delay reported with it."""
         draw = self._random.random()
         if draw < self.failing:
             return Outcome.FAILED, 0
-        return (Outcome.REFUSED, WAIT) if draw < 2 * self.failing else (Outcome.SERVED, 0)
+        return (Outcome.REFUSED, RETRY_AFTER) if draw < 2 * self.failing else (Outcome.SERVED, 0)
 
-    def turn(
+    def step(
         self,
         peer: Peer,
         budgets: dict[str, tuple[int, int]],
         clock: Callable[[], int],
-        called: Callable[[str, int], None],
+        on_call: Callable[[str, int], None],
     ) -> None:
-        """A courier's turn: budgets and what waits for them, calls that end, and those that may be made."""
+        """End the calls in flight, queue new messages, and make the calls that the budgets allow.
+
+        ``on_call`` is called with the budget's key and the time of each call.
+        """
         shares, now = peer.shares, clock()
-        while self.out:
-            sent, name = self.out.popleft()
-            outcome, wait = self.outcome()
-            peer.judgements.saw(name, outcome, sent, now, wait)
+        while self.in_flight:
+            sent, name = self.in_flight.popleft()
+            outcome, retry_after = self.outcome()
+            peer.judgements.saw(name, outcome, sent, now, retry_after)
             peer.counts.add(f"calls/{name}/{outcome.name.lower()}")
             peer.counts.add("ended/reading/delivered")
-        for _ in range(self.come(now)):
+        for _ in range(self.arrive(now)):
             peer.counts.add("taken/reading")
         peer.judgements.routes(self.routes)
-        for key, (calls, span) in budgets.items():
+        for key, (calls, window) in budgets.items():
             name = key[2:]
-            shares.budget(key, calls, span, False, 0, now)
+            shares.budget(key, calls, window, False, 0, now)
             while self.waiting[name]:
                 at = clock()
                 if not shares.spend(key, at):
                     break
                 self.waiting[name] -= 1
-                self.out.append((at, name))
-                called(key, at)
+                self.in_flight.append((at, name))
+                on_call(key, at)
                 peer.counts.add(f"used/{key}")
             shares.lacks(key, self.waiting[name], float(self.waiting[name]), now)
 
 
-class Hollow:
-    """One hollow courier, at work."""
+class HollowCourier:
+    """HollowCourierConfig hollow courier: its socket, its workload, and its peer while it runs."""
 
-    def __init__(self, host: Host, one: One) -> None:
-        self.host, self.loop, self.one, self.told = host, host.loop, one, host.told
+    def __init__(self, host: Host, courier_config: HollowCourierConfig) -> None:
+        self.host, self.loop, self.courier_config, self.config = host, host.loop, courier_config, host.config
         self.peer: Peer | None = None
-        self.drawn = Drawn(self.told, one.number)
+        self.workload = Workload(self.config, courier_config.number)
         self.calls: list[tuple[str, int]] = []  # since the last report
         self.events: Counter[str] = Counter()
-        self.unsent = self.sent = self.heard = self.held_back = 0  # of lives that are over
-        self._found = kept.Kept(0, {}, {})
-        self._kept = b""
-        self._keep_at = 0
+        self.unsent = self.sent = self.received = self.over_bandwidth = 0  # of ended processes; unsent: of all
+        self._state = kept.Kept(0, {}, {})
+        self._state_file = b""  # in memory
+        self._save_at = 0
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.socket.setblocking(False)
         self.socket.bind(("127.0.0.1", 0))
         self.address: Address = self.socket.getsockname()
         self.loop.spawn(self._read)
 
     def start(self) -> None:
-        """A life begins."""
-        told, one, now = self.told, self.one, self.loop.clock()
-        self._found.life = kept.next_life(self._found)
-        about = About(
-            one.name,
-            one.advertise or self.address,
-            self._found.life,
-            keys([told.key]),
-            self.host.seeds | one.seeds,
-            Terms(told.couriers, one.number, told.term),
-            told.bytes_a_second,
-            told.period,
+        """Start, as a new process with the saved state of the previous one."""
+        config, courier_config, now = self.config, self.courier_config, self.loop.clock()
+        self._state.life = kept.next_life(self._state)
+        peer_config = About(
+            courier_config.name,
+            courier_config.advertise or self.address,
+            self._state.life,
+            keys([config.key]),
+            self.host.seeds | courier_config.seeds,
+            Terms(config.couriers, courier_config.number, config.term),
+            config.bytes_a_second,
+            config.period,
         )
-        self._write()
-        self.peer = Peer(about, now, told.seed * 1_000 + one.number, self._found.lent, self._keep, self._found.counts)
-        self._keep_at = now
-        self.drawn.out.clear()
+        self._save()
+        self.peer = Peer(
+            peer_config,
+            now,
+            config.seed * 1_000 + courier_config.number,
+            self._state.lent,
+            self._save_loans,
+            self._state.counts,
+        )
+        self._save_at = now
+        self.workload.in_flight.clear()
         self.loop.spawn(self._tick, self.peer)
 
     def stop(self) -> None:
-        """Killed: nothing more is said, what is said to it is lost."""
+        """End at once, as if killed: it sends nothing more, and datagrams to it are lost."""
         if self.peer is not None:
-            self.sent, self.heard = self.sent + self.peer.sent, self.heard + self.peer.heard
-            self.held_back += self.peer.held_back
+            self.sent, self.received = self.sent + self.peer.sent, self.received + self.peer.heard
+            self.over_bandwidth += self.peer.held_back
             self.peer = None
 
-    def _write(self) -> None:
-        """Guards against one disk for hundreds: replacing a file was seen to take 0.8 s, and stalled them all."""
-        self._kept = msgspec.json.encode(self._found)
+    def _save(self) -> None:
+        """Saves to memory: with hundreds of couriers on one disk, replacing a file took 0.8 s and stalled them all."""
+        self._state_file = msgspec.json.encode(self._state)
 
-    def _keep(self, lent: dict[str, int]) -> bool:
-        self._found.lent = lent
+    def _save_loans(self, lent: dict[str, int]) -> bool:
+        self._state.lent = lent
         if self.peer is not None:
-            self._found.counts = self.peer.counts.own()
-        self._write()
+            self._state.counts = self.peer.counts.own()
+        self._save()
         return True
 
     def _send(self, peer: Peer, datagrams: Datagrams) -> None:
@@ -223,92 +236,100 @@
                 if self.peer is not None:
                     self._send(self.peer, self.peer.hear(data, self.loop.clock()))
             if self.peer is not None and self.peer.news:
-                self._judge(self.peer)
+                self._apply_observations(self.peer)
 
-    def _judge(self, peer: Peer) -> None:
+    def _apply_observations(self, peer: Peer) -> None:
         peer.news = False
         peer.judgements.holds(self.loop.clock(), peer.members.alive())
 
     def _tick(self, peer: Peer) -> None:
-        self.loop.sleep(1 + self.drawn_offset())
+        self.loop.sleep(1 + self.tick_offset())
         while self.peer is peer:
             began = self.loop.clock()
-            if self.told.rate > 0:  # else no endpoint has told a limit
-                self.drawn.turn(peer, self.host.budgets, self.loop.clock, self._called)
+            if self.config.rate > 0:  # without calls no endpoint has reported a limit
+                self.workload.step(peer, self.host.budgets, self.loop.clock, self._record_call)
             self._send(peer, peer.tick(self.loop.clock()))
-            self._judge(peer)
-            for key in self.host.budgets if self.told.rate > 0 else ():
+            self._apply_observations(peer)
+            for key in self.host.budgets if self.config.rate > 0 else ():
                 peer.shares.allowed(key, began)
-            if began >= self._keep_at:
-                self._found.counts, self._keep_at = peer.counts.own(), began + KEEP_EVERY
-                self._write()
-            due = self.loop.now + TICK
+            if began >= self._save_at:
+                self._state.counts, self._save_at = peer.counts.own(), began + KEEP_EVERY
+                self._save()
+            scheduled = self.loop.now + TICK
             self.loop.sleep(TICK)
-            self.host.ticked(self.loop.clock() - due)
+            self.host.record_tick(self.loop.clock() - scheduled)
 
-    def _called(self, key: str, at: int) -> None:
+    def _record_call(self, key: str, at: int) -> None:
         self.calls.append((key, at))
 
-    def drawn_offset(self) -> int:
-        """Ticks of a host's couriers are spread, and the same at each life."""
-        return self.one.number * 7_919 % TICK
+    def tick_offset(self) -> int:
+        """Offset that spreads the ticks of a host's couriers over the interval; the same after each restart."""
+        return self.courier_config.number * 7_919 % TICK
 
 
 class Host:
-    """Hollow couriers of one process.
-
-    Commands: ``{"open": {"told": {...}, "couriers": [{...}]}}`` (``Told``, ``One``), answered by ``{"open": {NAME:
-    [HOST, PORT]}}``; ``{"seeds": {NAME: [HOST, PORT]}}``, beside those of each; ``{"start": [NAME...], "within":
-    MICROSECONDS}``; ``{"stop": [NAME...]}``; ``{"restart": [NAME...], "gap": MICROSECONDS, "within": MICROSECONDS}``;
-    ``{"truth": {"there": {ZONE: N}, "gone": {ZONE: [NAME...]}}}``, by which it is said what couriers hold rightly. A
-    report each second.
+    """The hollow couriers of one process. It sends a report each second.
+
+    Commands:
+
+    - ``{"open": {"told": {...}, "couriers": [{...}]}}`` (``HollowConfig``, ``HollowCourierConfig``), answered by
+      ``{"open": {NAME: [HOST, PORT]}}``;
+    - ``{"seeds": {NAME: [HOST, PORT]}}``: seed members of all couriers, in addition to each courier's own;
+    - ``{"start": [NAME...], "within": MICROSECONDS}``: starts spread over that time;
+    - ``{"stop": [NAME...]}``;
+    - ``{"restart": [NAME...], "gap": MICROSECONDS, "within": MICROSECONDS}``: ``gap`` is the downtime of each;
+    - ``{"truth": {"there": {ZONE: N}, "gone": {ZONE: [NAME...]}}}``: the running couriers' number and the killed
+      couriers by zone; reports count how far the couriers' membership lists differ from it.
     """
 
     def __init__(self) -> None:
         self.loop = Noted()
-        self.told = Told(1, 0)
+        self.config = HollowConfig(1, 0)
         self.budgets: dict[str, tuple[int, int]] = {}
-        self.couriers: dict[str, Hollow] = {}
+        self.couriers: dict[str, HollowCourier] = {}
         self.seeds: dict[str, Address] = {}
-        self.there: dict[str, int] = {}
-        self.gone: dict[str, set[str]] = {}
-        self.ticks = self.late = self.latest = self.stalls = 0
+        self.running_counts: dict[str, int] = {}  # by zone
+        self.killed: dict[str, set[str]] = {}  # by zone
+        self.ticks = self.total_lateness = self.max_lateness = self.stalls = 0
 
-    def ticked(self, late: int) -> None:
-        """A courier's turn came so much later than it was due."""
+    def record_tick(self, lateness: int) -> None:
+        """Record by how much a courier's tick came after its scheduled time."""
         self.ticks += 1
-        self.late += late
-        self.latest = max(self.latest, late)
-        self.stalls += late > self.told.period
-
-    def command(self, told: dict[str, Any]) -> None:
-        """One command."""
-        if "open" in told:
-            self._open(told["open"])
-        if "truth" in told:
-            self.there = dict(told["truth"]["there"])
-            self.gone = {zone: set(names) for zone, names in told["truth"]["gone"].items()}
-        self.seeds |= {name: (place[0], place[1]) for name, place in told.get("seeds", {}).items()}
-        for name in told.get("stop", ()):
+        self.total_lateness += lateness
+        self.max_lateness = max(self.max_lateness, lateness)
+        self.stalls += lateness > self.config.period
+
+    def command(self, command: dict[str, Any]) -> None:
+        """Carry out one command; the class's docstring lists them."""
+        if "open" in command:
+            self._open(command["open"])
+        if "truth" in command:
+            self.running_counts = dict(command["truth"]["there"])
+            self.killed = {zone: set(names) for zone, names in command["truth"]["gone"].items()}
+        self.seeds |= {name: (address[0], address[1]) for name, address in command.get("seeds", {}).items()}
+        for name in command.get("stop", ()):
             self.couriers[name].stop()
-        self._spread(told.get("start", ()), told.get("within", 0), lambda courier: courier.start())
+        self._spread(command.get("start", ()), command.get("within", 0), lambda courier: courier.start())
 
-        def again(courier: Hollow) -> None:
+        def restart(courier: HollowCourier) -> None:
             courier.stop()
-            self.loop.at(self.loop.now + int(told.get("gap", 0)), courier.start)
+            self.loop.at(self.loop.now + int(command.get("gap", 0)), courier.start)
 
-        self._spread(told.get("restart", ()), told.get("within", 0), again)
+        self._spread(command.get("restart", ()), command.get("within", 0), restart)
 
-    def _spread(self, names: list[str], within: int, call: Callable[[Hollow], None]) -> None:
-        for place, name in enumerate(names):
+    def _spread(self, names: list[str], duration: int, call: Callable[[HollowCourier], None]) -> None:
+        for index, name in enumerate(names):
             courier = self.couriers[name]
-            self.loop.at(self.loop.now + within * place // len(names), lambda courier=courier: call(courier))  # type: ignore[misc]
-
-    def _open(self, told: dict[str, Any]) -> None:
-        self.told = msgspec.convert(told["told"], Told)
-        self.budgets = budgets(self.told)
-        self.couriers = {one["name"]: Hollow(self, msgspec.convert(one, One)) for one in told["couriers"]}
-        self.loop.at(self.loop.now + self.told.span, self.loop.stop)
+            self.loop.at(self.loop.now + duration * index // len(names), lambda courier=courier: call(courier))  # type: ignore[misc]
+
+    def _open(self, arguments: dict[str, Any]) -> None:
+        self.config = msgspec.convert(arguments["told"], HollowConfig)
+        self.budgets = endpoint_budgets(self.config)
+        self.couriers = {
+            courier["name"]: HollowCourier(self, msgspec.convert(courier, HollowCourierConfig))
+            for courier in arguments["couriers"]
+        }
+        self.loop.at(self.loop.now + self.config.span, self.loop.stop)
         child.say({"open": {name: courier.address for name, courier in self.couriers.items()}})
         self.loop.spawn(self._report)
 
@@ -318,14 +339,17 @@
             self.loop.sleep(SECOND)
 
     def report(self) -> dict[str, Any]:
-        """How the couriers stand, and what this process took. Sums since the start; lateness and calls since last."""
-        used = resource.getrusage(resource.RUSAGE_SELF)
+        """Status of the couriers and resource use of the process.
+
+        Sums are since the start, lateness and calls since the previous report.
+        """
+        usage = resource.getrusage(resource.RUSAGE_SELF)
         with open("/proc/self/statm") as file:
             rss = int(file.read().split()[1]) * resource.getpagesize()
         calls: dict[str, list[int]] = {key: [] for key in self.budgets}
         sums: Counter[str] = Counter()
         events: Counter[str] = Counter()
-        least: int | None = None
+        least_known: int | None = None
         for courier in self.couriers.values():
             for key, at in courier.calls:
                 calls[key].append(at)
@@ -334,45 +358,47 @@
             peer = courier.peer
             sums.update(
                 sent=courier.sent,
-                heard=courier.heard,
-                held_back=courier.held_back,
+                heard=courier.received,
+                held_back=courier.over_bandwidth,
                 unsent=courier.unsent,
-                came=courier.drawn.came,
-                given_up=courier.drawn.given_up,
+                came=courier.workload.arrived,
+                given_up=courier.workload.abandoned,
             )
             if peer is None:
                 continue
             sums.update(couriers=1, sent=peer.sent, heard=peer.heard, held_back=peer.held_back)
-            members, gone = peer.members, self.gone.get(courier.one.zone, set())
-            ghosts = sum(name in members.members and members.members[name].said.stand <= Stand.SUSPECT for name in gone)
+            members, killed = peer.members, self.killed.get(courier.courier_config.zone, set())
+            ghosts = sum(
+                name in members.members and members.members[name].said.stand <= Stand.SUSPECT for name in killed
+            )
             known = len(members.alive()) - ghosts
-            least = known if least is None else min(least, known)
-            others = self.there.get(courier.one.zone, 1) - 1
+            least_known = known if least_known is None else min(least_known, known)
+            others = self.running_counts.get(courier.courier_config.zone, 1) - 1
             sums.update(
                 pairs=others,
                 missing=max(0, others - known),
                 ghosts=ghosts,
-                ghost_pairs=len(gone),
-                buried=len(members.gone() - gone),
+                ghost_pairs=len(killed),
+                buried=len(members.gone() - killed),
                 refused=members.refused,
             )
         found = {
             "at": self.loop.now,
             "pid": os.getpid(),
-            "cpu": used.ru_utime + used.ru_stime,
+            "cpu": usage.ru_utime + usage.ru_stime,
             "rss": rss,
             "longest": self.loop.longest,
             "ticks": self.ticks,
-            "late": self.late,
-            "latest": self.latest,
+            "late": self.total_lateness,
+            "latest": self.max_lateness,
             "stalls": self.stalls,
-            "least": least or 0,
+            "least": least_known or 0,
             "sums": dict(sums),
             "events": dict(events),
             "calls": calls,
             "dropped": dropped([courier.socket for courier in self.couriers.values()]),
         }
-        self.loop.longest = self.ticks = self.late = self.latest = self.stalls = 0
+        self.loop.longest = self.ticks = self.total_lateness = self.max_lateness = self.stalls = 0
         return found
 
 
--- a/kestrelspar/lab/modelled.py
+++ b/kestrelspar/lab/modelled.py
@@ -1,8 +1,8 @@
-"""The same play on the modelled network: for sizes that no machine carries in real time. See scale.py, model.py.
+"""The scale run on the simulated network, for fleet sizes that no machine runs in real time. See scale.py, model.py.
 
-Members, words, budgets, judgements and counts are the real ones, with the draws of hollow couriers; datagrams and time
-are modelled. So bytes, what is known and how long that takes are figures of the protocol; processor time is what the
-modules and the model took together, in one process without sockets.
+Membership, peer messages, budgets, judgements and counters are the production modules, with the random workload of
+hollow couriers; datagrams and time are simulated. So bytes, convergence and its duration are figures of the protocol;
+processor time is that of the modules and the simulation together, in one process without sockets.
 """
 
 from __future__ import annotations
@@ -16,104 +16,111 @@
 from types import FrameType
 from typing import Any
 
-from kestrelspar.lab.hollow import Drawn, Told, budgets
+from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
 from kestrelspar.lab.model import Faults, Net, Node
 from kestrelspar.lab.plan import A_HOST, MB, Asked, Bounds, TooMuch, plan_model
 from kestrelspar.lab.scale import (
-    CUT_FOR,
-    DELAY,
-    GAP,
-    KNOWN,
-    KNOWN_WITHIN,
-    LOSS,
-    OVER_WITHIN,
-    SEEDS,
-    SPEND,
-    STOP_FOR,
-    SYSTEMS,
-    TERM,
-    WAVE,
+    CONVERGENCE_TIMEOUT,
+    CUT_DURATION,
+    FAULT_DELAY,
+    FAULT_LOSS,
+    LOAN_TERM,
+    MAX_WRONG_SHARE,
+    MEMBER_SYSTEMS,
+    PAUSE_DURATION,
+    RECOVERY_TIMEOUT,
+    RESTART_DOWNTIME,
+    RESTART_PERIOD,
+    SEEDS_PER_GROUP,
+    SPEND_PERCENT,
     Stopped,
 )
 from kestrelspar.peers.peer import Peer
 from kestrelspar.peers.words import Stand
 from kestrelspar.runtime.loop import MS, SECOND
 
+SIGNAL_CHECK_INTERVAL = 100 * MS  # of simulated time
 
-class Zoned(Net):
-    """Couriers in zones, with drawn calls."""
+
+class ZonedNet(Net):
+    """Simulated couriers in zones, with a random workload."""
 
     def __init__(self, asked: Asked) -> None:
         super().__init__(
-            asked.couriers, asked.seed, Faults(), terms={"term": TERM}, bytes_a_second=20_000, period=asked.period
+            asked.couriers, asked.seed, Faults(), terms={"term": LOAN_TERM}, bytes_a_second=20_000, period=asked.period
         )
         self.asked = asked
         self.zones = {name: f"z{node.number % asked.zones}" for name, node in self.nodes.items()}
         self._seeded: dict[str, dict[str, tuple[str, int]]] = {}
         for name, node in self.nodes.items():
-            known = self._seeded.setdefault(self.scope(name), {})
-            if len(known) < SEEDS:
-                known[name] = node.address
-        limits = dict.fromkeys(SYSTEMS, max(40.0, 2.0 * asked.couriers))
-        told = Told(asked.couriers, asked.seed, asked.rate, asked.failing, limits=limits, spend=SPEND)
-        self.told_budgets = budgets(told)
-        for key, (calls, span) in self.told_budgets.items():
-            self.judge.limits[key] = calls, span
-        self.drawn = {name: Drawn(told, node.number) for name, node in self.nodes.items()}
-        self.gone: set[str] = set()
-        self.over = Counter[str]()  # of lives that are over
+            seeds = self._seeded.setdefault(self.scope(name), {})
+            if len(seeds) < SEEDS_PER_GROUP:
+                seeds[name] = node.address
+        limits = dict.fromkeys(MEMBER_SYSTEMS, max(40.0, 2.0 * asked.couriers))
+        config = HollowConfig(asked.couriers, asked.seed, asked.rate, asked.failing, limits=limits, spend=SPEND_PERCENT)
+        self.endpoint_budgets = endpoint_budgets(config)
+        for key, (calls, window) in self.endpoint_budgets.items():
+            self.judge.limits[key] = calls, window
+        self.workloads = {name: Workload(config, node.number) for name, node in self.nodes.items()}
+        self.killed: set[str] = set()
+        self.ended_totals = Counter[str]()  # of processes that have ended
         self.sent_datagrams = 0
-        self.seen: Counter[str] = Counter()  # events
+        self.event_counts: Counter[str] = Counter()
         for name, node in self.nodes.items():
-            node.turn = self._turn_of(name)
+            node.before_tick = self._workload_step(name)
 
     def scope(self, name: str) -> str:
-        """The group of couriers that know each other."""
+        """The membership group of a courier."""
         return self.zones[name] if self.asked.grouped else "all"
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
         """See ``Net``."""
         return self._seeded[self.scope(name)]
 
-    def _turn_of(self, name: str) -> Callable[[Node, Peer], None]:
-        drawn, judge = self.drawn[name], self.judge
+    def _workload_step(self, name: str) -> Callable[[Node, Peer], None]:
+        workload, checker = self.workloads[name], self.judge
 
-        def turn(node: Node, peer: Peer) -> None:
-            drawn.turn(
-                peer, self.told_budgets, lambda: node.clock(self.now), lambda key, at: judge.call(self.now, name, key)
+        def step(node: Node, peer: Peer) -> None:
+            workload.step(
+                peer,
+                self.endpoint_budgets,
+                lambda: node.clock(self.now),
+                lambda key, at: checker.call(self.now, name, key),
             )
 
-        return turn
+        return step
 
-    def send(self, sender: str, to: Node, data: bytes) -> None:
+    def send(self, sender: str, receiver: Node, data: bytes) -> None:
         """See ``Net``."""
         self.sent_datagrams += 1
-        super().send(sender, to, data)
+        super().send(sender, receiver, data)
 
     def kill(self, name: str) -> None:
         """See ``Net``."""
         peer = self.nodes[name].peer
         if peer is not None:
-            self.over.update(sent=peer.sent, heard=peer.heard, held_back=peer.held_back)
-        self.drawn[name].out.clear()
+            self.ended_totals.update(sent=peer.sent, heard=peer.heard, held_back=peer.held_back)
+        self.workloads[name].in_flight.clear()
         super().kill(name)
 
     def sums(self) -> Counter[str]:
-        """Over all couriers, and how much of what is so they know."""
-        found = Counter(self.over)
-        there: Counter[str] = Counter(self.scope(name) for name in self.nodes if name not in self.gone)
-        gone: dict[str, list[str]] = {}
-        for name in self.gone:
-            gone.setdefault(self.scope(name), []).append(name)
+        """Totals over all couriers, and how complete and current their membership lists are."""
+        found = Counter(self.ended_totals)
+        running: Counter[str] = Counter(self.scope(name) for name in self.nodes if name not in self.killed)
+        killed: dict[str, list[str]] = {}
+        for name in self.killed:
+            killed.setdefault(self.scope(name), []).append(name)
         for _, _, event, _ in self.events:
-            self.seen[event] += 1
+            self.event_counts[event] += 1
         self.events.clear()
         for name, node in self.nodes.items():
             if node.peer is None:
                 continue
-            members, lost = node.peer.members, gone.get(self.scope(name), ())
-            ghosts = sum(each in members.members and members.members[each].said.stand <= Stand.SUSPECT for each in lost)
-            others = there[self.scope(name)] - 1
+            members, ended = node.peer.members, killed.get(self.scope(name), ())
+            ghosts = sum(
+                other in members.members and members.members[other].said.stand <= Stand.SUSPECT for other in ended
+            )
+            others = running[self.scope(name)] - 1
             known = len(members.alive()) - ghosts
             found.update(
                 couriers=1,
@@ -123,79 +130,79 @@
                 pairs=others,
                 missing=max(0, others - known),
                 ghosts=ghosts,
-                ghost_pairs=len(lost),
+                ghost_pairs=len(ended),
                 refused=members.refused,
             )
         return found
 
 
-class Modelled:
-    """One play of the model."""
+class SimulatedRun:
+    """One scale run on the simulated network."""
 
     def __init__(self, asked: Asked, bounds: Bounds, progress: Callable[[str], None]) -> None:
-        self.planned = plan_model(asked, bounds)
+        self.planned_memory = plan_model(asked, bounds)
         self.asked, self.bounds, self.progress = asked, bounds, progress
-        self.empty = _rss()
-        self.net = Zoned(asked)
+        self.initial_memory = _rss()
+        self.net = ZonedNet(asked)
         self.series: list[dict[str, Any]] = []
-        self.peak = self.hit = 0
-        self.numbers: list[int] = []  # signals
-
-    def second(self, span: int = SECOND) -> None:
-        """Let modelled time pass, and look at the bounds."""
-        for _ in range(max(1, span // (100 * MS))):
-            self.net.run(self.net.now + 100 * MS)
-            if self.numbers:
-                raise Stopped(self.numbers[0])
-        self.peak = max(self.peak, _rss())
-        if self.peak > self.bounds.memory:
+        self.peak_memory = self.affected = 0
+        self.signals: list[int] = []  # numbers of the signals received
+
+    def advance(self, duration: int = SECOND) -> None:
+        """Advance simulated time, check the memory bound, and add a row to the series."""
+        for _ in range(max(1, duration // SIGNAL_CHECK_INTERVAL)):
+            self.net.run(self.net.now + SIGNAL_CHECK_INTERVAL)
+            if self.signals:
+                raise Stopped(self.signals[0])
+        self.peak_memory = max(self.peak_memory, _rss())
+        if self.peak_memory > self.bounds.memory:
             raise TooMuch(
-                f"{self.peak / MB:,.0f} MB of memory are taken (wanted: {self.bounds.memory / MB:,.0f} MB at "
-                "the most); the model was ended"
+                f"{self.peak_memory / MB:,.0f} MB of memory in use (wanted: {self.bounds.memory / MB:,.0f} MB or "
+                "less); the simulation was ended"
             )
         sums = self.net.sums()
         self.series.append(
             {
                 "s": self.net.now / SECOND,
-                "missing": _part(sums, "missing", "pairs"),
-                "ghosts": _part(sums, "ghosts", "ghost_pairs"),
+                "missing": _share(sums, "missing", "pairs"),
+                "ghosts": _share(sums, "ghosts", "ghost_pairs"),
                 "sent": sums["sent"],
                 "passed": self.net.sent_datagrams,
                 "hollow_cpu": round(_cpu(), 3),
                 "relay_cpu": 0.0,
                 "real_cpu": 0.0,
-                "memory_mb": round(self.peak / MB, 1),
+                "memory_mb": round(self.peak_memory / MB, 1),
                 "late_ms": 0,
             }
         )
         self.progress(
-            f"modelled: {self.net.now // SECOND} s, {self.series[-1]['missing']:.1%} of members not known, "
-            f"{self.series[-1]['ghosts']:.1%} of those who are gone thought alive"
+            f"simulated: {self.net.now // SECOND} s, {self.series[-1]['missing']:.1%} of running members missing, "
+            f"{self.series[-1]['ghosts']:.1%} of killed members listed as alive"
         )
 
-    def settled(self) -> bool:
-        """Whether what is so is known."""
-        return bool(max(self.series[-1]["missing"], self.series[-1]["ghosts"]) <= KNOWN)
+    def converged(self) -> bool:
+        """Whether the membership lists are correct, but for a tolerated share."""
+        return bool(max(self.series[-1]["missing"], self.series[-1]["ghosts"]) <= MAX_WRONG_SHARE)
 
-    def wait(self, within: int) -> int | None:
-        """Until it is settled, in whole seconds; nothing where that does not come."""
+    def wait(self, timeout: int) -> int | None:
+        """Advance until the lists have converged; the time that took in steps of a second, None on a timeout."""
         begin = self.net.now
-        self.second()
-        while not self.settled():
-            if self.net.now - begin > within:
+        self.advance()
+        while not self.converged():
+            if self.net.now - begin > timeout:
                 return None
-            self.second()
+            self.advance()
         return self.net.now - begin
 
-    def phase(self, span: int) -> dict[str, Any]:
-        """Let so much time pass, and its figures."""
+    def phase(self, duration: int) -> dict[str, Any]:
+        """Advance by a duration, and return its figures."""
         before, sent, cpu, begin = self.net.sums(), self.net.sent_datagrams, _cpu(), self.net.now
-        while self.net.now < begin + span:
-            self.second()
+        while self.net.now < begin + duration:
+            self.advance()
         return self.figures(before, sent, cpu, begin)
 
     def figures(self, before: Counter[str], sent: int, cpu: float, begin: int) -> dict[str, Any]:
-        """Since then, as ``scale.Scale.phase`` has them."""
+        """Figures since ``begin``, with the keys of ``scale.ScaleRun.phase``."""
         after, seconds = self.net.sums(), max(1, self.net.now - begin) / SECOND
         couriers = max(1, after["couriers"])
         return {
@@ -215,78 +222,81 @@
         }
 
     def inject(self) -> int:
-        """See ``scale.Scale.inject``; in the place of a process, as many couriers of the last zone as it would hold."""
+        """See ``scale.ScaleRun.inject``; a process stands for as many couriers of the last zone as it would hold."""
         net, asked = self.net, self.asked
         last = f"z{asked.zones - 1}"
         inside = [name for name, zone in net.zones.items() if zone == last]
-        self.hit = {
+        self.affected = {
             "cut": len(inside),
             "one-way": len(inside),
             "stop": len(inside[:A_HOST]),
             "restarts": asked.couriers // 2,
         }.get(asked.fault, asked.couriers)
         if asked.fault == "loss":
-            net.faults.loss = LOSS
+            net.faults.loss = FAULT_LOSS
         elif asked.fault == "delay":
-            net.faults.delay = DELAY
+            net.faults.delay = FAULT_DELAY
         elif asked.fault in ("cut", "one-way"):
-            part, both = set(inside), asked.fault == "cut"
-            net.cut = lambda a, b: (a in part) != (b in part) and (both or b in part)
-            span = min(CUT_FOR, asked.span)
-            net.at(net.now + span, lambda: setattr(net, "cut", lambda a, b: False))
-            return span
+            isolated, both = set(inside), asked.fault == "cut"
+            net.cut = lambda sender, receiver: (
+                (sender in isolated) != (receiver in isolated) and (both or receiver in isolated)
+            )
+            duration = min(CUT_DURATION, asked.span)
+            net.at(net.now + duration, lambda: setattr(net, "cut", lambda sender, receiver: False))
+            return duration
         elif asked.fault == "stop":
             for name in inside[:A_HOST]:
-                net.stop(name, STOP_FOR)
-            return STOP_FOR
+                net.stop(name, PAUSE_DURATION)
+            return PAUSE_DURATION
         elif asked.fault == "kill":
             names = inside[: min(A_HOST, len(inside) // 2 if asked.grouped else A_HOST)]
             for name in names:
                 net.kill(name)
-            net.gone |= set(names)
-            self.hit = len(names)
+            net.killed |= set(names)
+            self.affected = len(names)
         elif asked.fault == "restarts":
             names = Random(asked.seed).sample(list(net.nodes), len(net.nodes) // 2)
-            for place, name in enumerate(names):
-                at = net.now + WAVE * place // len(names)
+            for index, name in enumerate(names):
+                at = net.now + RESTART_PERIOD * index // len(names)
                 net.at(at, lambda name=name: net.kill(name))  # type: ignore[misc]
-                net.at(at + GAP, lambda name=name: net.start(name))  # type: ignore[misc]
-            return WAVE + GAP
+                net.at(at + RESTART_DOWNTIME, lambda name=name: net.start(name))  # type: ignore[misc]
+            return RESTART_PERIOD + RESTART_DOWNTIME
         return 0
 
     def run(self) -> dict[str, Any]:
-        """The play, and its report."""
+        """Run to the end, and return the report."""
         asked, net = self.asked, self.net
-        within = max(2 * SECOND, asked.hollow * MS)
-        for place, name in enumerate(net.nodes):
-            net.at(within * place // len(net.nodes), lambda name=name: net.start(name))  # type: ignore[misc]
-        while net.now < within:
-            self.second()
-        known = self.wait(KNOWN_WITHIN)
-        self.phase(min(5 * SECOND, asked.span))  # words of the start are over
+        start_period = max(2 * SECOND, asked.hollow * MS)
+        for index, name in enumerate(net.nodes):
+            net.at(start_period * index // len(net.nodes), lambda name=name: net.start(name))  # type: ignore[misc]
+        while net.now < start_period:
+            self.advance()
+        known = self.wait(CONVERGENCE_TIMEOUT)
+        self.phase(min(5 * SECOND, asked.span))  # until the gossip of the start has died down
         figures = {"rest": self.phase(max(3 * SECOND, asked.span // 3 if asked.fault != "none" else asked.span))}
         settled: int | None = None
         if asked.fault != "none":
             before, sent, cpu, begin = net.sums(), net.sent_datagrams, _cpu(), net.now
-            over = self.inject()
-            while net.now < begin + (asked.span if asked.fault in ("loss", "delay") else over):
-                self.second()
-            settled = self.wait(OVER_WITHIN)
+            fault_duration = self.inject()
+            while net.now < begin + (asked.span if asked.fault in ("loss", "delay") else fault_duration):
+                self.advance()
+            settled = self.wait(RECOVERY_TIMEOUT)
             figures["fault"] = self.figures(before, sent, cpu, begin)
         found = [
-            f"{key}: {most} calls in a span at {at // MS} ms, {net.judge.limits[key][0]} are allowed"
-            for at, key, most in net.judge.faults[:3]
+            f"{key}: {count} calls in one window at {at // MS} ms, {net.judge.limits[key][0]} allowed"
+            for at, key, count in net.judge.faults[:3]
         ]
         sums = net.sums()
         if known is None:
             found.append(
-                f"not known within {KNOWN_WITHIN // SECOND} s: {_part(sums, 'missing', 'pairs'):.1%} of members"
+                f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
+                f"{_share(sums, 'missing', 'pairs'):.1%} of members missing"
             )
         if asked.fault != "none" and settled is None:
-            found.append(f"{asked.fault}: not over within {OVER_WITHIN // SECOND} s")
+            found.append(f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s of its end")
         if sums["refused"]:
-            found.append(f"{sums['refused']} members were refused as too many")
-        held = asked.couriers / (asked.zones if asked.grouped else 1)
+            found.append(f"{sums['refused']} members were rejected: membership list full")
+        group_size = asked.couriers / (asked.zones if asked.grouped else 1)
         return {
             "from": "modelled network",
             "real": 0,
@@ -296,23 +306,23 @@
             "grouped": asked.grouped,
             "seed": asked.seed,
             "fault_name": asked.fault,
-            "hit": self.hit,
+            "hit": self.affected,
             "rate": asked.rate,
             "failing": asked.failing,
             "period_ms": asked.period // MS,
             "processes": 1,
-            "memory_mb": round(self.peak / MB, 1),
-            "planned_mb": round(self.planned / MB, 1),
-            "known_s": None if known is None else (known + within) / SECOND,
+            "memory_mb": round(self.peak_memory / MB, 1),
+            "planned_mb": round(self.planned_memory / MB, 1),
+            "known_s": None if known is None else (known + start_period) / SECOND,
             "settled_s": None if settled is None else settled / SECOND,
             **figures,
             "messages": 0,
             "served": 0.0,
             "busiest_span": {key: [net.judge.most[key], calls] for key, (calls, _) in net.judge.limits.items()},
-            "memory_a_member_hollow": round((self.peak - self.empty) / asked.couriers / held),
+            "memory_a_member_hollow": round((self.peak_memory - self.initial_memory) / asked.couriers / group_size),
             "saturated": [],
             "findings": found,
-            "events": dict(net.seen),
+            "events": dict(net.event_counts),
             "sums": dict(sums),
             "series": self.series,
         }
@@ -329,20 +339,20 @@
     return used.ru_utime + used.ru_stime
 
 
-def _part(sums: Counter[str], some: str, whole: str) -> float:
-    return round(sums[some] / max(1, sums[whole]), 4)
+def _share(sums: Counter[str], part: str, total: str) -> float:
+    return round(sums[part] / max(1, sums[total]), 4)
 
 
 def play(asked: Asked, bounds: Bounds, progress: Callable[[str], None] = lambda text: None) -> dict[str, Any]:
-    """One play; a dict that JSON can hold. ``TooMuch``, ``Stopped``."""
-    model = Modelled(asked, bounds, progress)
+    """Run once and return the report, a dict that JSON can hold. Raises ``TooMuch`` and ``Stopped``."""
+    simulation = SimulatedRun(asked, bounds, progress)
 
-    def note(number: int, _: FrameType | None) -> None:
-        model.numbers.append(number)
+    def record_signal(number: int, _: FrameType | None) -> None:
+        simulation.signals.append(number)
 
-    before = {number: signal.signal(number, note) for number in (signal.SIGINT, signal.SIGTERM)}
+    previous = {number: signal.signal(number, record_signal) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
-        return model.run()
+        return simulation.run()
     finally:
-        for number, handler in before.items():
+        for number, handler in previous.items():
             signal.signal(number, handler)
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -1,8 +1,9 @@
-"""Real couriers beside hollow ones, in zones behind relays, under a fault: what it costs by size, and what broke.
+"""Scale run: real and hollow couriers in zones behind relays, under a fault; measures cost by fleet size, and checks.
 
-The play is one process: it holds the rig (real couriers, member systems, clients) and children for relays and hollow
-couriers, which report each second. It ends by itself; a signal, or memory above what was allowed, ends it earlier,
-and no process stays. Everything that is measured comes from those reports, /proc, and what member systems received.
+The run is controlled by one process. It holds the test rig (real couriers, member systems, clients), and child
+processes for relays and hollow couriers, which report each second. It ends by itself; a signal, or memory above the
+bound, ends it earlier, and no process is left behind. All figures come from those reports, from /proc, and from the
+calls that member systems received.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
 
 from kestrelspar.lab import judge
 from kestrelspar.lab.child import Child
-from kestrelspar.lab.hollow import Told, budgets
+from kestrelspar.lab.hollow import HollowConfig, endpoint_budgets
 from kestrelspar.lab.plan import MB, Asked, Bounds, Plan, TooMuch, plan
-from kestrelspar.lab.relays import Path as Way
+from kestrelspar.lab.relays import Path as RelayPath
 from kestrelspar.lab.relays import fault as path_fault
 from kestrelspar.lab.rig import KEY, Beyond, Rig
 from kestrelspar.peers.door import ask
@@ -34,135 +35,142 @@
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.settings import kinds
 
-TERM, SPEND = 3 * SECOND, 90
-SEEDS = 3  # couriers of a group that the others are told of
-OPEN_WITHIN, KNOWN_WITHIN, OVER_WITHIN = 60 * SECOND, 180 * SECOND, 120 * SECOND
-KNOWN = 0.01  # of the pairs may be wrong where it counts as known
-CUT_FOR, STOP_FOR = 10 * SECOND, TERM + 2 * SECOND
-LOSS, DELAY = 0.1, (50 * MS, 250 * MS)
-WAVE, GAP = 5 * SECOND, 500 * MS  # restarts: spread over, and how long each is away
-SYSTEMS = ("m1", "m2")  # member systems
-REAL_RATE = 2.0  # messages a second at a real courier
-TAKEN = 0.9  # of a core: a process that takes more is saturated
-FULL = 0.95  # of all cores that may be used
-STALLED = 0.01  # of the ticks may come more than a period late
-CONTROLS = 2  # real couriers with peers off, where real and hollow ones are compared
+LOAN_TERM, SPEND_PERCENT = 3 * SECOND, 90
+SEEDS_PER_GROUP = 3  # couriers of each group that the others are configured with
+OPEN_TIMEOUT, CONVERGENCE_TIMEOUT, RECOVERY_TIMEOUT = 60 * SECOND, 180 * SECOND, 120 * SECOND
+MAX_WRONG_SHARE = 0.01  # share of pairs of couriers that may be wrong when membership counts as converged
+CUT_DURATION, PAUSE_DURATION = 10 * SECOND, LOAN_TERM + 2 * SECOND
+FAULT_LOSS, FAULT_DELAY = 0.1, (50 * MS, 250 * MS)
+RESTART_PERIOD, RESTART_DOWNTIME = 5 * SECOND, 500 * MS  # restarts are spread over a period; downtime of each
+MEMBER_SYSTEMS = ("m1", "m2")
+REAL_RATE = 2.0  # messages per second at a real courier
+MAX_PROCESS_LOAD = 0.9  # of a core; a process that uses more is saturated
+MAX_CORE_LOAD = 0.95  # of all cores that this process may use; above it they are saturated
+MAX_STALLED_SHARE = 0.01  # of the ticks may come more than a period late
+CONTROL_COURIERS = 2  # real couriers with peers disabled, for the comparison of real and hollow ones
 
 
 class Stopped(Exception):
-    """A signal asked the play to end; its one argument is the number."""
+    """A signal asked the run to end; the argument is the signal's number."""
 
 
 @dataclass(slots=True)
-class Mark:
-    """Sums at one time; two of them make the figures of a phase."""
+class Snapshot:
+    """Totals at one time; a phase's figures are the differences of two."""
 
     at: int = 0
-    hosts: dict[str, tuple[int, float]] = field(default_factory=dict)  # by process: when it reported, its CPU
+    hosts: dict[str, tuple[int, float]] = field(default_factory=dict)  # by process: time of its report, CPU seconds
     relays: dict[str, tuple[int, float]] = field(default_factory=dict)
-    real: dict[str, float] = field(default_factory=dict)
-    play: float = 0.0
+    real_cpu: dict[str, float] = field(default_factory=dict)  # seconds by courier
+    controller_cpu: float = 0.0  # seconds of this process
     sums: Counter[str] = field(default_factory=Counter)
-    talk: dict[str, int] = field(default_factory=dict)  # bytes sent by real couriers
-    cores: tuple[int, int, int] = (0, 0, 0)  # of the cores that we may use: jiffies in all, idle, stolen
+    bytes_sent: dict[str, int] = field(default_factory=dict)  # by real courier
+    cores: tuple[int, int, int] = (0, 0, 0)  # of the cores that this process may use: jiffies in all, idle, stolen
 
 
-def cpu(pid: int) -> float:
-    """Seconds of processor time that a process has used; 0 where it is gone."""
+def cpu_seconds(pid: int) -> float:
+    """Processor time of a process; 0 after its end."""
     with suppress(OSError, ValueError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
     return 0.0
 
 
-def memory(pid: int) -> int:
-    """Its resident bytes; 0 where it is gone."""
+def resident_bytes(pid: int) -> int:
+    """Resident memory of a process; 0 after its end."""
     with suppress(OSError, ValueError, IndexError):
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize()
     return 0
 
 
-def cores() -> tuple[int, int, int]:
-    """Time of the cores that this process may use, in all, idle, and taken by the machine's host: whoever used them."""
+def core_times() -> tuple[int, int, int]:
+    """Jiffies of the cores that this process may use, over all processes: in all, idle, stolen by the hypervisor."""
     sums = [0, 0, 0]
     with suppress(OSError, ValueError, IndexError):
-        ours = {f"cpu{n}" for n in os.sched_getaffinity(0)}
+        allowed = {f"cpu{n}" for n in os.sched_getaffinity(0)}
         for line in Path("/proc/stat").read_text().splitlines():
-            name, *words = line.split()
-            if name in ours:
-                times = [int(word) for word in words[:8]]
+            name, *columns = line.split()
+            if name in allowed:
+                times = [int(column) for column in columns[:8]]
                 sums = [sums[0] + sum(times), sums[1] + times[3] + times[4], sums[2] + times[7]]
     return sums[0], sums[1], sums[2]
 
 
 @contextmanager
-def told_to_end(loop: Loop) -> Iterator[None]:
-    """SIGINT and SIGTERM end the turn with ``Stopped``, at its end: nothing is left half done."""
-    numbers: list[int] = []
+def stopping_on_signals(loop: Loop) -> Iterator[None]:
+    """Raise ``Stopped`` on SIGINT and SIGTERM, at the end of a loop turn, so that no step is left half done."""
+    received: list[int] = []
 
-    def note(number: int, _: FrameType | None) -> None:
-        numbers.append(number)
+    def record_signal(number: int, _: FrameType | None) -> None:
+        received.append(number)
 
-    def look() -> None:
-        if numbers:
-            raise Stopped(numbers[0])
+    def check_signals() -> None:
+        if received:
+            raise Stopped(received[0])
 
-    before = {number: signal.signal(number, note) for number in (signal.SIGINT, signal.SIGTERM)}
-    loop.at_turn_end.append(look)
+    previous = {number: signal.signal(number, record_signal) for number in (signal.SIGINT, signal.SIGTERM)}
+    loop.at_turn_end.append(check_signals)
     try:
         yield
     finally:
-        loop.at_turn_end.remove(look)
-        for number, handler in before.items():
+        loop.at_turn_end.remove(check_signals)
+        for number, handler in previous.items():
             signal.signal(number, handler)
 
 
-class Scale:
-    """One play."""
+class ScaleRun:
+    """One scale run in real time."""
 
     def __init__(
         self, asked: Asked, folder: Path, bounds: Bounds, progress: Callable[[str], None], compare: bool = False
     ) -> None:
         self.asked, self.folder, self.bounds, self.progress, self.compare = asked, folder, bounds, progress, compare
         self.plan: Plan = plan(asked, bounds)
-        self.limits = {name: max(40, 2 * asked.couriers) for name in SYSTEMS}
-        self.told = Told(
+        self.limits = {name: max(40, 2 * asked.couriers) for name in MEMBER_SYSTEMS}
+        self.config = HollowConfig(
             asked.couriers,
             asked.seed,
             asked.rate,
             asked.failing,
-            limits={n: float(v) for n, v in self.limits.items()},
-            spend=SPEND,
-            term=TERM,
+            limits={name: float(limit) for name, limit in self.limits.items()},
+            spend=SPEND_PERCENT,
+            term=LOAN_TERM,
             period=asked.period,
             key=KEY,
             span=900 * SECOND + 3 * asked.span,
         )
-        self.beyond = Beyond(asked.couriers, period=kinds.span(asked.period), term=kinds.span(TERM))
+        self.rig_options = Beyond(asked.couriers, period=kinds.span(asked.period), term=kinds.span(LOAN_TERM))
         self.rig = Rig(
-            folder, asked.real + (CONTROLS if compare else 0), asked.seed, self.limits, spend=SPEND, beyond=self.beyond
+            folder,
+            asked.real + (CONTROL_COURIERS if compare else 0),
+            asked.seed,
+            self.limits,
+            spend=SPEND_PERCENT,
+            beyond=self.rig_options,
         )
         self.loop = self.rig.loop
         self.hosts: dict[str, Child] = {}
         self.relays: dict[str, Child] = {}
-        self.said: dict[str, dict[str, Any]] = {}  # by child: its last report
-        self.opened: dict[str, dict[str, Any]] = {}
-        self.places: dict[str, Any] = {}
-        self.calls: dict[str, list[int]] = {key: [] for key in budgets(self.told)}
-        self.killed: set[str] = set()  # hosts, by us
-        self.gone: set[str] = set()  # couriers
-        self.latest: dict[str, int] = {}  # by child, since the last mark: how late it was at the most
-        self.ticks: Counter[str] = Counter()  # of hollow couriers, since the last mark
-        self.hit = 0  # couriers that the fault is of; all, where it is of all
+        self.reports: dict[str, dict[str, Any]] = {}  # by child: its last report
+        self.opened: dict[str, dict[str, Any]] = {}  # by child: addresses of its zones or couriers
+        self.addresses: dict[str, Any] = {}  # of couriers
+        self.calls: dict[str, list[int]] = {
+            key: [] for key in endpoint_budgets(self.config)
+        }  # of hollow couriers: times
+        self.killed_hosts: set[str] = set()  # by the fault
+        self.killed_couriers: set[str] = set()
+        self.max_lateness: dict[str, int] = {}  # by child, since the last snapshot
+        self.ticks: Counter[str] = Counter()  # of hollow couriers, since the last snapshot
+        self.affected = 0  # couriers that the fault concerns directly
         self.series: list[dict[str, Any]] = []
-        self.peak = self.most_processes = 0
-        self._over = ""
+        self.peak_memory = self.max_processes = 0
+        self._exceeded = ""  # which bound was exceeded
         self._begin = self.loop.now
         self.real = [f"n{n}" for n in range(asked.real)]
 
     # Processes
 
-    def __enter__(self) -> Scale:
+    def __enter__(self) -> ScaleRun:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -173,144 +181,154 @@
             self.rig.__exit__()
 
     def children(self) -> dict[str, Child]:
-        """All but the real couriers."""
+        """The processes of relays and hollow couriers."""
         return self.relays | self.hosts
 
     def pids(self) -> list[int]:
-        """All processes of the play that run."""
+        """All running processes of the run, this one first."""
         found = [os.getpid()] + [node.process.pid for node in self.rig.nodes.values() if node.process is not None]
         return found + [child.process.pid for child in self.children().values() if child.process.poll() is None]
 
     def scope(self, name: str) -> str:
-        """The group of couriers that know each other."""
+        """The membership group of a courier."""
         return self.plan.zones[name] if self.asked.grouped else "all"
 
-    def _heard(self, name: str, told: dict[str, Any]) -> None:
-        if "open" in told:
-            self.opened[name] = told["open"]
+    def _receive(self, name: str, report: dict[str, Any]) -> None:
+        if "open" in report:
+            self.opened[name] = report["open"]
             return
-        self.said[name] = told
-        late = max(told.get("latest", 0), told["longest"] if name in self.relays else 0)
-        self.latest[name] = max(self.latest.get(name, 0), late)
-        self.ticks.update({key: told.get(key, 0) for key in ("ticks", "late", "stalls")})
-        for key, times in told.get("calls", {}).items():
+        self.reports[name] = report
+        lateness = max(report.get("latest", 0), report["longest"] if name in self.relays else 0)
+        self.max_lateness[name] = max(self.max_lateness.get(name, 0), lateness)
+        self.ticks.update({key: report.get(key, 0) for key in ("ticks", "late", "stalls")})
+        for key, times in report.get("calls", {}).items():
             self.calls[key] += times
 
     def _child(self, name: str, module: str) -> Child:
-        return Child(self.loop, f"kestrelspar.lab.{module}", lambda told: self._heard(name, told), name)
+        return Child(self.loop, f"kestrelspar.lab.{module}", lambda report: self._receive(name, report), name)
 
     def open(self) -> None:
-        """Relays, hosts and real couriers, each told of the others; hollow ones don't talk yet."""
-        self.loop.at_turn_end.append(self._look)
+        """Start and configure relays, hosts and real couriers; hollow couriers are opened, but not started yet."""
+        self.loop.at_turn_end.append(self._check_bounds)
         self.loop.spawn(self._watch)
         asked = self.asked
-        for place, zones in enumerate(self.plan.relays):
-            name = f"relays {place}"
+        for index, zones in enumerate(self.plan.relays):
+            name = f"relays {index}"
             self.relays[name] = self._child(name, "relays")
-            self.relays[name].tell({"open": zones, "seed": asked.seed + place, "groups": self.plan.zones})
-        self.rig.until(lambda: len(self.opened) == len(self.relays), OPEN_WITHIN)
-        doors = {zone: tuple(place) for opened in self.opened.values() for zone, place in opened.items()}
+            self.relays[name].tell({"open": zones, "seed": asked.seed + index, "groups": self.plan.zones})
+        self.rig.until(lambda: len(self.opened) == len(self.relays), OPEN_TIMEOUT)
+        zone_addresses = {zone: tuple(address) for opened in self.opened.values() for zone, address in opened.items()}
         seeds: dict[str, dict[str, Any]] = {}
         for name, zone in self.plan.zones.items():
-            known = seeds.setdefault(self.scope(name), {})
-            if len(known) < SEEDS:
-                known[name] = doors[zone]
-        for place, (zone, names) in enumerate(self.plan.hosts):
-            host = f"hollow {place} of {zone}"
+            group_seeds = seeds.setdefault(self.scope(name), {})
+            if len(group_seeds) < SEEDS_PER_GROUP:
+                group_seeds[name] = zone_addresses[zone]
+        for index, (zone, names) in enumerate(self.plan.hosts):
+            host = f"hollow {index} of {zone}"
             self.hosts[host] = self._child(host, "hollow")
             self.hosts[host].tell(
                 {
                     "open": {
-                        "told": msgspec.to_builtins(self.told),
+                        "told": msgspec.to_builtins(self.config),
                         "couriers": [
                             {
                                 "name": name,
                                 "number": self.plan.numbers[name],
                                 "zone": self.scope(name),
-                                "advertise": doors[zone],
-                                "seeds": {to: at for to, at in seeds[self.scope(name)].items() if to != name},
+                                "advertise": zone_addresses[zone],
+                                "seeds": {
+                                    seed: address for seed, address in seeds[self.scope(name)].items() if seed != name
+                                },
                             }
                             for name in names
                         ],
                     }
                 }
             )
-        self.rig.until(lambda: len(self.opened) == len(self.relays) + len(self.hosts), OPEN_WITHIN)
+        self.rig.until(lambda: len(self.opened) == len(self.relays) + len(self.hosts), OPEN_TIMEOUT)
         for name in self.real:
-            self.beyond.advertise[name] = doors[self.plan.zones[name]]
-            self.beyond.seeds[name] = {to: at for to, at in seeds[self.scope(name)].items() if to != name}
-        self.places = {name: self.rig.nodes[name].peers for name in self.real}
+            self.rig_options.advertise[name] = zone_addresses[self.plan.zones[name]]
+            self.rig_options.seeds[name] = {
+                seed: address for seed, address in seeds[self.scope(name)].items() if seed != name
+            }
+        self.addresses = {name: self.rig.nodes[name].peers for name in self.real}
         for host in self.hosts:
-            self.places |= self.opened[host]
+            self.addresses |= self.opened[host]
         for relay in self.relays.values():
-            relay.tell({"places": self.places})
-        self.truth()
+            relay.tell({"places": self.addresses})
+        self.send_actual_membership()
         for name in self.rig.nodes:
             self.rig.start(name, peers=name in self.real)
         if self.rig.nodes:
             self.rig.ready()
 
-    def truth(self) -> None:
-        """Tell the hosts who is there, so that they can say who knows it."""
-        there: Counter[str] = Counter(self.scope(name) for name in self.plan.zones if name not in self.gone)
-        gone: dict[str, list[str]] = {}
-        for name in sorted(self.gone):
-            gone.setdefault(self.scope(name), []).append(name)
+    def send_actual_membership(self) -> None:
+        """Send the hosts which couriers run, so that they can report how far membership lists differ from that."""
+        running: Counter[str] = Counter(
+            self.scope(name) for name in self.plan.zones if name not in self.killed_couriers
+        )
+        killed: dict[str, list[str]] = {}
+        for name in sorted(self.killed_couriers):
+            killed.setdefault(self.scope(name), []).append(name)
         for host in self.hosts.values():
-            host.tell({"truth": {"there": there, "gone": gone}})
+            host.tell({"truth": {"there": running, "gone": killed}})
 
     def start_hollow(self) -> None:
-        """They begin to talk, one after the other."""
-        within = max(2 * SECOND, self.asked.hollow * 5 * MS)
+        """Start the hollow couriers, spread over time."""
+        start_period = max(2 * SECOND, self.asked.hollow * 5 * MS)
         for (_, names), host in zip(self.plan.hosts, self.hosts.values(), strict=True):
-            host.tell({"start": names, "within": within})
+            host.tell({"start": names, "within": start_period})
 
     # Bounds
 
     def _watch(self) -> None:
         while True:
-            taken, processes = sum(map(memory, self.pids())), len(self.pids())
-            self.peak, self.most_processes = max(self.peak, taken), max(self.most_processes, processes)
-            if taken > self.bounds.memory:
-                self._over = (
-                    f"{taken / MB:,.0f} MB of memory are taken (wanted: {self.bounds.memory / MB:,.0f} MB at "
-                    "the most); everything was ended"
+            used, processes = sum(map(resident_bytes, self.pids())), len(self.pids())
+            self.peak_memory, self.max_processes = max(self.peak_memory, used), max(self.max_processes, processes)
+            if used > self.bounds.memory:
+                self._exceeded = (
+                    f"{used / MB:,.0f} MB of memory in use (wanted: {self.bounds.memory / MB:,.0f} MB or less); "
+                    "all processes of the run were ended"
                 )
             if processes > self.bounds.processes:
-                self._over = f"{processes} processes run (wanted: {self.bounds.processes} at the most)"
-            self.series.append(self.now())
+                self._exceeded = f"{processes} processes running (wanted: {self.bounds.processes} or fewer)"
+            self.series.append(self.series_row())
             self.loop.sleep(SECOND)
 
-    def _look(self) -> None:
-        if self._over:
-            raise TooMuch(self._over)
+    def _check_bounds(self) -> None:
+        if self._exceeded:
+            raise TooMuch(self._exceeded)
 
     # Figures
 
     def sums(self) -> Counter[str]:
-        """What the hosts report, together."""
+        """Totals of the last reports of hosts and relays."""
         found: Counter[str] = Counter()
         for host in self.hosts:
-            found.update(self.said.get(host, {}).get("sums", {}))
+            found.update(self.reports.get(host, {}).get("sums", {}))
         for relay in self.relays:
-            told = self.said.get(relay, {})
-            found.update(passed=told.get("passed", 0), relayed=told.get("bytes", 0), dropped=told.get("dropped", 0))
-            found.update({f"lost {why}": count for why, count in told.get("lost", {}).items()})
-        found.update(dropped=sum(self.said.get(host, {}).get("dropped", 0) for host in self.hosts))
+            report = self.reports.get(relay, {})
+            found.update(
+                passed=report.get("passed", 0), relayed=report.get("bytes", 0), dropped=report.get("dropped", 0)
+            )
+            found.update({f"lost {reason}": count for reason, count in report.get("lost", {}).items()})
+        found.update(dropped=sum(self.reports.get(host, {}).get("dropped", 0) for host in self.hosts))
         return found
 
-    def unknown(self) -> tuple[float, float]:
-        """Of those who are there, the part that is not known; and of those who are gone, the part thought alive."""
-        hosts = [self.said[host]["sums"] for host in self.hosts if host in self.said and host not in self.killed]
+    def membership_errors(self) -> tuple[float, float]:
+        """Share of running members missing from the lists, and share of killed members listed as alive or suspect."""
+        hosts = [
+            self.reports[host]["sums"] for host in self.hosts if host in self.reports and host not in self.killed_hosts
+        ]
 
-        def part(some: str, whole: str) -> float:
-            return float(sum(each.get(some, 0) for each in hosts) / max(1, sum(each.get(whole, 0) for each in hosts)))
+        def share(part: str, total: str) -> float:
+            return float(sum(sums.get(part, 0) for sums in hosts) / max(1, sum(sums.get(total, 0) for sums in hosts)))
 
-        return part("missing", "pairs"), part("ghosts", "ghost_pairs")
+        return share("missing", "pairs"), share("ghosts", "ghost_pairs")
 
-    def now(self) -> dict[str, Any]:
-        """One row of the series: sums; the page makes rates of them."""
-        missing, ghosts = self.unknown()
+    def series_row(self) -> dict[str, Any]:
+        """One row of the series. It holds totals; the report page derives rates from them."""
+        missing, ghosts = self.membership_errors()
         sums = self.sums()
         return {
             "s": round((self.loop.now - self._begin) / SECOND, 2),
@@ -318,100 +336,109 @@
             "ghosts": round(ghosts, 4),
             "sent": sums["sent"],
             "passed": sums["passed"],
-            "hollow_cpu": round(sum(self.said.get(host, {}).get("cpu", 0.0) for host in self.hosts), 3),
-            "relay_cpu": round(sum(self.said.get(relay, {}).get("cpu", 0.0) for relay in self.relays), 3),
+            "hollow_cpu": round(sum(self.reports.get(host, {}).get("cpu", 0.0) for host in self.hosts), 3),
+            "relay_cpu": round(sum(self.reports.get(relay, {}).get("cpu", 0.0) for relay in self.relays), 3),
             "real_cpu": round(sum(self.real_cpu().values()), 3),
-            "memory_mb": round(self.peak / MB, 1),
-            "late_ms": max((self.said.get(host, {}).get("latest", 0) for host in self.hosts), default=0) // MS,
+            "memory_mb": round(self.peak_memory / MB, 1),
+            "late_ms": max((self.reports.get(host, {}).get("latest", 0) for host in self.hosts), default=0) // MS,
         }
 
     def real_cpu(self) -> dict[str, float]:
-        """By courier, those with peers off too."""
-        return {name: cpu(node.process.pid) for name, node in self.rig.nodes.items() if node.process is not None}
+        """Processor seconds by real courier, including the control couriers with peers disabled."""
+        return {
+            name: cpu_seconds(node.process.pid) for name, node in self.rig.nodes.items() if node.process is not None
+        }
 
     def real_memory(self) -> dict[str, int]:
-        """By courier."""
-        return {name: memory(node.process.pid) for name, node in self.rig.nodes.items() if node.process is not None}
+        """Resident bytes by real courier, including the control couriers."""
+        return {
+            name: resident_bytes(node.process.pid) for name, node in self.rig.nodes.items() if node.process is not None
+        }
 
-    def views(self) -> dict[str, dict[str, Any]]:
-        """What real couriers say of themselves. Those that say nothing are left out."""
+    def statuses(self) -> dict[str, dict[str, Any]]:
+        """Status of each real courier that answers on its status socket."""
         found = {}
         for name in self.real:
             with suppress(OSError, ValueError):
                 found[name] = ask(str(self.rig.nodes[name].folder / "state"), 2.0)
         return found
 
-    def mark(self) -> Mark:
-        """Sums now; lateness is counted from here."""
-        self.latest.clear()
+    def snapshot(self) -> Snapshot:
+        """Take the totals, and count lateness anew from here."""
+        self.max_lateness.clear()
         self.ticks.clear()
         self.loop.longest = 0
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        taken = {name: (said["at"], said["cpu"]) for name, said in self.said.items()}
-        return Mark(
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        cpu_by_child = {name: (report["at"], report["cpu"]) for name, report in self.reports.items()}
+        return Snapshot(
             self.loop.now,
-            {name: taken[name] for name in self.hosts if name in taken},
-            {name: taken[name] for name in self.relays if name in taken},
+            {name: cpu_by_child[name] for name in self.hosts if name in cpu_by_child},
+            {name: cpu_by_child[name] for name in self.relays if name in cpu_by_child},
             self.real_cpu(),
-            used.ru_utime + used.ru_stime,
+            usage.ru_utime + usage.ru_stime,
             self.sums(),
-            {name: view["bytes_sent"] for name, view in self.views().items()},
-            cores(),
+            {name: status["bytes_sent"] for name, status in self.statuses().items()},
+            core_times(),
         )
 
-    def phase(self, begin: Mark) -> dict[str, Any]:
-        """The figures since that mark, a second and courier; shares are of a core."""
-        latest, longest, ticks = dict(self.latest), self.loop.longest, Counter(self.ticks)
-        end = self.mark()
-        span = max(1, end.at - begin.at) / SECOND
+    def phase(self, begin: Snapshot) -> dict[str, Any]:
+        """The figures since a snapshot, per second and courier; process loads are shares of a core."""
+        lateness, longest, ticks = dict(self.max_lateness), self.loop.longest, Counter(self.ticks)
+        end = self.snapshot()
+        seconds = max(1, end.at - begin.at) / SECOND
 
-        def shares(before: dict[str, tuple[int, float]], after: dict[str, tuple[int, float]]) -> dict[str, float]:
+        def core_shares(before: dict[str, tuple[int, float]], after: dict[str, tuple[int, float]]) -> dict[str, float]:
             return {
                 name: (after[name][1] - before[name][1]) * SECOND / (after[name][0] - before[name][0])
                 for name in after
                 if name in before and after[name][0] > before[name][0]
             }
 
-        hosts, relays = shares(begin.hosts, end.hosts), shares(begin.relays, end.relays)
+        hosts, relays = core_shares(begin.hosts, end.hosts), core_shares(begin.relays, end.relays)
         sums = Counter({key: end.sums[key] - begin.sums[key] for key in end.sums})
         real = [
-            1_000 * (end.real[name] - begin.real[name]) / span
+            1_000 * (end.real_cpu[name] - begin.real_cpu[name]) / seconds
             for name in self.real
-            if name in end.real and name in begin.real
+            if name in end.real_cpu and name in begin.real_cpu
+        ]
+        peers_off = [
+            1_000 * (end.real_cpu[name] - begin.real_cpu[name]) / seconds
+            for name in end.real_cpu
+            if name not in self.real and name in begin.real_cpu
         ]
-        off = [
-            1_000 * (end.real[name] - begin.real[name]) / span
-            for name in end.real
-            if name not in self.real and name in begin.real
+        bytes_sent = [
+            (end.bytes_sent[name] - begin.bytes_sent[name]) / seconds
+            for name in end.bytes_sent
+            if name in begin.bytes_sent
         ]
-        talk = [(end.talk[name] - begin.talk[name]) / span for name in end.talk if name in begin.talk]
-        hollow = max(1, self.asked.hollow - len(self.gone))
+        hollow = max(1, self.asked.hollow - len(self.killed_couriers))
         couriers = {name: len(names) for (_, names), name in zip(self.plan.hosts, self.hosts, strict=True)}
-        # Those in a process of their own, less what reporting takes, show what a courier costs that shares none.
-        reports = sum(share for name, share in hosts.items() if not couriers[name])
-        alone = [share - reports for name, share in hosts.items() if couriers[name] == 1 and self.plan.alone]
+        # A host without couriers shows the cost of reporting; less that, a host with one courier shows the cost of a
+        # courier that shares its process with no other.
+        reporting = sum(share for name, share in hosts.items() if not couriers[name])
+        alone = [share - reporting for name, share in hosts.items() if couriers[name] == 1 and self.plan.alone]
         shared = {name: share for name, share in hosts.items() if couriers[name] > (1 if self.plan.alone else 0)}
         found: dict[str, Any] = {
-            "seconds": round(span, 1),
+            "seconds": round(seconds, 1),
             "cpu_ms_a_hollow": round(1_000 * sum(shared.values()) / max(1, sum(couriers[n] for n in shared)), 3),
             "cpu_ms_a_hollow_alone": round(1_000 * _mean(alone), 3),
-            "bytes_a_hollow": round(sums["sent"] / span / hollow),
-            "heard_a_hollow": round(sums["heard"] / span / hollow),
-            "held_back_a_s": round(sums["held_back"] / span, 2),
-            "datagrams_a_s": round(sums["passed"] / span),
+            "bytes_a_hollow": round(sums["sent"] / seconds / hollow),
+            "heard_a_hollow": round(sums["heard"] / seconds / hollow),
+            "held_back_a_s": round(sums["held_back"] / seconds, 2),
+            "datagrams_a_s": round(sums["passed"] / seconds),
             "busiest_host": round(max(hosts.values(), default=0.0), 3),
             "busiest_relay": round(max(relays.values(), default=0.0), 3),
-            "play": round((end.play - begin.play) / span, 3),
-            "latest_tick_ms": max((late for name, late in latest.items() if name in self.hosts), default=0) / MS,
+            "play": round((end.controller_cpu - begin.controller_cpu) / seconds, 3),
+            "latest_tick_ms": max((late for name, late in lateness.items() if name in self.hosts), default=0) / MS,
             "mean_tick_late_ms": round(ticks["late"] / max(1, ticks["ticks"]) / MS, 2),
             "stalled_ticks": round(ticks["stalls"] / max(1, ticks["ticks"]), 5),
-            "longest_relay_ms": max((late for name, late in latest.items() if name in self.relays), default=0) / MS,
+            "longest_relay_ms": max((late for name, late in lateness.items() if name in self.relays), default=0) / MS,
             "longest_play_ms": longest / MS,
             "dropped": sums["dropped"],
             "cpu_ms_a_real": round(_mean(real), 3),
-            "cpu_ms_a_real_off": round(_mean(off), 3),
-            "bytes_a_real": round(_mean(talk)),
-            **_busy(begin.cores, end.cores),
+            "cpu_ms_a_real_off": round(_mean(peers_off), 3),
+            "bytes_a_real": round(_mean(bytes_sent)),
+            **_core_usage(begin.cores, end.cores),
         }
         found["saturated"] = saturated(found)
         return found
@@ -419,123 +446,127 @@
     # The fault
 
     def inject(self) -> int:
-        """The fault of the play; how long until it is over by itself."""
+        """Begin the run's fault, and return how long until it ends by itself."""
         asked = self.asked
-        self.hit, pick = 0, Random(asked.seed)
+        self.affected, random = 0, Random(asked.seed)
         last = f"z{asked.zones - 1}"
         zones = [f"z{n}" for n in range(asked.zones)]
         others = [zone for zone in zones if zone != last]
         if asked.fault in ("loss", "delay"):
-            self.hit = asked.couriers
-            way = Way(loss=LOSS) if asked.fault == "loss" else Way(delay=DELAY)
-            self._paths([path_fault(a, b, way) for a in zones for b in zones])
+            self.affected = asked.couriers
+            path = RelayPath(loss=FAULT_LOSS) if asked.fault == "loss" else RelayPath(delay=FAULT_DELAY)
+            self._set_path_faults([path_fault(sender, receiver, path) for sender in zones for receiver in zones])
         elif asked.fault in ("cut", "one-way"):
-            into = [path_fault(zone, last, Way(cut=True)) for zone in others]
-            out = [path_fault(last, zone, Way(cut=True)) for zone in others]
-            self._paths(into if asked.fault == "one-way" else into + out)
-            span = min(CUT_FOR, asked.span)
-            self.loop.at(self.loop.now + span, lambda: self._paths([]))
-            self.hit = len(self.plan.zone(last))
-            return span
+            inbound = [path_fault(zone, last, RelayPath(cut=True)) for zone in others]
+            outbound = [path_fault(last, zone, RelayPath(cut=True)) for zone in others]
+            self._set_path_faults(inbound if asked.fault == "one-way" else inbound + outbound)
+            duration = min(CUT_DURATION, asked.span)
+            self.loop.at(self.loop.now + duration, lambda: self._set_path_faults([]))
+            self.affected = len(self.plan.zone(last))
+            return duration
         elif asked.fault in ("stop", "kill"):
-            # The last zone's largest: not one of those with a single courier.
+            # The largest host of the last zone, as some hosts have a single courier or none.
             host, names = max(
                 (
                     (name, names)
                     for (zone, names), name in zip(self.plan.hosts, self.hosts, strict=True)
                     if zone == last
                 ),
-                key=lambda each: len(each[1]),
+                key=lambda candidate: len(candidate[1]),
             )
-            self.hit = len(names)
+            self.affected = len(names)
             child = self.hosts[host]
             if asked.fault == "stop":
                 child.process.send_signal(signal.SIGSTOP)
-                self.loop.at(self.loop.now + STOP_FOR, lambda: child.process.send_signal(signal.SIGCONT))
-                return STOP_FOR
-            self.killed.add(host)
-            self.gone |= set(names)
+                self.loop.at(self.loop.now + PAUSE_DURATION, lambda: child.process.send_signal(signal.SIGCONT))
+                return PAUSE_DURATION
+            self.killed_hosts.add(host)
+            self.killed_couriers |= set(names)
             child.kill()
-            self.truth()
+            self.send_actual_membership()
         elif asked.fault == "restarts":
-            for (_, names), host_of in zip(self.plan.hosts, self.hosts.values(), strict=True):
-                drawn = pick.sample(names, len(names) // 2)
-                host_of.tell({"restart": drawn, "gap": GAP, "within": WAVE})
-                self.hit += len(drawn)
-            return WAVE + GAP
+            for (_, names), host_child in zip(self.plan.hosts, self.hosts.values(), strict=True):
+                chosen = random.sample(names, len(names) // 2)
+                host_child.tell({"restart": chosen, "gap": RESTART_DOWNTIME, "within": RESTART_PERIOD})
+                self.affected += len(chosen)
+            return RESTART_PERIOD + RESTART_DOWNTIME
         return 0
 
-    def _paths(self, faults: list[Any]) -> None:
+    def _set_path_faults(self, faults: list[Any]) -> None:
         for relay in self.relays.values():
             relay.tell({"faults": faults})
 
-    def settled(self, since: int) -> bool:
-        """Whether all hosts have said, after that, that their couriers hold what is so."""
-        hosts = [host for host in self.hosts if host not in self.killed]
-        heard = all(host in self.said and self.said[host]["at"] > since + SECOND for host in hosts)
-        return heard and max(self.unknown()) <= KNOWN
+    def converged(self, since: int) -> bool:
+        """Whether, by reports sent more than a second after ``since``, the couriers' membership lists are correct."""
+        hosts = [host for host in self.hosts if host not in self.killed_hosts]
+        reported = all(host in self.reports and self.reports[host]["at"] > since + SECOND for host in hosts)
+        return reported and max(self.membership_errors()) <= MAX_WRONG_SHARE
 
-    def wait(self, done: Callable[[], bool], within: int, text: str) -> int | None:
-        """Turn until that holds; how long it took, or nothing where it did not come to that."""
-        begin, told = self.loop.now, 0
+    def wait(self, done: Callable[[], bool], timeout: int, text: str) -> int | None:
+        """Run the loop until ``done()``; the time that took, None on a timeout."""
+        begin, progress_at = self.loop.now, 0
         while not done():
-            if self.loop.now - begin > within:
+            if self.loop.now - begin > timeout:
                 return None
-            if self.loop.now - told > SECOND:
-                told = self.loop.now
-                missing, ghosts = self.unknown()
+            if self.loop.now - progress_at > SECOND:
+                progress_at = self.loop.now
+                missing, ghosts = self.membership_errors()
                 self.progress(
-                    f"{text}: {(told - begin) // SECOND} s, {missing:.1%} of members not known"
-                    + (f", {ghosts:.1%} of those who are gone thought alive" if self.gone else "")
+                    f"{text}: {(progress_at - begin) // SECOND} s, {missing:.1%} of running members missing"
+                    + (f", {ghosts:.1%} of killed members listed as alive" if self.killed_couriers else "")
                 )
-            ended = [name for name, child in self.children().items() if child.ended and name not in self.killed]
+            ended = [name for name, child in self.children().items() if child.ended and name not in self.killed_hosts]
             if ended:
-                raise RuntimeError(f"{', '.join(ended)} ended by itself")
+                raise RuntimeError(f"{', '.join(ended)} ended unexpectedly")
             self.loop.turn()
         return self.loop.now - begin
 
-    # All of it
+    # The run
 
     def run(self) -> dict[str, Any]:
-        """The play, and its report."""
+        """Run to the end, and return the report."""
         asked = self.asked
         self.progress(f"starting {self.plan.processes} processes")
         self.open()
-        alone = self.real_memory()
-        empty = {host: self.said.get(host, {}).get("rss", 0) for host in self.hosts}
+        real_before = self.real_memory()
+        hosts_before = {host: self.reports.get(host, {}).get("rss", 0) for host in self.hosts}
         if not self.compare:
             self.rig.traffic(
-                {name: dict.fromkeys(SYSTEMS, REAL_RATE / len(SYSTEMS)) for name in self.real}, 3_600 * SECOND
+                {name: dict.fromkeys(MEMBER_SYSTEMS, REAL_RATE / len(MEMBER_SYSTEMS)) for name in self.real},
+                3_600 * SECOND,
             )
         begin = self.loop.now
         self.start_hollow()
-        known = self.wait(lambda: self.settled(begin), KNOWN_WITHIN, "getting known")
-        self._pass(min(5 * SECOND, asked.span))  # words of the start are over
-        rest = self.mark()
-        self._pass(max(3 * SECOND, asked.span // 3 if asked.fault != "none" else asked.span))
+        known = self.wait(lambda: self.converged(begin), CONVERGENCE_TIMEOUT, "converging")
+        self._run_for(min(5 * SECOND, asked.span))  # until the gossip of the start has died down
+        rest = self.snapshot()
+        self._run_for(max(3 * SECOND, asked.span // 3 if asked.fault != "none" else asked.span))
         figures: dict[str, Any] = {"rest": self.phase(rest)}
-        views = self.views()
-        least = min(
-            [len([m for m in view["members"] if m["stand"] in ("alive", "suspect")]) for view in views.values()]
+        statuses = self.statuses()
+        least_known = min(
+            [
+                len([member for member in status["members"] if member["stand"] in ("alive", "suspect")])
+                for status in statuses.values()
+            ]
             + [
-                self.said[host]["least"]
+                self.reports[host]["least"]
                 for host in self.hosts
-                if host in self.said and self.said[host]["sums"].get("couriers")
+                if host in self.reports and self.reports[host]["sums"].get("couriers")
             ],
             default=0,
         )
-        grown = self._grown(alone, empty)
+        memory_growth = self._memory_growth(real_before, hosts_before)
         settled: int | None = None
         if asked.fault != "none":
-            fault = self.mark()
+            fault = self.snapshot()
             injected = round((self.loop.now - self._begin) / SECOND, 1)
-            over = self.inject()
-            self._pass(over)
-            lifted = self.loop.now
-            self._pass(max(0, asked.span - over) if asked.fault in ("none", "loss", "delay") else 0)
-            settled = self.wait(lambda: self.settled(lifted), OVER_WITHIN, f"after {asked.fault}")
+            fault_duration = self.inject()
+            self._run_for(fault_duration)
+            fault_end = self.loop.now
+            self._run_for(max(0, asked.span - fault_duration) if asked.fault in ("none", "loss", "delay") else 0)
+            settled = self.wait(lambda: self.converged(fault_end), RECOVERY_TIMEOUT, f"after {asked.fault}")
             figures |= {"fault": self.phase(fault), "injected_s": injected}
-        self.progress("waiting for the last ends")
+        self.progress("waiting for the last messages to end")
         if self.real and not self.compare:
             self.rig.settled()
         findings = self.findings(known, settled)
@@ -548,21 +579,21 @@
             "grouped": asked.grouped,
             "seed": asked.seed,
             "fault_name": asked.fault,
-            "hit": self.hit,
+            "hit": self.affected,
             "rate": asked.rate,
             "failing": asked.failing,
             "period_ms": asked.period // MS,
-            "processes": self.most_processes,
-            "memory_mb": round(self.peak / MB, 1),
+            "processes": self.max_processes,
+            "memory_mb": round(self.peak_memory / MB, 1),
             "planned_mb": round(self.plan.memory / MB, 1),
             "known_s": _seconds(known),
-            "least_known": least,
+            "least_known": least_known,
             "settled_s": _seconds(settled),
             **figures,
             "messages": len(self.rig.sent),
-            "served": round(judge.served(self.rig.sent, self._every()), 4),
+            "served": round(judge.served(self.rig.sent, self._member_calls()), 4),
             "busiest_span": self.busiest(),
-            **grown,
+            **memory_growth,
             "saturated": [
                 f"{key}: {text}"
                 for key in figures
@@ -575,123 +606,140 @@
             "series": self.series,
         }
 
-    def _pass(self, span: int) -> None:
-        until = self.loop.now + span
-        self.loop.at(until, lambda: None)
-        self.wait(lambda: self.loop.now >= until, 1 << 60, "measuring")
+    def _run_for(self, duration: int) -> None:
+        end = self.loop.now + duration
+        self.loop.at(end, lambda: None)
+        self.wait(lambda: self.loop.now >= end, 1 << 60, "measuring")
 
-    def _grown(self, alone: dict[str, int], empty: dict[str, int]) -> dict[str, Any]:
-        """Memory for each member that a courier came to know: real ones since before hollow ones spoke, and these."""
+    def _memory_growth(self, real_before: dict[str, int], hosts_before: dict[str, int]) -> dict[str, Any]:
+        """Memory growth of real and hollow couriers since before the hollow ones started, also per member known."""
         now = self.real_memory()
-        learnt = self.asked.hollow if not self.asked.grouped else self.asked.hollow / self.asked.zones
-        held = self.asked.couriers / (self.asked.zones if self.asked.grouped else 1)
-        real = [(now[name] - alone[name]) / max(1, learnt) for name in self.real if name in now and name in alone]
+        learned = self.asked.hollow if not self.asked.grouped else self.asked.hollow / self.asked.zones
+        group_size = self.asked.couriers / (self.asked.zones if self.asked.grouped else 1)
+        real = [
+            (now[name] - real_before[name]) / max(1, learned)
+            for name in self.real
+            if name in now and name in real_before
+        ]
         hollow = [
-            (self.said[host]["rss"] - empty[host]) / max(1, len(names)) / held
+            (self.reports[host]["rss"] - hosts_before[host]) / max(1, len(names)) / group_size
             for (_, names), host in zip(self.plan.hosts, self.hosts, strict=True)
-            if empty[host] and host in self.said and len(names) > 1
+            if hosts_before[host] and host in self.reports and len(names) > 1
         ]
         return {
             "memory_a_member_real": round(_mean(real)),
             "memory_a_member_hollow": round(_mean(hollow)),
-            "memory_a_real_mb": round(_mean([now[n] for n in self.real if n in now]) / MB, 2),
-            "memory_a_hollow_mb": round(_mean(hollow) * held / MB, 3),
+            "memory_a_real_mb": round(_mean([now[name] for name in self.real if name in now]) / MB, 2),
+            "memory_a_hollow_mb": round(_mean(hollow) * group_size / MB, 3),
         }
 
     def _events(self) -> Counter[str]:
         found: Counter[str] = Counter()
         for host in self.hosts:
-            found.update(self.said.get(host, {}).get("events", {}))
+            found.update(self.reports.get(host, {}).get("events", {}))
         return found
 
-    # Judges
+    # Checks
 
-    def _every(self) -> list[Any]:
+    def _member_calls(self) -> list[Any]:
         return [call for member in self.rig.members.values() for call in member.calls]
 
     def busiest(self) -> dict[str, list[int]]:
-        """By budget: the most calls of hollow couriers in any span, and its calls."""
-        return {key: [most_in_span(self.calls[key], span), calls] for key, (calls, span) in budgets(self.told).items()}
+        """By budget: the most calls of hollow couriers in any window, and the calls that the budget allows."""
+        return {
+            key: [max_calls_in_window(self.calls[key], window), calls]
+            for key, (calls, window) in endpoint_budgets(self.config).items()
+        }
 
     def findings(self, known: int | None, settled: int | None) -> list[str]:
-        """What broke a promise, or did not come to an end."""
-        asked, found = self.asked, judge.wrong_ends(self.rig.sent, self._every())
+        """Violated guarantees, and phases that did not converge."""
+        asked, found = self.asked, judge.wrong_ends(self.rig.sent, self._member_calls())
         if known is None:
-            found.append(f"not known within {KNOWN_WITHIN // SECOND} s: {max(self.unknown()):.1%} of pairs are wrong")
+            found.append(
+                f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
+                f"{max(self.membership_errors()):.1%} of pairs are wrong"
+            )
         if asked.fault != "none" and settled is None:
-            missing, ghosts = self.unknown()
+            missing, ghosts = self.membership_errors()
             found.append(
-                f"{asked.fault}: not over within {OVER_WITHIN // SECOND} s: {missing:.1%} of members not "
-                f"known, {ghosts:.1%} of those who are gone thought alive"
+                f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s of its end: {missing:.1%} of "
+                f"running members missing, {ghosts:.1%} of killed members listed as alive"
             )
         found += [
-            f"{key}: {most} calls of hollow couriers in a span, {calls} are allowed"
-            for key, (most, calls) in self.busiest().items()
-            if most > calls
+            f"{key}: {count} calls of hollow couriers in one window, {calls} allowed"
+            for key, (count, calls) in self.busiest().items()
+            if count > calls
         ]
         for name, member in self.rig.members.items():
-            most = judge.most_in_a_second(member.calls, max(MS, SECOND - self.loop.longest))
-            if most > member.limit:
-                found.append(f"{name}: {most} calls in a second, its limit is {member.limit}")
+            count = judge.most_in_a_second(member.calls, max(MS, SECOND - self.loop.longest))
+            if count > member.limit:
+                found.append(f"{name}: {count} calls in a second, its limit is {member.limit}")
         for name in self.real:
             found += [f"{name}: {line[:300]}" for line in self.rig.logs(name).splitlines() if "event=fault" in line]
-        views = self.views()
-        found += [f"{name}: says nothing of itself" for name in self.real if name not in views]
-        for name, view in views.items():
-            alive = {m["name"] for m in view["members"] if m["stand"] in ("alive", "suspect")}
-            there = {other for other in self.plan.zones if self.scope(other) == self.scope(name)} - self.gone - {name}
-            if len(there - alive) > KNOWN * len(there) and settled is not None:
-                found.append(f"{name}: {len(there - alive)} of {len(there)} members are there and not known to be")
-        refused = self.sums()["refused"]
-        if refused:
-            found.append(f"{refused} members were refused as too many")
+        statuses = self.statuses()
+        found += [f"{name}: no answer from its status socket" for name in self.real if name not in statuses]
+        for name, status in statuses.items():
+            listed = {member["name"] for member in status["members"] if member["stand"] in ("alive", "suspect")}
+            running = (
+                {other for other in self.plan.zones if self.scope(other) == self.scope(name)}
+                - self.killed_couriers
+                - {name}
+            )
+            if len(running - listed) > MAX_WRONG_SHARE * len(running) and settled is not None:
+                found.append(f"{name}: {len(running - listed)} of {len(running)} running members are missing")
+        rejected = self.sums()["refused"]
+        if rejected:
+            found.append(f"{rejected} members were rejected: membership list full")
         return found
 
 
-def most_in_span(times: list[int], span: int) -> int:
-    """The most calls in any span, both ends of which can't be in it at once."""
-    times, most, first = sorted(times), 0, 0
+def max_calls_in_window(times: list[int], window: int) -> int:
+    """The most calls in any half-open window: two calls that are a whole window apart are not in the same one."""
+    times, maximum, first = sorted(times), 0, 0
     for last, at in enumerate(times):
-        while times[first] <= at - span:
+        while times[first] <= at - window:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
 def saturated(figures: dict[str, Any]) -> list[str]:
-    """What could not keep up, in words; nothing where all could. A machine that stalls for once saturates nothing."""
+    """Texts that name each saturated resource. A single stall of the machine does not count as saturation."""
     found = [
-        f"{what} took {figures[key]:.2f} of a core"
-        for key, what in (
+        f"{process} used {figures[key]:.2f} of a core"
+        for key, process in (
             ("busiest_host", "a process of hollow couriers"),
             ("busiest_relay", "a process of relays"),
-            ("play", "the play itself"),
+            ("play", "the controlling process"),
         )
-        if figures[key] > TAKEN
+        if figures[key] > MAX_PROCESS_LOAD
     ]
-    if figures["cores_busy"] > FULL:
+    if figures["cores_busy"] > MAX_CORE_LOAD:
         found.append(
-            f"all cores were taken: {figures['cores_busy']:.0%} of {figures['cores']}, "
-            f"{figures['cores_stolen']:.0%} by the host of this machine"
+            f"all cores were busy: {figures['cores_busy']:.0%} of {figures['cores']}, "
+            f"{figures['cores_stolen']:.0%} stolen by the hypervisor"
         )
     if figures["mean_tick_late_ms"] * MS > TICK:
-        found.append(f"ticks of hollow couriers came {figures['mean_tick_late_ms']:.0f} ms late on average")
-    if figures["stalled_ticks"] > STALLED:
-        found.append(f"{figures['stalled_ticks']:.1%} of the ticks came more than a period late")
+        found.append(f"ticks of hollow couriers were {figures['mean_tick_late_ms']:.0f} ms late on average")
+    if figures["stalled_ticks"] > MAX_STALLED_SHARE:
+        found.append(f"{figures['stalled_ticks']:.1%} of the ticks were more than a period late")
     if figures["dropped"]:
-        found.append(f"the system dropped {figures['dropped']} datagrams at full buffers")
+        found.append(f"the kernel dropped {figures['dropped']} datagrams at full socket buffers")
     return found
 
 
 def factors(report: dict[str, Any]) -> dict[str, float]:
-    """Hollow over real, of what is shared: a real courier with peers on, less one with peers off."""
+    """Ratios of a hollow courier's cost to a real one's, of the peer protocol alone.
+
+    The processor time of a real courier is that with peers enabled, less that with peers disabled.
+    """
     rest = report["rest"]
-    real = rest["cpu_ms_a_real"] - rest["cpu_ms_a_real_off"]
+    real_cpu = rest["cpu_ms_a_real"] - rest["cpu_ms_a_real_off"]
     return {
-        name: round(a / b, 2) if b > 0 else 0.0
-        for name, a, b in (
-            ("processor time, in a process of its own", rest["cpu_ms_a_hollow_alone"], real),
-            ("processor time, many in a process", rest["cpu_ms_a_hollow"], real),
+        name: round(hollow / real, 2) if real > 0 else 0.0
+        for name, hollow, real in (
+            ("processor time, in a process of its own", rest["cpu_ms_a_hollow_alone"], real_cpu),
+            ("processor time, many in a process", rest["cpu_ms_a_hollow"], real_cpu),
             ("bytes sent", rest["bytes_a_hollow"], rest["bytes_a_real"]),
             ("memory a member", report["memory_a_member_hollow"], report["memory_a_member_real"]),
         )
@@ -705,27 +753,30 @@
     progress: Callable[[str], None] = lambda text: None,
     compare: bool = False,
 ) -> dict[str, Any]:
-    """One play; a dict that JSON can hold. ``TooMuch``, ``Stopped``; whatever it raises, no process stays."""
-    with Scale(asked, folder, bounds, progress, compare) as scale, told_to_end(scale.loop):
-        return scale.run()
+    """Run once and return the report, a dict that JSON can hold.
+
+    Raises ``TooMuch`` and ``Stopped``; whatever it raises, no process is left behind.
+    """
+    with ScaleRun(asked, folder, bounds, progress, compare) as scale_run, stopping_on_signals(scale_run.loop):
+        return scale_run.run()
 
 
 def bounds() -> Bounds:
-    """What this process may take: the verb's bounds, and the system's of descriptors."""
+    """The default bounds, with this process's limit of descriptors."""
     return Bounds(descriptors=resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
 def machine() -> dict[str, Any]:
-    """Where it ran."""
+    """Cores and Python version that the run used."""
     return {"cores": sorted(os.sched_getaffinity(0)), "python": sys.version.split()[0]}
 
 
-def _busy(begin: tuple[int, int, int], end: tuple[int, int, int]) -> dict[str, float]:
-    whole, idle, stolen = (b - a for a, b in zip(begin, end, strict=True))
+def _core_usage(begin: tuple[int, int, int], end: tuple[int, int, int]) -> dict[str, float]:
+    total, idle, stolen = (after - before for before, after in zip(begin, end, strict=True))
     return {
         "cores": len(os.sched_getaffinity(0)),
-        "cores_busy": round(1 - idle / max(1, whole), 3),
-        "cores_stolen": round(stolen / max(1, whole), 3),
+        "cores_busy": round(1 - idle / max(1, total), 3),
+        "cores_stolen": round(stolen / max(1, total), 3),
     }
 
 
@@ -733,5 +784,5 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def _seconds(span: int | None) -> float | None:
-    return None if span is None else round(span / SECOND, 1)
+def _seconds(duration: int | None) -> float | None:
+    return None if duration is None else round(duration / SECOND, 1)
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow couriers: what is drawn, what a host does by its commands, and that it ends with its parent."""
+"""Hollow couriers: the random workload, the commands of a host process, and that it ends with its parent."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 import pytest
 
-from kestrelspar.lab.hollow import Drawn, Told, budgets
+from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
 from kestrelspar.peers.judgements import Outcome
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_program import ROOT
 
-WITHIN = 30.0  # seconds: far more than it takes
-TOLD = {
+TIMEOUT = 30.0  # seconds
+CONFIG = {
     "couriers": 6,
     "seed": 4,
     "rate": 20.0,
@@ -34,7 +34,7 @@
 
 
 @contextmanager
-def host() -> Iterator[subprocess.Popen[bytes]]:
+def running_host() -> Iterator[subprocess.Popen[bytes]]:
     process = subprocess.Popen(
         [sys.executable, "-m", "kestrelspar.lab.hollow"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=ROOT
     )
@@ -48,7 +48,7 @@
         process.stdout.close()
 
 
-def tell(process: subprocess.Popen[bytes], command: dict[str, Any]) -> None:
+def send_command(process: subprocess.Popen[bytes], command: dict[str, Any]) -> None:
     assert process.stdin is not None
     process.stdin.write(json.dumps(command).encode() + b"\n")
     process.stdin.flush()
@@ -56,87 +56,95 @@
 
 def reports(process: subprocess.Popen[bytes]) -> Iterator[dict[str, Any]]:
     assert process.stdout is not None
-    until = time.monotonic() + WITHIN
-    while time.monotonic() < until:
+    deadline = time.monotonic() + TIMEOUT
+    while time.monotonic() < deadline:
         if select.select([process.stdout], [], [], 1.0)[0]:
             line = process.stdout.readline()
             if not line:
                 return
             yield json.loads(line)
-    raise TimeoutError("the host says nothing of what is waited for")
+    raise TimeoutError("the host did not send the expected report in time")
 
 
-def opened(process: subprocess.Popen[bytes], said: Iterator[dict[str, Any]], **more: Any) -> dict[str, Any]:
-    """Six couriers, and where they listen."""
+def open_couriers(
+    process: subprocess.Popen[bytes], received: Iterator[dict[str, Any]], **overrides: Any
+) -> dict[str, Any]:
+    """Open six couriers at the host, and return their addresses by name."""
     couriers = [{"name": f"h{n}", "number": n, "zone": "all"} for n in range(6)]
-    tell(process, {"open": {"told": TOLD | more, "couriers": couriers}})
-    found: dict[str, Any] = next(each for each in said if "open" in each)["open"]
-    assert set(found) == {one["name"] for one in couriers}
+    send_command(process, {"open": {"told": CONFIG | overrides, "couriers": couriers}})
+    found: dict[str, Any] = next(report for report in received if "open" in report)["open"]
+    assert set(found) == {courier["name"] for courier in couriers}
     return found
 
 
-def test_drawn_messages_are_those_of_the_seed_and_come_at_the_rate() -> None:
-    told = Told(10, 3, 2.0, limits={"a": 5.0, "b": 5.0})
-    first, second = Drawn(told, 4), Drawn(told, 4)
-    came = [first.come(at) for at in range(0, 500 * SECOND, 50 * MS)]
-    assert came == [second.come(at) for at in range(0, 500 * SECOND, 50 * MS)]
-    assert abs(sum(came) - 500 * first.rate) < 5 * (500 * first.rate) ** 0.5
-    rates = [Drawn(told, number).rate for number in range(2_000)]
+def test_workload_is_deterministic_for_a_seed_and_arrives_at_the_configured_rate() -> None:
+    config = HollowConfig(10, 3, 2.0, limits={"a": 5.0, "b": 5.0})
+    first, second = Workload(config, 4), Workload(config, 4)
+    arrived = [first.arrive(at) for at in range(0, 500 * SECOND, 50 * MS)]
+    assert arrived == [second.arrive(at) for at in range(0, 500 * SECOND, 50 * MS)]
+    assert abs(sum(arrived) - 500 * first.rate) < 5 * (500 * first.rate) ** 0.5
+    rates = [Workload(config, number).rate for number in range(2_000)]
     assert abs(sum(rates) / len(rates) - 2.0) < 0.1
-    assert first.given_up == first.came - sum(first.waiting.values())  # nobody called: they wait, and are given up
+    assert first.abandoned == first.arrived - sum(
+        first.waiting.values()
+    )  # no calls are made: messages wait or are abandoned
 
 
 @pytest.mark.parametrize(("rate", "limits"), [(0.0, {"a": 5.0}), (3.0, {})])
-def test_nothing_comes_without_a_rate_or_an_endpoint(rate: float, limits: dict[str, float]) -> None:
-    drawn = Drawn(Told(10, 3, rate, limits=limits), 1)
-    assert not any(drawn.come(at) for at in range(0, 60 * SECOND, SECOND))
-
-
-def test_outcomes_have_their_share() -> None:
-    drawn = Drawn(Told(10, 3, 1.0, failing=0.1, limits={"a": 1.0}), 1)
-    found = [drawn.outcome() for _ in range(10_000)]
-    assert 850 < found.count((Outcome.FAILED, 0)) < 1_150
-    assert 850 < sum(outcome is Outcome.REFUSED and wait > 0 for outcome, wait in found) < 1_150
-
-
-def test_budgets_are_what_real_couriers_make_of_a_limit() -> None:
-    assert budgets(Told(10, 1, limits={"m": 50.0})) == {"e:m": (45, SECOND)}
-    assert budgets(Told(1_000, 1, limits={"m": 50.0}))["e:m"][0] >= 1_000  # a longer span, until each owns one
-
-
-def test_a_host_starts_stops_and_restarts_couriers_that_find_each_other() -> None:
-    with host() as process:
-        said = reports(process)
-        places = opened(process, said)
-        names = list(places)
-        tell(process, {"seeds": {name: places[name] for name in names[:3]}})
-        tell(process, {"truth": {"there": {"all": 6}, "gone": {}}, "start": names, "within": 200 * MS})
-        found = next(r for r in said if r["sums"].get("couriers") == 6 and not r["sums"]["missing"] and r["least"] == 5)
+def test_no_messages_arrive_without_a_rate_or_an_endpoint(rate: float, limits: dict[str, float]) -> None:
+    workload = Workload(HollowConfig(10, 3, rate, limits=limits), 1)
+    assert not any(workload.arrive(at) for at in range(0, 60 * SECOND, SECOND))
+
+
+def test_failed_and_refused_outcomes_have_the_configured_share() -> None:
+    workload = Workload(HollowConfig(10, 3, 1.0, failing=0.1, limits={"a": 1.0}), 1)
+    outcomes = [workload.outcome() for _ in range(10_000)]
+    assert 850 < outcomes.count((Outcome.FAILED, 0)) < 1_150
+    assert 850 < sum(outcome is Outcome.REFUSED and retry_after > 0 for outcome, retry_after in outcomes) < 1_150
+
+
+def test_budgets_are_derived_from_a_limit_as_by_real_couriers() -> None:
+    assert endpoint_budgets(HollowConfig(10, 1, limits={"m": 50.0})) == {"e:m": (45, SECOND)}
+    assert (
+        endpoint_budgets(HollowConfig(1_000, 1, limits={"m": 50.0}))["e:m"][0] >= 1_000
+    )  # in a longer window, so that each courier's share is one call
+
+
+def test_host_starts_stops_and_restarts_couriers_that_discover_each_other() -> None:
+    with running_host() as process:
+        received = reports(process)
+        addresses = open_couriers(process, received)
+        names = list(addresses)
+        send_command(process, {"seeds": {name: addresses[name] for name in names[:3]}})
+        send_command(process, {"truth": {"there": {"all": 6}, "gone": {}}, "start": names, "within": 200 * MS})
+        found = next(
+            r for r in received if r["sums"].get("couriers") == 6 and not r["sums"]["missing"] and r["least"] == 5
+        )
         assert found["sums"]["sent"] > 0 and found["rss"] > 0
-        calls = [at for report in (next(said), next(said)) for at in report["calls"]["e:m1"]]
+        calls = [at for report in (next(received), next(received)) for at in report["calls"]["e:m1"]]
         assert calls
-        tell(process, {"truth": {"there": {"all": 5}, "gone": {"all": ["h5"]}}, "stop": ["h5"]})
-        found = next(r for r in said if r["sums"].get("couriers") == 5 and r["sums"]["ghosts"] == 0)
+        send_command(process, {"truth": {"there": {"all": 5}, "gone": {"all": ["h5"]}}, "stop": ["h5"]})
+        found = next(r for r in received if r["sums"].get("couriers") == 5 and r["sums"]["ghosts"] == 0)
         assert found["sums"]["ghost_pairs"] == 5 and found["sums"]["buried"] == 0
-        tell(process, {"truth": {"there": {"all": 6}, "gone": {}}, "start": ["h5"]})
-        next(r for r in said if r["sums"].get("couriers") == 6 and not r["sums"]["missing"])
-        tell(process, {"restart": ["h0", "h1"], "gap": 100 * MS})
-        next(r for r in said if r["events"].get("peers-joined", 0) >= 30 + 5 + 10 and not r["sums"]["missing"])
+        send_command(process, {"truth": {"there": {"all": 6}, "gone": {}}, "start": ["h5"]})
+        next(r for r in received if r["sums"].get("couriers") == 6 and not r["sums"]["missing"])
+        send_command(process, {"restart": ["h0", "h1"], "gap": 100 * MS})
+        next(r for r in received if r["events"].get("peers-joined", 0) >= 30 + 5 + 10 and not r["sums"]["missing"])
 
 
-def test_a_host_ends_when_its_stdin_is_closed_and_when_its_time_is_over() -> None:
-    with host() as process:
-        opened(process, reports(process))
+def test_host_ends_when_its_stdin_closes_and_when_its_lifetime_is_over() -> None:
+    with running_host() as process:
+        open_couriers(process, reports(process))
         assert process.stdin is not None
         process.stdin.close()
-        assert process.wait(WITHIN) == 0
-    with host() as process:
-        opened(process, reports(process), span=300 * MS)
-        assert process.wait(WITHIN) == 0
+        assert process.wait(TIMEOUT) == 0
+    with running_host() as process:
+        open_couriers(process, reports(process), span=300 * MS)
+        assert process.wait(TIMEOUT) == 0
 
 
-def test_a_host_ends_with_its_parent() -> None:
-    """The parent is killed: nobody closes anything in order."""
+def test_host_ends_with_its_parent() -> None:
+    """The parent is killed by SIGKILL, so it cannot close the host's stdin itself."""
     code = (
         "import subprocess, sys, time\n"
         "p = subprocess.Popen([sys.executable, '-m', 'kestrelspar.lab.hollow'], stdin=subprocess.PIPE)\n"
@@ -148,13 +156,13 @@
     os.kill(parent.pid, signal.SIGKILL)
     parent.wait()
     parent.stdout.close()
-    until = time.monotonic() + WITHIN
-    while running(pid):
-        assert time.monotonic() < until
+    deadline = time.monotonic() + TIMEOUT
+    while is_running(pid):
+        assert time.monotonic() < deadline
         time.sleep(0.05)
 
 
-def running(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except FileNotFoundError:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs: what is planned and refused, small plays of real and hollow couriers, and that no process stays."""
+"""Scale runs: planning and its refusals, small runs of real and hollow couriers, and that no process is left behind."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from kestrelspar.lab import modelled, scale
 from kestrelspar.lab.plan import MB, MOST_MEMBERS, Asked, Bounds, TooMuch, plan, plan_model
 from kestrelspar.runtime.loop import SECOND
-from tests.lab.test_hollow import running
+from tests.lab.test_hollow import is_running
 from tests.test_program import ROOT
 
-WITHIN = 60.0  # seconds: far more than it takes
+TIMEOUT = 60.0  # seconds
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
         ),
     ],
 )
-def test_what_will_not_do_is_refused_with_what_is_wrong_and_what_is_wanted(
+def test_impossible_run_is_refused_naming_each_fault_and_the_accepted_values(
     asked: Asked, bounds: Bounds, wrong: list[str]
 ) -> None:
     with pytest.raises(TooMuch) as refused:
@@ -90,7 +90,7 @@
         (Asked(0, 2_000, 8, grouped=True), [125, 124, 125, 124, *[125] * 12, 1, 1, 0], 2),
     ],
 )
-def test_couriers_are_laid_out_evenly_and_each_once(asked: Asked, hosts: list[int], relays: int) -> None:
+def test_couriers_are_distributed_evenly_and_each_once(asked: Asked, hosts: list[int], relays: int) -> None:
     found = plan(asked, Bounds())
     assert [len(names) for _, names in found.hosts] == hosts and len(found.relays) == relays
     assert sorted(found.numbers.values()) == list(range(asked.couriers))
@@ -112,7 +112,9 @@
         (10, 20, True, "--zones: 20 for 10"),
     ],
 )
-def test_a_model_is_refused_with_the_arithmetic(couriers: int, zones: int, grouped: bool, refused: str) -> None:
+def test_too_large_simulated_run_is_refused_with_its_expected_memory(
+    couriers: int, zones: int, grouped: bool, refused: str
+) -> None:
     if not refused:
         assert plan_model(Asked(0, couriers, zones, grouped=grouped), Bounds()) < 12_000 * MB
         return
@@ -120,7 +122,7 @@
         plan_model(Asked(0, couriers, zones, grouped=grouped), Bounds())
 
 
-def test_the_model_plays_the_same_and_one_seed_is_one_story() -> None:
+def test_simulated_run_is_deterministic_for_a_seed() -> None:
     asked = Asked(0, 24, 2, 4 * SECOND, 5, "kill", period=300_000)
     first, second = modelled.play(asked, Bounds()), modelled.play(asked, Bounds())
     assert first["findings"] == [] and first["from"] == "modelled network"
@@ -131,67 +133,71 @@
 
 
 @pytest.mark.parametrize("fault", ["loss", "delay", "cut", "one-way", "stop", "restarts", "none"])
-def test_the_model_has_all_faults(fault: str) -> None:
+def test_simulated_run_supports_all_faults(fault: str) -> None:
     report = modelled.play(Asked(0, 8, 2, 4 * SECOND, 2, fault, period=300_000), Bounds())
     assert report["hit"] == {"cut": 4, "one-way": 4, "stop": 4, "restarts": 4, "none": 0}.get(fault, 8)
     assert report["findings"] == [] and (report["settled_s"] is None) is (fault == "none")
 
 
-@pytest.mark.parametrize(("fault", "hit"), [("kill", 124), ("stop", 124)])
-def test_the_last_zones_largest_host_is_hit_not_one_of_a_single_courier(tmp_path: Path, fault: str, hit: int) -> None:
-    with scale.Scale(Asked(2, 500, 4, fault=fault), tmp_path, Bounds(), lambda text: None) as play:
-        told: list[object] = []
-        for place in range(len(play.plan.hosts)):
-            play.hosts[str(place)] = Deaf(told)  # type: ignore[assignment]
-        play.inject()
-        play.hosts.clear()
-    assert play.hit == hit and len(told) > 0
+@pytest.mark.parametrize(("fault", "affected"), [("kill", 124), ("stop", 124)])
+def test_fault_hits_the_largest_host_of_the_last_zone(tmp_path: Path, fault: str, affected: int) -> None:
+    """Some hosts of a zone have a single courier, to measure what one costs alone; the fault must not choose these."""
+    with scale.ScaleRun(Asked(2, 500, 4, fault=fault), tmp_path, Bounds(), lambda text: None) as run:
+        recorded: list[object] = []
+        for index in range(len(run.plan.hosts)):
+            run.hosts[str(index)] = RecordingHost(recorded)  # type: ignore[assignment]
+        run.inject()
+        run.hosts.clear()
+    assert run.affected == affected and len(recorded) > 0
 
 
-class Deaf:
-    """A host that only notes what is done to it."""
+class RecordingHost:
+    """A fake child process that records the signals and commands sent to it."""
 
-    def __init__(self, told: list[object]) -> None:
-        self.told, self.process = told, self
+    def __init__(self, recorded: list[object]) -> None:
+        self.recorded, self.process = recorded, self
 
     def send_signal(self, number: int) -> None:
-        self.told.append(number)
+        self.recorded.append(number)
 
     def kill(self) -> None:
-        self.told.append("killed")
+        self.recorded.append("killed")
 
     def tell(self, command: dict[str, Any]) -> None:
-        self.told.append(command)
+        self.recorded.append(command)
 
 
-def test_the_most_calls_in_any_span_are_those_that_a_slow_count_finds() -> None:
-    pick = Random(4)
+def test_max_calls_in_window_agrees_with_a_brute_force_count() -> None:
+    random = Random(4)
     for _ in range(200):
-        times = [pick.randrange(400) for _ in range(pick.randrange(1, 30))]
-        span = pick.randrange(1, 120)
-        slow = max(sum(begin <= at < begin + span for at in times) for begin in times)
-        assert scale.most_in_span(times, span) == slow
-    assert scale.most_in_span([], 10) == 0
+        times = [random.randrange(400) for _ in range(random.randrange(1, 30))]
+        window = random.randrange(1, 120)
+        expected = max(sum(begin <= at < begin + window for at in times) for begin in times)
+        assert scale.max_calls_in_window(times, window) == expected
+    assert scale.max_calls_in_window([], 10) == 0
 
 
 @pytest.mark.parametrize(
-    ("taken", "said"),
+    ("figures", "expected"),
     [
         ({}, []),
-        ({"busiest_host": 0.95}, ["a process of hollow couriers took 0.95 of a core"]),
-        ({"busiest_relay": 1.0}, ["a process of relays took 1.00 of a core"]),
+        ({"busiest_host": 0.95}, ["a process of hollow couriers used 0.95 of a core"]),
+        ({"busiest_relay": 1.0}, ["a process of relays used 1.00 of a core"]),
         (
             {"play": 0.91, "dropped": 3},
-            ["the play itself took 0.91 of a core", "the system dropped 3 datagrams at full buffers"],
+            [
+                "the controlling process used 0.91 of a core",
+                "the kernel dropped 3 datagrams at full socket buffers",
+            ],
         ),
-        ({"latest_tick_ms": 5_000.0}, []),  # once, and no more: the machine
-        ({"mean_tick_late_ms": 51.0}, ["ticks of hollow couriers came 51 ms late on average"]),
-        ({"cores_busy": 0.99}, ["all cores were taken: 99% of 4, 20% by the host of this machine"]),
-        ({"stalled_ticks": 0.02}, ["2.0% of the ticks came more than a period late"]),
+        ({"latest_tick_ms": 5_000.0}, []),  # a single stall, by the machine
+        ({"mean_tick_late_ms": 51.0}, ["ticks of hollow couriers were 51 ms late on average"]),
+        ({"cores_busy": 0.99}, ["all cores were busy: 99% of 4, 20% stolen by the hypervisor"]),
+        ({"stalled_ticks": 0.02}, ["2.0% of the ticks were more than a period late"]),
     ],
 )
-def test_what_could_not_keep_up_is_named(taken: dict[str, float], said: list[str]) -> None:
-    calm = {
+def test_saturated_resources_are_named(figures: dict[str, float], expected: list[str]) -> None:
+    unsaturated = {
         "busiest_host": 0.5,
         "busiest_relay": 0.5,
         "play": 0.5,
@@ -203,10 +209,10 @@
         "cores_busy": 0.7,
         "cores_stolen": 0.2,
     }
-    assert scale.saturated(calm | taken) == said
+    assert scale.saturated(unsaturated | figures) == expected
 
 
-def test_factors_are_of_what_is_shared() -> None:
+def test_factors_compare_the_cost_of_the_peer_protocol_alone() -> None:
     report: dict[str, Any] = {
         "rest": {
             "cpu_ms_a_hollow": 1.5,
@@ -228,8 +234,8 @@
 
 
 @pytest.mark.parametrize(("real", "fault"), [("2", "cut"), ("0", "kill"), ("0", "restarts")])
-def test_a_small_play_settles_and_the_judges_find_nothing(tmp_path: Path, real: str, fault: str) -> None:
-    out, site = tmp_path / "out.json", tmp_path / "out.html"
+def test_small_run_converges_without_findings(tmp_path: Path, real: str, fault: str) -> None:
+    out, page = tmp_path / "out.json", tmp_path / "out.html"
     done = CliRunner().invoke(
         cli,
         [
@@ -250,56 +256,56 @@
             "--json",
             str(out),
             "--page",
-            str(site),
+            str(page),
         ],
     )
     assert done.exit_code == 0, f"{done.output} {done.exception!r}"
-    (play,) = json.loads(out.read_text())["plays"]
-    assert play["findings"] == [] and play["settled_s"] is not None and play["known_s"] is not None
-    assert play["hit"] == {"cut": 6, "kill": 5, "restarts": 4}[fault]
-    assert (play["messages"] > 0) is (real != "0") and play["least_known"] > 0
-    assert all(0 < most <= calls for most, calls in play["busiest_span"].values())
-    assert play["sums"]["passed"] > 0 and (play["sums"].get("lost fault", 0) > 0) is (fault == "cut")
-    assert "Couriers by number" in site.read_text() and "<svg" in site.read_text()
+    (run,) = json.loads(out.read_text())["plays"]
+    assert run["findings"] == [] and run["settled_s"] is not None and run["known_s"] is not None
+    assert run["hit"] == {"cut": 6, "kill": 5, "restarts": 4}[fault]
+    assert (run["messages"] > 0) is (real != "0") and run["least_known"] > 0
+    assert all(0 < most <= calls for most, calls in run["busiest_span"].values())
+    assert run["sums"]["passed"] > 0 and (run["sums"].get("lost fault", 0) > 0) is (fault == "cut")
+    assert "Couriers by number" in page.read_text() and "<svg" in page.read_text()
 
 
-def test_too_much_ends_with_exit_code_2_before_anything_is_started() -> None:
+def test_refused_run_exits_with_code_2_before_any_process_starts() -> None:
     done = CliRunner().invoke(cli, ["lab", "scale", "--hollow", "20,20000", "--fault", "cut"])
     assert done.exit_code == 2 and "couriers know each other" in done.output
     done = CliRunner().invoke(cli, ["lab", "scale", "--hollow", "many"])
     assert done.exit_code == 2
 
 
-def test_memory_above_the_bound_ends_a_play_and_its_processes(tmp_path: Path) -> None:
+def test_memory_above_the_bound_ends_the_run_and_its_processes(tmp_path: Path) -> None:
     asked, started = Asked(1, 4, 2), []
     with (
-        pytest.raises(TooMuch, match="everything was ended"),
-        scale.Scale(asked, tmp_path, Bounds(), lambda text: None) as play,
+        pytest.raises(TooMuch, match="all processes of the run were ended"),
+        scale.ScaleRun(asked, tmp_path, Bounds(), lambda text: None) as run,
     ):
-        play.bounds = Bounds(memory=MB)  # found out only while it runs
+        run.bounds = Bounds(memory=MB)  # after planning, so that only the check at run time finds it
         try:
-            play.run()
+            run.run()
         finally:
-            started = play.pids()[1:]
-    assert started and not any(map(running, started))
+            started = run.pids()[1:]
+    assert started and not any(map(is_running, started))
 
 
-def children(pid: int) -> Iterator[int]:
-    """All processes below that one."""
-    found = {}
+def descendants(pid: int) -> Iterator[int]:
+    """Ids of all descendant processes."""
+    parents = {}
     for folder in Path("/proc").glob("[0-9]*"):
         try:
-            found[int(folder.name)] = int((folder / "stat").read_text().rpartition(")")[2].split()[1])
+            parents[int(folder.name)] = int((folder / "stat").read_text().rpartition(")")[2].split()[1])
         except OSError:
             continue
-    below = {pid}
-    while more := {child for child, parent in found.items() if parent in below} - below:
-        below |= more
-    yield from sorted(below - {pid})
+    tree = {pid}
+    while more := {child for child, parent in parents.items() if parent in tree} - tree:
+        tree |= more
+    yield from sorted(tree - {pid})
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_a_signal_leaves_no_process_behind(number: signal.Signals) -> None:
+def test_signal_leaves_no_process_behind(number: signal.Signals) -> None:
     code = "from kestrelspar.cli.main import cli; cli()"
     process = subprocess.Popen(
         [sys.executable, "-c", code, "lab", "scale", "--real", "2", "--hollow", "6"],
@@ -308,20 +314,19 @@
         stderr=subprocess.PIPE,
     )
     try:
-        until = time.monotonic() + WITHIN
-        while len(started := list(children(process.pid))) < 5:  # a process of relays, two of hollow ones, two real
-            assert time.monotonic() < until and process.poll() is None
+        deadline = time.monotonic() + TIMEOUT
+        while len(started := list(descendants(process.pid))) < 5:  # one of relays, two of hollow couriers, two real
+            assert time.monotonic() < deadline and process.poll() is None
             time.sleep(0.05)
-        time.sleep(2.0 if number is signal.SIGTERM else 0.0)  # in the middle of whatever it does, and a while later
+        time.sleep(2.0 if number is signal.SIGTERM else 0.0)  # SIGINT while it starts, SIGTERM later
         os.kill(process.pid, number)
-        assert process.wait(WITHIN) == 128 + number
-        assert not any(map(running, started)) and not list(children(process.pid))
+        assert process.wait(TIMEOUT) == 128 + number
+        assert not any(map(is_running, started)) and not list(descendants(process.pid))
     finally:
         process.kill()
         process.communicate()
 
 
-def test_a_play_takes_no_longer_than_its_parts(tmp_path: Path) -> None:
-    """It stops by itself, also where nothing happens."""
+def test_run_without_a_fault_ends_by_itself(tmp_path: Path) -> None:
     report = scale.play(Asked(0, 4, 2, 3 * SECOND), tmp_path, Bounds())
     assert report["findings"] == [] and "fault" not in report and report["known_s"] is not None
