--- a/kestrelspar/lab/brokered.py
+++ b/kestrelspar/lab/brokered.py
@@ -124,7 +124,7 @@
             for route in closed:
                 if restrictions[route].until > now + MAX_CLOSED_TIME + 2 * MS:
                     self.faults.append(
-                        f"{self.net.now} {name}: {route} closed for {restrictions[route].until - now} us (too long)"
+                        f"{self.net.now} {name}: {route} closed for too long, in us: {restrictions[route].until - now}"
                     )
                 if not self.lied and self.up(route, self.net.now - MAX_STALE_TIME):
                     self.faults.append(f"{self.net.now} {name}: {route} closed, though it has been up for long")
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -299,23 +299,23 @@
         self.max_lateness = max(self.max_lateness, lateness)
         self.stalls += lateness > self.config.period
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, fields: dict[str, Any]) -> None:
         """Carry out one command; the class's docstring lists them."""
-        if "open" in command:
-            self._open(command["open"])
-        if "truth" in command:
-            self.running_counts = dict(command["truth"]["there"])
-            self.killed = {zone: set(names) for zone, names in command["truth"]["gone"].items()}
-        self.seeds |= {name: (address[0], address[1]) for name, address in command.get("seeds", {}).items()}
-        for name in command.get("stop", ()):
+        if "open" in fields:
+            self._open(fields["open"])
+        if "truth" in fields:
+            self.running_counts = dict(fields["truth"]["there"])
+            self.killed = {zone: set(names) for zone, names in fields["truth"]["gone"].items()}
+        self.seeds |= {name: (address[0], address[1]) for name, address in fields.get("seeds", {}).items()}
+        for name in fields.get("stop", ()):
             self.couriers[name].stop()
-        self._spread(command.get("start", ()), command.get("within", 0), lambda courier: courier.start())
+        self._spread(fields.get("start", ()), fields.get("within", 0), lambda courier: courier.start())
 
         def restart(courier: HollowCourier) -> None:
             courier.stop()
-            self.loop.at(self.loop.now + int(command.get("gap", 0)), courier.start)
+            self.loop.at(self.loop.now + int(fields.get("gap", 0)), courier.start)
 
-        self._spread(command.get("restart", ()), command.get("within", 0), restart)
+        self._spread(fields.get("restart", ()), fields.get("within", 0), restart)
 
     def _spread(self, names: list[str], duration: int, call: Callable[[HollowCourier], None]) -> None:
         for index, name in enumerate(names):
@@ -326,8 +326,8 @@
         self.config = msgspec.convert(arguments["told"], HollowConfig)
         self.budgets = endpoint_budgets(self.config)
         self.couriers = {
-            courier["name"]: HollowCourier(self, msgspec.convert(courier, HollowCourierConfig))
-            for courier in arguments["couriers"]
+            entry["name"]: HollowCourier(self, msgspec.convert(entry, HollowCourierConfig))
+            for entry in arguments["couriers"]
         }
         self.loop.at(self.loop.now + self.config.span, self.loop.stop)
         child.say({"open": {name: courier.address for name, courier in self.couriers.items()}})
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -132,7 +132,7 @@
             asked.seed,
             asked.rate,
             asked.failing,
-            limits={name: float(limit) for name, limit in self.limits.items()},
+            limits={system: float(limit) for system, limit in self.limits.items()},
             spend=SPEND_PERCENT,
             term=LOAN_TERM,
             period=asked.period,
@@ -217,7 +217,7 @@
             self.relays[name] = self._child(name, "relays")
             self.relays[name].tell({"open": zones, "seed": asked.seed + index, "groups": self.plan.zones})
         self.rig.until(lambda: len(self.opened) == len(self.relays), OPEN_TIMEOUT)
-        zone_addresses = {zone: tuple(address) for opened in self.opened.values() for zone, address in opened.items()}
+        zone_addresses = {zone: tuple(listener) for opened in self.opened.values() for zone, listener in opened.items()}
         seeds: dict[str, dict[str, Any]] = {}
         for name, zone in self.plan.zones.items():
             group_seeds = seeds.setdefault(self.scope(name), {})
@@ -629,7 +629,7 @@
         return {
             "memory_a_member_real": round(_mean(real)),
             "memory_a_member_hollow": round(_mean(hollow)),
-            "memory_a_real_mb": round(_mean([now[name] for name in self.real if name in now]) / MB, 2),
+            "memory_a_real_mb": round(_mean([now[courier] for courier in self.real if courier in now]) / MB, 2),
             "memory_a_hollow_mb": round(_mean(hollow) * group_size / MB, 3),
         }
 
@@ -679,7 +679,7 @@
         statuses = self.statuses()
         found += [f"{name}: no answer from its status socket" for name in self.real if name not in statuses]
         for name, status in statuses.items():
-            listed = {member["name"] for member in status["members"] if member["stand"] in ("alive", "suspect")}
+            listed = {entry["name"] for entry in status["members"] if entry["stand"] in ("alive", "suspect")}
             running = (
                 {other for other in self.plan.zones if self.scope(other) == self.scope(name)}
                 - self.killed_couriers
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -105,9 +105,8 @@
 
 def test_budgets_are_derived_from_a_limit_as_by_real_couriers() -> None:
     assert endpoint_budgets(HollowConfig(10, 1, limits={"m": 50.0})) == {"e:m": (45, SECOND)}
-    assert (
-        endpoint_budgets(HollowConfig(1_000, 1, limits={"m": 50.0}))["e:m"][0] >= 1_000
-    )  # in a longer window, so that each courier's share is one call
+    # In a longer window, so that each courier's share is at least one call.
+    assert endpoint_budgets(HollowConfig(1_000, 1, limits={"m": 50.0}))["e:m"][0] >= 1_000
 
 
 def test_host_starts_stops_and_restarts_couriers_that_discover_each_other() -> None:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -127,7 +127,7 @@
     first, second = modelled.play(asked, Bounds()), modelled.play(asked, Bounds())
     assert first["findings"] == [] and first["from"] == "modelled network"
     assert first["known_s"] is not None and first["settled_s"] is not None and first["settled_s"] > 0
-    assert all(0 < most <= calls for most, calls in first["busiest_span"].values())
+    assert all(0 < busiest <= allowed for busiest, allowed in first["busiest_span"].values())
     for key in ("known_s", "settled_s", "busiest_span", "sums"):
         assert first[key] == second[key]
 
@@ -264,7 +264,7 @@
     assert run["findings"] == [] and run["settled_s"] is not None and run["known_s"] is not None
     assert run["hit"] == {"cut": 6, "kill": 5, "restarts": 4}[fault]
     assert (run["messages"] > 0) is (real != "0") and run["least_known"] > 0
-    assert all(0 < most <= calls for most, calls in run["busiest_span"].values())
+    assert all(0 < busiest <= allowed for busiest, allowed in run["busiest_span"].values())
     assert run["sums"]["passed"] > 0 and (run["sums"].get("lost fault", 0) > 0) is (fault == "cut")
     assert "Couriers by number" in page.read_text() and "<svg" in page.read_text()
 
