--- a/kestrelspar/lab/modelled.py
+++ b/kestrelspar/lab/modelled.py
@@ -293,7 +293,7 @@
                 f"{_share(sums, 'missing', 'pairs'):.1%} of members missing"
             )
         if asked.fault != "none" and settled is None:
-            found.append(f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s of its end")
+            found.append(f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s")
         if sums["refused"]:
             found.append(f"{sums['refused']} members were rejected: membership list full")
         group_size = asked.couriers / (asked.zones if asked.grouped else 1)
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -446,7 +446,7 @@
     # The fault
 
     def inject(self) -> int:
-        """Begin the run's fault, and return how long until it ends by itself."""
+        """Begin the run's fault; return how long until it ends by itself, 0 for a fault that stays."""
         asked = self.asked
         self.affected, random = 0, Random(asked.seed)
         last = f"z{asked.zones - 1}"
@@ -662,7 +662,7 @@
         if asked.fault != "none" and settled is None:
             missing, ghosts = self.membership_errors()
             found.append(
-                f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s of its end: {missing:.1%} of "
+                f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s: {missing:.1%} of "
                 f"running members missing, {ghosts:.1%} of killed members listed as alive"
             )
         found += [
