--- a/kestrelspar/cli/__init__.py
+++ b/kestrelspar/cli/__init__.py
@@ -1,1 +1,1 @@
-"""`kestrelspar VERB`: the operators' command line."""
+"""Command line of the courier: one module for each command of ``kestrelspar``."""
--- a/kestrelspar/cli/broker.py
+++ b/kestrelspar/cli/broker.py
@@ -1,4 +1,4 @@
-"""``kestrelspar broker``."""
+"""``kestrelspar broker``: run a broker, which relays observations of endpoints between couriers."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     "--conf",
     required=True,
     type=click.Path(exists=True, dir_okay=False),
-    help="kestrelspar.conf with a section peers: its broker lines and the key.",
+    help="kestrelspar.conf; its section peers lists the brokers and names the key file.",
 )
-@click.option("--name", required=True, help="Which of its brokers this is, as REGION/NAME.")
+@click.option("--name", required=True, help="Name of this broker in that list, as REGION/NAME.")
 @click.option(
     "--state",
     type=click.Path(exists=True, file_okay=False),
-    help="The folder that lasts; without it nobody can ask this broker how it stands.",
+    help="Persistent state directory; without it, `kestrelspar peers status` cannot query this broker.",
 )
 def verb(conf: str, name: str, state: str | None) -> None:
-    """Pass on what couriers saw of endpoints to those whom it concerns, until SIGTERM.
+    """Relay the couriers' observations of endpoints to the subscribed couriers, until SIGTERM.
 
-    SIGHUP has the keys read again. It listens at its address in the broker lines, or where `listen` says.
+    SIGHUP reloads the keys. The broker listens on its address in the list of brokers, or on `listen` if that is set.
 
     \b
     Example:
--- a/kestrelspar/cli/config.py
+++ b/kestrelspar/cli/config.py
@@ -7,12 +7,12 @@
 
 import click
 
-from kestrelspar.cli.main import BadConfiguration, Fault
+from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.settings import conf as conf_file
 from kestrelspar.settings import pages, platform, resolve
 from kestrelspar.settings.schema import SECTIONS
 
-FILE = click.argument("file", required=False, type=click.Path())
+FILE_ARGUMENT = click.argument("file", required=False, type=click.Path())
 
 
 @click.group("config")
@@ -25,11 +25,11 @@
 
 
 @verb.command()
-@FILE
+@FILE_ARGUMENT
 def check(file: str | None) -> None:
-    """Check FILE (else the one in force) and say all that is wrong, one fault a line.
+    """Check FILE (by default the active configuration) and print every error, one per line.
 
-    Where RELAY_CONFIG is set, the platform's JSON is checked too, and the names that FILE takes from it.
+    If RELAY_CONFIG is set, the platform's JSON and the references of FILE to names in it are checked, too.
 
     \b
     Example:
@@ -37,22 +37,24 @@
     """
     path = _path(file)
     try:
-        found = conf_file.load(path, None if file else os.environ)
+        loaded = conf_file.load(path, None if file else os.environ)
         if "RELAY_CONFIG" in os.environ:
             settings = platform.read(os.environ).settings
-            resolve.smpp(found, settings)
-        resolve.registries(found)
-        resolve.keys(found)
+            resolve.smpp(loaded, settings)
+        resolve.registries(loaded)
+        resolve.keys(loaded)
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
     click.echo(f"{path}: no fault found")
 
 
 @verb.command()
-@FILE
-@click.option("--set", "only_set", is_flag=True, help="Leave out what has its default.")
+@FILE_ARGUMENT
+@click.option("--set", "only_set", is_flag=True, help="Omit keys that have their default value.")
 def show(file: str | None, only_set: bool) -> None:
-    """Print the configuration in force, defaults filled in, in its own form. Secrets stay files.
+    """Print the active configuration in the format of kestrelspar.conf, with defaults filled in.
+
+    Secrets are not printed, only the names of their files.
 
     \b
     Example:
@@ -61,31 +63,31 @@
     try:
         click.echo(pages.conf_text(conf_file.load(_path(file)), only_set))
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
 
 
 @verb.command()
 @click.argument("key", required=False)
 def explain(key: str | None) -> None:
-    """Say what KEY takes, its default and what it means: `section`, `section.key`, or nothing for all sections.
+    """Describe KEY: its meaning, values and default. KEY is `section` or `section.key`; without it, list all sections.
 
     \b
     Example:
       kestrelspar config explain registry.patience
     """
     if key is None:
-        for title, each in SECTIONS.items():
-            click.echo(f"{title:<14} {each.__doc__}")
+        for title, section_class in SECTIONS.items():
+            click.echo(f"{title:<14} {section_class.__doc__}")
         return
     title, _, name = key.partition(".")
-    every = [title, *(f"{t}.{row[0]}" for t, s in SECTIONS.items() for row in pages.explain(s)), *SECTIONS]
+    known_keys = [title, *(f"{t}.{row[0]}" for t, s in SECTIONS.items() for row in pages.explain(s)), *SECTIONS]
     section = SECTIONS.get(title)
     rows = [row for row in pages.explain(section) if name in ("", row[0])] if section else []
     if section is None or not rows:
-        close = difflib.get_close_matches(key, [item for item in every if item != key], 1, 0.5)
-        raise Fault(f"{key}: no such key" + (f"; did you mean {close[0]}?" if close else ""))
-    for name, takes, default, meaning in rows:
-        click.echo(f"{title}.{name}\n    meaning  {meaning}\n    value    {takes}\n    default  {default}")
+        matches = difflib.get_close_matches(key, [known for known in known_keys if known != key], 1, 0.5)
+        raise CommandError(f"{key}: no such key" + (f"; did you mean {matches[0]}?" if matches else ""))
+    for name, values, default, meaning in rows:
+        click.echo(f"{title}.{name}\n    meaning  {meaning}\n    value    {values}\n    default  {default}")
 
 
 @verb.command(hidden=True)
--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -17,7 +17,7 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from kestrelspar.cli.main import Fault
+from kestrelspar.cli.main import CommandError
 from kestrelspar.cli.units import DURATION
 from kestrelspar.http import parser
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
@@ -106,11 +106,11 @@
             stream.close()
 
     def ready(self) -> None:
-        """Wait until the courier serves; ``Fault`` if it does not."""
+        """Wait until the courier serves; ``CommandError`` if it does not."""
         give_up = self.loop.now + READY_WITHIN
         while self.ask(parser.request("GET", "/health/ready", "demo", {})) != 200:
             if self.process.poll() is not None or self.loop.now > give_up:
-                raise Fault(f"the courier did not start:\n{self.log.read_text()}")
+                raise CommandError(f"the courier did not start:\n{self.log.read_text()}")
             self.loop.sleep(50 * MS)
 
     def hand_in(self, cls: str) -> None:
@@ -239,5 +239,5 @@
     for line in faults:
         click.echo(line, err=True)
     if faults:
-        raise Fault(f"{len(faults)} faults: a message has exactly one end")
+        raise CommandError(f"{len(faults)} faults: a message has exactly one end")
     console.print(f"{len(demo.sent)} messages, each with exactly one end; {demo.seen.calls} calls to next hops.")
--- a/kestrelspar/cli/journal.py
+++ b/kestrelspar/cli/journal.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from kestrelspar.cli.main import BadConfiguration, Fault
+from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.journal import read as reading
 from kestrelspar.settings import platform
 
@@ -27,7 +27,7 @@
     try:
         return Path(platform.read(os.environ, again=True).state)
     except ValueError as error:
-        raise BadConfiguration(ValueError(f"no --state is told, and {error}")) from error
+        raise ConfigurationError(ValueError(f"no --state is told, and {error}")) from error
 
 
 def _found(state: str | None) -> tuple[Path, reading.Found]:
@@ -36,9 +36,9 @@
         with open(path, "rb") as opened:  # a compaction renames a new file over this one: the old one is whole
             data = opened.read(MOST + 1)
     except OSError as error:
-        raise Fault(f"{path}: {error.strerror}") from error
+        raise CommandError(f"{path}: {error.strerror}") from error
     if len(data) > MOST:
-        raise Fault(f"{path} has more than {MOST} bytes")
+        raise CommandError(f"{path} has more than {MOST} bytes")
     return path, reading.read(data)
 
 
@@ -79,7 +79,7 @@
         if trace in (None, h.trace) and cls in (None, h.told.get("class"))
     ]
     if trace is not None and not chosen:
-        raise Fault(f"no record of {trace!r}: it was never taken on, or has ended and was compacted away")
+        raise CommandError(f"no record of {trace!r}: it was never taken on, or has ended and was compacted away")
     if as_json:
         for history in chosen:
             click.echo(ujson.dumps(reading.row(history), escape_forward_slashes=False))
--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -14,7 +14,7 @@
 from rich.status import Status
 from rich.table import Table
 
-from kestrelspar.cli.main import BadConfiguration, Fault
+from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.cli.units import DURATION
 from kestrelspar.lab import play as lab
 from kestrelspar.lab import scale, scenario
@@ -47,18 +47,18 @@
     try:
         told = scenario.load(file, couriers)
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
     told.peers = told.peers if peers is None else peers
     console = Console()
     with tempfile.TemporaryDirectory(prefix="kestrelspar-lab-") as spare, console.status("starting") as status:
         folder = Path(keep or spare)
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.iterdir()):
-            raise BadConfiguration(ValueError(f"--keep: {folder} is not empty"))
+            raise ConfigurationError(ValueError(f"--keep: {folder} is not empty"))
         try:
             report = lab.play(told, folder, seed, lambda text: status.update(text))
         except TimeoutError as error:
-            raise Fault(str(error)) from error
+            raise CommandError(str(error)) from error
     if out:
         Path(out).write_text(ujson.dumps(report, indent=1) + "\n")
     if site:
@@ -70,7 +70,7 @@
     for line in report["faults"]:
         click.echo(line, err=True)
     if report["faults"]:
-        raise Fault(f"{len(report['faults'])} faults")
+        raise CommandError(f"{len(report['faults'])} faults")
     console.print(f"{report['served']:.1%} of the messages ran; no fault found.")
 
 
@@ -168,9 +168,9 @@
                 plays.append(modelled_play(asked, scale.bounds(), progress(console, status)))
             console.print(_line(plays[-1]))
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
     except (TimeoutError, RuntimeError) as error:
-        raise Fault(str(error)) from error
+        raise CommandError(str(error)) from error
     except scale.Stopped as stopped:
         click.echo("ended", err=True)
         raise SystemExit(128 + stopped.args[0]) from None
@@ -192,7 +192,7 @@
     for line in found:
         click.echo(line, err=True)
     if found:
-        raise Fault(f"{len(found)} findings")
+        raise CommandError(f"{len(found)} findings")
     console.print("The judges found nothing.")
 
 
--- a/kestrelspar/cli/main.py
+++ b/kestrelspar/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line's root. Verbs are imported when they are asked for: most need only a part of the program."""
+"""Root of the command line. Each command's module is imported on use, since most need only a part of the program."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from kestrelspar.settings.lines import ConfFaults
 
-VERBS = {
+COMMAND_MODULES = {
     "serve": "serve",
     "config": "config",
     "nginx": "nginx",
@@ -23,42 +23,42 @@
 }
 
 
-class _Verbs(click.Group):
+class _LazyGroup(click.Group):
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return list(VERBS)
+        return list(COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in VERBS:
+        if cmd_name not in COMMAND_MODULES:
             return None
-        found = importlib.import_module(f"kestrelspar.cli.{VERBS[cmd_name]}").verb
-        assert isinstance(found, click.Command)
-        return found
+        command = importlib.import_module(f"kestrelspar.cli.{COMMAND_MODULES[cmd_name]}").verb
+        assert isinstance(command, click.Command)
+        return command
 
 
-@click.group(cls=_Verbs, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="kestrelspar")
 def cli() -> None:
     """A courier that delivers messages to member systems, over HTTP and SMPP.
 
-    Exit codes: 0 done; 1 the work found a fault; 2 usage or configuration.
+    Exit codes: 0 success; 1 the command failed or found errors; 2 invalid usage or configuration.
     """
 
 
-class Fault(click.ClickException):
-    """The work found a fault."""
+class CommandError(click.ClickException):
+    """The command failed or found errors; exit code 1."""
 
     exit_code = 1
 
 
-class BadConfiguration(click.ClickException):
-    """The configuration will not do."""
+class ConfigurationError(click.ClickException):
+    """The configuration is invalid; exit code 2."""
 
     exit_code = 2
 
     def __init__(self, error: ValueError) -> None:
-        faults = map(str, error.faults) if isinstance(error, ConfFaults) else [str(error)]
-        super().__init__("\n".join(faults))
+        messages = map(str, error.faults) if isinstance(error, ConfFaults) else [str(error)]
+        super().__init__("\n".join(messages))
 
     def show(self, file: object = None) -> None:
-        """Just the faults, one a line."""
+        """Print the errors, one per line, without click's "Error:" prefix."""
         click.echo(self.message, err=True)
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from kestrelspar.cli.main import BadConfiguration, Fault
+from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.cli.units import DURATION
 from kestrelspar.core import entries
 from kestrelspar.core.transport_map import NextHop, TransportMap
@@ -98,7 +98,7 @@
                     why.append(f"{server[0]}:{server[1]}: {error}")
                 finally:
                     member.link.close()
-            raise Fault("no member of the registry answers:\n" + "\n".join(why))
+            raise CommandError("no member of the registry answers:\n" + "\n".join(why))
 
         return run(work)
 
@@ -107,7 +107,7 @@
         return sorted((_row(item) for item in self._first(lambda member: member.all())), key=lambda row: row.key)
 
     def change(self, row_key: str, value: bytes | None, expected: int) -> None:
-        """Put or delete if the key is unchanged since it was read; ``Fault`` otherwise.
+        """Put or delete if the key is unchanged since it was read; ``CommandError`` otherwise.
 
         Only one member is asked: whether a change whose answer did not come was made is not known.
         """
@@ -124,13 +124,15 @@
                 try:
                     return member.change(row_key, value, expected)
                 except Broken as error:
-                    raise Fault(f"{row_key}: {error}; whether it was written is not known: see `map list`") from error
+                    raise CommandError(
+                        f"{row_key}: {error}; whether it was written is not known: see `map list`"
+                    ) from error
                 finally:
                     member.link.close()
-            raise Fault(f"no member of the registry answers: {why}")
+            raise CommandError(f"no member of the registry answers: {why}")
 
         if not run(work):
-            raise Fault(f"{row_key}: somebody else changed it since it was read; nothing was written")
+            raise CommandError(f"{row_key}: somebody else changed it since it was read; nothing was written")
 
 
 def _row(item: Item) -> Row:
@@ -161,12 +163,12 @@
         found = resolve.registries(read)
         found = found if keys is None else keys.secured(found)
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
     named = [r for r in found if label in (None, r.label)]
     if len(named) != 1:
         names = ", ".join(r.label for r in found) or "none"
         what = f"no registry {label!r}" if label else "which registry is not told (--registry)"
-        raise BadConfiguration(ValueError(f"{path}: {what}; there are: {names}"))
+        raise ConfigurationError(ValueError(f"{path}: {what}; there are: {names}"))
     return named[0]
 
 
@@ -281,14 +283,14 @@
 def _by_name(rows: list[Row], name: str) -> Row | None:
     named = [row for row in rows if row.entry is not None and row.entry.name == name]
     if len(named) > 1:
-        raise Fault(f"{name}: {len(named)} keys have this name: {', '.join(row.key for row in named)}")
+        raise CommandError(f"{name}: {len(named)} keys have this name: {', '.join(row.key for row in named)}")
     return named[0] if named else None
 
 
 def _needed(rows: list[Row], name: str) -> Row:
     found = _by_name(rows, name)
     if found is None or found.entry is None:
-        raise Fault(f"{name}: no such endpoint in the list")
+        raise CommandError(f"{name}: no such endpoint in the list")
     return found
 
 
@@ -321,7 +323,7 @@
     client = Client(told)
     before = _by_name(client.rows(), name)
     if before is not None and new:
-        raise Fault(f"{name}: is in the list already (--new)")
+        raise CommandError(f"{name}: is in the list already (--new)")
     changed = {key: value for key, value in {**fields, "type": kind}.items() if value is not None}
     raw = (msgspec.to_builtins(before.entry) if before is not None and before.entry else {"name": name}) | changed
     for key in ("address", "group"):
@@ -330,7 +332,7 @@
     try:
         entry = entries.decode(msgspec.json.encode(raw))
     except ValueError as error:
-        raise Fault(f"{name}: {error}") from error
+        raise CommandError(f"{name}: {error}") from error
     if before is not None and entry == before.entry:
         click.echo(f"{name}: is so already")
         return
@@ -392,7 +394,7 @@
     for line in importer.lost:
         click.echo(line, err=True)
     if importer.lost and not lossy:
-        raise Fault(f"{file}: {len(importer.lost)} things can't be carried over (--lossy imports the rest)")
+        raise CommandError(f"{file}: {len(importer.lost)} things can't be carried over (--lossy imports the rest)")
     found = entries.merged(msgspec.convert(raw, entries.OwnMap))
     return [
         msgspec.structs.replace(entry, origin=os.path.basename(file), group=entry.group + first_group - 1)
@@ -406,7 +408,7 @@
         try:
             return entries.read_map(file)
         except ValueError as error:
-            raise Fault(str(error)) from error
+            raise CommandError(str(error)) from error
     return _imported(file, zone, kind, first_group, lossy)
 
 
@@ -426,7 +428,7 @@
             steps.append(("add", None, entry))
         elif before.entry != entry:
             if origin is not None and before.entry is not None and before.entry.origin != origin:
-                raise Fault(
+                raise CommandError(
                     f"{entry.name}: is in the list already, "
                     f"{'imported from ' + before.entry.origin if before.entry.origin else 'put by hand'}"
                 )
@@ -511,9 +513,9 @@
         try:
             kept = keep.read(keep.path(file, told.label), 1 << 40)
         except ValueError as error:
-            raise Fault(str(error)) from error
+            raise CommandError(str(error)) from error
         if kept is None:
-            raise Fault(f"{file}: no list of registry {told.label} is kept here")
+            raise CommandError(f"{file}: no list of registry {told.label} is kept here")
         # A kept entry has no origin or start, and names the zone and kind that it was given by default.
         held = {row.key: row.entry for row in kept.rows}
         rows = [Row(row.key, row.revision, _as_kept(row.entry, held.get(row.key))) for row in rows if row.entry]
--- a/kestrelspar/cli/nginx.py
+++ b/kestrelspar/cli/nginx.py
@@ -17,21 +17,21 @@
 
 @verb.command("import")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--zone", help="Zone of the next hops, as the settings name it.")
-@click.option("--type", "kind", help="Kind of the destinations, as the settings name it.")
+@click.option("--zone", help="Zone of the next hops, as named in the settings.")
+@click.option("--type", "kind", help="Kind of the destinations, as named in the settings.")
 def import_(file: str, zone: str | None, kind: str | None) -> None:
-    """Turn the upstream and location blocks of FILE into a transport map, as JSON on standard output.
+    """Convert the upstream and location blocks of FILE to a transport map, as JSON on standard output.
 
-    What can't be carried over is named on standard error with file and line. Exit code 1 when nothing could be.
+    Directives without an equivalent are reported on standard error with file and line. Exit code 1 if the map is empty.
 
     \b
     Example:
       kestrelspar nginx import nginx.conf --type contractor > map.json
     """
     importer = Importer(zone, kind)
-    found = importer.read(file)
+    transport_map = importer.read(file)
     for line in importer.lost:
         click.echo(line, err=True)
-    click.echo(ujson.dumps(found, indent=2, escape_forward_slashes=False))
-    if not found["endpoints"]:
+    click.echo(ujson.dumps(transport_map, indent=2, escape_forward_slashes=False))
+    if not transport_map["endpoints"]:
         sys.exit(1)
--- a/kestrelspar/cli/peers.py
+++ b/kestrelspar/cli/peers.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from kestrelspar.cli.main import Fault
+from kestrelspar.cli.main import CommandError
 from kestrelspar.peers import door
 
 
@@ -22,13 +22,13 @@
     try:
         return door.ask(state, fleet=fleet)
     except (OSError, ValueError) as error:
-        raise Fault(f"no courier with peers on, and no broker, answers in {state}: {error}") from error
+        raise CommandError(f"no courier with peers on, and no broker, answers in {state}: {error}") from error
 
 
 def _of_courier(state: str, key: str, fleet: bool = False) -> dict[str, Any]:
     told = _asked(state, fleet)
     if key not in told:
-        raise Fault(f"{state} is the folder of a broker, which has no {key}")
+        raise CommandError(f"{state} is the folder of a broker, which has no {key}")
     found: dict[str, Any] = told[key]
     return found
 
--- a/kestrelspar/cli/serve.py
+++ b/kestrelspar/cli/serve.py
@@ -1,4 +1,4 @@
-"""``kestrelspar serve``."""
+"""``kestrelspar serve``: run the courier."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @click.command("serve")
 @click.option(
-    "--config", type=click.Path(exists=True, dir_okay=False), help="The platform's JSON; else RELAY_CONFIG names it."
+    "--config", type=click.Path(exists=True, dir_okay=False), help="The platform's JSON; default: $RELAY_CONFIG."
 )
 @click.option(
     "--conf",
     type=click.Path(exists=True, dir_okay=False),
-    help="kestrelspar.conf; else KESTRELSPAR_CONF names it, else deploy/kestrelspar.conf.",
+    help="kestrelspar.conf; default: $KESTRELSPAR_CONF, else deploy/kestrelspar.conf.",
 )
 @click.option(
     "--state",
     type=click.Path(exists=True, file_okay=False),
-    help="The folder that lasts; else RELAY_STATE or the JSON names it.",
+    help="Persistent state directory; default: $RELAY_STATE, else as in the JSON.",
 )
 def verb(config: str | None, conf: str | None, state: str | None) -> None:
-    """Serve until SIGTERM, as `python -m kestrelspar` does.
+    """Run the courier until SIGTERM, as `python -m kestrelspar` does.
 
     \b
     Example:
@@ -31,5 +31,5 @@
     """
     from kestrelspar.serve import main
 
-    told = {"RELAY_CONFIG": config, "KESTRELSPAR_CONF": conf, "RELAY_STATE": state}
-    sys.exit(main({**os.environ, **{name: value for name, value in told.items() if value}}))
+    overrides = {"RELAY_CONFIG": config, "KESTRELSPAR_CONF": conf, "RELAY_STATE": state}
+    sys.exit(main({**os.environ, **{name: value for name, value in overrides.items() if value}}))
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from kestrelspar.cli.main import BadConfiguration, Fault
+from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.cli.units import DURATION, run_for
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late
 from kestrelspar.runtime.loop import SECOND, Loop
@@ -88,7 +88,7 @@
             if len(password.encode()) > PASSWORD:
                 raise ValueError(f"{password_file} holds more than {PASSWORD} bytes")
         except ValueError as error:
-            raise BadConfiguration(error) from error
+            raise ConfigurationError(error) from error
         self.loop, self.buffers = Loop(), BufferPool(64)
         self.account = cases_of.Account(account, password, **more)
         self.dial = probe.plain(self.loop, self.buffers, address)
@@ -118,7 +118,7 @@
         except KeyboardInterrupt:
             click.echo("ended")
         if faults:
-            raise Fault(str(faults[0]) or type(faults[0]).__name__.lower())
+            raise CommandError(str(faults[0]) or type(faults[0]).__name__.lower())
 
     def bound(self, how: Command, within: int, heard: Callable[[Pdu], None]) -> probe.Esme:
         """A bound session."""
@@ -362,13 +362,13 @@
 
 
 def listener(address: tuple[str, int]) -> socket.socket:
-    """A listening socket; ``Fault`` where it can't be had."""
+    """A listening socket; ``CommandError`` where it can't be had."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
     except OSError as error:
-        raise Fault(f"{address[0]}:{address[1]}: {error}") from error
+        raise CommandError(f"{address[0]}:{address[1]}: {error}") from error
     sock.listen(512)
     sock.setblocking(False)
     return sock
@@ -392,7 +392,7 @@
             else click.prompt("Password", hide_input=True, err=True, confirmation_prompt=True)
         )
     except ValueError as error:
-        raise BadConfiguration(error) from error
+        raise ConfigurationError(error) from error
     if not 0 < len(told.encode()) <= PASSWORD:
-        raise Fault(f"an SMPP password has 1 to {PASSWORD} bytes, this one {len(told.encode())}")
+        raise CommandError(f"an SMPP password has 1 to {PASSWORD} bytes, this one {len(told.encode())}")
     click.echo(hashed(told))
--- a/kestrelspar/cli/standin.py
+++ b/kestrelspar/cli/standin.py
@@ -7,7 +7,7 @@
 
 import click
 
-from kestrelspar.cli.main import Fault
+from kestrelspar.cli.main import CommandError
 from kestrelspar.cli.units import DURATION, run_for
 from kestrelspar.core import entries
 from kestrelspar.runtime.loop import MS, SECOND, Loop
@@ -67,7 +67,7 @@
         try:
             sock.bind((host, first + place))
         except OSError as error:
-            raise Fault(f"{host}:{first + place}: {error}") from error
+            raise CommandError(f"{host}:{first + place}: {error}") from error
         sock.listen(512)
         sock.setblocking(False)
         served.append(Member(loop, store, sock, limit_fragment=500))
--- a/kestrelspar/cli/units.py
+++ b/kestrelspar/cli/units.py
@@ -1,4 +1,4 @@
-"""What verbs share: times as in the settings file (500ms, 30s), and a loop that runs until told to end."""
+"""Shared by the commands: durations as in the settings file (500ms, 30s), and running a loop until it is stopped."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Duration(click.ParamType[int]):
-    """Microseconds from a number with its unit."""
+    """Option type for a duration: a number with its unit, converted to microseconds."""
 
     name = "time"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """See click."""
+        """Parse the value; see ``click.ParamType.convert``."""
         if isinstance(value, int):
             return value
         meta = kinds.duration("", 1, 7 * 86_400 * kinds.SECOND)
@@ -30,8 +30,9 @@
 
 
 def run_for(loop: Loop, span: int | None) -> None:
-    """Run a loop for so long, or until interrupted or told to end."""
-    # Whoever starts it in a shell's background has SIGINT ignored for it; SIGTERM ends it with its last words too.
+    """Run the loop for ``span`` microseconds, or until SIGINT or SIGTERM."""
+    # A shell starts background jobs with SIGINT ignored, so the handler is set explicitly; SIGTERM gets the same
+    # handler, so that the command can still print its summary.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
     if span is not None:
