--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -1,4 +1,4 @@
-"""``kestrelspar demo``: a courier as it really runs, with stand-ins round it, and what became of each message."""
+"""``kestrelspar demo``: run a courier process between stand-in servers and report the outcome of each message."""
 
 from __future__ import annotations
 
@@ -26,33 +26,35 @@
 from kestrelspar.standins.platform import CLASSES, Manners, Seen
 from kestrelspar.standins.server import free_listener
 
-READY_WITHIN = 15 * SECOND
-SETTLE = 20 * SECOND  # after the last hand-in: the longest deadline, and the notice's way
+READY_TIMEOUT = 15 * SECOND
+SETTLE_TIMEOUT = 20 * SECOND  # after the last submission: covers the longest deadline and delivery of its notice
 GROUPS = (1, 2)
 
 
 @dataclass
-class Sent:
-    """One message of the demo."""
+class SentMessage:
+    """A message submitted to the courier."""
 
     cls: str
-    at: int
-    answer: int = 0  # status; 0: none came
-    told: list[str] = field(default_factory=list)  # notices
+    submitted_at: int  # microseconds on the loop's clock
+    status: int = 0  # HTTP status of the response; 0: no response
+    notices: list[str] = field(default_factory=list)  # states in the notices received
 
 
 class Demo:
-    """The stand-ins, the clients, and the courier's process."""
+    """The stand-in servers, the clients and the courier process."""
 
-    def __init__(self, loop: Loop, folder: Path, rate: float, seed: int) -> None:
-        self.loop, self.rate, self.pick = loop, rate, random.Random(seed)
+    def __init__(self, loop: Loop, directory: Path, rate: float, seed: int) -> None:
+        self.loop, self.rate, self.random = loop, rate, random.Random(seed)
         self.buffers, self.seen = BufferPool(1024), Seen()
-        self.sent: dict[str, Sent] = {}
-        manners = (Manners(), Manners(pace=40 * MS, full=0.05, error=0.03))
-        hops = [platform.NextHop(loop, self.seen, seed + place, m) for place, m in enumerate(manners)]
+        self.sent: dict[str, SentMessage] = {}  # by trace id
+        behaviours = (Manners(), Manners(pace=40 * MS, full=0.05, error=0.03))
+        hops = [
+            platform.NextHop(loop, self.seen, seed + index, behaviour) for index, behaviour in enumerate(behaviours)
+        ]
         rows = [
             {
-                "name": f"hop-{place}-{group}",
+                "name": f"hop-{index}-{group}",
                 "address": hop.address,
                 "zone": "room-a",
                 "type": "utility",
@@ -61,104 +63,105 @@
                 "weight": 1.0,
                 "since_ms": 0,
             }
-            for place, hop in enumerate(hops)
+            for index, hop in enumerate(hops)
             for group in GROUPS
         ]
         self.discovery = platform.Discovery(loop, rows)
-        self.discovery.heard = self._notice
-        with free_listener() as taken:  # the courier listens itself
-            self.listen: tuple[str, int] = taken.getsockname()
-        told = platform.configuration("{}:{}".format(*self.listen), self.discovery.address, str(folder))
-        told["known"]["endpoints"] = rows
-        (folder / "config.json").write_text(ujson.dumps(told))
-        (folder / "kestrelspar.conf").write_text("log\n    level info\n")
-        self.log = folder / "courier.log"
+        self.discovery.heard = self._receive_notice
+        with free_listener() as reserved:  # picks a free port; closed before the courier binds it
+            self.listen: tuple[str, int] = reserved.getsockname()
+        config = platform.configuration("{}:{}".format(*self.listen), self.discovery.address, str(directory))
+        config["known"]["endpoints"] = rows
+        (directory / "config.json").write_text(ujson.dumps(config))
+        (directory / "kestrelspar.conf").write_text("log\n    level info\n")
+        self.log = directory / "courier.log"
         environment = {
             name: value for name, value in os.environ.items() if not name.startswith(("RELAY_", "KESTRELSPAR_"))
         }
         environment |= {
-            "RELAY_CONFIG": str(folder / "config.json"),
-            "KESTRELSPAR_CONF": str(folder / "kestrelspar.conf"),
+            "RELAY_CONFIG": str(directory / "config.json"),
+            "KESTRELSPAR_CONF": str(directory / "kestrelspar.conf"),
+            # The courier imports the same package as this process, even from a source checkout.
             "PYTHONPATH": str(Path(__file__).parent.parent.parent),
-        }  # the same program, also in a checkout
-        with self.log.open("wb") as out:
+        }
+        with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "kestrelspar"], env=environment, stdout=out, stderr=out, cwd=folder
+                [sys.executable, "-m", "kestrelspar"], env=environment, stdout=log, stderr=log, cwd=directory
             )
 
-    def _notice(self, told: dict[str, object]) -> None:
-        sent = self.sent.get(str(told.get("id")))
+    def _receive_notice(self, notice: dict[str, object]) -> None:
+        sent = self.sent.get(str(notice.get("id")))
         if sent is not None:
-            sent.told.append(str(told.get("state")))
+            sent.notices.append(str(notice.get("state")))
 
-    def ask(self, call: bytes) -> int:
-        """The status of one request on a connection of its own; 0 where none came."""
+    def request_status(self, request: bytes) -> int:
+        """Send one request on a new connection and return the response's status; 0 if there is none."""
         sock = connect(self.loop, self.listen, self.loop.now + SECOND)
         if sock is None:
             return 0
         stream = Stream(self.loop, sock, self.buffers)
         try:
-            stream.write(call, self.loop.now + SECOND)
+            stream.write(request, self.loop.now + SECOND)
             return parser.read_head(stream, self.loop.now + SECOND, response=True).status
         except (Closed, Late, parser.BadMessage):
             return 0
         finally:
             stream.close()
 
-    def ready(self) -> None:
-        """Wait until the courier serves; ``CommandError`` if it does not."""
-        give_up = self.loop.now + READY_WITHIN
-        while self.ask(parser.request("GET", "/health/ready", "demo", {})) != 200:
-            if self.process.poll() is not None or self.loop.now > give_up:
+    def wait_ready(self) -> None:
+        """Wait until the courier reports that it is ready; ``CommandError`` if it exits or times out."""
+        deadline = self.loop.now + READY_TIMEOUT
+        while self.request_status(parser.request("GET", "/health/ready", "demo", {})) != 200:
+            if self.process.poll() is not None or self.loop.now > deadline:
                 raise CommandError(f"the courier did not start:\n{self.log.read_text()}")
             self.loop.sleep(50 * MS)
 
-    def hand_in(self, cls: str) -> None:
-        """One message."""
-        trace = f"{len(self.sent):06d}-{self.pick.randrange(1 << 32):08x}"
-        sent = self.sent[trace] = Sent(cls, self.loop.now)
-        left = {"reading": 4_000, "work-order": 8_000, "payment": 6_000}[cls]
+    def submit(self, cls: str) -> None:
+        """Submit one message of the class and record the response's status."""
+        trace = f"{len(self.sent):06d}-{self.random.randrange(1 << 32):08x}"
+        sent = self.sent[trace] = SentMessage(cls, self.loop.now)
+        expires_in_ms = {"reading": 4_000, "work-order": 8_000, "payment": 6_000}[cls]
         headers = {
             "X-Trace-Id": trace,
             "X-Qos": cls,
-            "X-Expires-In": f"{left}m",
-            "X-Route-To": f"dest={self.pick.choice(GROUPS)}",
+            "X-Expires-In": f"{expires_in_ms}m",
+            "X-Route-To": f"dest={self.random.choice(GROUPS)}",
             "Idempotency-Key": trace,
         }
-        sent.answer = self.ask(parser.request("POST", f"/{cls}", "demo", headers, b'{"value": 4.2}'))
+        sent.status = self.request_status(parser.request("POST", f"/{cls}", "demo", headers, b'{"value": 4.2}'))
 
-    def ends(self, trace: str) -> list[str]:
-        """The ends of a message so far: none, one, or a fault."""
+    def outcomes(self, trace: str) -> list[str]:
+        """Outcomes of a message so far: empty while it is pending; more than one is an error."""
         sent = self.sent[trace]
-        if sent.answer != 202:
-            return ["returned"] if sent.answer in (429, 503) else ["not answered"]
+        if sent.status != 202:
+            return ["returned"] if sent.status in (429, 503) else ["not answered"]
         delivered = ["delivered"] if trace in self.seen.answered else []
-        return delivered + sorted(set(sent.told))
-
-    def open(self) -> int:
-        """Messages without an end."""
-        return sum(not self.ends(trace) for trace in self.sent)
-
-    def run(self, span: int, progress: Progress) -> None:
-        """Hand in for so long, then wait for the last ends."""
-        self.ready()
-        begin, bar = self.loop.now, progress.add_task("", total=span)
-        while self.loop.now < begin + span:
-            self.loop.spawn(self.hand_in, self.pick.choice(CLASSES))
-            self.loop.sleep(int(self.pick.expovariate(self.rate) * SECOND))
-            progress.update(bar, completed=self.loop.now - begin, text=self.text())
+        return delivered + sorted(set(sent.notices))
+
+    def pending(self) -> int:
+        """Number of messages without an outcome."""
+        return sum(not self.outcomes(trace) for trace in self.sent)
+
+    def run(self, duration: int, progress: Progress) -> None:
+        """Submit messages for ``duration`` microseconds, then wait for the last outcomes."""
+        self.wait_ready()
+        begin, task = self.loop.now, progress.add_task("", total=duration)
+        while self.loop.now < begin + duration:
+            self.loop.spawn(self.submit, self.random.choice(CLASSES))
+            self.loop.sleep(int(self.random.expovariate(self.rate) * SECOND))
+            progress.update(task, completed=self.loop.now - begin, text=self.progress_text())
         self.loop.sleep(SECOND)
-        while self.open() and self.loop.now < begin + span + SETTLE:
-            progress.update(bar, completed=span, text=self.text())
+        while self.pending() and self.loop.now < begin + duration + SETTLE_TIMEOUT:
+            progress.update(task, completed=duration, text=self.progress_text())
             self.loop.sleep(100 * MS)
-        progress.update(bar, completed=span, text=self.text())
+        progress.update(task, completed=duration, text=self.progress_text())
 
-    def text(self) -> str:
-        """How it stands."""
-        return f"{len(self.sent)} handed in, {len(self.seen.answered)} delivered, {self.open()} open"
+    def progress_text(self) -> str:
+        """Counts of messages for the progress bar."""
+        return f"{len(self.sent)} submitted, {len(self.seen.answered)} delivered, {self.pending()} pending"
 
     def stop(self) -> int:
-        """End the courier in order; its exit code."""
+        """Stop the courier by SIGTERM, killing it after 5 s, and return its exit code."""
         self.process.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(5)
@@ -166,45 +169,47 @@
             self.process.kill()
             return self.process.wait()
 
-    def faults(self) -> list[str]:
-        """Messages that did not have exactly one end, and payments that ran twice."""
-        found = []
+    def errors(self) -> list[str]:
+        """Messages without exactly one outcome, and payments that were executed more than once."""
+        errors = []
         for trace, sent in self.sent.items():
-            ends = self.ends(trace)
-            if len(ends) != 1 or ends == ["not answered"]:
-                found.append(f"{sent.cls} {trace}: {', '.join(ends) or 'no end'}")
+            outcomes = self.outcomes(trace)
+            if len(outcomes) != 1 or outcomes == ["not answered"]:
+                errors.append(f"{sent.cls} {trace}: {', '.join(outcomes) or 'no outcome'}")
             if sent.cls == "payment" and self.seen.effects[trace] > 1:
-                found.append(f"{sent.cls} {trace}: ran {self.seen.effects[trace]} times")
-        return found
+                errors.append(f"{sent.cls} {trace}: executed {self.seen.effects[trace]} times")
+        return errors
 
     def table(self) -> Table:
-        """What became of the messages, by class."""
-        table = Table(title="What became of each message")
-        for name in ("class", "handed in", "delivered", "returned", "failed", "median", "99%"):
+        """Outcomes and latencies of the messages by class."""
+        table = Table(title="Outcomes of the messages")
+        for name in ("class", "submitted", "delivered", "returned", "failed", "median", "99%"):
             table.add_column(name, justify="left" if name == "class" else "right")
         for cls in CLASSES:
             traces = [trace for trace, sent in self.sent.items() if sent.cls == cls]
-            ends = [end for trace in traces for end in self.ends(trace)]
-            times = sorted(self.seen.answered[t] - self.sent[t].at for t in traces if t in self.seen.answered)
+            outcomes = [outcome for trace in traces for outcome in self.outcomes(trace)]
+            latencies = sorted(
+                self.seen.answered[t] - self.sent[t].submitted_at for t in traces if t in self.seen.answered
+            )
             table.add_row(
                 cls,
                 str(len(traces)),
-                *(str(ends.count(e)) for e in ("delivered", "returned", "failed")),
-                *(f"{times[int(len(times) * part)] // MS} ms" if times else "-" for part in (0.5, 0.99)),
+                *(str(outcomes.count(outcome)) for outcome in ("delivered", "returned", "failed")),
+                *(f"{latencies[int(len(latencies) * q)] // MS} ms" if latencies else "-" for q in (0.5, 0.99)),
             )
         return table
 
 
 @click.command("demo")
-@click.option("--for", "span", type=DURATION, default="10s", show_default=True, help="How long to hand in messages.")
-@click.option("--rate", type=click.FloatRange(0.1, 1000), default=20.0, show_default=True, help="Messages a second.")
-@click.option("--seed", type=int, default=1, show_default=True, help="For all that is drawn at random.")
+@click.option("--for", "span", type=DURATION, default="10s", show_default=True, help="How long to submit messages.")
+@click.option("--rate", type=click.FloatRange(0.1, 1000), default=20.0, show_default=True, help="Messages per second.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random numbers.")
 def verb(span: int, rate: float, seed: int) -> None:
-    """Run a courier with stand-ins on loopback, and show what became of each message.
+    """Run a courier with stand-in servers on loopback, and show the outcome of each message.
 
-    The courier is a process of its own, as it really runs, with a state folder that is removed at the end. Two next
-    hops answer its calls; one of them turns some away and fails some. Exit code 0 only if each message had exactly
-    one end and no payment ran twice.
+    The courier runs as a process of its own, with a state directory that is removed at the end. Two next hops answer
+    its calls; one of them refuses a share of them and fails another share. Exit code 0 only if each message had
+    exactly one outcome and no payment was executed twice.
 
     \b
     Example:
@@ -212,32 +217,33 @@
     """
     console = Console()
     loop = Loop()
-    fault: list[BaseException] = []
-    with tempfile.TemporaryDirectory(prefix="kestrelspar-demo-") as folder:
-        demo = Demo(loop, Path(folder), rate, seed)
+    failures: list[BaseException] = []
+    with tempfile.TemporaryDirectory(prefix="kestrelspar-demo-") as directory:
+        demo = Demo(loop, Path(directory), rate, seed)
         with Progress(TextColumn("demo"), BarColumn(), TextColumn("{task.fields[text]}"), console=console) as progress:
+            # The column {task.fields[text]} needs the field from the first refresh on.
             add, progress.add_task = progress.add_task, lambda *a, **k: add(*a, text="", **k)  # type: ignore[method-assign]
 
-            def work() -> None:
+            def run_demo() -> None:
                 try:
                     demo.run(span, progress)
                 except BaseException as error:
-                    fault.append(error)
+                    failures.append(error)
                 loop.stop()
 
-            loop.spawn(work)
+            loop.spawn(run_demo)
             try:
                 loop.run()
             finally:
                 code = demo.stop()
-        if fault:
-            raise fault[0]
+        if failures:
+            raise failures[0]
         console.print(demo.table())
-        faults = demo.faults() + ([f"the courier ended with exit code {code}"] if code else [])
+        errors = demo.errors() + ([f"the courier exited with code {code}"] if code else [])
         log = demo.log.read_text()
-        faults += [line for line in log.splitlines() if "event=fault" in line]
-    for line in faults:
+        errors += [line for line in log.splitlines() if "event=fault" in line]
+    for line in errors:
         click.echo(line, err=True)
-    if faults:
-        raise CommandError(f"{len(faults)} faults: a message has exactly one end")
-    console.print(f"{len(demo.sent)} messages, each with exactly one end; {demo.seen.calls} calls to next hops.")
+    if errors:
+        raise CommandError(f"{len(errors)} errors; each message should have exactly one outcome")
+    console.print(f"{len(demo.sent)} messages, each with exactly one outcome; {demo.seen.calls} calls to next hops.")
--- a/tests/cli/test_verbs.py
+++ b/tests/cli/test_verbs.py
@@ -184,7 +184,7 @@
         check=False,
     )
     assert done.returncode == 0, done.stdout + done.stderr
-    assert "each with exactly one end" in done.stdout and "payment" in done.stdout
+    assert "each with exactly one outcome" in done.stdout and "payment" in done.stdout
 
 
 def test_serving_imports_nothing_that_only_verbs_need() -> None:
