--- a/kestrelspar/cli/peers.py
+++ b/kestrelspar/cli/peers.py
@@ -1,4 +1,4 @@
-"""``kestrelspar peers``: how a courier stands among those that it shares with."""
+"""``kestrelspar peers``: query a running courier or broker for its view of the other couriers."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
 
 @click.group("peers")
 def verb() -> None:
-    """Ask a running courier about its peers, or a broker, over a socket in its state folder only its owner can open."""
+    """Query a running courier or broker about its peers, over the status socket in its state directory.
+
+    Only the owner of the directory can open the socket.
+    """
 
 
-def _asked(state: str, fleet: bool = False) -> dict[str, Any]:
+def _query(state: str, fleet: bool = False) -> dict[str, Any]:
     try:
         return door.ask(state, fleet=fleet)
     except (OSError, ValueError) as error:
-        raise CommandError(f"no courier with peers on, and no broker, answers in {state}: {error}") from error
+        raise CommandError(f"no broker, and no courier with peers enabled, answers in {state}: {error}") from error
 
 
-def _of_courier(state: str, key: str, fleet: bool = False) -> dict[str, Any]:
-    told = _asked(state, fleet)
-    if key not in told:
+def _query_courier(state: str, key: str, fleet: bool = False) -> dict[str, Any]:
+    status = _query(state, fleet)
+    if key not in status:
         raise CommandError(f"{state} is the folder of a broker, which has no {key}")
-    found: dict[str, Any] = told[key]
-    return found
+    section: dict[str, Any] = status[key]
+    return section
 
 
-def _shown(rows: list[dict[str, Any]], title: str) -> None:
+def _print_table(rows: list[dict[str, Any]], title: str) -> None:
     table = Table(title=title)
     for name in rows[0] if rows else ("none",):
         table.add_column(name.replace("_", " "), justify="left" if isinstance(rows and rows[0][name], str) else "right")
@@ -42,75 +45,80 @@
     Console().print(table)
 
 
-STATE = click.option("--state", required=True, type=click.Path(file_okay=False), help="The courier's state folder.")
-JSON = click.option("--json", "plain", is_flag=True, help="As JSON.")
+STATE_OPTION = click.option(
+    "--state", required=True, type=click.Path(file_okay=False), help="State directory of the courier or broker."
+)
+JSON_OPTION = click.option("--json", "plain", is_flag=True, help="Print JSON instead of a table.")
 
 
 @verb.command("status")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def status(state: str, plain: bool) -> None:
-    """Who is there, which brokers answer, and what was dropped; of a broker what it holds and passed on.
+    """Show the members, the reachable brokers and dropped datagrams; for a broker, its subscriptions and relayed data.
 
     \b
     Example:
       kestrelspar peers status --state /var/lib/kestrelspar
     """
-    told = _asked(state)
-    told.pop("counts", None)
-    if "budgets" in told:
-        told["budgets"] = len(told["budgets"])
+    report = _query(state)
+    report.pop("counts", None)
+    if "budgets" in report:
+        report["budgets"] = len(report["budgets"])
     if plain:
-        click.echo(ujson.dumps(told))
+        click.echo(ujson.dumps(report))
         return
-    members, endpoints, brokers = told.pop("members", None), told.pop("endpoints", None), told.pop("brokers", {})
-    for key, value in told.items():
+    members, endpoints, brokers = report.pop("members", None), report.pop("endpoints", None), report.pop("brokers", {})
+    for key, value in report.items():
         click.echo(f"{key.replace('_', ' ')}: {ujson.dumps(value) if isinstance(value, dict) else value}")
     if members is not None:
-        _shown(members, "Members")
+        _print_table(members, "Members")
     if brokers:
-        _shown(
+        _print_table(
             [
-                {"broker": name, **(each if isinstance(each, dict) else {"answering": each})}
-                for name, each in sorted(brokers.items())
+                {"broker": name, **(value if isinstance(value, dict) else {"answering": value})}
+                for name, value in sorted(brokers.items())
             ],
             "Brokers",
         )
     if endpoints is not None:
-        _shown([{"endpoint": name, **values} for name, values in endpoints.items()], "Endpoints of which others told")
+        _print_table(
+            [{"endpoint": name, **values} for name, values in endpoints.items()], "Endpoints reported by other couriers"
+        )
 
 
 @verb.command("budgets")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def budgets(state: str, plain: bool) -> None:
-    """Each budget: its calls and span, this courier's part, what is lent, borrowed, held back, used, and what lacks.
+    """Show each budget: calls and window, this courier's share, calls lent, borrowed, withheld, used and lacking.
 
     \b
     Example:
       kestrelspar peers budgets --state /var/lib/kestrelspar --json
     """
-    told = _of_courier(state, "budgets")
+    by_name = _query_courier(state, "budgets")
     if plain:
-        click.echo(ujson.dumps(told))
+        click.echo(ujson.dumps(by_name))
         return
-    _shown([{"budget": key, **values} for key, values in told.items()], "Budgets")
+    _print_table([{"budget": key, **values} for key, values in by_name.items()], "Budgets")
 
 
 @verb.command("counts")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def counts(state: str, plain: bool) -> None:
-    """Messages by class and end, calls by destination and outcome, and use of budgets, over all couriers.
+    """Show fleet-wide counters: messages by class and outcome, calls by destination and outcome, use of budgets.
 
-    Each with how many couriers it covers, and the age of the oldest of their figures. The others are asked first.
+    Each counter has the number of couriers that it covers and the age of their oldest report. The other couriers are
+    asked for current reports first.
 
     \b
     Example:
       kestrelspar peers counts --state /var/lib/kestrelspar
     """
-    told = _of_courier(state, "counts", fleet=True)
+    by_name = _query_courier(state, "counts", fleet=True)
     if plain:
-        click.echo(ujson.dumps(told))
+        click.echo(ujson.dumps(by_name))
         return
-    _shown([{"counter": key, **values} for key, values in told.items()], "Counts")
+    _print_table([{"counter": key, **values} for key, values in by_name.items()], "Counters")
