--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -1,4 +1,4 @@
-"""``kestrelspar map``: look at and change the endpoint list in a registry, through the courier's own client."""
+"""``kestrelspar map``: show and edit the endpoint list in a registry, with the same client as the courier."""
 
 from __future__ import annotations
 
@@ -35,104 +35,112 @@
 
 T = TypeVar("T")
 FIELDS = ("name", "address", "group", "zone", "type", "status", "weight")
-SETTINGS = api.Settings(classes=(api.MessageClass(1, 1),), slots=1)  # names no zone and no kind
+VIEWER_SETTINGS = api.Settings(classes=(api.MessageClass(1, 1),), slots=1)  # minimal: no zones and no kinds
 
 
 @dataclass
 class Row:
-    """One key of the registry; ``entry`` is None where its value can't be read."""
+    """One key of the registry; ``entry`` is None if its value is invalid, ``error`` says why."""
 
     key: str
     revision: int
     entry: entries.Entry | None
-    why: str = ""
+    error: str = ""
 
     @property
     def name(self) -> str:
-        """Its endpoint's name, else its key."""
+        """Name of its endpoint; the key if the value is invalid."""
         return self.entry.name if self.entry is not None else self.key
 
 
 def run(work: Callable[[Loop], T]) -> T:
-    """Run a task on a loop of its own to its end."""
+    """Run a function as a task on a new loop; return its result or raise its exception."""
     loop = Loop()
-    found: list[T] = []
-    fault: list[Exception] = []
+    results: list[T] = []
+    errors: list[Exception] = []
 
     def task() -> None:
         try:
-            found.append(work(loop))
+            results.append(work(loop))
         except Exception as error:
-            fault.append(error)
+            errors.append(error)
         loop.stop()
 
     loop.spawn(task)
     loop.run()
-    if fault:
-        raise fault[0]
-    return found[0]
+    if errors:
+        raise errors[0]
+    return results[0]
 
 
 class Client:
-    """The operators' side of one registry: the members are asked in turn."""
+    """Client of one registry for operators; tries its members in the configured order."""
 
-    def __init__(self, told: resolve.Registry) -> None:
-        self.told = told
+    def __init__(self, config: resolve.Registry) -> None:
+        self.config = config
 
     def _member(self, loop: Loop, server: tuple[str, int]) -> Etcd | Consul:
         link = Link(
-            loop, BufferPool(64), server, self.told.told.answer_within, self.told.secure, self.told.told.server_name
+            loop,
+            BufferPool(64),
+            server,
+            self.config.told.answer_within,
+            self.config.secure,
+            self.config.told.server_name,
         )
-        return Etcd(link, self.told) if self.told.told.type == "etcd" else Consul(link, self.told)
+        return Etcd(link, self.config) if self.config.told.type == "etcd" else Consul(link, self.config)
 
-    def _first(self, call: Callable[[Etcd | Consul], T]) -> T:
-        """What the first member says that answers."""
+    def _call_first_available(self, call: Callable[[Etcd | Consul], T]) -> T:
+        """Result of the call on the first member that answers."""
 
         def work(loop: Loop) -> T:
-            why = []
-            for server in self.told.told.servers:
+            errors = []
+            for server in self.config.told.servers:
                 member = self._member(loop, server)
                 try:
                     return call(member)
                 except (Broken, Compacted) as error:
-                    why.append(f"{server[0]}:{server[1]}: {error}")
+                    errors.append(f"{server[0]}:{server[1]}: {error}")
                 finally:
                     member.link.close()
-            raise CommandError("no member of the registry answers:\n" + "\n".join(why))
+            raise CommandError("no member of the registry answers:\n" + "\n".join(errors))
 
         return run(work)
 
     def rows(self) -> list[Row]:
-        """The whole list, in the order of keys."""
-        return sorted((_row(item) for item in self._first(lambda member: member.all())), key=lambda row: row.key)
+        """All entries, sorted by key."""
+        return sorted(
+            (_row(item) for item in self._call_first_available(lambda member: member.all())), key=lambda row: row.key
+        )
 
     def change(self, row_key: str, value: bytes | None, expected: int) -> None:
-        """Put or delete if the key is unchanged since it was read; ``CommandError`` otherwise.
+        """Put or delete the key if it is unchanged since it was read; ``CommandError`` otherwise.
 
-        Only one member is asked: whether a change whose answer did not come was made is not known.
+        The change is sent to one member only: if its response is lost, the change may have been made or not, so it is
+        not repeated elsewhere.
         """
 
         def work(loop: Loop) -> bool:
-            why = ""
-            for server in self.told.told.servers:
+            last_error = ""
+            for server in self.config.told.servers:
                 member = self._member(loop, server)
                 try:
-                    member.get(row_key)  # one that does not even answer this is not asked to change anything
+                    member.get(row_key)  # checks that the member answers, before the change is sent to it
                 except Broken as error:
-                    why = f"{server[0]}:{server[1]}: {error}"
+                    last_error = f"{server[0]}:{server[1]}: {error}"
                     continue
                 try:
                     return member.change(row_key, value, expected)
                 except Broken as error:
                     raise CommandError(
-                        f"{row_key}: {error}; whether it was written is not known: see `map list`"
+                        f"{row_key}: {error}; the change may have been written or not: check with `map list`"
                     ) from error
                 finally:
                     member.link.close()
-            raise CommandError(f"no member of the registry answers: {why}")
+            raise CommandError(f"no member of the registry answers: {last_error}")
 
         if not run(work):
-            raise CommandError(f"{row_key}: somebody else changed it since it was read; nothing was written")
+            raise CommandError(f"{row_key}: changed by another client since it was read; nothing was written")
 
 
 def _row(item: Item) -> Row:
@@ -143,37 +151,37 @@
 
 
 def options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The options that say which registry."""
-    command = click.option("--registry", "label", help="Which registry; needed where there are several.")(command)
+    """Add the options that select the registry."""
+    command = click.option("--registry", "label", help="Label of the registry; required if there are several.")(command)
     return click.option(
-        "--conf", type=click.Path(exists=True, dir_okay=False), help="kestrelspar.conf; else KESTRELSPAR_CONF names it."
+        "--conf", type=click.Path(exists=True, dir_okay=False), help="kestrelspar.conf; default: $KESTRELSPAR_CONF."
     )(command)
 
 
-JSON = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
-DRY = click.option("--dry-run", is_flag=True, help="Say what would be written, and write nothing.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
+DRY_RUN_OPTION = click.option("--dry-run", is_flag=True, help="Print what would be written, without writing it.")
 
 
 def registry(conf: str | None, label: str | None) -> resolve.Registry:
-    """The registry that is meant."""
+    """The configured registry with this label, or the only one."""
     path = conf or conf_file.where(os.environ)
     try:
-        read = conf_file.load(path)
-        keys = resolve.keys(read)
-        found = resolve.registries(read)
-        found = found if keys is None else keys.secured(found)
+        loaded = conf_file.load(path)
+        keys = resolve.keys(loaded)
+        registries = resolve.registries(loaded)
+        registries = registries if keys is None else keys.secured(registries)
     except ValueError as error:
         raise ConfigurationError(error) from error
-    named = [r for r in found if label in (None, r.label)]
-    if len(named) != 1:
-        names = ", ".join(r.label for r in found) or "none"
-        what = f"no registry {label!r}" if label else "which registry is not told (--registry)"
-        raise ConfigurationError(ValueError(f"{path}: {what}; there are: {names}"))
-    return named[0]
+    selected = [r for r in registries if label in (None, r.label)]
+    if len(selected) != 1:
+        labels = ", ".join(r.label for r in registries) or "none"
+        problem = f"no registry {label!r}" if label else "--registry is needed to select a registry"
+        raise ConfigurationError(ValueError(f"{path}: {problem}; configured: {labels}"))
+    return selected[0]
 
 
 def show(rows: list[Row], as_json: bool) -> None:
-    """Print entries as a table, or as JSON with key and revision."""
+    """Print the entries as a table, or as JSON with their keys and revisions."""
     if as_json:
         click.echo(
             json.dumps(
@@ -181,7 +189,7 @@
                     {
                         "key": row.key,
                         "revision": row.revision,
-                        "unreadable": row.why or None,
+                        "unreadable": row.error or None,
                         **(msgspec.to_builtins(row.entry) if row.entry else {}),
                     }
                     for row in rows
@@ -196,24 +204,24 @@
     for row in rows:
         cells = [str(getattr(row.entry, f)) if row.entry and getattr(row.entry, f) is not None else "" for f in FIELDS]
         if row.entry is None:
-            cells[:2] = [row.key, f"can't be read: {row.why}"]
+            cells[:2] = [row.key, f"can't be read: {row.error}"]
         table.add_row(*cells, str(row.revision))
     Console(width=None if sys.stdout.isatty() else 160).print(table)
 
 
 @click.group("map")
 def verb() -> None:
-    """Look at and change the endpoint list in a registry.
+    """Show and edit the endpoint list in a registry.
 
-    Changes are made only if the entry is unchanged since it was read: two operators never overwrite each other.
+    An entry is changed only if it is unchanged since it was read, so operators never overwrite each other's changes.
     """
 
 
 @verb.command("list")
 @options
-@JSON
+@JSON_OPTION
 def list_(conf: str | None, label: str | None, as_json: bool) -> None:
-    """Show the list. Exit code 1 when an entry can't be read.
+    """Show the list. Exit code 1 if an entry is invalid.
 
     \b
     Example:
@@ -226,54 +234,58 @@
 
 
 class _Viewer:
-    """Stands in the courier's place for a follower, and prints what it is told."""
+    """Takes the courier's place at a ``Follower`` and prints the changes that it reports."""
 
     def __init__(self, as_json: bool) -> None:
-        self.settings, self.map, self.as_json = SETTINGS, TransportMap(), as_json
+        self.settings, self.map, self.as_json = VIEWER_SETTINGS, TransportMap(), as_json
         self.stale: dict[str, int] = {}
 
     def listed(self, source: str, hops: list[NextHop], whole: bool = False, left: list[bytes] | None = None) -> None:
-        """One line a change."""
+        """Apply an update of the list to the map, and print one line per changed endpoint."""
         before = dict(self.map.hops)
         change = self.map.take(source, hops, whole, left or [])
         for endpoint in change.rows:
             hop = self.map.hops.get(endpoint.id) or before.get(endpoint.id)
-            told = {
+            fields = {
                 "name": endpoint.id.decode(),
                 "state": endpoint.state.name.lower(),
                 "group": endpoint.destination,
                 "address": "{}:{}".format(*hop.address) if hop else "",
             }
             click.echo(
-                json.dumps(told) if self.as_json else "{state:<9} {name:<30} {address:<22} group {group}".format(**told)
+                json.dumps(fields)
+                if self.as_json
+                else "{state:<9} {name:<30} {address:<22} group {group}".format(**fields)
             )
 
 
-class _Silent:
+class _NullCarrier:
+    """Carrier for a follower whose entries are only shown: it makes no delivery attempts."""
+
     def attempt(self, *_: object) -> NoReturn:
-        """Never asked."""
+        """Not called, since the viewer submits no messages."""
         raise NotImplementedError
 
     def close_idle(self, hop: NextHop) -> None:
-        """Has none."""
+        """Do nothing: there are no connections."""
 
 
 @verb.command()
 @options
-@JSON
-@click.option("--for", "span", type=DURATION, help="End by itself after so long.")
+@JSON_OPTION
+@click.option("--for", "span", type=DURATION, help="Stop after this time; default: run until interrupted.")
 def watch(conf: str | None, label: str | None, as_json: bool, span: int | None) -> None:
-    """Follow the list as the courier does, one line a change. Breaks are on standard error.
+    """Follow the list as the courier does, one line per change. Lost connections are logged to standard error.
 
     \b
     Example:
       kestrelspar map watch --for 1m
     """
-    told = registry(conf, label)
+    config = registry(conf, label)
     logs.set_up(stream=sys.stderr)
     loop = Loop()
     viewer: Any = _Viewer(as_json)
-    Follower(loop, BufferPool(64), viewer, _Silent(), told, None, os.getpid()).start()
+    Follower(loop, BufferPool(64), viewer, _NullCarrier(), config, None, os.getpid()).start()
     if span is not None:
         loop.at(loop.now + span, loop.stop)
     with contextlib.suppress(KeyboardInterrupt):
@@ -281,74 +293,74 @@
 
 
 def _by_name(rows: list[Row], name: str) -> Row | None:
-    named = [row for row in rows if row.entry is not None and row.entry.name == name]
-    if len(named) > 1:
-        raise CommandError(f"{name}: {len(named)} keys have this name: {', '.join(row.key for row in named)}")
-    return named[0] if named else None
+    matches = [row for row in rows if row.entry is not None and row.entry.name == name]
+    if len(matches) > 1:
+        raise CommandError(f"{name}: {len(matches)} keys have this name: {', '.join(row.key for row in matches)}")
+    return matches[0] if matches else None
 
 
-def _needed(rows: list[Row], name: str) -> Row:
-    found = _by_name(rows, name)
-    if found is None or found.entry is None:
+def _require(rows: list[Row], name: str) -> Row:
+    row = _by_name(rows, name)
+    if row is None or row.entry is None:
         raise CommandError(f"{name}: no such endpoint in the list")
-    return found
+    return row
 
 
-def _say(dry: bool, what: str) -> None:
-    click.echo(f"{'would ' if dry else ''}{what}")
+def _report(dry_run: bool, change: str) -> None:
+    click.echo(f"{'would ' if dry_run else ''}{change}")
 
 
 @verb.command()
 @click.argument("name")
 @options
-@DRY
-@click.option("--new", is_flag=True, help="Only if there is none of this name.")
+@DRY_RUN_OPTION
+@click.option("--new", is_flag=True, help="Fail if the list has an endpoint of this name.")
 @click.option("--address", help="HOST:PORT.")
 @click.option("--group", type=int, help="The destination's number.")
-@click.option("--zone", help="As the settings name it.")
-@click.option("--type", "kind", help="As the settings name it.")
-@click.option("--weight", type=float, help="Calls a second that it takes, or its share.")
+@click.option("--zone", help="As named in the settings.")
+@click.option("--type", "kind", help="As named in the settings.")
+@click.option("--weight", type=float, help="Calls per second that it can take, or its relative share.")
 @click.option("--status", type=click.Choice(["active", "leaving"]))
-@click.option("--target", help="Path of the calls.")
+@click.option("--target", help="Path in the URL of the calls.")
 def put(
     name: str, conf: str | None, label: str | None, dry_run: bool, new: bool, kind: str | None, **fields: Any
 ) -> None:
-    """Add endpoint NAME, or change what is told here and leave the rest as it is.
+    """Add endpoint NAME, or change the given fields of an existing one.
 
     \b
     Example:
       kestrelspar map put s-7 --address 10.0.0.7:8443 --group 3 --zone room-a --type utility
     """
-    told = registry(conf, label)
-    client = Client(told)
+    config = registry(conf, label)
+    client = Client(config)
     before = _by_name(client.rows(), name)
     if before is not None and new:
-        raise CommandError(f"{name}: is in the list already (--new)")
+        raise CommandError(f"{name}: already in the list (--new)")
     changed = {key: value for key, value in {**fields, "type": kind}.items() if value is not None}
     raw = (msgspec.to_builtins(before.entry) if before is not None and before.entry else {"name": name}) | changed
     for key in ("address", "group"):
         if key not in raw:
-            raise click.UsageError(f"{name} is new: --{key} is needed")
+            raise click.UsageError(f"{name} is new: --{key} is required")
     try:
         entry = entries.decode(msgspec.json.encode(raw))
     except ValueError as error:
         raise CommandError(f"{name}: {error}") from error
     if before is not None and entry == before.entry:
-        click.echo(f"{name}: is so already")
+        click.echo(f"{name}: unchanged")
         return
-    key = before.key if before is not None else told.told.prefix + name
+    key = before.key if before is not None else config.told.prefix + name
     if not dry_run:
         client.change(key, entries.encode(entry), before.revision if before is not None else 0)
-    _say(dry_run, f"put {key}: {entries.encode(entry).decode()}")
+    _report(dry_run, f"put {key}: {entries.encode(entry).decode()}")
 
 
 @verb.command()
 @click.argument("names", nargs=-1, required=True)
 @options
-@DRY
-@click.option("--undo", is_flag=True, help="Make it active again.")
+@DRY_RUN_OPTION
+@click.option("--undo", is_flag=True, help="Make the endpoints active again.")
 def drain(names: tuple[str, ...], conf: str | None, label: str | None, dry_run: bool, undo: bool) -> None:
-    """Let endpoints finish what they have: nothing new goes to them.
+    """Drain endpoints: calls in flight finish, new calls go elsewhere.
 
     \b
     Example:
@@ -356,20 +368,20 @@
     """
     client = Client(registry(conf, label))
     rows = client.rows()
-    for row in [_needed(rows, name) for name in names]:
+    for row in [_require(rows, name) for name in names]:
         assert row.entry is not None
         entry = msgspec.structs.replace(row.entry, status="active" if undo else "leaving")
         if not dry_run:
             client.change(row.key, entries.encode(entry), row.revision)
-        _say(dry_run, f"{'activate' if undo else 'drain'} {row.name} ({row.key})")
+        _report(dry_run, f"{'activate' if undo else 'drain'} {row.name} ({row.key})")
 
 
 @verb.command()
 @click.argument("names", nargs=-1, required=True)
 @options
-@DRY
+@DRY_RUN_OPTION
 def remove(names: tuple[str, ...], conf: str | None, label: str | None, dry_run: bool) -> None:
-    """Remove endpoints. NAME may be the key of an entry that can't be read.
+    """Remove endpoints. NAME may be the key of an invalid entry.
 
     \b
     Example:
@@ -378,32 +390,32 @@
     client = Client(registry(conf, label))
     rows = client.rows()
     for name in names:
-        bad = next((row for row in rows if row.entry is None and row.key == name), None)
-        row = bad or _needed(rows, name)
+        invalid = next((row for row in rows if row.entry is None and row.key == name), None)
+        row = invalid or _require(rows, name)
         if not dry_run:
             client.change(row.key, None, row.revision)
-        _say(dry_run, f"remove {row.name} ({row.key})")
+        _report(dry_run, f"remove {row.name} ({row.key})")
 
 
 def _imported(file: str, zone: str | None, kind: str | None, first_group: int, lossy: bool) -> list[entries.Entry]:
-    """The entries of an nginx configuration, each with its origin."""
+    """Entries of an nginx configuration, each with the file's name as its origin."""
     from kestrelspar.nginx.importer import Importer
 
     importer = Importer(zone, kind)
-    raw = importer.read(file)
+    transport_map = importer.read(file)
     for line in importer.lost:
         click.echo(line, err=True)
     if importer.lost and not lossy:
-        raise CommandError(f"{file}: {len(importer.lost)} things can't be carried over (--lossy imports the rest)")
-    found = entries.merged(msgspec.convert(raw, entries.OwnMap))
+        raise CommandError(f"{file}: {len(importer.lost)} directives have no equivalent (--lossy imports the rest)")
+    imported = entries.merged(msgspec.convert(transport_map, entries.OwnMap))
     return [
         msgspec.structs.replace(entry, origin=os.path.basename(file), group=entry.group + first_group - 1)
-        for entry in found
+        for entry in imported
     ]
 
 
-def _wanted(file: str, zone: str | None, kind: str | None, first_group: int, lossy: bool) -> list[entries.Entry]:
-    """The entries of a file: nginx configuration, or a list in JSON."""
+def _read_entries(file: str, zone: str | None, kind: str | None, first_group: int, lossy: bool) -> list[entries.Entry]:
+    """Entries of a file: nginx configuration, or a transport map in JSON."""
     if Path(file).read_bytes().lstrip()[:1] in (b"{", b"["):
         try:
             return entries.read_map(file)
@@ -413,9 +425,9 @@
 
 
 def compare(rows: list[Row], wanted: list[entries.Entry], origin: str | None) -> list[tuple[str, Row | None, Any]]:
-    """What would make the list be as wanted: ("add", -, entry), ("change", row, entry) or ("remove", row, -).
+    """Changes that make the list equal to ``wanted``.
 
-    With an origin, only entries of that origin are removed; else all that are not wanted.
+    Each is ("add", None, entry), ("change", row, entry) or ("remove", row, None). With an origin, only entries of that origin are removed; without, all entries that are not in ``wanted``.
     """
     steps: list[tuple[str, Row | None, Any]] = []
     names = {entry.name for entry in wanted}
@@ -429,16 +441,16 @@
         elif before.entry != entry:
             if origin is not None and before.entry is not None and before.entry.origin != origin:
                 raise CommandError(
-                    f"{entry.name}: is in the list already, "
-                    f"{'imported from ' + before.entry.origin if before.entry.origin else 'put by hand'}"
+                    f"{entry.name}: already in the list, "
+                    f"{'imported from ' + before.entry.origin if before.entry.origin else 'added manually'}"
                 )
             steps.append(("change", before, entry))
     return steps
 
 
-FROM_FILE = [
-    click.option("--zone", help="Zone of imported next hops, as the settings name it."),
-    click.option("--type", "kind", help="Kind of imported destinations, as the settings name it."),
+IMPORT_OPTIONS = [
+    click.option("--zone", help="Zone of imported next hops, as named in the settings."),
+    click.option("--type", "kind", help="Kind of imported destinations, as named in the settings."),
     click.option(
         "--first-group",
         type=click.IntRange(0),
@@ -446,13 +458,13 @@
         show_default=True,
         help="Number of the file's first destination.",
     ),
-    click.option("--lossy", is_flag=True, help="Go on although some directives can't be carried over."),
+    click.option("--lossy", is_flag=True, help="Continue although some directives have no equivalent."),
 ]
 
 
-def from_file(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The options of what reads nginx configuration."""
-    for option in reversed(FROM_FILE):
+def import_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options of the commands that read nginx configuration."""
+    for option in reversed(IMPORT_OPTIONS):
         command = option(command)
     return command
 
@@ -460,8 +472,8 @@
 @verb.command("import")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @options
-@DRY
-@from_file
+@DRY_RUN_OPTION
+@import_options
 def import_(
     file: str,
     conf: str | None,
@@ -472,57 +484,59 @@
     first_group: int,
     lossy: bool,
 ) -> None:
-    """Put the servers of an nginx configuration into the list; remove those that an earlier import of FILE put there.
+    """Import the servers of an nginx configuration; remove those of an earlier import of FILE that are gone from it.
 
-    Directives that can't be carried over are named, and nothing is written unless --lossy.
+    Directives without an equivalent are reported; if there are any, nothing is written unless --lossy is given.
 
     \b
     Example:
       kestrelspar map import member.conf --type contractor --dry-run
     """
-    told = registry(conf, label)
-    client = Client(told)
+    config = registry(conf, label)
+    client = Client(config)
     wanted = _imported(file, zone, kind, first_group, lossy)
     steps = compare(client.rows(), wanted, os.path.basename(file))
     for what, row, entry in steps:
-        key = row.key if row is not None else told.told.prefix + entry.name
+        key = row.key if row is not None else config.told.prefix + entry.name
         if not dry_run:
             client.change(key, entries.encode(entry) if entry is not None else None, row.revision if row else 0)
-        _say(dry_run, f"{what} {key}")
+        _report(dry_run, f"{what} {key}")
     click.echo(f"{len(wanted)} endpoints, {len(steps)} changes")
 
 
 @verb.command()
 @click.argument("file", type=click.Path(exists=True))
 @options
-@from_file
+@import_options
 def diff(
     file: str, conf: str | None, label: str | None, zone: str | None, kind: str | None, first_group: int, lossy: bool
 ) -> None:
-    """Compare the list with FILE: nginx configuration, a list in JSON, or a courier's state folder (its kept list).
+    """Compare the list with FILE: nginx configuration, a transport map in JSON, or a courier's state directory.
 
-    Exit code 1 where they differ.
+    In a state directory, the saved copy of the registry's list is read. Exit code 1 if the lists differ.
 
     \b
     Example:
       kestrelspar map diff /var/lib/kestrelspar/state
     """
-    told = registry(conf, label)
-    rows = Client(told).rows()
+    config = registry(conf, label)
+    rows = Client(config).rows()
     if os.path.isdir(file):
         try:
-            kept = keep.read(keep.path(file, told.label), 1 << 40)
+            saved = keep.read(keep.path(file, config.label), 1 << 40)
         except ValueError as error:
             raise CommandError(str(error)) from error
-        if kept is None:
-            raise CommandError(f"{file}: no list of registry {told.label} is kept here")
-        # A kept entry has no origin or start, and names the zone and kind that it was given by default.
-        held = {row.key: row.entry for row in kept.rows}
-        rows = [Row(row.key, row.revision, _as_kept(row.entry, held.get(row.key))) for row in rows if row.entry]
-        wanted = list(held.values())
+        if saved is None:
+            raise CommandError(f"{file}: has no saved list of registry {config.label}")
+        # A saved entry has no origin and no start time, and its default zone and kind are filled in.
+        saved_entries = {row.key: row.entry for row in saved.rows}
+        rows = [
+            Row(row.key, row.revision, _as_saved(row.entry, saved_entries.get(row.key))) for row in rows if row.entry
+        ]
+        wanted = list(saved_entries.values())
         origin = None
     else:
-        wanted = _wanted(file, zone, kind, first_group, lossy)
+        wanted = _read_entries(file, zone, kind, first_group, lossy)
         origin = wanted[0].origin or None if wanted else None
         rows = [row for row in rows if origin is None or row.entry is not None and row.entry.origin == origin]
     steps = compare(rows, wanted, origin)
@@ -539,11 +553,12 @@
     click.echo(f"no difference in {len(wanted)} endpoints")
 
 
-def _as_kept(entry: entries.Entry, held: entries.Entry | None) -> entries.Entry:
+def _as_saved(entry: entries.Entry, saved: entries.Entry | None) -> entries.Entry:
+    """The entry as the courier would save it, to compare it with its saved copy."""
     return msgspec.structs.replace(
         entry,
         origin="",
         since_ms=0,
-        zone=entry.zone or (held.zone if held else None),
-        type=entry.type or (held.type if held else None),
+        zone=entry.zone or (saved.zone if saved else None),
+        type=entry.type or (saved.type if saved else None),
     )
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -1,4 +1,4 @@
-"""``kestrelspar smpp``: try a message centre out, test one against the specification, hash a password."""
+"""``kestrelspar smpp``: try out a message centre, test it against the specification, hash a password."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
 from kestrelspar.smpp import probe
 from kestrelspar.smpp.pdu import Command, Pdu
 
-HOW = {
+MAX_SHORT_MESSAGE_BYTES = 254  # longer texts go into the TLV message_payload
+ENQUIRE_LINK_INTERVAL = 20 * SECOND
+BIND_COMMANDS = {
     "transmitter": Command.BIND_TRANSMITTER,
     "receiver": Command.BIND_RECEIVER,
     "transceiver": Command.BIND_TRANSCEIVER,
@@ -33,12 +35,12 @@
 
 
 class Address(click.ParamType[tuple[str, int]]):
-    """HOST:PORT."""
+    """Option type for an address, HOST:PORT."""
 
     name = "HOST:PORT"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> tuple[str, int]:
-        """See click."""
+        """Parse the value; see ``click.ParamType.convert``."""
         meta = address_kind("")
         try:
             host, port = kinds.value(str(value), meta, "")
@@ -47,32 +49,34 @@
         return str(host), int(port)
 
 
-def _account(verb: Callable[..., Any]) -> Callable[..., Any]:
-    """The options by which a verb connects and binds."""
+def _account_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options and the argument for connecting and binding."""
     for option in (
-        click.option("--within", type=DURATION, default="2s", show_default=True, help="Time for each answer."),
+        click.option("--within", type=DURATION, default="2s", show_default=True, help="Timeout of each response."),
         click.option(
             "--tls",
             "authorities",
             type=click.Path(exists=True, dir_okay=False),
-            help="Speak TLS; the file has the authorities that are trusted, PEM.",
+            help="Use TLS; the PEM file has the trusted certificate authorities.",
+        ),
+        click.option(
+            "--server-name", default="", help="Name expected in the server's certificate; default: its address."
         ),
-        click.option("--server-name", default="", help="The name that its certificate must have; else its address."),
         click.option(
             "--password-file",
             type=click.Path(exists=True, dir_okay=False),
             required=True,
-            help="Holds the password, and only its owner may read it.",
+            help="File with the password; only its owner may have read permission.",
         ),
-        click.option("--account", required=True, help="The system_id to bind with."),
+        click.option("--account", required=True, help="system_id of the bind."),
         click.argument("address", type=Address()),
     ):
-        verb = option(verb)
-    return verb
+        command = option(command)
+    return command
 
 
-class _Caller:
-    """A loop, a way to connect, and an account."""
+class _EsmeRunner:
+    """Runs a function as a task on a loop of its own, with a dialer and an account for ESME sessions."""
 
     def __init__(
         self,
@@ -81,7 +85,7 @@
         password_file: str,
         authorities: str | None,
         server_name: str,
-        **more: str,
+        **account_fields: str,
     ) -> None:
         try:
             password = kinds.read_secret(password_file)
@@ -90,7 +94,7 @@
         except ValueError as error:
             raise ConfigurationError(error) from error
         self.loop, self.buffers = Loop(), BufferPool(64)
-        self.account = cases_of.Account(account, password, **more)
+        self.account = cases_of.Account(account, password, **account_fields)
         self.dial = probe.plain(self.loop, self.buffers, address)
         if authorities is not None:
             import ssl
@@ -101,14 +105,14 @@
             self.dial = lambda deadline: tls.dial(self.loop, self.buffers, address, deadline, context, server_name)
 
     def run(self, call: Callable[[], None]) -> None:
-        """Run in a task until it is done; a refusal is a fault."""
-        faults: list[Exception] = []
+        """Run the function to its end; ``CommandError`` if a PDU is refused or the connection fails or times out."""
+        errors: list[Exception] = []
 
         def task() -> None:
             try:
                 call()
             except (probe.Refused, Closed, Late) as error:
-                faults.append(error)
+                errors.append(error)
             finally:
                 self.loop.stop()
 
@@ -117,31 +121,31 @@
             self.loop.run()
         except KeyboardInterrupt:
             click.echo("ended")
-        if faults:
-            raise CommandError(str(faults[0]) or type(faults[0]).__name__.lower())
+        if errors:
+            raise CommandError(str(errors[0]) or type(errors[0]).__name__.lower())
 
-    def bound(self, how: Command, within: int, heard: Callable[[Pdu], None]) -> probe.Esme:
-        """A bound session."""
+    def bound(self, how: Command, within: int, on_deliver: Callable[[Pdu], None]) -> probe.Esme:
+        """Connect and bind; return the session, which passes received messages to ``on_deliver``."""
         stream = self.dial(self.loop.now + within)
         if stream is None:
             raise probe.Refused("no connection")
-        esme = probe.Esme(self.loop, stream, heard)
+        esme = probe.Esme(self.loop, stream, on_deliver)
         esme.bind(how, self.account, within)
         return esme
 
 
 @click.group("smpp")
 def verb() -> None:
-    """Try a message centre out, test one against the specification, hash a password."""
+    """Try out a message centre, test it against the specification, hash a password."""
 
 
 @verb.command()
-@_account
-@click.option("--from", "source", default="100", show_default=True, help="source_addr of what is submitted.")
+@_account_options
+@click.option("--from", "source", default="100", show_default=True, help="source_addr of the submitted messages.")
 @click.option("--to", "destination", default="3725550", show_default=True, help="destination_addr.")
 @click.option("--service-type", default="", help="service_type.")
-@click.option("--group", "groups", multiple=True, help="Only these groups of cases.")
-@click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
+@click.option("--group", "groups", multiple=True, help="Run only this group of cases; can be repeated.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 def conform(
     address: tuple[str, int],
     account: str,
@@ -163,7 +167,7 @@
     Example:
       kestrelspar smpp conform 127.0.0.1:2775 --account acme --password-file acme.password
     """
-    caller = _Caller(
+    runner = _EsmeRunner(
         address,
         account,
         password_file,
@@ -173,12 +177,12 @@
         destination=destination,
         service_type=service_type,
     )
-    chosen = [case for case in cases_of.cases(caller.account) if not groups or case.group in groups]
+    chosen = [case for case in cases_of.cases(runner.account) if not groups or case.group in groups]
     if not chosen:
-        known = sorted({case.group for case in cases_of.cases(caller.account)})
+        known = sorted({case.group for case in cases_of.cases(runner.account)})
         raise click.UsageError(f"no such group (there are: {', '.join(known)})")
     verdicts: list[probe.Verdict] = []
-    caller.run(lambda: probe.Examiner(caller.loop, caller.dial, caller.account, within).run(chosen, verdicts.append))
+    runner.run(lambda: probe.Examiner(runner.loop, runner.dial, runner.account, within).run(chosen, verdicts.append))
     failed = [verdict for verdict in verdicts if verdict.fault]
     if as_json:
         click.echo(
@@ -215,10 +219,10 @@
         for verdict in failed:
             rows.add_row(verdict.case.name, verdict.case.clause, str(verdict.case.wanted), verdict.fault)
         console.print(rows)
-    count, bad = Counter(v.case.group for v in verdicts), Counter(v.case.group for v in failed)
+    cases_by_group, failed_by_group = Counter(v.case.group for v in verdicts), Counter(v.case.group for v in failed)
     rows = Table("group", "cases", "failed")
-    for group, cases in count.items():
-        rows.add_row(group, str(cases), str(bad[group]))
+    for group, cases in cases_by_group.items():
+        rows.add_row(group, str(cases), str(failed_by_group[group]))
     rows.add_row("all", str(len(verdicts)), str(len(failed)))
     console.print(rows)
 
@@ -232,12 +236,12 @@
 
 
 @verb.command()
-@_account
+@_account_options
 @click.option("--from", "source", default="", help="source_addr.")
 @click.option("--to", "destination", required=True, help="destination_addr.")
 @click.option("--service-type", default="", help="service_type.")
-@click.option("--receipt", is_flag=True, help="Ask for a delivery receipt and wait for it, for as long as --for.")
-@click.option("--for", "span", type=DURATION, default="30s", show_default=True, help="How long to wait for it.")
+@click.option("--receipt", is_flag=True, help="Request a delivery receipt and wait for it, up to the time of --for.")
+@click.option("--for", "span", type=DURATION, default="30s", show_default=True, help="Maximum wait for the receipt.")
 @click.argument("text")
 def send(
     address: tuple[str, int],
@@ -253,7 +257,7 @@
     span: int,
     text: str,
 ) -> None:
-    """Submit one text and say what came of it. Exit code 1 where it was refused, or no receipt came.
+    """Submit one text and print the result. Exit code 1 if it is refused, or if no receipt arrives in time.
 
     \b
     Example:
@@ -261,15 +265,15 @@
     """
     from kestrelspar.smpp import text as texts
 
-    caller = _Caller(address, account, password_file, authorities, server_name)
-    heard: list[Pdu] = []
+    runner = _EsmeRunner(address, account, password_file, authorities, server_name)
+    received: list[Pdu] = []
 
-    def hear(pdu: Pdu) -> None:
-        heard.append(pdu)
+    def receive(pdu: Pdu) -> None:
+        received.append(pdu)
         _show(pdu)
 
-    def go() -> None:
-        esme = caller.bound(Command.BIND_TRANSCEIVER if receipt else Command.BIND_TRANSMITTER, within, hear)
+    def run_session() -> None:
+        esme = runner.bound(Command.BIND_TRANSCEIVER if receipt else Command.BIND_TRANSMITTER, within, receive)
         coding, body = texts.coded(text.encode())
         fields = {
             "source_addr": source,
@@ -278,37 +282,37 @@
             "data_coding": coding,
             "registered_delivery": int(receipt),
         }
-        long = len(body) > 254
-        answer = esme.ask(
+        use_payload_tlv = len(body) > MAX_SHORT_MESSAGE_BYTES
+        response = esme.ask(
             Pdu(
                 Command.SUBMIT_SM,
                 fields=fields,
-                message=b"" if long else body,
-                tlvs=[(p.MESSAGE_PAYLOAD, body)] if long else [],
+                message=b"" if use_payload_tlv else body,
+                tlvs=[(p.MESSAGE_PAYLOAD, body)] if use_payload_tlv else [],
             ),
             within,
         )
-        if answer.status:
-            raise probe.Refused(f"submit_sm: {cases_of.shown(answer.status)}")
-        click.echo(f"taken as {answer.text('message_id')}")
-        give_up = caller.loop.now + span
-        while receipt and not heard:
+        if response.status:
+            raise probe.Refused(f"submit_sm: {cases_of.shown(response.status)}")
+        click.echo(f"accepted as {response.text('message_id')}")
+        deadline = runner.loop.now + span
+        while receipt and not received:
             try:
-                esme.next(give_up)
+                esme.next(deadline)
             except Late:
-                raise probe.Refused("no receipt in time") from None
+                raise probe.Refused("no receipt received in time") from None
         esme.ask(Pdu(Command.UNBIND), within)
         esme.stream.close()
 
-    caller.run(go)
+    runner.run(run_session)
 
 
 @verb.command()
-@_account
+@_account_options
 @click.option(
-    "--as", "how", type=click.Choice(list(HOW)), default="transceiver", show_default=True, help="How to bind."
+    "--as", "how", type=click.Choice(list(BIND_COMMANDS)), default="transceiver", show_default=True, help="How to bind."
 )
-@click.option("--for", "span", type=DURATION, help="Unbind after so long; until interrupted by default.")
+@click.option("--for", "span", type=DURATION, help="Unbind after this time; default: run until interrupted.")
 def bind(
     address: tuple[str, int],
     account: str,
@@ -319,35 +323,37 @@
     how: str,
     span: int | None,
 ) -> None:
-    """Bind, and print and acknowledge what comes.
+    """Bind; print and acknowledge the messages received.
 
     \b
     Example:
       kestrelspar smpp bind 127.0.0.1:2775 --account acme --password-file acme.password --as receiver --for 1m
     """
-    caller = _Caller(address, account, password_file, authorities, server_name)
+    runner = _EsmeRunner(address, account, password_file, authorities, server_name)
 
-    def go() -> None:
-        esme = caller.bound(HOW[how], within, _show)
+    def run_session() -> None:
+        esme = runner.bound(BIND_COMMANDS[how], within, _show)
         click.echo(f"bound as {how}")
-        end = None if span is None else caller.loop.now + span
-        while end is None or caller.loop.now < end:
-            beat = caller.loop.now + 20 * SECOND
+        end = None if span is None else runner.loop.now + span
+        while end is None or runner.loop.now < end:
+            enquire_at = runner.loop.now + ENQUIRE_LINK_INTERVAL
             try:
-                esme.read(beat if end is None else min(beat, end))
+                esme.read(enquire_at if end is None else min(enquire_at, end))
             except Late:
                 esme.ask(Pdu(Command.ENQUIRE_LINK), within)
         esme.ask(Pdu(Command.UNBIND), within)
         esme.stream.close()
 
-    caller.run(go)
+    runner.run(run_session)
 
 
 @verb.command()
-@click.option("--listen", "address", type=Address(), default="127.0.0.1:2776", show_default=True, help="Where.")
-@click.option("--for", "span", type=DURATION, help="End by itself after so long.")
+@click.option(
+    "--listen", "address", type=Address(), default="127.0.0.1:2776", show_default=True, help="Address to listen on."
+)
+@click.option("--for", "span", type=DURATION, help="Stop after this time; default: run until interrupted.")
 def listen(address: tuple[str, int], span: int | None) -> None:
-    """Be a message centre that takes any account and prints what is submitted, with receipts a second later.
+    """Run a message centre that accepts any account, prints submitted messages and sends receipts a second later.
 
     \b
     Example:
@@ -356,13 +362,13 @@
     from kestrelspar.standins.gateway import Gateway, Manners
 
     loop = Loop()
-    Gateway(loop, listener(address), Manners(receipts=SECOND), told=lambda what, pdu: _show(pdu))
+    Gateway(loop, listener(address), Manners(receipts=SECOND), on_submit=lambda outcome, pdu: _show(pdu))
     click.echo(f"message centre on {address[0]}:{address[1]}")
     run_for(loop, span)
 
 
 def listener(address: tuple[str, int]) -> socket.socket:
-    """A listening socket; ``CommandError`` where it can't be had."""
+    """A listening socket on the address; ``CommandError`` if it can't be bound."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -375,7 +381,9 @@
 
 
 @verb.command()
-@click.option("--from-file", type=click.Path(exists=True, dir_okay=False), help="Holds the password; asked for else.")
+@click.option(
+    "--from-file", type=click.Path(exists=True, dir_okay=False), help="File with the password; default: prompt for it."
+)
 def passwd(from_file: str | None) -> None:
     """Print the salted hash of an account's password, for its password-file.
 
@@ -386,13 +394,13 @@
     from kestrelspar.passwords import hashed
 
     try:
-        told = (
+        password = (
             kinds.read_secret(from_file)
             if from_file
             else click.prompt("Password", hide_input=True, err=True, confirmation_prompt=True)
         )
     except ValueError as error:
         raise ConfigurationError(error) from error
-    if not 0 < len(told.encode()) <= PASSWORD:
-        raise CommandError(f"an SMPP password has 1 to {PASSWORD} bytes, this one {len(told.encode())}")
-    click.echo(hashed(told))
+    if not 0 < len(password.encode()) <= PASSWORD:
+        raise CommandError(f"an SMPP password has 1 to {PASSWORD} bytes, this one has {len(password.encode())}")
+    click.echo(hashed(password))
--- a/kestrelspar/cli/standin.py
+++ b/kestrelspar/cli/standin.py
@@ -1,4 +1,4 @@
-"""``kestrelspar standin``: stand-ins for outside systems, to try things by hand."""
+"""``kestrelspar standin``: stand-in servers for external systems, for manual tests."""
 
 from __future__ import annotations
 
@@ -17,31 +17,33 @@
 
 @click.group("standin")
 def verb() -> None:
-    """Start a stand-in for an outside system, on loopback, to try things by hand."""
+    """Start a stand-in server for an external system, on loopback, for manual tests."""
 
 
 @verb.command()
-@click.option("--listen", default="127.0.0.1:2379", show_default=True, help="The first member's address.")
+@click.option("--listen", default="127.0.0.1:2379", show_default=True, help="Address of the first member.")
 @click.option(
     "--members",
     type=click.IntRange(1, 9),
     default=1,
     show_default=True,
-    help="Members of one store, on the ports from there on.",
+    help="Number of members that serve the same store, on consecutive ports.",
 )
 @click.option(
     "--schedule",
     type=click.Choice(["calm", "rough"]),
     default="calm",
     show_default=True,
-    help="rough: compacts, drops and cuts connections, falls silent, lags, lapses leases, expires tokens.",
+    help="rough: random faults, such as compactions, cut connections, silence, lag, expired leases and tokens.",
 )
-@click.option("--every", type=DURATION, default="2s", show_default=True, help="How often something goes wrong.")
-@click.option("--seed", type=int, default=1, show_default=True, help="For the schedule.")
-@click.option("--fill", type=click.IntRange(0, 100_000), default=0, help="Begin with so many entries.")
-@click.option("--prefix", default="/kestrelspar/endpoints/", show_default=True, help="Where --fill puts them.")
-@click.option("--churn", type=click.IntRange(0, 10_000), default=0, help="Change so many entries a second.")
-@click.option("--for", "span", type=DURATION, help="End by itself after so long.")
+@click.option("--every", type=DURATION, default="2s", show_default=True, help="Mean interval between faults.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random numbers.")
+@click.option("--fill", type=click.IntRange(0, 100_000), default=0, help="Number of entries at the start.")
+@click.option(
+    "--prefix", default="/kestrelspar/endpoints/", show_default=True, help="Key prefix of the entries of --fill."
+)
+@click.option("--churn", type=click.IntRange(0, 10_000), default=0, help="Changes of entries per second.")
+@click.option("--for", "span", type=DURATION, help="Stop after this time; default: run until interrupted.")
 def registry(
     listen: str,
     members: int,
@@ -53,66 +55,82 @@
     churn: int,
     span: int | None,
 ) -> None:
-    """A registry that speaks etcd's JSON gateway and Consul's KV, both on each port.
+    """Run a registry with the API of etcd's JSON gateway and of Consul's KV store, both on each port.
 
     \b
     Example:
       kestrelspar standin registry --listen 127.0.0.1:2379 --members 2 --schedule rough --seed 7
     """
-    host, first = value(listen, address(""), "")
-    loop, store, served = Loop(), Store(), []
-    for place in range(members):
+    host, first_port = value(listen, address(""), "")
+    loop, store, served_members = Loop(), Store(), []
+    for index in range(members):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            sock.bind((host, first + place))
+            sock.bind((host, first_port + index))
         except OSError as error:
-            raise CommandError(f"{host}:{first + place}: {error}") from error
+            raise CommandError(f"{host}:{first_port + index}: {error}") from error
         sock.listen(512)
         sock.setblocking(False)
-        served.append(Member(loop, store, sock, limit_fragment=500))
-        click.echo(f"registry member on {host}:{first + place}")
+        served_members.append(Member(loop, store, sock, limit_fragment=500))
+        click.echo(f"registry member on {host}:{first_port + index}")
     rows = [
         entries.Entry(name=f"hop-{n}", address=f"127.0.0.1:{20_000 + n % 10_000}", group=n // 2) for n in range(fill)
     ]
     store.commit([(f"{prefix}{row.name}".encode(), entries.encode(row), 0) for row in rows])
     if schedule == "rough":
-        loop.spawn(rough, loop, served, seed, every, click.echo)
+        loop.spawn(rough, loop, served_members, seed, every, click.echo)
 
-    def lapse() -> None:
+    def expire_leases() -> None:
         while True:
             loop.sleep(SECOND)
             store.lapse(loop.now)
 
-    def change() -> None:
-        pick, begin, done = random.Random(seed), loop.now, 0
+    def change_entries() -> None:
+        random_source, begin, done = random.Random(seed), loop.now, 0
         while True:
             loop.sleep(10 * MS)
             due = (loop.now - begin) * churn // SECOND
-            for row in [pick.choice(rows) for _ in range(due - done)]:
-                row.weight = 1.0 + pick.randrange(1_000)
+            for row in [random_source.choice(rows) for _ in range(due - done)]:
+                row.weight = 1.0 + random_source.randrange(1_000)
                 store.put(prefix + row.name, entries.encode(row))
             done = due
 
-    loop.spawn(lapse)
+    loop.spawn(expire_leases)
     if churn and rows:
-        loop.spawn(change)
+        loop.spawn(change_entries)
     run_for(loop, span)
 
 
 @verb.command()
-@click.option("--listen", default="127.0.0.1:2776", show_default=True, help="Its address.")
-@click.option("--limit", type=click.IntRange(0, 100_000), default=0, help="Submits a second; beyond: ESME_RTHROTTLED.")
-@click.option("--window", type=click.IntRange(0, 10_000), default=0, help="Out on a session; beyond: ESME_RMSGQFUL.")
-@click.option("--latency", type=DURATION, default="5ms", show_default=True, help="How long an answer takes.")
-@click.option("--receipts", type=DURATION, help="Receipts, so long after the answer.")
-@click.option("--lost", type=click.FloatRange(0, 1), default=0.0, help="Share of receipts that never come.")
-@click.option("--undelivered", type=click.FloatRange(0, 1), default=0.0, help="Share of receipts that say UNDELIV.")
-@click.option("--refuses", type=click.FloatRange(0, 1), default=0.0, help="Share answered with ESME_RSYSERR.")
-@click.option("--silent", type=click.FloatRange(0, 1), default=0.0, help="Share that gets no answer.")
-@click.option("--cuts", type=click.FloatRange(0, 1), default=0.0, help="Share upon which the connection is cut.")
-@click.option("--seed", type=int, default=1, show_default=True, help="For all shares.")
-@click.option("--for", "span", type=DURATION, help="End by itself after so long.")
+@click.option("--listen", default="127.0.0.1:2776", show_default=True, help="Address to listen on.")
+@click.option(
+    "--limit",
+    type=click.IntRange(0, 100_000),
+    default=0,
+    help="Maximum submits per second; above: ESME_RTHROTTLED; 0: none.",
+)
+@click.option(
+    "--window",
+    type=click.IntRange(0, 10_000),
+    default=0,
+    help="Maximum unanswered submits of a session; above: ESME_RMSGQFUL; 0: none.",
+)
+@click.option("--latency", type=DURATION, default="5ms", show_default=True, help="Delay of each response.")
+@click.option("--receipts", type=DURATION, help="Delay of receipts after the response; default: no receipts.")
+@click.option("--lost", type=click.FloatRange(0, 1), default=0.0, help="Share of receipts that are not sent.")
+@click.option(
+    "--undelivered", type=click.FloatRange(0, 1), default=0.0, help="Share of receipts with the state UNDELIV."
+)
+@click.option(
+    "--refuses", type=click.FloatRange(0, 1), default=0.0, help="Share of submits answered with ESME_RSYSERR."
+)
+@click.option("--silent", type=click.FloatRange(0, 1), default=0.0, help="Share of submits without a response.")
+@click.option(
+    "--cuts", type=click.FloatRange(0, 1), default=0.0, help="Share of submits on which the connection is closed."
+)
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random numbers.")
+@click.option("--for", "span", type=DURATION, help="Stop after this time; default: run until interrupted.")
 def gateway(
     listen: str,
     limit: int,
@@ -127,7 +145,7 @@
     seed: int,
     span: int | None,
 ) -> None:
-    """An SMPP gateway that takes any account, and goes wrong as told. Says at its end what it took.
+    """Run an SMPP gateway that accepts any account, with the faults requested, and print a summary at the end.
 
     \b
     Example:
@@ -138,7 +156,7 @@
 
     host, port = value(listen, address(""), "")
     loop = Loop()
-    made = Gateway(
+    server = Gateway(
         loop,
         listener((host, port)),
         Manners(limit, window, latency, -1 if receipts is None else receipts, lost, undelivered, refuses, silent, cuts),
@@ -146,5 +164,5 @@
     )
     click.echo(f"gateway on {host}:{port}")
     run_for(loop, span)
-    answers = ", ".join(f"{count} {name}" for name, count in made.answers.most_common()) or "nothing"
-    click.echo(f"took {made.took.total()} ({len(made.took)} different); answered {answers}")
+    answers = ", ".join(f"{count} {name}" for name, count in server.answers.most_common()) or "nothing"
+    click.echo(f"accepted {server.took.total()} messages ({len(server.took)} different texts); answered {answers}")
--- a/kestrelspar/standins/__init__.py
+++ b/kestrelspar/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of our own for outside systems, for tests, the demo and trials by hand."""
+"""Stand-in servers for external systems, for tests, the demo and manual trials."""
--- a/kestrelspar/standins/gateway.py
+++ b/kestrelspar/standins/gateway.py
@@ -1,4 +1,4 @@
-"""A stand-in SMPP gateway: takes submits within a limit, sends receipts, and goes wrong as told."""
+"""A stand-in SMPP gateway: accepts submits up to a rate limit, sends receipts and injects configured faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from kestrelspar.smpp.table import BINDS, Bound, Side
 from kestrelspar.standins.server import accept
 
-WORDS = {
+RECEIPT_STATES = {
     State.DELIVERED: "DELIVRD",
     State.UNDELIVERABLE: "UNDELIV",
     State.EXPIRED: "EXPIRED",
@@ -26,61 +26,61 @@
 
 @dataclass
 class Manners:
-    """How a stand-in gateway behaves; times in microseconds, shares from 0 to 1."""
+    """Limits, delays and faults of a stand-in gateway; times in microseconds, shares from 0 to 1."""
 
-    limit: int = 0  # submits within any second, over all sessions; 0: none
-    window: int = 0  # submits out on a session, beyond which it says that its queue is full; 0: none
-    latency: int = 5 * MS
-    receipts: int = -1  # how long after the answer a receipt comes; -1: never
-    lost: float = 0.0  # share of receipts that never come
-    undelivered: float = 0.0  # share of messages whose receipt says so
-    refuses: float = 0.0  # share of submits that get ESME_RSYSERR
-    silent: float = 0.0  # share that gets no answer
-    cuts: float = 0.0  # share upon which the connection is cut
+    limit: int = 0  # maximum submits within any second, over all sessions; 0: no limit
+    window: int = 0  # maximum unanswered submits of a session, above: ESME_RMSGQFUL; 0: no limit
+    latency: int = 5 * MS  # delay of each response
+    receipts: int = -1  # delay of a receipt after the response; -1: no receipts
+    lost: float = 0.0  # share of receipts that are not sent
+    undelivered: float = 0.0  # share of messages whose receipt has the state UNDELIV
+    refuses: float = 0.0  # share of submits answered with ESME_RSYSERR
+    silent: float = 0.0  # share of submits without a response
+    cuts: float = 0.0  # share of submits on which the connection is closed
 
 
 class Session:
-    """One connection's state."""
+    """State of one connection."""
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.bound, self.out, self.sequence = stream, Bound.OPEN, 0, 0
+        self.stream, self.bound, self.in_flight, self.sequence = stream, Bound.OPEN, 0, 0
 
 
 class Gateway:
-    """Serves any number of sessions; ``took`` counts what took effect, by text."""
+    """Serves any number of sessions; ``took`` counts effective submits by text, ``answers`` the responses by status."""
 
     def __init__(
         self,
         loop: Loop,
         listener: socket.socket,
-        manners: Manners,
+        behaviour: Manners,
         seed: int = 1,
-        told: Callable[[str, Pdu], None] = lambda what, pdu: None,
+        on_submit: Callable[[str, Pdu], None] = lambda outcome, pdu: None,
     ) -> None:
-        """``told`` hears of each submit, by what was answered."""
-        self.loop, self.manners, self._told = loop, manners, told
+        """``on_submit`` is called for each submit with its status name, "silence" or "cut"."""
+        self.loop, self.behaviour, self._on_submit = loop, behaviour, on_submit
         self._random = random.Random(seed)
         self._sessions: list[Session] = []
-        self._served: deque[int] = deque()
-        self._states: dict[str, State] = {}
+        self._accepted_at: deque[int] = deque()  # times of the submits accepted within the last second
+        self._states: dict[str, State] = {}  # by message_id, for query_sm
         self.took: Counter[bytes] = Counter()
         self.answers: Counter[str] = Counter()
-        self.first = self.last = 0  # when something took effect
+        self.first = self.last = 0  # time of the first and last submit that took effect
         loop.spawn(accept, loop, listener, BufferPool(1024), self._serve)
 
     def _serve(self, stream: Stream) -> None:
-        session, rest = Session(stream), bytearray()
+        session, buffer = Session(stream), bytearray()
         self._sessions.append(session)
         try:
             while True:
-                size = p.whole(rest)
+                size = p.whole(buffer)
                 if not size:
                     stream.fill(None)
-                    rest += stream.unread
+                    buffer += stream.unread
                     stream.consume(len(stream.unread))
                     continue
-                data = bytes(rest[:size])
-                del rest[:size]
+                data = bytes(buffer[:size])
+                del buffer[:size]
                 try:
                     self._handle(session, p.decode(data))
                 except p.BadPdu as error:
@@ -94,14 +94,14 @@
     def _handle(self, session: Session, pdu: Pdu) -> None:
         if pdu.command & p.RESPONSE:
             return
-        refused = table.refusal(Side.CENTRE, session.bound, pdu)
-        if refused is not None or pdu.command is Command.OUTBIND:
-            self._post(session, refused or Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
+        refusal = table.refusal(Side.CENTRE, session.bound, pdu)
+        if refusal is not None or pdu.command is Command.OUTBIND:
+            self._post(session, refusal or Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
         elif pdu.command in BINDS:
             session.bound = BINDS[pdu.command]
             self._post(session, pdu.reply(system_id="stand-in"))
         elif pdu.command is Command.SUBMIT_SM or pdu.command is Command.DATA_SM:
-            self.loop.spawn(self._submitted, session, pdu)
+            self.loop.spawn(self._handle_submit, session, pdu)
         elif pdu.command is Command.QUERY_SM:
             state = self._states.get(pdu.text("message_id"))
             self._post(
@@ -117,52 +117,54 @@
             if pdu.command is Command.UNBIND:
                 session.stream.close()
 
-    def _submitted(self, session: Session, pdu: Pdu) -> None:
-        manners, now = self.manners, self.loop.now
-        while self._served and self._served[0] <= now - SECOND:
-            self._served.popleft()
+    def _handle_submit(self, session: Session, pdu: Pdu) -> None:
+        behaviour, now = self.behaviour, self.loop.now
+        while self._accepted_at and self._accepted_at[0] <= now - SECOND:
+            self._accepted_at.popleft()
         status, chance = Status.ESME_ROK, self._random.random()
-        if manners.limit and len(self._served) >= manners.limit:
+        if behaviour.limit and len(self._accepted_at) >= behaviour.limit:
             status = Status.ESME_RTHROTTLED
-        elif manners.window and session.out >= manners.window:
+        elif behaviour.window and session.in_flight >= behaviour.window:
             status = Status.ESME_RMSGQFUL
-        elif chance < manners.refuses:
+        elif chance < behaviour.refuses:
             status = Status.ESME_RSYSERR
         else:
-            self._served.append(now)
+            self._accepted_at.append(now)
             self.took[pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""] += 1
             self.first, self.last = self.first or now, now
-        session.out += 1
-        self.loop.sleep(manners.latency)
-        session.out -= 1
-        chance -= manners.refuses
-        if not status and 0 <= chance < manners.silent:
-            self._told("silence", pdu)
+        session.in_flight += 1
+        self.loop.sleep(behaviour.latency)
+        session.in_flight -= 1
+        chance -= behaviour.refuses
+        if not status and 0 <= chance < behaviour.silent:
+            self._on_submit("silence", pdu)
             return
-        if not status and 0 <= chance - manners.silent < manners.cuts:
-            self._told("cut", pdu)
+        if not status and 0 <= chance - behaviour.silent < behaviour.cuts:
+            self._on_submit("cut", pdu)
             session.stream.close()
             return
         self.answers[status.name] += 1
-        self._told(status.name, pdu)
-        name = f"{self.answers.total():08x}"
-        self._post(session, pdu.reply(status, message_id=name))
-        if not status and pdu.number("registered_delivery") & 3 and manners.receipts >= 0:
-            self._states[name] = State.ENROUTE
-            self.loop.at(self.loop.now + manners.receipts, lambda: self.loop.spawn(self._receipt, name, pdu))
-
-    def _receipt(self, name: str, pdu: Pdu) -> None:
-        state = State.UNDELIVERABLE if self._random.random() < self.manners.undelivered else State.DELIVERED
-        self._states[name] = state
-        if self._random.random() < self.manners.lost:
+        self._on_submit(status.name, pdu)
+        message_id = f"{self.answers.total():08x}"
+        self._post(session, pdu.reply(status, message_id=message_id))
+        if not status and pdu.number("registered_delivery") & 3 and behaviour.receipts >= 0:
+            self._states[message_id] = State.ENROUTE
+            self.loop.at(
+                self.loop.now + behaviour.receipts, lambda: self.loop.spawn(self._send_receipt, message_id, pdu)
+            )
+
+    def _send_receipt(self, message_id: str, pdu: Pdu) -> None:
+        state = State.UNDELIVERABLE if self._random.random() < self.behaviour.undelivered else State.DELIVERED
+        self._states[message_id] = state
+        if self._random.random() < self.behaviour.lost:
             return
-        hears = [s for s in self._sessions if s.bound in (Bound.RX, Bound.TRX)]
-        if not hears:
-            self.loop.at(self.loop.now + SECOND, lambda: self.loop.spawn(self._receipt, name, pdu))
+        receivers = [s for s in self._sessions if s.bound in (Bound.RX, Bound.TRX)]
+        if not receivers:
+            self.loop.at(self.loop.now + SECOND, lambda: self.loop.spawn(self._send_receipt, message_id, pdu))
             return
-        session = self._random.choice(hears)
+        session = self._random.choice(receivers)
         session.sequence += 1
-        text = f"id:{name} sub:001 dlvrd:001 submit date:0 done date:0 stat:{WORDS[state]} err:000 text:"
+        text = f"id:{message_id} sub:001 dlvrd:001 submit date:0 done date:0 stat:{RECEIPT_STATES[state]} err:000 text:"
         self._post(
             session,
             Pdu(
--- a/tests/cli/test_smpp.py
+++ b/tests/cli/test_smpp.py
@@ -61,7 +61,7 @@
         row for row in report["verdicts"] if row["fault"]
     ]
     sent = verb("smpp", "send", *there, "--to", "3721", "--receipt", "Tere, õhtust!")
-    assert sent.returncode == 0 and "taken as" in sent.stdout and "stat:DELIVRD" in sent.stdout
+    assert sent.returncode == 0 and "accepted as" in sent.stdout and "stat:DELIVRD" in sent.stdout
     (tmp_path / "both.pem").chmod(0o644)
     program.process.send_signal(signal.SIGHUP)
     bad = verb("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "3721", "x", "--within", "500ms")
@@ -104,7 +104,7 @@
     finally:
         centre.send_signal(signal.SIGINT)
         out, _ = centre.communicate(timeout=FAR)
-    assert "took" in out and "ESME_ROK" in out
+    assert "accepted" in out and "ESME_ROK" in out
 
 
 @pytest.mark.parametrize(
--- a/tests/cli/test_verbs.py
+++ b/tests/cli/test_verbs.py
@@ -55,7 +55,7 @@
     assert "--new" in said(conf, "put", "s-1", "--group", "4", "--new", code=1)
     assert "$.weight" in said(conf, "put", "s-1", "--weight", "-1", code=1)
     said(conf, "put", "s-2", "--weight", "2.5")
-    assert "is so already" in said(conf, "put", "s-2", "--weight", "2.5")
+    assert "unchanged" in said(conf, "put", "s-2", "--weight", "2.5")
     said(conf, "drain", "s-1", "s-2")
     said(conf, "drain", "s-2", "--undo")
     said(conf, "remove", "s-3")
@@ -96,7 +96,7 @@
         ("put", "s", "--weight", "5"),
         ("put", "new", "--group", "1", "--address", "10.0.0.1:80"),
     ):
-        assert "somebody else changed it" in said(conf, *words, code=1)
+        assert "changed by another client since it was read" in said(conf, *words, code=1)
         member.store.delete("hops/new")
     found = member.store.at(b"hops/s", member.store.revision)
     assert found is not None and found.value == value("s", address="127.0.0.1:7")
@@ -120,7 +120,7 @@
     assert "remove hops/pay-1-1" in said(conf, "import", str(file))
     assert {row["name"] for row in json.loads(said(conf, "list", "--json"))} == {"other", "pay-1-0"}
     member.store.put("hops/pay-1-0", value("pay-1-0"))
-    assert "put by hand" in said(conf, "import", str(file), code=1)
+    assert "added manually" in said(conf, "import", str(file), code=1)
 
 
 def test_a_registry_that_does_not_answer_or_is_not_named_is_said(tmp_path: Path) -> None:
