--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -48,7 +48,7 @@
         self.loop, self.rate, self.random = loop, rate, random.Random(seed)
         self.buffers, self.seen = BufferPool(1024), Seen()
         self.sent: dict[str, SentMessage] = {}  # by trace id
-        behaviours = (Manners(), Manners(pace=40 * MS, full=0.05, error=0.03))
+        behaviours = (Manners(), Manners(min_latency=40 * MS, refused=0.05, error=0.03))
         hops = [
             platform.NextHop(loop, self.seen, seed + index, behaviour) for index, behaviour in enumerate(behaviours)
         ]
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -337,12 +337,14 @@
     if before is not None and new:
         raise CommandError(f"{name}: already in the list (--new)")
     changed = {key: value for key, value in {**fields, "type": kind}.items() if value is not None}
-    raw = (msgspec.to_builtins(before.entry) if before is not None and before.entry else {"name": name}) | changed
+    fields_after = (
+        msgspec.to_builtins(before.entry) if before is not None and before.entry else {"name": name}
+    ) | changed
     for key in ("address", "group"):
-        if key not in raw:
+        if key not in fields_after:
             raise click.UsageError(f"{name} is new: --{key} is required")
     try:
-        entry = entries.decode(msgspec.json.encode(raw))
+        entry = entries.decode(msgspec.json.encode(fields_after))
     except ValueError as error:
         raise CommandError(f"{name}: {error}") from error
     if before is not None and entry == before.entry:
@@ -427,7 +429,8 @@
 def compare(rows: list[Row], wanted: list[entries.Entry], origin: str | None) -> list[tuple[str, Row | None, Any]]:
     """Changes that make the list equal to ``wanted``.
 
-    Each is ("add", None, entry), ("change", row, entry) or ("remove", row, None). With an origin, only entries of that origin are removed; without, all entries that are not in ``wanted``.
+    Each is ("add", None, entry), ("change", row, entry) or ("remove", row, None). With an origin, only entries of that
+    origin are removed; without, all entries that are not in ``wanted``.
     """
     steps: list[tuple[str, Row | None, Any]] = []
     names = {entry.name for entry in wanted}
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -159,9 +159,9 @@
     groups: tuple[str, ...],
     as_json: bool,
 ) -> None:
-    """Run the cases of the SMPP 3.4 specification against a message centre. Exit code 1 where one fails.
+    """Run the conformance cases for SMPP 3.4 against a message centre. Exit code 1 if one fails.
 
-    It submits a few messages to --to, and binds with wrong passwords: use an account for tests.
+    The cases submit a few messages to --to and bind with wrong passwords: use a test account.
 
     \b
     Example:
@@ -177,12 +177,12 @@
         destination=destination,
         service_type=service_type,
     )
-    chosen = [case for case in cases_of.cases(runner.account) if not groups or case.group in groups]
-    if not chosen:
-        known = sorted({case.group for case in cases_of.cases(runner.account)})
-        raise click.UsageError(f"no such group (there are: {', '.join(known)})")
+    selected = [case for case in cases_of.cases(runner.account) if not groups or case.group in groups]
+    if not selected:
+        known_groups = sorted({case.group for case in cases_of.cases(runner.account)})
+        raise click.UsageError(f"no such group (there are: {', '.join(known_groups)})")
     verdicts: list[probe.Verdict] = []
-    runner.run(lambda: probe.Examiner(runner.loop, runner.dial, runner.account, within).run(chosen, verdicts.append))
+    runner.run(lambda: probe.Examiner(runner.loop, runner.dial, runner.account, within).run(selected, verdicts.append))
     failed = [verdict for verdict in verdicts if verdict.fault]
     if as_json:
         click.echo(
--- a/kestrelspar/cli/standin.py
+++ b/kestrelspar/cli/standin.py
@@ -12,7 +12,7 @@
 from kestrelspar.core import entries
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.settings.kinds import address, value
-from kestrelspar.standins.registry import Member, Store, rough
+from kestrelspar.standins.registry import Member, Store, run_random_faults
 
 
 @click.group("standin")
@@ -79,7 +79,7 @@
     ]
     store.commit([(f"{prefix}{row.name}".encode(), entries.encode(row), 0) for row in rows])
     if schedule == "rough":
-        loop.spawn(rough, loop, served_members, seed, every, click.echo)
+        loop.spawn(run_random_faults, loop, served_members, seed, every, click.echo)
 
     def expire_leases() -> None:
         while True:
--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform round a courier: discovery with its notices, next hops, and the configuration's JSON."""
+"""Stand-ins for the platform around a courier: discovery with its notices, next hops, and the JSON configuration."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from kestrelspar.standins.server import accept, free_listener
 
 CLASSES = ("reading", "work-order", "payment")
-NS = 1_000
+NS = 1_000  # nanoseconds in a microsecond, the unit of the loop
 
 
 def settings(slots: int = 16, most_open: int = 400) -> dict[str, Any]:
-    """The settings of a small installation: three classes, one zone, kinds with routes apart."""
+    """Settings of a small installation: three classes, one zone, and one kind, with ``routes_apart`` set."""
 
-    def cls(name: str, aim: int, deadline: int, effect: str, **more: Any) -> dict[str, Any]:
+    def message_class(name: str, objective: int, deadline: int, semantics: str, **more: Any) -> dict[str, Any]:
         return {
             "name": name,
-            "objective_ns": aim * SECOND * NS,
+            "objective_ns": objective * SECOND * NS,
             "deadline_ns": deadline * SECOND * NS,
-            "semantics": effect,
+            "semantics": semantics,
             "value": 1.0,
             "late_worth": 0.4,
             **more,
@@ -35,9 +35,9 @@
 
     return {
         "classes": [
-            cls("reading", 4, 16, "free"),
-            cls("work-order", 4, 16, "guarded", repeat_window_ns=7_500 * MS * NS),
-            cls("payment", 3, 16, "single_shot"),
+            message_class("reading", 4, 16, "free"),
+            message_class("work-order", 4, 16, "guarded", repeat_window_ns=7_500 * MS * NS),
+            message_class("payment", 3, 16, "single_shot"),
         ],
         "family_info": {"workers": slots, "routes_apart": [True]},
         "limits": {
@@ -57,7 +57,7 @@
 
 
 def configuration(listen: str, discovery: str, state: str, **more: Any) -> dict[str, Any]:
-    """The platform's JSON for one courier."""
+    """The platform's JSON configuration of one courier; ``more`` overrides top-level keys."""
     return {
         "name": "demo",
         "listen": listen,
@@ -72,7 +72,7 @@
 
 
 class Server:
-    """Answers HTTP requests on a listener; ``reply`` gives the whole answer, or nothing to close without one."""
+    """HTTP server on loopback; ``reply`` returns the whole response, or None to close the connection without one."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop, self.buffers, self.listener = loop, BufferPool(2048), free_listener()
@@ -83,22 +83,22 @@
         try:
             while True:
                 head = parser.read_head(stream, None)
-                answer = self.reply(stream, head, parser.read_body(stream, head, None))
-                if answer is None:
+                response = self.reply(stream, head, parser.read_body(stream, head, None))
+                if response is None:
                     return
-                stream.write(answer, self.loop.now + 5 * SECOND)
+                stream.write(response, self.loop.now + 5 * SECOND)
         except (Closed, Late, parser.BadMessage):
             pass
         finally:
             stream.close()
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
-        """The answer to one request."""
+        """The response to one request."""
         raise NotImplementedError
 
 
 class Discovery(Server):
-    """Lists next hops, tells a watch of changes, and takes notices."""
+    """Discovery service: lists next hops, sends the list to watches when it changes, and receives notices."""
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop)
@@ -107,8 +107,8 @@
         self.heard: Callable[[dict[str, Any]], None] = self.notices.append
 
     def _list(self) -> bytes:
-        told = {"index": self.index, "snapshot": True, "endpoints": self.rows}
-        return ujson.dumps(told, escape_forward_slashes=False).encode()
+        snapshot = {"index": self.index, "snapshot": True, "endpoints": self.rows}
+        return ujson.dumps(snapshot, escape_forward_slashes=False).encode()
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
@@ -120,10 +120,10 @@
         if "watch=1" not in target:
             return parser.response(200, self._list())
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", self.loop.now + SECOND)
-        told = 0
+        sent_index = 0
         while not stream.ended():
-            line = self._list() + b"\n" if told != self.index else b"\n"
-            told = self.index
+            line = self._list() + b"\n" if sent_index != self.index else b"\n"
+            sent_index = self.index
             stream.write(b"%x\r\n%s\r\n" % (len(line), line), self.loop.now + SECOND)
             self.loop.sleep(SECOND)
         return None
@@ -131,42 +131,44 @@
 
 @dataclass
 class Manners:
-    """How a next hop answers: times in microseconds, shares of calls."""
+    """Latency and faults of a next hop: times in microseconds, shares of calls from 0 to 1."""
 
-    pace: int = 20 * MS
-    spread: int = 60 * MS
-    full: float = 0.0  # turned away with 429 and a wait
-    error: float = 0.0  # 500: it may have run
-    silent: float = 0.0  # it runs and does not answer
+    min_latency: int = 20 * MS
+    jitter: int = 60 * MS  # upper bound of the random delay added to min_latency
+    refused: float = 0.0  # share refused with 429 and Retry-After
+    error: float = 0.0  # share executed and answered with 500, which does not tell the courier whether the call ran
+    silent: float = 0.0  # share executed without a response
 
 
 @dataclass
 class Seen:
-    """What next hops have seen, together."""
+    """Calls recorded by all next hops together."""
 
-    effects: Counter[str] = field(default_factory=Counter)  # by id: calls that ran
-    answered: dict[str, int] = field(default_factory=dict)  # by id: when a 200 was written
+    effects: Counter[str] = field(default_factory=Counter)  # by message id: number of calls executed
+    answered: dict[str, int] = field(
+        default_factory=dict
+    )  # by message id: time of the first 200, in microseconds of the loop
     calls: int = 0
 
 
 class NextHop(Server):
-    """A member system's endpoint, with manners drawn from a seed."""
+    """An endpoint of a member system; the random numbers behind its behaviour come from a seed."""
 
     def __init__(self, loop: Loop, seen: Seen, seed: int, manners: Manners) -> None:
         super().__init__(loop)
-        self.seen, self.manners, self._pick = seen, manners, random.Random(seed)
+        self.seen, self.manners, self._random = seen, manners, random.Random(seed)
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        m, trace, draw = self.manners, head.headers.get("x-trace-id", ""), self._pick.random()
+        manners, trace, chance = self.manners, head.headers.get("x-trace-id", ""), self._random.random()
         self.seen.calls += 1
-        if draw < m.full:
+        if chance < manners.refused:
             return parser.response(429, headers={"Retry-After": "0.2"})
-        self.loop.sleep(m.pace + int(self._pick.random() * m.spread))
+        self.loop.sleep(manners.min_latency + int(self._random.random() * manners.jitter))
         self.seen.effects[trace] += 1
-        if draw < m.full + m.error:
+        if chance < manners.refused + manners.error:
             return parser.response(500)
-        if draw < m.full + m.error + m.silent:
+        if chance < manners.refused + manners.error + manners.silent:
             self.loop.sleep(30 * SECOND)
             return None
         if not stream.ended():
--- a/kestrelspar/standins/server.py
+++ b/kestrelspar/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a listener on loopback, and a task for each connection."""
+"""Shared by the stand-in servers: a listener on loopback, and an accept loop with a task per connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def free_listener() -> socket.socket:
-    """A listening socket on loopback, on a port that was free."""
+    """A non-blocking listening socket on a free port of the loopback address."""
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen(512)
@@ -23,9 +23,9 @@
     listener: socket.socket,
     buffers: BufferPool,
     serve: Callable[[Stream], None],
-    refuses: Callable[[], bool] = lambda: False,
+    is_refusing: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Take connections for good; each is served in a task of its own, or closed at once where it ``refuses``."""
+    """Accept connections forever; each is served in its own task, or closed at once while ``is_refusing()`` is true."""
     while True:
         loop.readable(listener, None)
         try:
@@ -34,7 +34,7 @@
             continue
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if refuses():
+        if is_refusing():
             sock.close()
             continue
         loop.spawn(serve, Stream(loop, sock, buffers))
