--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -240,10 +240,13 @@
         if run["real"] or run["processes"] > 1
         else (f"{run['hollow']} modelled")
     )
-    return f"{couriers}: all known after {run['known_s']} s, {run['processes']} processes, {run['memory_mb']} MB" + (
-        f", {run['fault_name']} of {run['hit']} settled after {run['settled_s']} s"
-        if run["fault_name"] != "none"
-        else ""
+    return (
+        f"{couriers}: members known after {run['known_s']} s, {run['processes']} processes, {run['memory_mb']} MB"
+        + (
+            f", {run['fault_name']} of {run['hit']} settled after {run['settled_s']} s"
+            if run["fault_name"] != "none"
+            else ""
+        )
     )
 
 
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -530,7 +530,7 @@
         except ValueError as error:
             raise CommandError(str(error)) from error
         if saved is None:
-            raise CommandError(f"{file}: has no saved list of registry {config.label}")
+            raise CommandError(f"{file}: no list of registry {config.label} is saved here")
         # A saved entry has no origin and no start time, and its default zone and kind are filled in.
         saved_entries = {row.key: row.entry for row in saved.rows}
         rows = [
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -1,7 +1,8 @@
 """A stand-in registry: one store, served as etcd's JSON gateway and as Consul's KV store by members with faults.
 
 ``Store`` is the data, without I/O. ``Member`` serves it on a loop; tests and fault schedules set its faults. It follows
-the published APIs as far as the courier's client and third-party client libraries use them. Nothing is stored on disk.
+the published APIs as far as the courier's client and third-party client libraries use them. It is no
+database: nothing is stored on disk.
 """
 
 from __future__ import annotations
@@ -58,9 +59,9 @@
     ttls: dict[int, int] = field(default_factory=dict)  # by lease id: seconds granted
     accounts: dict[str, str] = field(default_factory=dict)  # password (etcd) or token (Consul) by name; empty: no login
     tokens: set[str] = field(default_factory=set)  # valid tokens of etcd
-    waiting: list[Parking] = field(default_factory=list)  # tasks to resume at the next change
+    change_waiters: list[Parking] = field(default_factory=list)  # tasks to resume at the next change
 
-    def at(self, key: bytes, revision: int) -> Version | None:
+    def version_at(self, key: bytes, revision: int) -> Version | None:
         """The key's version at a revision; None if it did not exist then."""
         versions = self.keys.get(key, [])
         index = bisect.bisect_right(versions, revision, key=lambda v: v.revision)
@@ -72,18 +73,18 @@
 
         Deletions of keys that don't exist are ignored.
         """
-        changes = [c for c in changes if c[1] is not None or self.at(c[0], self.revision)]
+        changes = [c for c in changes if c[1] is not None or self.version_at(c[0], self.revision)]
         if not changes:
             return self.revision
         new_revision = self.revision + 1
         for key, value, lease in changes:
-            before = self.at(key, self.revision)
+            before = self.version_at(key, self.revision)
             create = before.create if before else new_revision
             count = before.version + 1 if before else 1
             self.keys.setdefault(key, []).append(Version(new_revision, value, create, count, lease))
             self.log.append((new_revision, key))
         self.revision = new_revision
-        waiting, self.waiting = self.waiting, []
+        waiting, self.change_waiters = self.change_waiters, []
         for parking in waiting:
             parking.resume()
         return new_revision
@@ -96,7 +97,7 @@
         """Delete the keys in one revision and return it."""
         return self.commit([(key.encode(), None, 0) for key in keys])
 
-    def below(self, start: bytes, end: bytes, revision: int) -> list[tuple[bytes, Version]]:
+    def read_range(self, start: bytes, end: bytes, revision: int) -> list[tuple[bytes, Version]]:
         """Keys and versions from ``start`` up to, but without, ``end`` at a revision.
 
         As in etcd, an empty end means only the key ``start``, and an end of NUL means all keys from ``start`` on.
@@ -105,10 +106,10 @@
             names = [start] if start in self.keys else []
         else:
             names = sorted(k for k in self.keys if k >= start and (end == b"\0" or k < end))
-        versions = ((name, self.at(name, revision)) for name in names)
+        versions = ((name, self.version_at(name, revision)) for name in names)
         return [(name, version) for name, version in versions if version is not None]
 
-    def since(self, revision: int, start: bytes, end: bytes) -> list[tuple[int, bytes, Version]]:
+    def changes_since(self, revision: int, start: bytes, end: bytes) -> list[tuple[int, bytes, Version]]:
         """Changes in a range of keys from a revision on, in order."""
         index = bisect.bisect_left(self.log, (revision, b""))
         changes = []
@@ -118,7 +119,7 @@
                 changes.append((at, key, version))
         return changes
 
-    def newest(self, start: bytes, end: bytes, revision: int) -> int:
+    def last_revision(self, start: bytes, end: bytes, revision: int) -> int:
         """Revision of the last change in a range, including deletions; the compacted revision if none is known."""
         for at, key in reversed(self.log):
             if at <= revision and key >= start and (end == b"\0" or key < end):
@@ -188,9 +189,9 @@
         self.loop, self.store, self.listener = loop, store, listener
         self.address: tuple[str, int] = listener.getsockname()
         self.faults = Faults()
-        self.fragment = limit_fragment  # maximum events per watch response, if the client requests fragments
+        self.max_fragment_events = limit_fragment  # maximum events per watch response, if the client requests fragments
         self.buffers = BufferPool(4096)
-        self.asked: list[tuple[str, dict[str, Any]]] = []  # path and parameters of the last requests
+        self.recent_requests: list[tuple[str, dict[str, Any]]] = []  # path and parameters of the last requests
         self.streams: set[Stream] = set()
         loop.spawn(accept, loop, listener, self.buffers, self._serve, lambda: self.faults.refuse)
 
@@ -243,7 +244,7 @@
             return self._consul(stream, method, path, query, head, body)
         try:
             request = msgspec.json.decode(body) if body else {}
-            self.asked = [*self.asked[-200:], (path, request)]
+            self.recent_requests = [*self.recent_requests[-200:], (path, request)]
             if path == "/v3/watch":
                 return self._watch(stream, head, request)
             result = self._etcd(path, head, request)
@@ -293,7 +294,7 @@
             )
             return {"header": self._header()}
         if path == "/v3/kv/deleterange":
-            deleted = store.below(
+            deleted = store.read_range(
                 _decode_base64(request["key"]), _decode_base64(request.get("range_end", "")), store.revision
             )
             store.commit([(key, None, 0) for key, _ in deleted])
@@ -341,7 +342,7 @@
             raise EtcdError(11, "etcdserver: mvcc: required revision is a future revision")
         if requested and requested < store.compacted:
             raise EtcdError(11, "etcdserver: mvcc: required revision has been compacted")
-        pairs = store.below(
+        pairs = store.read_range(
             _decode_base64(request["key"]), _decode_base64(request.get("range_end", "")), requested or self.revision
         )
         count, limit = len(pairs), int(request.get("limit", 0))
@@ -355,7 +356,7 @@
         return response
 
     def _compare(self, request: dict[str, Any]) -> bool:
-        version = self.store.at(_decode_base64(request["key"]), self.store.revision)
+        version = self.store.version_at(_decode_base64(request["key"]), self.store.revision)
         target, result = request.get("target", "VERSION"), request.get("result", "EQUAL")
         if target == "VALUE":
             left: Any = version.value if version and version.value is not None else b""
@@ -388,7 +389,7 @@
             elif kind == "request_range":
                 responses.append({"response_range": self._range(request)})
             else:
-                deleted = self.store.below(
+                deleted = self.store.read_range(
                     _decode_base64(request["key"]), _decode_base64(request.get("range_end", "")), self.store.revision
                 )
                 changes += [(key, None, 0) for key, _ in deleted]
@@ -427,13 +428,13 @@
             rows = (
                 []
                 if self.faults.deaf
-                else [r for r in self.store.since(next_revision, start, end) if r[0] <= self.revision]
+                else [r for r in self.store.changes_since(next_revision, start, end) if r[0] <= self.revision]
             )
             if rows:
                 events = [
                     {"kv": _key_value(key, v), **({"type": "DELETE"} if v.value is None else {})} for _, key, v in rows
                 ]
-                step = self.fragment if self.fragment and create.get("fragment") else len(events)
+                step = self.max_fragment_events if self.max_fragment_events and create.get("fragment") else len(events)
                 for first in range(0, len(events), step):
                     last = first + step >= len(events)
                     part = {"events": events[first : first + step], **({} if last else {"fragment": True})}
@@ -449,16 +450,16 @@
             if stream.ended():
                 return False
             change = Parking(self.loop)
-            self.store.waiting.append(change)
+            self.store.change_waiters.append(change)
             if self.loop.park(change, self.loop.now + 200 * MS) is LATE:
-                self.store.waiting = [other for other in self.store.waiting if other is not change]
+                self.store.change_waiters = [other for other in self.store.change_waiters if other is not change]
 
     # Consul
 
     def _consul(self, stream: Stream, method: str, path: str, query: str, head: parser.Head, body: bytes) -> bool:
         store = self.store
         parameters = {name: values[-1] for name, values in parse_qs(query, keep_blank_values=True).items()}
-        self.asked = [*self.asked[-200:], (path, parameters)]
+        self.recent_requests = [*self.recent_requests[-200:], (path, parameters)]
         token = head.headers.get("x-consul-token", "") or head.headers.get("authorization", "")[7:]
         if path == "/v1/status/leader":
             return self._write(stream, parser.response(200, b'"127.0.0.1:8300"'))
@@ -470,26 +471,28 @@
             return self._write(stream, parser.response(500, b"No cluster leader"))
         key = unquote(path.removeprefix("/v1/kv/")).encode()
         if method in ("PUT", "DELETE"):
-            version = store.at(key, store.revision)
+            version = store.version_at(key, store.revision)
             allowed = "cas" not in parameters or int(parameters["cas"]) == (version.revision if version else 0)
             if allowed and method == "PUT":
                 store.commit([(key, body, 0)])
             elif allowed:
                 deleted = (
-                    store.below(key, _range_end(key), store.revision) if "recurse" in parameters else [(key, version)]
+                    store.read_range(key, _range_end(key), store.revision)
+                    if "recurse" in parameters
+                    else [(key, version)]
                 )
                 store.commit([(name, None, 0) for name, _ in deleted])
             return self._write(stream, parser.response(200, b"true" if allowed else b"false"))
         end = _range_end(key) if "recurse" in parameters or "keys" in parameters else key + b"\0"
         index, wait = int(parameters.get("index", 0)), _parse_wait(parameters.get("wait", "5m"))
         deadline = self.loop.now + min(wait, 600 * SECOND)
-        while index and store.newest(key, end, self.revision) <= index and self.loop.now < deadline:
+        while index and store.last_revision(key, end, self.revision) <= index and self.loop.now < deadline:
             if stream.ended():
                 return False
             change = Parking(self.loop)
-            store.waiting.append(change)
+            store.change_waiters.append(change)
             if self.loop.park(change, min(deadline, self.loop.now + 200 * MS)) is LATE:
-                store.waiting = [other for other in store.waiting if other is not change]
+                store.change_waiters = [other for other in store.change_waiters if other is not change]
         self._wait_while_silent()
         revision = self.store.revision if "consistent" in parameters else self.revision
         rows = [
@@ -501,14 +504,14 @@
                 "CreateIndex": v.create,
                 "ModifyIndex": v.revision,
             }
-            for name, v in store.below(key, end, revision)
+            for name, v in store.read_range(key, end, revision)
         ]
         headers = {
             "X-Consul-KnownLeader": "true" if self.faults.leader else "false",
             "X-Consul-LastContact": str(self.faults.contact_ms),
             "Content-Type": "application/json",
             "X-Consul-Index": str(
-                self.faults.index if self.faults.index is not None else store.newest(key, end, revision)
+                self.faults.index if self.faults.index is not None else store.last_revision(key, end, revision)
             ),
         }
         data = msgspec.json.encode([row["Key"] for row in rows] if "keys" in parameters else rows)
--- a/tests/cli/test_smpp.py
+++ b/tests/cli/test_smpp.py
@@ -1,4 +1,4 @@
-"""``kestrelspar smpp`` against the program as it is started, with keys and a hashed password."""
+"""``kestrelspar smpp`` against a courier process with TLS and a hashed password, and against the stand-in gateway."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 __all__ = ["world"]
 
 
-def verb(*words: str, told: str = "") -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str, stdin: str = "") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "kestrelspar", *words],
+        [sys.executable, "-m", "kestrelspar", *arguments],
         cwd=ROOT,
-        input=told,
+        input=stdin,
         capture_output=True,
         text=True,
         timeout=FAR,
@@ -37,14 +37,16 @@
     return ["--account", "acme", "--password-file", str(tmp_path / "pw")]
 
 
-def test_the_program_conforms_with_keys_and_a_hashed_password(tmp_path: Path, world: str, secrets: list[str]) -> None:
+def test_the_courier_conforms_to_smpp_with_tls_and_a_hashed_password(
+    tmp_path: Path, world: str, secrets: list[str]
+) -> None:
     port, ca = free_port(), trustme.CA()
     cert = ca.issue_cert("hub.example")
     ca.cert_pem.write_to_path(tmp_path / "ca.pem")
     cert.private_key_and_cert_chain_pem.write_to_path(tmp_path / "both.pem")
     (tmp_path / "both.pem").chmod(0o600)
     conf = Path(smpp_conf(tmp_path, port))
-    (tmp_path / "hash").write_text(verb("smpp", "passwd", "--from-file", str(tmp_path / "pw")).stdout)
+    (tmp_path / "hash").write_text(run_command("smpp", "passwd", "--from-file", str(tmp_path / "pw")).stdout)
     (tmp_path / "hash").chmod(0o600)
     assert passwords.usable((tmp_path / "hash").read_text().strip())
     conf.write_text(
@@ -54,27 +56,27 @@
         + "tls main\n  certificate both.pem\n"
     )
     program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
-    there = [f"127.0.0.1:{port}", *secrets, "--tls", str(tmp_path / "ca.pem"), "--server-name", "hub.example"]
-    found = verb("smpp", "conform", *there, "--to", "3721", "--json")
-    report = json.loads(found.stdout)
-    assert found.returncode == 0 and report["failed"] == 0 and report["cases"] >= 150, [
+    connection = [f"127.0.0.1:{port}", *secrets, "--tls", str(tmp_path / "ca.pem"), "--server-name", "hub.example"]
+    conformance = run_command("smpp", "conform", *connection, "--to", "3721", "--json")
+    report = json.loads(conformance.stdout)
+    assert conformance.returncode == 0 and report["failed"] == 0 and report["cases"] >= 150, [
         row for row in report["verdicts"] if row["fault"]
     ]
-    sent = verb("smpp", "send", *there, "--to", "3721", "--receipt", "Tere, õhtust!")
+    sent = run_command("smpp", "send", *connection, "--to", "3721", "--receipt", "Tere, õhtust!")
     assert sent.returncode == 0 and "accepted as" in sent.stdout and "stat:DELIVRD" in sent.stdout
     (tmp_path / "both.pem").chmod(0o644)
     program.process.send_signal(signal.SIGHUP)
-    bad = verb("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "3721", "x", "--within", "500ms")
-    assert bad.returncode == 1 and "Error: bind_transmitter" in bad.stderr, "plain SMPP to a port with keys"
+    refused = run_command("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "3721", "x", "--within", "500ms")
+    assert refused.returncode == 1 and "Error: bind_transmitter" in refused.stderr, "plain SMPP on a port with TLS"
     until(lambda: program.ask("GET", "/health/ready") == 200)
     code, out = program.end(signal.SIGTERM)
     assert code == 0 and "event=fault" not in out
     assert "may be read by others, mode 644" in out and "event=tls-handshake-failed" in out
 
 
-def test_a_centre_that_does_not_conform_is_told_with_exit_code_1(tmp_path: Path, secrets: list[str]) -> None:
+def test_a_message_centre_that_does_not_conform_gives_exit_code_1(tmp_path: Path, secrets: list[str]) -> None:
     port = free_port()
-    # The stand-in takes any account and any text: the cases must find that.
+    # The stand-in accepts any account and any text, which some conformance cases must report.
     centre = subprocess.Popen(
         [
             sys.executable,
@@ -93,13 +95,13 @@
     )
     try:
         assert centre.stdout is not None and "gateway on" in centre.stdout.readline()
-        found = verb("smpp", "conform", f"127.0.0.1:{port}", *secrets, "--group", "binds", "--group", "meaning")
-        assert found.returncode == 1 and "fault" in found.stdout and "│ meaning │" in found.stdout
-        one = verb("smpp", "conform", f"127.0.0.1:{port}", *secrets, "--group", "binds", "--json")
+        result = run_command("smpp", "conform", f"127.0.0.1:{port}", *secrets, "--group", "binds", "--group", "meaning")
+        assert result.returncode == 1 and "fault" in result.stdout and "│ meaning │" in result.stdout
+        binds_only = run_command("smpp", "conform", f"127.0.0.1:{port}", *secrets, "--group", "binds", "--json")
         assert "bind_transceiver with another password" in {
-            row["case"] for row in json.loads(one.stdout)["verdicts"] if row["fault"]
+            row["case"] for row in json.loads(binds_only.stdout)["verdicts"] if row["fault"]
         }
-        sent = verb("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "1", "--receipt", "x")
+        sent = run_command("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "1", "--receipt", "x")
         assert sent.returncode == 0 and "stat:DELIVRD" in sent.stdout
     finally:
         centre.send_signal(signal.SIGINT)
@@ -108,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "what"),
+    ("arguments", "code", "message"),
     [
         (["conform", "127.0.0.1:0x1", "--account", "a", "--password-file", "PW"], 2, "HOST:PORT"),
         (
@@ -122,16 +124,18 @@
         (["passwd", "--from-file", "LONG"], 1, "1 to 8 bytes"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path: Path, words: list[str], code: int, what: str) -> None:
+def test_errors_are_reported_with_their_exit_code(
+    tmp_path: Path, arguments: list[str], code: int, message: str
+) -> None:
     for name, text in (("PW", "secret"), ("LONG", "much too long for SMPP")):
         (tmp_path / name).write_text(text)
         (tmp_path / name).chmod(0o600)
-    found = verb("smpp", *[str(tmp_path / word) if word in ("PW", "LONG") else word for word in words])
-    assert found.returncode == code and what in found.stderr.replace("\n", " ")
+    result = run_command("smpp", *[str(tmp_path / each) if each in ("PW", "LONG") else each for each in arguments])
+    assert result.returncode == code and message in result.stderr.replace("\n", " ")
 
 
-def test_a_port_that_is_taken_is_named() -> None:
+def test_listen_reports_an_address_in_use() -> None:
     sock, address = listener()
-    found = verb("smpp", "listen", "--listen", f"{address[0]}:{address[1]}", "--for", "1s")
-    assert found.returncode == 1 and f"{address[0]}:{address[1]}" in found.stderr
+    result = run_command("smpp", "listen", "--listen", f"{address[0]}:{address[1]}", "--for", "1s")
+    assert result.returncode == 1 and f"{address[0]}:{address[1]}" in result.stderr
     sock.close()
--- a/tests/cli/test_verbs.py
+++ b/tests/cli/test_verbs.py
@@ -1,4 +1,4 @@
-"""The operators' verbs against the stand-in registry, the demo, and a newcomer's program."""
+"""The commands ``map`` and ``demo``, and a courier process that follows the stand-in registry."""
 
 from __future__ import annotations
 
@@ -39,41 +39,41 @@
         yield member, str(conf)
 
 
-def said(conf: str, *words: str, code: int = 0) -> str:
-    done = CliRunner().invoke(cli, ["map", words[0], "--conf", conf, *words[1:]])
-    assert done.exit_code == code, f"{words}: {done.output} {done.exception!r}"
-    return done.output
+def run_map(conf: str, *arguments: str, code: int = 0) -> str:
+    result = CliRunner().invoke(cli, ["map", arguments[0], "--conf", conf, *arguments[1:]])
+    assert result.exit_code == code, f"{arguments}: {result.output} {result.exception!r}"
+    return result.output
 
 
 def test_entries_are_put_drained_and_removed(registry: tuple[Member, str]) -> None:
     _, conf = registry
-    said(conf, "put", "s-1", "--group", "3", code=2)
-    assert "would put" in said(conf, "put", "s-1", "--group", "3", "--address", "10.0.0.1:80", "--dry-run")
-    assert said(conf, "list", "--json").strip() == "[]"
+    run_map(conf, "put", "s-1", "--group", "3", code=2)
+    assert "would put" in run_map(conf, "put", "s-1", "--group", "3", "--address", "10.0.0.1:80", "--dry-run")
+    assert run_map(conf, "list", "--json").strip() == "[]"
     for name in ("s-1", "s-2", "s-3"):
-        said(conf, "put", name, "--group", "3", "--address", "10.0.0.1:80", "--zone", "a", "--new")
-    assert "--new" in said(conf, "put", "s-1", "--group", "4", "--new", code=1)
-    assert "$.weight" in said(conf, "put", "s-1", "--weight", "-1", code=1)
-    said(conf, "put", "s-2", "--weight", "2.5")
-    assert "unchanged" in said(conf, "put", "s-2", "--weight", "2.5")
-    said(conf, "drain", "s-1", "s-2")
-    said(conf, "drain", "s-2", "--undo")
-    said(conf, "remove", "s-3")
-    assert "no such endpoint" in said(conf, "remove", "s-3", code=1)
-    rows = json.loads(said(conf, "list", "--json"))
+        run_map(conf, "put", name, "--group", "3", "--address", "10.0.0.1:80", "--zone", "a", "--new")
+    assert "--new" in run_map(conf, "put", "s-1", "--group", "4", "--new", code=1)
+    assert "$.weight" in run_map(conf, "put", "s-1", "--weight", "-1", code=1)
+    run_map(conf, "put", "s-2", "--weight", "2.5")
+    assert "unchanged" in run_map(conf, "put", "s-2", "--weight", "2.5")
+    run_map(conf, "drain", "s-1", "s-2")
+    run_map(conf, "drain", "s-2", "--undo")
+    run_map(conf, "remove", "s-3")
+    assert "no such endpoint" in run_map(conf, "remove", "s-3", code=1)
+    rows = json.loads(run_map(conf, "list", "--json"))
     assert [(r["name"], r.get("status", "active"), r.get("weight", 1.0)) for r in rows] == [
         ("s-1", "leaving", 1.0),
         ("s-2", "active", 2.5),
     ]
-    assert "s-2" in said(conf, "list") and "draining" in said(conf, "watch", "--for", "500ms")
+    assert "s-2" in run_map(conf, "list") and "draining" in run_map(conf, "watch", "--for", "500ms")
 
 
-def test_an_entry_that_cannot_be_read_shows_and_can_be_removed(registry: tuple[Member, str]) -> None:
+def test_an_invalid_entry_is_shown_and_can_be_removed(registry: tuple[Member, str]) -> None:
     member, conf = registry
     member.store.put("hops/bad", b"{}")
-    assert "can't be read" in said(conf, "list", code=1)
-    said(conf, "remove", "hops/bad")
-    assert member.store.at(b"hops/bad", member.store.revision) is None
+    assert "can't be read" in run_map(conf, "list", code=1)
+    run_map(conf, "remove", "hops/bad")
+    assert member.store.version_at(b"hops/bad", member.store.revision) is None
 
 
 def test_two_operators_do_not_overwrite_each_other(
@@ -81,56 +81,56 @@
 ) -> None:
     member, conf = registry
     member.store.put("hops/s", value("s"))
-    read = map_verbs.Client.rows
+    read_rows = map_verbs.Client.rows
 
-    def other_first(self: map_verbs.Client) -> list[map_verbs.Row]:
-        rows = read(self)
+    def rows_before_another_change(self: map_verbs.Client) -> list[map_verbs.Row]:
+        rows = read_rows(self)
         member.store.put("hops/s", value("s", address="127.0.0.1:7"))
         member.store.put("hops/new", value("new"))
         return rows
 
-    monkeypatch.setattr(map_verbs.Client, "rows", other_first)
-    for words in (
+    monkeypatch.setattr(map_verbs.Client, "rows", rows_before_another_change)
+    for arguments in (
         ("drain", "s"),
         ("remove", "s"),
         ("put", "s", "--weight", "5"),
         ("put", "new", "--group", "1", "--address", "10.0.0.1:80"),
     ):
-        assert "changed by another client since it was read" in said(conf, *words, code=1)
+        assert "changed by another client since it was read" in run_map(conf, *arguments, code=1)
         member.store.delete("hops/new")
-    found = member.store.at(b"hops/s", member.store.revision)
-    assert found is not None and found.value == value("s", address="127.0.0.1:7")
+    version = member.store.version_at(b"hops/s", member.store.revision)
+    assert version is not None and version.value == value("s", address="127.0.0.1:7")
 
 
-def test_an_import_is_compared_written_and_takes_back_what_its_file_dropped(
+def test_an_import_is_compared_and_written_and_removes_what_its_file_no_longer_has(
     registry: tuple[Member, str], tmp_path: Path
 ) -> None:
     member, conf = registry
     member.store.put("hops/other", value("other"))
     file = tmp_path / "member.conf"
     file.write_text(NGINX.replace("weight=3", "weight=3 resolve"))
-    assert "member.conf:3" in said(conf, "import", str(file), code=1) and member.store.revision == 2
+    assert "member.conf:3" in run_map(conf, "import", str(file), code=1) and member.store.revision == 2
     file.write_text(NGINX)
-    assert "would add hops/pay-1-0" in said(conf, "import", str(file), "--dry-run")
-    assert "only in the file: pay-1-0" in said(conf, "diff", str(file), code=1)
-    assert "2 changes" in said(conf, "import", str(file))
-    assert "no difference" in said(conf, "diff", str(file)) and "0 changes" in said(conf, "import", str(file))
+    assert "would add hops/pay-1-0" in run_map(conf, "import", str(file), "--dry-run")
+    assert "only in the file: pay-1-0" in run_map(conf, "diff", str(file), code=1)
+    assert "2 changes" in run_map(conf, "import", str(file))
+    assert "no difference" in run_map(conf, "diff", str(file)) and "0 changes" in run_map(conf, "import", str(file))
     file.write_text(NGINX.replace(" server 10.0.0.2 backup;", "").replace("weight=3", "weight=4"))
-    assert "weight: registry 3.0, file 4.0" in said(conf, "diff", str(file), code=1)
-    assert "remove hops/pay-1-1" in said(conf, "import", str(file))
-    assert {row["name"] for row in json.loads(said(conf, "list", "--json"))} == {"other", "pay-1-0"}
+    assert "weight: registry 3.0, file 4.0" in run_map(conf, "diff", str(file), code=1)
+    assert "remove hops/pay-1-1" in run_map(conf, "import", str(file))
+    assert {row["name"] for row in json.loads(run_map(conf, "list", "--json"))} == {"other", "pay-1-0"}
     member.store.put("hops/pay-1-0", value("pay-1-0"))
-    assert "added manually" in said(conf, "import", str(file), code=1)
+    assert "added manually" in run_map(conf, "import", str(file), code=1)
 
 
-def test_a_registry_that_does_not_answer_or_is_not_named_is_said(tmp_path: Path) -> None:
+def test_a_registry_that_does_not_answer_or_is_not_configured_is_reported(tmp_path: Path) -> None:
     conf = tmp_path / "k.conf"
     conf.write_text("registry a\n  type etcd\n  servers 127.0.0.1:1\n  prefix x/\n")
-    assert "127.0.0.1:1: no connection" in said(str(conf), "list", code=1)
-    assert "no registry 'b'" in said(str(conf), "list", "--registry", "b", code=2)
+    assert "127.0.0.1:1: no connection" in run_map(str(conf), "list", code=1)
+    assert "no registry 'b'" in run_map(str(conf), "list", "--registry", "b", code=2)
 
 
-def test_the_program_follows_a_registry_and_starts_again_without_it(tmp_path: Path, world: str) -> None:
+def test_the_courier_follows_a_registry_and_restarts_without_it(tmp_path: Path, world: str) -> None:
     with Alone() as member:
         member.store.put(
             "hops/far", value("far", address=world, group=9).replace(b"contractor", b"m").replace(b"room-a", b"a")
@@ -141,20 +141,20 @@
         )
         program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
 
-        def hand_in(trace: str, dest: int = 9) -> int | None:
+        def submit(trace: str, dest: int = 9) -> int | None:
             return program.ask(
                 "POST",
                 "/reading",
                 **{"X-Trace-Id": trace, "X-Qos": "reading", "X-Expires-In": "15000m", "X-Route-To": f"dest={dest}"},
             )
 
-        until(lambda: hand_in("first") in (202, 409))
+        until(lambda: submit("first") in (202, 409))
         until((tmp_path / "registry-main.list").exists)
         assert program.end(signal.SIGTERM)[0] == 0
     program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
-    assert hand_in("second") == 202  # its destination is known from the kept list alone
+    assert submit("second") == 202  # its destination is known only from the saved list
     until(lambda: "second" in World.calls)
-    with Alone() as other:  # SIGHUP moves to where the settings say; a registry that says nothing of it loses far
+    with Alone() as other:  # SIGHUP switches to the registry in the settings; its list lacks "far", which is removed
         other.store.put(
             "new/near", value("near", address=world, group=11).replace(b"contractor", b"m").replace(b"room-a", b"a")
         )
@@ -162,9 +162,9 @@
             f"registry main\n  type consul\n  servers 127.0.0.1:{other.address[1]}\n  prefix new/\n  keep 64KB\n"
         )
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: hand_in("third", 11) == 202)
+        until(lambda: submit("third", 11) == 202)
         until(lambda: "third" in World.calls)
-        conf.write_text("")  # and a section that is gone takes its entries with it
+        conf.write_text("")  # removing the section removes its entries, too
         program.process.send_signal(signal.SIGHUP)
         until(lambda: not (tmp_path / "registry-main.list").exists())
     conf.write_text("registry main\n  typ etcd\n")
@@ -174,7 +174,7 @@
     assert code == 0 and "event=fault" not in out
 
 
-def test_the_demo_needs_nothing_and_accounts_for_each_message() -> None:
+def test_the_demo_needs_no_configuration_and_gives_each_message_one_outcome() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "kestrelspar", "demo", "--for", "1s", "--rate", "40"],
         cwd=ROOT,
@@ -187,7 +187,7 @@
     assert "each with exactly one outcome" in done.stdout and "payment" in done.stdout
 
 
-def test_serving_imports_nothing_that_only_verbs_need() -> None:
+def test_serve_imports_no_modules_that_only_other_commands_need() -> None:
     code = (
         "import sys, kestrelspar.serve; "
         "print([m for m in ('click', 'rich', 'crossplane', 'pythonjsonlogger') if m in sys.modules]"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's own limits and the README's example."""
+"""The line length of the decision module and the README's example."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_module_stays_within_110_columns() -> None:
+def test_the_decision_module_stays_within_110_columns() -> None:
     lines = (ROOT / "snowlock" / "control.py").read_text().splitlines()
     assert lines
     assert max(len(line) for line in lines) <= 110
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: one process, real sockets, a next hop of our own, SIGTERM and SIGKILL."""
+"""The courier as a process, with real sockets and a stand-in next hop: SIGTERM, SIGKILL, SIGHUP and start-up errors."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 from tests.test_wire import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-FAR = 60  # seconds: only to end a broken test
+FAR = 60  # timeout in seconds that only a failing test reaches
 
 
 class World(BaseHTTPRequestHandler):
-    """Next hop and discovery in one; the test tells it what to do by class attributes."""
+    """Next hop and discovery in one server; class attributes control it and record its calls and notices."""
 
     protocol_version = "HTTP/1.1"
     calls: list[str] = []
     notices: list[dict[str, Any]] = []
-    silent = False
-    news = ""  # what discovery tells first
-    down = False  # discovery answers nothing
+    silent = False  # calls get no response
+    news = ""  # the first line that discovery sends to a watch
+    down = False  # discovery sends no response
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers["Content-Length"]))
@@ -87,9 +87,9 @@
 
 
 def until(done: Any) -> None:
-    give_up = time.monotonic() + FAR
+    deadline = time.monotonic() + FAR
     while not done():
-        assert time.monotonic() < give_up, "it does not come"
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.02)
 
 
@@ -98,6 +98,8 @@
 
 
 class Program:
+    """A courier process, started by the command of the deployment file."""
+
     def __init__(
         self,
         folder: Path,
@@ -109,33 +111,33 @@
     ) -> None:
         self.port = free_port()
         classes = [
-            {"name": name, "objective_ns": 3 * 10**9, "deadline_ns": 16 * 10**9, "semantics": effect}
-            for name, effect in (("reading", "free"), ("payment", "single_shot"))
+            {"name": name, "objective_ns": 3 * 10**9, "deadline_ns": 16 * 10**9, "semantics": semantics}
+            for name, semantics in (("reading", "free"), ("payment", "single_shot"))
         ]
         family = {"workers": 4, "routes_apart": [True]}
-        self.told = {
+        self.config = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": world,
             "settings": SETTINGS | {"classes": classes, "family_info": family, "dcs": ["a"], "kinds": ["m"]},
             "known": {"index": 1, "snapshot": True, "endpoints": [row("s-1", world)] if rows is None else rows},
         }
-        self.told |= change or {}
-        told = written(folder, self.told)
+        self.config |= change or {}
+        variables = written(folder, self.config)
         command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         command = command.replace(".venv/bin/python", sys.executable)
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", before + command],
             cwd=ROOT,
             stdout=subprocess.PIPE,
-            env=os.environ | told | environment,
+            env=os.environ | variables | environment,
             text=True,
         )
 
     def ask(self, method: str, path: str, **headers: str) -> int | None:
         try:
-            link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=FAR)
-            link.request(method, path, b"hello" if method == "POST" else None, headers)
-            return link.getresponse().status
+            connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=FAR)
+            connection.request(method, path, b"hello" if method == "POST" else None, headers)
+            return connection.getresponse().status
         except OSError:
             return None
 
@@ -154,7 +156,7 @@
         return self.process.returncode, out
 
 
-def test_it_serves_and_ends_in_order(tmp_path: Path, world: str) -> None:
+def test_it_delivers_messages_and_shuts_down_on_sigterm(tmp_path: Path, world: str) -> None:
     program = Program(tmp_path, world).ready()
     assert [program.hand_in(f"t{i}") for i in range(5)] == [202] * 5
     until(lambda: len(World.calls) == 5)
@@ -162,7 +164,7 @@
     assert code == 0 and "event=closed kept=0" in out and "event=fault" not in out and not World.notices
 
 
-def test_killed_with_calls_out_it_comes_back_and_owes_their_ends(tmp_path: Path, world: str) -> None:
+def test_after_sigkill_with_calls_in_flight_a_restart_reports_their_outcomes(tmp_path: Path, world: str) -> None:
     World.silent = True
     program = Program(tmp_path, world).ready()
     assert program.hand_in("pay", "payment") == 202 and program.hand_in("read") == 202
@@ -176,7 +178,7 @@
 
 
 def smpp_conf(folder: Path, port: int) -> str:
-    """A settings file with the SMPP front on that port, one account, and the destination of ``Program``'s next hop."""
+    """Write settings with the SMPP front end on the port, an account, and the destination of ``Program``'s next hop."""
     conf = folder / "k.conf"
     conf.write_text(
         f"smpp\n  enabled on\n  listen 127.0.0.1:{port}\n  destination 372 7\n"
@@ -187,64 +189,64 @@
     return str(conf)
 
 
-def test_the_smpp_front_is_served_by_the_same_program(tmp_path: Path, world: str) -> None:
+def test_the_same_process_serves_the_smpp_front_end(tmp_path: Path, world: str) -> None:
     port = free_port()
     program = Program(tmp_path, world, KESTRELSPAR_CONF=smpp_conf(tmp_path, port)).ready()
     with socket.create_connection(("127.0.0.1", port), timeout=FAR) as sock:
-        got = b""
+        buffer = b""
 
         def ask(pdu: Pdu) -> Pdu:
-            nonlocal got
+            nonlocal buffer
             sock.sendall(p.encode(pdu))
             return read()
 
         def read() -> Pdu:
-            nonlocal got
-            while not (size := p.whole(memoryview(got))):
-                got += sock.recv(4096)
-            pdu, got = p.decode(got[:size]), got[size:]
+            nonlocal buffer
+            while not (size := p.whole(memoryview(buffer))):
+                buffer += sock.recv(4096)
+            pdu, buffer = p.decode(buffer[:size]), buffer[size:]
             return pdu
 
         bound = ask(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "acme", "password": "pw"}))
-        told = {"destination_addr": "3721", "registered_delivery": 1}
-        taken = ask(Pdu(Command.SUBMIT_SM, 2, 0, told, b"hi"))
+        fields = {"destination_addr": "3721", "registered_delivery": 1}
+        submitted = ask(Pdu(Command.SUBMIT_SM, 2, 0, fields, b"hi"))
         receipt = read()
-        assert (bound.status, taken.status, receipt.command) == (0, 0, Command.DELIVER_SM)
-        assert World.calls == [taken.text("message_id")] and receipt.tlv(p.MESSAGE_STATE) == b"\x02"
+        assert (bound.status, submitted.status, receipt.command) == (0, 0, Command.DELIVER_SM)
+        assert World.calls == [submitted.text("message_id")] and receipt.tlv(p.MESSAGE_STATE) == b"\x02"
         sock.sendall(p.encode(receipt.reply()))
     assert program.end(signal.SIGTERM)[0] == 0
 
 
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path, world: str) -> None:
-    # Guards against a SIGHUP that ends the program, and an environment that hides the file's new address.
-    class Elsewhere(World):
+def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(tmp_path: Path, world: str) -> None:
+    # SIGHUP must not end the process, and the address in the environment must not override a new one in the file.
+    class NewDiscovery(World):
         notices: list[dict[str, Any]] = []
 
         def do_POST(self) -> None:
             self.rfile.read(int(self.headers["Content-Length"]))
-            Elsewhere.notices.append({})
+            NewDiscovery.notices.append({})
             self.answer(204)
 
-    server = ThreadingHTTPServer(("127.0.0.1", 0), Elsewhere)
+    server = ThreadingHTTPServer(("127.0.0.1", 0), NewDiscovery)
     server.daemon_threads, server.block_on_close = True, False
     threading.Thread(target=server.serve_forever, daemon=True).start()
     World.silent = True
     program = Program(tmp_path, world, RELAY_DISCOVERY=world).ready()
     assert program.hand_in("read") == 202
     until(lambda: World.calls)
-    told, lines = program.told, iter(program.process.stdout or ())
-    for discovery, word in (("nowhere", "config.discovery"), (f"127.0.0.1:{server.server_port}", "=discovery-moves")):
-        written(tmp_path, told | {"discovery": discovery})
+    config, lines = program.config, iter(program.process.stdout or ())
+    for discovery, text in (("nowhere", "config.discovery"), (f"127.0.0.1:{server.server_port}", "=discovery-moves")):
+        written(tmp_path, config | {"discovery": discovery})
         program.process.send_signal(signal.SIGHUP)
-        assert any(word in line for line in lines)
-    assert program.hand_in("late", left="300m") == 202  # its notice is for the new address
-    until(lambda: Elsewhere.notices)
+        assert any(text in line for line in lines)
+    assert program.hand_in("late", left="300m") == 202  # its notice goes to the new address
+    until(lambda: NewDiscovery.notices)
     assert not World.notices and program.end(signal.SIGTERM)[0] == 0
     server.shutdown()
     server.server_close()
 
 
-class Left(World):
+class RemovedHop(World):
     calls: list[str] = []
 
 
@@ -257,12 +259,12 @@
         ("discovery", "leaving", signal.SIGKILL),
     ],
 )
-def test_a_removal_or_drain_that_was_told_outlasts_the_process_where_its_source_is_down_then(
+def test_a_reported_removal_or_drain_persists_over_a_restart_while_its_source_is_down(
     tmp_path: Path, world: str, source: str, state: str, ended: signal.Signals
 ) -> None:
-    # Guards against a start on a list that is older than what was told last: calls went to what had left.
-    server = ThreadingHTTPServer(("127.0.0.1", 0), Left)
-    server.daemon_threads, server.block_on_close, Left.calls = True, False, []
+    # A start on a saved list older than the last reported change sent calls to endpoints that had been removed.
+    server = ThreadingHTTPServer(("127.0.0.1", 0), RemovedHop)
+    server.daemon_threads, server.block_on_close, RemovedHop.calls = True, False, []
     threading.Thread(target=server.serve_forever, daemon=True).start()
     rows = [row("r-0", f"127.0.0.1:{server.server_port}"), row("r-1", world)]
     (tmp_path / "k.conf").write_text("")
@@ -272,12 +274,12 @@
             (tmp_path / "k.conf").write_text(
                 f"registry main\n  type etcd\n  servers 127.0.0.1:{member.address[1]}\n  prefix r/\n  keep 64KB\n"
             )
-            store.commit([(f"r/{each['name']}".encode(), json.dumps(each).encode(), 0) for each in rows])
-        told = {"KESTRELSPAR_CONF": str(tmp_path / "k.conf")}
+            store.commit([(f"r/{entry['name']}".encode(), json.dumps(entry).encode(), 0) for entry in rows])
+        environment = {"KESTRELSPAR_CONF": str(tmp_path / "k.conf")}
         known = rows if source == "discovery" else []
         if source == "discovery":
             World.news = json.dumps({"index": 5, "snapshot": False, "endpoints": [rows[0] | {"status": state}]})
-        program = Program(tmp_path, world, known, **told).ready()
+        program = Program(tmp_path, world, known, **environment).ready()
         if source == "registry":
             until((tmp_path / "registry-main.list").exists)
             if state == "left":
@@ -287,15 +289,15 @@
         assert any("event=map-leaves" in line and "hop=r-0" in line for line in program.process.stdout or ())
         program.end(ended)
     World.down, World.news = True, ""
-    program = Program(tmp_path, world, known, **told).ready()
+    program = Program(tmp_path, world, known, **environment).ready()
     assert [program.hand_in(f"t{n}") for n in range(6)] == [202] * 6
-    until(lambda: len(World.calls) + len(Left.calls) == 6)
-    assert not Left.calls and program.end(signal.SIGTERM)[0] == 0
+    until(lambda: len(World.calls) + len(RemovedHop.calls) == 6)
+    assert not RemovedHop.calls and program.end(signal.SIGTERM)[0] == 0
     server.shutdown()
     server.server_close()
 
 
-def test_a_taken_address_is_named(tmp_path: Path, world: str) -> None:
+def test_an_address_in_use_is_reported(tmp_path: Path, world: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "kestrelspar"],
         cwd=ROOT,
@@ -309,7 +311,7 @@
 
 
 @pytest.mark.parametrize(
-    ("variable", "text", "words"),
+    ("variable", "text", "messages"),
     [
         ("RELAY_LISTEN", "nowhere", ["config.listen"]),
         ("KESTRELSPAR_SMPP", "x", ["this variable is not read any more"]),
@@ -321,7 +323,9 @@
         ("KESTRELSPAR_CONF", "smpp\n enabled 1\nlogg\n", ["file.conf:2: smpp.enabled", "did you mean log?"]),
     ],
 )
-def test_what_will_not_do_is_refused_at_start(tmp_path: Path, variable: str, text: str, words: list[str]) -> None:
+def test_invalid_configuration_is_reported_at_start(
+    tmp_path: Path, variable: str, text: str, messages: list[str]
+) -> None:
     (tmp_path / "bad.rules").write_text("on arrival when nobody: defer 1")
     (tmp_path / "file.conf").write_text(text)
     value = text if variable == "RELAY_LISTEN" else str(tmp_path / "file.conf")
@@ -334,5 +338,5 @@
         timeout=FAR,
         check=False,
     )
-    assert done.returncode == 2 and all(word in done.stdout for word in words)
-    assert done.stdout.count("\n") == len(words) and not done.stderr
+    assert done.returncode == 2 and all(message in done.stdout for message in messages)
+    assert done.stdout.count("\n") == len(messages) and not done.stderr
