--- a/kestrelspar/settings/conf.py
+++ b/kestrelspar/settings/conf.py
@@ -106,7 +106,7 @@
 def load(path: str, environment: Mapping[str, str] | None = None) -> Conf:
     """Read and check a file and the files that it includes. ``ConfFaults`` has all errors."""
     errors = [
-        Fault(Place(variable, 0), "", f"this variable is no longer read: {replacement} of {path}")
+        Fault(Place(variable, 0), "", f"this variable is not read any more: {replacement} of {path}")
         for variable, replacement in REMOVED_VARIABLES.items()
         if environment and environment.get(variable)
     ]
