--- a/kestrelspar/lab/judge.py
+++ b/kestrelspar/lab/judge.py
@@ -5,7 +5,7 @@
 from collections import Counter, deque
 from collections.abc import Iterable
 
-from kestrelspar.lab.rig import Call, Sent
+from kestrelspar.lab.rig import Call, Submission
 
 SECOND = 1_000_000
 
@@ -36,17 +36,17 @@
     return found
 
 
-def wrong_ends(sent: dict[str, Sent], calls: Iterable[Call]) -> list[str]:
+def wrong_ends(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
     """Messages that were taken on and did not end just once, and payments that ran twice.
 
     One that ran may have been told as failed or returned: its answer was lost, or came late. So only what was neither
     delivered nor told, and what was told in two ways, is wrong.
     """
-    ran = Counter(call.trace for call in calls if call.taken)
+    ran = Counter(call.trace for call in calls if call.accepted)
     found = []
     for trace, message in sent.items():
-        ends = sorted(set(message.told))
-        if message.answer == 202 and not ran[trace] and not ends and not message.lost:
+        ends = sorted(set(message.notices))
+        if message.status == 202 and not ran[trace] and not ends and not message.state_lost:
             found.append(f"{message.cls} {trace}: no end")
         if len(ends) > 1:
             found.append(f"{message.cls} {trace}: {' and '.join(ends)}")
@@ -55,7 +55,7 @@
     return found
 
 
-def served(sent: dict[str, Sent], calls: Iterable[Call]) -> float:
+def served(sent: dict[str, Submission], calls: Iterable[Call]) -> float:
     """The share of the messages handed in that ran."""
-    ran = {call.trace for call in calls if call.taken}
+    ran = {call.trace for call in calls if call.accepted}
     return len(ran & sent.keys()) / max(1, len(sent))
--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -33,9 +33,9 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._socket.bind(node.peers)
-        self._ways = rig.ways(name)
+        self._ways = rig.peer_addresses(name)
         self._to = {address: to for to, address in self._ways.items()}
-        told = rig.about(name)
+        told = rig.peer_config(name)
         about = About(
             name=name,
             life=rig.loop.now,
@@ -97,7 +97,7 @@
             self._send(self._peer.tick(now))
             if now >= self._told + EVERY:
                 self._told = now
-                kind, value = LIES[self.rig.pick.randrange(len(LIES))]
+                kind, value = LIES[self.rig.rng.randrange(len(LIES))]
                 self._n += 1
                 words: list[Word] = [Seen(name, kind, 0, value, self._n) for name in self.rig.members]
                 for to in self._ways:
@@ -168,7 +168,7 @@
             self.rig.loop.sleep(50 * MS)
 
     def _lie(self) -> None:
-        kind, value = LIES[self.rig.pick.randrange(len(LIES))]
+        kind, value = LIES[self.rig.rng.randrange(len(LIES))]
         self._n += 1
         seen = [Seen(name, kind, 0, value, 1_000_000 + self._n) for name in self.rig.members]
         told = [(name, self.rig.nodes[name].number, life, word) for name, life in self._lives.items() for word in seen]
--- a/kestrelspar/lab/play.py
+++ b/kestrelspar/lab/play.py
@@ -10,7 +10,7 @@
 
 from kestrelspar.lab import judge
 from kestrelspar.lab.liar import Liar
-from kestrelspar.lab.rig import Rig, Rough
+from kestrelspar.lab.rig import CallFaults, Rig
 from kestrelspar.lab.scenario import Action, Scenario
 from kestrelspar.runtime.loop import MS, SECOND
 
@@ -22,35 +22,35 @@
     """One fault."""
     name, words = action.name, action.words
     if name in ("cut", "deaf"):
-        for (sender, to), wire in rig.wires.items():
-            wire.cut = wire.cut or (to in words if name == "deaf" else (sender in words) != (to in words))
+        for (sender, to), proxy in rig.proxies.items():
+            proxy.cut = proxy.cut or (to in words if name == "deaf" else (sender in words) != (to in words))
     elif name == "heal":
-        for wire in rig.wires.values():
-            wire.cut, wire.loss, wire.double, wire.delay = False, 0.0, 0.0, (0, 0)
-        rig.rough.clear()
+        for proxy in rig.proxies.values():
+            proxy.cut, proxy.loss, proxy.double, proxy.delay = False, 0.0, 0.0, (0, 0)
+        rig.call_faults.clear()
     elif name in ("loss", "double"):
-        for wire in rig.wires.values():
-            setattr(wire, name, words[0] / 100)
+        for proxy in rig.proxies.values():
+            setattr(proxy, name, words[0] / 100)
     elif name == "delay":
-        for wire in rig.wires.values():
-            wire.delay = (min(words), max(words))
+        for proxy in rig.proxies.values():
+            proxy.delay = (min(words), max(words))
     elif name in ("kill", "term"):
         for node in words:
             if rig.nodes[node].process is not None:
-                rig.end(node, signal.SIGKILL if name == "kill" else signal.SIGTERM)
+                rig.end_process(node, signal.SIGKILL if name == "kill" else signal.SIGTERM)
     elif name == "start":
         if rig.nodes[words[0]].process is None:
-            rig.start(words[0], folder="empty" not in words)
+            rig.start(words[0], keep_state="empty" not in words)
     elif name == "stop":
         if rig.nodes[words[0]].process is not None:
-            rig.freeze(words[0], words[1])
+            rig.pause(words[0], words[1])
     elif name in ("calls-lost", "answers-lost"):
         for node in words:
-            rough = rig.rough.setdefault(node, Rough())
-            rough.lost, rough.unanswered = rough.lost or name == "calls-lost", name == "answers-lost"
+            faults = rig.call_faults.setdefault(node, CallFaults())
+            faults.lost, faults.answers_lost = faults.lost or name == "calls-lost", name == "answers-lost"
     elif name == "calls-late":
         for node in rig.nodes:
-            rig.rough.setdefault(node, Rough()).late = min(words), max(words)
+            rig.call_faults.setdefault(node, CallFaults()).delay = min(words), max(words)
     elif name == "wait":
         rig.members[words[0]].wait_until = rig.loop.now + words[1]
     elif name == "limit":
@@ -76,7 +76,7 @@
         spend=SPEND,
     ) as rig:
         for name, member in rig.members.items():
-            member.pace = told.paces[name]
+            member.latency = told.paces[name]
         rates = {node: by for node, by in told.rates().items() if node != told.liar}
         for node in rates:
             rig.start(node)
@@ -112,15 +112,15 @@
         over = judge.most_in_a_second(settled, max(MS, SECOND - rig.loop.longest))
         if told.peers and over > member.limit:
             faults.append(f"{name}: {over} calls in a second, its limit is {member.limit}")
-        faults += [f"{name}: pushed over on its way back, {(at - begin) / SECOND:.1f} s" for at in member.falls]
-        faults += [f"{name}: {call.trace} came while its courier was told to wait" for call in member.early[:3]]
+        faults += [f"{name}: pushed over on its way back, {(at - begin) / SECOND:.1f} s" for at in member.overloads]
+        faults += [f"{name}: {call.trace} came while its courier was told to wait" for call in member.early_calls[:3]]
         seconds = Counter((call.at - begin) // SECOND for call in calls)
-        silent = Counter((call.at - begin) // SECOND for call in calls if call.silent)
+        silent = Counter((call.at - begin) // SECOND for call in calls if call.unanswered)
         members[name] = {
             "limit": member.limit,
             "calls": len(calls),
-            "refused": sum(not c.taken and not c.silent for c in calls),
-            "unanswered": sum(c.silent for c in calls),
+            "refused": sum(not c.accepted and not c.unanswered for c in calls),
+            "unanswered": sum(c.unanswered for c in calls),
             "most_in_a_second": most,
             "unanswered_by_second": [silent[n] for n in range(told.span // SECOND + 1)],
             "by_second": [seconds[n] for n in range(told.span // SECOND + 1)],
@@ -135,8 +135,8 @@
     for name in (node.name for node in rig.nodes.values() if node.log.is_file()):
         faults += [f"{name}: {line[:300]}" for line in rig.logs(name).splitlines() if "event=fault" in line]
     by = {name: [s for s in rig.sent.values() if s.courier == name] for name in rig.nodes}
-    ran = {call.trace for call in every if call.taken}
-    paid = {call.trace for call in every if call.silent}
+    ran = {call.trace for call in every if call.accepted}
+    paid = {call.trace for call in every if call.unanswered}
     return {
         "seed": seed,
         "paid_a_time_out": len(paid),
@@ -147,11 +147,11 @@
         "couriers": {
             name: {
                 "handed_in": len(sent),
-                "taken": sum(s.answer == 202 for s in sent),
+                "taken": sum(s.status == 202 for s in sent),
                 "ran": sum(f"{trace}" in ran for trace, s in rig.sent.items() if s.courier == name),
                 "cpu_ms_a_second": round(1_000 * spent[name] * SECOND / told.span, 1),
                 "bytes_a_second": round(
-                    sum(w.passed for (a, _), w in rig.wires.items() if a == name)
+                    sum(w.received_bytes for (a, _), w in rig.proxies.items() if a == name)
                     * SECOND
                     / max(MS, rig.loop.now - begin + told.warm_up)
                 ),
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -1,11 +1,11 @@
-"""Real couriers under faults: N processes of the program, with stand-ins and a wire of our own between them.
-
-Every courier has its own folder and settings. Member systems count what arrives and refuse what is above their limit, a
-sliding count over any second; they hang, shut, tell waits, change limits, and come back cold: then they fall over when
-all couriers' calls push them. Datagrams between couriers pass relays, one a direction and pair, that lose, hold, double
-and cut them as they are told; calls and answers of single couriers are lost or late as told. Clients hand in at each
-courier what its traffic says. What happened is kept as it was received: the judges (judge.py) see nothing of the
-couriers but that.
+"""Test rig: courier processes under fault injection, with stand-in servers and UDP proxies between the couriers.
+
+Every courier has its own directory and settings. Member systems refuse calls above their limit, counted over a sliding
+window of one second. They can hang, close connections, answer with Retry-After, change their limits, and recover cold:
+then they are overloaded if the calls of all couriers exceed a growing share of the limit. Datagrams between couriers
+pass one proxy for each ordered pair, which drops, delays, duplicates or blocks them as configured. Calls and answers of
+single couriers can be lost or delayed. Clients submit messages at each courier at the configured rates. The rig records
+what member systems and clients received, and the checkers (judge.py) see nothing else of the couriers.
 """
 
 from __future__ import annotations
@@ -32,14 +32,16 @@
 from kestrelspar.standins import platform
 
 KEY = "a key that all couriers of the rig have"
-READY_WITHIN = 20 * SECOND
-ANSWER_WITHIN = SECOND
-SLACK = 500 * MS  # a call that left before its courier, perhaps short of a core, had read the wait; and our own turns
-ROUNDED = 10 * MS  # a wait is told in hundredths of a second
+READY_TIMEOUT = 20 * SECOND
+RESPONSE_TIMEOUT = SECOND
+# A courier may send a call before it has read the Retry-After, later still if it is short of CPU; this also covers the
+# turns of the rig's own event loop.
+RETRY_AFTER_GRACE = 500 * MS
+RETRY_AFTER_RESOLUTION = 10 * MS  # Retry-After is sent in hundredths of a second
 
 
 class Noted(Loop):
-    """Notes its longest turn: what arrives in one is stamped late by up to as much."""
+    """Event loop that records its longest turn: arrivals during a turn are timestamped late by up to that much."""
 
     longest = 0
 
@@ -56,158 +58,161 @@
     at: int
     trace: str
     courier: str
-    taken: bool  # else it was refused as above the limit
-    silent: bool = False  # it gets no answer
+    accepted: bool  # False if refused (above the limit, or during a Retry-After delay), or dropped while down
+    unanswered: bool = False  # no answer was sent
 
 
 @dataclass(slots=True)
-class Sent:
-    """One message as its client saw it."""
+class Submission:
+    """One message as its client sees it."""
 
     cls: str
     courier: str
     at: int
-    answer: int = 0  # status; 0: none came
-    told: list[str] = field(default_factory=list)  # notices
-    lost: bool = False  # its courier's folder was lost since: nobody can owe its end any more
+    status: int = 0  # HTTP status; 0: no answer
+    notices: list[str] = field(default_factory=list)  # states of the notices received
+    state_lost: bool = False  # the state directory of its courier was lost since, so no end can be expected
 
 
 @dataclass(slots=True)
-class Rough:
-    """What happens to one courier's calls on their way."""
+class CallFaults:
+    """Faults between one courier and the member systems."""
 
-    lost: bool = False  # they never arrive
-    unanswered: bool = False  # they arrive, and their answers don't
-    late: tuple[int, int] = (0, 0)
+    lost: bool = False  # calls never arrive
+    answers_lost: bool = False  # calls arrive, their answers don't
+    delay: tuple[int, int] = (0, 0)  # shortest and longest delay
 
 
 class Member(platform.Server):
-    """A member system's endpoint: so many calls in any second, the rest are refused, and told in each answer."""
+    """A member system's endpoint: refuses calls above its limit in any second, and reports its load in each answer."""
 
-    def __init__(self, loop: Noted, limit: int, pace: int, pick: random.Random, rough: dict[str, Rough]) -> None:
+    def __init__(
+        self, loop: Noted, limit: int, latency: int, rng: random.Random, call_faults: dict[str, CallFaults]
+    ) -> None:
         super().__init__(loop)
-        self.noted = loop
-        self.limit, self.pace, self.rough, self._pick = limit, pace, rough, pick
+        self.timed_loop = loop
+        self.limit, self.latency, self.call_faults, self._rng = limit, latency, call_faults, rng
         self.calls: list[Call] = []
-        self.down = False  # takes calls and answers none
+        self.down = False  # accepts calls and answers none
         self.shut = False  # closes connections
-        self.wait_until = 0  # told with each answer
-        self.early: list[Call] = []  # that came from a courier which had been told to wait
-        self.falls: list[int] = []  # when it was pushed over on its way back
-        self._told: dict[str, tuple[int, int]] = {}  # by courier: when an answer told it to wait, and until when
-        self._back: int | None = None
-        self._taken: deque[int] = deque()
-        self._pushed: deque[int] = deque()
+        self.wait_until = 0  # end of the Retry-After delay that answers report
+        self.early_calls: list[Call] = []  # calls of couriers that should still have been waiting
+        self.overloads: list[int] = []  # times at which it was overloaded while recovering
+        # By courier: when it was first sent the current Retry-After, and until when it is to wait.
+        self._waits: dict[str, tuple[int, int]] = {}
+        self._recovering_since: int | None = None
+        self._accepted_at: deque[int] = deque()
+        self._recovery_calls: deque[int] = deque()
 
     def up(self) -> None:
-        """It serves again, cold: what it bears grows from a fifth to all of its limit (``platform.settings``)."""
+        """Serve again, cold: its capacity grows from a fifth of its limit to all of it (``platform.settings``)."""
         if self.down or self.shut:
-            self._back = self.loop.now
+            self._recovering_since = self.loop.now
         self.down = self.shut = False
-        self._pushed.clear()
+        self._recovery_calls.clear()
 
-    def _left(self) -> float:
-        while self._taken and self._taken[0] <= self.loop.now - SECOND:
-            self._taken.popleft()
-        return max(0.0, 1 - len(self._taken) / max(1, self.limit))
+    def _remaining_share(self) -> float:
+        while self._accepted_at and self._accepted_at[0] <= self.loop.now - SECOND:
+            self._accepted_at.popleft()
+        return max(0.0, 1 - len(self._accepted_at) / max(1, self.limit))
 
-    def _falls_over(self) -> bool:
-        """Whether this call is more than it bears on its way back."""
+    def _is_overloaded(self) -> bool:
+        """Count a call, and return whether it exceeds the capacity during recovery."""
         rules = platform.settings()["rules"]
-        ramp, fall = rules["ramp_time_ns"] // 1_000, rules["fall_ns"] // 1_000
-        if self._back is None or self.loop.now - self._back >= ramp:
+        ramp, window = rules["ramp_time_ns"] // 1_000, rules["fall_ns"] // 1_000
+        if self._recovering_since is None or self.loop.now - self._recovering_since >= ramp:
             return False
-        self._pushed.append(self.loop.now)
-        while self._pushed[0] <= self.loop.now - fall:
-            self._pushed.popleft()
-        share = rules["cold_from"] + (1 - rules["cold_from"]) * (self.loop.now - self._back) / ramp
-        bears: float = share * self.limit * fall / SECOND
-        return len(self._pushed) > bears + 3 * math.sqrt(bears) + 3
+        self._recovery_calls.append(self.loop.now)
+        while self._recovery_calls[0] <= self.loop.now - window:
+            self._recovery_calls.popleft()
+        share = rules["cold_from"] + (1 - rules["cold_from"]) * (self.loop.now - self._recovering_since) / ramp
+        capacity: float = share * self.limit * window / SECOND
+        return len(self._recovery_calls) > capacity + 3 * math.sqrt(capacity) + 3
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
         trace = head.headers.get("x-trace-id", "")
         courier = trace.partition("-")[0]
-        rough = self.rough.get(courier, Rough())
-        if max(rough.late):
-            self.loop.sleep(self._pick.randint(*rough.late))
-        if rough.lost:
+        call_faults = self.call_faults.get(courier, CallFaults())
+        if max(call_faults.delay):
+            self.loop.sleep(self._rng.randint(*call_faults.delay))
+        if call_faults.lost:
             self.loop.sleep(30 * SECOND)
             return None
         if self.shut:
             return None
-        taken = self._left() > 0 or not self._taken
-        call = Call(self.loop.now, trace, courier, taken)
+        accepted = self._remaining_share() > 0 or not self._accepted_at
+        call = Call(self.loop.now, trace, courier, accepted)
         self.calls.append(call)
-        told_at, until = self._told.get(courier, (0, 0))
-        if told_at + SLACK + self.noted.longest < self.loop.now < until - ROUNDED:
-            self.early.append(call)
-        if not self.down and self._falls_over():
-            self.falls.append(self.loop.now)
-            self.down, self._back = True, None
+        first_sent_at, until = self._waits.get(courier, (0, 0))
+        if first_sent_at + RETRY_AFTER_GRACE + self.timed_loop.longest < self.loop.now < until - RETRY_AFTER_RESOLUTION:
+            self.early_calls.append(call)
+        if not self.down and self._is_overloaded():
+            self.overloads.append(self.loop.now)
+            self.down, self._recovering_since = True, None
             self.loop.at(self.loop.now + 2 * SECOND, self.up)
         if self.down:
-            call.silent, call.taken = True, False
+            call.unanswered, call.accepted = True, False
             self.loop.sleep(30 * SECOND)
             return None
-        report = {"Endpoint-Load-Metrics": f"TEXT x0={self._left():.3f}, x1={self.limit}"}
+        report = {"Endpoint-Load-Metrics": f"TEXT x0={self._remaining_share():.3f}, x1={self.limit}"}
         if self.wait_until > self.loop.now:
-            call.taken = False
-            self._told.setdefault(courier, (self.loop.now, self.wait_until))
-            if self._told[courier][1] != self.wait_until:
-                self._told[courier] = self.loop.now, self.wait_until
+            call.accepted = False
+            self._waits.setdefault(courier, (self.loop.now, self.wait_until))
+            if self._waits[courier][1] != self.wait_until:
+                self._waits[courier] = self.loop.now, self.wait_until
             return parser.response(
                 503, headers=report | {"Retry-After": f"{(self.wait_until - self.loop.now) / SECOND:.2f}"}
             )
-        if not taken:
+        if not accepted:
             return parser.response(503, headers=report)
-        self._taken.append(self.loop.now)
-        if rough.unanswered:
-            call.silent = True
+        self._accepted_at.append(self.loop.now)
+        if call_faults.answers_lost:
+            call.unanswered = True
             self.loop.sleep(30 * SECOND)
             return None
-        self.loop.sleep(self.pace)
+        self.loop.sleep(self.latency)
         return parser.response(200, headers=report)
 
 
-class Wire:
-    """Datagrams from one courier to another, through a port of our own."""
+class UdpProxy:
+    """UDP proxy for the datagrams from one courier to another."""
 
-    def __init__(self, loop: Loop, sender: str, to: str, pick: random.Random) -> None:
-        self.loop, self.sender, self.to, self._pick = loop, sender, to, pick
+    def __init__(self, loop: Loop, sender: str, to: str, rng: random.Random) -> None:
+        self.loop, self.sender, self.to, self._rng = loop, sender, to, rng
         self.target: tuple[str, int] = ("", 0)
         self.loss = self.double = 0.0
         self.delay = (0, 0)
         self.cut = False
-        self.passed = 0  # bytes
-        self.seen: deque[bytes] = deque(maxlen=50)  # for replays
+        self.received_bytes = 0  # bytes received from the sender
+        self.recent: deque[bytes] = deque(maxlen=50)  # latest datagrams, for replays
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
         self.socket.setblocking(False)
         self.address: tuple[str, int] = self.socket.getsockname()
-        loop.spawn(self._pass)
+        loop.spawn(self._forward)
 
-    def _pass(self) -> None:
+    def _forward(self) -> None:
         while True:
             self.loop.readable(self.socket, None)
             try:
                 data = self.socket.recv(65_536)
             except OSError:
                 continue
-            self.passed += len(data)
-            if self.cut or self._pick.random() < self.loss:
+            self.received_bytes += len(data)
+            if self.cut or self._rng.random() < self.loss:
                 continue
-            self.seen.append(data)
-            for _ in range(2 if self._pick.random() < self.double else 1):
-                wait = self._pick.randint(*self.delay)
+            self.recent.append(data)
+            for _ in range(2 if self._rng.random() < self.double else 1):
+                wait = self._rng.randint(*self.delay)
                 if wait:
-                    self.loop.at(self.loop.now + wait, lambda data=data: self.put(data))  # type: ignore[misc]
+                    self.loop.at(self.loop.now + wait, lambda data=data: self.deliver(data))  # type: ignore[misc]
                 else:
-                    self.put(data)
+                    self.deliver(data)
 
-    def put(self, data: bytes) -> None:
-        """One datagram arrives, whoever made it."""
-        with suppress(OSError):  # nobody listens just now
+    def deliver(self, data: bytes) -> None:
+        """Deliver a datagram, which need not come from the sender."""
+        with suppress(OSError):  # no process listens at the target
             self.socket.sendto(data, self.target)
 
 
@@ -221,27 +226,27 @@
     peers: tuple[str, int]
     folder: Path
     process: subprocess.Popen[bytes] | None = None
-    stopped: bool = False
+    paused: bool = False
     log: Path = Path()
-    codes: list[int] = field(default_factory=list)
+    exit_codes: list[int] = field(default_factory=list)
 
 
 class Ports:
-    """Addresses for processes to come: below those that the kernel gives to anybody, a block for each rig's process.
+    """Allocates ports below the kernel's ephemeral range, from a block for each rig process.
 
-    Guards against another play, or a connection out, that takes an address between our look and the courier's start.
+    Otherwise another run or an outgoing connection could take a port between the check and the start of the courier.
     """
 
-    FIRST, EACH, BLOCKS = 10_000, 256, 85
+    FIRST_PORT, BLOCK_SIZE, BLOCKS = 10_000, 256, 85
 
     def __init__(self) -> None:
-        begin = self.FIRST + os.getpid() % self.BLOCKS * self.EACH
-        self._left = iter(range(begin, begin + self.EACH))
+        first = self.FIRST_PORT + os.getpid() % self.BLOCKS * self.BLOCK_SIZE
+        self._remaining = iter(range(first, first + self.BLOCK_SIZE))
 
-    def free(self, kind: socket.SocketKind) -> tuple[str, int]:
-        """An address that nobody has; ``StopIteration`` where the block is used up."""
+    def allocate(self, kind: socket.SocketKind) -> tuple[str, int]:
+        """Return an unused address; raise ``StopIteration`` if the block is exhausted."""
         while True:
-            address = "127.0.0.1", next(self._left)
+            address = "127.0.0.1", next(self._remaining)
             with socket.socket(socket.AF_INET, kind) as sock, suppress(OSError):
                 sock.bind(address)
                 return address
@@ -249,41 +254,46 @@
 
 @dataclass
 class Beyond:
-    """Couriers beside the rig's own, all behind relays: what the rig's are told instead of its own wires."""
+    """Peer settings for a fleet with couriers outside of the rig, all behind relays, in place of the rig's proxies."""
 
-    couriers: int  # in all
-    advertise: dict[str, tuple[str, int]] = field(default_factory=dict)  # by courier: its relay
-    seeds: dict[str, dict[str, tuple[str, int]]] = field(default_factory=dict)  # by courier
+    couriers: int  # of the whole fleet
+    advertise: dict[str, tuple[str, int]] = field(default_factory=dict)  # by courier: the address of its relay
+    seeds: dict[str, dict[str, tuple[str, int]]] = field(default_factory=dict)  # by courier: its seeds' addresses
     period: str = "1s"
     term: str = "3s"
 
 
 class Rig:
-    """The processes, what is between them, and what was received. To be used in a ``with``: it ends what it began."""
+    """Courier processes, the proxies between them, and records of what was received.
+
+    A context manager: it kills the processes that it started.
+    """
 
     def __init__(
         self,
-        folder: Path,
+        directory: Path,
         couriers: int,
         seed: int,
         limits: dict[str, int],
         peers: bool = True,
-        pace: int = 20 * MS,
+        latency: int = 20 * MS,
         conf: str = "",
         spend: int = 90,
         groups: dict[str, int] | None = None,
         beyond: Beyond | None = None,
     ) -> None:
-        """``limits`` by member system; ``groups``: its destination's number, where several have one.
+        """``limits`` is by member system; ``groups`` has its destination's number, if several share a destination.
 
-        With ``beyond`` there are no wires: what it tells must be there when a courier is started.
+        With ``beyond`` there are no proxies; its entries for a courier must be complete before that courier is started.
         """
         self.beyond = beyond
-        self.folder, self.seed, self.conf, self.spend, self.peers = folder, seed, conf, spend, peers
-        self.loop, self.pick = Noted(), random.Random(seed)
+        self.directory, self.seed, self.conf, self.spend, self.peers = directory, seed, conf, spend, peers
+        self.loop, self.rng = Noted(), random.Random(seed)
         self.buffers = BufferPool(2048)
-        self.rough: dict[str, Rough] = {}  # by courier
-        self.members = {name: Member(self.loop, limit, pace, self.pick, self.rough) for name, limit in limits.items()}
+        self.call_faults: dict[str, CallFaults] = {}  # by courier
+        self.members = {
+            name: Member(self.loop, limit, latency, self.rng, self.call_faults) for name, limit in limits.items()
+        }
         self.groups = groups or {name: number for number, name in enumerate(limits, 1)}
         self.discovery = platform.Discovery(
             self.loop,
@@ -301,38 +311,38 @@
                 for name, member in self.members.items()
             ],
         )
-        self.discovery.heard = self._notice
-        self.sent: dict[str, Sent] = {}
+        self.discovery.heard = self._receive_notice
+        self.sent: dict[str, Submission] = {}
         self.nodes: dict[str, Node] = {}
-        self.brokers: dict[str, Node] = {}  # zones.py has some
+        self.brokers: dict[str, Node] = {}  # filled by zones.py
         self.ports = ports = Ports()
         for number in range(couriers):
             name = f"n{number}"
-            (folder / name).mkdir()
+            (directory / name).mkdir()
             self.nodes[name] = Node(
-                name, number, ports.free(socket.SOCK_STREAM), ports.free(socket.SOCK_DGRAM), folder / name
+                name, number, ports.allocate(socket.SOCK_STREAM), ports.allocate(socket.SOCK_DGRAM), directory / name
             )
-        self.wires = self._wires() if beyond is None else {}
-        self.program = [sys.executable, "-m", "kestrelspar"]  # a test may start one that is broken on purpose
-        self._over = False
-
-    def _wires(self) -> dict[tuple[str, str], Wire]:
-        """What is between couriers: a wire a direction and pair."""
-        wires = {(a, b): Wire(self.loop, a, b, self.pick) for a in self.nodes for b in self.nodes if a != b}
-        for (_, to), wire in wires.items():
-            wire.target = self.nodes[to].peers
-        return wires
-
-    def ways(self, sender: str) -> dict[str, tuple[str, int]]:
-        """Where a courier sends what it has to say to each of the others."""
-        return {to: wire.address for (a, to), wire in self.wires.items() if a == sender}
-
-    def about(self, name: str) -> dict[str, Any]:
-        """What a courier is told beside its name, for one that is played here: see ``peer.About``."""
+        self.proxies = self._make_proxies() if beyond is None else {}
+        self.program = [sys.executable, "-m", "kestrelspar"]  # a test may replace it by a deliberately broken one
+        self._draining = False
+
+    def _make_proxies(self) -> dict[tuple[str, str], UdpProxy]:
+        """Create a proxy for each ordered pair of couriers."""
+        proxies = {(a, b): UdpProxy(self.loop, a, b, self.rng) for a in self.nodes for b in self.nodes if a != b}
+        for (_, to), proxy in proxies.items():
+            proxy.target = self.nodes[to].peers
+        return proxies
+
+    def peer_addresses(self, sender: str) -> dict[str, tuple[str, int]]:
+        """Addresses at which a courier reaches each of the others."""
+        return {to: proxy.address for (a, to), proxy in self.proxies.items() if a == sender}
+
+    def peer_config(self, name: str) -> dict[str, Any]:
+        """Peer settings of a courier that is simulated in this process, as arguments of ``peer.About``."""
         return {"address": self.nodes[name].peers}
 
     def node(self, name: str) -> Node:
-        """A courier or a broker."""
+        """The process of a courier or broker."""
         return self.brokers[name] if name in self.brokers else self.nodes[name]
 
     def __enter__(self) -> Self:
@@ -347,26 +357,26 @@
 
     # Processes
 
-    def start(self, name: str, folder: bool = True, peers: bool | None = None) -> None:
-        """One process; without its folder where that is not kept."""
+    def start(self, name: str, keep_state: bool = True, peers: bool | None = None) -> None:
+        """Start a courier; without ``keep_state`` its state directory is emptied first."""
         node = self.nodes[name]
         state = node.folder / "state"
-        if not folder:
+        if not keep_state:
             for file in state.iterdir() if state.exists() else ():
                 file.unlink()
             for sent in self.sent.values():
-                sent.lost = sent.lost or sent.courier == name
+                sent.state_lost = sent.state_lost or sent.courier == name
         state.mkdir(exist_ok=True)
-        told = platform.configuration("{}:{}".format(*node.listen), self.discovery.address, str(state), name=name)
-        told["seed"] = f"{self.seed * 1000 + node.number:x}"
-        told["known"]["endpoints"] = self.discovery.rows
+        config = platform.configuration("{}:{}".format(*node.listen), self.discovery.address, str(state), name=name)
+        config["seed"] = f"{self.seed * 1000 + node.number:x}"
+        config["known"]["endpoints"] = self.discovery.rows
         couriers = self.beyond.couriers if self.beyond else len(self.nodes)
-        told["settings"] |= {
+        config["settings"] |= {
             "n_instances": couriers,
             "my_number": node.number,
             "load_report": {"how": "inline", "columns": ["x0", "x1"]},
         }
-        (node.folder / "config.json").write_text(ujson.dumps(told))
+        (node.folder / "config.json").write_text(ujson.dumps(config))
         self._configure(node, self.peers if peers is None else peers, [KEY])
         self._run(
             node,
@@ -374,188 +384,188 @@
             {"RELAY_CONFIG": str(node.folder / "config.json"), "KESTRELSPAR_CONF": str(node.folder / "k.conf")},
         )
 
-    def _run(self, node: Node, program: list[str], told: dict[str, str]) -> None:
+    def _run(self, node: Node, program: list[str], variables: dict[str, str]) -> None:
         environment = {
             key: value for key, value in os.environ.items() if not key.startswith(("RELAY_", "KESTRELSPAR_"))
         }
-        environment |= told | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
+        environment |= variables | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
         node.log = node.folder / "log"
         with node.log.open("ab") as out:
             node.process = subprocess.Popen(program, env=environment, stdout=out, stderr=out, cwd=node.folder)
-        node.stopped = False
+        node.paused = False
 
     def _configure(self, node: Node, peers: bool, keys: list[str]) -> None:
         for number, key in enumerate(keys):
             (node.folder / f"key{number}").write_text(key)
             (node.folder / f"key{number}").chmod(0o600)
-        told, period, term, advertise = self.ways(node.name), "300ms", "2s", ""
+        seed_addresses, period, term, advertise = self.peer_addresses(node.name), "300ms", "2s", ""
         if self.beyond is not None:
-            told, period, term = self.beyond.seeds.get(node.name, {}), self.beyond.period, self.beyond.term
+            seed_addresses, period, term = self.beyond.seeds.get(node.name, {}), self.beyond.period, self.beyond.term
             if node.name in self.beyond.advertise:
                 advertise = "    advertise {}:{}\n".format(*self.beyond.advertise[node.name])
-        seeds = "".join(f"    seed {to} {host}:{port}\n" for to, (host, port) in told.items())
+        seeds = "".join(f"    seed {to} {host}:{port}\n" for to, (host, port) in seed_addresses.items())
         files = " ".join(f"key{number}" for number in range(len(keys)))
         (node.folder / "k.conf").write_text(
             f"log\n    level debug\npeers\n    enabled {'on' if peers else 'off'}\n"
             f"    listen {node.peers[0]}:{node.peers[1]}\n{advertise}    key-file {files}\n    period {period}\n"
-            f"    term {term}\n    spend {self.spend}\n{seeds}{self._more(node)}{self.conf}"
+            f"    term {term}\n    spend {self.spend}\n{seeds}{self._extra_peer_settings(node)}{self.conf}"
         )
 
-    def _more(self, node: Node) -> str:
-        """More of a courier's section ``peers``."""
+    def _extra_peer_settings(self, node: Node) -> str:
+        """Further lines of a courier's section ``peers``."""
         return ""
 
     def reload(self, name: str, keys: list[str], peers: bool = True) -> None:
-        """Other keys, the one that seals first, or peers off: SIGHUP."""
+        """Reload with other keys (the first one seals) or with peers off, by SIGHUP."""
         node = self.nodes[name]
         assert node.process is not None
         self._configure(node, peers, keys)
         node.process.send_signal(signal.SIGHUP)
 
-    def end(self, name: str, number: signal.Signals = signal.SIGKILL) -> None:
-        """Ask the process of a courier or broker to end, or kill it; its exit code is kept."""
+    def end_process(self, name: str, signal_number: signal.Signals = signal.SIGKILL) -> None:
+        """Terminate or kill the process of a courier or broker, and record its exit code."""
         node = self.node(name)
         assert node.process is not None
         process = node.process
-        process.send_signal(number)
-        # Turning, not waiting: what arrives meanwhile must be seen when it arrives.
+        process.send_signal(signal_number)
+        # Run the event loop instead of blocking: arrivals meanwhile have to be timestamped when they come.
         self.until(lambda: process.poll() is not None, 10 * SECOND)
-        node.codes.append(process.returncode)
-        node.process, node.stopped = None, False
+        node.exit_codes.append(process.returncode)
+        node.process, node.paused = None, False
 
-    def end_all(self) -> None:
-        """Ask all processes to end, at once."""
-        there = [
+    def terminate_all(self) -> None:
+        """Terminate all processes at the same time, and record their exit codes."""
+        running = [
             (node, node.process) for node in (*self.nodes.values(), *self.brokers.values()) if node.process is not None
         ]
-        for _, process in there:
+        for _, process in running:
             process.send_signal(signal.SIGTERM)
-        self.until(lambda: all(process.poll() is not None for _, process in there), 10 * SECOND)
-        for node, process in there:
-            node.codes.append(process.returncode)
-            node.process, node.stopped = None, False
+        self.until(lambda: all(process.poll() is not None for _, process in running), 10 * SECOND)
+        for node, process in running:
+            node.exit_codes.append(process.returncode)
+            node.process, node.paused = None, False
 
     def cpu(self, name: str) -> float:
-        """Seconds of processor time that the courier's process has used; 0 where none runs."""
+        """CPU seconds that the courier's process has used; 0 if it is not running."""
         process = self.nodes[name].process
         if process is None:
             return 0.0
         fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def freeze(self, name: str, span: int) -> None:
-        """SIGSTOP, and SIGCONT so much later."""
+    def pause(self, name: str, span: int) -> None:
+        """Pause a process by SIGSTOP, and resume it by SIGCONT after ``span``."""
         node = self.node(name)
         process = node.process
         assert process is not None
         process.send_signal(signal.SIGSTOP)
-        node.stopped = True
+        node.paused = True
 
-        def go_on() -> None:
+        def resume() -> None:
             if node.process is process:
                 process.send_signal(signal.SIGCONT)
-                node.stopped = False
+                node.paused = False
 
-        self.loop.at(self.loop.now + span, go_on)
+        self.loop.at(self.loop.now + span, resume)
 
     def ready(self) -> None:
-        """Turn until all serve."""
-        until = self.loop.now + READY_WITHIN
-        found: dict[str, int] = {}
+        """Run until all started couriers are ready; raise ``TimeoutError`` with the ends of the logs of the others."""
+        deadline = self.loop.now + READY_TIMEOUT
+        statuses: dict[str, int] = {}
 
-        def ask(name: str) -> None:
-            while not self._over and found.get(name) != 200 and self.loop.now < until:
-                found[name] = self.ask(name, parser.request("GET", "/health/ready", "rig", {}))
+        def poll(name: str) -> None:
+            while not self._draining and statuses.get(name) != 200 and self.loop.now < deadline:
+                statuses[name] = self.request(name, parser.request("GET", "/health/ready", "rig", {}))
                 self.loop.sleep(50 * MS)
 
         names = [name for name, node in self.nodes.items() if node.process is not None]
         for name in names:
-            self.loop.spawn(ask, name)
+            self.loop.spawn(poll, name)
         try:
-            self.until(lambda: all(found.get(name) == 200 for name in names), READY_WITHIN)
+            self.until(lambda: all(statuses.get(name) == 200 for name in names), READY_TIMEOUT)
         except TimeoutError:
-            late = [f"{name}: {self.logs(name)[-200:]}" for name in names if found.get(name) != 200]
-            raise TimeoutError(f"not ready in time: {'; '.join(late)}") from None
+            not_ready = [f"{name}: {self.logs(name)[-200:]}" for name in names if statuses.get(name) != 200]
+            raise TimeoutError(f"couriers not ready in time: {'; '.join(not_ready)}") from None
 
     # Time
 
     def until(self, done: Callable[[], object], within: int) -> None:
-        """Turn until that holds; ``TimeoutError`` if it does not."""
-        give_up = self.loop.now + within
+        """Run the event loop until ``done`` holds; raise ``TimeoutError`` after ``within``."""
+        deadline = self.loop.now + within
         while not done():
-            if self.loop.now > give_up:
-                raise TimeoutError("the rig waits for something that does not come")
+            if self.loop.now > deadline:
+                raise TimeoutError("the awaited condition was not met in time")
             self.loop.turn()
 
     def run(self, span: int) -> None:
-        """Let so much time pass."""
-        over: list[int] = []
-        self.loop.at(self.loop.now + span, lambda: over.append(1))
-        self.until(lambda: over, span + 60 * SECOND)
+        """Run the event loop for ``span``."""
+        elapsed: list[int] = []
+        self.loop.at(self.loop.now + span, lambda: elapsed.append(1))
+        self.until(lambda: elapsed, span + 60 * SECOND)
 
     # Clients
 
-    def ask(self, name: str, call: bytes) -> int:
-        """The status of one request on a connection of its own; 0 where none came."""
-        sock = connect(self.loop, self.nodes[name].listen, self.loop.now + ANSWER_WITHIN)
+    def request(self, name: str, call: bytes) -> int:
+        """Send one request on a new connection, and return its status; 0 if there was no answer."""
+        sock = connect(self.loop, self.nodes[name].listen, self.loop.now + RESPONSE_TIMEOUT)
         if sock is None:
             return 0
         stream = Stream(self.loop, sock, self.buffers)
         try:
-            stream.write(call, self.loop.now + ANSWER_WITHIN)
-            return parser.read_head(stream, self.loop.now + ANSWER_WITHIN, response=True).status
+            stream.write(call, self.loop.now + RESPONSE_TIMEOUT)
+            return parser.read_head(stream, self.loop.now + RESPONSE_TIMEOUT, response=True).status
         except (Closed, Late, parser.BadMessage):
             return 0
         finally:
             stream.close()
 
     def traffic(self, rates: dict[str, dict[str, float]], span: int) -> None:
-        """Clients hand in for so long: by courier and member system, messages a second."""
+        """Submit messages for ``span`` at random intervals; ``rates`` by courier and member system, per second."""
         until = self.loop.now + span
 
         def clients(name: str, group: int, rate: float) -> None:
-            while self.loop.now < until and not self._over:
-                self.loop.sleep(int(self.pick.expovariate(rate) * SECOND))
-                self.loop.spawn(self.hand_in, name, group)
+            while self.loop.now < until and not self._draining:
+                self.loop.sleep(int(self.rng.expovariate(rate) * SECOND))
+                self.loop.spawn(self.submit, name, group)
 
-        for name, by in rates.items():
-            for member, rate in by.items():
+        for name, by_member in rates.items():
+            for member, rate in by_member.items():
                 if rate:
                     self.loop.spawn(clients, name, self.groups[member], rate)
 
-    def hand_in(self, name: str, group: int) -> None:
-        """One message."""
-        cls = self.pick.choice(platform.CLASSES)
+    def submit(self, name: str, group: int) -> None:
+        """Submit one message of a random class."""
+        cls = self.rng.choice(platform.CLASSES)
         trace = f"{name}-{len(self.sent):06d}"
-        sent = self.sent[trace] = Sent(cls, name, self.loop.now)
-        left = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[cls]
+        sent = self.sent[trace] = Submission(cls, name, self.loop.now)
+        lifetime_minutes = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[cls]
         headers = {
             "X-Trace-Id": trace,
             "X-Qos": cls,
-            "X-Expires-In": f"{left}m",
+            "X-Expires-In": f"{lifetime_minutes}m",
             "X-Route-To": f"dest={group}",
             "Idempotency-Key": trace,
         }
-        sent.answer = self.ask(name, parser.request("POST", f"/{cls}", "rig", headers, b"{}"))
+        sent.status = self.request(name, parser.request("POST", f"/{cls}", "rig", headers, b"{}"))
 
-    def _notice(self, told: dict[str, Any]) -> None:
-        sent = self.sent.get(str(told.get("id")))
+    def _receive_notice(self, notice: dict[str, Any]) -> None:
+        sent = self.sent.get(str(notice.get("id")))
         if sent is not None:
-            sent.told.append(str(told.get("state")))
+            sent.notices.append(str(notice.get("state")))
 
     def settled(self) -> None:
-        """No more is handed in; turn until the last ends are here."""
-        self._over = True
+        """Stop submitting messages, and run until those accepted have had time to end."""
+        self._draining = True
         self.run(7 * SECOND)
 
-    def said(self, name: str, words: str, within: int) -> None:
-        """Turn until a courier has written this."""
-        give_up = self.loop.now + within
-        while words not in self.logs(name):
-            if self.loop.now > give_up:
-                raise TimeoutError(f"{name} does not say {words}")
+    def wait_for_log(self, name: str, text: str, within: int) -> None:
+        """Run until the log of a courier contains ``text``."""
+        deadline = self.loop.now + within
+        while text not in self.logs(name):
+            if self.loop.now > deadline:
+                raise TimeoutError(f"{name} did not log in time: {text}")
             self.run(200 * MS)
 
     def logs(self, name: str) -> str:
-        """What a courier or broker has written so far."""
+        """The log of a courier or broker so far."""
         return self.node(name).log.read_text()
--- a/kestrelspar/lab/zones.py
+++ b/kestrelspar/lab/zones.py
@@ -13,7 +13,7 @@
 
 from kestrelspar.lab.relays import Path as Faults
 from kestrelspar.lab.relays import Paths, Relay
-from kestrelspar.lab.rig import KEY, READY_WITHIN, Node, Rig, Wire
+from kestrelspar.lab.rig import KEY, READY_TIMEOUT, Node, Rig, UdpProxy
 from kestrelspar.peers.seal import HEAD, decode
 from kestrelspar.peers.words import Relayed
 from kestrelspar.runtime.loop import Loop
@@ -55,7 +55,7 @@
         for number, name in enumerate(brokers):
             (folder / name.replace("/", "-")).mkdir()
             self.brokers[name] = Node(
-                name, number, ("", 0), self.ports.free(socket.SOCK_DGRAM), folder / name.replace("/", "-")
+                name, number, ("", 0), self.ports.allocate(socket.SOCK_DGRAM), folder / name.replace("/", "-")
             )
         self.paths = Paths(seed)
         self.paths.groups = {name: zone for name, (_, zone) in zones.items()} | {name: name for name in brokers}
@@ -64,19 +64,19 @@
         for name, node in (self.nodes | self.brokers).items():
             self.relays[self.paths.groups[name]].places[name] = node.peers
 
-    def _wires(self) -> dict[tuple[str, str], Wire]:
+    def _make_proxies(self) -> dict[tuple[str, str], UdpProxy]:
         return {}
 
-    def ways(self, sender: str) -> dict[str, tuple[str, int]]:
-        """See ``Rig.ways``: those of its group, or all where it knows of none."""
+    def peer_addresses(self, sender: str) -> dict[str, tuple[str, int]]:
+        """See ``Rig.peer_addresses``: those of its group, or all where it knows of none."""
         return {
             name: self.address(name)
             for name in self.nodes
             if name != sender and (sender in self.plain or self.zones[name] == self.zones[sender])
         }
 
-    def about(self, name: str) -> dict[str, Any]:
-        """See ``Rig.about``."""
+    def peer_config(self, name: str) -> dict[str, Any]:
+        """See ``Rig.peer_config``."""
         told: dict[str, Any] = {"address": self.address(name)}
         if name in self.plain:
             return told
@@ -87,7 +87,7 @@
         """Where others send to it."""
         return self.relays[self.paths.groups[name]].address
 
-    def _more(self, node: Node) -> str:
+    def _extra_peer_settings(self, node: Node) -> str:
         advertise = "    advertise {}:{}\n".format(*self.address(node.name))
         if node.name in self.plain:
             return advertise
@@ -117,7 +117,7 @@
         words = ["broker", "--conf", str(node.folder / "k.conf"), "--name", name, "--state", str(state)]
         before = node.log.read_text().count("event=broker-serves") if node.log.is_file() else 0
         self._run(node, [sys.executable, "-m", "kestrelspar", *words], {})
-        self.until(lambda: node.log.read_text().count("event=broker-serves") > before, READY_WITHIN)
+        self.until(lambda: node.log.read_text().count("event=broker-serves") > before, READY_TIMEOUT)
 
     # Faults between zones
 
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -91,7 +91,7 @@
         """SIGKILL to brokers."""
         for name in names:
             if self.on:
-                self.rig.end(name)
+                self.rig.end_process(name)
 
     def back(self, name: str, folder: bool = True) -> None:
         """And they are started again."""
@@ -129,7 +129,7 @@
             rig.ready()
             rig.run(2 * SECOND)
             stage.outage("z1 is new, z2 old", across=False)
-        rig.end(name, signal.SIGTERM)
+        rig.end_process(name, signal.SIGTERM)
         if stage.on:
             rig.plain.discard(name)
         rig.start(name)
@@ -148,7 +148,7 @@
     stopped = TERM + 2 * SECOND
     woken = rig.loop.now + stopped
     if stage.on:
-        rig.freeze("eu/b2", stopped)
+        rig.pause("eu/b2", stopped)
     stage.kill("eu/b1")
     stage.back("eu/b1", folder=False)  # sooner than a courier misses it
     stage.caught_up("eu/b1")
@@ -159,7 +159,7 @@
     stage.on = on
     for name in rig.nodes:  # couriers go on as alone
         if not any(
-            call.taken and call.courier == name and call.at > since
+            call.accepted and call.courier == name and call.at > since
             for member in rig.members.values()
             for call in member.calls
         ):
@@ -186,7 +186,7 @@
     rig.run(3 * SECOND)
     rig.heal()
     for name in ("n0", "n1", "n5"):
-        rig.end(name)
+        rig.end_process(name)
     for name in ("n0", "n1", "n5"):
         rig.start(name)
     rig.ready()
@@ -226,7 +226,7 @@
     stage.outage("a courier lies")
     liar.close()
     if stage.on:
-        rig.end("eu/b1")
+        rig.end_process("eu/b1")
         lying = LyingBroker(rig, "eu/b1")
     rig.run(8 * SECOND)
     stage.need(stage.on and lying.lies > 1_000, "the broker told few lies")
@@ -279,9 +279,9 @@
         )
         rig.until(lambda: asking.poll() is not None, WITHIN)  # turning: relays are in this process
         shown, _ = asking.communicate()
-        rig.end_all()
+        rig.terminate_all()
         # While a courier starts its clients hear nothing, for as long as the start takes: no matter of brokers.
-        answered = {trace: sent for trace, sent in rig.sent.items() if sent.answer}
+        answered = {trace: sent for trace, sent in rig.sent.items() if sent.status}
         return {
             "wrong_ends": judge.wrong_ends(rig.sent, every),
             "most_in_a_second": most,
@@ -290,11 +290,11 @@
             "calls": len(every),
             "served": judge.served(answered, every),
             "ends": dict(
-                Counter(f"{sent.cls} {sent.answer} {' '.join(sorted(set(sent.told)))}" for sent in rig.sent.values())
+                Counter(f"{sent.cls} {sent.status} {' '.join(sorted(set(sent.notices)))}" for sent in rig.sent.values())
             ),
             "seconds": round(time.monotonic() - began, 1),
             "missing": stage.missing,
-            "codes": {name: node.codes[-1] for name, node in there.items()},
+            "codes": {name: node.exit_codes[-1] for name, node in there.items()},
             "faults": [
                 f"{name}: {line[:500]}"
                 for name in (*rig.nodes, *rig.brokers)
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -25,46 +25,46 @@
 
 
 def a_third_cut_off_then_all_restarted(rig: Rig) -> None:
-    for (a, b), wire in rig.wires.items():
-        wire.cut = (a in ("n0", "n1")) != (b in ("n0", "n1"))
+    for (a, b), proxy in rig.proxies.items():
+        proxy.cut = (a in ("n0", "n1")) != (b in ("n0", "n1"))
     rig.run(4 * SECOND)
     for name in rig.nodes:
-        rig.end(name)
-    for wire in rig.wires.values():
-        wire.cut = False
+        rig.end_process(name)
+    for proxy in rig.proxies.values():
+        proxy.cut = False
     for name in rig.nodes:
         rig.start(name)
     rig.run(5 * SECOND)
 
 
 def lenders_stopped_and_killed_with_an_empty_folder(rig: Rig) -> None:
-    rig.freeze("n1", 4 * SECOND)
+    rig.pause("n1", 4 * SECOND)
     rig.run(2 * SECOND)
-    rig.end("n2")
-    rig.start("n2", folder=False)
-    rig.freeze("n0", 3 * SECOND)  # the borrower, in the middle of whatever it does
+    rig.end_process("n2")
+    rig.start("n2", keep_state=False)
+    rig.pause("n0", 3 * SECOND)  # the borrower, in the middle of whatever it does
     rig.run(2 * SECOND)
-    rig.end("n3", signal.SIGTERM)
+    rig.end_process("n3", signal.SIGTERM)
     rig.start("n3")
     rig.run(4 * SECOND)
 
 
 def doubled_late_and_forged(rig: Rig) -> None:
     pick = Random(5)
-    for wire in rig.wires.values():
-        wire.double, wire.delay, wire.loss = 1.0, (0, 800 * MS), 0.3
+    for proxy in rig.proxies.values():
+        proxy.double, proxy.delay, proxy.loss = 1.0, (0, 800 * MS), 0.3
     for _ in range(60):
         rig.run(100 * MS)
-        for wire in rig.wires.values():  # forged, replayed, oversized
-            for data in list(wire.seen)[-9:]:  # with what is made up, ten times what a courier may send
-                wire.put(data)
-                wire.put(bytes([*data[:-1], data[-1] ^ 1]))
-            wire.put(pick.randbytes(1_500))
+        for proxy in rig.proxies.values():  # forged, replayed, oversized
+            for data in list(proxy.recent)[-9:]:  # with what is made up, ten times what a courier may send
+                proxy.deliver(data)
+                proxy.deliver(bytes([*data[:-1], data[-1] ^ 1]))
+            proxy.deliver(pick.randbytes(1_500))
 
 
 def one_without(rig: Rig) -> None:
     """A courier with peers off among those with them on: it has its own guess of an even share, and harms nobody's."""
-    rig.end("n4", signal.SIGTERM)
+    rig.end_process("n4", signal.SIGTERM)
     rig.start("n4", peers=False)
     rig.run(5 * SECOND)
 
@@ -99,9 +99,9 @@
 
 def counted(rig: Rig) -> int:
     """Messages that all couriers have taken on, as one of them has it after asking the others."""
-    for wire in rig.wires.values():
-        wire.loss = wire.double = 0.0
-        wire.delay = (0, 0)
+    for proxy in rig.proxies.values():
+        proxy.loss = proxy.double = 0.0
+        proxy.delay = (0, 0)
     found: list[int] = []
 
     def ask_all() -> None:  # beside the rig's loop, whose wires must go on meanwhile
@@ -128,7 +128,7 @@
         rig.ready()
         member = rig.members["m1"]
         rig.traffic({node: {"m1": 20.0 if node == "n0" else 4.0} for node in rig.nodes}, 120 * SECOND)
-        rig.said("n0", "event=peers-borrowed", 30 * SECOND)  # so limits are known, and loans run
+        rig.wait_for_log("n0", "event=peers-borrowed", 30 * SECOND)  # so limits are known, and loans run
         told = {node: ask(str(rig.nodes[node].folder / "state")) for node in ("n0", "n1")} if line else {}
         assert all(len(each["members"]) == COURIERS - 1 and each["budgets"]["e:m1"]["part"] for each in told.values())
         begin, rig.loop.longest = len(member.calls), 0
@@ -140,10 +140,10 @@
         assert line in "".join(rig.logs(node) for node in rig.nodes)
         assert "event=fault" not in "".join(rig.logs(node) for node in rig.nodes)
         if name not in KILLED:
-            taken = sum(sent.answer == 202 for sent in rig.sent.values())
+            taken = sum(sent.status == 202 for sent in rig.sent.values())
             assert taken <= counted(rig) <= len(rig.sent), "what all took; of some the client may not have heard"
-        rig.end_all()
-        assert all(rig.nodes[node].codes[-1] == 0 for node in rig.nodes)
+        rig.terminate_all()
+        assert all(rig.nodes[node].exit_codes[-1] == 0 for node in rig.nodes)
 
 
 PLAYED = ("liar", "limit-falls", "half-deaf", "answers-lost", "told-waits", "cold-return", "second-attempts")
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -8,7 +8,7 @@
 import pytest
 
 from kestrelspar.lab import judge, scenario
-from kestrelspar.lab.rig import Call, Member, Noted, Sent
+from kestrelspar.lab.rig import Call, Member, Noted, Submission
 from kestrelspar.runtime.loop import MS, SECOND
 from kestrelspar.settings.lines import ConfFaults
 from tests.test_program import ROOT
@@ -61,7 +61,7 @@
 
 def test_the_judges_catch_what_they_are_for() -> None:
     sent = {
-        name: Sent(cls, "n0", 0, 202, list(told))
+        name: Submission(cls, "n0", 0, 202, list(told))
         for name, cls, told in (
             ("fine", "reading", []),
             ("told", "payment", ["failed"]),
@@ -71,8 +71,8 @@
             ("again", "reading", []),
         )
     }
-    sent["folder"] = Sent("reading", "n1", 0, 202, [], lost=True)
-    sent["refused"] = Sent("reading", "n1", 0, 503)
+    sent["folder"] = Submission("reading", "n1", 0, 202, [], state_lost=True)
+    sent["refused"] = Submission("reading", "n1", 0, 503)
     calls = [Call(n, name, "", True) for n, name in enumerate(("fine", "twice", "twice", "again", "again"))]
     assert judge.wrong_ends(sent, calls) == [
         "reading lost: no end",
@@ -87,13 +87,13 @@
 def test_a_member_that_comes_back_cold_falls_when_it_is_pushed_and_bears_more_with_time() -> None:
     loop = Noted()
     member = Member(loop, 10, 0, Random(1), {})
-    assert not any(member._falls_over() for _ in range(50)), "it was never away"
+    assert not any(member._is_overloaded() for _ in range(50)), "it was never away"
     member.down = True
     member.up()
-    assert [member._falls_over() for _ in range(12)].index(True) == 9, "2 + 3 sqrt(2) + 3 calls in a second"
+    assert [member._is_overloaded() for _ in range(12)].index(True) == 9, "2 + 3 sqrt(2) + 3 calls in a second"
     loop.now += 5 * SECOND
-    assert [member._falls_over() for _ in range(30)].index(True) == 16, "half way it bears 6 a second"
+    assert [member._is_overloaded() for _ in range(30)].index(True) == 16, "half way it bears 6 a second"
     loop.now += 5 * SECOND
-    assert not any(member._falls_over() for _ in range(50))
+    assert not any(member._is_overloaded() for _ in range(50))
     loop._poll.poll(0)
     member.listener.close()
