--- a/kestrelspar/lab/child.py
+++ b/kestrelspar/lab/child.py
@@ -1,6 +1,6 @@
-"""Helper processes of a play that talk in JSON, one object a line: commands on their stdin, reports on their stdout.
+"""Helper processes that exchange JSON objects, one per line: commands on their stdin, reports on their stdout.
 
-One whose stdin is closed ends: a parent that was killed closes it, too, so no play leaves a process behind.
+A helper ends when its stdin is closed. That also happens if its parent is killed, so no run leaves processes behind.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from kestrelspar.runtime.loop import Loop
 
 ROOT = Path(__file__).parent.parent.parent
-AT_ONCE = 65_536
+READ_BYTES = 65_536
 
 
 class _Pipe:
-    """A descriptor as the loop waits on it: it wants no more of a socket than this."""
+    """A descriptor that the event loop can wait on: of a socket it uses only ``fileno``."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -33,70 +33,72 @@
         return self._descriptor
 
 
-def lines(loop: Loop, descriptor: int, each: Callable[[dict[str, Any]], None], end: Callable[[], None]) -> None:
-    """A task: calls with each object that comes in, and in the end once."""
+def read_objects(
+    loop: Loop, descriptor: int, on_object: Callable[[dict[str, Any]], None], on_end: Callable[[], None]
+) -> None:
+    """Task that calls ``on_object`` for each object received, and ``on_end`` at the end of the input."""
     pipe, rest = cast(socket.socket, _Pipe(descriptor)), b""
     while True:
         loop.readable(pipe, None)
-        data = os.read(descriptor, AT_ONCE)
+        data = os.read(descriptor, READ_BYTES)
         if not data:
             loop.forget(pipe)
-            end()
+            on_end()
             return
-        *whole, rest = (rest + data).split(b"\n")
-        for line in whole:
+        *complete, rest = (rest + data).split(b"\n")
+        for line in complete:
             if line:
-                each(ujson.loads(line))
+                on_object(ujson.loads(line))
 
 
-def serve(loop: Loop, each: Callable[[dict[str, Any]], None]) -> None:
-    """In the helper process: take commands until none can come any more, and end then."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal tells all; the parent decides, and closes stdin
-    loop.spawn(lines, loop, 0, each, loop.stop)
-    with suppress(BrokenPipeError):  # nobody reads any more
+def serve(loop: Loop, on_command: Callable[[dict[str, Any]], None]) -> None:
+    """In the helper process: handle commands until stdin is closed."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal signals all; the parent decides and closes stdin
+    loop.spawn(read_objects, loop, 0, on_command, loop.stop)
+    with suppress(BrokenPipeError):  # the parent reads no more reports
         loop.run()
 
 
-def say(told: dict[str, Any]) -> None:
-    """In the helper process: one report. ``BrokenPipeError`` where nobody reads any more."""
-    data = ujson.dumps(told).encode() + b"\n"
+def say(report: dict[str, Any]) -> None:
+    """In the helper process: send one report; raises ``BrokenPipeError`` if the parent reads no more."""
+    data = ujson.dumps(report).encode() + b"\n"
     while data:
         data = data[os.write(1, data) :]
 
 
 class Child:
-    """In the parent: one helper process."""
+    """In the parent: handle of one helper process."""
 
-    def __init__(self, loop: Loop, module: str, heard: Callable[[dict[str, Any]], None], name: str = "") -> None:
-        """``heard`` gets its reports; it writes its complaints where this process does."""
+    def __init__(self, loop: Loop, module: str, on_report: Callable[[dict[str, Any]], None], name: str = "") -> None:
+        """Start the process; ``on_report`` is called with its reports, and its stderr is that of this process."""
         self.name, self.ended = name or module, False
         environment = dict(os.environ) | {"PYTHONPATH": str(ROOT)}
         self.process = subprocess.Popen(
             [sys.executable, "-m", module], stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=environment
         )
         assert self.process.stdin is not None and self.process.stdout is not None
-        self._in, self._out = self.process.stdin, self.process.stdout
-        loop.spawn(lines, loop, self._out.fileno(), heard, self._end)
+        self._stdin, self._stdout = self.process.stdin, self.process.stdout
+        loop.spawn(read_objects, loop, self._stdout.fileno(), on_report, self._end)
 
     def _end(self) -> None:
         self.ended = True
 
     def tell(self, command: dict[str, Any]) -> None:
-        """One command; one that has ended is told nothing."""
+        """Send one command; ignored if the process has ended."""
         with suppress(OSError, ValueError):
-            self._in.write(ujson.dumps(command).encode() + b"\n")
-            self._in.flush()
+            self._stdin.write(ujson.dumps(command).encode() + b"\n")
+            self._stdin.flush()
 
     def close(self) -> None:
-        """Ask it to end, by closing its stdin."""
+        """Close its stdin, so that it ends."""
         with suppress(OSError):
-            self._in.close()
+            self._stdin.close()
 
     def kill(self) -> None:
-        """SIGKILL, and wait until it is gone, also if it was stopped."""
+        """Kill it, also if it is stopped by a signal, and wait for its exit."""
         self.close()
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
         if self.ended:
-            self._out.close()
+            self._stdout.close()
--- a/kestrelspar/lab/judge.py
+++ b/kestrelspar/lab/judge.py
@@ -1,4 +1,4 @@
-"""Judges of a play on the rig, apart from the couriers: fed by what member systems received and clients were told."""
+"""Checkers of a run on the rig, which see only what member systems received and what clients were sent."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 SECOND = 1_000_000
 
 
-def most_in_a_second(calls: Iterable[Call], span: int = SECOND) -> int:
-    """The most calls that a member system received in any second, refused ones too.
+def most_in_a_second(calls: Iterable[Call], window: int = SECOND) -> int:
+    """Return the most calls, including refused ones, that a member system received within any ``window``.
 
-    Where stamps may be late, a second less by how much: what is stamped within that arrived within a second.
+    If timestamps may be late, pass one second less the largest delay: calls stamped within that time arrived within one
+    second.
     """
-    window: deque[int] = deque()
+    recent: deque[int] = deque()
     most = 0
     for call in sorted(calls, key=lambda c: c.at):
-        window.append(call.at)
-        while window[0] <= call.at - span:
-            window.popleft()
-        most = max(most, len(window))
+        recent.append(call.at)
+        while recent[0] <= call.at - window:
+            recent.popleft()
+        most = max(most, len(recent))
     return most
 
 
 def repeats(calls: Iterable[Call]) -> list[Call]:
-    """The second and later calls of each message."""
+    """Return the second and later calls of each message, by time."""
     seen: set[str] = set()
     found = []
     for call in sorted(calls, key=lambda c: c.at):
@@ -37,10 +38,10 @@
 
 
 def wrong_ends(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
-    """Messages that were taken on and did not end just once, and payments that ran twice.
+    """Describe the accepted messages without an end, messages with several ends, and payments that ran twice.
 
-    One that ran may have been told as failed or returned: its answer was lost, or came late. So only what was neither
-    delivered nor told, and what was told in two ways, is wrong.
+    A message that ran may have been reported as failed or returned, if its answer was lost or late. So a message is
+    wrong only if it neither ran nor was reported, or if it was reported with two different states.
     """
     ran = Counter(call.trace for call in calls if call.accepted)
     found = []
@@ -56,6 +57,6 @@
 
 
 def served(sent: dict[str, Submission], calls: Iterable[Call]) -> float:
-    """The share of the messages handed in that ran."""
+    """Return the share of the submitted messages that ran."""
     ran = {call.trace for call in calls if call.accepted}
     return len(ran & sent.keys()) / max(1, len(sent))
--- a/kestrelspar/lab/page.py
+++ b/kestrelspar/lab/page.py
@@ -1,4 +1,4 @@
-"""A play's report as one HTML page with charts, which needs nothing but a browser."""
+"""Renders the report of a run as one self-contained HTML page with charts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def _chart(chart: Any) -> str:
-    # Without its script, which is only settings for one that a browser would have to fetch.
+    # The script element only configures a script that the browser would have to fetch.
     return re.sub("<script.*?</script>", "", chart.render(is_unicode=True, disable_xml_declaration=True), flags=re.S)
 
 
@@ -42,29 +42,29 @@
 
 
 def page(report: dict[str, Any], title: str) -> str:
-    """The page; ``report`` as ``play`` makes it."""
+    """Render the page of a scenario run; ``report`` as ``play.play`` returns it."""
     members, couriers = report["members"], report["couriers"]
     calls = pygal.Line(show_dots=False, x_title="second", y_title="calls received", **_options("Calls by second"))
     longest = max((len(m["by_second"]) for m in members.values()), default=0)
     calls.x_labels = [str(second) if second % 2 == 0 else "" for second in range(longest)]
     for name, member in members.items():
         calls.add(name, member["by_second"])
-    ends = pygal.StackedBar(**_options("Messages by courier"))
-    ends.x_labels = list(couriers)
-    ends.add("ran", [c["ran"] for c in couriers.values()])
-    ends.add("taken, did not run", [max(0, c["taken"] - c["ran"]) for c in couriers.values()])
-    ends.add("not taken", [c["handed_in"] - c["taken"] for c in couriers.values()])
-    most = pygal.Bar(**_options("Calls in the busiest second, and limits"))
-    most.x_labels = list(members)
-    most.add("busiest second", [m["most_in_a_second"] for m in members.values()])
-    most.add("limit", [m["limit"] for m in members.values()])
+    outcomes = pygal.StackedBar(**_options("Messages by courier"))
+    outcomes.x_labels = list(couriers)
+    outcomes.add("ran", [c["ran"] for c in couriers.values()])
+    outcomes.add("accepted, did not run", [max(0, c["taken"] - c["ran"]) for c in couriers.values()])
+    outcomes.add("not accepted", [c["handed_in"] - c["taken"] for c in couriers.values()])
+    busiest = pygal.Bar(**_options("Calls in the busiest second, and limits"))
+    busiest.x_labels = list(members)
+    busiest.add("busiest second", [m["most_in_a_second"] for m in members.values()])
+    busiest.add("limit", [m["limit"] for m in members.values()])
     faults = "".join(f"<li>{html.escape(fault)}</li>" for fault in report["faults"])
     verdict = "<p>No fault found.</p>"
     if faults:
         verdict = f'<p class="bad">{len(report["faults"])} faults:</p><ul>{faults}</ul>'
     summary = (
         f"Seed {report['seed']}, peers {'on' if report['peers'] else 'off'}: {report['served']:.1%} of the "
-        f"messages ran; {report['paid_a_time_out']} paid a time-out."
+        f"messages ran; {report['paid_a_time_out']} had a call that timed out."
     )
     return "\n".join(
         (
@@ -74,17 +74,17 @@
             _chart(calls),
             "<h2>Member systems</h2>",
             _table(members),
-            _chart(most),
+            _chart(busiest),
             "<h2>Couriers</h2>",
             _table(couriers),
-            _chart(ends),
+            _chart(outcomes),
             "</html>\n",
         )
     )
 
 
 def _by_second(rows: list[dict[str, Any]], key: str, factor: float) -> list[float]:
-    """What a sum grew by, a second, times that."""
+    """Return the increase of a running sum per second between rows, times ``factor``."""
     return [
         round(max(0.0, factor * (b[key] - a[key]) / max(0.1, b["s"] - a["s"])), 4)
         for a, b in zip(rows, rows[1:], strict=False)
@@ -92,9 +92,9 @@
 
 
 def scale_page(report: dict[str, Any]) -> str:
-    """The page of scale runs; ``report`` as ``kestrelspar lab scale --json`` writes it."""
-    parts = []
-    plain = (
+    """Render the page of scale runs; ``report`` as ``kestrelspar lab scale --json`` writes it."""
+    sections = []
+    columns = (
         "couriers",
         "real",
         "hollow",
@@ -109,40 +109,43 @@
         "messages",
         "served",
     )
-    rows = {str(place): {name: play.get(name, "") for name in plain} for place, play in enumerate(report["plays"], 1)}
+    rows = {str(number): {name: run.get(name, "") for name in columns} for number, run in enumerate(report["plays"], 1)}
     phases = {
-        f"{place} {key}": {name: value for name, value in play[key].items() if not isinstance(value, list)}
-        for place, play in enumerate(report["plays"], 1)
+        f"{number} {key}": {name: value for name, value in run[key].items() if not isinstance(value, list)}
+        for number, run in enumerate(report["plays"], 1)
         for key in ("rest", "fault")
-        if key in play
+        if key in run
     }
-    for place, play in enumerate(report["plays"], 1):
-        series, couriers = play["series"], max(1, play["hollow"])
-        parts.append(
-            f"<h2>{place}: {play['couriers']} couriers, {html.escape(play['from'])}, "
-            f"{html.escape(play['fault_name'])}</h2>"
+    for number, run in enumerate(report["plays"], 1):
+        series, couriers = run["series"], max(1, run["hollow"])
+        sections.append(
+            f"<h2>{number}: {run['couriers']} couriers, {html.escape(run['from'])}, "
+            f"{html.escape(run['fault_name'])}</h2>"
         )
-        for kind, lines in (("saturated, so no figure of real time", play["saturated"]), ("found", play["findings"])):
+        for kind, lines in (
+            ("saturated, so figures are not of real time", run["saturated"]),
+            ("found", run["findings"]),
+        ):
             if lines:
                 listed = "".join(f"<li>{html.escape(line)}</li>" for line in lines)
-                parts.append(f'<p class="bad">{kind}:</p><ul>{listed}</ul>')
+                sections.append(f'<p class="bad">{kind}:</p><ul>{listed}</ul>')
         labels = [str(round(row["s"])) if n % 5 == 0 else "" for n, row in enumerate(series[1:])]
         for title, unit, lines_of in (
             (
-                "Members not known, and gone ones thought alive",
+                "Members not known, and stopped couriers considered alive",
                 "percent",
                 {
                     "not known": [100 * row["missing"] for row in series[1:]],
-                    "thought alive": [100 * row["ghosts"] for row in series[1:]],
+                    "considered alive": [100 * row["ghosts"] for row in series[1:]],
                 },
             ),
             (
-                "Bytes that a hollow courier sends",
-                "bytes a second",
+                "Bytes sent by a hollow courier",
+                "bytes per second",
                 {"bytes": _by_second(series, "sent", 1 / couriers)},
             ),
             (
-                "Processor time",
+                "CPU time",
                 "cores",
                 {
                     "hollow": _by_second(series, "hollow_cpu", 1),
@@ -155,23 +158,23 @@
             chart.x_labels = labels
             for name, values in lines_of.items():
                 chart.add(name, values)
-            parts.append(_chart(chart))
+            sections.append(_chart(chart))
     factors = "".join(
         f"<li>{html.escape(name)}: {factor:.2f}</li>" for name, factor in report.get("factors", {}).items()
     )
     return "\n".join(
         (
-            "<!doctype html><html lang=en><meta charset=utf-8><title>Couriers by number</title>",
-            f"<style>{STYLE}</style><h1>Couriers by number</h1>",
+            "<!doctype html><html lang=en><meta charset=utf-8><title>Scale runs</title>",
+            f"<style>{STYLE}</style><h1>Scale runs</h1>",
             f"<p>Cores {html.escape(str(report['machine']['cores']))}, "
             f"Python {html.escape(report['machine']['python'])}. "
-            "Figures are of a courier and second; the column <i>from</i> says whether they are of real processes and "
+            "Figures are per courier and second; the column <i>from</i> says whether they are of real processes and "
             "datagrams, or of the modelled network.</p>",
             _table(rows),
             "<h2>Phases</h2>",
             _table(phases),
-            f"<h2>Hollow over real</h2><ul>{factors}</ul>" if factors else "",
-            *parts,
+            f"<h2>Hollow couriers relative to real ones</h2><ul>{factors}</ul>" if factors else "",
+            *sections,
             "</html>\n",
         )
     )
--- a/kestrelspar/lab/scenario.py
+++ b/kestrelspar/lab/scenario.py
@@ -1,11 +1,11 @@
-"""What the rig plays, in the settings' line format: couriers, member systems, traffic, and faults at times.
+"""Scenario files for the rig, in the settings' line format: couriers, member systems, traffic, and timed faults.
 
     lab
         couriers    6
         for         12s
     member m1
         limit       40
-        group       1               # its destination; members of one are endpoints of it
+        group       1               # its destination; members of the same group are its endpoints
     traffic *
         m1          4
     traffic n0
@@ -17,7 +17,7 @@
         kill        n2
         start       n2 empty
 
-All faults of a file are found at once and named by their line, as those of the settings are.
+All errors of a file are reported at once with their line numbers, as with settings files.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 from kestrelspar.settings.lines import Block, ConfFaults, Fault, Line, Place, read
 
 DURATION = kinds.duration("", 0, 3_600 * SECOND)
-PERCENT = kinds.number("", 1, 100)
-COURIERS = kinds.number("", 1, 50)
-PART = kinds.number("", 0, 100)
-CALLS = kinds.number("", 1, 100_000)
+POSITIVE_PERCENT = kinds.number("", 1, 100)
+COURIER_COUNT = kinds.number("", 1, 50)
+PERCENT = kinds.number("", 0, 100)
+CALL_COUNT = kinds.number("", 1, 100_000)
 RATE = kinds.number("", 0, 1_000)
 SWITCH = kinds.switch("")
 NAME = kinds.text("", 60)
 
-# Of each fault: what its words are. A trailing * takes any number of that kind, a ? one that may be left out.
+# Argument types of each action. A trailing * stands for one or more of that type, a trailing ? for an optional one.
 ACTIONS: dict[str, tuple[str, ...]] = {
     "cut": ("courier*",),
     "deaf": ("courier*",),
     "heal": (),
-    "loss": ("part",),
-    "double": ("part",),
+    "loss": ("percent",),
+    "double": ("percent",),
     "delay": ("time", "time"),
     "kill": ("courier*",),
     "term": ("courier*",),
@@ -64,173 +64,181 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """One fault: when, what, on what."""
+    """An action at a time: its name and its arguments."""
 
-    at: int
+    at: int  # microseconds after the warm-up
     name: str
-    words: tuple[Any, ...]
+    arguments: tuple[Any, ...]
 
 
 @dataclass(slots=True)
 class Scenario:
-    """A whole file. Times in microseconds, rates in messages a second."""
+    """The contents of a scenario file. Times in microseconds, rates in messages per second."""
 
     couriers: int = 5
     span: int = 10 * SECOND
-    warm_up: int = 6 * SECOND  # traffic before the first fault, and before the judges count
+    warm_up: int = 6 * SECOND  # traffic before the first action, and before the checkers count
     peers: bool = True
-    again: int = 100  # percent of the limits that second and later attempts may take, of all couriers together
-    liar: str = ""  # a courier that is none of the program's, and lies
-    limits: dict[str, int] = field(default_factory=dict)
-    paces: dict[str, int] = field(default_factory=dict)
-    groups: dict[str, int] = field(default_factory=dict)  # by member: its destination
-    traffic: dict[str, dict[str, float]] = field(default_factory=dict)  # by courier or *, by member
+    again: int = 100  # percent of the limits that repeated attempts of all couriers together may take
+    liar: str = ""  # name of a simulated lying (Byzantine) courier
+    limits: dict[str, int] = field(default_factory=dict)  # by member: calls per second
+    latencies: dict[str, int] = field(default_factory=dict)  # by member: time until it answers a call
+    groups: dict[str, int] = field(default_factory=dict)  # by member: the number of its destination
+    traffic: dict[str, dict[str, float]] = field(default_factory=dict)  # by courier or *, then by member
     actions: list[Action] = field(default_factory=list)
 
     def rates(self) -> dict[str, dict[str, float]]:
-        """Traffic by courier; what is told of one goes before what is told of all."""
+        """Rates by courier; rates for a single courier override those for all."""
         names = [f"n{number}" for number in range(self.couriers)]
         return {name: self.traffic.get("*", {}) | self.traffic.get(name, {}) for name in names}
 
 
 class _Reader:
+    """Collects a scenario and its errors. The methods lab, member, traffic and at parse the sections of these names."""
+
     def __init__(self) -> None:
-        self.found = Scenario()
-        self.faults: list[Fault] = []
+        self.scenario = Scenario()
+        self.errors: list[Fault] = []
 
-    def wrong(self, place: Place, key: str, text: str) -> None:
-        self.faults.append(Fault(place, key, text))
+    def add_error(self, place: Place, key: str, text: str) -> None:
+        self.errors.append(Fault(place, key, text))
 
-    def value(self, line: Line, key: str, word: str, meta: Any) -> Any:
+    def parse_value(self, line: Line, key: str, text: str, meta: Any) -> Any:
         try:
-            return kinds.value(word, meta, "")
+            return kinds.value(text, meta, "")
         except ValueError as error:
-            self.wrong(line.place, key, f"{error} (wanted: {kinds.wanted(meta)})")
+            self.add_error(line.place, key, f"{error} (wanted: {kinds.wanted(meta)})")
             return None
 
-    def one(self, line: Line, key: str, meta: Any) -> Any:
+    def parse_single(self, line: Line, key: str, meta: Any) -> Any:
         if len(line.words) != 1:
-            self.wrong(line.place, key, f"has {len(line.words)} words (wanted: {kinds.wanted(meta)})")
+            self.add_error(line.place, key, f"has {len(line.words)} arguments (wanted: {kinds.wanted(meta)})")
             return None
-        return self.value(line, key, line.words[0], meta)
+        return self.parse_value(line, key, line.words[0], meta)
 
-    def courier(self, word: str) -> str | None:
-        """A courier's name, or nothing."""
-        return word if word in {f"n{number}" for number in range(self.found.couriers)} else None
+    def known_courier(self, name: str) -> str | None:
+        """Return the name if it is a courier of the scenario, otherwise nothing."""
+        return name if name in {f"n{number}" for number in range(self.scenario.couriers)} else None
 
-    def keys(self, block: Block, table: dict[str, tuple[Any, Callable[[Any], None]]]) -> None:
+    def parse_keys(self, block: Block, table: dict[str, tuple[Any, Callable[[Any], None]]]) -> None:
         for line in block.lines:
             key = f"{block.kind}{' ' + block.label if block.label else ''}.{line.key}"
             if line.key not in table:
-                self.wrong(line.place, key, f"unknown key (wanted: {' or '.join(table)})")
+                self.add_error(line.place, key, f"unknown key (wanted: {' or '.join(table)})")
                 continue
-            meta, put = table[line.key]
-            value = self.one(line, key, meta)
+            meta, assign = table[line.key]
+            value = self.parse_single(line, key, meta)
             if value is not None:
-                put(value)
+                assign(value)
 
     def lab(self, block: Block) -> None:
-        s = self.found
-        self.keys(
+        scenario = self.scenario
+        self.parse_keys(
             block,
             {
-                "couriers": (COURIERS, lambda v: setattr(s, "couriers", v)),
-                "for": (DURATION, lambda v: setattr(s, "span", v)),
-                "warm-up": (DURATION, lambda v: setattr(s, "warm_up", v)),
-                "peers": (SWITCH, lambda v: setattr(s, "peers", v)),
-                "again": (PERCENT, lambda v: setattr(s, "again", v)),
-                "liar": (NAME, lambda v: setattr(s, "liar", v)),
+                "couriers": (COURIER_COUNT, lambda value: setattr(scenario, "couriers", value)),
+                "for": (DURATION, lambda value: setattr(scenario, "span", value)),
+                "warm-up": (DURATION, lambda value: setattr(scenario, "warm_up", value)),
+                "peers": (SWITCH, lambda value: setattr(scenario, "peers", value)),
+                "again": (POSITIVE_PERCENT, lambda value: setattr(scenario, "again", value)),
+                "liar": (NAME, lambda value: setattr(scenario, "liar", value)),
             },
         )
-        if s.liar and self.courier(s.liar) is None:
-            self.wrong(block.place, "lab.liar", f"{s.liar!r:.40} is no courier (wanted: n0 to n{s.couriers - 1})")
+        if scenario.liar and self.known_courier(scenario.liar) is None:
+            self.add_error(
+                block.place,
+                "lab.liar",
+                f"{scenario.liar!r:.40} is not a courier (wanted: n0 to n{scenario.couriers - 1})",
+            )
 
     def member(self, block: Block) -> None:
         if not block.label:
-            self.wrong(block.place, "member", "has no name")
-        self.found.limits[block.label], self.found.paces[block.label] = 50, 20 * MS
-        self.found.groups[block.label] = len(self.found.groups) + 1
-        self.keys(
+            self.add_error(block.place, "member", "has no name")
+        self.scenario.limits[block.label], self.scenario.latencies[block.label] = 50, 20 * MS
+        self.scenario.groups[block.label] = len(self.scenario.groups) + 1
+        self.parse_keys(
             block,
             {
-                "limit": (CALLS, lambda v: self.found.limits.__setitem__(block.label, v)),
-                "pace": (DURATION, lambda v: self.found.paces.__setitem__(block.label, v)),
-                "group": (CALLS, lambda v: self.found.groups.__setitem__(block.label, v)),
+                "limit": (CALL_COUNT, lambda value: self.scenario.limits.__setitem__(block.label, value)),
+                "pace": (DURATION, lambda value: self.scenario.latencies.__setitem__(block.label, value)),
+                "group": (CALL_COUNT, lambda value: self.scenario.groups.__setitem__(block.label, value)),
             },
         )
 
     def traffic(self, block: Block) -> None:
-        if block.label != "*" and self.courier(block.label) is None:
-            self.wrong(
+        if block.label != "*" and self.known_courier(block.label) is None:
+            self.add_error(
                 block.place,
                 "traffic",
-                f"{block.label!r:.40} is no courier (wanted: * or n0 to n{self.found.couriers - 1})",
+                f"{block.label!r:.40} is not a courier (wanted: * or n0 to n{self.scenario.couriers - 1})",
             )
-        rates = self.found.traffic.setdefault(block.label, {})
+        rates = self.scenario.traffic.setdefault(block.label, {})
         table: dict[str, tuple[Any, Callable[[Any], None]]] = {
-            name: (RATE, lambda v, name=name: rates.__setitem__(name, float(v)))  # type: ignore[misc]
-            for name in self.found.limits
+            name: (RATE, lambda value, name=name: rates.__setitem__(name, float(value)))  # type: ignore[misc]
+            for name in self.scenario.limits
         }
-        self.keys(block, table)
+        self.parse_keys(block, table)
 
     def at(self, block: Block) -> None:
         try:
             when = kinds.value(block.label, DURATION, "")
         except ValueError as error:
-            self.wrong(block.place, "at", f"{error} (wanted: {kinds.wanted(DURATION)})")
-            when = 0  # its lines are looked at all the same
+            self.add_error(block.place, "at", f"{error} (wanted: {kinds.wanted(DURATION)})")
+            when = 0  # its lines are checked all the same
         for line in block.lines:
             if line.key not in ACTIONS:
-                self.wrong(line.place, f"at.{line.key}", f"unknown fault (wanted: {', '.join(ACTIONS)})")
+                self.add_error(line.place, f"at.{line.key}", f"unknown action (wanted: {', '.join(ACTIONS)})")
                 continue
-            words = self.words(line)
-            if words is not None:
-                self.found.actions.append(Action(when, line.key, words))
-
-    def words(self, line: Line) -> tuple[Any, ...] | None:
-        """The words of a fault, each of its kind."""
-        shape, given = ACTIONS[line.key], line.words
-        if shape and shape[-1].endswith("*"):
-            shape = (shape[0].rstrip("*"),) * max(1, len(given))
-        needed = sum(not kind.endswith("?") for kind in shape)
-        if not needed <= len(given) <= len(shape):
-            self.wrong(line.place, f"at.{line.key}", f"has {len(given)} words (wanted: {' '.join(shape) or 'none'})")
+            arguments = self.parse_arguments(line)
+            if arguments is not None:
+                self.scenario.actions.append(Action(when, line.key, arguments))
+
+    def parse_arguments(self, line: Line) -> tuple[Any, ...] | None:
+        """Parse the arguments of an action by their types; nothing if one is invalid."""
+        types, given = ACTIONS[line.key], line.words
+        if types and types[-1].endswith("*"):
+            types = (types[0].rstrip("*"),) * max(1, len(given))
+        needed = sum(not kind.endswith("?") for kind in types)
+        if not needed <= len(given) <= len(types):
+            self.add_error(
+                line.place, f"at.{line.key}", f"has {len(given)} arguments (wanted: {' '.join(types) or 'none'})"
+            )
             return None
         found: list[Any] = []
-        for kind, word in zip(shape, given, strict=False):
-            if kind in ("time", "part", "calls"):
-                meta = {"time": DURATION, "part": PART, "calls": CALLS}[kind]
-                found.append(self.value(line, f"at.{line.key}", word, meta))
+        for kind, argument in zip(types, given, strict=False):
+            if kind in ("time", "percent", "calls"):
+                meta = {"time": DURATION, "percent": PERCENT, "calls": CALL_COUNT}[kind]
+                found.append(self.parse_value(line, f"at.{line.key}", argument, meta))
                 continue
             known = {
-                "courier": self.courier(word),
-                "member": word if word in self.found.limits else None,
-                "empty?": word if word == "empty" else None,
+                "courier": self.known_courier(argument),
+                "member": argument if argument in self.scenario.limits else None,
+                "empty?": argument if argument == "empty" else None,
             }[kind]
             if known is None:
-                self.wrong(line.place, f"at.{line.key}", f"{word!r:.40} is no {kind.rstrip('?')}")
+                self.add_error(line.place, f"at.{line.key}", f"{argument!r:.40} is not a known {kind.rstrip('?')}")
             found.append(known)
         return None if None in found else tuple(found)
 
 
 def load(path: str, couriers: int | None = None) -> Scenario:
-    """A scenario from a file; ``ConfFaults`` names all that will not do. ``couriers`` goes before the file's number."""
-    blocks, faults = read(path)
+    """Load a scenario; raise ``ConfFaults`` with all errors. ``couriers`` overrides the number in the file."""
+    blocks, errors = read(path)
     reader = _Reader()
-    reader.faults += faults
+    reader.errors += errors
     order = ("lab", "member", "traffic", "at")
     for block in blocks:
         if block.kind not in order:
-            reader.wrong(block.place, block.kind, f"unknown section (wanted: {' or '.join(order)})")
+            reader.add_error(block.place, block.kind, f"unknown section (wanted: {' or '.join(order)})")
     for kind in order:
         for block in blocks:
             if block.kind == kind:
                 getattr(reader, kind)(block)
         if kind == "lab" and couriers is not None:
-            reader.found.couriers = couriers
-    if not reader.found.limits and not reader.faults:
-        reader.wrong(Place(path, 0), "member", "there is none (wanted: one or more)")
-    if reader.faults:
-        raise ConfFaults(sorted(reader.faults))
-    reader.found.actions.sort(key=lambda action: action.at)
-    return reader.found
+            reader.scenario.couriers = couriers
+    if not reader.scenario.limits and not reader.errors:
+        reader.add_error(Place(path, 0), "member", "missing section (wanted: one or more)")
+    if reader.errors:
+        raise ConfFaults(sorted(reader.errors))
+    reader.scenario.actions.sort(key=lambda action: action.at)
+    return reader.scenario
