--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -176,7 +176,9 @@
         self._sequence += 1
         seen = [Seen(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
         claims = [
-            (name, self.rig.nodes[name].number, epoch, each) for name, epoch in self._epochs.items() for each in seen
+            (name, self.rig.nodes[name].number, epoch, observation)
+            for name, epoch in self._epochs.items()
+            for observation in seen
         ]
         to_couriers: list[Word] = [Relayed(*each) for each in claims]
         to_others: list[Word] = [Forward(*each[:3], self.rig.groups[each[3].endpoint], each[3]) for each in claims]
--- a/kestrelspar/lab/play.py
+++ b/kestrelspar/lab/play.py
@@ -51,7 +51,7 @@
             faults.lost, faults.answers_lost = faults.lost or name == "calls-lost", name == "answers-lost"
     elif name == "calls-late":
         for node in rig.nodes:
-            rig.call_faults.setdefault(node, CallFaults()).delay = min(arguments), max(arguments)
+            rig.call_faults.setdefault(node, CallFaults()).extra_delay = min(arguments), max(arguments)
     elif name == "wait":
         rig.members[arguments[0]].wait_until = rig.loop.now + arguments[1]
     elif name == "limit":
@@ -120,7 +120,10 @@
         faults += [
             f"{name}: overloaded while recovering, after {(at - begin) / SECOND:.1f} s" for at in member.overloads
         ]
-        faults += [f"{name}: {call.trace} arrived before its courier's Retry-After" for call in member.early_calls[:3]]
+        faults += [
+            f"{name}: {call.trace} arrived before its courier's Retry-After had passed"
+            for call in member.early_calls[:3]
+        ]
         calls_by_second = Counter((call.at - begin) // SECOND for call in calls)
         unanswered_by_second = Counter((call.at - begin) // SECOND for call in calls if call.unanswered)
         members[name] = {
--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -156,21 +156,21 @@
         self.network = FaultyNetwork(0)
         self.relays: dict[str, Relay] = {}
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, request: dict[str, Any]) -> None:
         """Handle one command."""
-        if "open" in command:
-            self.network = FaultyNetwork(command["seed"])
-            self.relays = {group: Relay(self.loop, group, self.network) for group in command["open"]}
+        if "open" in request:
+            self.network = FaultyNetwork(request["seed"])
+            self.relays = {group: Relay(self.loop, group, self.network) for group in request["open"]}
             child.say({"open": {group: relay.address for group, relay in self.relays.items()}})
             self.loop.spawn(self._report)
-        self.network.groups.update(command.get("groups", {}))
-        for name, address in command.get("places", {}).items():
+        self.network.groups.update(request.get("groups", {}))
+        for name, address in request.get("places", {}).items():
             relay = self.relays.get(self.network.groups.get(name, ""))
             if relay is not None:
                 relay.addresses[name] = (address[0], address[1])
-        if "faults" in command:
+        if "faults" in request:
             self.network.heal()
-            for sender, to, fault in command["faults"]:
+            for sender, to, fault in request["faults"]:
                 path = Path(**fault)
                 path.delay = (path.delay[0], path.delay[1])
                 self.network.faults[(sender, to)] = path
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -80,7 +80,7 @@
 
     lost: bool = False  # calls never arrive
     answers_lost: bool = False  # calls arrive, their answers don't
-    delay: tuple[int, int] = (0, 0)  # shortest and longest delay
+    extra_delay: tuple[int, int] = (0, 0)  # shortest and longest, in microseconds
 
 
 class Member(platform.Server):
@@ -134,8 +134,8 @@
         trace = head.headers.get("x-trace-id", "")
         courier = trace.partition("-")[0]
         call_faults = self.call_faults.get(courier, CallFaults())
-        if max(call_faults.delay):
-            self.loop.sleep(self._rng.randint(*call_faults.delay))
+        if max(call_faults.extra_delay):
+            self.loop.sleep(self._rng.randint(*call_faults.extra_delay))
         if call_faults.lost:
             self.loop.sleep(30 * SECOND)
             return None
@@ -475,7 +475,7 @@
 
         def poll(name: str) -> None:
             while not self._draining and statuses.get(name) != 200 and self.loop.now < deadline:
-                statuses[name] = self.request(name, parser.request("GET", "/health/ready", "rig", {}))
+                statuses[name] = self.send_request(name, parser.request("GET", "/health/ready", "rig", {}))
                 self.loop.sleep(50 * MS)
 
         names = [name for name, node in self.nodes.items() if node.process is not None]
@@ -505,7 +505,7 @@
 
     # Clients
 
-    def request(self, name: str, call: bytes) -> int:
+    def send_request(self, name: str, call: bytes) -> int:
         """Send one request on a new connection, and return its status; 0 if there was no answer."""
         sock = connect(self.loop, self.nodes[name].listen, self.loop.now + RESPONSE_TIMEOUT)
         if sock is None:
@@ -546,7 +546,7 @@
             "X-Route-To": f"dest={group}",
             "Idempotency-Key": trace,
         }
-        sent.status = self.request(name, parser.request("POST", f"/{cls}", "rig", headers, b"{}"))
+        sent.status = self.send_request(name, parser.request("POST", f"/{cls}", "rig", headers, b"{}"))
 
     def _receive_notice(self, notice: dict[str, Any]) -> None:
         sent = self.sent.get(str(notice.get("id")))
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -91,7 +91,7 @@
         )
         self.require(
             not not_relayed,
-            f"{when}: {failing} failed, and brokers relayed nothing of other zones to {sorted(not_relayed)}",
+            f"{when}: {failing} failed, and brokers relayed to {sorted(not_relayed)} nothing of other zones",
         )
         rig.run(2 * SECOND)
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -97,9 +97,7 @@
     member.up()
     assert [member._is_overloaded() for _ in range(12)].index(True) == 9, "2 + 3 sqrt(2) + 3 calls in a second"
     loop.now += 5 * SECOND
-    assert [member._is_overloaded() for _ in range(30)].index(True) == 16, (
-        "half way it its capacity is 6 calls a second"
-    )
+    assert [member._is_overloaded() for _ in range(30)].index(True) == 16, "half way its capacity is 6 calls a second"
     loop.now += 5 * SECOND
     assert not any(member._is_overloaded() for _ in range(50))
     loop._poll.poll(0)
