--- a/kestrelspar/lab/judge.py
+++ b/kestrelspar/lab/judge.py
@@ -48,11 +48,11 @@
     for trace, message in sent.items():
         ends = sorted(set(message.notices))
         if message.status == 202 and not ran[trace] and not ends and not message.state_lost:
-            found.append(f"{message.cls} {trace}: no end")
+            found.append(f"{message.message_class} {trace}: no end")
         if len(ends) > 1:
-            found.append(f"{message.cls} {trace}: {' and '.join(ends)}")
-        if message.cls == "payment" and ran[trace] > 1:
-            found.append(f"{message.cls} {trace}: ran {ran[trace]} times")
+            found.append(f"{message.message_class} {trace}: {' and '.join(ends)}")
+        if message.message_class == "payment" and ran[trace] > 1:
+            found.append(f"{message.message_class} {trace}: ran {ran[trace]} times")
     return found
 
 
--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -23,6 +23,7 @@
 from kestrelspar.runtime.loop import MS
 
 LIE_INTERVAL = 200 * MS  # between false observations to each member
+# Kind and value: waits are in milliseconds, limits in thousandths of a call per second.
 LIES = ((Kind.DOWN, 0), (Kind.WAIT, 1 << 39), (Kind.BACK, 0), (Kind.LIMIT, 1_000))
 
 
--- a/kestrelspar/lab/play.py
+++ b/kestrelspar/lab/play.py
@@ -73,7 +73,7 @@
         scenario.limits,
         scenario.peers,
         groups=scenario.groups,
-        conf=f"    again {scenario.again}\n",
+        extra_settings=f"    again {scenario.again}\n",
         spend=SHARED_PERCENT,
     ) as rig:
         for name, member in rig.members.items():
@@ -104,7 +104,7 @@
     rig: Rig, scenario: Scenario, seed: int, begin: int, earlier_calls: dict[str, int], cpu_seconds: dict[str, float]
 ) -> dict[str, Any]:
     calls_of_all = [call for member in rig.members.values() for call in member.calls]
-    members, faults = {}, judge.wrong_ends(rig.sent, calls_of_all)
+    members, findings = {}, judge.wrong_ends(rig.sent, calls_of_all)
     for name, member in rig.members.items():
         calls = member.calls[earlier_calls[name] :]
         most = judge.most_in_a_second(calls, max(MS, SECOND - rig.loop.longest))
@@ -116,11 +116,11 @@
         ]
         most_settled = judge.most_in_a_second(settled_calls, max(MS, SECOND - rig.loop.longest))
         if scenario.peers and most_settled > member.limit:
-            faults.append(f"{name}: {most_settled} calls in a second, its limit is {member.limit}")
-        faults += [
+            findings.append(f"{name}: {most_settled} calls in a second, its limit is {member.limit}")
+        findings += [
             f"{name}: overloaded while recovering, after {(at - begin) / SECOND:.1f} s" for at in member.overloads
         ]
-        faults += [
+        findings += [
             f"{name}: {call.trace} arrived before its courier's Retry-After had passed"
             for call in member.early_calls[:3]
         ]
@@ -137,13 +137,13 @@
         }
     repeats = _repeated_attempts(rig, scenario, begin)
     if scenario.peers and scenario.again < 100:
-        faults += [
+        findings += [
             f"destination {group}: {most} repeated attempts in a second, {allowed:g} are allowed"
             for group, (most, allowed) in repeats.items()
             if most > allowed
         ]
     for name in (node.name for node in rig.nodes.values() if node.log.is_file()):
-        faults += [f"{name}: {line[:300]}" for line in rig.logs(name).splitlines() if "event=fault" in line]
+        findings += [f"{name}: {line[:300]}" for line in rig.logs(name).splitlines() if "event=fault" in line]
     by_courier = {name: [s for s in rig.sent.values() if s.courier == name] for name in rig.nodes}
     ran = {call.trace for call in calls_of_all if call.accepted}
     timed_out = {call.trace for call in calls_of_all if call.unanswered}
@@ -168,7 +168,7 @@
             }
             for name, sent in by_courier.items()
         },
-        "faults": faults,
+        "faults": findings,
     }
 
 
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -55,7 +55,7 @@
 class Call:
     """One call as a member system received it."""
 
-    at: int
+    at: int  # time of arrival
     trace: str
     courier: str
     accepted: bool  # False if refused (above the limit, or during a Retry-After delay), or dropped while down
@@ -66,9 +66,9 @@
 class Submission:
     """One message as its client sees it."""
 
-    cls: str
+    message_class: str
     courier: str
-    at: int
+    at: int  # time of submission
     status: int = 0  # HTTP status; 0: no answer
     notices: list[str] = field(default_factory=list)  # states of the notices received
     state_lost: bool = False  # the state directory of its courier was lost since, so no end can be expected
@@ -218,12 +218,12 @@
 
 @dataclass
 class Node:
-    """One courier's process."""
+    """The process of a courier or broker, running or not."""
 
     name: str
     number: int
-    listen: tuple[str, int]
-    peers: tuple[str, int]
+    listen: tuple[str, int]  # HTTP address
+    peers: tuple[str, int]  # UDP address for datagrams of other couriers
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     paused: bool = False
@@ -277,17 +277,24 @@
         limits: dict[str, int],
         peers: bool = True,
         latency: int = 20 * MS,
-        conf: str = "",
+        extra_settings: str = "",
         spend: int = 90,
         groups: dict[str, int] | None = None,
         beyond: Beyond | None = None,
     ) -> None:
         """``limits`` is by member system; ``groups`` has its destination's number, if several share a destination.
 
+        ``spend`` is the percentage of the limits that is shared, ``extra_settings`` more lines of the section ``peers``.
         With ``beyond`` there are no proxies; its entries for a courier must be complete before that courier is started.
         """
         self.beyond = beyond
-        self.directory, self.seed, self.conf, self.spend, self.peers = directory, seed, conf, spend, peers
+        self.directory, self.seed, self.extra_settings, self.spend, self.peers = (
+            directory,
+            seed,
+            extra_settings,
+            spend,
+            peers,
+        )
         self.loop, self.rng = Noted(), random.Random(seed)
         self.buffers = BufferPool(2048)
         self.call_faults: dict[str, CallFaults] = {}  # by courier
@@ -408,7 +415,7 @@
         (node.folder / "k.conf").write_text(
             f"log\n    level debug\npeers\n    enabled {'on' if peers else 'off'}\n"
             f"    listen {node.peers[0]}:{node.peers[1]}\n{advertise}    key-file {files}\n    period {period}\n"
-            f"    term {term}\n    spend {self.spend}\n{seeds}{self._extra_peer_settings(node)}{self.conf}"
+            f"    term {term}\n    spend {self.spend}\n{seeds}{self._extra_peer_settings(node)}{self.extra_settings}"
         )
 
     def _extra_peer_settings(self, node: Node) -> str:
@@ -535,18 +542,18 @@
 
     def submit(self, name: str, group: int) -> None:
         """Submit one message of a random class."""
-        cls = self.rng.choice(platform.CLASSES)
+        message_class = self.rng.choice(platform.CLASSES)
         trace = f"{name}-{len(self.sent):06d}"
-        sent = self.sent[trace] = Submission(cls, name, self.loop.now)
-        lifetime_minutes = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[cls]
+        sent = self.sent[trace] = Submission(message_class, name, self.loop.now)
+        lifetime_minutes = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[message_class]
         headers = {
             "X-Trace-Id": trace,
-            "X-Qos": cls,
+            "X-Qos": message_class,
             "X-Expires-In": f"{lifetime_minutes}m",
             "X-Route-To": f"dest={group}",
             "Idempotency-Key": trace,
         }
-        sent.status = self.send_request(name, parser.request("POST", f"/{cls}", "rig", headers, b"{}"))
+        sent.status = self.send_request(name, parser.request("POST", f"/{message_class}", "rig", headers, b"{}"))
 
     def _receive_notice(self, notice: dict[str, Any]) -> None:
         sent = self.sent.get(str(notice.get("id")))
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -306,7 +306,10 @@
             "calls": len(calls),
             "served": judge.served(answered, calls),
             "ends": dict(
-                Counter(f"{sent.cls} {sent.status} {' '.join(sorted(set(sent.notices)))}" for sent in rig.sent.values())
+                Counter(
+                    f"{sent.message_class} {sent.status} {' '.join(sorted(set(sent.notices)))}"
+                    for sent in rig.sent.values()
+                )
             ),
             "seconds": round(time.monotonic() - began, 1),
             "missing": run.missing,
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -24,7 +24,7 @@
 COURIERS = 5
 
 
-def a_third_cut_off_then_all_restarted(rig: Rig) -> None:
+def partition_then_restart_of_all(rig: Rig) -> None:
     for (a, b), proxy in rig.proxies.items():
         proxy.cut = (a in ("n0", "n1")) != (b in ("n0", "n1"))
     rig.run(4 * SECOND)
@@ -37,7 +37,7 @@
     rig.run(5 * SECOND)
 
 
-def lenders_stopped_and_killed_with_an_empty_folder(rig: Rig) -> None:
+def lenders_paused_and_restarted_without_state(rig: Rig) -> None:
     rig.pause("n1", 4 * SECOND)
     rig.run(2 * SECOND)
     rig.end_process("n2")
@@ -49,7 +49,7 @@
     rig.run(4 * SECOND)
 
 
-def doubled_late_and_forged(rig: Rig) -> None:
+def datagrams_duplicated_delayed_and_forged(rig: Rig) -> None:
     rng = Random(5)
     for proxy in rig.proxies.values():
         proxy.double, proxy.delay, proxy.loss = 1.0, (0, 800 * MS), 0.3
@@ -69,7 +69,7 @@
     rig.run(5 * SECOND)
 
 
-def keys_changed_and_one_turned_off_while_all_serve(rig: Rig) -> None:
+def keys_rotated_then_peers_switched_off(rig: Rig) -> None:
     other = "another key that all couriers will have"
     for keys in ([KEY, other], [other, KEY], [other]):
         for name in rig.nodes:
@@ -82,11 +82,14 @@
 
 
 CASES: dict[str, tuple[Callable[[Rig], None], str]] = {
-    "a third cut off, then all restarted": (a_third_cut_off_then_all_restarted, ""),
-    "stopped, killed, folder lost": (lenders_stopped_and_killed_with_an_empty_folder, ""),
-    "doubled, late, lost, forged, replayed, oversized": (doubled_late_and_forged, "event=peers-dropped"),
+    "a third cut off, then all restarted": (partition_then_restart_of_all, ""),
+    "stopped, killed, folder lost": (lenders_paused_and_restarted_without_state, ""),
+    "doubled, late, lost, forged, replayed, oversized": (
+        datagrams_duplicated_delayed_and_forged,
+        "event=peers-dropped",
+    ),
     "one without": (one_without_peers, ""),
-    "keys changed, one turned off": (keys_changed_and_one_turned_off_while_all_serve, "event=peers-off"),
+    "keys changed, one turned off": (keys_rotated_then_peers_switched_off, "event=peers-off"),
 }
 
 # Cases in which counters are lost, or a courier does not share them.
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -76,7 +76,7 @@
             ("again", "reading", []),
         )
     }
-    sent["folder"] = Submission("reading", "n1", 0, 202, [], state_lost=True)
+    sent["state lost"] = Submission("reading", "n1", 0, 202, [], state_lost=True)
     sent["refused"] = Submission("reading", "n1", 0, 503)
     calls = [Call(n, name, "", True) for n, name in enumerate(("fine", "twice", "twice", "again", "again"))]
     assert judge.wrong_ends(sent, calls) == [
