--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -284,7 +284,7 @@
     ) -> None:
         """``limits`` is by member system; ``groups`` has its destination's number, if several share a destination.
 
-        ``spend`` is the percentage of the limits that is shared, ``extra_settings`` more lines of the section ``peers``.
+        ``spend`` is the percentage of the limits that is shared; ``extra_settings`` are further lines of ``peers``.
         With ``beyond`` there are no proxies; its entries for a courier must be complete before that courier is started.
         """
         self.beyond = beyond
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -196,8 +196,8 @@
 from kestrelspar.peers.shares import Shares
 Shares.may = Shares.spend = lambda *_: True  # ignore budgets
 Shares.allowed = lambda *_: 1000
-told = Courier._tell
-Courier._tell = lambda self, message, end: None if end.state != "delivered" else told(self, message, end)
+report_end = Courier._tell
+Courier._tell = lambda self, message, end: None if end.state != "delivered" else report_end(self, message, end)
 sys.argv = ["kestrelspar"]
 runpy.run_module("kestrelspar", run_name="__main__")
 """
