--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -147,8 +147,7 @@
     ``{"open": [GROUP...], "seed": S}`` is answered by ``{"open": {GROUP: [HOST, PORT]}}``;
     ``{"groups": {COURIER: GROUP}}`` has the groups of all couriers; ``{"places": {COURIER: [HOST, PORT]}}`` has their
     actual addresses, of which it uses those of its groups; ``{"faults": [[FROM, TO, {...}], ...]}`` replaces all
-    faults.
-    It sends a report every second.
+    faults. It sends a report every second.
     """
 
     def __init__(self) -> None:
@@ -202,7 +201,7 @@
 
 
 def dropped(sockets: list[socket.socket]) -> int:
-    """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if it reports none."""
+    """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if it doesn't say."""
     ports = {sock.getsockname()[1] for sock in sockets}
     try:
         with open("/proc/net/udp") as table:
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -57,9 +57,9 @@
     def outage(self, when: str, across: bool = True) -> None:
         """Close one of m1 and m2; a courier of each group has to suspend it by report.
 
-        With ``across`` brokers also have to relay to each zone what couriers of other zones observed. Each
-        courier stays with an endpoint that serves it, not all with the same one. So the other endpoint is closed first,
-        until two couriers of each group have called the one that is to fail, and can witness its outage.
+        With ``across`` brokers also have to relay to each zone what couriers of other zones observed. Each courier
+        stays with an endpoint that serves it, not all with the same one. So the other endpoint is closed first, until
+        two couriers of each group have called the one that is to fail, and can witness its outage.
         """
         rig = self.rig
         failing, other = sorted(
