--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -201,7 +201,7 @@
 
 
 def dropped(sockets: list[socket.socket]) -> int:
-    """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if it doesn't say."""
+    """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if unavailable."""
     ports = {sock.getsockname()[1] for sock in sockets}
     try:
         with open("/proc/net/udp") as table:
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -134,7 +134,7 @@
 
 
 def brokers_introduced(run: Run) -> None:
-    """Couriers are restarted one by one with a group and brokers, which they had not before, while all serve."""
+    """Couriers without group and brokers are restarted one by one with both, while all serve."""
     rig = run.rig
     rig.ungrouped = set(rig.nodes)
     start_all(run)
