--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,14 +1,15 @@
-"""Slopes to the target: measured into benchmarks/capacity.json, rendered as docs/CAPACITY.md.
+"""Capacity slopes up to the target: measured into benchmarks/capacity.json and rendered as docs/CAPACITY.md.
 
     python -m benchmarks.capacity measure [NAME ...] [--jobs N]
     python -m benchmarks.capacity page [--check]
     python -m benchmarks.capacity list
 
-A slope is measured at four sizes or more, three runs each, every run in a process of its own. Each row is written as
-soon as it is there, so a measurement that is ended loses nothing; it takes the place of the row of the same name, size
-and run. No figure of the page is typed by hand: what it says is worked out from the file and the target.
+A slope is measured at four sizes or more, with three runs each, and every run in a process of its own. Each row is
+written as soon as it is measured, so an interrupted measurement loses nothing; it replaces the row of the same name,
+size and run. No figure of the page is typed by hand: all are computed from the file and the target.
 
-New slopes: a module with ``SLOPES`` (see slope.py), named in ``MODULES``; a pair of before and after in capacity_page.
+To add slopes, list a module with ``SLOPES`` (see slope.py) in ``MODULES``, and add a before-and-after pair in
+capacity_page.
 """
 
 from __future__ import annotations
@@ -36,8 +37,8 @@
 MODULES = ("benchmarks.capacity_peers", "benchmarks.capacity_courier", "benchmarks.capacity_brokers")
 
 
-class Fault(Exception):
-    """What a person is told in one line: a name that is none, a file that can't be read."""
+class CapacityError(Exception):
+    """An error shown as one line: an unknown slope, an unreadable file, failed runs."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,64 +50,63 @@
     run: int
     setting: str
     date: str
-    commit: str  # with a + where the tree was not that of the commit
+    commit: str  # followed by + if the working tree had changes
     machine: str
     figures: dict[str, float] = field(default_factory=dict)
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """A later row with the same takes its place."""
+        """Identifies a row: a later row with the same key replaces it."""
         return self.name, self.size, self.run
 
 
 def slopes() -> dict[str, Slope]:
-    """All that there are, by name."""
-    found: dict[str, Slope] = {}
+    """Return all slopes of ``MODULES`` by name."""
+    by_name: dict[str, Slope] = {}
     for module in MODULES:
         if importlib.util.find_spec(module) is None:
             continue
         for slope in importlib.import_module(module).SLOPES:
-            if slope.name in found:
-                raise Fault(f"slope {slope.name} is there twice")
-            found[slope.name] = slope
-    return found
+            if slope.name in by_name:
+                raise CapacityError(f"duplicate slope: {slope.name}")
+            by_name[slope.name] = slope
+    return by_name
 
 
-def named(names: Iterable[str], there: dict[str, Slope]) -> list[Slope]:
-    """Those slopes, or all."""
+def select_slopes(names: Iterable[str], available: dict[str, Slope]) -> list[Slope]:
+    """Return the named slopes, or all if no name is given."""
     names = list(names)
     for name in names:
-        if name not in there:
-            raise Fault(f"no such slope: {name} (there are: {', '.join(there)})")
-    return [there[name] for name in names] if names else list(there.values())
+        if name not in available:
+            raise CapacityError(f"unknown slope: {name} (available: {', '.join(available)})")
+    return [available[name] for name in names] if names else list(available.values())
 
 
-# The file
-
-
-def read(file: Path) -> list[Row]:
-    """The rows of the file; ``Fault`` where it is damaged. No file: no rows."""
+def read_rows(file: Path) -> list[Row]:
+    """Return the rows of the file; none if it does not exist. Raises ``CapacityError`` if it is damaged."""
     try:
-        told = json.loads(file.read_text())
+        content = json.loads(file.read_text())
     except FileNotFoundError:
         return []
     except (OSError, ValueError) as error:
-        raise Fault(f"{file.name}: can't be read: {error}") from None
-    if not isinstance(told, list):
-        raise Fault(f"{file.name}: not a list of rows")
+        raise CapacityError(f"{file.name}: can't be read: {error}") from None
+    if not isinstance(content, list):
+        raise CapacityError(f"{file.name}: not a list of rows")
     rows: dict[tuple[str, int, int], Row] = {}
-    for n, each in enumerate(told, 1):
-        row = _row(each, f"{file.name}: row {n}")
+    for row_number, item in enumerate(content, 1):
+        row = _parse_row(item, f"{file.name}: row {row_number}")
         if row.key in rows:
-            raise Fault(f"{file.name}: row {n}: {row.name}, size {row.size}, run {row.run} is there twice")
+            raise CapacityError(
+                f"{file.name}: row {row_number}: duplicate of {row.name}, size {row.size}, run {row.run}"
+            )
         rows[row.key] = row
     return list(rows.values())
 
 
-def _row(told: Any, where: str) -> Row:
-    wanted = {each.name for each in fields(Row)}
-    if not isinstance(told, dict) or told.keys() != wanted:
-        raise Fault(f"{where}: wanted are {', '.join(sorted(wanted))}")
+def _parse_row(item: Any, where: str) -> Row:
+    expected = {each.name for each in fields(Row)}
+    if not isinstance(item, dict) or item.keys() != expected:
+        raise CapacityError(f"{where}: expected the keys {', '.join(sorted(expected))}")
     for key, kind in (
         ("name", str),
         ("setting", str),
@@ -117,50 +117,47 @@
         ("run", int),
         ("figures", dict),
     ):
-        if not isinstance(told[key], kind) or isinstance(told[key], bool):
-            raise Fault(f"{where}: {key} is no {kind.__name__}: {told[key]!r}")
-    if told["setting"] not in SETTINGS:
-        raise Fault(f"{where}: setting is {told['setting']!r} (wanted: {', '.join(SETTINGS)})")
-    for figure, value in told["figures"].items():
+        if not isinstance(item[key], kind) or isinstance(item[key], bool):
+            raise CapacityError(f"{where}: {key} is not of type {kind.__name__}: {item[key]!r}")
+    if item["setting"] not in SETTINGS:
+        raise CapacityError(f"{where}: setting is {item['setting']!r} (expected one of: {', '.join(SETTINGS)})")
+    for figure, value in item["figures"].items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < float("inf"):
-            raise Fault(f"{where}: {figure} is no number: {value!r}")
-    return Row(**told)
+            raise CapacityError(f"{where}: {figure} is not a finite number: {value!r}")
+    return Row(**item)
 
 
-def write(file: Path, rows: Iterable[Row]) -> None:
-    """Whole or not at all: aside, then renamed; a row to a line, so that changes can be read."""
+def write_rows(file: Path, rows: Iterable[Row]) -> None:
+    """Write the rows atomically, by a temporary file and a rename; one row per line, so that diffs are readable."""
     ordered = sorted(rows, key=lambda row: row.key)
     lines = ",\n".join(json.dumps(asdict(row), sort_keys=True) for row in ordered)
-    with tempfile.NamedTemporaryFile("w", dir=file.parent, prefix=file.name, delete=False) as aside:
-        aside.write(f"[\n{lines}\n]\n" if lines else "[]\n")
-        aside.flush()
-        os.fsync(aside.fileno())
-    os.chmod(aside.name, 0o644)
-    os.replace(aside.name, file)
+    with tempfile.NamedTemporaryFile("w", dir=file.parent, prefix=file.name, delete=False) as temporary:
+        temporary.write(f"[\n{lines}\n]\n" if lines else "[]\n")
+        temporary.flush()
+        os.fsync(temporary.fileno())
+    os.chmod(temporary.name, 0o644)
+    os.replace(temporary.name, file)
 
 
-def missing(rows: Iterable[Row], there: dict[str, Slope]) -> list[str]:
-    """What the file lacks, or has that no slope names, in words; nothing where it is whole."""
+def find_problems(rows: Iterable[Row], available: dict[str, Slope]) -> list[str]:
+    """Describe missing and unexpected rows; an empty list if the file is complete."""
     by_key = {row.key: row for row in rows}
-    found = []
-    for slope in there.values():
+    problems = []
+    for slope in available.values():
         for size in slope.sizes:
             for run in range(1, slope.runs + 1):
                 row = by_key.pop((slope.name, size, run), None)
                 if row is None:
-                    found.append(f"{slope.name}: size {size}, run {run} is not measured")
+                    problems.append(f"{slope.name}: size {size}, run {run} is not measured")
                 elif row.figures.keys() != slope.figures.keys():
-                    found.append(f"{slope.name}: size {size}, run {run} has not the figures that it should have")
+                    problems.append(f"{slope.name}: size {size}, run {run} has other figures than its slope")
                 elif row.setting != slope.setting:
-                    found.append(f"{slope.name}: size {size}, run {run} is of another setting")
-    return found + [f"{name}: size {size}, run {run} is of no slope" for name, size, run in by_key]
-
+                    problems.append(f"{slope.name}: size {size}, run {run} was measured in another setting")
+    return problems + [f"{name}: size {size}, run {run} belongs to no slope" for name, size, run in by_key]
 
-# Measuring
 
-
-def machine() -> str:
-    """Cores, processor, Python; neither host nor path."""
+def describe_machine() -> str:
+    """Describe cores, processor and Python, without host names and paths."""
     model = platform.machine()
     try:
         for line in Path("/proc/cpuinfo").read_text().splitlines():
@@ -175,11 +172,11 @@
     )
 
 
-def commit() -> str:
-    """What was measured; a + after it where files differ from it."""
+def measured_commit() -> str:
+    """Return the measured commit, followed by + if the working tree differs from it."""
 
-    def git(*words: str) -> str:
-        return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
+    def git(*arguments: str) -> str:
+        return subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
 
     try:
         dirty = [
@@ -190,85 +187,89 @@
         return "unknown"
 
 
-def _one(name: str, size: int, run: int) -> dict[str, float]:
+def _measure_once(name: str, size: int, run: int) -> dict[str, float]:
     slope = slopes()[name]
-    found = slope.measure(size, run)
-    if found.keys() != slope.figures.keys():
-        raise Fault(f"{name}: measured were {', '.join(found)}, not {', '.join(slope.figures)}")
-    return {figure: float(f"{value:.6g}") for figure, value in found.items()}
+    figures = slope.measure(size, run)
+    if figures.keys() != slope.figures.keys():
+        raise CapacityError(f"{name}: measured {', '.join(figures)}, expected {', '.join(slope.figures)}")
+    return {figure: float(f"{value:.6g}") for figure, value in figures.items()}
 
 
-def measure(wanted: list[Slope], file: Path, pool: Executor) -> None:
-    """Every size and run of these; each row is written when it is there."""
-    by_name = {slope.name: slope for slope in wanted}
+def measure(selected: list[Slope], file: Path, pool: Executor) -> None:
+    """Measure every size and run of these slopes; write each row as soon as it is measured."""
+    by_name = {slope.name: slope for slope in selected}
 
-    def kept() -> dict[tuple[str, int, int], Row]:
-        """Read anew each time, as others may measure; without sizes and runs that a slope no longer has."""
+    def current_rows() -> dict[tuple[str, int, int], Row]:
+        """Read the file again each time, as others may measure, too; drop sizes and runs that a slope no longer has."""
         return {
             row.key: row
-            for row in read(file)
+            for row in read_rows(file)
             if row.name not in by_name or row.size in by_name[row.name].sizes and row.run <= by_name[row.name].runs
         }
 
-    kept()  # a damaged file is told before anything is measured
-    at, on, failed = commit(), machine(), []
-    todo = {
-        pool.submit(_one, slope.name, size, run): (slope, size, run)
-        for slope in wanted
+    current_rows()  # reports a damaged file before anything is measured
+    commit_id, machine_text, failures = measured_commit(), describe_machine(), []
+    runs = {
+        pool.submit(_measure_once, slope.name, size, run): (slope, size, run)
+        for slope in selected
         for run in range(1, slope.runs + 1)
         for size in slope.sizes
     }
-    for done in as_completed(todo):
-        slope, size, run = todo[done]
+    for done in as_completed(runs):
+        slope, size, run = runs[done]
         try:
             figures = done.result()
-        except Exception as error:  # whatever it is: the other runs go on
-            failed.append(f"{slope.name}, size {size}, run {run}: {type(error).__name__}: {error}")
+        except Exception as error:  # any error: the other runs continue
+            failures.append(f"{slope.name}, size {size}, run {run}: {type(error).__name__}: {error}")
             continue
-        now = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
-        row = Row(slope.name, size, run, slope.setting, now, at, on, figures)
-        write(file, (kept() | {row.key: row}).values())
+        date = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
+        row = Row(slope.name, size, run, slope.setting, date, commit_id, machine_text, figures)
+        write_rows(file, (current_rows() | {row.key: row}).values())
         shown = ", ".join(f"{figure} {value:g} {slope.figures[figure]}" for figure, value in row.figures.items())
         print(f"{slope.name}, {size} {slope.by}, run {run}: {shown}", flush=True)
-    if failed:
-        raise Fault(f"{len(failed)} runs failed: {'; '.join(failed)}")
+    if failures:
+        raise CapacityError(f"{len(failures)} runs failed: {'; '.join(failures)}")
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Measure, or render."""
+    """Measure slopes, render the page, or list the slopes."""
     parser = argparse.ArgumentParser(
         prog="benchmarks.capacity", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--file", type=Path, default=FILE, help="the measured rows (benchmarks/capacity.json)")
-    verbs = parser.add_subparsers(dest="verb", required=True)
-    measured = verbs.add_parser("measure", help="measure slopes, all or those named")
-    measured.add_argument("name", nargs="*")
-    measured.add_argument("--jobs", type=int, default=1, help="runs at the same time (1)")
-    page = verbs.add_parser("page", help="render docs/CAPACITY.md")
-    page.add_argument("--check", action="store_true", help="write nothing; exit code 1 where page and file differ")
-    verbs.add_parser("list", help="the slopes that there are, and what of them is not measured")
-    given = parser.parse_args(argv)
+    parser.add_argument(
+        "--file", type=Path, default=FILE, help="file of the measured rows (default: benchmarks/capacity.json)"
+    )
+    subparsers = parser.add_subparsers(dest="verb", required=True)
+    measure_parser = subparsers.add_parser("measure", help="measure the named slopes, or all")
+    measure_parser.add_argument("name", nargs="*")
+    measure_parser.add_argument("--jobs", type=int, default=1, help="number of concurrent runs (default: 1)")
+    page_parser = subparsers.add_parser("page", help="render docs/CAPACITY.md")
+    page_parser.add_argument(
+        "--check", action="store_true", help="write nothing; exit code 1 if the page is not up to date"
+    )
+    subparsers.add_parser("list", help="list all slopes and their missing runs")
+    options = parser.parse_args(argv)
     try:
-        there = slopes()
-        if given.verb == "measure":
+        available = slopes()
+        if options.verb == "measure":
             spawn = multiprocessing.get_context("spawn")
-            with ProcessPoolExecutor(max(1, given.jobs), mp_context=spawn, max_tasks_per_child=1) as pool:
-                measure(named(given.name, there), given.file, pool)
-        elif given.verb == "page":
-            from benchmarks.capacity_page import render  # it imports this module
-
-            rendered = render(read(given.file), there)
-            if given.check:
-                same = PAGE.exists() and PAGE.read_text() == rendered
-                print("the page is that of the file" if same else "the page differs from what the file renders")
-                return 0 if same else 1
+            with ProcessPoolExecutor(max(1, options.jobs), mp_context=spawn, max_tasks_per_child=1) as pool:
+                measure(select_slopes(options.name, available), options.file, pool)
+        elif options.verb == "page":
+            from benchmarks.capacity_page import render  # imported here, as it imports this module
+
+            rendered = render(read_rows(options.file), available)
+            if options.check:
+                is_current = PAGE.exists() and PAGE.read_text() == rendered
+                print("the page is up to date" if is_current else "the page differs from what the file renders to")
+                return 0 if is_current else 1
             PAGE.write_text(rendered)
         else:
-            for slope in there.values():
+            for slope in available.values():
                 print(f"{slope.name} ({slope.setting}), by {slope.by}: {slope.doc}")
-            print("\n".join(missing(read(given.file), there)) or "all of them are measured")
-    except Fault as fault:
-        print(f"capacity: {fault}", file=sys.stderr)
+            print("\n".join(find_problems(read_rows(options.file), available)) or "all slopes are measured")
+    except CapacityError as error:
+        print(f"capacity: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -1,7 +1,7 @@
-"""Slopes with members in groups and words by brokers: the same figures as before them, by the same functions.
+"""Slopes with members in groups and observations relayed by brokers, measured by the functions of the slopes without.
 
-Members and words on the modelled network, in groups of 50 and two regions with three brokers each; what one broker
-bears as a pure module, with its couriers only played.
+Members and observations are measured on the modelled network, in groups of 50 and two regions with three brokers each;
+the load of one broker is measured as a pure module, with simulated couriers.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 GROUP = 50
 MS, SECOND = 1_000, 1_000_000
 TICK = 50 * MS
-WORDS = 100  # published one by one, each on a destination of its own, within the term of the leases
+OBSERVATIONS = 100  # published one by one, each on its own destination, within the term of the leases
 
 
-def grouped(measure: str) -> Slope:
-    """One of the slopes of members, in groups."""
-    figures, doc, functions = FIGURES[measure]
+def grouped_slope(name: str) -> Slope:
+    """Return a membership slope with members in groups."""
+    figures, doc, function = GROUPED_SLOPES[name]
     return Slope(
-        f"{measure}-grouped",
+        f"{name}-grouped",
         "members",
         NET,
         figures,
-        lambda size, seed: functions(size, seed, GROUP),  # type: ignore[operator]
-        f"The same as {measure}, in groups of {GROUP} with brokers: {doc} of its group; the modelled network",
+        lambda size, seed: function(size, seed, GROUP),  # type: ignore[operator]
+        f"The same as {name}, in groups of {GROUP} with brokers: {doc} of its group; the modelled network",
         setting=MODELLED,
     )
 
 
-FIGURES = {
+GROUPED_SLOPES = {
     "members": (
         {"sent": "bytes", "processor": "ms", "least-known": "count", "held-back": "count", "all-known": "s"},
         f"what a courier knows ({PATIENT // SECOND} s at most)",
@@ -47,107 +47,110 @@
     ),
     "members-churn": (
         {"sent": "bytes", "processor": "ms", "loss-known": "s", "wrongly-dead": "count"},
-        "until 99 % hold the lost one for dead",
+        "until 99 % consider the lost one dead",
         churn,
     ),
     "members-wave": (
         {"known": "s", "joined": "s", "sent": "bytes", "held-back": "count"},
-        "until a wave is known, and knows all",
+        "until a restarted wave is known, and knows all",
         wave,
     ),
 }
 
 
-def word(size: int, seed: int) -> dict[str, float]:
-    """One courier's word on an endpoint of a destination that concerns a few."""
-    found = heard(seed, size, GROUP, ASSUMED.placed)
+def measure_observation(size: int, seed: int) -> dict[str, float]:
+    """Measure one courier's observation of an endpoint in whose destination only a few couriers are interested."""
+    result = heard(seed, size, GROUP, ASSUMED.placed)
     return {
-        "sent": float(found.witness),
-        "known": found.seconds,
-        "told": found.knew * (ASSUMED.placed - 1),
-        "by-brokers": float(found.brokers),
-        "told-beside": float(found.others),
+        "sent": float(result.witness),
+        "known": result.seconds,
+        "told": result.knew * (ASSUMED.placed - 1),
+        "by-brokers": float(result.brokers),
+        "told-beside": float(result.others),
     }
 
 
-def broker(size: int, seed: int) -> dict[str, float]:
-    """One broker with so many subscribers, each with its part of the destinations placed on a courier."""
+def measure_broker(size: int, seed: int) -> dict[str, float]:
+    """Measure one broker with ``size`` subscribers, each with its share of the destinations placed on a courier."""
     regions = {
         f"r{region}/b{n}": ("10.9.0.1", 2_771 + 100 * region + n)
         for region in range(TARGET.regions)
         for n in range(TARGET.control_a_region)
     }
-    me = "r0/b0"
-    each = round(TARGET.destinations * ASSUMED.placed / TARGET.couriers * COPIES / TARGET.control_a_region)
+    name = "r0/b0"
+    share = round(TARGET.destinations * ASSUMED.placed / TARGET.couriers * COPIES / TARGET.control_a_region)
     sealers = [Sealer(f"c-{n % 20:02}-{n:05}", 1, [KEY]) for n in range(size)]
     gc.collect()
     tracemalloc.start()
-    held = Broker(BrokerAbout(me, "r0", regions[me], 7, [KEY], regions, TARGET.couriers, 1 << 30), 0, seed)
+    broker = Broker(BrokerAbout(name, "r0", regions[name], 7, [KEY], regions, TARGET.couriers, 1 << 30), 0, seed)
     now = TICK
-    held.tick(now)
+    broker.tick(now)
 
-    def said(n: int, *words: Word) -> None:
-        held.hear(sealers[n].seal(me, list(words)), now)
+    def receive(n: int, *messages: Word) -> None:
+        broker.hear(sealers[n].seal(name, list(messages)), now)
 
     digests = []
     for n in range(size):
-        dests = [(n * each // ASSUMED.placed + k) for k in range(each)]  # as many at each as placement has it
+        # As many couriers subscribe to each destination as are placed on it.
+        destinations = [(n * share // ASSUMED.placed + offset) for offset in range(share)]
         digest = 0
-        said(n, Renew(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
-        for at in range(0, each, PIECE):
-            said(n, Subscribe(1, dests[at : at + PIECE]))
-        for dest in dests:
-            digest ^= mark(dest)
+        receive(n, Renew(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
+        for start in range(0, share, PIECE):
+            receive(n, Subscribe(1, destinations[start : start + PIECE]))
+        for destination in destinations:
+            digest ^= mark(destination)
         digests.append(digest)
         if n % 100 == 0:
             now += TICK
-            held.tick(now)
+            broker.tick(now)
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     now += TICK
-    held.tick(now)
-    renewals = [sealers[n].seal(me, [Renew(2, "10.0.0.1", 2_770, n, 7, 1, each, digests[n])]) for n in range(size)]
-    begin, sent = time.process_time(), held.sent
+    broker.tick(now)
+    renewals = [sealers[n].seal(name, [Renew(2, "10.0.0.1", 2_770, n, 7, 1, share, digests[n])]) for n in range(size)]
+    cpu_started_at, sent_before = time.process_time(), broker.sent
     for renewal in renewals:
-        held.hear(renewal, now)
-    renew, renewed = (time.process_time() - begin) * 1e6 / size, (held.sent - sent) / size
-    cpu = bytes_ = 0.0
-    for n in range(WORDS):
-        who = n * size // WORDS
-        dest = who * each // ASSUMED.placed + each // 2
-        data = sealers[who].seal(me, [Publish(dest, Seen(f"e-{dest:07}", Kind.DOWN, 0, 0, n + 1))])
+        broker.hear(renewal, now)
+    renewal_cpu, renewal_bytes = (time.process_time() - cpu_started_at) * 1e6 / size, (broker.sent - sent_before) / size
+    cpu = bytes_sent = 0.0
+    for n in range(OBSERVATIONS):
+        witness = n * size // OBSERVATIONS
+        destination = witness * share // ASSUMED.placed + share // 2
+        datagram = sealers[witness].seal(
+            name, [Publish(destination, Seen(f"e-{destination:07}", Kind.DOWN, 0, 0, n + 1))]
+        )
         now += TICK
-        held.tick(now)
-        begin, sent = time.process_time(), held.sent
-        held.hear(data, now)
+        broker.tick(now)
+        cpu_started_at, sent_before = time.process_time(), broker.sent
+        broker.hear(datagram, now)
         now += TICK
-        held.tick(now)
-        cpu += time.process_time() - begin
-        bytes_ += held.sent - sent
-    assert held.passed_on > 0 and held.stand(now)["subscribers"] == size
+        broker.tick(now)
+        cpu += time.process_time() - cpu_started_at
+        bytes_sent += broker.sent - sent_before
+    assert broker.passed_on > 0 and broker.stand(now)["subscribers"] == size
     return {
         "memory": memory,
-        "renewal": renew,
-        "renewal-sent": renewed,
-        "word": cpu * 1e6 / WORDS,
-        "word-sent": bytes_ / WORDS,
-        "told": held.passed_on / WORDS,
+        "renewal": renewal_cpu,
+        "renewal-sent": renewal_bytes,
+        "word": cpu * 1e6 / OBSERVATIONS,
+        "word-sent": bytes_sent / OBSERVATIONS,
+        "told": broker.passed_on / OBSERVATIONS,
     }
 
 
 SLOPES = [
-    *(grouped(name) for name in FIGURES),
+    *(grouped_slope(name) for name in GROUPED_SLOPES),
     Slope(
         "word-brokered",
         "members",
         NET,
         {"sent": "bytes", "known": "s", "told": "count", "by-brokers": "bytes", "told-beside": "count"},
-        word,
-        f"One tells of a failed call at a destination that concerns {ASSUMED.placed} couriers, by brokers, in groups "
-        f"of {GROUP}: bytes that it sends for it, time until 99 % of the others concerned know, how many of them "
-        "know, bytes of all brokers in 5 s with leases, and couriers told that it does not concern; the modelled "
-        "network",
+        measure_observation,
+        f"One courier reports a failed call at a destination in which {ASSUMED.placed} couriers are interested, by "
+        f"brokers, in groups of {GROUP}: bytes that it sends for it, time until 99 % of the other interested couriers "
+        "know, how many of them know, bytes of all brokers in 5 s including leases, and uninterested couriers that "
+        "receive it; the modelled network",
         setting=MODELLED,
     ),
     Slope(
@@ -155,10 +158,10 @@
         "subscribers",
         (200, 400, 800, 1_667),
         {"memory": "MB", "renewal": "us", "renewal-sent": "bytes", "word": "us", "word-sent": "bytes", "told": "count"},
-        broker,
-        "One broker with so many couriers of its region, each subscribed to its part of the destinations placed on "
-        "a courier: memory, processor time and bytes of a renewal, and of a word on its way to those concerned and "
-        "to the other regions, an empty tick in it",
+        measure_broker,
+        "One broker with this many couriers of its region, each subscribed to its share of the destinations placed "
+        "on a courier: memory, processor time and bytes of a renewal, and of relaying an observation to the interested "
+        "couriers and to the other regions, including an empty tick",
         setting=PURE,
     ),
 ]
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -8,7 +8,7 @@
 from statistics import mean
 
 from benchmarks.capacity import Row as Measured
-from benchmarks.capacity import missing
+from benchmarks.capacity import find_problems
 from benchmarks.capacity_peers import CALLS, LOAD, RESTART_EVERY, Played
 from benchmarks.capacity_roles import (
     BYTES,
@@ -142,7 +142,7 @@
     machines = sorted({row.machine for row in rows})
     commits = sorted({row.commit for row in rows})
     days = sorted({row.date[:10] for row in rows})
-    lacks = missing(rows, slopes)
+    lacks = find_problems(rows, slopes)
     return [
         "# Slopes to the target",
         "",
@@ -956,4 +956,9 @@
         f"{amount(TICK / 1e6, 's')}, and no datagram waits for a busy process.",
         "- Processor time was measured on the machine named above, other work beside it on other cores.",
     ]
-    return ["## What is not known", "", *lines, *(f"- Not measured: {each}." for each in missing(rows, slopes)[:5])]
+    return [
+        "## What is not known",
+        "",
+        *lines,
+        *(f"- Not measured: {each}." for each in find_problems(rows, slopes)[:5]),
+    ]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 import pytest
 
 from benchmarks import capacity
-from benchmarks.capacity import FILE, PAGE, Fault, Row, read, slopes, write
+from benchmarks.capacity import FILE, PAGE, CapacityError, Row, read_rows, slopes, write_rows
 from benchmarks.capacity_fit import fit
 from benchmarks.capacity_page import amount, number, render
 from benchmarks.capacity_roles import ROWS, STAND, By, Reading, ranked, results
@@ -26,11 +26,11 @@
 
 
 def test_the_page_is_what_the_file_renders() -> None:
-    assert PAGE.read_text() == render(read(FILE), slopes()), "python -m benchmarks.capacity page"
+    assert PAGE.read_text() == render(read_rows(FILE), slopes()), "python -m benchmarks.capacity page"
 
 
 def test_the_file_has_every_run_of_every_slope() -> None:
-    assert capacity.missing(read(FILE), slopes()) == []
+    assert capacity.find_problems(read_rows(FILE), slopes()) == []
 
 
 def test_every_slope_has_sizes_and_runs_enough() -> None:
@@ -40,13 +40,13 @@
 
 
 def test_every_row_of_a_role_is_worked_out() -> None:
-    found, lacking = results(Reading(slopes(), read(FILE)))
+    found, lacking = results(Reading(slopes(), read_rows(FILE)))
     assert lacking == [] and len(found) == len(ROWS) and all(each.ratio > 0 for each in found)
     assert {each.row.by for each in found} == set(By) == set(STAND)
 
 
 def test_the_ranking_is_by_the_worst_row_of_each_mechanism() -> None:
-    found, _ = results(Reading(slopes(), read(FILE)))
+    found, _ = results(Reading(slopes(), read_rows(FILE)))
     order = ranked(found)
     assert [each.ratio for each in order] == sorted((each.ratio for each in order), reverse=True)
     for each in order:
@@ -172,9 +172,9 @@
 
 def test_rows_come_back_as_they_were_written(tmp_path: Path) -> None:
     file, rows = tmp_path / "rows.json", [A_ROW, replace(A_ROW, run=2), replace(A_ROW, name="other", size=1)]
-    write(file, reversed(rows))
-    assert read(file) == rows and [each.name for each in tmp_path.iterdir()] == ["rows.json"]
-    assert read(tmp_path / "none.json") == []
+    write_rows(file, reversed(rows))
+    assert read_rows(file) == rows and [each.name for each in tmp_path.iterdir()] == ["rows.json"]
+    assert read_rows(tmp_path / "none.json") == []
 
 
 def damaged(**changes: Any) -> str:
@@ -187,17 +187,20 @@
         ("", "can't be read"),
         ("[{", "can't be read"),
         ("{}", "not a list of rows"),
-        ("[1]", "row 1: wanted are commit, date"),
-        (json.dumps([{key: value for key, value in asdict(A_ROW).items() if key != "commit"}]), "row 1: wanted are"),
-        (damaged(more=1), "row 1: wanted are"),
-        (damaged(size="10"), "row 1: size is no int: '10'"),
-        (damaged(run=True), "row 1: run is no int"),
-        (damaged(setting="a guess"), "row 1: setting is 'a guess' (wanted: real process"),
-        (damaged(figures={"cost": "much"}), "row 1: cost is no number: 'much'"),
-        (damaged(figures={"cost": None}), "row 1: cost is no number"),
-        ('[{"a": NaN}]', "row 1: wanted are"),
-        (damaged(figures={"cost": float("nan")}), "row 1: cost is no number"),
-        (json.dumps([asdict(A_ROW), asdict(A_ROW)]), "row 2: grows, size 10, run 1 is there twice"),
+        ("[1]", "row 1: expected the keys commit, date"),
+        (
+            json.dumps([{key: value for key, value in asdict(A_ROW).items() if key != "commit"}]),
+            "row 1: expected the keys",
+        ),
+        (damaged(more=1), "row 1: expected the keys"),
+        (damaged(size="10"), "row 1: size is not of type int: '10'"),
+        (damaged(run=True), "row 1: run is not of type int"),
+        (damaged(setting="a guess"), "row 1: setting is 'a guess' (expected one of: real process"),
+        (damaged(figures={"cost": "much"}), "row 1: cost is not a finite number: 'much'"),
+        (damaged(figures={"cost": None}), "row 1: cost is not a finite number"),
+        ('[{"a": NaN}]', "row 1: expected the keys"),
+        (damaged(figures={"cost": float("nan")}), "row 1: cost is not a finite number"),
+        (json.dumps([asdict(A_ROW), asdict(A_ROW)]), "row 2: duplicate of grows, size 10, run 1"),
     ],
 )
 @pytest.mark.parametrize("verb", [["page", "--check"], ["list"]])
@@ -206,13 +209,13 @@
 ) -> None:
     (tmp_path / "rows.json").write_text(text)
     assert capacity.main(["--file", str(tmp_path / "rows.json"), *verb]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith("capacity: rows.json: ") and says in told and told.count("\n") == 1
+    error_output = capsys.readouterr().err
+    assert error_output.startswith("capacity: rows.json: ") and says in error_output and error_output.count("\n") == 1
 
 
 def test_a_name_that_is_none_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert capacity.main(["--file", str(tmp_path / "rows.json"), "measure", "members", "membres"]) == 2
-    assert "no such slope: membres (there are: members, " in capsys.readouterr().err
+    assert "unknown slope: membres (available: members, " in capsys.readouterr().err
     assert not list(tmp_path.iterdir())
 
 
@@ -220,13 +223,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(capacity, "PAGE", tmp_path / "page.md")
-    rows = read(FILE)
-    write(tmp_path / "rows.json", rows)
+    rows = read_rows(FILE)
+    write_rows(tmp_path / "rows.json", rows)
     check = ["--file", str(tmp_path / "rows.json"), "page"]
     assert capacity.main([*check, "--check"]) == 1
     assert capacity.main(check) == 0 and capacity.main([*check, "--check"]) == 0
     first = rows[0]
-    write(tmp_path / "rows.json", [replace(first, figures={k: 2 * v + 1 for k, v in first.figures.items()}), *rows[1:]])
+    write_rows(
+        tmp_path / "rows.json", [replace(first, figures={k: 2 * v + 1 for k, v in first.figures.items()}), *rows[1:]]
+    )
     assert capacity.main([*check, "--check"]) == 1
     assert "differs" in capsys.readouterr().out
 
@@ -250,7 +255,7 @@
     monkeypatch.setattr(capacity, "slopes", lambda: {slope.name: slope for slope in there})
     with ThreadPoolExecutor(1) as pool:
         capacity.measure([slope for slope in there if only in (None, slope.name)], file, pool)
-    return read(file)
+    return read_rows(file)
 
 
 def test_every_size_and_run_is_measured_and_says_where(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -258,7 +263,7 @@
     assert [(row.size, row.run, row.figures["cost"]) for row in rows] == [
         (size, run, size * 10 + run) for size in (1, 2, 3, 4) for run in (1, 2, 3)
     ]
-    assert capacity.missing(rows, {"one": a_slope("one")}) == []
+    assert capacity.find_problems(rows, {"one": a_slope("one")}) == []
     for row in rows:
         assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ", row.date) and row.setting == "pure module"
         assert re.fullmatch(r"[0-9a-f]{12}\+?|unknown", row.commit)
@@ -284,9 +289,9 @@
         return {"cost": 1.0} if (size, run) != (4, 2) else {"price": 1.0}
 
     file = tmp_path / "rows.json"
-    with pytest.raises(Fault, match="2 runs failed: one, size 3, run 1: RuntimeError: out.*; one, size 4"):
+    with pytest.raises(CapacityError, match="2 runs failed: one, size 3, run 1: RuntimeError: out.*; one, size 4"):
         played(monkeypatch, file, replace(a_slope("one"), measure=breaks))
-    assert capacity.missing(read(file), {"one": a_slope("one")}) == [
+    assert capacity.find_problems(read_rows(file), {"one": a_slope("one")}) == [
         "one: size 3, run 1 is not measured",
         "one: size 4, run 2 is not measured",
     ]
@@ -294,7 +299,7 @@
 
 def test_each_row_is_there_once_it_is_measured(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file, seen = tmp_path / "rows.json", []
-    monkeypatch.setattr(capacity, "print", lambda *words, **more: seen.append(len(read(file))), raising=False)
+    monkeypatch.setattr(capacity, "print", lambda *words, **more: seen.append(len(read_rows(file))), raising=False)
     played(monkeypatch, file, a_slope("one"))
     assert seen == list(range(1, 13))
 
@@ -304,7 +309,7 @@
         raise AssertionError
 
     (tmp_path / "rows.json").write_text("[{")
-    with pytest.raises(Fault, match="can't be read"):
+    with pytest.raises(CapacityError, match="can't be read"):
         played(monkeypatch, tmp_path / "rows.json", replace(a_slope("one"), measure=never))
     assert (tmp_path / "rows.json").read_text() == "[{"
 
@@ -312,34 +317,36 @@
 @pytest.mark.parametrize(
     ("change", "says"),
     [
-        ({"figures": {"other": 1.0}}, "one: size 1, run 1 has not the figures that it should have"),
-        ({"setting": "real process"}, "one: size 1, run 1 is of another setting"),
-        ({"name": "gone"}, "gone: size 1, run 1 is of no slope"),
-        ({"run": 4}, "one: size 1, run 4 is of no slope"),
+        ({"figures": {"other": 1.0}}, "one: size 1, run 1 has other figures than its slope"),
+        ({"setting": "real process"}, "one: size 1, run 1 was measured in another setting"),
+        ({"name": "gone"}, "gone: size 1, run 1 belongs to no slope"),
+        ({"run": 4}, "one: size 1, run 4 belongs to no slope"),
     ],
 )
 def test_what_is_not_as_its_slope_says_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, change: dict[str, Any], says: str
 ) -> None:
     rows = played(monkeypatch, tmp_path / "rows.json", a_slope("one"))
-    assert says in capacity.missing([replace(rows[0], **change), *rows[1:]], {"one": a_slope("one")})
+    assert says in capacity.find_problems([replace(rows[0], **change), *rows[1:]], {"one": a_slope("one")})
 
 
 def test_two_slopes_of_one_name_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity, "MODULES", ("benchmarks.capacity_peers",) * 2)
-    with pytest.raises(Fault, match="members is there twice"):
+    with pytest.raises(CapacityError, match="duplicate slope: members"):
         slopes()
 
 
 def test_a_slope_that_is_not_measured_is_said_on_the_page() -> None:
-    rows = [row for row in read(FILE) if row.name != "word"]
+    rows = [row for row in read_rows(FILE) if row.name != "word"]
     page = render(rows, slopes())
     assert "Not whole: " in page and "Not worked out: words on what is down, told by one courier" in page
 
 
 def test_a_mechanism_is_set_beside_what_was_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = [replace(row, name="word-brokered", figures={"sent": 100.0}) for row in read(FILE) if row.name == "word"]
+    told = [
+        replace(row, name="word-brokered", figures={"sent": 100.0}) for row in read_rows(FILE) if row.name == "word"
+    ]
     there = slopes()
     after = replace(there["word"], name="word-brokered", figures={"sent": "bytes"})
-    page = render([*read(FILE), *told], there | {"word-brokered": after})
+    page = render([*read_rows(FILE), *told], there | {"word-brokered": after})
     assert "### word, then word-brokered" in page and "| sent | 50 | " in page
