--- a/benchmarks/message.py
+++ b/benchmarks/message.py
@@ -1,8 +1,9 @@
-"""What a message costs on the `run` line: CPU a message, and the program's memory.
+"""What a message costs: processor time per message, and the program's memory.
 
     python -m benchmarks.message [--root CHECKOUT] [--rate 150] [--for 15]
 
-The program of a checkout (this one by default) is started as the platform does it, between stand-ins in this process.
+The program of a checkout (by default this one) is started as the platform starts it, between stand-in servers of this
+process.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import tempfile
 import time
 
-from benchmarks.program import HOPS, ROOT, load, program, row, used, wait
+from benchmarks.program import HOPS, ROOT, endpoint_row, process_usage, run_for, running_courier, start_load
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.standins import platform
 
@@ -22,25 +23,27 @@
     parser.add_argument("--root", default=str(ROOT))
     parser.add_argument("--rate", type=int, default=150)
     parser.add_argument("--for", dest="span", type=int, default=15)
-    told = parser.parse_args()
+    options = parser.parse_args()
     loop, seen = Loop(), platform.Seen()
     hops = [platform.NextHop(loop, seen, n, platform.Manners(10 * MS, 20 * MS)) for n in range(HOPS)]
-    rows = [row(n, hop.address, n) for n, hop in enumerate(hops)]
+    rows = [endpoint_row(n, hop.address, n) for n, hop in enumerate(hops)]
     discovery = platform.Discovery(loop, rows)
     with (
-        tempfile.TemporaryDirectory() as folder,
-        program(loop, folder, discovery.address, rows, root=told.root) as courier,
+        tempfile.TemporaryDirectory() as state_directory,
+        running_courier(loop, state_directory, discovery.address, rows, root=options.root) as courier,
     ):
-        wait(loop, 2 * SECOND)
-        idle = used(courier.process.pid)
-        begin = time.monotonic()
-        statuses = load(courier, told.rate, told.span * SECOND, platform.CLASSES, in_step=True)
-        wait(loop, (told.span + 1) * SECOND)
-        busy = used(courier.process.pid)
-    count = statuses.count(202)
-    print(f"{'messages taken on':<40} {count} in {time.monotonic() - begin:.0f} s, delivered {len(seen.answered)}")
-    print(f"{'CPU a message':<40} {(busy[0] - idle[0]) * 1e6 / count:.0f} us")
-    print(f"{'memory idle, busy, at the most':<40} {idle[1] / 1024:.1f}, {busy[1] / 1024:.1f}, {busy[2] / 1024:.1f} MB")
+        run_for(loop, 2 * SECOND)
+        idle = process_usage(courier.process.pid)
+        started_at = time.monotonic()
+        statuses = start_load(courier, options.rate, options.span * SECOND, platform.CLASSES, synchronized=True)
+        run_for(loop, (options.span + 1) * SECOND)
+        busy = process_usage(courier.process.pid)
+    accepted = statuses.count(202)
+    print(
+        f"{'messages accepted':<40} {accepted} in {time.monotonic() - started_at:.0f} s, delivered {len(seen.answered)}"
+    )
+    print(f"{'CPU per message':<40} {(busy[0] - idle[0]) * 1e6 / accepted:.0f} us")
+    print(f"{'memory idle, busy, peak':<40} {idle[1] / 1024:.1f}, {busy[1] / 1024:.1f}, {busy[2] / 1024:.1f} MB")
 
 
 if __name__ == "__main__":
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -1,4 +1,4 @@
-"""One real courier between stand-ins in this process: started as the platform does it, watched, and ended by its id."""
+"""One real courier process between stand-in servers of this process: start, observation and stop."""
 
 from __future__ import annotations
 
@@ -22,168 +22,173 @@
 
 ROOT = Path(__file__).parent.parent
 HOPS, CLIENTS = 4, 8
-STILL, LOOK = 20 * MS, 5 * MS  # a process that used no processor time for so long has done what it was told
+IDLE_TIME, POLL_INTERVAL = 20 * MS, 5 * MS  # a process that used no processor time for IDLE_TIME has finished its work
 T = TypeVar("T")
 
 
 class NotMeasured(RuntimeError):
-    """A figure can't be had at this size; the text names the limit or the refusal."""
+    """A figure cannot be measured at this size; the text names the limit or the refusal."""
 
 
-def used(process: int) -> tuple[float, int, int]:
-    """Processor time in seconds, memory now and at the most in KB, of a process."""
+def process_usage(process: int) -> tuple[float, int, int]:
+    """Return a process's processor time in seconds, and its current and peak resident memory in KB."""
     lines = Path(f"/proc/{process}/status").read_text().splitlines()
     status = dict(line.split(":", 1) for line in lines if ":" in line)
-    clock = ~process << 3 | 2  # what clock_getcpuclockid(3) makes of it: to the nanosecond, where stat has ticks
+    # The clock id as clock_getcpuclockid(3) computes it: nanoseconds, where /proc/PID/stat has clock ticks.
+    clock = ~process << 3 | 2
     return time.clock_gettime_ns(clock) / 1e9, int(status["VmRSS"].split()[0]), int(status["VmHWM"].split()[0])
 
 
-def run(loop: Loop, call: Callable[..., T], *given: Any, within: int = 60 * SECOND) -> T:
-    """Run a task on the loop to its end, and return what it does; ``NotMeasured`` where that takes too long."""
-    ended: list[tuple[T | None, BaseException | None]] = []
+def run_task(loop: Loop, call: Callable[..., T], *arguments: Any, timeout: int = 60 * SECOND) -> T:
+    """Run a task on the loop to its end and return its result; raises ``NotMeasured`` after ``timeout``."""
+    outcomes: list[tuple[T | None, BaseException | None]] = []
 
     def task() -> None:
         try:
-            ended.append((call(*given), None))
+            outcomes.append((call(*arguments), None))
         except Exception as error:
-            ended.append((None, error))
+            outcomes.append((None, error))
 
     loop.spawn(task)
-    until = loop.clock() + within
-    loop.at(until, lambda: None)  # or the last turn might wait for good
-    while not ended:
-        if loop.clock() >= until:
-            raise NotMeasured(f"{call.__qualname__} has not ended after {within // SECOND} s")
+    deadline = loop.clock() + timeout
+    loop.at(deadline, lambda: None)  # wakes the loop up, which might wait forever in its last turn otherwise
+    while not outcomes:
+        if loop.clock() >= deadline:
+            raise NotMeasured(f"{call.__qualname__} did not end within {timeout // SECOND} s")
         loop.turn()
-    value, error = ended[0]
+    value, error = outcomes[0]
     if error is not None:
         raise error
     return value  # type: ignore[return-value]
 
 
-def wait(loop: Loop, span: int) -> None:
-    """Let the stand-ins go on for so long."""
-    run(loop, loop.sleep, span, within=span + 10 * SECOND)
+def run_for(loop: Loop, duration: int) -> None:
+    """Run the stand-ins for this long."""
+    run_task(loop, loop.sleep, duration, timeout=duration + 10 * SECOND)
 
 
-class Teller(platform.Discovery):
-    """Discovery that tells a watch only what changed after it began, and an empty line at once and each second."""
+class WatchDiscovery(platform.Discovery):
+    """Discovery that sends to a watch only later changes, and an empty line as keep-alive at once and each second."""
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop, rows)
-        self._watching: list[Stream] = []
-        self._telling = False  # a long list is not broken into by an empty line
+        self._watches: list[Stream] = []
+        self._writing = False  # keeps an empty line out of the middle of a long list
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
         if head.first[0] == "POST" or "watch=1" not in head.first[1]:
             return super().reply(stream, head, body)
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", self.loop.now + SECOND)
-        self._watching.append(stream)
+        self._watches.append(stream)
         while not stream.ended():
-            if not self._telling:
+            if not self._writing:
                 stream.write(b"1\r\n\n\r\n", self.loop.now + SECOND)
             self.loop.sleep(SECOND)
-        self._watching.remove(stream)
+        self._watches.remove(stream)
         return None
 
-    def tell(self, rows: list[dict[str, Any]], whole: bool = False) -> tuple[int, float]:
-        """Write these rows to each watch, as changes or as the ``whole`` list; bytes on the wire, and seconds of
-        processor time that it took here. To be called in a task."""
-        if not self._watching:
-            raise NotMeasured("the courier does not watch discovery now")
-        begin = time.process_time_ns()
+    def send_update(self, rows: list[dict[str, Any]], snapshot: bool = False) -> tuple[int, float]:
+        """Write these rows to each watch, as changes or as a full ``snapshot``; call it in a task.
+
+        Returns the bytes on the wire and the seconds of processor time that this process used.
+        """
+        if not self._watches:
+            raise NotMeasured("the courier has no open watch at discovery")
+        cpu_started_ns = time.process_time_ns()
         self.index += 1
-        told = {"index": self.index, "snapshot": whole, "endpoints": rows}
-        line = ujson.dumps(told, escape_forward_slashes=False).encode() + b"\n"
+        update = {"index": self.index, "snapshot": snapshot, "endpoints": rows}
+        line = ujson.dumps(update, escape_forward_slashes=False).encode() + b"\n"
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
-        self._telling = True
+        self._writing = True
         try:
-            for stream in self._watching:
+            for stream in self._watches:
                 stream.write(chunk, self.loop.now + 5 * SECOND)
         except (Closed, Late) as error:
             raise NotMeasured(
-                f"the courier took no line of {len(line)} bytes from discovery ({error!r}); "
-                f"the longest that it reads is {MOST_LINE}"
+                f"the courier did not read a line of {len(line)} bytes from discovery ({error!r}); "
+                f"it reads at most {MOST_LINE}"
             ) from error
         finally:
-            self._telling = False
-        return len(chunk), (time.process_time_ns() - begin) / 1e9
+            self._writing = False
+        return len(chunk), (time.process_time_ns() - cpu_started_ns) / 1e9
 
 
 class Program:
-    """A courier that runs: its process, its folder, and what is asked of it."""
+    """A running courier: its process, its state directory, and requests to it."""
 
-    def __init__(self, loop: Loop, folder: Path, config: dict[str, Any], root: str | Path = ROOT) -> None:
-        self.loop, self.folder, self.config = loop, folder, config
+    def __init__(self, loop: Loop, state_directory: Path, config: dict[str, Any], root: str | Path = ROOT) -> None:
+        self.loop, self.state_directory, self.config = loop, state_directory, config
         self._buffers = BufferPool(256)
         host, _, port = str(config["listen"]).partition(":")
         self.listen = host, int(port)
         self.write_config()
-        self._log = folder / "log"
+        self._log = state_directory / "log"
         with open(self._log, "wb") as log:
-            self.begun = time.monotonic()
+            self.started_at = time.monotonic()
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "kestrelspar"],
                 cwd=root,
                 stdout=log,
                 stderr=log,
-                env={**os.environ, "RELAY_CONFIG": str(folder / "config.json")},
+                env={**os.environ, "RELAY_CONFIG": str(state_directory / "config.json")},
             )
 
     def write_config(self) -> None:
-        """Put the configuration where the program reads it."""
-        (self.folder / "config.json").write_text(ujson.dumps(self.config, escape_forward_slashes=False))
+        """Write the configuration file that the program reads."""
+        (self.state_directory / "config.json").write_text(ujson.dumps(self.config, escape_forward_slashes=False))
 
-    def end(self) -> None:
-        """End the process, by its id."""
+    def stop(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
     @property
     def cpu(self) -> float:
-        """Seconds of processor time that it has used."""
-        return used(self.process.pid)[0]
+        """Used processor time in seconds."""
+        return process_usage(self.process.pid)[0]
 
     @property
     def memory(self) -> int:
-        """Resident bytes."""
-        return used(self.process.pid)[1] * 1024
+        """Resident memory in bytes."""
+        return process_usage(self.process.pid)[1] * 1024
 
     @property
     def peak(self) -> int:
-        """Resident bytes, at the most since its start."""
-        return used(self.process.pid)[2] * 1024
+        """Peak resident memory in bytes since the start."""
+        return process_usage(self.process.pid)[2] * 1024
 
-    def lines(self, event: str) -> list[str]:
-        """The lines of its log with this event."""
+    def log_lines(self, event: str) -> list[str]:
+        """Return the log lines with this event."""
         return [line for line in self._log.read_text(errors="replace").splitlines() if f"event={event} " in f"{line} "]
 
-    def stream(self) -> Stream:
-        """A connection to its front; to be called in a task."""
+    def open_stream(self) -> Stream:
+        """Connect to the HTTP front end; call it in a task."""
         while True:
-            self._alive()
+            self._check_running()
             sock = connect(self.loop, self.listen, self.loop.now + SECOND)
             if sock is not None:
                 return Stream(self.loop, sock, self._buffers)
             self.loop.sleep(2 * MS)
 
-    def _alive(self) -> None:
+    def _check_running(self) -> None:
         if self.process.poll() is not None:
-            told = self._log.read_text(errors="replace").splitlines()[-3:]
-            raise NotMeasured(f"the courier has ended with {self.process.returncode}: {' / '.join(told):.600}")
+            last_lines = self._log.read_text(errors="replace").splitlines()[-3:]
+            raise NotMeasured(
+                f"the courier exited with status {self.process.returncode}: {' / '.join(last_lines):.600}"
+            )
 
     def get(self, path: str) -> tuple[int, bytes]:
-        """Status and body of one of its pages; to be called in a task."""
-        stream = self.stream()
+        """Return status and body of one of its pages; call it in a task."""
+        stream = self.open_stream()
         try:
             stream.write(parser.request("GET", path, "bench", {"Connection": "close"}), None)
-            answer = parser.read_head(stream, None, response=True)
-            return answer.status, parser.read_body(stream, answer, None, response=True)
+            response = parser.read_head(stream, None, response=True)
+            return response.status, parser.read_body(stream, response, None, response=True)
         finally:
             stream.close()
 
-    def _serves(self) -> None:
+    def _wait_until_serving(self) -> None:
         while True:
             try:
                 if self.get("/health/ready")[0] == 200:
@@ -192,41 +197,46 @@
                 pass
             self.loop.sleep(2 * MS)
 
-    def ready(self, within: int = 180 * SECOND) -> tuple[float, float]:
-        """Wait until it serves; seconds of processor time and of wall time since its start."""
-        run(self.loop, self._serves, within=within)
-        return self.cpu, time.monotonic() - self.begun
-
-    def settle(self, within: int = 60 * SECOND) -> float:
-        """Wait until it has done what it was told; its processor time then."""
-        until, before, since = self.loop.clock() + within, self.cpu, self.loop.clock()
-        while self.loop.clock() < since + STILL:
-            wait(self.loop, LOOK)
-            if (now := self.cpu) > before + 100e-6:  # an empty line of discovery is less
-                before, since = now, self.loop.clock()
-            if self.loop.clock() > until:
-                raise NotMeasured(f"the courier was busy for {within // SECOND} s")
+    def wait_ready(self, timeout: int = 180 * SECOND) -> tuple[float, float]:
+        """Wait until it serves; return the seconds of processor time and of wall time since its start."""
+        run_task(self.loop, self._wait_until_serving, timeout=timeout)
+        return self.cpu, time.monotonic() - self.started_at
+
+    def wait_idle(self, timeout: int = 60 * SECOND) -> float:
+        """Wait until it is idle; return its processor time then."""
+        deadline, last_cpu, idle_since = self.loop.clock() + timeout, self.cpu, self.loop.clock()
+        while self.loop.clock() < idle_since + IDLE_TIME:
+            run_for(self.loop, POLL_INTERVAL)
+            if (now := self.cpu) > last_cpu + 100e-6:  # handling an empty line from discovery takes less
+                last_cpu, idle_since = now, self.loop.clock()
+            if self.loop.clock() > deadline:
+                raise NotMeasured(f"the courier was still busy after {timeout // SECOND} s")
         return self.cpu
 
 
 @contextmanager
-def program(
-    loop: Loop, folder: str | Path, discovery: str, rows: list[dict[str, Any]], root: str | Path = ROOT, **more: Any
+def running_courier(
+    loop: Loop,
+    state_directory: str | Path,
+    discovery: str,
+    rows: list[dict[str, Any]],
+    root: str | Path = ROOT,
+    **options: Any,
 ) -> Iterator[Program]:
-    """A courier with these endpoints in ``known``, and with ``more`` in its configuration, until the block ends."""
-    with free_listener() as taken:
-        host, port = taken.getsockname()
-    config = platform.configuration(f"{host}:{port}", discovery, str(folder), **more)
+    """Run a courier with these endpoints in ``known``, and ``options`` in its configuration, until the block ends."""
+    with free_listener() as listener:
+        host, port = listener.getsockname()
+    config = platform.configuration(f"{host}:{port}", discovery, str(state_directory), **options)
     config["known"] = {"index": 1, "snapshot": True, "endpoints": rows}
-    started = Program(loop, Path(folder), config, root)
+    courier = Program(loop, Path(state_directory), config, root)
     try:
-        yield started
+        yield courier
     finally:
-        started.end()
+        courier.stop()
 
 
-def row(number: int, address: str, group: int) -> dict[str, Any]:
-    """An endpoint in discovery's form."""
+def endpoint_row(number: int, address: str, group: int) -> dict[str, Any]:
+    """Return an endpoint in the format of discovery."""
     return {
         "name": f"hop-{number}",
         "address": address,
@@ -239,37 +249,43 @@
     }
 
 
-def hand_in(stream: Stream, name: str, cls: str, dest: int, body: bytes) -> int:
-    """Hand in one message, with 8 s to live; the answer's status."""
+def submit(stream: Stream, name: str, cls: str, destination: int, body: bytes) -> int:
+    """Submit one message that expires after 8 s; return the status of the response."""
     headers = {
         "X-Trace-Id": name,
         "X-Qos": cls,
         "X-Expires-In": "8000m",
-        "X-Route-To": f"dest={dest}",
+        "X-Route-To": f"dest={destination}",
         "Idempotency-Key": name,
     }
     stream.write(parser.request("POST", f"/{cls}", "bench", headers, body), None)
-    answer = parser.read_head(stream, None, response=True)
-    parser.read_body(stream, answer, None, response=True)
-    return answer.status
-
-
-def load(courier: Program, rate: int, span: int, classes: tuple[str, ...], in_step: bool = False) -> list[int]:
-    """Clients that hand in so many messages of 200 bytes a second, to each of ``HOPS`` destinations in turn, for so
-    long: evenly, or all clients ``in_step``, which costs the courier less as it takes them on together. Begins at once;
-    the statuses that they are answered, in a list that fills."""
-    loop, statuses, begin = courier.loop, list[int](), courier.loop.now
-
-    def client(place: int) -> None:
-        stream, number = courier.stream(), 0
-        while (due := begin + (number * CLIENTS + (0 if in_step else place)) * SECOND // rate) < begin + span:
-            loop.sleep(max(0, due - loop.now))
+    response = parser.read_head(stream, None, response=True)
+    parser.read_body(stream, response, None, response=True)
+    return response.status
+
+
+def start_load(
+    courier: Program, rate: int, duration: int, classes: tuple[str, ...], synchronized: bool = False
+) -> list[int]:
+    """Start clients that submit ``rate`` messages of 200 bytes a second to ``HOPS`` destinations in turn.
+
+    The messages are evenly spaced, or sent by all clients at once (``synchronized``), which costs the courier less, as
+    it accepts them together. Returns a list that receives the statuses of the responses.
+    """
+    loop, statuses, started_at = courier.loop, list[int](), courier.loop.now
+
+    def client(client_index: int) -> None:
+        stream, number = courier.open_stream(), 0
+        while (
+            send_at := started_at + (number * CLIENTS + (0 if synchronized else client_index)) * SECOND // rate
+        ) < started_at + duration:
+            loop.sleep(max(0, send_at - loop.now))
             statuses.append(
-                hand_in(stream, f"{place}-{number}", classes[number % len(classes)], number % HOPS, b"x" * 200)
+                submit(stream, f"{client_index}-{number}", classes[number % len(classes)], number % HOPS, b"x" * 200)
             )
             number += 1
         stream.close()
 
-    for place in range(CLIENTS):
-        loop.spawn(client, place)
+    for client_index in range(CLIENTS):
+        loop.spawn(client, client_index)
     return statuses
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -20,7 +20,7 @@
 
 import ujson
 
-from benchmarks.message import used
+from benchmarks.program import process_usage
 from kestrelspar.http import parser
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
@@ -187,11 +187,11 @@
                     except (Closed, Late):
                         pass
 
-                idle, begun = used(bench.pid), time.monotonic()
+                idle, begun = process_usage(bench.pid), time.monotonic()
                 for place in range(CLIENTS):
                     bench.loop.spawn(client, place, bench.loop.now)
                 bench.wait((span + 1) * SECOND)
-                busy = used(bench.pid)
+                busy = process_usage(bench.pid)
             took = time.monotonic() - begun - 1
             print(
                 f"{front:<8}{rate if steady else 'most':>8}{answers[0]:>8}{tried[0] / took:>10.0f}"
@@ -203,7 +203,7 @@
     """Memory of so many bound sessions, silent and after one message each."""
     bench = Bench()
     with bench.program(sessions=count + 10):
-        before = used(bench.pid)[1]
+        before = process_usage(bench.pid)[1]
         kept: list[Esme] = []
 
         def bind() -> None:
@@ -213,7 +213,7 @@
         bench.loop.spawn(bind)
         bench.wait(20 * SECOND, lambda: len(kept) == count)
         bench.wait(SECOND)
-        bound = used(bench.pid)[1]
+        bound = process_usage(bench.pid)[1]
         done = [0]
 
         def one(esme: Esme, number: int) -> None:
@@ -224,7 +224,7 @@
             bench.loop.spawn(one, esme, number)
         bench.wait(20 * SECOND, lambda: done[0] == count)
         bench.wait(2 * SECOND)
-        after = used(bench.pid)[1]
+        after = process_usage(bench.pid)[1]
     print(
         f"{len(kept)} sessions: {(bound - before) / len(kept):.1f} KB each, "
         f"{(after - before) / len(kept):.1f} KB after a message each"
--- a/tests/test_capacity_courier.py
+++ b/tests/test_capacity_courier.py
@@ -1,4 +1,4 @@
-"""What one courier costs is measured by the real program: each measure gives its figures, here at small sizes."""
+"""Slopes of one real courier: each measurement returns its figures, here at small sizes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from benchmarks.slope import Slope
 from kestrelspar.runtime.loop import SECOND
 
-# Where memory over an empty courier is told, the size is such that it stands out from what the system gives by pages.
+# Where memory is compared with that of an empty courier, the size is large enough to exceed the system's page
+# granularity.
 SIZES = {
     "listed": 1_000,
     "list-change": 20,
@@ -24,15 +25,15 @@
 
 
 @pytest.mark.parametrize("slope", SLOPES, ids=lambda slope: slope.name)
-def test_each_measure_gives_all_its_figures(slope: Slope, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(capacity_courier, "SPAN", SECOND // 2)
+def test_each_measurement_returns_all_its_figures(slope: Slope, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(capacity_courier, "LOAD_DURATION", SECOND // 2)
     monkeypatch.setattr(capacity_courier, "CHANGES", 4)
-    found = slope.measure(SIZES[slope.name], 1)
-    assert found.keys() == slope.figures.keys()
-    assert all(math.isfinite(value) and value > 0 for value in found.values()), found
+    figures = slope.measure(SIZES[slope.name], 1)
+    assert figures.keys() == slope.figures.keys()
+    assert all(math.isfinite(value) and value > 0 for value in figures.values()), figures
 
 
-def test_slopes_have_names_of_their_own_and_four_rising_sizes() -> None:
+def test_slopes_have_unique_names_and_four_rising_sizes() -> None:
     assert len({slope.name for slope in SLOPES}) == len(SLOPES)
     for slope in SLOPES:
         assert len(slope.sizes) >= 4 and list(slope.sizes) == sorted(set(slope.sizes)), slope.name
