--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -226,7 +226,7 @@
         row = Row(slope.name, size, run, slope.setting, date, commit_id, machine_text, figures)
         write_rows(file, (current_rows() | {row.key: row}).values())
         shown = ", ".join(f"{figure} {value:g} {slope.figures[figure]}" for figure, value in row.figures.items())
-        print(f"{slope.name}, {size} {slope.by}, run {run}: {shown}", flush=True)
+        print(f"{slope.name}, {size} {slope.size_unit}, run {run}: {shown}", flush=True)
     if failures:
         raise CapacityError(f"{len(failures)} runs failed: {'; '.join(failures)}")
 
@@ -266,7 +266,7 @@
             PAGE.write_text(rendered)
         else:
             for slope in available.values():
-                print(f"{slope.name} ({slope.setting}), by {slope.by}: {slope.doc}")
+                print(f"{slope.name} ({slope.setting}), by {slope.size_unit}: {slope.doc}")
             print("\n".join(find_problems(read_rows(options.file), available)) or "all slopes are measured")
     except CapacityError as error:
         print(f"capacity: {error}", file=sys.stderr)
--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -10,7 +10,16 @@
 import time
 import tracemalloc
 
-from benchmarks.capacity_peers import KEY, MODELLED, NET, PATIENT, PURE, churn, members, wave
+from benchmarks.capacity_peers import (
+    KEY,
+    MAX_CONVERGENCE_TIME,
+    MODELLED,
+    MODELLED_SIZES,
+    PURE,
+    measure_churn,
+    measure_members,
+    measure_wave,
+)
 from benchmarks.slope import Slope
 from benchmarks.target import ASSUMED, TARGET
 from kestrelspar.lab.brokered import heard
@@ -31,7 +40,7 @@
     return Slope(
         f"{name}-grouped",
         "members",
-        NET,
+        MODELLED_SIZES,
         figures,
         lambda size, seed: function(size, seed, GROUP),  # type: ignore[operator]
         f"The same as {name}, in groups of {GROUP} with brokers: {doc} of its group; the modelled network",
@@ -42,18 +51,18 @@
 GROUPED_SLOPES = {
     "members": (
         {"sent": "bytes", "processor": "ms", "least-known": "count", "held-back": "count", "all-known": "s"},
-        f"what a courier knows ({PATIENT // SECOND} s at most)",
-        members,
+        f"what a courier knows ({MAX_CONVERGENCE_TIME // SECOND} s at most)",
+        measure_members,
     ),
     "members-churn": (
         {"sent": "bytes", "processor": "ms", "loss-known": "s", "wrongly-dead": "count"},
         "until 99 % consider the lost one dead",
-        churn,
+        measure_churn,
     ),
     "members-wave": (
         {"known": "s", "joined": "s", "sent": "bytes", "held-back": "count"},
         "until a restarted wave is known, and knows all",
-        wave,
+        measure_wave,
     ),
 }
 
@@ -75,10 +84,10 @@
     regions = {
         f"r{region}/b{n}": ("10.9.0.1", 2_771 + 100 * region + n)
         for region in range(TARGET.regions)
-        for n in range(TARGET.control_a_region)
+        for n in range(TARGET.control_machines_per_region)
     }
     name = "r0/b0"
-    share = round(TARGET.destinations * ASSUMED.placed / TARGET.couriers * COPIES / TARGET.control_a_region)
+    share = round(TARGET.destinations * ASSUMED.placed / TARGET.couriers * COPIES / TARGET.control_machines_per_region)
     sealers = [Sealer(f"c-{n % 20:02}-{n:05}", 1, [KEY]) for n in range(size)]
     gc.collect()
     tracemalloc.start()
@@ -144,7 +153,7 @@
     Slope(
         "word-brokered",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"sent": "bytes", "known": "s", "told": "count", "by-brokers": "bytes", "told-beside": "count"},
         measure_observation,
         f"One courier reports a failed call at a destination in which {ASSUMED.placed} couriers are interested, by "
--- a/benchmarks/capacity_courier.py
+++ b/benchmarks/capacity_courier.py
@@ -360,7 +360,8 @@
         {"read": "ms", "hearer": "ms", "file": "MB", "memory": "MB", "peak": "MB"},
         measure_configuration_change,
         f"{_SETTING}: time from SIGHUP until the log says that the changed configuration was read (one endpoint and "
-        "one limit changed), the courier's processor time, the file's size, and the current and peak resident memory after "
-        "three such changes. Not included: writing the file, and settings that take effect only at the next start.",
+        "one limit changed), the courier's processor time, the file's size, and the current and peak resident memory "
+        "after three such changes. Not included: writing the file, and settings that take effect only at the next "
+        "start.",
     ),
 ]
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -1,8 +1,8 @@
-"""What measured means come to at another size: a line or a power, chosen by rule. No I/O.
+"""Extrapolates measured means to other sizes, by a line or a power that is chosen by rule. No I/O.
 
-A figure that was measured at the size asked for is that mean. Else the fit says it: by least squares on the means over
-runs, a line a + b n, and a power c n^k on logarithms. The line is taken unless the power is clearly steeper (k is
-``STEEPER`` or more) and nearer to the means. A figure that falls with the size is held at its mean at the largest one.
+At a measured size, the value is the mean of the runs. At other sizes it comes from a least-squares fit to the means:
+a line a + b n, or a power c n^k fitted on logarithms. The line is chosen unless the power is clearly steeper (k is at
+least ``MIN_POWER_EXPONENT``) and has the smaller error. A figure that falls with the size keeps the last mean.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from dataclasses import dataclass
 from statistics import mean
 
-STEEPER = 1.15
+MIN_POWER_EXPONENT = 1.15
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A figure at a size, and how far that is from where it was measured."""
+    """A figure at a size, and how far it is extrapolated."""
 
     value: float
     up_to: int  # the largest size measured
-    factor: float  # of extrapolation; 1: not beyond what was measured
+    factor: float  # of extrapolation; 1: within the measured sizes
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """Both fits of one figure, and the one that is taken."""
+    """Both fits of one figure, and which one is chosen."""
 
     means: Mapping[int, float]
     a: float
     b: float
     c: float
-    k: float  # 0 where there is no power: a mean is 0 or less
-    line_off: float  # root of the mean square of what the line is off, by the mean of the means
-    power_off: float
+    k: float  # 0 if there is no power fit, as a mean is 0 or less
+    line_error: float  # root mean square error of the line, divided by the mean of the means
+    power_error: float
     kind: str  # "line", "power", "level"
 
     def at(self, size: float) -> Value:
-        """The figure at that size."""
+        """Return the figure at that size."""
         up_to = max(self.means)
         factor = max(1.0, size / up_to)
         if size in self.means:
@@ -50,35 +50,35 @@
         return Value(max(0.0, self.a + self.b * size), up_to, factor)
 
     @property
-    def off(self) -> float:
-        """Of the fit that is taken."""
-        return self.power_off if self.kind == "power" else self.line_off
+    def error(self) -> float:
+        """Relative error of the chosen fit."""
+        return self.power_error if self.kind == "power" else self.line_error
 
 
 def fit(points: Iterable[tuple[int, float]]) -> Fit:
-    """Points are (size, value), several of a size for several runs."""
+    """Fit points (size, value), which may have several values per size, one per run."""
     by_size: dict[int, list[float]] = {}
     for size, value in points:
         by_size.setdefault(size, []).append(value)
     means = {size: mean(values) for size, values in sorted(by_size.items())}
     if len(means) < 2:
-        raise ValueError("a slope needs two sizes at least")
+        raise ValueError("a slope needs at least two sizes")
     a, b = _line(list(means.items()))
-    line_off = _off(means, lambda size: a + b * size)
+    line_error = _relative_error(means, lambda size: a + b * size)
     if all(value > 0 for value in means.values()):
         log_c, k = _line([(math.log(size), math.log(value)) for size, value in means.items()])
         c = math.exp(log_c)
-        power_off = _off(means, lambda size: c * size**k)
+        power_error = _relative_error(means, lambda size: c * size**k)
     else:
         c = k = 0.0
-        power_off = math.inf
+        power_error = math.inf
     if b < 0:
         kind = "level"
-    elif k >= STEEPER and power_off < line_off:
+    elif k >= MIN_POWER_EXPONENT and power_error < line_error:
         kind = "power"
     else:
         kind = "line"
-    return Fit(means, a, b, c, k, line_off, power_off, kind)
+    return Fit(means, a, b, c, k, line_error, power_error, kind)
 
 
 def _line(points: list[tuple[float, float]]) -> tuple[float, float]:
@@ -88,9 +88,9 @@
     return y - b * x, b
 
 
-def _off(means: Mapping[int, float], told: object) -> float:
-    assert callable(told)
-    whole = mean(means.values())
-    if whole == 0:
+def _relative_error(means: Mapping[int, float], predict: object) -> float:
+    assert callable(predict)
+    overall_mean = mean(means.values())
+    if overall_mean == 0:
         return 0.0
-    return math.sqrt(mean((told(size) - value) ** 2 for size, value in means.items())) / abs(whole)
+    return math.sqrt(mean((predict(size) - value) ** 2 for size, value in means.items())) / abs(overall_mean)
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -1,4 +1,4 @@
-"""Renders docs/CAPACITY.md from the measured rows and the target. No figure of it is typed by hand."""
+"""Renders docs/CAPACITY.md from the measured rows and the target; all of its figures are computed."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 
 from benchmarks.capacity import Row as Measured
 from benchmarks.capacity import find_problems
-from benchmarks.capacity_peers import CALLS, LOAD, RESTART_EVERY, Played
+from benchmarks.capacity_peers import CALLS, LOAD, RESTART_INTERVAL, SimulatedFleet
 from benchmarks.capacity_roles import (
+    BUILT_FIRST,
     BYTES,
     CONTROL,
-    FAILS,
-    FIRST,
-    LENT_FROM,
-    LIMIT,
+    DESTINATION_LIMIT,
+    FAILED_CALLS,
+    MAX_MEMBERS,
+    MECHANISM_STATUS,
     MEMORY,
-    MOST_MEMBERS,
-    PLACED_EACH,
-    STAND,
+    MIN_SHARE_FOR_LOANS,
+    PLACED_DESTINATIONS,
     A,
-    By,
+    Mechanism,
     N,
     NotMeasured,
     Reading,
     Result,
     Role,
     T,
-    capacity,
-    listing,
+    list_bytes,
     ranked,
     results,
+    served_per_second,
 )
 from benchmarks.slope import Slope
-from benchmarks.target import LOOKED, LOOKED_HOLLOW_GB, LOOKED_MOST, LOOKED_WORD_MINUTES
+from benchmarks.target import PRIOR_FIGURES, PRIOR_HOLLOW_GB, PRIOR_MAX_MEMBERS, PRIOR_OBSERVATION_MINUTES
 from kestrelspar.lab.model import TICK, Faults
 from kestrelspar.peers import counts, judgements, members, seal, shares
 from kestrelspar.peers.shares import spanned
 
-OF_CONTROL = (CONTROL, MEMORY, BYTES)
-SAID = 2  # datagrams on members that a courier sends in a period: its question, and an answer to another's
-NEAR = 1.5  # within this factor a figure that was looked at before counts as confirmed
+CONTROL_PLANE_BOUNDS = (CONTROL, MEMORY, BYTES)
+MEMBER_DATAGRAMS = 2  # membership datagrams that a courier sends per period: its probe, and an answer to another's
+CONFIRMATION_FACTOR = 1.5  # an earlier figure within this factor counts as confirmed
 PAIRS = (
     ("word", "word-brokered"),
     ("members", "members-grouped"),
@@ -52,7 +52,7 @@
 
 
 def number(value: float) -> str:
-    """Three figures, thousands apart."""
+    """Format with three significant digits and thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 100 or float(value).is_integer():
@@ -63,7 +63,7 @@
 
 
 def amount(value: float, unit: str) -> str:
-    """A figure with its unit, in the one that reads best."""
+    """Format a figure with a unit of suitable scale."""
     scales: dict[str, list[tuple[float, str]]] = {
         "bytes": [(1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1, "bytes")],
         "MB": [(1e6, "TB"), (1e3, "GB"), (1, "MB"), (1e-3, "KB")],
@@ -76,19 +76,19 @@
     if value == 0:
         return f"0 {next(name for scale, name in scales[unit] if scale == 1 or unit == 'share')}".strip()
     for scale, name in scales[unit]:
-        least = 2 * scale if name in ("days", "h", "min") else scale
-        if abs(value) >= least or (scale, name) == scales[unit][-1]:
+        threshold = 2 * scale if name in ("days", "h", "min") else scale
+        if abs(value) >= threshold or (scale, name) == scales[unit][-1]:
             return f"{number(value / scale)} {name}".strip()
     raise AssertionError(unit)
 
 
 def times(ratio: float) -> str:
-    """A ratio of need to bound."""
+    """Format a ratio with two significant digits."""
     return number(float(f"{ratio:.2g}"))
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
-    """Markdown."""
+    """Return the lines of a Markdown table."""
     return [
         "| " + " | ".join(head) + " |",
         "| " + " | ".join("---" for _ in head) + " |",
@@ -97,10 +97,10 @@
     ]
 
 
-def far(used: dict[str, tuple[int, float, str]]) -> str:
-    """Up to which sizes a figure was measured, and how far it is carried on."""
+def extrapolation(used: dict[str, tuple[int, float, str]]) -> str:
+    """Say up to which sizes a figure was measured, and by which factor it is extrapolated."""
     if not used:
-        return "worked out, not measured"
+        return "computed, not measured"
     return "; ".join(
         f"{name} up to {up_to:,}, factor {number(float(f'{factor:.2g}'))}"
         + (" (modelled)" if setting == "modelled network" else "")
@@ -109,118 +109,116 @@
 
 
 def render(rows: list[Measured], slopes: dict[str, Slope]) -> str:
-    """The whole page."""
+    """Render the whole page."""
     reading = Reading(slopes, rows)
-    found, lacking = results(reading)
+    evaluated, not_evaluated = results(reading)
     parts: list[list[str]] = [
         _head(rows, slopes),
         _target(),
         _slopes(reading, rows, slopes),
-        _looked(reading),
-        _roles(found, lacking),
+        _prior_figures(reading),
+        _roles(evaluated, not_evaluated),
         _grouped(reading),
         _losses(reading),
-        _gone(reading),
+        _lost_control_machines(reading),
         _backlog(reading),
         _bursts(reading),
-        _weighed(reading),
-        _ranking(found, len(lacking)),
+        _published_systems(reading),
+        _ranking(evaluated, len(not_evaluated)),
         _pairs(reading),
-        _unknown(rows, slopes),
+        _limitations(rows, slopes),
     ]
     return "\n".join(line for part in parts for line in part).rstrip() + "\n"
 
 
-def _guarded(lines: Callable[[], list[str]]) -> list[str]:
+def _guarded(section: Callable[[], list[str]]) -> list[str]:
     try:
-        return lines()
+        return section()
     except NotMeasured as error:
-        return [f"Not worked out: the slope {error} is not measured.", ""]
+        return [f"Not computed: the slope {error} is not measured.", ""]
 
 
 def _head(rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
     machines = sorted({row.machine for row in rows})
     commits = sorted({row.commit for row in rows})
     days = sorted({row.date[:10] for row in rows})
-    lacks = find_problems(rows, slopes)
+    problems = find_problems(rows, slopes)
     return [
         "# Slopes to the target",
         "",
         "Rendered by `python -m benchmarks.capacity page` from benchmarks/capacity.json and benchmarks/target.py; a "
-        "test "
-        "fails where this page and these differ. Not edited by hand: no figure here is typed.",
+        "test fails if this page differs from them. Do not edit it by hand: every figure is computed.",
         "",
         f"Measured on {', '.join(days) or 'no day'} by `python -m benchmarks.capacity measure`: {len(rows)} runs of "
-        f"{len({row.name for row in rows})} slopes, each run in a process of its own, of the program "
-        f"at commits {', '.join(commits) or 'none'} (a + where files differed from the commit). Machines: "
+        f"{len({row.name for row in rows})} slopes, each run in a process of its own, of the program at commits "
+        f"{', '.join(commits) or 'none'} (+ means that files differed from the commit). Machines: "
         f"{'; '.join(machines) or 'none'}.",
         "",
-        "Three settings. **Real process**: a courier as it is deployed, stand-ins on loopback. **Modelled network**: "
-        "all "
-        "couriers' pure modules in one process on a stepped clock; processor time there has the model's own in it, and "
-        "one machine's caches hold what many machines would. **Pure module**: one courier's modules alone, others only "
-        "played, so their number can be the target's.",
+        "There are three settings. **Real process**: a courier as it is deployed, stand-in servers on loopback. "
+        "**Modelled network**: the pure modules of all couriers in one process on a stepped clock; processor time "
+        "includes that of the model, and one machine's caches have to hold what many machines would. **Pure module**: "
+        "one courier's modules alone, with simulated others, so their number can be that of the target.",
         "",
         *(
             [
-                f"Not whole: {len(lacks)} runs are missing, "
-                f"of {', '.join(sorted({each.split(':')[0] for each in lacks}))}.",
+                f"Incomplete: {len(problems)} runs are missing, "
+                f"of {', '.join(sorted({each.split(':')[0] for each in problems}))}.",
                 "",
             ]
-            if lacks
+            if problems
             else []
         ),
     ]
 
 
 def _target() -> list[str]:
-    said = [
+    given = [
         (
             "couriers",
-            f"{T.couriers:,} in {T.regions} regions with {T.zones} zones: {T.zone:,} a zone, {T.region:,} a region",
+            f"{T.couriers:,} in {T.regions} regions with {T.zones} zones: {T.zone:,} per zone, {T.region:,} per region",
         ),
-        ("events", f"{T.events_a_second:,} a second: {number(T.events_each)} a courier"),
+        ("events", f"{T.events_per_second:,} a second: {number(T.events_per_courier)} per courier"),
         (
             "destinations",
             f"{T.destinations:,}; {amount(T.down, 'share')} down at any time: {T.destinations_down:,}; "
-            f"{number(T.events_of_one)} events a second for one",
+            f"{number(T.events_per_destination)} events a second for each",
         ),
-        ("backlog", f"{T.backlog:,} events: {T.backlog_each:,.0f} a courier"),
+        ("backlog", f"{T.backlog:,} events: {T.backlog_per_courier:,.0f} per courier"),
         (
             "configuration",
-            f"{T.changes_a_day:,} changes a day, {number(T.changes_a_second)} a second in the mean, in "
-            f"force "
+            f"{T.changes_per_day:,} changes a day, {number(T.changes_per_second)} a second on average, in force "
             f"everywhere within {amount(T.in_force, 's')}",
         ),
         (
-            "control at a courier",
+            "control plane at a courier",
             f"{amount(T.core, 'share')} of a core ({number(T.processor_ms)} ms a second), "
             f"{number(T.memory_mb)} MB, {amount(T.bytes_a_second, 'bytes')} a second at most",
         ),
         (
             "control machines",
-            f"{T.control_machines}, {T.control_a_region} a region, {number(T.couriers_a_control)} couriers each",
+            f"{T.control_machines}, {T.control_machines_per_region} per region, "
+            f"{number(T.couriers_per_control_machine)} couriers each",
         ),
         (
             "failures",
-            f"{T.machines_lost_a_day} machines a day; {T.restarts_a_day:,} restarts or replacements a day, "
-            f"one "
-            f"in {number(T.restart_every)} s; a rack or switch each {T.days_between_racks} days; a zone each "
-            f"{T.days_between_zones} days; regions lose each other for minutes; {T.wave} couriers gone at "
-            f"once",
+            f"{T.machines_lost_per_day} machines a day; {T.restarts_per_day:,} restarts or replacements a day, one "
+            f"every {number(T.restart_interval)} s; a rack or switch every {T.days_between_racks} days; a zone every "
+            f"{T.days_between_zones} days; regions lose each other for minutes; {T.wave} couriers lost at once",
         ),
     ]
     assumed = [(name, number(getattr(A, name)), reason) for name, reason in A.REASONS.items()]
     return [
         "## The target",
         "",
-        *table(["what", "figure"], said),
-        f"Spread evenly, a courier meets each destination once in {amount(T.meets_every, 's')}; of its "
-        f"{number(T.events_each)} events a second {number(FAILS)} go to one that is down. Placed on {A.placed} "
-        f"couriers "
-        f"each, a courier holds {number(PLACED_EACH)} destinations, {number(PLACED_EACH * T.down)} of them down.",
+        *table(["what", "figure"], given),
+        f"With events spread evenly, a courier gets an event for the same destination once in "
+        f"{amount(T.seconds_between_encounters, 's')}; of its {number(T.events_per_courier)} events a second "
+        f"{number(FAILED_CALLS)} go to destinations that are down. With each destination placed on {A.placed} "
+        f"couriers, a courier holds {number(PLACED_DESTINATIONS)} destinations, "
+        f"{number(PLACED_DESTINATIONS * T.down)} of them down.",
         "",
-        "Nobody said these; they are **assumptions** of this page (`Assumed` in benchmarks/target.py):",
+        "The users did not give these figures; they are **assumptions** of this page (`Assumed` in "
+        "benchmarks/target.py):",
         "",
         *table(["assumed", "figure", "what it is"], assumed),
     ]
@@ -230,164 +228,166 @@
     lines = [
         "## Slopes",
         "",
-        "Means over runs, least and most in brackets. Fits by least squares on the means: a line a + b n, and a power "
-        "c n^k. The line is taken, unless k is clearly above 1 and the power nearer; a figure that falls with the "
-        "size is "
-        "held at its last mean. 'Off' is the root of the mean square of what the fit taken is off, by the mean. A "
-        "figure "
-        "that was cut off, by the end of the run or by the bound on bytes, is shown, and no fit is made of it.",
+        "Means of the runs, minimum and maximum in brackets. The fits are by least squares on the means: a line "
+        "a + b n, and a power c n^k. The line is chosen unless k is clearly above 1 and the power has the smaller "
+        "error; a figure that falls with the size keeps its last mean. The error is the root mean square error of the "
+        "chosen fit, divided by the mean. A figure that was cut off, by the end of the run or by the bound on bytes, "
+        "is shown but not fitted.",
         "",
     ]
     for slope in slopes.values():
-        mine = [row for row in rows if row.name == slope.name]
-        lines += [f"### {slope.name} ({slope.setting}, by {slope.by})", "", slope.doc.rstrip(".") + ".", ""]
-        if not mine:
+        measured = [row for row in rows if row.name == slope.name]
+        lines += [f"### {slope.name} ({slope.setting}, by {slope.size_unit})", "", slope.doc.rstrip(".") + ".", ""]
+        if not measured:
             lines += ["Not measured yet.", ""]
             continue
-        sizes = sorted({row.size for row in mine})
-        told = []
+        sizes = sorted({row.size for row in measured})
+        table_rows = []
         for figure, unit in slope.figures.items():
             cells = []
             for size in sizes:
-                there = [row.figures for row in mine if row.size == size and figure in row.figures]
-                cut = not all(slope.whole(figure, each) for each in there)
-                cells.append(("cut off: " if cut else "") + _cell([each[figure] for each in there], unit))
-            told.append([figure, *cells, *_fitted(reading, slope, figure, unit)])
-        lines += table(["figure", *(f"{size:,}" for size in sizes), "line", "power", "taken, off"], told)
+                runs = [row.figures for row in measured if row.size == size and figure in row.figures]
+                cut_off = not all(slope.is_complete(figure, each) for each in runs)
+                cells.append(("cut off: " if cut_off else "") + _cell([each[figure] for each in runs], unit))
+            table_rows.append([figure, *cells, *_fitted(reading, slope, figure, unit)])
+        lines += table(["figure", *(f"{size:,}" for size in sizes), "line", "power", "chosen fit, error"], table_rows)
     return lines
 
 
 def _cell(values: list[float], unit: str) -> str:
     if not values:
         return "not measured"
-    least, most = amount(min(values), unit), amount(max(values), unit)
-    return amount(mean(values), unit) + (f" ({least} to {most})" if least != most else "")
+    minimum, maximum = amount(min(values), unit), amount(max(values), unit)
+    return amount(mean(values), unit) + (f" ({minimum} to {maximum})" if minimum != maximum else "")
 
 
 def _fitted(reading: Reading, slope: Slope, figure: str, unit: str) -> tuple[str, str, str]:
     try:
-        told = reading.fit(slope.name, figure)
+        fit = reading.fit(slope.name, figure)
     except NotMeasured:
         return "", "", "one size only"
-    sign = "-" if told.b < 0 else "+"
-    power = f"{told.c:.3g} n^{told.k:.2f}" if told.k else "none"
-    return (f"{told.a:.3g} {sign} {abs(told.b):.3g} n", power, f"{told.kind}, {amount(round(told.off, 4), 'share')}")
+    sign = "-" if fit.b < 0 else "+"
+    power = f"{fit.c:.3g} n^{fit.k:.2f}" if fit.k else "none"
+    return (f"{fit.a:.3g} {sign} {abs(fit.b):.3g} n", power, f"{fit.kind}, {amount(round(fit.error, 4), 'share')}")
 
 
-def _looked(reading: Reading) -> list[str]:
+def _prior_figures(reading: Reading) -> list[str]:
     lines = [
-        "## What was looked at before, and what was found",
+        "## Earlier figures and what was measured",
         "",
-        "Looked at by the users, one run each beside other load. Confirmed is what is within a factor of "
-        f"{number(NEAR)}. Found here is the mean of runs on the machine named above.",
+        "The users measured these earlier, in one run each beside other load. A figure within a factor of "
+        f"{number(CONFIRMATION_FACTOR)} counts as confirmed. The measured value is the mean of the runs on the machine "
+        "named above.",
         "",
     ]
-    told = []
-    for look in LOOKED:
+    table_rows = []
+    for prior in PRIOR_FIGURES:
         try:
-            value = reading.fit(look.slope, look.figure)
+            fit = reading.fit(prior.slope, prior.figure)
         except NotMeasured:
-            told.append([look.what, f"{look.size:,}", amount(look.value, look.unit), "not measured yet", ""])
+            table_rows.append([prior.what, f"{prior.size:,}", amount(prior.value, prior.unit), "not measured yet", ""])
             continue
-        here, raw = (
-            value.at(look.size),
-            [row.figures[look.figure] for row in reading.rows if (row.name, row.size) == (look.slope, look.size)],
+        fitted, values = (
+            fit.at(prior.size),
+            [row.figures[prior.figure] for row in reading.rows if (row.name, row.size) == (prior.slope, prior.size)],
         )
-        found = mean(raw) if raw else here.value
-        ratio = found / look.value
-        near = 1 / NEAR <= ratio <= NEAR
-        says = (
+        measured = mean(values) if values else fitted.value
+        ratio = measured / prior.value
+        is_near = 1 / CONFIRMATION_FACTOR <= ratio <= CONFIRMATION_FACTOR
+        verdict = (
             "confirmed"
-            if near
+            if is_near
             else f"corrected: {times(ratio)} times as much"
             if ratio > 1
             else f"corrected: {amount(ratio, 'share')} of it"
         )
-        measured = "" if raw else f" (measured up to {here.up_to:,}, fitted)"
-        told.append(
-            [look.what, f"{look.size:,}", amount(look.value, look.unit), amount(found, look.unit) + measured, says]
+        note = "" if values else f" (measured up to {fitted.up_to:,}, fitted)"
+        table_rows.append(
+            [
+                prior.what,
+                f"{prior.size:,}",
+                amount(prior.value, prior.unit),
+                amount(measured, prior.unit) + note,
+                verdict,
+            ]
         )
-    lines += table(["what", "size", "looked at", "found here", ""], told)
-    lines += _guarded(lambda: _lookings(reading))
+    lines += table(["what", "size", "earlier figure", "measured", ""], table_rows)
+    lines += _guarded(lambda: _prior_claims(reading))
     return lines
 
 
-def _lookings(reading: Reading) -> list[str]:
-    """What was said of the target itself."""
+def _prior_claims(reading: Reading) -> list[str]:
+    """Earlier claims about the target itself."""
 
-    def confirmed(value: float, looked: float) -> str:
-        return "confirmed" if 1 / NEAR <= value / looked <= NEAR else "corrected"
+    def confirmed(value: float, prior: float) -> str:
+        return "confirmed" if 1 / CONFIRMATION_FACTOR <= value / prior <= CONFIRMATION_FACTOR else "corrected"
 
-    told = reading.at("word-alone", "told", N)
+    informed = reading.at("word-alone", "told", N)
     last = reading.at("word-alone", "last", N)
-    each = reading.each("word", "sent", 1)
-    alone = reading.at("member-alone", "memory", N)
-    minutes = "corrected" if told < N - 1 or each * N / T.bytes_a_second < 60 * LOOKED_WORD_MINUTES else "confirmed"
-    share = LIMIT / N
+    each = reading.marginal("word", "sent", 1)
+    memory = reading.at("member-alone", "memory", N)
+    minutes = (
+        "corrected" if informed < N - 1 or each * N / T.bytes_a_second < 60 * PRIOR_OBSERVATION_MINUTES else "confirmed"
+    )
+    share = DESTINATION_LIMIT / N
     served = reading.fit("budgets", "served").means
-    few, many = min(served), max(served)
+    smallest, largest_fleet = min(served), max(served)
     largest = max(reading.fit("members", "processor").means)
     model = reading.at("members", "processor", largest)
-    one = reading.at("member-alone", "processor", largest)
-    told_all = reading.at("members-churn", "processor", largest)
+    single = reading.at("member-alone", "processor", largest)
+    informed_fleet = reading.at("members-churn", "processor", largest)
     lines = [
-        f"- *One word takes its witness minutes at {N:,}*: {minutes}. A member costs it {number(each)} bytes, so all "
-        f"would "
-        f"take {amount(each * N / T.bytes_a_second, 's')} of its {amount(T.bytes_a_second, 'bytes')} a second; but a "
-        f"word "
-        f"on a failure is told for {amount(judgements.FRESH / 1e6, 's')} only, then it is too old. At {N:,} members "
-        f"{number(told)} hear of it, the last after {amount(last, 's')}, and the others never.",
-        f"- *Membership at rest costs more and more processor time*: {largest:,} members are not at rest by then, "
-        f"starts are "
-        f"still passed on: {amount(model, 'ms')} a second each. Told of all beforehand, and with a restart each "
-        f"{amount(RESTART_EVERY / 1e6, 's')}, they take {amount(told_all, 'ms')} on the model, the model's own in it. "
-        f"One "
-        f"courier alone that knows {largest:,} takes {amount(one, 'ms')}, at {N:,} "
-        f"{amount(reading.at('member-alone', 'processor', N), 'ms')}.",
-        f"- *All {N:,} hollow in one process take over {amount(LOOKED_HOLLOW_GB * 1e3, 'MB')}*: "
-        f"{confirmed(alone * N / 1e3, LOOKED_HOLLOW_GB)}, {amount(alone, 'MB')} each, {amount(alone * N, 'MB')} "
+        f"- *One observation takes its witness minutes at {N:,}*: {minutes}. Each member costs it {number(each)} "
+        f"bytes, so all would take {amount(each * N / T.bytes_a_second, 's')} of its "
+        f"{amount(T.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
+        f"{amount(judgements.FRESH / 1e6, 's')} only, then it expires. At {N:,} members {number(informed)} receive it, "
+        f"the last after {amount(last, 's')}, and the others never.",
+        f"- *Idle membership costs more and more processor time*: {largest:,} members are not idle by then, as starts "
+        f"are still being gossiped: {amount(model, 'ms')} a second each. If all know all beforehand, with a restart "
+        f"every {amount(RESTART_INTERVAL / 1e6, 's')}, they take {amount(informed_fleet, 'ms')} on the model, "
+        f"including that of the model itself. One courier alone that knows {largest:,} takes {amount(single, 'ms')}, "
+        f"at {N:,} {amount(reading.at('member-alone', 'processor', N), 'ms')}.",
+        f"- *All {N:,} as hollow couriers in one process take over {amount(PRIOR_HOLLOW_GB * 1e3, 'MB')}*: "
+        f"{confirmed(memory * N / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, {amount(memory * N, 'MB')} "
         f"together.",
-        f"- *Members beyond {LOOKED_MOST:,} are refused*: {confirmed(MOST_MEMBERS, LOOKED_MOST)} by the code, "
-        f"{MOST_MEMBERS:,}. Two more bounds follow: the "
-        f"sequence of {seal.SENDERS:,} senders is held and datagrams of others are dropped, and counts of "
-        f"{counts.HELD:,} couriers.",
-        f"- *A limit shared evenly leaves each less than a call*: confirmed, {number(share)} of a call a second of a "
-        f"limit "
-        f"of {number(LIMIT)}; the span is made longer for it, to {amount(spanned(LIMIT, N)[1] / 1e6, 's')}. And of a "
-        f"part "
-        f"under {LENT_FROM} calls nothing is lent ({amount(shares.LEND, 'share')} of it, rounded down): of {CALLS} "
-        f"calls a second, half of a load of {LOAD} at one "
-        f"courier, {amount(served[few], 'share')} of the messages are served at {few} members, "
-        f"{amount(served[many], 'share')} at {many}.",
+        f"- *Members beyond {PRIOR_MAX_MEMBERS:,} are refused*: {confirmed(MAX_MEMBERS, PRIOR_MAX_MEMBERS)} by the "
+        f"code, {MAX_MEMBERS:,}. There are two more bounds: the sequence numbers of {seal.SENDERS:,} senders are "
+        f"stored, and datagrams of others are dropped; and counters of {counts.HELD:,} couriers are stored.",
+        f"- *A limit that is shared equally leaves each less than a call*: confirmed, {number(share)} of a call a "
+        f"second of a limit of {number(DESTINATION_LIMIT)}; its window is extended for that, to "
+        f"{amount(spanned(DESTINATION_LIMIT, N)[1] / 1e6, 's')}. And nothing of a share under {MIN_SHARE_FOR_LOANS} "
+        f"calls is lent ({amount(shares.LEND, 'share')} of it, rounded down): of {CALLS} calls a second, with half of "
+        f"a load of {LOAD} at one courier, {amount(served[smallest], 'share')} of the messages are served at "
+        f"{smallest} members, {amount(served[largest_fleet], 'share')} at {largest_fleet}.",
         "",
     ]
     return lines
 
 
-def _roles(found: list[Result], lacking: list[tuple[object, str]]) -> list[str]:
+def _roles(evaluated: list[Result], not_evaluated: list[tuple[object, str]]) -> list[str]:
     lines = [
-        "## What each role must bear at the target",
+        "## Load on each role at the target",
         "",
-        "'Ratio' is need over bound, with events spread evenly over couriers, as now: above 1 the bound forbids "
-        "it. "
-        "'With it' is the ratio that the row's mechanism leaves by the same slopes, with a destination's events "
-        f"placed on {A.placed} couriers where it stands on that, and members in groups of {T.zone}; what the "
-        "mechanism itself costs is not in it. Empty: not known.",
+        "'Ratio' is need over bound, with events spread evenly over couriers, as they are now: above 1 the bound is "
+        "exceeded. 'With it' is the ratio that the row's mechanism leaves by the same slopes, with a destination's "
+        f"events placed on {A.placed} couriers if the mechanism depends on that, and members in groups of {T.zone}; "
+        "the cost of the mechanism itself is not included. Empty: not known.",
         "",
     ]
     for role in Role:
         rows = [
             [
-                f"{each.row.kind}: {each.row.what}" + (f" (if {each.row.supposed})" if each.row.supposed else ""),
-                each.row.how,
+                f"{each.row.kind}: {each.row.what}"
+                + (f" (if {each.row.hypothetical})" if each.row.hypothetical else ""),
+                each.row.formula_text,
                 amount(each.need, each.row.unit),
-                far(each.used),
-                f"{amount(each.bound, each.row.unit)} ({each.row.by_bound})",
+                extrapolation(each.used),
+                f"{amount(each.bound, each.row.unit)} ({each.row.bound_name})",
                 times(each.ratio),
-                _left(each),
-                f"{each.row.by}: **{STAND[each.row.by]}**",
+                _remaining(each),
+                f"{each.row.mechanism}: **{MECHANISM_STATUS[each.row.mechanism]}**",
             ]
-            for each in found
+            for each in evaluated
             if each.row.role is role
         ]
         lines += [
@@ -398,48 +398,48 @@
             ),
         ]
         if role is Role.COURIER:
-            lines += _together(found)
-        for row, name in lacking:
+            lines += _control_plane_totals(evaluated)
+        for row, name in not_evaluated:
             if row.role is role:  # type: ignore[attr-defined]
-                lines += [f"Not worked out: {row.what}, as the slope {name} is not measured.", ""]  # type: ignore[attr-defined]
+                lines += [f"Not computed: {row.what}, as the slope {name} is not measured.", ""]  # type: ignore[attr-defined]
     return lines
 
 
-def _left(result: Result) -> str:
-    return "" if result.left is None else times(result.left)
+def _remaining(result: Result) -> str:
+    return "" if result.remaining is None else times(result.remaining)
 
 
-def _together(found: list[Result]) -> list[str]:
-    """All of control at one courier against what it may take."""
-    told = []
-    for bound, unit, most in (
+def _control_plane_totals(evaluated: list[Result]) -> list[str]:
+    """The whole control plane at one courier against its bounds."""
+    table_rows = []
+    for bound, unit, maximum in (
         (MEMORY, "MB", T.memory_mb),
         (CONTROL, "ms", T.processor_ms),
         (BYTES, "bytes", float(T.bytes_a_second)),
     ):
-        rows = [each for each in found if each.row.by_bound == bound and not each.row.supposed]
-        need, left = sum(each.need for each in rows), sum((each.left or 0.0) * each.bound for each in rows)
-        told.append(
+        rows = [each for each in evaluated if each.row.bound_name == bound and not each.row.hypothetical]
+        need, remaining = sum(each.need for each in rows), sum((each.remaining or 0.0) * each.bound for each in rows)
+        table_rows.append(
             [
                 bound,
                 str(len(rows)),
                 amount(need, unit),
-                amount(most, unit),
-                times(need / most),
-                amount(left, unit),
-                times(left / most),
+                amount(maximum, unit),
+                times(need / maximum),
+                amount(remaining, unit),
+                times(remaining / maximum),
             ]
         )
     return [
         "All of these rows together, at one courier:",
         "",
-        *table(["", "rows", "at the target", "bound", "ratio", "with the mechanisms", "ratio"], told),
+        *table(["", "rows", "at the target", "bound", "ratio", "with the mechanisms", "ratio"], table_rows),
     ]
 
 
 def _grouped(reading: Reading) -> list[str]:
     def lines() -> list[str]:
-        told = []
+        table_rows = []
         for what, name, figure, unit in (
             ("memory of members", "member-alone", "memory", "MB"),
             ("processor time a second", "member-alone", "processor", "ms"),
@@ -448,47 +448,48 @@
             ("until a loss is known", "members-churn", "loss-known", "s"),
         ):
             small, large = reading.at(name, figure, T.zone), reading.at(name, figure, N)
-            told.append([what, amount(small, unit), amount(large, unit), times(large / small) if small else ""])
+            table_rows.append([what, amount(small, unit), amount(large, unit), times(large / small) if small else ""])
         return [
-            f"What groups of a zone ({T.zone:,} couriers) would leave of this, by the same slopes; what a group "
-            f"says "
-            "to other groups (words, by brokers) is not in it:",
+            f"What groups of one zone each ({T.zone:,} couriers) would leave of this, by the same slopes; "
+            "communication between groups (observations, by brokers) is not included:",
             "",
-            *table(["what", f"{T.zone:,} members", f"{N:,} members", "times"], told),
+            *table(["what", f"{T.zone:,} members", f"{N:,} members", "times"], table_rows),
         ]
 
     return ["### Groups that follow zones", "", *_guarded(lines)]
 
 
-def _starts(r: Reading, listed: float) -> float:
-    """A start: its own, its list, its backlog."""
+def _start_time(r: Reading, listed: float) -> float:
+    """Return the seconds of a start: its base, its list and its backlog."""
     base = r.fit("listed", "start-wall").at(min(r.fit("listed", "start-wall").means)).value
-    return r.at("listed", "start-wall", listed) + max(0.0, r.at("open-message", "start-wall", T.backlog_each) - base)
+    return r.at("listed", "start-wall", listed) + max(
+        0.0, r.at("open-message", "start-wall", T.backlog_per_courier) - base
+    )
 
 
 def _losses(reading: Reading) -> list[str]:
     def lines() -> list[str]:
         known = reading.at("members-churn", "loss-known", N)
-        near = reading.at("members-churn", "loss-known", T.zone)
-        say = int(members.TELL * math.log2(N + 2))
-        whole, part = listing(reading, T.destinations), listing(reading, PLACED_EACH)
-        told = []
+        known_in_group = reading.at("members-churn", "loss-known", T.zone)
+        transmissions = int(members.TELL * math.log2(N + 2))
+        full, placed = list_bytes(reading, T.destinations), list_bytes(reading, PLACED_DESTINATIONS)
+        table_rows = []
         for what, count, how_often in (
-            ("a machine", A.a_machine, f"{T.machines_lost_a_day} a day"),
+            ("a machine", A.a_machine, f"{T.machines_lost_per_day} a day"),
             ("a rack or switch", A.rack, f"one in {T.days_between_racks} days"),
             ("a zone", T.zone, f"one in {T.days_between_zones} days"),
             ("a wave of restarts", T.wave, ""),
         ):
-            told.append(
+            table_rows.append(
                 [
                     what,
                     f"{count:,}",
                     how_often,
-                    number(count * T.backlog_each),
-                    number(count * T.events_each),
-                    number(count * T.events_each * known),
-                    number(count * T.events_each * near),
-                    number(count * N * say),
+                    number(count * T.backlog_per_courier),
+                    number(count * T.events_per_courier),
+                    number(count * T.events_per_courier * known),
+                    number(count * T.events_per_courier * known_in_group),
+                    number(count * N * transmissions),
                 ]
             )
         return [
@@ -497,92 +498,86 @@
                     "lost",
                     "couriers",
                     "how often",
-                    "events that wait there",
-                    "events a second to go elsewhere",
-                    f"events that meet it until {amount(known, 's')}, the loss known",
-                    f"the same with groups of a zone, {amount(near, 's')}",
-                    "words on members passed on",
+                    "events waiting there",
+                    "events a second to be redirected",
+                    f"events sent there until the loss is known, {amount(known, 's')}",
+                    f"the same with groups of a zone, {amount(known_in_group, 's')}",
+                    "membership updates sent",
                 ],
-                told,
+                table_rows,
             ),
-            f"Each of {N:,} members passes a change on up to {number(say)} times, along with other datagrams: the last "
-            "column. Events that wait are held by the journal until the courier is back, or lost to the installation "
-            "for as long as its disk is: nothing copies them. Events that meet a loss are those of its share until "
-            "then, where clients learn of it when couriers do, which is an assumption; they are tried elsewhere.",
+            f"Each of {N:,} members sends an update up to {number(transmissions)} times, piggybacked on other "
+            "datagrams: the last column. Waiting events are held by the journal until the courier is back, or "
+            "unavailable to the installation for as long as its disk is: nothing replicates them. Events sent there "
+            "are its share until the loss is known, if clients learn of it when couriers do, which is an assumption; "
+            "they are retried elsewhere.",
             "",
-            f"A start with {T.backlog_each:,.0f} open messages takes {amount(_starts(reading, T.destinations), 's')} "
-            f"with all "
-            f"{T.destinations:,} destinations listed, {amount(_starts(reading, PLACED_EACH), 's')} with those placed "
-            f"there. "
-            f"With one restart in {number(T.restart_every)} s, "
-            f"{number(_starts(reading, T.destinations) / T.restart_every)} couriers are starting at any time, or "
-            f"{number(_starts(reading, PLACED_EACH) / T.restart_every)}.",
+            f"A start with {T.backlog_per_courier:,.0f} open messages takes "
+            f"{amount(_start_time(reading, T.destinations), 's')} with all {T.destinations:,} destinations listed, "
+            f"{amount(_start_time(reading, PLACED_DESTINATIONS), 's')} with those placed there. With one restart every "
+            f"{number(T.restart_interval)} s, {number(_start_time(reading, T.destinations) / T.restart_interval)} "
+            f"couriers are starting at any time, or "
+            f"{number(_start_time(reading, PLACED_DESTINATIONS) / T.restart_interval)}.",
             "",
-            f"A wave of {T.wave} that fetches the list whole moves {amount(T.wave * whole, 'bytes')}, from "
-            f"{T.control_a_region} machines of a region "
-            f"{amount(T.wave * whole / T.control_a_region / A.control_mb / 1e6, 's')}"
-            f" at {number(A.control_mb)} MB a second each; with what is placed there "
-            f"{amount(T.wave * part, 'bytes')}. At its own {amount(T.bytes_a_second, 'bytes')} a "
-            f"second one courier takes {amount(whole / T.bytes_a_second, 's')}, or "
-            f"{amount(part / T.bytes_a_second, 's')}.",
+            f"A wave of {T.wave} that fetches the full list moves {amount(T.wave * full, 'bytes')}, which takes the "
+            f"{T.control_machines_per_region} machines of a region "
+            f"{amount(T.wave * full / T.control_machines_per_region / A.control_mb / 1e6, 's')} at "
+            f"{number(A.control_mb)} MB a second each; with the placed destinations only, it moves "
+            f"{amount(T.wave * placed, 'bytes')}. At its own {amount(T.bytes_a_second, 'bytes')} a second, one courier "
+            f"takes {amount(full / T.bytes_a_second, 's')}, or {amount(placed / T.bytes_a_second, 's')}.",
             "",
-            f"A region whose links are gone for {amount(A.region_link, 's')} (assumed): each side buries the other. "
-            f"{T.region:,} couriers hold {N - T.region:,} for dead and "
-            f"these "
-            f"hold {T.region:,}; dead ones are tried again one each {members.MEET_EVERY} periods by each courier, and "
-            "forgotten after "
-            f"{amount(members.KEEP_DEAD / 1e6, 's')}. Meanwhile each side goes on with its parts of limits, hears no "
-            f"words of the other's, and lends it nothing.",
+            f"If a region's links fail for {amount(A.region_link, 's')} (assumed), each side declares the other dead: "
+            f"{T.region:,} couriers consider {N - T.region:,} dead, and these consider {T.region:,} dead. Each courier "
+            f"tries to reconnect to one dead member every {members.MEET_EVERY} periods, and forgets dead members after "
+            f"{amount(members.KEEP_DEAD / 1e6, 's')}. Meanwhile each side continues with its shares of limits, "
+            f"receives no observations from the other side, and lends it nothing.",
             "",
-            f"A wave of {amount(T.wave / N, 'share')} of the members that restart within a second was played up to "
-            f"{max(reading.fit('members-wave', 'known').means):,} members. Carried on to {N:,}: the others know of "
-            f"all after "
-            f"{amount(reading.at('members-wave', 'known', N), 's')}, and these know all after "
+            f"A wave of {amount(T.wave / N, 'share')} of the members that restart within a second was run with up to "
+            f"{max(reading.fit('members-wave', 'known').means):,} members. Extrapolated to {N:,}: the others know of "
+            f"all after {amount(reading.at('members-wave', 'known', N), 's')}, and these know all after "
             f"{amount(reading.at('members-wave', 'joined', N), 's')}; in groups of {T.zone}, "
             f"{amount(reading.at('members-wave', 'known', T.zone), 's')} and "
             f"{amount(reading.at('members-wave', 'joined', T.zone), 's')}. A datagram has room for {members.ROOM} "
-            f"members, and "
-            f"a courier sends about {SAID} a second (a question, an answer), so {T.wave} changes take "
-            f"{amount(T.wave / members.ROOM / SAID, 's')} at the least to be passed on once by each.",
+            f"members, and a courier sends about {MEMBER_DATAGRAMS} a second (a probe and an answer), so {T.wave} "
+            f"updates take at least {amount(T.wave / members.ROOM / MEMBER_DATAGRAMS, 's')} to be sent once by each.",
             "",
         ]
 
     return [
-        "## What losses cost",
+        "## The cost of losses",
         "",
-        "Worked out from the slopes above, carried on to the target, and the assumptions.",
+        "Computed from the slopes above, extrapolated to the target, and from the assumptions.",
         "",
         *_guarded(lines),
     ]
 
 
-def _gone(reading: Reading) -> list[str]:
-    left = T.control_machines - T.control_a_region
+def _lost_control_machines(reading: Reading) -> list[str]:
+    left = T.control_machines - T.control_machines_per_region
 
     def lines() -> list[str]:
-        one = reading.at("list-change", "teller", T.destinations) / 1e3
+        cost = reading.at("list-change", "teller", T.destinations) / 1e3
         wire = reading.at("list-change", "wire", T.destinations)
-        missed = T.changes_a_second * A.long_outage
+        missed = T.changes_per_second * A.long_outage
         return [
-            f"Telling all changes takes a machine {amount(T.changes_a_second * N / T.control_machines * one, 'ms')} "
-            f"of a "
-            f"second with all there, {amount(T.changes_a_second * N / left * one, 'ms')} with {left}. A courier that "
-            f"heard "
-            f"nothing for {amount(A.long_outage, 's')} lacks {number(missed)} changes, "
-            f"{amount(missed * wire, 'bytes')}; "
-            f"{T.region:,} of them at once {amount(missed * wire * T.region, 'bytes')}, "
+            f"Sending all changes takes a machine {amount(T.changes_per_second * N / T.control_machines * cost, 'ms')} "
+            f"a second with all machines, {amount(T.changes_per_second * N / left * cost, 'ms')} with {left}. A "
+            f"courier that received nothing for {amount(A.long_outage, 's')} lacks {number(missed)} changes, "
+            f"{amount(missed * wire, 'bytes')}; {T.region:,} of them at once need "
+            f"{amount(missed * wire * T.region, 'bytes')}, which takes "
             f"{amount(missed * wire * T.region / left / A.control_mb / 1e6, 's')} from {left} machines.",
             "",
         ]
 
     return [
-        "## When a region's control machines are gone",
+        "## When a region's control machines are lost",
         "",
-        f"The other {left} carry {number(N / left)} couriers each instead of {number(T.couriers_a_control)}, "
-        f"{number(N / left / T.couriers_a_control)} times as many. Today's couriers need none of them: parts of "
-        f"limits and members go on among themselves, lists and configuration stay as last heard. A region whose "
-        f"{T.control_a_region} brokers are gone hears no words but those that its couriers say along in their "
-        "groups, and no other region's brokers stand in: each courier judges endpoints by its own calls.",
+        f"The other {left} serve {number(N / left)} couriers each instead of {number(T.couriers_per_control_machine)}, "
+        f"{number(N / left / T.couriers_per_control_machine)} times as many. Today's couriers need none of them: "
+        "shares of limits and membership continue among the couriers, lists and configuration stay as last received. "
+        f"A region whose {T.control_machines_per_region} brokers are lost receives no observations but those that its "
+        "couriers piggyback within their groups, and no other region's brokers substitute for them: each courier "
+        "judges endpoints by its own calls.",
         "",
         *_guarded(lines),
     ]
@@ -591,77 +586,77 @@
 def _backlog(reading: Reading) -> list[str]:
     def lines() -> list[str]:
         r = reading
-        disk = r.at("open-message", "disk-each", T.backlog_each) * T.backlog_each
-        memory = r.at("open-message", "memory", T.backlog_each)
-        start = r.at("open-message", "start-wall", T.backlog_each)
+        disk = r.at("open-message", "disk-each", T.backlog_per_courier) * T.backlog_per_courier
+        memory = r.at("open-message", "memory", T.backlog_per_courier)
+        start = r.at("open-message", "start-wall", T.backlog_per_courier)
         up_to = max(r.fit("open-message", "memory").means)
-        room, held = capacity(r), 1e6 * (1 - T.core) / r.at("backlog-served", "cpu", T.backlog_each)
-        most = max(r.fit("backlog-served", "cpu").means)
-        spare = room - T.events_each
-        one = T.backlog / T.destinations_down
-        own = T.events_of_one * (A.headroom - 1)
+        unloaded_rate, backlog_rate = (
+            served_per_second(r),
+            1e6 * (1 - T.core) / r.at("backlog-served", "cpu", T.backlog_per_courier),
+        )
+        largest = max(r.fit("backlog-served", "cpu").means)
+        spare = unloaded_rate - T.events_per_courier
+        per_destination = T.backlog / T.destinations_down
+        spare_per_destination = T.events_per_destination * (A.headroom - 1)
         drained = (
-            f"{amount(T.backlog_each / spare, 's')} beside {number(T.events_each)} a second"
+            f"{amount(T.backlog_per_courier / spare, 's')} beside {number(T.events_per_courier)} a second"
             if spare > 0
-            else f"never: it serves less than the {number(T.events_each)} a second that come"
+            else f"never: it serves less than the {number(T.events_per_courier)} a second that arrive"
         )
         return [
-            f"{T.backlog_each:,.0f} open messages of a courier take {amount(disk, 'bytes')} of disk, "
+            f"{T.backlog_per_courier:,.0f} open messages of a courier take {amount(disk, 'bytes')} of disk, "
             f"{amount(memory, 'MB')} of memory and {amount(start, 's')} of a start, measured up to {up_to:,} (factor "
-            f"{number(T.backlog_each / up_to)}). All lie in one journal, and all are held in memory: "
-            f"{number(T.memory_mb)} MB hold {number(_fits_into(r, T.memory_mb))}.",
+            f"{number(T.backlog_per_courier / up_to)}). All are in one journal, and all are held in memory: "
+            f"{number(T.memory_mb)} MB hold {number(_messages_that_fit(r, T.memory_mb))}.",
             "",
-            f"What it delivers falls with what is open: a message costs "
-            f"{amount(r.at('backlog-served', 'cpu', most), 'us')} "
-            f"of processor time among {most:,}; carried on (factor {number(T.backlog_each / most)}) a core would serve "
-            f"{number(held)} a second, of {number(T.events_each)} that come: the backlog "
+            f"Deliveries slow down with the number of open messages: a message costs "
+            f"{amount(r.at('backlog-served', 'cpu', largest), 'us')} of processor time among {largest:,}; extrapolated "
+            f"(factor {number(T.backlog_per_courier / largest)}) a core would serve {number(backlog_rate)} a second, "
+            f"of {number(T.events_per_courier)} that arrive: the backlog "
             + (
                 "would not drain. "
-                if held <= T.events_each
-                else f"would drain in {amount(T.backlog_each / (held - T.events_each), 's')}. "
+                if backlog_rate <= T.events_per_courier
+                else f"would drain in {amount(T.backlog_per_courier / (backlog_rate - T.events_per_courier), 's')}. "
             )
-            + f"At what a message costs with next to nothing open, a core serves {number(room)} a second beside "
-            f"control, and "
-            f"the backlog drains in {drained}, where endpoints take all that comes. "
-            "They do not: if it is all for what is down, a destination has "
-            f"{number(one)} events, and with a limit of {number(A.headroom)} times its mean {number(own)} a second to "
-            f"spare: {amount(one / own, 's')}, whatever couriers can do.",
+            + f"At the cost of a message with next to nothing open, a core serves {number(unloaded_rate)} a second "
+            f"beside the control plane, and the backlog drains in {drained}, if endpoints accept all messages. They do "
+            "not: if all of it is for destinations that are down, a destination has "
+            f"{number(per_destination)} events, and with a limit of {number(A.headroom)} times its mean "
+            f"{number(spare_per_destination)} a second to spare: "
+            f"{amount(per_destination / spare_per_destination, 's')}, whatever couriers can do.",
             "",
         ]
 
     return ["## The backlog", "", *_guarded(lines)]
 
 
-def _fits_into(r: Reading, memory: float) -> float:
-    told = r.fit("open-message", "memory")
-    return max(0.0, (memory - told.a) / told.b) if told.b > 0 else math.inf
+def _messages_that_fit(r: Reading, memory: float) -> float:
+    fit = r.fit("open-message", "memory")
+    return max(0.0, (memory - fit.a) / fit.b) if fit.b > 0 else math.inf
 
 
 def _bursts(reading: Reading) -> list[str]:
     def lines() -> list[str]:
         r = reading
         up_to = max(r.fit("list-change", "wire").means)
-        wire, hearer = r.at("list-change", "wire", up_to), r.at("list-change", "hearer", up_to)
-        file = r.at("config-change", "hearer", T.destinations)
+        wire, courier_cost = r.at("list-change", "wire", up_to), r.at("list-change", "hearer", up_to)
+        reload_cost = r.at("config-change", "hearer", T.destinations)
         n = A.burst_changes
         return [
-            f"The users name no burst; assumed are {n:,} changes told within one second, "
-            f"{number(n / T.changes_a_second)} times the mean. To each courier they are {amount(n * wire, 'bytes')}, "
+            f"The users name no burst; {n:,} changes announced within one second are assumed, "
+            f"{number(n / T.changes_per_second)} times the mean. To each courier they are {amount(n * wire, 'bytes')}, "
             f"{amount(n * wire / T.bytes_a_second, 's')} of its {amount(T.bytes_a_second, 'bytes')} a second, and "
-            f"{amount(n * hearer, 'us')} of its processor, {amount(n * hearer / 1e3 / T.processor_ms, 's')} of what "
-            f"control "
-            f"may take (at {up_to:,} listed); to all {N:,} {amount(n * wire * N, 'bytes')}, "
+            f"{amount(n * courier_cost, 'us')} of its processor time, "
+            f"{amount(n * courier_cost / 1e3 / T.processor_ms, 's')} of what the control plane may use (at {up_to:,} "
+            f"listed); to all {N:,} {amount(n * wire * N, 'bytes')}, "
             f"{amount(n * wire * N / T.control_machines / A.control_mb / 1e6, 's')} from {T.control_machines} "
-            f"machines. "
-            f"Told to those that a destination concerns, {A.placed} each, a courier hears {number(n * A.placed / N)} "
-            f"of "
-            "them.",
+            f"machines. If each change is sent only to the {A.placed} couriers interested in its destination, a "
+            f"courier receives {number(n * A.placed / N)} of them.",
             "",
-            f"A configuration that is a file read whole costs {amount(file, 'ms')} of processor time with "
-            f"{T.destinations:,} destinations in it, for each change: {number(file / 1e3 * T.changes_a_second)} s in "
-            f"each "
-            f"second at the mean of {number(T.changes_a_second)}. It is read once for several changes then, and "
-            f"late.",
+            f"A configuration in a file that is read as a whole costs {amount(reload_cost, 'ms')} of processor time "
+            f"per change with {T.destinations:,} destinations in it: "
+            f"{number(reload_cost / 1e3 * T.changes_per_second)} s in each second at the mean of "
+            f"{number(T.changes_per_second)}. It is then read once for several changes, and late.",
             "",
         ]
 
@@ -669,99 +664,97 @@
 
 
 @dataclass(frozen=True)
-class Option:
-    """A published system, and what of it fits."""
+class PublishedSystem:
+    """A published system, and which of its ideas fit here."""
 
     system: str
     shows: str
     here: str
 
 
-def _weighed(reading: Reading) -> list[str]:
+def _published_systems(reading: Reading) -> list[str]:
     options = [
-        Option(
+        PublishedSystem(
             "Consul: two levels of gossip, servers and agents",
             "an agent never talks to all",
-            f"couriers in groups of a zone ({T.zone}), a few of each known elsewhere; taken for members. Servers "
-            f"that "
-            f"hold all: {N:,} members are little memory, their words are not",
+            f"couriers in groups of a zone ({T.zone}), a few of each known elsewhere; used for members. Servers that "
+            f"hold all: {N:,} members take little memory, but their observations do not",
         ),
-        Option(
+        PublishedSystem(
             "Doorman: shares leased from a hierarchy",
-            "sums kept by leases, a safe share for who hears nothing",
-            f"taken for limits with many takers; where {A.placed} share one, they can lend among themselves",
+            "sums kept by leases, a safe share for a client that receives nothing",
+            f"used for limits shared by many; where {A.placed} share one, they can lend among themselves",
         ),
-        Option(
+        PublishedSystem(
             "Slicer, Shard Manager: key ranges assigned",
-            "the data path goes on with the last assignment",
-            "not first: rendezvous hashing needs no controller; an assignment evens load out better, and may come "
-            "later",
+            "the data path continues with the last assignment",
+            "not first: rendezvous hashing needs no controller; an assignment balances load better, and may come later",
         ),
-        Option(
+        PublishedSystem(
             "Configerator: a tree of relays",
-            "push along a tree, cache on disk, versions that only rise",
-            f"taken for configuration: {N:,} copies of a change cost a relay as many as it has children",
+            "push along a tree, cache on disk, monotonic versions",
+            f"used for configuration: {N:,} copies of a change cost a relay only as many as it has children",
         ),
-        Option(
-            "Envoy's delta discovery: what is subscribed to",
-            "interest, not broadcast",
-            f"taken for lists and for words: {number(PLACED_EACH)} destinations instead of {T.destinations:,}",
+        PublishedSystem(
+            "Envoy's delta discovery: subscriptions",
+            "interest instead of broadcast",
+            f"used for lists and for observations: {number(PLACED_DESTINATIONS)} destinations instead of "
+            f"{T.destinations:,}",
         ),
-        Option(
+        PublishedSystem(
             "Kubernetes' hollow nodes",
             "real control code, no work, many in a process",
-            "taken for the next measurement; at one size against real processes before it is believed",
+            "used for the next measurement; at one size against real processes before it is trusted",
         ),
-        Option(
+        PublishedSystem(
             "Shuffle sharding",
-            "a bad destination meets a few workers only",
-            f"taken as placement: {A.placed} of {N:,}, and it is the client's side that must do it",
+            "a bad destination affects only a few workers",
+            f"used for placement: {A.placed} of {N:,}, and the client's side must do it",
         ),
     ]
     return [
-        "## Roles and options, weighed against what is published",
+        "## Comparison with published systems",
         "",
-        "As remembered from what their makers published; none of their figures is used here.",
+        "As remembered from publications of their makers; none of their figures is used here.",
         "",
         *table(["system", "what it shows", "here"], [(each.system, each.shows, each.here) for each in options]),
-        f"Words and lists by interest help only where a destination's events reach few couriers. Spread evenly, "
-        f"each "
-        f"courier meets each destination once in {amount(T.meets_every, 's')}: all are concerned by all "
-        f"{T.destinations:,}. Placed on {A.placed}, a courier is concerned by {number(PLACED_EACH)}. So placement "
-        f"at "
-        f"the client's side ({STAND[By.PLACED]}) is what the other mechanisms stand on; a courier can still be "
-        f"handed "
-        "a message for any destination, and then serves it as one that hears nothing does.",
+        "Observations and lists by interest help only if a destination's events reach few couriers. With events "
+        f"spread evenly, each courier gets an event for each destination once in "
+        f"{amount(T.seconds_between_encounters, 's')}: all are interested in all {T.destinations:,}. Placed on "
+        f"{A.placed}, a courier is interested in {number(PLACED_DESTINATIONS)}. So the other mechanisms depend on "
+        f"placement at the client's side ({MECHANISM_STATUS[Mechanism.PLACED]}); a courier can still be given a "
+        "message for any destination, and then serves it like one that receives no observations.",
         "",
     ]
 
 
-def _ranking(found: list[Result], lacking: int) -> list[str]:
-    order = ranked(found)
+def _ranking(evaluated: list[Result], not_evaluated: int) -> list[str]:
+    order = ranked(evaluated)
     rows = []
     for place, each in enumerate(order, 1):
-        mine = [one for one in found if one.row.by is each.row.by and not one.row.supposed]
-        over = [one for one in mine if one.ratio > 1]
-        bound = [one for one in over if one.row.by_bound in OF_CONTROL]
-        left = max((one.left for one in mine if one.left is not None), default=None)
+        same_mechanism = [
+            one for one in evaluated if one.row.mechanism is each.row.mechanism and not one.row.hypothetical
+        ]
+        exceeded = [one for one in same_mechanism if one.ratio > 1]
+        control_exceeded = [one for one in exceeded if one.row.bound_name in CONTROL_PLANE_BOUNDS]
+        remaining = max((one.remaining for one in same_mechanism if one.remaining is not None), default=None)
         rows.append(
             [
                 str(place),
-                str(each.row.by),
-                f"**{STAND[each.row.by]}**",
+                str(each.row.mechanism),
+                f"**{MECHANISM_STATUS[each.row.mechanism]}**",
                 f"{each.row.role}: {each.row.what}",
                 times(each.ratio),
-                "" if left is None else times(left),
-                f"{len(over)} of {len(mine)}",
-                str(len(bound)),
+                "" if remaining is None else times(remaining),
+                f"{len(exceeded)} of {len(same_mechanism)}",
+                str(len(control_exceeded)),
             ]
         )
     lines = [
         "## Ranking: need over bound, the worst first",
         "",
-        "Rows that only would be so are left out. What the control plane's bounds (processor time, memory, bytes "
-        "of "
-        "a courier) forbid is counted apart.",
+        "Hypothetical rows are left out. Rows above the control plane's bounds (processor time, memory, bytes of a "
+        "courier) are counted separately.",
         "",
         *table(
             [
@@ -772,14 +765,18 @@
                 "ratio",
                 "worst with it",
                 "rows above their bound",
-                "of them above one of control",
+                "of them above a control plane bound",
             ],
             rows,
         ),
-        "What is above what control may take of a courier, the worst first:",
+        "Rows above what the control plane may use of a courier, the worst first:",
         "",
     ]
-    control = [each for each in found if each.row.by_bound in OF_CONTROL and each.ratio > 1 and not each.row.supposed]
+    control = [
+        each
+        for each in evaluated
+        if each.row.bound_name in CONTROL_PLANE_BOUNDS and each.ratio > 1 and not each.row.hypothetical
+    ]
     control.sort(key=lambda each: -each.ratio)
     lines += table(
         ["row", "at the target", "bound", "ratio", "with it"],
@@ -787,103 +784,105 @@
             (
                 f"{each.row.role}, {each.row.kind}: {each.row.what}",
                 amount(each.need, each.row.unit),
-                f"{amount(each.bound, each.row.unit)}, {each.row.by_bound}",
+                f"{amount(each.bound, each.row.unit)}, {each.row.bound_name}",
                 times(each.ratio),
-                _left(each),
+                _remaining(each),
             )
             for each in control
         ],
     )
-    if lacking:
-        return [*lines, f"The ranking is not whole, so no first is drawn from it: {lacking} rows lack a slope.", ""]
-    return lines + _first(order, found)
+    if not_evaluated:
+        return [
+            *lines,
+            f"The ranking is incomplete, so no priority is derived from it: {not_evaluated} rows lack a slope.",
+            "",
+        ]
+    return lines + _built_first(order, evaluated)
 
 
-def _first(order: list[Result], found: list[Result]) -> list[str]:
-    """Why this one is built first, as far as the ranking bears it out."""
-    places = {each.row.by: n for n, each in enumerate(order, 1)}
+def _built_first(order: list[Result], evaluated: list[Result]) -> list[str]:
+    """Explain the choice of what is built first, as far as the ranking supports it."""
+    places = {each.row.mechanism: n for n, each in enumerate(order, 1)}
     top = order[0]
-    words = next(each for each in order if each.row.by is By.WORDS)
-    groups = next(each for each in order if each.row.by is By.GROUPS)
-    hard = [each for each in found if each.row.by is By.GROUPS and each.ratio > 1 and not each.row.supposed]
+    observations = next(each for each in order if each.row.mechanism is Mechanism.WORDS)
+    groups = next(each for each in order if each.row.mechanism is Mechanism.GROUPS)
+    exceeded = [
+        each
+        for each in evaluated
+        if each.row.mechanism is Mechanism.GROUPS and each.ratio > 1 and not each.row.hypothetical
+    ]
     control = max(
-        (each for each in found if each.row.by_bound in OF_CONTROL and not each.row.supposed),
+        (each for each in evaluated if each.row.bound_name in CONTROL_PLANE_BOUNDS and not each.row.hypothetical),
         key=lambda each: each.ratio,
     )
-    sent = next((each for each in found if each.row.by_bound == BYTES and each.row.by is By.WORDS), None)
-    lines = [f"**Built first: {FIRST[0]}, and {FIRST[1]}.**", ""]
-    if top.row.by in FIRST:
-        lines += [f"The ranking bears it out: {top.row.by} is the worst, {times(top.ratio)} times its bound.", ""]
+    sent = next(
+        (each for each in evaluated if each.row.bound_name == BYTES and each.row.mechanism is Mechanism.WORDS), None
+    )
+    lines = [f"**Built first: {BUILT_FIRST[0]}, and {BUILT_FIRST[1]}.**", ""]
+    if top.row.mechanism in BUILT_FIRST:
+        lines += [f"The ranking supports it: {top.row.mechanism} is the worst, {times(top.ratio)} times its bound.", ""]
     else:
         lines += [
-            f"The ranking alone does not say so: by ratio the worst is {top.row.by} ({times(top.ratio)}), words "
-            f"are "
-            f"place {places[By.WORDS]} ({times(words.ratio)}), members place {places[By.GROUPS]} "
-            f"({times(groups.ratio)}). Of what control may take of a courier the worst is "
-            f"{control.row.what} ({times(control.ratio)} times its {control.row.by_bound}; {control.row.by}). "
-            f"It is "
-            "built first all the same, for three reasons:",
+            f"The ranking alone does not support it: by ratio the worst is {top.row.mechanism} ({times(top.ratio)}), "
+            f"observations have rank {places[Mechanism.WORDS]} ({times(observations.ratio)}), members have rank "
+            f"{places[Mechanism.GROUPS]} ({times(groups.ratio)}). Of what the control plane may use of a courier, the "
+            f"worst is {control.row.what} ({times(control.ratio)} times its {control.row.bound_name}; "
+            f"{control.row.mechanism}). It is built first all the same, for three reasons:",
             "",
         ]
     load = max(
-        (each for each in found if each.row.by is By.GROUPS and each.row.by_bound in OF_CONTROL),
+        (
+            each
+            for each in evaluated
+            if each.row.mechanism is Mechanism.GROUPS and each.row.bound_name in CONTROL_PLANE_BOUNDS
+        ),
         key=lambda each: each.ratio,
     )
-    slow = max((each for each in hard if each.row.kind == "time"), key=lambda each: each.ratio, default=None)
-    fits = (
-        f"What control may take does not forbid all in one group: at {N:,} the worst is {load.row.kind}, "
+    slowest = max((each for each in exceeded if each.row.kind == "time"), key=lambda each: each.ratio, default=None)
+    findings = (
+        f"The control plane's bounds do not exclude all couriers in one group: at {N:,} the worst is {load.row.kind}, "
         f"{times(load.ratio)} of its bound. "
         if load.ratio <= 1
-        else f"Control may not take that either: {load.row.kind}, {times(load.ratio)} times its bound. "
+        else f"The control plane's bounds exclude that, too: {load.row.kind}, {times(load.ratio)} times its bound. "
     )
-    if slow is not None:
-        fits += f"Time does: {slow.row.what} it takes {amount(slow.need, slow.row.unit)}"
-        if slow.left is not None and not callable(slow.row.bound):
-            fits += f", in a group of {T.zone} {amount(slow.left * slow.bound, slow.row.unit)}"
-        fits += "."
-        if slow.left is not None and slow.left > 1:
-            fits += (
-                f" That is still {times(slow.left)} times its bound: groups alone do not do it, a start must be "
-                f"given "
-                "the members by one who knows them, at once, and not by what goes along with questions."
+    if slowest is not None:
+        findings += f"Time does: {slowest.row.what} it takes {amount(slowest.need, slowest.row.unit)}"
+        if slowest.remaining is not None and not callable(slowest.row.bound):
+            findings += f", in a group of {T.zone} {amount(slowest.remaining * slowest.bound, slowest.row.unit)}"
+        findings += "."
+        if slowest.remaining is not None and slowest.remaining > 1:
+            findings += (
+                f" That is still {times(slowest.remaining)} times its bound: groups alone are not enough; at a start, "
+                "a courier must get the members at once from one that knows them, and not piggybacked on probes."
             )
     lines += [
-        f"1. Members are the gate. Beyond {MOST_MEMBERS:,} of {N:,} the code refuses more, and beyond "
-        f"{seal.SENDERS:,} "
-        "drops what they say; loans, words and counts go to members only. So no other mechanism that couriers "
-        "carry "
-        f"among themselves can be had at the target, or tried there, before that. {len(hard)} rows of members "
-        f"are "
-        f"above their bound, and placement helps none of them. {fits}",
+        f"1. Members come before all else. Beyond {MAX_MEMBERS:,} of {N:,} the code refuses more, and beyond "
+        f"{seal.SENDERS:,} it drops their datagrams; loans, observations and counters go to members only. So no other "
+        f"mechanism among couriers can be used or tried at the target before that. {len(exceeded)} rows of members are "
+        f"above their bound, and placement helps none of them. {findings}",
         "2. "
         + (
-            f"Of the bytes of a courier words are the worst: {times(sent.ratio)} times the bound when told "
-            f"to all, "
-            f"{times(sent.left or 0)} times when told only to those {A.placed} whom a destination concerns. "
+            f"Observations are the worst user of a courier's bytes: {times(sent.ratio)} times the bound when sent to "
+            f"all, {times(sent.remaining or 0)} times when sent only to the {A.placed} couriers interested in a "
+            f"destination. "
             if sent is not None
             else ""
         )
-        + "Bytes are what couriers share with each other: too many of them hold back the questions and answers "
-        "that "
-        "members, loans and counts live by.",
-        "3. What is ranked above stands on the same answer, whom a destination concerns. A limit is shared, a "
-        "list "
-        "told and a counter kept by those; brokers found by hashing give that answer without a controller. With "
-        "it, "
-        "and events placed, the ratios fall to those of the column 'worst with it'.",
+        + "Couriers share these bytes for all communication: too many of them delay the probes and answers that "
+        "members, loans and counters depend on.",
+        "3. The mechanisms ranked above depend on the same question: which couriers are interested in a destination. "
+        "These share a limit, receive a list and keep a counter; brokers found by hashing answer the question without "
+        "a controller. With the answer, and events placed, the ratios fall to those of the column 'worst with it'.",
     ]
-    next_by = [each for each in order if each.row.by not in FIRST]
+    others = [each for each in order if each.row.mechanism not in BUILT_FIRST]
     lines += [
         "",
         "Not built first, though ranked: "
-        + "; ".join(f"{each.row.by} ({times(each.ratio)})" for each in next_by if each.ratio > 1)
-        + ". Placement is another "
-        "program's "
-        "side, the client's: a courier can't choose what it is handed, it can only gain by it. Lists, counts and "
-        "limits "
-        "by interest stand on the same question, whom a destination concerns, and on who answers it: brokers found by "
-        "hashing are that answer, so they come before these. The backlog is a courier's own matter and can be built "
-        "beside it.",
+        + "; ".join(f"{each.row.mechanism} ({times(each.ratio)})" for each in others if each.ratio > 1)
+        + ". Placement belongs to another program, on the client's side: a courier can't choose which messages it is "
+        "given, it can only benefit. Lists, counters and limits by interest depend on the same question, which "
+        "couriers are interested in a destination, and on who answers it: brokers found by hashing do, so they come "
+        "before these. The backlog is internal to a courier and can be built independently.",
         "",
     ]
     return lines
@@ -891,7 +890,7 @@
 
 def _pairs(reading: Reading) -> list[str]:
     lines = ["## Before and after a mechanism", ""]
-    some = False
+    any_measured = False
     for before, after in PAIRS:
         if not {before, after} <= reading.slopes.keys():
             continue
@@ -900,65 +899,60 @@
             fits = {figure: (reading.fit(before, figure), reading.fit(after, figure)) for figure in shared}
         except NotMeasured:
             continue
-        some = True
-        told = []
-        for figure, (old, new) in fits.items():
+        any_measured = True
+        table_rows = []
+        for figure, (old_fit, new_fit) in fits.items():
             unit = reading.slopes[before].figures[figure]
-            sizes = sorted(set(old.means) & set(new.means))
+            sizes = sorted(set(old_fit.means) & set(new_fit.means))
             for size in [*sizes, N]:
-                was, now = old.at(size), new.at(size)
-                note = "" if size in sizes else f" (carried on, factors {number(was.factor)} and {number(now.factor)})"
-                told.append(
+                old, new = old_fit.at(size), new_fit.at(size)
+                note = (
+                    "" if size in sizes else f" (extrapolated, factors {number(old.factor)} and {number(new.factor)})"
+                )
+                table_rows.append(
                     [
                         figure,
                         f"{size:,}{note}",
-                        amount(was.value, unit),
-                        amount(now.value, unit),
-                        times(now.value / was.value) if was.value else "",
+                        amount(old.value, unit),
+                        amount(new.value, unit),
+                        times(new.value / old.value) if old.value else "",
                     ]
                 )
         lines += [
             f"### {before}, then {after}",
             "",
-            *table(["figure", reading.slopes[before].by, "before", "after", "ratio"], told),
+            *table(["figure", reading.slopes[before].size_unit, "before", "after", "ratio"], table_rows),
         ]
-    return lines if some else [*lines, "None is built and measured yet.", ""]
+    return lines if any_measured else [*lines, "None is built and measured yet.", ""]
 
 
-def _unknown(rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
+def _limitations(rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
     largest = max((row.size for row in rows if row.setting == "modelled network"), default=0)
     delay = Faults().delay
     lines = [
-        f"- The modelled network was played up to {largest:,} members: what is beyond is carried on by a line or a "
-        f"power, and "
-        "a protocol may bend anywhere beyond. No run beside a load of messages.",
+        f"- The modelled network was run with up to {largest:,} members: larger sizes are extrapolated by a line or a "
+        "power, and a protocol may behave differently there. No run had a load of messages beside it.",
         f"- Modelled delays are {amount(delay[0] / 1e6, 's')} to {amount(delay[1] / 1e6, 's')} and "
-        f"{amount(Faults().loss, 'share')} are lost: regions are farther apart, and lose datagrams.",
-        "- Names on the modelled network are short (n0, n1): words on members are longer on a real one, as they are at "
-        f"the pure module ({Played._said(0).name}).",
-        "- Words are measured one at a time: several at once share datagrams, so many may cost less each than the row "
-        "says; "
-        "that they fit is ruled out by their number alone.",
-        "- What a real courier pays for receiving: the kernel's part of a datagram, and its buffers, are in no slope.",
-        "- A wave of restarts was played for members only: not with lists, journals and clients, and not for a whole "
-        "zone "
-        "gone for good.",
-        "- What brokers bear when one of them is gone, and how fast an order by hash settles after losses, is in no "
-        "slope; the row on words has neither what arrives from other regions' brokers nor what many words share of a "
-        "datagram and a tick.",
-        "- Limits, sizes and rates of destinations are even here. Real ones are not: a few have most of the events.",
-        "- How events reach couriers today, and what a client knows of them, is not part of this program: of the "
-        "client's "
-        "side only what placing and knowing would cost is here, and of member systems only what couriers send them.",
-        "- No bound for a courier's memory and disk beside control is known; nor a burst, nor a rack; see the "
-        "assumptions.",
-        "- Times that the model gives are of its steps: a courier ticks there each "
+        f"{amount(Faults().loss, 'share')} of datagrams are lost: real regions are farther apart, and lose datagrams.",
+        "- Names on the modelled network are short (n0, n1): real membership updates are longer, as they are with the "
+        f"pure module ({SimulatedFleet._update(0).name}).",
+        "- Observations are measured one at a time: several at once share datagrams, so many may cost less each than "
+        "the row says; their number alone rules out that they fit.",
+        "- The cost of receiving in a real courier, that is the kernel's part of a datagram and its buffers, is in no "
+        "slope.",
+        "- A wave of restarts was run for members only: not with lists, journals and clients, and not for a whole zone "
+        "lost for good.",
+        "- The load of brokers when one of them is lost, and how fast an order by hash settles after losses, is in no "
+        "slope; the row on observations includes neither what arrives from other regions' brokers nor what many "
+        "observations share of a datagram and a tick.",
+        "- Limits, sizes and rates of destinations are uniform here. Real ones are not: a few have most of the events.",
+        "- How events reach couriers today, and what a client knows of couriers, is not part of this program: of the "
+        "client's side only the cost of placement and of knowing couriers is here, and of member systems only what "
+        "couriers send them.",
+        "- No bound for a courier's memory and disk beside the control plane is known; nor a burst, nor a rack; see "
+        "the assumptions.",
+        "- Times on the model are multiples of its steps: a courier ticks there every "
         f"{amount(TICK / 1e6, 's')}, and no datagram waits for a busy process.",
-        "- Processor time was measured on the machine named above, other work beside it on other cores.",
-    ]
-    return [
-        "## What is not known",
-        "",
-        *lines,
-        *(f"- Not measured: {each}." for each in find_problems(rows, slopes)[:5]),
+        "- Processor time was measured on the machine named above, with other work on other cores.",
     ]
+    return ["## Limitations", "", *lines, *(f"- Not measured: {each}." for each in find_problems(rows, slopes)[:5])]
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -1,8 +1,8 @@
-"""Slopes of what couriers share: members, words on endpoints, budgets, counts.
+"""Slopes of what couriers share: members, observations of endpoints, budgets, counters.
 
-Two settings. On the modelled network all couriers' pure modules run in one process, so their processor time has the
-model's own in it, and the caches of one machine hold what many machines would: it is an upper bound. As pure modules
-one courier alone is measured, with others that are only played: their number can be the target's.
+There are two settings. On the modelled network, the pure modules of all couriers run in one process. Their processor
+time includes that of the model, and one machine's caches have to hold what many machines would, so it is an upper
+bound. As pure modules, one courier is measured among simulated others, so their number can be that of the target.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 MODELLED, PURE = "modelled network", "pure module"
 KEY = b"a key for the couriers played ..."[:32]
-STARTS, JOINED, REST = 20 * SECOND, 60 * SECOND, 20 * SECOND
-PATIENT = 240 * SECOND  # what is longer until all know all is cut off
-SETTLE, CHURN, RESTART_EVERY = 5 * SECOND, 40 * SECOND, 5 * SECOND
-WAVE_FOR = 40 * SECOND
-ALONE = 60 * SECOND
-WORD_FOR = 5 * SECOND
-MOST = 1 << 20  # times told: no news any more
-COUNTERS = 20  # of each courier, where counts are by couriers
-COUNTS_FOR = 5 * SECOND
-CALLS, LOAD, PATIENCE, WARM, SPAN = 50, 0.8, 4 * SECOND, 8 * SECOND, 20 * SECOND
-EVERYBODY = 0.99
+START_SPREAD, CHECK_AT, IDLE_DURATION = 20 * SECOND, 60 * SECOND, 20 * SECOND
+MAX_CONVERGENCE_TIME = 240 * SECOND  # a run is cut off when convergence takes longer
+SETTLING_TIME, CHURN_DURATION, RESTART_INTERVAL = 5 * SECOND, 40 * SECOND, 5 * SECOND
+WAVE_DURATION = 40 * SECOND
+SINGLE_DURATION = 60 * SECOND
+OBSERVATION_DURATION = 5 * SECOND
+GOSSIP_EXHAUSTED = 1 << 20  # a number of transmissions after which gossip no longer passes an update on
+COUNTERS_PER_COURIER = 20
+COUNTS_DURATION = 5 * SECOND
+CALLS, LOAD, MESSAGE_TIMEOUT, WARM_UP, LOAD_DURATION = 50, 0.8, 4 * SECOND, 8 * SECOND, 20 * SECOND
+KNOWN_SHARE = 0.99
 
 
 def _net(size: int, seed: int, group: int = 0) -> Net:
-    """So many couriers; in groups of so many, where told, in two regions with three brokers each, which run."""
+    """Create ``size`` couriers; with ``group``, in groups of that size and two regions with three brokers each."""
     if not group:
         return Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
     groups = max(1, size // group)
@@ -59,494 +59,524 @@
     return net
 
 
-def _told_all(net: Net) -> list[Peer]:
-    """All couriers started, each told of all of its group, as long after a start: nothing of it is news any more."""
+def _start_informed(net: Net) -> list[Peer]:
+    """Start all couriers, each knowing its whole group, as long after a start: no update is left to be gossiped."""
     for name in net.nodes:
         net.start(name)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
-    said = [decoded(peer.members.me) for peer in peers]
+    updates = [as_received(peer.members.me) for peer in peers]
     for peer in peers:
-        _tell(peer, [each for each in said if each.group == peer.about.group])
+        _inform(peer, [each for each in updates if each.group == peer.about.group])
     return peers
 
 
-def decoded(said: Said) -> Said:
-    """As it comes from the wire: an object of its own, its stand no bare number."""
-    told = seal.decode(seal.encode(Datagram(said.name, 1, "x", 1, [said]))).words[0]
-    assert isinstance(told, Said)
-    return told
+def as_received(update: Said) -> Said:
+    """Return the update as it is received: a separate object, with an enum member as its state."""
+    message = seal.decode(seal.encode(Datagram(update.name, 1, "x", 1, [update]))).words[0]
+    assert isinstance(message, Said)
+    return message
 
 
-def _tell(peer: Peer, said: list[Said]) -> None:
-    peer.members.heard(said[0].name, said[0].life, said, 0)
+def _inform(peer: Peer, updates: list[Said]) -> None:
+    peer.members.heard(updates[0].name, updates[0].life, updates, 0)
     for member in peer.members.members.values():
-        member.told = MOST
+        member.told = GOSSIP_EXHAUSTED
     peer.events, peer.members.events = [], []
 
 
-def members(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """Starts spread over 20 s, a look 60 s after the first, then 20 s at rest."""
+def measure_members(size: int, seed: int, group: int = 0) -> dict[str, float]:
+    """Measure starts spread over 20 s: a check 60 s after the first one, then 20 s of idling."""
     net, all_known = _net(size, seed, group), (group or size) - 1
     for n, name in enumerate(net.nodes):
-        net.at(n * STARTS // size, lambda name=name: net.start(name))  # type: ignore[misc]
-    net.run(STARTS)
+        net.at(n * START_SPREAD // size, lambda name=name: net.start(name))  # type: ignore[misc]
+    net.run(START_SPREAD)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
-    known, looked = 0, 0.0
+    known, checking_time = 0, 0.0
 
     def until(end: int) -> None:
-        nonlocal known, looked
+        nonlocal known, checking_time
         while net.now < end:
             net.run(net.now + SECOND)
-            look = time.process_time()
-            if not known and min(len(peer.members.alive()) for peer in peers) >= int(EVERYBODY * all_known):
+            check_started_at = time.process_time()
+            if not known and min(len(peer.members.alive()) for peer in peers) >= int(KNOWN_SHARE * all_known):
                 known = net.now
-            looked += time.process_time() - look
+            checking_time += time.process_time() - check_started_at
 
-    until(JOINED)
-    found = {
+    until(CHECK_AT)
+    figures = {
         "least-known": float(min(len(peer.members.alive()) for peer in peers) + 1),
         "held-back": float(sum(peer.held_back for peer in peers)),
     }
     gc.collect()
-    sent, cpu, looked = sum(peer.sent for peer in peers), time.process_time(), 0.0
-    until(JOINED + REST)
-    seconds = size * REST / SECOND
-    found |= {
-        "sent": (sum(peer.sent for peer in peers) - sent) / seconds,
-        "processor": (time.process_time() - cpu - looked) * 1e3 / seconds,
+    sent_before, cpu_before, checking_time = sum(peer.sent for peer in peers), time.process_time(), 0.0
+    until(CHECK_AT + IDLE_DURATION)
+    seconds = size * IDLE_DURATION / SECOND
+    figures |= {
+        "sent": (sum(peer.sent for peer in peers) - sent_before) / seconds,
+        "processor": (time.process_time() - cpu_before - checking_time) * 1e3 / seconds,
     }
-    while not known and net.now < PATIENT:
+    while not known and net.now < MAX_CONVERGENCE_TIME:
         until(net.now + SECOND)
-    return found | {"all-known": (known or PATIENT) / SECOND}
+    return figures | {"all-known": (known or MAX_CONVERGENCE_TIME) / SECOND}
 
 
-def churn(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """All know all of their group; one ends for good, and each 5 s another one is started again, for 40 s."""
+def measure_churn(size: int, seed: int, group: int = 0) -> dict[str, float]:
+    """Let all know their group, stop one courier for good, and restart another one every 5 s for 40 s."""
     net = _net(size, seed, group)
-    _told_all(net)
-    net.run(SETTLE)
-    begin, lost = net.now, f"n{size // 2}"
-    net.kill(lost)
-    for n in range(1, CHURN // RESTART_EVERY):
-        net.at(begin + n * RESTART_EVERY, lambda n=n: net.start(f"n{size // 2 + n}"))  # type: ignore[misc]
+    _start_informed(net)
+    net.run(SETTLING_TIME)
+    started_at, stopped = net.now, f"n{size // 2}"
+    net.kill(stopped)
+    for n in range(1, CHURN_DURATION // RESTART_INTERVAL):
+        net.at(started_at + n * RESTART_INTERVAL, lambda n=n: net.start(f"n{size // 2 + n}"))  # type: ignore[misc]
     gc.collect()
-    at_begin = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
-    lives, cpu, known = {name: node.life for name, node in net.nodes.items()}, time.process_time(), 0
-    looked = 0.0
-    while net.now < begin + CHURN:
+    sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
+    epochs, cpu, known = {name: node.life for name, node in net.nodes.items()}, time.process_time(), 0
+    checking_time = 0.0
+    while net.now < started_at + CHURN_DURATION:
         net.run(net.now + 100 * MS)
-        look = time.process_time()
-        if not known and _held_dead(net, lost) >= int(EVERYBODY * ((group or size) - 1)):
+        check_started_at = time.process_time()
+        if not known and _count_informed_of_loss(net, stopped) >= int(KNOWN_SHARE * ((group or size) - 1)):
             known = net.now
-        looked += time.process_time() - look
-    cpu = time.process_time() - cpu - looked
+        checking_time += time.process_time() - check_started_at
+    cpu = time.process_time() - cpu - checking_time
     sent = sum(
-        node.peer.sent - (at_begin[name] if lives[name] == node.life else 0)
+        node.peer.sent - (sent_before[name] if epochs[name] == node.life else 0)
         for name, node in net.nodes.items()
         if node.peer is not None
     )
-    wrong = sum(
-        m.said.stand is Stand.DEAD and name != lost
+    wrongly_dead = sum(
+        member.said.stand is Stand.DEAD and name != stopped
         for node in net.nodes.values()
         if node.peer is not None
-        for name, m in node.peer.members.members.items()
+        for name, member in node.peer.members.members.items()
     )
-    seconds = (size - 1) * CHURN / SECOND
+    seconds = (size - 1) * CHURN_DURATION / SECOND
     return {
         "sent": sent / seconds,
         "processor": cpu * 1e3 / seconds,
-        "loss-known": ((known or net.now) - begin) / SECOND,
-        "wrongly-dead": float(wrong),
+        "loss-known": ((known or net.now) - started_at) / SECOND,
+        "wrongly-dead": float(wrongly_dead),
     }
 
 
-def wave(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """All know all of their group; the target's part of all ends at once, and all of them start a second later."""
+def measure_wave(size: int, seed: int, group: int = 0) -> dict[str, float]:
+    """Let all know their group, stop the target's share of couriers at once, and start them a second later."""
     net = _net(size, seed, group)
-    _told_all(net)
-    net.run(SETTLE)
+    _start_informed(net)
+    net.run(SETTLING_TIME)
     count = max(1, round(size * TARGET.wave / TARGET.couriers))
     names = list(net.nodes)
-    gone, others = names[-count:], names[:-count]
-    concerned = [(name, other) for name in gone for other in others if net.nodes[name].group == net.nodes[other].group]
-    for name in gone:
+    stopped, others = names[-count:], names[:-count]
+    pairs = [
+        (name, observer)
+        for name in stopped
+        for observer in others
+        if net.nodes[name].group == net.nodes[observer].group
+    ]
+    for name in stopped:
         net.kill(name)
         net.at(net.now + SECOND, lambda name=name: net.start(name))  # type: ignore[misc]
-    began = net.now
-    before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
-    held_before = sum(node.peer.held_back for node in net.nodes.values() if node.peer is not None)
-    known = joined = sent = held_back = 0
-    while net.now < began + WAVE_FOR or not known * joined and net.now < began + PATIENT:
+    started_at = net.now
+    sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
+    over_bandwidth_before = sum(node.peer.held_back for node in net.nodes.values() if node.peer is not None)
+    known = joined = sent = over_bandwidth = 0
+    while net.now < started_at + WAVE_DURATION or not known * joined and net.now < started_at + MAX_CONVERGENCE_TIME:
         net.run(net.now + 200 * MS)
         peers = {name: node.peer for name, node in net.nodes.items() if node.peer is not None}
         if not known and len(peers) == size:
-            heard = sum(_holds(peers[other], name, net.nodes[name].life) for name, other in concerned)
-            known = net.now if heard >= EVERYBODY * len(concerned) else 0
+            informed = sum(_knows_epoch(peers[observer], name, net.nodes[name].life) for name, observer in pairs)
+            known = net.now if informed >= KNOWN_SHARE * len(pairs) else 0
         if not joined and len(peers) == size:
-            knows = sum(len(peers[name].members.alive()) for name in gone)
-            joined = net.now if knows >= EVERYBODY * len(gone) * ((group or size) - 1) else 0
-        if net.now <= began + WAVE_FOR:
-            sent = sum(peer.sent - (0 if name in gone else before[name]) for name, peer in peers.items())
-            held_back = sum(peer.held_back for peer in peers.values()) - held_before
+            known_members = sum(len(peers[name].members.alive()) for name in stopped)
+            joined = net.now if known_members >= KNOWN_SHARE * len(stopped) * ((group or size) - 1) else 0
+        if net.now <= started_at + WAVE_DURATION:
+            sent = sum(peer.sent - (0 if name in stopped else sent_before[name]) for name, peer in peers.items())
+            over_bandwidth = sum(peer.held_back for peer in peers.values()) - over_bandwidth_before
     return {
-        "known": ((known or net.now) - began) / SECOND,
-        "joined": ((joined or net.now) - began) / SECOND,
-        "sent": sent / (size * WAVE_FOR / SECOND),
-        "held-back": float(held_back),
+        "known": ((known or net.now) - started_at) / SECOND,
+        "joined": ((joined or net.now) - started_at) / SECOND,
+        "sent": sent / (size * WAVE_DURATION / SECOND),
+        "held-back": float(over_bandwidth),
     }
 
 
-def _holds(peer: Peer, name: str, life: int) -> bool:
-    held = peer.members.members.get(name)
-    return held is not None and held.said.life == life and held.said.stand is Stand.ALIVE
+def _knows_epoch(peer: Peer, name: str, epoch: int) -> bool:
+    member = peer.members.members.get(name)
+    return member is not None and member.said.life == epoch and member.said.stand is Stand.ALIVE
 
 
-def _held_dead(net: Net, lost: str) -> int:
+def _count_informed_of_loss(net: Net, name: str) -> int:
     count = 0
     for node in net.nodes.values():
-        if node.peer is not None and node.group == net.nodes[lost].group:
-            held = node.peer.members.members.get(lost)
-            count += held is None or held.said.stand >= Stand.DEAD
+        if node.peer is not None and node.group == net.nodes[name].group:
+            member = node.peer.members.members.get(name)
+            count += member is None or member.said.stand >= Stand.DEAD
     return count
 
 
-class Played:
-    """One courier, whole, among so many others of whom only what they say to it is made."""
+class SimulatedFleet:
+    """One real courier's modules among others of which only the datagrams to it are simulated."""
 
     def __init__(self, others: int, seed: int) -> None:
         self.random = Random(seed)
-        self.others = [self._said(n) for n in range(1, others + 1)]
-        self.by_address = {(said.host, said.port): said for said in self.others}
+        self.others = [self._update(n) for n in range(1, others + 1)]
+        self.by_address = {(update.host, update.port): update for update in self.others}
         self._sealers: dict[str, Sealer] = {}
-        about = About(
+        config = About(
             "c-01-0000", ("10.0.0.1", 2770), 1, [KEY], {}, Terms(others + 1, 0), TARGET.bytes_a_second, most=others + 1
         )
         self.now = 0
-        self.peer = Peer(about, 0, seed, {})
-        for said in self.others:  # decoded one by one, as they come from the wire
-            self.peer.members.heard(said.name, said.life, [self._said(said.number)], 0)
+        self.peer = Peer(config, 0, seed, {})
+        for update in self.others:  # decoded one by one, as they are when received
+            self.peer.members.heard(update.name, update.life, [self._update(update.number)], 0)
         for member in self.peer.members.members.values():
-            member.told = MOST
+            member.told = GOSSIP_EXHAUSTED
         self.peer.events, self.peer.members.events = [], []
         self.peer.tick(0)
 
     @staticmethod
-    def _said(n: int) -> Said:
+    def _update(n: int) -> Said:
         address = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
-        return decoded(Said(f"c-{n % 20:02}-{n:05}", address, 2770, n, 1_780_000_000_000 + n, 0, Stand.ALIVE))
+        return as_received(Said(f"c-{n % 20:02}-{n:05}", address, 2770, n, 1_780_000_000_000 + n, 0, Stand.ALIVE))
 
-    def sealer(self, name: str, life: int) -> Sealer:
-        """Of one of the others."""
+    def sealer(self, name: str, epoch: int) -> Sealer:
+        """Return the sealer of one of the other couriers."""
         if name not in self._sealers:
-            self._sealers[name] = Sealer(name, life, [KEY])
+            self._sealers[name] = Sealer(name, epoch, [KEY])
         return self._sealers[name]
 
-    def says(self, said: Said, *words: Any) -> bytes:
-        """A datagram of this one's, filled up with what it holds of others, as theirs are."""
-        whole = [*words, *self.random.sample(self.others, min(20, len(self.others)))]
-        while Sealer.size(whole, 20) > seal.MOST:
-            whole.pop()
-        return self.sealer(said.name, said.life).seal("c-01-0000", whole)
+    def datagram_from(self, update: Said, *messages: Any) -> bytes:
+        """Return a datagram from this courier, with piggybacked member updates as real ones have."""
+        all_messages = [*messages, *self.random.sample(self.others, min(20, len(self.others)))]
+        while Sealer.size(all_messages, 20) > seal.MOST:
+            all_messages.pop()
+        return self.sealer(update.name, update.life).seal("c-01-0000", all_messages)
 
-    def opened(self, address: tuple[str, int], data: bytes) -> tuple[Said, Datagram]:
-        """What the courier said to whom."""
-        said = self.by_address[address]
-        return said, self.sealer(said.name, said.life).open(data)
+    def open_datagram(self, address: tuple[str, int], data: bytes) -> tuple[Said, Datagram]:
+        """Return the receiver and the content of a datagram that the courier sent."""
+        update = self.by_address[address]
+        return update, self.sealer(update.name, update.life).open(data)
 
 
-def alone(size: int, seed: int) -> dict[str, float]:
-    """One courier that knows so many: memory, and 60 s of questions, answers, and the target's restarts."""
-    seal.SENDERS = max(seal.SENDERS, size + 1)  # raised as the bound on members is: of this process alone
+def measure_single_courier(size: int, seed: int) -> dict[str, float]:
+    """Measure one courier that knows ``size`` members: memory, and 60 s of probes, answers and target restarts."""
+    seal.SENDERS = max(seal.SENDERS, size + 1)  # raised like the bound on members, in this process only
     tracemalloc.start()
-    played = Played(size, seed)
-    for said in played.others:  # each was heard some time: its sequence is held
-        played.peer.sealer.open(played.sealer(said.name, said.life).seal("c-01-0000", []))
+    fleet = SimulatedFleet(size, seed)
+    for update in fleet.others:  # each one has sent before, so its sequence number is stored
+        fleet.peer.sealer.open(fleet.sealer(update.name, update.life).seal("c-01-0000", []))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
-    del played.peer
+    del fleet.peer
     gc.collect()
     memory -= tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    played = Played(size, seed)
-    peer, spent, sent = played.peer, 0.0, 0
+    fleet = SimulatedFleet(size, seed)
+    peer, cpu, sent = fleet.peer, 0.0, 0
     waiting: list[tuple[int, bytes]] = []
-    restart_every, asked = int(TARGET.restart_every * SECOND), 0
-    while played.now < ALONE:
-        played.now += TICK
-        due = [data for at, data in waiting if at <= played.now]
-        waiting = [(at, data) for at, data in waiting if at > played.now]
-        if played.now // SECOND != asked:  # each is asked by one other a period, in the mean
-            asked = played.now // SECOND
-            due.append(played.says(played.random.choice(played.others), Ping(asked)))
-        if played.now % restart_every < TICK:  # one restart of all, heard by gossip
-            n = played.random.randrange(len(played.others))
-            old = played.others[n]
-            played.others[n] = Said(old.name, old.host, old.port, old.number, old.life + 1_000, 0, Stand.ALIVE)
-            played.by_address[(old.host, old.port)] = played.others[n]
-            due.append(played.says(played.random.choice(played.others), played.others[n]))
-        out: Datagrams = []
-        began = time.process_time()
-        for data in due:
-            out += peer.hear(data, played.now)
-        out += peer.tick(played.now)
-        spent += time.process_time() - began
+    restart_interval, last_ping_second = int(TARGET.restart_interval * SECOND), 0
+    while fleet.now < SINGLE_DURATION:
+        fleet.now += TICK
+        incoming = [data for due_at, data in waiting if due_at <= fleet.now]
+        waiting = [(due_at, data) for due_at, data in waiting if due_at > fleet.now]
+        if fleet.now // SECOND != last_ping_second:  # each is probed by one other per period, on average
+            last_ping_second = fleet.now // SECOND
+            incoming.append(fleet.datagram_from(fleet.random.choice(fleet.others), Ping(last_ping_second)))
+        if fleet.now % restart_interval < TICK:  # one restart in the fleet, learnt by gossip
+            n = fleet.random.randrange(len(fleet.others))
+            previous = fleet.others[n]
+            fleet.others[n] = Said(
+                previous.name, previous.host, previous.port, previous.number, previous.life + 1_000, 0, Stand.ALIVE
+            )
+            fleet.by_address[(previous.host, previous.port)] = fleet.others[n]
+            incoming.append(fleet.datagram_from(fleet.random.choice(fleet.others), fleet.others[n]))
+        outgoing: Datagrams = []
+        cpu_started_at = time.process_time()
+        for data in incoming:
+            outgoing += peer.hear(data, fleet.now)
+        outgoing += peer.tick(fleet.now)
+        cpu += time.process_time() - cpu_started_at
         peer.events = []
-        for address, data in out:
+        for address, data in outgoing:
             sent += len(data)
-            said, told = played.opened(address, data)
+            update, datagram = fleet.open_datagram(address, data)
             waiting += [
-                (played.now + 5 * MS, played.says(said, Ack(word.n))) for word in told.words if isinstance(word, Ping)
+                (fleet.now + 5 * MS, fleet.datagram_from(update, Ack(message.n)))
+                for message in datagram.words
+                if isinstance(message, Ping)
             ]
-    return {"memory": memory / 1e6, "processor": spent * 1e3 / (ALONE / SECOND), "sent": sent / (ALONE / SECOND)}
+    return {
+        "memory": memory / 1e6,
+        "processor": cpu * 1e3 / (SINGLE_DURATION / SECOND),
+        "sent": sent / (SINGLE_DURATION / SECOND),
+    }
 
 
-def word(size: int, seed: int) -> dict[str, float]:
-    """All know all; one sees a call fail, and tells."""
+def measure_observation(size: int, seed: int) -> dict[str, float]:
+    """Let all know all; one courier sees a failed call and reports it."""
     net = Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
-    peers = _told_all(net)
-    net.run(SETTLE)
+    peers = _start_informed(net)
+    net.run(SETTLING_TIME)
     for each in peers:
         each.judgements.routes({"x": 1})
-    teller, begin = peers[0], net.now
-    at = net.nodes["n0"].clock(begin)
-    teller.judgements.saw("x", Outcome.FAILED, at, at)
-    before, known = teller.sent, 0
-    while net.now < begin + WORD_FOR:
+    witness, started_at = peers[0], net.now
+    seen_at = net.nodes["n0"].clock(started_at)
+    witness.judgements.saw("x", Outcome.FAILED, seen_at, seen_at)
+    sent_before, known = witness.sent, 0
+    while net.now < started_at + OBSERVATION_DURATION:
         net.run(net.now + 5 * MS)
         if not known and sum("n0" in each.judgements._heard.get("x", {}) for each in peers) >= int(
-            EVERYBODY * (size - 1)
+            KNOWN_SHARE * (size - 1)
         ):
             known = net.now
-    told = sum("n0" in each.judgements._heard.get("x", {}) for each in peers)
-    return {"sent": float(teller.sent - before), "known": ((known or net.now) - begin) / SECOND, "told": float(told)}
+    informed = sum("n0" in each.judgements._heard.get("x", {}) for each in peers)
+    return {
+        "sent": float(witness.sent - sent_before),
+        "known": ((known or net.now) - started_at) / SECOND,
+        "told": float(informed),
+    }
 
 
-def word_alone(size: int, seed: int) -> dict[str, float]:
-    """One courier that knows so many sees a call fail: whom it tells before the word is too old, and its bytes."""
-    played = Played(size, seed)
-    peer = played.peer
+def measure_observation_single(size: int, seed: int) -> dict[str, float]:
+    """Measure how many members one courier informs of a failed call before the observation expires, and the bytes."""
+    fleet = SimulatedFleet(size, seed)
+    peer = fleet.peer
     peer.judgements.routes({"x": 1})
-    while played.now < SETTLE:
-        played.now += TICK
-        peer.tick(played.now)
-    begin = last = played.now
-    peer.judgements.saw("x", Outcome.FAILED, begin, begin)
-    told: set[str] = set()
-    sent, spent = 0, 0.0
-    while played.now < begin + 2 * WORD_FOR:
-        began = time.process_time()
-        out = peer.tick(played.now)
-        spent += time.process_time() - began
-        for address, data in out:
-            said, datagram = played.opened(address, data)
+    while fleet.now < SETTLING_TIME:
+        fleet.now += TICK
+        peer.tick(fleet.now)
+    started_at = last_informed_at = fleet.now
+    peer.judgements.saw("x", Outcome.FAILED, started_at, started_at)
+    informed: set[str] = set()
+    sent, cpu = 0, 0.0
+    while fleet.now < started_at + 2 * OBSERVATION_DURATION:
+        cpu_started_at = time.process_time()
+        outgoing = peer.tick(fleet.now)
+        cpu += time.process_time() - cpu_started_at
+        for address, data in outgoing:
+            update, datagram = fleet.open_datagram(address, data)
             if any(isinstance(each, Seen) for each in datagram.words):
                 sent += len(data)
-                if said.name not in told:
-                    told.add(said.name)
-                    last = played.now
-        played.now += TICK
-    return {"told": float(len(told)), "sent": float(sent), "last": (last - begin) / SECOND, "processor": spent * 1e3}
+                if update.name not in informed:
+                    informed.add(update.name)
+                    last_informed_at = fleet.now
+        fleet.now += TICK
+    return {
+        "told": float(len(informed)),
+        "sent": float(sent),
+        "last": (last_informed_at - started_at) / SECOND,
+        "processor": cpu * 1e3,
+    }
 
 
-def budgets(size: int, seed: int) -> dict[str, float]:
-    """One limit of 50 calls a second, half of a load of 0.8 at one courier; all know all."""
+def measure_budgets(size: int, seed: int) -> dict[str, float]:
+    """Measure one limit of 50 calls a second at a load of 0.8, half of it at one courier; all know all."""
     net = Net(size, seed, Faults(), bytes_a_second=TARGET.bytes_a_second)
-    calls, span = spanned(float(CALLS), size)
-    net.budget("d", calls, span)
-    peers = _told_all(net)
-    total = CALLS * LOAD
+    calls, window = spanned(float(CALLS), size)
+    net.budget("d", calls, window)
+    peers = _start_informed(net)
+    total_rate = CALLS * LOAD
     traffic = Traffic(
-        net, "d", {f"n{i}": total / 2 if i == 0 else total / 2 / (size - 1) for i in range(size)}, PATIENCE
+        net,
+        "d",
+        {f"n{i}": total_rate / 2 if i == 0 else total_rate / 2 / (size - 1) for i in range(size)},
+        MESSAGE_TIMEOUT,
     )
-    warm = max(WARM, 2 * span)
-    traffic.since = warm
-    net.at(warm, lambda: setattr(traffic, "came", 0))
-    net.run(warm)
-    before = sum(peer.sent for peer in peers)
-    net.run(warm + SPAN)
-    sent = sum(peer.sent for peer in peers) - before
+    warm_up = max(WARM_UP, 2 * window)
+    traffic.since = warm_up
+    net.at(warm_up, lambda: setattr(traffic, "came", 0))
+    net.run(warm_up)
+    sent_before = sum(peer.sent for peer in peers)
+    net.run(warm_up + LOAD_DURATION)
+    sent = sum(peer.sent for peer in peers) - sent_before
     traffic.rates.update(dict.fromkeys(traffic.rates, 0.0))
-    net.run(warm + SPAN + PATIENCE)
+    net.run(warm_up + LOAD_DURATION + MESSAGE_TIMEOUT)
     return {
         "served": traffic.served / max(1, traffic.came),
-        "span": span / SECOND,
-        "sent": sent / (size * SPAN / SECOND),
+        "span": window / SECOND,
+        "sent": sent / (size * LOAD_DURATION / SECOND),
         "above": float(len(net.judge.faults)),
     }
 
 
-def budgets_held(size: int, seed: int) -> dict[str, float]:
-    """So many limits, of each as many calls a second as the target's destinations take twice: memory and a tick."""
+def measure_budgets_held(size: int, seed: int) -> dict[str, float]:
+    """Measure memory and a tick of ``size`` limits, each of twice the target's events per second for a destination."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    memory_before = tracemalloc.get_traced_memory()[0]
     shares = _shares(size, seed)
-    memory = tracemalloc.get_traced_memory()[0] - before
+    memory = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
     shares = _shares(size, seed)
     peers = [f"n{n}" for n in range(100)]
     gc.collect()
-    now, ticks, began = 100 * SECOND, 10, time.process_time()
+    now, ticks, cpu_started_at = 100 * SECOND, 10, time.process_time()
     for n in range(ticks):
         shares.tick(now + n * TICK, peers)
-    return {"memory": memory / 1e6, "tick": (time.process_time() - began) * 1e3 / ticks}
+    return {"memory": memory / 1e6, "tick": (time.process_time() - cpu_started_at) * 1e3 / ticks}
 
 
 def _shares(size: int, seed: int) -> Shares:
     shares = Shares(Terms(TARGET.couriers, seed), 1, 0, {}, Random(seed))
-    calls, span = spanned(2 * TARGET.events_of_one, TARGET.couriers)
+    calls, window = spanned(2 * TARGET.events_per_destination, TARGET.couriers)
     for n in range(size):
-        shares.budget(f"e:hub-{n:07}.example:8080", calls, span)
+        shares.budget(f"e:hub-{n:07}.example:8080", calls, window)
     return shares
 
 
-def counts(size: int, seed: int) -> dict[str, float]:
-    """All know all, each with 20 counters; one asks all others for theirs."""
+def measure_counts(size: int, seed: int) -> dict[str, float]:
+    """Let all know all, each with 20 counters; one courier requests those of all others."""
     net = Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
-    peers = _told_all(net)
+    peers = _start_informed(net)
     for each in peers:
-        for n in range(COUNTERS):
+        for n in range(COUNTERS_PER_COURIER):
             each.counts.add(f"calls/{n}/ok", n + 1)
-    net.run(SETTLE)
-    begin, asker = net.now, peers[0]
-    heard = asker.heard
-    asker.counts.want()
+    net.run(SETTLING_TIME)
+    started_at, requester = net.now, peers[0]
+    received_before = requester.heard
+    requester.counts.want()
     known = 0
-    while net.now < begin + COUNTS_FOR:
+    while net.now < started_at + COUNTS_DURATION:
         net.run(net.now + 50 * MS)
-        if not known and _whole(asker.counts) >= int(EVERYBODY * size):
+        if not known and _complete_reports(requester.counts) >= int(KNOWN_SHARE * size):
             known = net.now
     return {
-        "known": ((known or net.now) - begin) / SECOND,
-        "whole": float(_whole(asker.counts)),
-        "heard": float(asker.heard - heard),
+        "known": ((known or net.now) - started_at) / SECOND,
+        "whole": float(_complete_reports(requester.counts)),
+        "heard": float(requester.heard - received_before),
     }
 
 
-def _whole(held: Counts) -> int:
-    return sum(len(rows.now) >= COUNTERS for rows in held.held.values())
+def _complete_reports(counts: Counts) -> int:
+    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counts.held.values())
 
 
-def counts_held(size: int, seed: int) -> dict[str, float]:
-    """So many couriers' 20 counters held: memory, and the sums for people."""
+def measure_counts_held(size: int, seed: int) -> dict[str, float]:
+    """Measure memory for 20 counters of each of ``size`` couriers, and summing them up for reports."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    held = Counts("n0", 1, 0, {}, Random(seed))
+    memory_before = tracemalloc.get_traced_memory()[0]
+    counts = Counts("n0", 1, 0, {}, Random(seed))
     for n in range(1, size):
-        told = Tally(f"c-{n:05}", 1, False, 0, [(f"calls/{k}/ok", n + k) for k in range(COUNTERS)])
-        for each in seal.decode(seal.encode(Datagram("x", 1, "y", 1, [told]))).words:
+        report = Tally(f"c-{n:05}", 1, False, 0, [(f"calls/{k}/ok", n + k) for k in range(COUNTERS_PER_COURIER)])
+        for each in seal.decode(seal.encode(Datagram("x", 1, "y", 1, [report]))).words:
             assert isinstance(each, Tally)
-            held.merge(each, 0)
+            counts.merge(each, 0)
     gc.collect()
-    memory = tracemalloc.get_traced_memory()[0] - before
+    memory = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
-    began = time.process_time()
-    held.fleet(SECOND)
-    return {"memory": memory / 1e6, "sums": (time.process_time() - began) * 1e3, "couriers": float(len(held.held))}
+    cpu_started_at = time.process_time()
+    counts.fleet(SECOND)
+    return {
+        "memory": memory / 1e6,
+        "sums": (time.process_time() - cpu_started_at) * 1e3,
+        "couriers": float(len(counts.held)),
+    }
 
 
-def counters(size: int, seed: int) -> dict[str, float]:
-    """One courier that counts calls by so many destinations: counters kept apart, and bytes that tell all of them."""
+def measure_counters(size: int, seed: int) -> dict[str, float]:
+    """Measure one courier that counts calls by ``size`` destinations: separate counters, and bytes to report all."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    memory_before = tracemalloc.get_traced_memory()[0]
     own = Counts("c-01-0000", 1, 0, {}, Random(seed))
     for n in range(size):
         own.add(f"calls/{n}/ok", n + 1)
     gc.collect()
-    memory = tracemalloc.get_traced_memory()[0] - before
+    memory = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
-    told = sum(len(seal.encode(each)) for each in own.told("c-01-0000", 0))
-    return {"memory": memory / 1e6, "apart": float(len(own.own())), "told": float(told)}
+    report_bytes = sum(len(seal.encode(each)) for each in own.told("c-01-0000", 0))
+    return {"memory": memory / 1e6, "apart": float(len(own.own())), "told": float(report_bytes)}
 
 
-def order(size: int, seed: int) -> dict[str, float]:
-    """The place of one courier in the order of those that try an endpoint which is out: a hash for each member."""
+def measure_probe_rank(size: int, seed: int) -> dict[str, float]:
+    """Measure the rank of one courier among those that probe a failed endpoint: one hash per member."""
     others = [f"c-{n % 20:02}-{n:05}" for n in range(size)]
-    times = max(3, 20_000 // size)
-    began = time.process_time()
-    for n in range(times):
+    repetitions = max(3, 20_000 // size)
+    cpu_started_at = time.process_time()
+    for n in range(repetitions):
         rank(f"hub-{seed}-{n}.example:8080", "c-01-0000", others)
-    return {"processor": (time.process_time() - began) * 1e6 / times}
+    return {"processor": (time.process_time() - cpu_started_at) * 1e6 / repetitions}
 
 
-# A word on a failure is told for FRESH; what may be sent then is what a second left over, and all but what is kept for
-# questions. From 95 % of it on, the bound says what is sent.
-WORD_MOST = 0.95 * TARGET.bytes_a_second * ((FRESH + DEBT) / SECOND - URGENT)
+# A failure is reported for FRESH. Until then a courier may send its bandwidth and what it saved up (DEBT), except for
+# the reserve for probes (URGENT). From 95 % of that on, the bound determines the bytes sent: the run counts as cut off.
+MAX_OBSERVATION_BYTES = 0.95 * TARGET.bytes_a_second * ((FRESH + DEBT) / SECOND - URGENT)
 
-NET = (50, 100, 200, 400, 800)
-HELD = (100, 1_000, 4_000, 10_000)
+MODELLED_SIZES = (50, 100, 200, 400, 800)
+SINGLE_SIZES = (100, 1_000, 4_000, 10_000)
 
 SLOPES = [
     Slope(
         "members",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"sent": "bytes", "processor": "ms", "least-known": "count", "held-back": "count", "all-known": "s"},
-        members,
-        f"Starts spread over {STARTS // SECOND} s; {JOINED // SECOND} s after the first one, what the one that "
-        f"knows least knows; bytes sent and processor time a second by each in the {REST // SECOND} s after that, "
-        f"the model's own processor time in it; time from the first start until the one that knows least knows "
-        f"{EVERYBODY:.0%} ({PATIENT // SECOND} s at most); the modelled network",
+        measure_members,
+        f"Starts spread over {START_SPREAD // SECOND} s; {CHECK_AT // SECOND} s after the first one, the members known "
+        f"to the courier that knows fewest; bytes sent and processor time per second by each in the next "
+        f"{IDLE_DURATION // SECOND} s, including the model's processor time; time from the first start until the "
+        f"courier that knows fewest knows {KNOWN_SHARE:.0%} ({MAX_CONVERGENCE_TIME // SECOND} s at most); the modelled "
+        "network",
         setting=MODELLED,
-        cut={"all-known": ("all-known", PATIENT / SECOND)},
+        cut_off_at={"all-known": ("all-known", MAX_CONVERGENCE_TIME / SECOND)},
     ),
     Slope(
         "members-churn",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"sent": "bytes", "processor": "ms", "loss-known": "s", "wrongly-dead": "count"},
-        churn,
-        f"All told of all; one ends for good, and one is started again every {RESTART_EVERY // SECOND} s, for "
-        f"{CHURN // SECOND} s: bytes and processor time "
-        "a second by each, and the time until 99 % hold the lost one for dead; the modelled network",
+        measure_churn,
+        f"All know all; one stops for good, and one is restarted every {RESTART_INTERVAL // SECOND} s, for "
+        f"{CHURN_DURATION // SECOND} s: bytes and processor time per second by each, and the time until 99 % consider "
+        "the lost one dead; the modelled network",
         setting=MODELLED,
-        cut={"loss-known": ("loss-known", CHURN / SECOND)},
+        cut_off_at={"loss-known": ("loss-known", CHURN_DURATION / SECOND)},
     ),
     Slope(
         "members-wave",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"known": "s", "joined": "s", "sent": "bytes", "held-back": "count"},
-        wave,
-        f"All told of all; {TARGET.wave / TARGET.couriers:.0%} of them end at once and start a second later: time "
-        f"until {EVERYBODY:.0%} of what the others hold of them is new, time until they know {EVERYBODY:.0%} of all "
-        f"({PATIENT // SECOND} s at most), and in the first {WAVE_FOR // SECOND} s bytes a second by each and "
-        f"datagrams held back; the modelled network",
+        measure_wave,
+        f"All know all; {TARGET.wave / TARGET.couriers:.0%} of them stop at once and start a second later: time until "
+        f"{KNOWN_SHARE:.0%} of the others' entries for them are up to date, time until they know {KNOWN_SHARE:.0%} of "
+        f"all ({MAX_CONVERGENCE_TIME // SECOND} s at most), and in the first {WAVE_DURATION // SECOND} s bytes per "
+        "second by each and datagrams over the bandwidth limit; the modelled network",
         setting=MODELLED,
-        cut={"known": ("known", PATIENT / SECOND), "joined": ("joined", PATIENT / SECOND)},
+        cut_off_at={
+            "known": ("known", MAX_CONVERGENCE_TIME / SECOND),
+            "joined": ("joined", MAX_CONVERGENCE_TIME / SECOND),
+        },
     ),
     Slope(
         "member-alone",
         "members",
-        HELD,
+        SINGLE_SIZES,
         {"memory": "MB", "processor": "ms", "sent": "bytes"},
-        alone,
-        "One whole courier's modules that know so many members (the bounds on members and senders raised), among "
-        "others that are "
-        f"only played, {ALONE // SECOND} s at the target's rate of restarts: memory held, processor time and bytes "
-        f"a second",
+        measure_single_courier,
+        "One courier's modules that know this many members (the bounds on members and senders raised), among "
+        f"simulated others, {SINGLE_DURATION // SECOND} s at the target's rate of restarts: memory, processor time and "
+        "bytes per second",
         setting=PURE,
     ),
     Slope(
         "word",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"sent": "bytes", "known": "s", "told": "count"},
-        word,
-        f"All told of all; one tells of a failed call: bytes it sends in {WORD_FOR // SECOND} s, time until "
-        f"{EVERYBODY:.0%} know, how many know "
-        f"after {WORD_FOR // SECOND} s; the modelled "
-        f"network",
+        measure_observation,
+        f"All know all; one reports a failed call: bytes it sends in {OBSERVATION_DURATION // SECOND} s, time until "
+        f"{KNOWN_SHARE:.0%} know, how many know after {OBSERVATION_DURATION // SECOND} s; the modelled network",
         setting=MODELLED,
-        cut={"sent": ("sent", WORD_MOST), "known": ("known", WORD_FOR / SECOND)},
+        cut_off_at={"sent": ("sent", MAX_OBSERVATION_BYTES), "known": ("known", OBSERVATION_DURATION / SECOND)},
     ),
     Slope(
         "word-alone",
         "members",
-        HELD,
+        SINGLE_SIZES,
         {"told": "count", "sent": "bytes", "last": "s", "processor": "ms"},
-        word_alone,
-        "One courier that knows so many members tells of a failed call: how many it tells before the word is too old "
-        "to be told, bytes of that, when the last new one is told, processor time",
+        measure_observation_single,
+        "One courier that knows this many members reports a failed call: how many it informs before the observation "
+        "expires, the bytes for it, when the last new one is informed, processor time",
         setting=PURE,
     ),
     Slope(
@@ -554,11 +584,10 @@
         "members",
         (10, 50, 100, 200),
         {"served": "share", "span": "s", "sent": "bytes", "above": "count"},
-        budgets,
-        f"One limit of {CALLS} calls a second shared by so many, half of a load of {LOAD} at one of them: part of "
-        f"the "
-        "messages served, the span for which the limit is kept, bytes a second by each, instants above the limit; "
-        "the modelled network",
+        measure_budgets,
+        f"One limit of {CALLS} calls a second shared by this many, half of a load of {LOAD} at one of them: share of "
+        "the messages served, the window over which the limit is enforced, bytes per second by each, instants above "
+        "the limit; the modelled network",
         setting=MODELLED,
     ),
     Slope(
@@ -566,31 +595,31 @@
         "limits",
         (1_000, 5_000, 20_000, 50_000),
         {"memory": "MB", "tick": "ms"},
-        budgets_held,
-        "One courier's part of so many limits: memory, and processor time of one tick, of which there are twenty a "
-        "second unless the module's state is large",
+        measure_budgets_held,
+        "One courier's share of this many limits: memory, and processor time of one tick; there are twenty ticks a "
+        "second unless the state is large",
         setting=PURE,
     ),
     Slope(
         "counts",
         "members",
-        NET,
+        MODELLED_SIZES,
         {"known": "s", "whole": "count", "heard": "bytes"},
-        counts,
-        f"All told of all, each with {COUNTERS} counters; one asks all: time until it holds {EVERYBODY:.0%} of them "
-        f"whole ({COUNTS_FOR // SECOND} s: not "
-        f"within these), how many it holds whole after {COUNTS_FOR // SECOND} s, bytes that it hears; the modelled "
-        f"network",
+        measure_counts,
+        f"All know all, each with {COUNTERS_PER_COURIER} counters; one requests all: time until it has the complete "
+        f"counters of {KNOWN_SHARE:.0%} of them ({COUNTS_DURATION // SECOND} s: not within that time), of how many it "
+        f"has them after {COUNTS_DURATION // SECOND} s, bytes that it receives; the modelled network",
         setting=MODELLED,
-        cut={each: ("known", COUNTS_FOR / SECOND) for each in ("known", "whole", "heard")},
+        cut_off_at={each: ("known", COUNTS_DURATION / SECOND) for each in ("known", "whole", "heard")},
     ),
     Slope(
         "counts-held",
         "couriers",
         (500, 1_000, 2_000, 4_000),
         {"memory": "MB", "sums": "ms", "couriers": "count"},
-        counts_held,
-        f"One courier that holds {COUNTERS} counters of each of so many: memory, and the sums over all",
+        measure_counts_held,
+        f"One courier that holds {COUNTERS_PER_COURIER} counters of each of this many: memory, and the time to "
+        "sum up all",
         setting=PURE,
     ),
     Slope(
@@ -598,18 +627,17 @@
         "destinations",
         (100, 500, 1_000, 5_000),
         {"memory": "MB", "apart": "count", "told": "bytes"},
-        counters,
-        "One courier that counts calls by destination: memory, counters that are kept apart, bytes that "
-        "tell all of them",
+        measure_counters,
+        "One courier that counts calls by destination: memory, separate counters, bytes to report all of them",
         setting=PURE,
     ),
     Slope(
         "order",
         "members",
-        HELD,
+        SINGLE_SIZES,
         {"processor": "us"},
-        order,
-        "One courier's place in the order of those that try an endpoint which is out",
+        measure_probe_rank,
+        "One courier's rank among those that probe a failed endpoint",
         setting=PURE,
     ),
 ]
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -1,8 +1,8 @@
-"""The rows of docs/CAPACITY.md: for each role what it must bear at the target, as slope x size, and by what mechanism.
+"""The rows of docs/CAPACITY.md: the load on each role at the target, as slope x size, and the mechanism against it.
 
-A row is data: a formula over the slopes (``Reading``) and the target, a bound, a mechanism, and whether that stands.
-``left`` is the same with the mechanism, and with placement where it stands on that: a destination's events go to few
-couriers then. No ``left``: what the mechanism leaves is not known.
+A row is data: a formula over the slopes (``Reading``) and the target, a bound, and a mechanism with its status.
+``remaining`` is the load with the mechanism, and with placement if the mechanism depends on it: then only few couriers
+get a destination's events. Without ``remaining``, the load that the mechanism leaves is not known.
 """
 
 from __future__ import annotations
@@ -25,84 +25,86 @@
 from kestrelspar.peers.link import MOST_TICK
 from kestrelspar.peers.peer import About
 
-MOST_MEMBERS: int = next(each.default for each in dataclasses.fields(About) if each.name == "most")
-LENT_FROM = math.ceil(1 / shares.LEND)  # calls of a part from which on any of it is lent
-COUNTERS_EACH = 2  # of a destination at the least: calls by outcome, and what its budget used (link.py)
-TICKS = 1_000_000 / MOST_TICK  # a second, at the least: where the module's state is large they are further apart
+MAX_MEMBERS: int = next(each.default for each in dataclasses.fields(About) if each.name == "most")
+MIN_SHARE_FOR_LOANS = math.ceil(1 / shares.LEND)  # calls; nothing of a smaller share is lent
+COUNTERS_PER_DESTINATION = 2  # at least: calls by outcome, and the use of its budget (link.py)
+TICKS_PER_SECOND = 1_000_000 / MOST_TICK  # at least: the interval between ticks is longest if the state is large
 
 
 class NotMeasured(Exception):
-    """A slope that a formula needs has no rows."""
+    """A slope that a formula needs has not been measured."""
 
 
-class Stands(StrEnum):
-    """How far a mechanism is."""
+class MechanismStatus(StrEnum):
+    """Implementation status of a mechanism."""
 
-    STANDS = "stands"
-    PART = "part there"
+    STANDS = "implemented"
+    PART = "partly implemented"
     MISSING = "missing"
 
 
 class Role(StrEnum):
-    """Who bears it."""
+    """Who carries a load."""
 
     COURIER = "Courier"
     CLIENT = "Client's side"
-    TELLER = "Who tells lists and configuration"
+    TELLER = "Source of lists and configuration"
     CONTROL = "Control machine"
     MEMBER = "Member system"
 
 
-class By(StrEnum):
-    """Mechanisms."""
+class Mechanism(StrEnum):
+    """Mechanisms that reduce a load."""
 
-    WORDS = "words only to those whom a destination concerns, through brokers found by hashing"
+    WORDS = "observations only to couriers interested in a destination, through brokers found by hashing"
     GROUPS = "members in groups that follow zones"
     PLACED = "placement: a destination's events go to a few couriers, by rendezvous hashing at the client's side"
-    SHARES = "limits shared by those whom a destination concerns, leases from a tree beyond"
-    LISTS = "lists by interest: told is what a courier serves, as deltas"
+    SHARES = "limits shared by the couriers interested in a destination, beyond that leases from a tree"
+    LISTS = "lists by interest: a courier gets what it serves, as deltas"
     CONFIG = "configuration as a log through a tree of relays"
-    COUNTS = "sums kept by a tree"
-    BACKLOG = "backlog on disk by time, in memory only what is due next"
+    COUNTS = "sums aggregated by a tree"
+    BACKLOG = "backlog on disk in order of time, with only the next due messages in memory"
     COURIER = "the courier as it is"
 
 
-STAND = {
-    By.WORDS: Stands.STANDS,
-    By.GROUPS: Stands.STANDS,
-    By.PLACED: Stands.MISSING,
-    By.SHARES: Stands.PART,
-    By.LISTS: Stands.PART,
-    By.CONFIG: Stands.MISSING,
-    By.COUNTS: Stands.PART,
-    By.BACKLOG: Stands.PART,
-    By.COURIER: Stands.STANDS,
+MECHANISM_STATUS = {
+    Mechanism.WORDS: MechanismStatus.STANDS,
+    Mechanism.GROUPS: MechanismStatus.STANDS,
+    Mechanism.PLACED: MechanismStatus.MISSING,
+    Mechanism.SHARES: MechanismStatus.PART,
+    Mechanism.LISTS: MechanismStatus.PART,
+    Mechanism.CONFIG: MechanismStatus.MISSING,
+    Mechanism.COUNTS: MechanismStatus.PART,
+    Mechanism.BACKLOG: MechanismStatus.PART,
+    Mechanism.COURIER: MechanismStatus.STANDS,
 }
 
-FIRST = (By.GROUPS, By.WORDS)  # what is built first, if the ranking bears it out
+BUILT_FIRST = (Mechanism.GROUPS, Mechanism.WORDS)  # built first; the page says whether the ranking supports it
 
 
 @dataclass
 class Reading:
-    """Figures at any size, and from which slopes they were taken since ``begin``."""
+    """Figures at any size, with a record of the slopes used since ``reset_used``."""
 
     slopes: dict[str, Slope]
     rows: list[Measured]
-    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)  # by slope: up to, factor, setting
+    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)  # by slope: largest size, factor, setting
     _fits: dict[tuple[str, str], Fit] = field(default_factory=dict)
 
-    def begin(self) -> None:
-        """A formula begins."""
+    def reset_used(self) -> None:
+        """Clear the record of used slopes, before a formula is evaluated."""
         self.used = {}
 
     def fit(self, name: str, figure: str) -> Fit:
-        """Of all rows of this slope that were not cut off."""
+        """Return the fit of a figure to all rows of this slope that were not cut off."""
         if (name, figure) not in self._fits:
             slope = self.slopes.get(name)
             points = [
                 (row.size, row.figures[figure])
                 for row in self.rows
-                if row.name == name and figure in row.figures and (slope is None or slope.whole(figure, row.figures))
+                if row.name == name
+                and figure in row.figures
+                and (slope is None or slope.is_complete(figure, row.figures))
             ]
             if len({size for size, _ in points}) < 2:
                 raise NotMeasured(name)
@@ -110,21 +112,25 @@
         return self._fits[name, figure]
 
     def at(self, name: str, figure: str, size: float) -> float:
-        """The figure at that size."""
-        found = self.fit(name, figure).at(size)
-        self._note(name, found.up_to, found.factor)
-        return found.value
-
-    def each(self, name: str, figure: str, count: float) -> float:
-        """What so many add, without what none of them cost."""
-        told = self.fit(name, figure)
-        up_to = max(told.means)
-        self._note(name, up_to, max(1.0, count / up_to))
-        return max(0.0, told.b) * count
-
-    def _note(self, name: str, up_to: int, factor: float) -> None:
-        before = self.used.get(name, (up_to, 1.0, ""))
-        self.used[name] = up_to, max(factor, before[1]), self.slopes[name].setting if name in self.slopes else "unknown"
+        """Return the figure at that size."""
+        value = self.fit(name, figure).at(size)
+        self._record_use(name, value.up_to, value.factor)
+        return value.value
+
+    def marginal(self, name: str, figure: str, count: float) -> float:
+        """Return what ``count`` units add to the figure, without its base value."""
+        slope_fit = self.fit(name, figure)
+        up_to = max(slope_fit.means)
+        self._record_use(name, up_to, max(1.0, count / up_to))
+        return max(0.0, slope_fit.b) * count
+
+    def _record_use(self, name: str, up_to: int, factor: float) -> None:
+        previous = self.used.get(name, (up_to, 1.0, ""))
+        self.used[name] = (
+            up_to,
+            max(factor, previous[1]),
+            self.slopes[name].setting if name in self.slopes else "unknown",
+        )
 
 
 Formula = Callable[[Reading], float]
@@ -132,48 +138,54 @@
 
 @dataclass(frozen=True)
 class Row:
-    """What one role must bear of one thing at the target."""
+    """One load on one role at the target."""
 
     role: Role
     kind: str  # state, messages, processor time, memory, time
     what: str
-    how: str  # the formula, in words
+    formula_text: str
     need: Formula
     unit: str
     bound: float | Formula
-    by_bound: str
-    by: By
-    left: Formula | None = None  # the same with the mechanism
-    supposed: str = ""  # not so today, but would be if this were: such rows are not ranked
+    bound_name: str
+    mechanism: Mechanism
+    remaining: Formula | None = None  # the need with the mechanism in place
+    hypothetical: str = ""  # the condition under which the row applies, which is not met today; it is not ranked then
 
 
 N = T.couriers
-PLACED_EACH = T.destinations * A.placed / N  # destinations at one courier, once placed
-FAILS = T.events_each * T.down  # calls a second of one courier to what is down, where it knows nothing of it
-LIMIT = A.headroom * T.events_of_one
-CONTROL, MEMORY, BYTES = "processor time of control", "memory of control", "bytes a second of control"
+PLACED_DESTINATIONS = T.destinations * A.placed / N  # destinations per courier, with placement
+FAILED_CALLS = (
+    T.events_per_courier * T.down
+)  # per second and courier, to destinations that are down, if it does not know
+DESTINATION_LIMIT = A.headroom * T.events_per_destination
+CONTROL, MEMORY, BYTES = (
+    "processor time for the control plane",
+    "memory for the control plane",
+    "bytes a second for the control plane",
+)
 CODE = "bound in the code"
-REST = T.control_machines - T.control_a_region  # control machines when a region's are gone
+REMAINING_CONTROL_MACHINES = T.control_machines - T.control_machines_per_region  # without those of one region
 
 
-def listing(r: Reading, count: float) -> float:
-    """Bytes of a list with so many endpoints, on the wire."""
-    return r.each("list-again", "wire", count)
+def list_bytes(r: Reading, count: float) -> float:
+    """Return the bytes on the wire of a list with ``count`` endpoints."""
+    return r.marginal("list-again", "wire", count)
 
 
-def capacity(r: Reading) -> float:
-    """Messages a second that a core of a courier serves beside control."""
-    return (1 - T.core) * 1e6 / r.at("message-served", "cpu", T.events_each)
+def served_per_second(r: Reading) -> float:
+    """Return the messages per second that a courier's core serves beside the control plane."""
+    return (1 - T.core) * 1e6 / r.at("message-served", "cpu", T.events_per_courier)
 
 
-def _brokered(r: Reading, figure: str) -> float:
-    """What one broker bears of words: each destination that is down is tried once a step, and the failure told."""
+def _observations_at_broker(r: Reading, figure: str) -> float:
+    """Return one broker's load of observations: each down destination is probed once per step, and the failure sent."""
     words = T.destinations_down * COPIES * ROUNDS / T.control_machines
     return words * r.at("broker", figure, T.region)
 
 
-def _renewals(r: Reading, figure: str) -> float:
-    """What one broker bears of leases: each courier of its region renews three times in a term."""
+def _renewals_at_broker(r: Reading, figure: str) -> float:
+    """Return one broker's load of leases: each courier of its region renews three times per term."""
     return T.region * 3 * SECOND / TERM * r.at("broker", figure, T.region)
 
 
@@ -183,24 +195,24 @@
         Role.COURIER,
         "state",
         "members known",
-        "couriers, over the most that the code takes",
+        "couriers, over the maximum in the code",
         lambda r: N,
         "count",
-        MOST_MEMBERS,
+        MAX_MEMBERS,
         f"{CODE}: more are refused (`About.most`)",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: T.zone,
     ),
     Row(
         Role.COURIER,
         "state",
-        "senders whose sequence is held",
-        "couriers, over the most that the code takes",
+        "senders whose sequence numbers are stored",
+        "couriers, over the maximum in the code",
         lambda r: N,
         "count",
         seal.SENDERS,
         f"{CODE}: datagrams of more are dropped (`seal.SENDERS`)",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: T.zone,
     ),
     Row(
@@ -212,31 +224,31 @@
         "MB",
         T.memory_mb,
         MEMORY,
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("member-alone", "memory", T.zone),
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "members at rest, with the target's restarts",
+        "idle members, with the target's restarts",
         "member-alone.processor at all couriers",
         lambda r: r.at("member-alone", "processor", N),
         "ms",
         T.processor_ms,
         CONTROL,
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("member-alone", "processor", T.zone),
     ),
     Row(
         Role.COURIER,
         "messages",
-        "members at rest, with the target's restarts",
+        "idle members, with the target's restarts",
         "member-alone.sent at all couriers",
         lambda r: r.at("member-alone", "sent", N),
         "bytes",
         T.bytes_a_second,
         BYTES,
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("member-alone", "sent", T.zone),
     ),
     Row(
@@ -248,7 +260,7 @@
         "s",
         A.spread,
         "assumed",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("members", "all-known", T.zone),
     ),
     Row(
@@ -260,7 +272,7 @@
         "s",
         A.restart_in,
         "assumed",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("members-churn", "loss-known", T.zone),
     ),
     Row(
@@ -272,7 +284,7 @@
         "s",
         A.restart_in,
         "assumed",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("members-wave", "known", T.zone),
     ),
     Row(
@@ -284,142 +296,142 @@
         "s",
         A.restart_in,
         "assumed",
-        By.GROUPS,
+        Mechanism.GROUPS,
         lambda r: r.at("members-wave", "joined", T.zone),
     ),
-    # Courier: words
+    # Courier: observations
     Row(
         Role.COURIER,
         "messages",
-        "words on what is down, told by one courier",
+        "observations of failed endpoints, sent by one courier",
         "failed calls a second x what each member adds to word.sent x members",
-        lambda r: FAILS * r.each("word", "sent", N - 1),
+        lambda r: FAILED_CALLS * r.marginal("word", "sent", N - 1),
         "bytes",
         T.bytes_a_second,
         BYTES,
-        By.WORDS,
-        lambda r: FAILS * r.at("word-brokered", "sent", N),
+        Mechanism.WORDS,
+        lambda r: FAILED_CALLS * r.at("word-brokered", "sent", N),
     ),
     Row(
         Role.COURIER,
         "state",
-        "members that hear of one word before it is too old",
+        "members that receive one observation before it expires",
         "couriers, over word-alone.told at all couriers",
         lambda r: N,
         "count",
         lambda r: r.at("word-alone", "told", N),
         "measured",
-        By.WORDS,
+        Mechanism.WORDS,
         lambda r: A.placed,
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "order of those that try what is out",
-        "destinations down x order.processor at those whom it concerns x looks a second",
-        lambda r: T.destinations_down * r.at("order", "processor", N) / 1e3 * TICKS,
+        "ranking of the couriers that probe a failed endpoint",
+        "destinations down x order.processor at the interested couriers x checks a second",
+        lambda r: T.destinations_down * r.at("order", "processor", N) / 1e3 * TICKS_PER_SECOND,
         "ms",
         T.processor_ms,
         CONTROL,
-        By.WORDS,
-        lambda r: PLACED_EACH * T.down * r.each("order", "processor", A.placed) / 1e3 * TICKS,
-        "words on all that is out were heard",
+        Mechanism.WORDS,
+        lambda r: PLACED_DESTINATIONS * T.down * r.marginal("order", "processor", A.placed) / 1e3 * TICKS_PER_SECOND,
+        "observations of all failed endpoints were received",
     ),
     # Courier: limits and counts
     Row(
         Role.COURIER,
         "state",
-        "calls of one limit that a courier owns in a second: one wanted",
+        "one courier's share of a limit per second: at least one call needed",
         "couriers that share it, over the limit's calls a second",
-        lambda r: N / LIMIT,
+        lambda r: N / DESTINATION_LIMIT,
         "count",
         1.0,
         "one call in a second",
-        By.SHARES,
-        lambda r: A.placed / LIMIT,
+        Mechanism.SHARES,
+        lambda r: A.placed / DESTINATION_LIMIT,
     ),
     Row(
         Role.COURIER,
         "state",
-        "least limit of which anything is lent, calls a second",
-        "least part that is lent x couriers that share it, over the limit",
-        lambda r: LENT_FROM * N,
+        "lowest limit of which anything is lent, calls a second",
+        "smallest share of which any is lent x couriers that share it, over the limit",
+        lambda r: MIN_SHARE_FOR_LOANS * N,
         "count",
-        LIMIT,
+        DESTINATION_LIMIT,
         "the limit, assumed",
-        By.SHARES,
-        lambda r: LENT_FROM * A.placed,
+        Mechanism.SHARES,
+        lambda r: MIN_SHARE_FOR_LOANS * A.placed,
     ),
     Row(
         Role.COURIER,
         "memory",
-        "limits of which it owns a part",
+        "limits of which it has a share",
         "budgets-held.memory at all destinations",
         lambda r: r.at("budgets-held", "memory", T.destinations),
         "MB",
         T.memory_mb,
         MEMORY,
-        By.SHARES,
-        lambda r: r.at("budgets-held", "memory", PLACED_EACH),
+        Mechanism.SHARES,
+        lambda r: r.at("budgets-held", "memory", PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "limits of which it owns a part",
-        "budgets-held.tick at all destinations x ticks a second, at the least",
-        lambda r: r.at("budgets-held", "tick", T.destinations) * TICKS,
+        "limits of which it has a share",
+        "budgets-held.tick at all destinations x ticks a second, at least",
+        lambda r: r.at("budgets-held", "tick", T.destinations) * TICKS_PER_SECOND,
         "ms",
         T.processor_ms,
         CONTROL,
-        By.SHARES,
-        lambda r: r.at("budgets-held", "tick", PLACED_EACH) * TICKS,
+        Mechanism.SHARES,
+        lambda r: r.at("budgets-held", "tick", PLACED_DESTINATIONS) * TICKS_PER_SECOND,
     ),
     Row(
         Role.COURIER,
         "state",
-        "couriers whose counts are held",
-        "couriers, over the most that the code takes",
+        "couriers whose counters are held",
+        "couriers, over the maximum in the code",
         lambda r: N,
         "count",
         counts.HELD,
-        f"{CODE}: of more nothing is held (`counts.HELD`)",
-        By.COUNTS,
+        f"{CODE}: nothing is held of more (`counts.HELD`)",
+        Mechanism.COUNTS,
         lambda r: T.zone,
     ),
     Row(
         Role.COURIER,
         "state",
-        "counters of its own",
-        "destinations x counters of each, over the most kept apart",
-        lambda r: T.destinations * COUNTERS_EACH,
+        "own counters",
+        "destinations x counters of each, over the maximum of separate counters",
+        lambda r: T.destinations * COUNTERS_PER_DESTINATION,
         "count",
         counts.MOST,
-        f"{CODE}: more count as one (`counts.MOST`)",
-        By.COUNTS,
-        lambda r: PLACED_EACH * COUNTERS_EACH,
+        f"{CODE}: further ones share one counter (`counts.MOST`)",
+        Mechanism.COUNTS,
+        lambda r: PLACED_DESTINATIONS * COUNTERS_PER_DESTINATION,
     ),
     Row(
         Role.COURIER,
         "memory",
-        "counts of all, 20 counters each",
+        "counters of all couriers, 20 each",
         "counts-held.memory at all couriers",
         lambda r: r.at("counts-held", "memory", N),
         "MB",
         T.memory_mb,
         MEMORY,
-        By.COUNTS,
+        Mechanism.COUNTS,
         lambda r: r.at("counts-held", "memory", T.zone),
     ),
     Row(
         Role.COURIER,
         "time",
-        "one courier hears all others' counts",
-        "counts.heard at all couriers, over bytes a second of control",
+        "until one courier has received all others' counters",
+        "counts.heard at all couriers, over bytes a second of the control plane",
         lambda r: r.at("counts", "heard", N) / T.bytes_a_second,
         "s",
         A.restart_in,
         "assumed",
-        By.COUNTS,
+        Mechanism.COUNTS,
         lambda r: r.at("counts", "heard", T.zone) / T.bytes_a_second,
     ),
     # Courier: lists, configuration
@@ -432,8 +444,8 @@
         "MB",
         T.memory_mb,
         MEMORY,
-        By.LISTS,
-        lambda r: r.at("listed", "memory", PLACED_EACH),
+        Mechanism.LISTS,
+        lambda r: r.at("listed", "memory", PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
@@ -444,69 +456,69 @@
         "s",
         A.restart_in,
         "assumed",
-        By.LISTS,
-        lambda r: r.at("listed", "start-wall", PLACED_EACH),
+        Mechanism.LISTS,
+        lambda r: r.at("listed", "start-wall", PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
         "state",
-        "a list told whole: the longest line that is read",
+        "a full list, against the longest line that is read",
         "destinations x what each adds to list-again.wire",
-        lambda r: listing(r, T.destinations),
+        lambda r: list_bytes(r, T.destinations),
         "bytes",
         MOST_LINE,
-        f"{CODE}: a longer one breaks the watch off (`watch.MOST_LINE`)",
-        By.LISTS,
-        lambda r: listing(r, PLACED_EACH),
+        f"{CODE}: a longer line closes the watch (`watch.MOST_LINE`)",
+        Mechanism.LISTS,
+        lambda r: list_bytes(r, PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "changes of the list heard, where each is told as the whole list",
+        "received changes of the list, each sent as the full list",
         "changes a second x list-again.hearer at all destinations",
-        lambda r: T.changes_a_second * r.at("list-again", "hearer", T.destinations) / 1e3,
+        lambda r: T.changes_per_second * r.at("list-again", "hearer", T.destinations) / 1e3,
         "ms",
         T.processor_ms,
         CONTROL,
-        By.LISTS,
-        lambda r: T.changes_a_second * A.placed / N * r.at("list-change", "hearer", PLACED_EACH) / 1e3,
-        "discovery told whole lists, and they were read",
+        Mechanism.LISTS,
+        lambda r: T.changes_per_second * A.placed / N * r.at("list-change", "hearer", PLACED_DESTINATIONS) / 1e3,
+        "discovery sent full lists, and they were read",
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "changes of the list heard, where each is told alone",
+        "received changes of the list, each sent alone",
         "changes a second x list-change.hearer at all destinations",
-        lambda r: T.changes_a_second * r.at("list-change", "hearer", T.destinations) / 1e3,
+        lambda r: T.changes_per_second * r.at("list-change", "hearer", T.destinations) / 1e3,
         "ms",
         T.processor_ms,
         CONTROL,
-        By.LISTS,
-        lambda r: T.changes_a_second * A.placed / N * r.at("list-change", "hearer", PLACED_EACH) / 1e3,
+        Mechanism.LISTS,
+        lambda r: T.changes_per_second * A.placed / N * r.at("list-change", "hearer", PLACED_DESTINATIONS) / 1e3,
     ),
     Row(
         Role.COURIER,
         "processor time",
-        "the configuration read anew for each change",
+        "the configuration reloaded for each change",
         "changes a second x config-change.hearer at all destinations",
-        lambda r: T.changes_a_second * r.at("config-change", "hearer", T.destinations),
+        lambda r: T.changes_per_second * r.at("config-change", "hearer", T.destinations),
         "ms",
         T.processor_ms,
         CONTROL,
-        By.CONFIG,
-        lambda r: T.changes_a_second * r.at("config-change", "hearer", PLACED_EACH),
+        Mechanism.CONFIG,
+        lambda r: T.changes_per_second * r.at("config-change", "hearer", PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
         "time",
-        "a change of configuration in force, from its file on",
+        "until a changed configuration file is in force",
         "config-change.read at all destinations",
         lambda r: r.at("config-change", "read", T.destinations) / 1e3,
         "s",
         T.in_force,
         "in force everywhere",
-        By.CONFIG,
-        lambda r: r.at("config-change", "read", PLACED_EACH) / 1e3,
+        Mechanism.CONFIG,
+        lambda r: r.at("config-change", "read", PLACED_DESTINATIONS) / 1e3,
     ),
     # Courier: messages
     Row(
@@ -514,85 +526,85 @@
         "memory",
         "open messages",
         "open-message.memory at the backlog of one courier",
-        lambda r: r.at("open-message", "memory", T.backlog_each),
+        lambda r: r.at("open-message", "memory", T.backlog_per_courier),
         "MB",
         A.work_mb,
         "assumed",
-        By.BACKLOG,
+        Mechanism.BACKLOG,
     ),
     Row(
         Role.COURIER,
         "state",
         "open messages on disk",
         "open-message.disk-each x the backlog of one courier",
-        lambda r: r.at("open-message", "disk-each", T.backlog_each) * T.backlog_each / 1e6,
+        lambda r: r.at("open-message", "disk-each", T.backlog_per_courier) * T.backlog_per_courier / 1e6,
         "MB",
         A.disk_mb,
         "assumed",
-        By.BACKLOG,
+        Mechanism.BACKLOG,
     ),
     Row(
         Role.COURIER,
         "time",
         "a start with that backlog",
         "open-message.start-wall at the backlog of one courier",
-        lambda r: r.at("open-message", "start-wall", T.backlog_each),
+        lambda r: r.at("open-message", "start-wall", T.backlog_per_courier),
         "s",
         A.restart_in,
         "assumed",
-        By.BACKLOG,
+        Mechanism.BACKLOG,
     ),
     Row(
         Role.COURIER,
         "processor time",
         "messages served",
         "message-served.cpu x events a second of one courier",
-        lambda r: T.events_each * r.at("message-served", "cpu", T.events_each) / 1e3,
+        lambda r: T.events_per_courier * r.at("message-served", "cpu", T.events_per_courier) / 1e3,
         "ms",
         1_000 * (1 - T.core),
-        "a core beside control",
-        By.COURIER,
+        "a core beside the control plane",
+        Mechanism.COURIER,
     ),
     Row(
         Role.COURIER,
         "processor time",
         "messages served from that backlog",
         "backlog-served.cpu at the backlog of one courier x events a second of one courier",
-        lambda r: T.events_each * r.at("backlog-served", "cpu", T.backlog_each) / 1e3,
+        lambda r: T.events_per_courier * r.at("backlog-served", "cpu", T.backlog_per_courier) / 1e3,
         "ms",
         1_000 * (1 - T.core),
-        "a core beside control",
-        By.BACKLOG,
-        lambda r: T.events_each * r.at("message-served", "cpu", T.events_each) / 1e3,
+        "a core beside the control plane",
+        Mechanism.BACKLOG,
+        lambda r: T.events_per_courier * r.at("message-served", "cpu", T.events_per_courier) / 1e3,
     ),
     # Client's side
     Row(
         Role.CLIENT,
         "state",
-        "couriers that meet one destination",
+        "couriers that call one destination",
         "couriers, over those that it is placed on",
         lambda r: N,
         "count",
         A.placed,
         "assumed",
-        By.PLACED,
+        Mechanism.PLACED,
         lambda r: A.placed,
     ),
     Row(
         Role.CLIENT,
         "processor time",
-        "placing one event by a hash for each courier",
+        "placing one event with one hash per courier",
         "order.processor at all couriers, over what serving it costs",
-        lambda r: r.at("order", "processor", N) / r.at("message-served", "cpu", T.events_each),
+        lambda r: r.at("order", "processor", N) / r.at("message-served", "cpu", T.events_per_courier),
         "count",
         1.0,
-        "what a courier takes to serve it",
-        By.PLACED,
+        "a courier's cost of serving it",
+        Mechanism.PLACED,
         lambda r: (
-            (r.each("order", "processor", T.zones) + r.each("order", "processor", T.zone))
-            / r.at("message-served", "cpu", T.events_each)
+            (r.marginal("order", "processor", T.zones) + r.marginal("order", "processor", T.zone))
+            / r.at("message-served", "cpu", T.events_per_courier)
         ),
-        "clients placed events so",
+        "clients placed events that way",
     ),
     Row(
         Role.CLIENT,
@@ -603,81 +615,90 @@
         "MB",
         T.memory_mb,
         "assumed as for a courier",
-        By.PLACED,
-        supposed="clients knew all couriers",
+        Mechanism.PLACED,
+        hypothetical="clients knew all couriers",
     ),
-    # Who tells
+    # Source of lists and configuration
     Row(
         Role.TELLER,
         "messages",
-        "the whole list told to one courier, at its bytes a second",
-        "destinations x what each adds to list-again.wire, over bytes a second of control",
-        lambda r: listing(r, T.destinations) / T.bytes_a_second,
+        "the full list sent to one courier, at its bytes a second",
+        "destinations x what each adds to list-again.wire, over bytes a second of the control plane",
+        lambda r: list_bytes(r, T.destinations) / T.bytes_a_second,
         "s",
         A.restart_in,
         "assumed",
-        By.LISTS,
-        lambda r: listing(r, PLACED_EACH) / T.bytes_a_second,
+        Mechanism.LISTS,
+        lambda r: list_bytes(r, PLACED_DESTINATIONS) / T.bytes_a_second,
     ),
     Row(
         Role.TELLER,
         "messages",
-        "the whole list told to a wave, by one region's control machines",
+        "the full list sent to a wave, by one region's control machines",
         "wave x destinations x what each adds to list-again.wire, over machines and their bytes a second",
-        lambda r: T.wave * listing(r, T.destinations) / T.control_a_region / (A.control_mb * 1e6),
+        lambda r: T.wave * list_bytes(r, T.destinations) / T.control_machines_per_region / (A.control_mb * 1e6),
         "s",
         A.spread,
         "assumed",
-        By.LISTS,
-        lambda r: T.wave * listing(r, PLACED_EACH) / T.control_a_region / (A.control_mb * 1e6),
+        Mechanism.LISTS,
+        lambda r: T.wave * list_bytes(r, PLACED_DESTINATIONS) / T.control_machines_per_region / (A.control_mb * 1e6),
     ),
     Row(
         Role.TELLER,
         "processor time",
-        "changes told to each courier by one control machine",
+        "changes sent to each courier by one control machine",
         "changes a second x couriers of one machine x list-change.teller at all destinations",
-        lambda r: T.changes_a_second * T.couriers_a_control * r.at("list-change", "teller", T.destinations) / 1e3,
+        lambda r: (
+            T.changes_per_second * T.couriers_per_control_machine * r.at("list-change", "teller", T.destinations) / 1e3
+        ),
         "ms",
         1_000 * A.control_core,
         "assumed",
-        By.CONFIG,
-        lambda r: T.changes_a_second * T.couriers_a_control * r.at("list-change", "teller", PLACED_EACH) / 1e3,
+        Mechanism.CONFIG,
+        lambda r: (
+            T.changes_per_second
+            * T.couriers_per_control_machine
+            * r.at("list-change", "teller", PLACED_DESTINATIONS)
+            / 1e3
+        ),
     ),
     Row(
         Role.TELLER,
         "time",
-        "a burst of changes told to one courier, at its bytes a second",
-        "changes of the burst x list-change.wire, over bytes a second of control",
+        "a burst of changes sent to one courier, at its bytes a second",
+        "changes of the burst x list-change.wire, over bytes a second of the control plane",
         lambda r: A.burst_changes * r.at("list-change", "wire", T.destinations) / T.bytes_a_second,
         "s",
         T.in_force,
         "in force everywhere",
-        By.CONFIG,
-        lambda r: A.burst_changes * A.placed / N * r.at("list-change", "wire", PLACED_EACH) / T.bytes_a_second,
+        Mechanism.CONFIG,
+        lambda r: A.burst_changes * A.placed / N * r.at("list-change", "wire", PLACED_DESTINATIONS) / T.bytes_a_second,
     ),
     # Control machine
     Row(
         Role.CONTROL,
         "state",
-        "couriers that one carries when a region's machines are gone",
+        "couriers of one machine when a region's machines are lost",
         "couriers, over the machines left",
-        lambda r: N / REST,
+        lambda r: N / REMAINING_CONTROL_MACHINES,
         "count",
-        MOST_MEMBERS,
+        MAX_MEMBERS,
         CODE,
-        By.CONFIG,
+        Mechanism.CONFIG,
     ),
     Row(
         Role.CONTROL,
         "messages",
-        "changes told to its couriers, when a region's machines are gone",
+        "changes sent to its couriers, when a region's machines are lost",
         "changes a second x couriers, over the machines left, x list-change.wire",
-        lambda r: T.changes_a_second * N / REST * r.at("list-change", "wire", T.destinations),
+        lambda r: T.changes_per_second * N / REMAINING_CONTROL_MACHINES * r.at("list-change", "wire", T.destinations),
         "bytes",
         A.control_mb * 1e6,
         "assumed, a second",
-        By.CONFIG,
-        lambda r: T.changes_a_second * A.placed / REST * r.at("list-change", "wire", T.destinations),
+        Mechanism.CONFIG,
+        lambda r: (
+            T.changes_per_second * A.placed / REMAINING_CONTROL_MACHINES * r.at("list-change", "wire", T.destinations)
+        ),
     ),
     Row(
         Role.CONTROL,
@@ -688,7 +709,7 @@
         "MB",
         A.broker_mb,
         "assumed",
-        By.WORDS,
+        Mechanism.WORDS,
         lambda r: r.at("broker", "memory", T.region),
     ),
     Row(
@@ -696,72 +717,72 @@
         "processor time",
         "leases of its region's couriers",
         "renewals a second of a region's couriers x broker.renewal",
-        lambda r: _renewals(r, "renewal") / 1e3,
+        lambda r: _renewals_at_broker(r, "renewal") / 1e3,
         "ms",
         1_000 * A.control_core,
         "assumed",
-        By.WORDS,
-        lambda r: _renewals(r, "renewal") / 1e3,
+        Mechanism.WORDS,
+        lambda r: _renewals_at_broker(r, "renewal") / 1e3,
     ),
     Row(
         Role.CONTROL,
         "processor time",
-        "words on what is down, one failed try a second each",
+        "observations of failed endpoints, one failed probe a second each",
         "destinations down x owners x rounds, over brokers, x broker.word",
-        lambda r: _brokered(r, "word") / 1e3,
+        lambda r: _observations_at_broker(r, "word") / 1e3,
         "ms",
         1_000 * A.control_core,
         "assumed",
-        By.WORDS,
-        lambda r: _brokered(r, "word") / 1e3,
+        Mechanism.WORDS,
+        lambda r: _observations_at_broker(r, "word") / 1e3,
     ),
     Row(
         Role.CONTROL,
         "messages",
-        "words on what is down, one failed try a second each",
+        "observations of failed endpoints, one failed probe a second each",
         "destinations down x owners x rounds, over brokers, x broker.word-sent",
-        lambda r: _brokered(r, "word-sent"),
+        lambda r: _observations_at_broker(r, "word-sent"),
         "bytes",
         A.control_mb * 1e6,
         "assumed, a second",
-        By.WORDS,
-        lambda r: _brokered(r, "word-sent"),
+        Mechanism.WORDS,
+        lambda r: _observations_at_broker(r, "word-sent"),
     ),
     Row(
         Role.CONTROL,
         "memory",
-        "counts of its couriers, 20 counters each",
+        "counters of its couriers, 20 each",
         "counts-held.memory at its couriers",
-        lambda r: r.at("counts-held", "memory", T.couriers_a_control),
+        lambda r: r.at("counts-held", "memory", T.couriers_per_control_machine),
         "MB",
         T.memory_mb,
         "assumed as for a courier",
-        By.COUNTS,
-        supposed="they summed what their couriers count",
+        Mechanism.COUNTS,
+        hypothetical="control machines summed up their couriers' counters",
     ),
     # Member system
     Row(
         Role.MEMBER,
         "state",
         "couriers that connect to one",
-        "couriers that meet its destination",
+        "couriers that call its destination",
         lambda r: N,
         "count",
         A.calls_out,
         "assumed",
-        By.PLACED,
+        Mechanism.PLACED,
         lambda r: A.placed,
     ),
     Row(
         Role.MEMBER,
         "messages",
-        "calls a second that meet it while it is out, one a step wanted",
-        "events a second for one destination, as none of the couriers knows of another's failure",
-        lambda r: T.events_of_one,
+        "calls a second that reach it while it is down: at most one per step wanted",
+        "events a second for one destination, as no courier knows of another's failed call",
+        lambda r: T.events_per_destination,
         "count",
         1.0,
-        "one try a step",
-        By.WORDS,
+        "one probe per step",
+        Mechanism.WORDS,
         lambda r: 1.0,
     ),
 )
@@ -769,38 +790,40 @@
 
 @dataclass(frozen=True)
 class Result:
-    """A row at the target."""
+    """A row evaluated at the target."""
 
     row: Row
     need: float
     bound: float
     ratio: float
-    left: float | None  # the ratio then
+    remaining: float | None  # the ratio with the mechanism in place
     used: dict[str, tuple[int, float, str]]
 
 
 def results(reading: Reading) -> tuple[list[Result], list[tuple[Row, str]]]:
-    """All rows worked out, and those that lack a slope, with its name."""
-    found, lacking = [], []
+    """Evaluate all rows; return the results, and the rows that need an unmeasured slope with its name."""
+    worked_out, not_worked_out = [], []
     for row in ROWS:
-        reading.begin()
+        reading.reset_used()
         try:
             bound = row.bound(reading) if callable(row.bound) else row.bound
             need = row.need(reading)
             used = reading.used
-            reading.begin()
-            left = row.left(reading) / bound if row.left is not None else None
+            reading.reset_used()
+            remaining = row.remaining(reading) / bound if row.remaining is not None else None
         except NotMeasured as error:
-            lacking.append((row, str(error)))
+            not_worked_out.append((row, str(error)))
             continue
-        found.append(Result(row, need, bound, need / bound, left, used))
-    return found, lacking
-
-
-def ranked(found: Iterable[Result]) -> list[Result]:
-    """Of each mechanism the row with the worst ratio, the worst first."""
-    worst: dict[By, Result] = {}
-    for result in found:
-        if not result.row.supposed and (result.row.by not in worst or result.ratio > worst[result.row.by].ratio):
-            worst[result.row.by] = result
+        worked_out.append(Result(row, need, bound, need / bound, remaining, used))
+    return worked_out, not_worked_out
+
+
+def ranked(all_results: Iterable[Result]) -> list[Result]:
+    """Return the row with the worst ratio of each mechanism, the worst first."""
+    worst: dict[Mechanism, Result] = {}
+    for result in all_results:
+        if not result.row.hypothetical and (
+            result.row.mechanism not in worst or result.ratio > worst[result.row.mechanism].ratio
+        ):
+            worst[result.row.mechanism] = result
     return sorted(worst.values(), key=lambda result: -result.ratio)
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -183,8 +183,8 @@
         stream = self.open_stream()
         try:
             stream.write(parser.request("GET", path, "bench", {"Connection": "close"}), None)
-            response = parser.read_head(stream, None, response=True)
-            return response.status, parser.read_body(stream, response, None, response=True)
+            head = parser.read_head(stream, None, response=True)
+            return head.status, parser.read_body(stream, head, None, response=True)
         finally:
             stream.close()
 
@@ -259,9 +259,9 @@
         "Idempotency-Key": name,
     }
     stream.write(parser.request("POST", f"/{cls}", "bench", headers, body), None)
-    response = parser.read_head(stream, None, response=True)
-    parser.read_body(stream, response, None, response=True)
-    return response.status
+    head = parser.read_head(stream, None, response=True)
+    parser.read_body(stream, head, None, response=True)
+    return head.status
 
 
 def start_load(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,8 +15,8 @@
 from benchmarks.capacity import FILE, PAGE, CapacityError, Row, read_rows, slopes, write_rows
 from benchmarks.capacity_fit import fit
 from benchmarks.capacity_page import amount, number, render
-from benchmarks.capacity_roles import ROWS, STAND, By, Reading, ranked, results
-from benchmarks.slope import LEAST_SIZES, RUNS, SETTINGS, Slope
+from benchmarks.capacity_roles import MECHANISM_STATUS, ROWS, Mechanism, Reading, ranked, results
+from benchmarks.slope import MIN_SIZES, RUNS, SETTINGS, Slope
 from benchmarks.target import ASSUMED, TARGET
 
 A_ROW = Row("grows", 10, 1, "pure module", "2026-12-02T00:00:00Z", "abc", "a machine", {"cost": 1.5})
@@ -35,14 +35,14 @@
 
 def test_every_slope_has_sizes_and_runs_enough() -> None:
     for slope in slopes().values():
-        assert len(set(slope.sizes)) >= LEAST_SIZES and list(slope.sizes) == sorted(slope.sizes), slope.name
+        assert len(set(slope.sizes)) >= MIN_SIZES and list(slope.sizes) == sorted(slope.sizes), slope.name
         assert slope.runs >= RUNS and slope.setting in SETTINGS and slope.figures and slope.doc, slope.name
 
 
 def test_every_row_of_a_role_is_worked_out() -> None:
     found, lacking = results(Reading(slopes(), read_rows(FILE)))
     assert lacking == [] and len(found) == len(ROWS) and all(each.ratio > 0 for each in found)
-    assert {each.row.by for each in found} == set(By) == set(STAND)
+    assert {each.row.mechanism for each in found} == set(Mechanism) == set(MECHANISM_STATUS)
 
 
 def test_the_ranking_is_by_the_worst_row_of_each_mechanism() -> None:
@@ -50,8 +50,10 @@
     order = ranked(found)
     assert [each.ratio for each in order] == sorted((each.ratio for each in order), reverse=True)
     for each in order:
-        assert each.ratio == max(one.ratio for one in found if one.row.by is each.row.by and not one.row.supposed)
-        assert not each.row.supposed
+        assert each.ratio == max(
+            one.ratio for one in found if one.row.mechanism is each.row.mechanism and not one.row.hypothetical
+        )
+        assert not each.row.hypothetical
 
 
 def test_page_and_file_name_neither_paths_nor_hosts() -> None:
@@ -91,12 +93,12 @@
 def test_what_each_adds_leaves_out_what_none_cost() -> None:
     rows = [replace(A_ROW, size=size, figures={"cost": 100.0 + 2 * size}) for size in (10, 20, 40)]
     reading = Reading({}, rows)
-    assert reading.each("grows", "cost", 7) == pytest.approx(14.0)
+    assert reading.marginal("grows", "cost", 7) == pytest.approx(14.0)
     assert reading.at("grows", "cost", 80) == pytest.approx(260.0) and reading.used["grows"][:2] == (40, 2.0)
 
 
 def test_what_was_cut_off_is_shown_and_not_fitted() -> None:
-    slope = replace(a_slope("one"), cut={"cost": ("cost", 60.0)})
+    slope = replace(a_slope("one"), cut_off_at={"cost": ("cost", 60.0)})
     rows = [
         replace(A_ROW, name="one", size=size, run=run, figures={"cost": min(60.0, 20.0 * size)})
         for size in slope.sizes
@@ -109,13 +111,15 @@
 
 
 def test_a_figure_is_cut_by_the_one_that_decides() -> None:
-    slope = replace(a_slope("one"), cut={"heard": ("known", 5.0)})
-    assert slope.whole("heard", {"heard": 9.0, "known": 4.9}) and slope.whole("cost", {"cost": 9.0, "known": 5.0})
-    assert not slope.whole("heard", {"heard": 1.0, "known": 5.0})
+    slope = replace(a_slope("one"), cut_off_at={"heard": ("known", 5.0)})
+    assert slope.is_complete("heard", {"heard": 9.0, "known": 4.9}) and slope.is_complete(
+        "cost", {"cost": 9.0, "known": 5.0}
+    )
+    assert not slope.is_complete("heard", {"heard": 1.0, "known": 5.0})
 
 
 def test_one_size_is_no_slope() -> None:
-    with pytest.raises(ValueError, match="two sizes"):
+    with pytest.raises(ValueError, match="at least two sizes"):
         fit([(10, 1.0), (10, 2.0)])
 
 
@@ -156,10 +160,10 @@
 
 
 def test_what_follows_from_the_target() -> None:
-    assert TARGET.zone == 500 and TARGET.events_each == 320 and TARGET.destinations_down == 39_200
-    assert TARGET.backlog_each == 4_600_000 and TARGET.control_a_region == 9
-    assert round(TARGET.couriers_a_control) == 185 and round(TARGET.restart_every) == 23
-    assert round(TARGET.changes_a_second, 2) == 0.42 and round(TARGET.events_of_one, 1) == 2.3
+    assert TARGET.zone == 500 and TARGET.events_per_courier == 320 and TARGET.destinations_down == 39_200
+    assert TARGET.backlog_per_courier == 4_600_000 and TARGET.control_machines_per_region == 9
+    assert round(TARGET.couriers_per_control_machine) == 185 and round(TARGET.restart_interval) == 23
+    assert round(TARGET.changes_per_second, 2) == 0.42 and round(TARGET.events_per_destination, 1) == 2.3
     assert TARGET.processor_ms == pytest.approx(12)
 
 
@@ -339,7 +343,7 @@
 def test_a_slope_that_is_not_measured_is_said_on_the_page() -> None:
     rows = [row for row in read_rows(FILE) if row.name != "word"]
     page = render(rows, slopes())
-    assert "Not whole: " in page and "Not worked out: words on what is down, told by one courier" in page
+    assert "Incomplete: " in page and "Not computed: observations of failed endpoints, sent by one courier" in page
 
 
 def test_a_mechanism_is_set_beside_what_was_before(monkeypatch: pytest.MonkeyPatch) -> None:
