--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -1,8 +1,8 @@
-"""Endpoint lists from a registry: a list of 20,000, a thousand changes a second, and a drain under load.
+"""Endpoint lists from a registry: a list of 20,000 endpoints, 1,000 changes a second, and drains under load.
 
     python -m benchmarks.registry [--endpoints 20000] [--churn-for 60]
 
-The stand-in registry is a process of its own, so that pauses and memory are the courier's alone.
+The stand-in registry is a separate process, so that measured pauses and memory are only those of the courier.
 """
 
 from __future__ import annotations
@@ -36,48 +36,48 @@
 PREFIX = "/kestrelspar/endpoints/"
 
 
-class WatchedLoop(Loop):
-    """Notes the longest turn: from what poll says to the turn's end."""
+class TimedLoop(Loop):
+    """A loop that records its longest turn, from the return of poll to the turn's end."""
 
-    longest = 0
+    longest_turn = 0
 
     def turn(self) -> None:
-        """One turn, timed from the moment at which poll returned."""
+        """Run one turn; its time counts from the return of poll."""
         super().turn()
-        self.longest = max(self.longest, self.clock() - self.now)
+        self.longest_turn = max(self.longest_turn, self.clock() - self.now)
 
 
-class Ends:
-    """A sender side that counts."""
+class CountingSender:
+    """A sender side that counts the messages that ended."""
 
     name = "http"
-    told = 0
+    end_count = 0
 
     def took(self, message: Message) -> bool:
-        """Nothing."""
+        """Recover no message."""
         return False
 
     def settle(self, message: Message, end: End) -> None:
-        """One end."""
-        self.told += 1
+        """Count one message."""
+        self.end_count += 1
 
 
 def rss() -> int:
-    """Memory of this process in KB."""
+    """Return the resident memory of this process in KB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize() // 1024
 
 
-def courier(loop: Loop, folder: str) -> tuple[Courier, NextHops, BufferPool]:
-    """A courier without fronts."""
-    told = settings.read(platform.settings(slots=64, most_open=1_000))
+def make_courier(loop: Loop, state_directory: str) -> tuple[Courier, NextHops, BufferPool]:
+    """Create a courier without front ends."""
+    parsed_settings = settings.read(platform.settings(slots=64, most_open=1_000))
     buffers = BufferPool(256)
-    found = Courier(loop, told, 1, Journal(folder, 20_000_000))
-    found.senders["http"] = Ends()
-    return found, NextHops(loop, buffers, told, 100), buffers
+    courier = Courier(loop, parsed_settings, 1, Journal(state_directory, 20_000_000))
+    courier.senders["http"] = CountingSender()
+    return courier, NextHops(loop, buffers, parsed_settings, 100), buffers
 
 
-def registry(wire: str, *ports: int) -> Registry:
-    """The section."""
+def registry_section(wire: str, *ports: int) -> Registry:
+    """Return a registry section of the settings."""
     return Registry(
         "bench",
         schema.Registry(type=wire, servers=tuple(("127.0.0.1", port) for port in ports), prefix=PREFIX, keep=2_000_000),
@@ -85,16 +85,16 @@
 
 
 def free_port() -> int:
-    """A port that was free."""
+    """Return a port that was free just now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
-def standin(port: int, *words: str) -> subprocess.Popen[bytes]:
-    """The stand-in, once it listens."""
+def start_stand_in(port: int, *arguments: str) -> subprocess.Popen[bytes]:
+    """Start the stand-in registry and wait until it listens."""
     process = subprocess.Popen(
-        [sys.executable, "-m", "kestrelspar", "standin", "registry", "--listen", f"127.0.0.1:{port}", *words],
+        [sys.executable, "-m", "kestrelspar", "standin", "registry", "--listen", f"127.0.0.1:{port}", *arguments],
         stdout=subprocess.PIPE,
     )
     assert process.stdout is not None
@@ -103,146 +103,153 @@
     return process
 
 
-def part(times: list[int], share: float) -> str:
-    """A quantile in milliseconds."""
-    return f"{sorted(times)[int(len(times) * share)] / MS:.1f} ms" if times else "-"
+def quantile(durations: list[int], share: float) -> str:
+    """Format a quantile in milliseconds."""
+    return f"{sorted(durations)[int(len(durations) * share)] / MS:.1f} ms" if durations else "-"
 
 
-def listing(wire: str, endpoints: int) -> list[tuple[str, str]]:
-    """The whole list: time, memory, longest pause; and the same again after a break."""
-    port, loop = free_port(), WatchedLoop()
-    process = standin(port, "--fill", str(endpoints))
+def measure_listing(wire: str, endpoints: int) -> list[tuple[str, str]]:
+    """Measure time, memory and longest pause of reading the complete list, and the longest pause of saving it."""
+    port, loop = free_port(), TimedLoop()
+    process = start_stand_in(port, "--fill", str(endpoints))
     try:
-        with tempfile.TemporaryDirectory() as folder:
-            found, carrier, buffers = courier(loop, folder)
-            before, begin = rss(), loop.now
-            follower = Follower(loop, buffers, found, carrier, registry(wire, port), folder, 1)
+        with tempfile.TemporaryDirectory() as state_directory:
+            courier, carrier, buffers = make_courier(loop, state_directory)
+            memory_before, started_at = rss(), loop.now
+            follower = Follower(loop, buffers, courier, carrier, registry_section(wire, port), state_directory, 1)
             follower.start()
             while not follower.sync.listed:
                 loop.turn()
-            took, memory, pause = loop.now - begin, rss() - before, loop.longest
-            loop.longest = 0
-            until = loop.now + 12 * SECOND  # the list is kept meanwhile
-            while loop.now < until:
+            duration, memory, longest_pause = loop.now - started_at, rss() - memory_before, loop.longest_turn
+            loop.longest_turn = 0
+            deadline = loop.now + 12 * SECOND  # the list is saved during this time
+            while loop.now < deadline:
                 loop.turn()
-            kept = sum(file.stat().st_size for file in Path(folder).glob("*.list"))
-            assert len(found.map.hops) == endpoints
+            saved_bytes = sum(file.stat().st_size for file in Path(state_directory).glob("*.list"))
+            assert len(courier.map.hops) == endpoints
             return [
-                (f"{wire}: whole list", f"{took / SECOND:.2f} s"),
+                (f"{wire}: complete list", f"{duration / SECOND:.2f} s"),
                 (f"{wire}: memory", f"{memory / 1024:.1f} MB"),
-                (f"{wire}: memory an endpoint", f"{memory * 1024 / endpoints:.0f} bytes"),
-                (f"{wire}: longest turn while listing", f"{pause / MS:.1f} ms"),
-                (f"{wire}: longest turn later, kept list written", f"{loop.longest / MS:.1f} ms"),
-                (f"{wire}: kept list", f"{kept / 1024:.0f} KB"),
+                (f"{wire}: memory per endpoint", f"{memory * 1024 / endpoints:.0f} bytes"),
+                (f"{wire}: longest turn while listing", f"{longest_pause / MS:.1f} ms"),
+                (f"{wire}: longest turn later, while the list is saved", f"{loop.longest_turn / MS:.1f} ms"),
+                (f"{wire}: saved list", f"{saved_bytes / 1024:.0f} KB"),
             ]
     finally:
         process.kill()
         process.wait()
 
 
-def churn(wire: str, endpoints: int, rate: int, span: int) -> list[tuple[str, str]]:
-    """Changes: from the read that brought them to the module having heard."""
-    port, loop = free_port(), WatchedLoop()
-    process = standin(port, "--fill", str(endpoints), "--churn", str(rate))
-    times: list[int] = []
+def measure_churn(wire: str, endpoints: int, rate: int, seconds: int) -> list[tuple[str, str]]:
+    """Measure changes from the read that received them until the controller has them."""
+    port, loop = free_port(), TimedLoop()
+    process = start_stand_in(port, "--fill", str(endpoints), "--churn", str(rate))
+    delays: list[int] = []
     try:
-        with tempfile.TemporaryDirectory() as folder:
-            found, carrier, buffers = courier(loop, folder)
-            follower = Follower(loop, buffers, found, carrier, registry(wire, port), folder, 1)
-            read, fill, listed = [0], Stream.fill, found.listed
+        with tempfile.TemporaryDirectory() as state_directory:
+            courier, carrier, buffers = make_courier(loop, state_directory)
+            follower = Follower(loop, buffers, courier, carrier, registry_section(wire, port), state_directory, 1)
+            read_at, fill, apply_update = [0], Stream.fill, courier.listed
 
-            def noted(self: Stream, deadline: int | None) -> None:
+            def timed_fill(self: Stream, deadline: int | None) -> None:
                 fill(self, deadline)
-                read[0] = loop.clock()
+                read_at[0] = loop.clock()
 
-            def heard(source: str, hops: Any, *rest: Any, **more: Any) -> None:
-                listed(source, hops, *rest, **more)
-                times.extend([loop.clock() - read[0]] * len(hops) if read[0] else [])
+            def timed_update(source: str, hops: Any, *arguments: Any, **keywords: Any) -> None:
+                apply_update(source, hops, *arguments, **keywords)
+                delays.extend([loop.clock() - read_at[0]] * len(hops) if read_at[0] else [])
 
             follower.start()
             while not follower.sync.listed:
                 loop.turn()
-            Stream.fill, found.listed = noted, heard  # type: ignore[method-assign]
-            loop.longest, cpu, begin = 0, time.process_time(), loop.now
-            while loop.now < begin + span * SECOND:
+            Stream.fill, courier.listed = timed_fill, timed_update  # type: ignore[method-assign]
+            loop.longest_turn, cpu, started_at = 0, time.process_time(), loop.now
+            while loop.now < started_at + seconds * SECOND:
                 loop.turn()
             Stream.fill = fill  # type: ignore[method-assign]
             cpu = time.process_time() - cpu
             return [
-                (f"{wire}: changes heard in {span} s", str(len(times))),
-                (f"{wire}: read to module, median", part(times, 0.5)),
-                (f"{wire}: read to module, 99%", part(times, 0.99)),
-                (f"{wire}: longest turn", f"{loop.longest / MS:.1f} ms"),
-                (f"{wire}: CPU", f"{100 * cpu / span:.0f} % of a core"),
+                (f"{wire}: changes received in {seconds} s", str(len(delays))),
+                (f"{wire}: read to controller, median", quantile(delays, 0.5)),
+                (f"{wire}: read to controller, 99%", quantile(delays, 0.99)),
+                (f"{wire}: longest turn", f"{loop.longest_turn / MS:.1f} ms"),
+                (f"{wire}: CPU", f"{100 * cpu / seconds:.0f} % of a core"),
             ]
     finally:
         process.kill()
         process.wait()
 
 
-def drain(rounds: int) -> list[tuple[str, str]]:
-    """Under 200 messages a second: from the read that brought a drain to the last new call there."""
-    loop = WatchedLoop()
-    late: list[int] = []
-    with tempfile.TemporaryDirectory() as folder:
-        found, carrier, buffers = courier(loop, folder)
+def measure_drain(rounds: int) -> list[tuple[str, str]]:
+    """Measure drains at 200 messages a second, from the read that received one to the last new call to the endpoint."""
+    loop = TimedLoop()
+    delays: list[int] = []
+    with tempfile.TemporaryDirectory() as state_directory:
+        courier, carrier, buffers = make_courier(loop, state_directory)
         seen = platform.Seen()
         hops = [platform.NextHop(loop, seen, n, platform.Manners(5 * MS, 10 * MS)) for n in range(2)]
         store = Store()
         listener = free_listener()
         member = Member(loop, store, listener)
-        calls: dict[bytes, int] = {}
+        last_calls: dict[bytes, int] = {}
         attempt = carrier.attempt
 
-        def noted(message: Any, hop: Any, deadline: int, leave: Any) -> Any:
-            def leaving() -> bool:
-                gone = leave()
-                if gone:
-                    calls[hop.endpoint.id] = loop.clock()
-                return bool(gone)
+        def recorded_attempt(message: Any, hop: Any, deadline: int, leave: Any) -> Any:
+            def recorded_leave() -> bool:
+                may_leave = leave()
+                if may_leave:
+                    last_calls[hop.endpoint.id] = loop.clock()
+                return bool(may_leave)
 
-            return attempt(message, hop, deadline, leaving)
+            return attempt(message, hop, deadline, recorded_leave)
 
-        carrier.attempt = noted  # type: ignore[method-assign]
-        follower = Follower(loop, buffers, found, carrier, registry("etcd", member.address[1]), folder, 1)
+        carrier.attempt = recorded_attempt  # type: ignore[method-assign]
+        follower = Follower(
+            loop, buffers, courier, carrier, registry_section("etcd", member.address[1]), state_directory, 1
+        )
         follower.start()
 
-        def row(name: int, status: str) -> bytes:
+        def endpoint_json(name: int, status: str) -> bytes:
             return (f'{{"name":"{name}","address":"{hops[name].address}","group":1,"status":"{status}"}}').encode()
 
-        def load() -> None:
+        def send_load() -> None:
             number = 0
             while True:
                 loop.sleep(5 * MS)
                 number += 1
-                message = Message(f"m{number}", 0, 0, 1, loop.now + 4 * SECOND, b"x", found.senders["http"])
-                loop.spawn(found.carry, message, lambda answer: isinstance(answer, Answer))
+                message = Message(f"m{number}", 0, 0, 1, loop.now + 4 * SECOND, b"x", courier.senders["http"])
+                loop.spawn(courier.carry, message, lambda answer: isinstance(answer, Answer))
 
-        def both() -> bool:
-            states = [hop.endpoint.state for hop in found.map.hops.values()]
+        def both_ready() -> bool:
+            states = [hop.endpoint.state for hop in courier.map.hops.values()]
             return states == [EndpointState.READY] * 2
 
         for n in range(2):
-            store.put(f"{PREFIX}{n}", row(n, "active"))
-        while not both():
+            store.put(f"{PREFIX}{n}", endpoint_json(n, "active"))
+        while not both_ready():
             loop.turn()
-        loop.spawn(load)
+        loop.spawn(send_load)
         for _ in range(rounds):
-            until = loop.now + SECOND // 2
-            while loop.now < until:
+            deadline = loop.now + SECOND // 2
+            while loop.now < deadline:
                 loop.turn()
-            used = max(calls, key=calls.__getitem__)
-            store.put(f"{PREFIX}{used.decode()}", row(int(used), "leaving"))
-            while found.map.hops[used].endpoint.state is EndpointState.READY:
+            drained = max(last_calls, key=last_calls.__getitem__)
+            store.put(f"{PREFIX}{drained.decode()}", endpoint_json(int(drained), "leaving"))
+            while courier.map.hops[drained].endpoint.state is EndpointState.READY:
                 loop.turn()
-            told, until = loop.now, loop.now + SECOND // 2  # the turn that read it began then
-            while loop.now < until:
+            read_at, deadline = loop.now, loop.now + SECOND // 2  # the start of the turn that read it
+            while loop.now < deadline:
                 loop.turn()
-            late.append(max(0, calls[used] - told))
-            store.put(f"{PREFIX}{used.decode()}", row(int(used), "active"))
-            while not both():
+            delays.append(max(0, last_calls[drained] - read_at))
+            store.put(f"{PREFIX}{drained.decode()}", endpoint_json(int(drained), "active"))
+            while not both_ready():
                 loop.turn()
-    return [(f"drains under 200 messages a second: {rounds}, last new call after the read, most", part(late, 0.999))]
+    return [
+        (
+            f"drains under 200 messages a second: {rounds}, maximum time from the read to the last new call",
+            quantile(delays, 0.999),
+        )
+    ]
 
 
 def main() -> None:
@@ -251,14 +258,14 @@
     parser.add_argument("--endpoints", type=int, default=20_000)
     parser.add_argument("--churn", type=int, default=1_000)
     parser.add_argument("--churn-for", type=int, default=60)
-    told = parser.parse_args()
+    options = parser.parse_args()
     logs.set_up(level="error", stream=open(os.devnull, "w"))  # noqa: SIM115
     rows = []
     for wire in ("etcd", "consul"):
-        rows += listing(wire, told.endpoints)
-    rows += churn("etcd", told.endpoints, told.churn, told.churn_for)
-    rows += churn("consul", 1_000, 20, min(10, told.churn_for))
-    rows += drain(20)
+        rows += measure_listing(wire, options.endpoints)
+    rows += measure_churn("etcd", options.endpoints, options.churn, options.churn_for)
+    rows += measure_churn("consul", 1_000, 20, min(10, options.churn_for))
+    rows += measure_drain(20)
     for name, value in rows:
         print(f"{name:<90} {value}")
 
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -1,8 +1,9 @@
-"""SMPP beside HTTP: what a hand-in costs, what a session takes, and a clump against a gateway's limit.
+"""SMPP compared with HTTP: cost of a submission, memory of a session, and a burst against a gateway's limit.
 
     python -m benchmarks.smpp [--rate 150] [--for 8] [--sessions 200] [--clump 1000] [--limit 50 100]
 
-The program is started as the platform does it, with the SMPP front on, between stand-ins in this process.
+The program is started as the platform starts it, with the SMPP front end enabled, between stand-in servers of this
+process.
 """
 
 from __future__ import annotations
@@ -33,11 +34,11 @@
 
 HOPS, CLIENTS, WINDOW = 4, 8, 10
 SERVICES = {"reading": "RD", "work-order": "WO", "payment": "PAY"}
-GATE = 900
+GATEWAY_DESTINATION = 900
 
 
-class Bench:
-    """The stand-ins, and the program between them."""
+class Environment:
+    """The stand-in servers, and the program between them."""
 
     def __init__(self, limit: int = 0) -> None:
         self.loop, self.buffers, self.seen = Loop(), BufferPool(2048), platform.Seen()
@@ -56,37 +57,40 @@
             for n, hop in enumerate(self.hops)
         ]
         self.discovery = platform.Discovery(self.loop, self.rows)
-        gate = free_listener()
-        self.gateway = Gateway(self.loop, gate, Manners(limit=limit))
-        self.gate: tuple[str, int] = gate.getsockname()
-        with free_listener() as one, free_listener() as other:
-            self.http: tuple[str, int] = one.getsockname()
-            self.smpp: tuple[str, int] = other.getsockname()
+        gateway_listener = free_listener()
+        self.gateway = Gateway(self.loop, gateway_listener, Manners(limit=limit))
+        self.gateway_address: tuple[str, int] = gateway_listener.getsockname()
+        with free_listener() as http_listener, free_listener() as smpp_listener:
+            self.http: tuple[str, int] = http_listener.getsockname()
+            self.smpp: tuple[str, int] = smpp_listener.getsockname()
         self.pid = 0
 
     @contextmanager
     def program(self, slots: int = 16, most_open: int = 400, sessions: int = 300, deadline: int = 16) -> Iterator[None]:
-        """The program, from its start to its end."""
-        with tempfile.TemporaryDirectory() as folder:
-            config: dict[str, Any] = platform.configuration(f"127.0.0.1:{self.http[1]}", self.discovery.address, folder)
+        """Run the program until the block ends."""
+        with tempfile.TemporaryDirectory() as state_directory:
+            config: dict[str, Any] = platform.configuration(
+                f"127.0.0.1:{self.http[1]}", self.discovery.address, state_directory
+            )
             config["settings"] = platform.settings(slots, most_open)
-            for cls in config["settings"]["classes"]:
-                cls["deadline_ns"] = deadline * 1_000_000_000
+            for message_class in config["settings"]["classes"]:
+                message_class["deadline_ns"] = deadline * 1_000_000_000
             config["known"]["endpoints"] = self.rows
             config["limits"]["sockets"] = 1024
-            Path(folder, "config.json").write_text(ujson.dumps(config))
-            Path(folder, "pw").write_text("secret")
-            Path(folder, "pw").chmod(0o600)
+            Path(state_directory, "config.json").write_text(ujson.dumps(config))
+            Path(state_directory, "pw").write_text("secret")
+            Path(state_directory, "pw").chmod(0o600)
             routes = "".join(f"    destination 37{n} {n}\n" for n in range(HOPS))
             services = "".join(f"    service-type {short} {name}\n" for name, short in SERVICES.items())
-            Path(folder, "k.conf").write_text(
+            Path(state_directory, "k.conf").write_text(
                 f"smpp\n    enabled on\n    listen 127.0.0.1:{self.smpp[1]}\n    most-sessions {sessions}\n"
-                f"    destination 900 {GATE}\n{routes}{services}"
+                f"    destination 900 {GATEWAY_DESTINATION}\n{routes}{services}"
                 "smpp-account acme\n    password-file pw\n    message-class reading\n    window 1000\n"
-                f"smpp-gateway gate\n    address 127.0.0.1:{self.gate[1]}\n    destination {GATE}\n    system-id us\n"
+                f"smpp-gateway gate\n    address 127.0.0.1:{self.gateway_address[1]}\n"
+                f"    destination {GATEWAY_DESTINATION}\n    system-id us\n"
                 f"    password-file pw\n    window 20\n    throttle-wait 100ms\n"
             )
-            with open(Path(folder, "log"), "wb") as log:
+            with open(Path(state_directory, "log"), "wb") as log:
                 process = subprocess.Popen(
                     [sys.executable, "-m", "kestrelspar"],
                     cwd=Path(__file__).parent.parent,
@@ -94,8 +98,8 @@
                     stderr=log,
                     env={
                         **os.environ,
-                        "RELAY_CONFIG": str(Path(folder, "config.json")),
-                        "KESTRELSPAR_CONF": str(Path(folder, "k.conf")),
+                        "RELAY_CONFIG": str(Path(state_directory, "config.json")),
+                        "KESTRELSPAR_CONF": str(Path(state_directory, "k.conf")),
                     },
                 )
             self.pid = process.pid
@@ -106,141 +110,147 @@
                 process.kill()
                 process.wait()
 
-    def wait(self, span: int, done: Callable[[], bool] = lambda: False) -> None:
-        """Let so much time pass, or less when it is done."""
-        until = self.loop.now + span
-        while self.loop.now < until and not done():
+    def wait(self, duration: int, is_done: Callable[[], bool] = lambda: False) -> None:
+        """Run the loop for ``duration``, or until ``is_done`` returns true."""
+        deadline = self.loop.now + duration
+        while self.loop.now < deadline and not is_done():
             self.loop.turn()
 
     def stream(self, address: tuple[str, int]) -> Stream:
-        """A connection to the program."""
+        """Connect to the program."""
         sock = connect(self.loop, address, self.loop.now + SECOND)
         assert sock is not None
         return Stream(self.loop, sock, self.buffers)
 
-    def esme(self, how: Command = Command.BIND_TRANSMITTER) -> Esme:
-        """A bound contractor."""
-        made = Esme(self.loop, self.stream(self.smpp))
-        made.bind(how, Account("acme", "secret"), 2 * SECOND)
-        return made
+    def esme(self, command: Command = Command.BIND_TRANSMITTER) -> Esme:
+        """Return a bound ESME."""
+        esme = Esme(self.loop, self.stream(self.smpp))
+        esme.bind(command, Account("acme", "secret"), 2 * SECOND)
+        return esme
 
 
-def submit(number: int, to: str) -> Pdu:
-    """The same message over SMPP as ``request`` makes over HTTP."""
+def submit_sm(number: int, destination: str) -> Pdu:
+    """Return the same message for SMPP as ``http_request`` for HTTP."""
     return Pdu(
         Command.SUBMIT_SM,
-        fields={"service_type": SERVICES[platform.CLASSES[number % 3]], "source_addr": "100", "destination_addr": to},
+        fields={
+            "service_type": SERVICES[platform.CLASSES[number % 3]],
+            "source_addr": "100",
+            "destination_addr": destination,
+        },
         message=b"x" * 200,
     )
 
 
-def request(place: int, number: int, dest: int) -> bytes:
-    """A hand-in over HTTP."""
-    cls, name = platform.CLASSES[number % 3], f"{place}-{number}-{dest}"
+def http_request(client_index: int, number: int, destination: int) -> bytes:
+    """Return the HTTP request that submits a message."""
+    message_class, name = platform.CLASSES[number % 3], f"{client_index}-{number}-{destination}"
     return parser.request(
         "POST",
-        f"/{cls}",
+        f"/{message_class}",
         "bench",
         {
             "X-Trace-Id": name,
-            "X-Qos": cls,
+            "X-Qos": message_class,
             "X-Expires-In": "8000m",
-            "X-Route-To": f"dest={dest}",
+            "X-Route-To": f"dest={destination}",
             "Idempotency-Key": name,
         },
         b"x" * 200,
     )
 
 
-def fronts(rate: int, span: int) -> None:
-    """CPU a message at a steady rate, and hand-ins a second at the most, over each front in turn."""
-    print(f"{'front':<8}{'rate':>8}{'taken':>8}{'a second':>10}{'CPU a message':>16}")
+def compare_front_ends(rate: int, duration: int) -> None:
+    """Print the CPU per message at a steady rate, and the maximum submissions per second, for each front end."""
+    print(f"{'front':<8}{'rate':>8}{'accepted':>9}{'a second':>10}{'CPU per message':>16}")
     for steady in (True, False):
-        for front in ("HTTP", "SMPP", "HTTP", "SMPP"):
-            bench, answers, tried = Bench(), [0], [0]
-            with bench.program():
+        for front_end in ("HTTP", "SMPP", "HTTP", "SMPP"):
+            environment, accepted_count, submitted = Environment(), [0], [0]
+            with environment.program():
 
                 def client(
-                    place: int,
-                    begin: int,
-                    bench: Bench = bench,
-                    answers: list[int] = answers,
-                    tried: list[int] = tried,
-                    front: str = front,
+                    client_index: int,
+                    started_at: int,
+                    environment: Environment = environment,
+                    accepted_count: list[int] = accepted_count,
+                    submitted: list[int] = submitted,
+                    front_end: str = front_end,
                     steady: bool = steady,
                 ) -> None:
-                    number, stream = 0, bench.stream(bench.http) if front == "HTTP" else None
-                    esme = bench.esme() if stream is None else None
+                    number, stream = 0, environment.stream(environment.http) if front_end == "HTTP" else None
+                    esme = environment.esme() if stream is None else None
                     try:
-                        while bench.loop.now < begin + span * SECOND:
+                        while environment.loop.now < started_at + duration * SECOND:
                             if steady:
-                                bench.loop.sleep(max(0, begin + number * CLIENTS * SECOND // rate - bench.loop.now))
+                                environment.loop.sleep(
+                                    max(0, started_at + number * CLIENTS * SECOND // rate - environment.loop.now)
+                                )
                             if stream is not None:
-                                stream.write(request(place, number, number % HOPS), None)
-                                taken = parser.read_head(stream, None, response=True).status == 202
+                                stream.write(http_request(client_index, number, number % HOPS), None)
+                                accepted = parser.read_head(stream, None, response=True).status == 202
                             else:
                                 assert esme is not None
-                                taken = esme.ask(submit(number, f"37{number % HOPS}"), 5 * SECOND).status == 0
-                            answers[0] += taken
-                            tried[0] += 1
+                                accepted = esme.ask(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND).status == 0
+                            accepted_count[0] += accepted
+                            submitted[0] += 1
                             number += 1
                     except (Closed, Late):
                         pass
 
-                idle, begun = process_usage(bench.pid), time.monotonic()
-                for place in range(CLIENTS):
-                    bench.loop.spawn(client, place, bench.loop.now)
-                bench.wait((span + 1) * SECOND)
-                busy = process_usage(bench.pid)
-            took = time.monotonic() - begun - 1
+                idle, started = process_usage(environment.pid), time.monotonic()
+                for client_index in range(CLIENTS):
+                    environment.loop.spawn(client, client_index, environment.loop.now)
+                environment.wait((duration + 1) * SECOND)
+                busy = process_usage(environment.pid)
+            seconds = time.monotonic() - started - 1
             print(
-                f"{front:<8}{rate if steady else 'most':>8}{answers[0]:>8}{tried[0] / took:>10.0f}"
-                f"{(busy[0] - idle[0]) * 1e6 / max(1, tried[0]):>13.0f} us"
+                f"{front_end:<8}{rate if steady else 'max':>8}{accepted_count[0]:>9}{submitted[0] / seconds:>10.0f}"
+                f"{(busy[0] - idle[0]) * 1e6 / max(1, submitted[0]):>13.0f} us"
             )
 
 
-def sessions(count: int) -> None:
-    """Memory of so many bound sessions, silent and after one message each."""
-    bench = Bench()
-    with bench.program(sessions=count + 10):
-        before = process_usage(bench.pid)[1]
-        kept: list[Esme] = []
+def measure_session_memory(count: int) -> None:
+    """Print the memory of ``count`` bound sessions, idle and after one message each."""
+    environment = Environment()
+    with environment.program(sessions=count + 10):
+        memory_before = process_usage(environment.pid)[1]
+        bound_sessions: list[Esme] = []
 
         def bind() -> None:
             for _ in range(count):
-                kept.append(bench.esme(Command.BIND_TRANSCEIVER))
-
-        bench.loop.spawn(bind)
-        bench.wait(20 * SECOND, lambda: len(kept) == count)
-        bench.wait(SECOND)
-        bound = process_usage(bench.pid)[1]
-        done = [0]
-
-        def one(esme: Esme, number: int) -> None:
-            esme.ask(submit(number, f"37{number % HOPS}"), 5 * SECOND)
-            done[0] += 1
-
-        for number, esme in enumerate(kept):
-            bench.loop.spawn(one, esme, number)
-        bench.wait(20 * SECOND, lambda: done[0] == count)
-        bench.wait(2 * SECOND)
-        after = process_usage(bench.pid)[1]
+                bound_sessions.append(environment.esme(Command.BIND_TRANSCEIVER))
+
+        environment.loop.spawn(bind)
+        environment.wait(20 * SECOND, lambda: len(bound_sessions) == count)
+        environment.wait(SECOND)
+        memory_bound = process_usage(environment.pid)[1]
+        answered = [0]
+
+        def submit_one(esme: Esme, number: int) -> None:
+            esme.ask(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND)
+            answered[0] += 1
+
+        for number, esme in enumerate(bound_sessions):
+            environment.loop.spawn(submit_one, esme, number)
+        environment.wait(20 * SECOND, lambda: answered[0] == count)
+        environment.wait(2 * SECOND)
+        memory_after = process_usage(environment.pid)[1]
     print(
-        f"{len(kept)} sessions: {(bound - before) / len(kept):.1f} KB each, "
-        f"{(after - before) / len(kept):.1f} KB after a message each"
+        f"{len(bound_sessions)} sessions: {(memory_bound - memory_before) / len(bound_sessions):.1f} KB each, "
+        f"{(memory_after - memory_before) / len(bound_sessions):.1f} KB after a message each"
     )
 
 
-def clump(count: int, limit: int) -> None:
-    """A clump handed in at once, until the gateway has it all: against what its limit allows."""
-    bench = Bench(limit)
-    with bench.program(slots=32, most_open=2 * count, deadline=120):
-        taken = [0]
+def measure_burst(count: int, limit: int) -> None:
+    """Submit a burst at once and print how long the gateway takes to get all of it, against what its limit allows."""
+    environment = Environment(limit)
+    with environment.program(slots=32, most_open=2 * count, deadline=120):
+        accepted = [0]
 
-        def hand_in() -> None:
-            esme = bench.esme()
+        def submit_all() -> None:
+            esme = environment.esme()
             for number in range(count):
-                answer = esme.ask(
+                response = esme.ask(
                     Pdu(
                         Command.SUBMIT_SM,
                         fields={"service_type": "WO", "source_addr": "100", "destination_addr": "9001"},
@@ -248,34 +258,34 @@
                     ),
                     5 * SECOND,
                 )
-                taken[0] += answer.status == 0
-
-        bench.loop.spawn(hand_in)
-        bench.wait(60 * SECOND, lambda: taken[0] > 0 and bench.gateway.took.total() >= count)
-        gate = bench.gateway
-    took = (gate.last - gate.first) / SECOND
-    least = (count - limit) / limit  # the first second's worth may go at once
-    refused = gate.answers["ESME_RTHROTTLED"]
+                accepted[0] += response.status == 0
+
+        environment.loop.spawn(submit_all)
+        environment.wait(60 * SECOND, lambda: accepted[0] > 0 and environment.gateway.took.total() >= count)
+        gateway = environment.gateway
+    seconds = (gateway.last - gateway.first) / SECOND
+    min_seconds = (count - limit) / limit  # the messages of the first second may be sent at once
+    refused = gateway.answers["ESME_RTHROTTLED"]
     print(
-        f"clump of {count}, {limit} within a second: {gate.took.total()} in {took:.2f} s; {count / limit:.1f} s at "
-        f"its rate ({took * limit / count:.2f}), {least:.1f} s at the least; refused {refused} "
-        f"({refused / count:.1%}), twice {gate.took.total() - len(gate.took)}"
+        f"burst of {count}, {limit} within a second: {gateway.took.total()} in {seconds:.2f} s; "
+        f"{count / limit:.1f} s at its rate ({seconds * limit / count:.2f}), at least {min_seconds:.1f} s; refused "
+        f"{refused} ({refused / count:.1%}), duplicates {gateway.took.total() - len(gateway.took)}"
     )
 
 
 def main() -> None:
     """Print the figures."""
-    parser_ = argparse.ArgumentParser(description=__doc__)
-    parser_.add_argument("--rate", type=int, default=150)
-    parser_.add_argument("--for", dest="span", type=int, default=8)
-    parser_.add_argument("--sessions", type=int, default=200)
-    parser_.add_argument("--clump", type=int, default=1000)
-    parser_.add_argument("--limit", type=int, nargs="*", default=[50, 100])
-    told = parser_.parse_args()
-    for limit in told.limit:
-        clump(told.clump, limit)
-    sessions(told.sessions)
-    fronts(told.rate, told.span)
+    argument_parser = argparse.ArgumentParser(description=__doc__)
+    argument_parser.add_argument("--rate", type=int, default=150)
+    argument_parser.add_argument("--for", dest="span", type=int, default=8)
+    argument_parser.add_argument("--sessions", type=int, default=200)
+    argument_parser.add_argument("--clump", type=int, default=1000)
+    argument_parser.add_argument("--limit", type=int, nargs="*", default=[50, 100])
+    options = argument_parser.parse_args()
+    for limit in options.limit:
+        measure_burst(options.clump, limit)
+    measure_session_memory(options.sessions)
+    compare_front_ends(options.rate, options.span)
 
 
 if __name__ == "__main__":
