--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -60,7 +60,7 @@
 
 
 def _start_informed(net: Net) -> list[Peer]:
-    """Start all couriers, each knowing its whole group, as long after a start: no update is left to be gossiped."""
+    """Start all couriers, each knowing its whole group, with no update left to be gossiped, as long after a start."""
     for name in net.nodes:
         net.start(name)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
@@ -93,7 +93,7 @@
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
     known, checking_time = 0, 0.0
 
-    def until(end: int) -> None:
+    def run_until(end: int) -> None:
         nonlocal known, checking_time
         while net.now < end:
             net.run(net.now + SECOND)
@@ -102,21 +102,21 @@
                 known = net.now
             checking_time += time.process_time() - check_started_at
 
-    until(CHECK_AT)
+    run_until(CHECK_AT)
     figures = {
         "least-known": float(min(len(peer.members.alive()) for peer in peers) + 1),
         "held-back": float(sum(peer.held_back for peer in peers)),
     }
     gc.collect()
     sent_before, cpu_before, checking_time = sum(peer.sent for peer in peers), time.process_time(), 0.0
-    until(CHECK_AT + IDLE_DURATION)
+    run_until(CHECK_AT + IDLE_DURATION)
     seconds = size * IDLE_DURATION / SECOND
     figures |= {
         "sent": (sum(peer.sent for peer in peers) - sent_before) / seconds,
         "processor": (time.process_time() - cpu_before - checking_time) * 1e3 / seconds,
     }
     while not known and net.now < MAX_CONVERGENCE_TIME:
-        until(net.now + SECOND)
+        run_until(net.now + SECOND)
     return figures | {"all-known": (known or MAX_CONVERGENCE_TIME) / SECOND}
 
 
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -180,8 +180,8 @@
 
 def _observations_at_broker(r: Reading, figure: str) -> float:
     """Return one broker's load of observations: each down destination is probed once per step, and the failure sent."""
-    words = T.destinations_down * COPIES * ROUNDS / T.control_machines
-    return words * r.at("broker", figure, T.region)
+    observations = T.destinations_down * COPIES * ROUNDS / T.control_machines
+    return observations * r.at("broker", figure, T.region)
 
 
 def _renewals_at_broker(r: Reading, figure: str) -> float:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -169,9 +169,9 @@
                 f"{CALLS}"
             )
     for members in (10, 50, 200):
-        sent, cpu = idle_cost(members)
+        bytes_per_second, cpu = idle_cost(members)
         print(
-            f"{members:>4} members idle: {sent:.0f} bytes a second, {cpu:.0f} us of CPU a second each, "
+            f"{members:>4} members idle: {bytes_per_second:.0f} bytes a second, {cpu:.0f} us of CPU a second each, "
             "including the model's"
         )
 
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -63,7 +63,7 @@
 
 
 def run_for(loop: Loop, duration: int) -> None:
-    """Run the stand-ins for this long."""
+    """Run the stand-in servers for this long."""
     run_task(loop, loop.sleep, duration, timeout=duration + 10 * SECOND)
 
 
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -230,15 +230,15 @@
             loop.turn()
         loop.spawn(send_load)
         for _ in range(rounds):
-            deadline = loop.now + SECOND // 2
-            while loop.now < deadline:
+            stop_at = loop.now + SECOND // 2
+            while loop.now < stop_at:
                 loop.turn()
             drained = max(last_calls, key=last_calls.__getitem__)
             store.put(f"{PREFIX}{drained.decode()}", endpoint_json(int(drained), "leaving"))
             while courier.map.hops[drained].endpoint.state is EndpointState.READY:
                 loop.turn()
-            read_at, deadline = loop.now, loop.now + SECOND // 2  # the start of the turn that read it
-            while loop.now < deadline:
+            read_at, stop_at = loop.now, loop.now + SECOND // 2  # the start of the turn that read it
+            while loop.now < stop_at:
                 loop.turn()
             delays.append(max(0, last_calls[drained] - read_at))
             store.put(f"{PREFIX}{drained.decode()}", endpoint_json(int(drained), "active"))
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -124,9 +124,9 @@
 
     def esme(self, command: Command = Command.BIND_TRANSMITTER) -> Esme:
         """Return a bound ESME."""
-        esme = Esme(self.loop, self.stream(self.smpp))
-        esme.bind(command, Account("acme", "secret"), 2 * SECOND)
-        return esme
+        client = Esme(self.loop, self.stream(self.smpp))
+        client.bind(command, Account("acme", "secret"), 2 * SECOND)
+        return client
 
 
 def submit_sm(number: int, destination: str) -> Pdu:
