--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -14,6 +14,7 @@
     BUILT_FIRST,
     BYTES,
     CONTROL,
+    COURIERS,
     DESTINATION_LIMIT,
     FAILED_CALLS,
     MAX_MEMBERS,
@@ -21,21 +22,25 @@
     MEMORY,
     MIN_SHARE_FOR_LOANS,
     PLACED_DESTINATIONS,
-    A,
     Mechanism,
-    N,
     NotMeasured,
     Reading,
     Result,
     Role,
-    T,
     list_bytes,
     ranked,
     results,
     served_per_second,
 )
 from benchmarks.slope import Slope
-from benchmarks.target import PRIOR_FIGURES, PRIOR_HOLLOW_GB, PRIOR_MAX_MEMBERS, PRIOR_OBSERVATION_MINUTES
+from benchmarks.target import (
+    ASSUMED,
+    PRIOR_FIGURES,
+    PRIOR_HOLLOW_GB,
+    PRIOR_MAX_MEMBERS,
+    PRIOR_OBSERVATION_MINUTES,
+    TARGET,
+)
 from kestrelspar.lab.model import TICK, Faults
 from kestrelspar.peers import counts, judgements, members, seal, shares
 from kestrelspar.peers.shares import spanned
@@ -175,47 +180,49 @@
     given = [
         (
             "couriers",
-            f"{T.couriers:,} in {T.regions} regions with {T.zones} zones: {T.zone:,} per zone, {T.region:,} per region",
+            f"{TARGET.couriers:,} in {TARGET.regions} regions with {TARGET.zones} zones: {TARGET.zone:,} per zone, "
+            f"{TARGET.region:,} per region",
         ),
-        ("events", f"{T.events_per_second:,} a second: {number(T.events_per_courier)} per courier"),
+        ("events", f"{TARGET.events_per_second:,} a second: {number(TARGET.events_per_courier)} per courier"),
         (
             "destinations",
-            f"{T.destinations:,}; {amount(T.down, 'share')} down at any time: {T.destinations_down:,}; "
-            f"{number(T.events_per_destination)} events a second for each",
+            f"{TARGET.destinations:,}; {amount(TARGET.down, 'share')} down at any time: {TARGET.destinations_down:,}; "
+            f"{number(TARGET.events_per_destination)} events a second for each",
         ),
-        ("backlog", f"{T.backlog:,} events: {T.backlog_per_courier:,.0f} per courier"),
+        ("backlog", f"{TARGET.backlog:,} events: {TARGET.backlog_per_courier:,.0f} per courier"),
         (
             "configuration",
-            f"{T.changes_per_day:,} changes a day, {number(T.changes_per_second)} a second on average, in force "
-            f"everywhere within {amount(T.in_force, 's')}",
+            f"{TARGET.changes_per_day:,} changes a day, {number(TARGET.changes_per_second)} a second on average, in "
+            f"force everywhere within {amount(TARGET.in_force, 's')}",
         ),
         (
             "control plane at a courier",
-            f"{amount(T.core, 'share')} of a core ({number(T.processor_ms)} ms a second), "
-            f"{number(T.memory_mb)} MB, {amount(T.bytes_a_second, 'bytes')} a second at most",
+            f"{amount(TARGET.core, 'share')} of a core ({number(TARGET.processor_ms)} ms a second), "
+            f"{number(TARGET.memory_mb)} MB, {amount(TARGET.bytes_a_second, 'bytes')} a second at most",
         ),
         (
             "control machines",
-            f"{T.control_machines}, {T.control_machines_per_region} per region, "
-            f"{number(T.couriers_per_control_machine)} couriers each",
+            f"{TARGET.control_machines}, {TARGET.control_machines_per_region} per region, "
+            f"{number(TARGET.couriers_per_control_machine)} couriers each",
         ),
         (
             "failures",
-            f"{T.machines_lost_per_day} machines a day; {T.restarts_per_day:,} restarts or replacements a day, one "
-            f"every {number(T.restart_interval)} s; a rack or switch every {T.days_between_racks} days; a zone every "
-            f"{T.days_between_zones} days; regions lose each other for minutes; {T.wave} couriers lost at once",
+            f"{TARGET.machines_lost_per_day} machines a day; {TARGET.restarts_per_day:,} restarts or replacements a "
+            f"day, one every {number(TARGET.restart_interval)} s; a rack or switch every {TARGET.days_between_racks} "
+            f"days; a zone every {TARGET.days_between_zones} days; regions lose each other for minutes; {TARGET.wave} "
+            "couriers lost at once",
         ),
     ]
-    assumed = [(name, number(getattr(A, name)), reason) for name, reason in A.REASONS.items()]
+    assumed = [(name, number(getattr(ASSUMED, name)), reason) for name, reason in ASSUMED.REASONS.items()]
     return [
         "## The target",
         "",
         *table(["what", "figure"], given),
         f"With events spread evenly, a courier gets an event for the same destination once in "
-        f"{amount(T.seconds_between_encounters, 's')}; of its {number(T.events_per_courier)} events a second "
-        f"{number(FAILED_CALLS)} go to destinations that are down. With each destination placed on {A.placed} "
+        f"{amount(TARGET.seconds_between_encounters, 's')}; of its {number(TARGET.events_per_courier)} events a second "
+        f"{number(FAILED_CALLS)} go to destinations that are down. With each destination placed on {ASSUMED.placed} "
         f"couriers, a courier holds {number(PLACED_DESTINATIONS)} destinations, "
-        f"{number(PLACED_DESTINATIONS * T.down)} of them down.",
+        f"{number(PLACED_DESTINATIONS * TARGET.down)} of them down.",
         "",
         "The users did not give these figures; they are **assumptions** of this page (`Assumed` in "
         "benchmarks/target.py):",
@@ -322,14 +329,16 @@
     def confirmed(value: float, prior: float) -> str:
         return "confirmed" if 1 / CONFIRMATION_FACTOR <= value / prior <= CONFIRMATION_FACTOR else "corrected"
 
-    informed = reading.at("word-alone", "told", N)
-    last = reading.at("word-alone", "last", N)
+    informed = reading.at("word-alone", "told", COURIERS)
+    last = reading.at("word-alone", "last", COURIERS)
     each = reading.marginal("word", "sent", 1)
-    memory = reading.at("member-alone", "memory", N)
+    memory = reading.at("member-alone", "memory", COURIERS)
     minutes = (
-        "corrected" if informed < N - 1 or each * N / T.bytes_a_second < 60 * PRIOR_OBSERVATION_MINUTES else "confirmed"
+        "corrected"
+        if informed < COURIERS - 1 or each * COURIERS / TARGET.bytes_a_second < 60 * PRIOR_OBSERVATION_MINUTES
+        else "confirmed"
     )
-    share = DESTINATION_LIMIT / N
+    share = DESTINATION_LIMIT / COURIERS
     served = reading.fit("budgets", "served").means
     smallest, largest_fleet = min(served), max(served)
     largest = max(reading.fit("members", "processor").means)
@@ -337,28 +346,28 @@
     single = reading.at("member-alone", "processor", largest)
     informed_fleet = reading.at("members-churn", "processor", largest)
     lines = [
-        f"- *One observation takes its witness minutes at {N:,}*: {minutes}. Each member costs it {number(each)} "
-        f"bytes, so all would take {amount(each * N / T.bytes_a_second, 's')} of its "
-        f"{amount(T.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
-        f"{amount(judgements.FRESH / 1e6, 's')} only, then it expires. At {N:,} members {number(informed)} receive it, "
-        f"the last after {amount(last, 's')}, and the others never.",
+        f"- *One observation takes its witness minutes at {COURIERS:,}*: {minutes}. Each member costs it "
+        f"{number(each)} bytes, so all would take {amount(each * COURIERS / TARGET.bytes_a_second, 's')} of its "
+        f"{amount(TARGET.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
+        f"{amount(judgements.FRESH / 1e6, 's')} only, then it expires. At {COURIERS:,} members {number(informed)} "
+        f"receive it, the last after {amount(last, 's')}, and the others never.",
         f"- *Idle membership costs more and more processor time*: {largest:,} members are not idle by then, as starts "
         f"are still being gossiped: {amount(model, 'ms')} a second each. If all know all beforehand, with a restart "
         f"every {amount(RESTART_INTERVAL / 1e6, 's')}, they take {amount(informed_fleet, 'ms')} on the model, "
         f"including that of the model itself. One courier alone that knows {largest:,} takes {amount(single, 'ms')}, "
-        f"at {N:,} {amount(reading.at('member-alone', 'processor', N), 'ms')}.",
-        f"- *All {N:,} as hollow couriers in one process take over {amount(PRIOR_HOLLOW_GB * 1e3, 'MB')}*: "
-        f"{confirmed(memory * N / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, {amount(memory * N, 'MB')} "
-        f"together.",
+        f"at {COURIERS:,} {amount(reading.at('member-alone', 'processor', COURIERS), 'ms')}.",
+        f"- *All {COURIERS:,} as hollow couriers in one process take over {amount(PRIOR_HOLLOW_GB * 1e3, 'MB')}*: "
+        f"{confirmed(memory * COURIERS / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, "
+        f"{amount(memory * COURIERS, 'MB')} together.",
         f"- *Members beyond {PRIOR_MAX_MEMBERS:,} are refused*: {confirmed(MAX_MEMBERS, PRIOR_MAX_MEMBERS)} by the "
         f"code, {MAX_MEMBERS:,}. There are two more bounds: the sequence numbers of {seal.SENDERS:,} senders are "
         f"stored, and datagrams of others are dropped; and counters of {counts.HELD:,} couriers are stored.",
         f"- *A limit that is shared equally leaves each less than a call*: confirmed, {number(share)} of a call a "
         f"second of a limit of {number(DESTINATION_LIMIT)}; its window is extended for that, to "
-        f"{amount(spanned(DESTINATION_LIMIT, N)[1] / 1e6, 's')}. And nothing of a share under {MIN_SHARE_FOR_LOANS} "
-        f"calls is lent ({amount(shares.LEND, 'share')} of it, rounded down): of {CALLS} calls a second, with half of "
-        f"a load of {LOAD} at one courier, {amount(served[smallest], 'share')} of the messages are served at "
-        f"{smallest} members, {amount(served[largest_fleet], 'share')} at {largest_fleet}.",
+        f"{amount(spanned(DESTINATION_LIMIT, COURIERS)[1] / 1e6, 's')}. And nothing of a share under "
+        f"{MIN_SHARE_FOR_LOANS} calls is lent ({amount(shares.LEND, 'share')} of it, rounded down): of {CALLS} calls a "
+        f"second, with half of a load of {LOAD} at one courier, {amount(served[smallest], 'share')} of the messages "
+        f"are served at {smallest} members, {amount(served[largest_fleet], 'share')} at {largest_fleet}.",
         "",
     ]
     return lines
@@ -370,8 +379,8 @@
         "",
         "'Ratio' is need over bound, with events spread evenly over couriers, as they are now: above 1 the bound is "
         "exceeded. 'With it' is the ratio that the row's mechanism leaves by the same slopes, with a destination's "
-        f"events placed on {A.placed} couriers if the mechanism depends on that, and members in groups of {T.zone}; "
-        "the cost of the mechanism itself is not included. Empty: not known.",
+        f"events placed on {ASSUMED.placed} couriers if the mechanism depends on that, and members in groups of "
+        f"{TARGET.zone}; the cost of the mechanism itself is not included. Empty: not known.",
         "",
     ]
     for role in Role:
@@ -413,9 +422,9 @@
     """The whole control plane at one courier against its bounds."""
     table_rows = []
     for bound, unit, maximum in (
-        (MEMORY, "MB", T.memory_mb),
-        (CONTROL, "ms", T.processor_ms),
-        (BYTES, "bytes", float(T.bytes_a_second)),
+        (MEMORY, "MB", TARGET.memory_mb),
+        (CONTROL, "ms", TARGET.processor_ms),
+        (BYTES, "bytes", float(TARGET.bytes_a_second)),
     ):
         rows = [each for each in evaluated if each.row.bound_name == bound and not each.row.hypothetical]
         need, remaining = sum(each.need for each in rows), sum((each.remaining or 0.0) * each.bound for each in rows)
@@ -447,13 +456,13 @@
             ("until all are known", "members", "all-known", "s"),
             ("until a loss is known", "members-churn", "loss-known", "s"),
         ):
-            small, large = reading.at(name, figure, T.zone), reading.at(name, figure, N)
+            small, large = reading.at(name, figure, TARGET.zone), reading.at(name, figure, COURIERS)
             table_rows.append([what, amount(small, unit), amount(large, unit), times(large / small) if small else ""])
         return [
-            f"What groups of one zone each ({T.zone:,} couriers) would leave of this, by the same slopes; "
+            f"What groups of one zone each ({TARGET.zone:,} couriers) would leave of this, by the same slopes; "
             "communication between groups (observations, by brokers) is not included:",
             "",
-            *table(["what", f"{T.zone:,} members", f"{N:,} members", "times"], table_rows),
+            *table(["what", f"{TARGET.zone:,} members", f"{COURIERS:,} members", "times"], table_rows),
         ]
 
     return ["### Groups that follow zones", "", *_guarded(lines)]
@@ -463,33 +472,33 @@
     """Return the seconds of a start: its base, its list and its backlog."""
     base = r.fit("listed", "start-wall").at(min(r.fit("listed", "start-wall").means)).value
     return r.at("listed", "start-wall", listed) + max(
-        0.0, r.at("open-message", "start-wall", T.backlog_per_courier) - base
+        0.0, r.at("open-message", "start-wall", TARGET.backlog_per_courier) - base
     )
 
 
 def _losses(reading: Reading) -> list[str]:
     def lines() -> list[str]:
-        known = reading.at("members-churn", "loss-known", N)
-        known_in_group = reading.at("members-churn", "loss-known", T.zone)
-        transmissions = int(members.TELL * math.log2(N + 2))
-        full, placed = list_bytes(reading, T.destinations), list_bytes(reading, PLACED_DESTINATIONS)
+        known = reading.at("members-churn", "loss-known", COURIERS)
+        known_in_group = reading.at("members-churn", "loss-known", TARGET.zone)
+        transmissions = int(members.TELL * math.log2(COURIERS + 2))
+        full, placed = list_bytes(reading, TARGET.destinations), list_bytes(reading, PLACED_DESTINATIONS)
         table_rows = []
         for what, count, how_often in (
-            ("a machine", A.a_machine, f"{T.machines_lost_per_day} a day"),
-            ("a rack or switch", A.rack, f"one in {T.days_between_racks} days"),
-            ("a zone", T.zone, f"one in {T.days_between_zones} days"),
-            ("a wave of restarts", T.wave, ""),
+            ("a machine", ASSUMED.a_machine, f"{TARGET.machines_lost_per_day} a day"),
+            ("a rack or switch", ASSUMED.rack, f"one in {TARGET.days_between_racks} days"),
+            ("a zone", TARGET.zone, f"one in {TARGET.days_between_zones} days"),
+            ("a wave of restarts", TARGET.wave, ""),
         ):
             table_rows.append(
                 [
                     what,
                     f"{count:,}",
                     how_often,
-                    number(count * T.backlog_per_courier),
-                    number(count * T.events_per_courier),
-                    number(count * T.events_per_courier * known),
-                    number(count * T.events_per_courier * known_in_group),
-                    number(count * N * transmissions),
+                    number(count * TARGET.backlog_per_courier),
+                    number(count * TARGET.events_per_courier),
+                    number(count * TARGET.events_per_courier * known),
+                    number(count * TARGET.events_per_courier * known_in_group),
+                    number(count * COURIERS * transmissions),
                 ]
             )
         return [
@@ -506,40 +515,42 @@
                 ],
                 table_rows,
             ),
-            f"Each of {N:,} members sends an update up to {number(transmissions)} times, piggybacked on other "
+            f"Each of {COURIERS:,} members sends an update up to {number(transmissions)} times, piggybacked on other "
             "datagrams: the last column. Waiting events are held by the journal until the courier is back, or "
             "unavailable to the installation for as long as its disk is: nothing replicates them. Events sent there "
             "are its share until the loss is known, if clients learn of it when couriers do, which is an assumption; "
             "they are retried elsewhere.",
             "",
-            f"A start with {T.backlog_per_courier:,.0f} open messages takes "
-            f"{amount(_start_time(reading, T.destinations), 's')} with all {T.destinations:,} destinations listed, "
-            f"{amount(_start_time(reading, PLACED_DESTINATIONS), 's')} with those placed there. With one restart every "
-            f"{number(T.restart_interval)} s, {number(_start_time(reading, T.destinations) / T.restart_interval)} "
-            f"couriers are starting at any time, or "
-            f"{number(_start_time(reading, PLACED_DESTINATIONS) / T.restart_interval)}.",
+            f"A start with {TARGET.backlog_per_courier:,.0f} open messages takes "
+            f"{amount(_start_time(reading, TARGET.destinations), 's')} with all {TARGET.destinations:,} destinations "
+            f"listed, {amount(_start_time(reading, PLACED_DESTINATIONS), 's')} with those placed there. With one "
+            f"restart every {number(TARGET.restart_interval)} s, "
+            f"{number(_start_time(reading, TARGET.destinations) / TARGET.restart_interval)} couriers are starting at "
+            f"any time, or {number(_start_time(reading, PLACED_DESTINATIONS) / TARGET.restart_interval)}.",
             "",
-            f"A wave of {T.wave} that fetches the full list moves {amount(T.wave * full, 'bytes')}, which takes the "
-            f"{T.control_machines_per_region} machines of a region "
-            f"{amount(T.wave * full / T.control_machines_per_region / A.control_mb / 1e6, 's')} at "
-            f"{number(A.control_mb)} MB a second each; with the placed destinations only, it moves "
-            f"{amount(T.wave * placed, 'bytes')}. At its own {amount(T.bytes_a_second, 'bytes')} a second, one courier "
-            f"takes {amount(full / T.bytes_a_second, 's')}, or {amount(placed / T.bytes_a_second, 's')}.",
+            f"A wave of {TARGET.wave} that fetches the full list moves {amount(TARGET.wave * full, 'bytes')}, which "
+            f"takes the {TARGET.control_machines_per_region} machines of a region "
+            f"{amount(TARGET.wave * full / TARGET.control_machines_per_region / ASSUMED.control_mb / 1e6, 's')} at "
+            f"{number(ASSUMED.control_mb)} MB a second each; with the placed destinations only, it moves "
+            f"{amount(TARGET.wave * placed, 'bytes')}. At its own {amount(TARGET.bytes_a_second, 'bytes')} a second, "
+            f"one courier takes {amount(full / TARGET.bytes_a_second, 's')}, or "
+            f"{amount(placed / TARGET.bytes_a_second, 's')}.",
             "",
-            f"If a region's links fail for {amount(A.region_link, 's')} (assumed), each side declares the other dead: "
-            f"{T.region:,} couriers consider {N - T.region:,} dead, and these consider {T.region:,} dead. Each courier "
-            f"tries to reconnect to one dead member every {members.MEET_EVERY} periods, and forgets dead members after "
-            f"{amount(members.KEEP_DEAD / 1e6, 's')}. Meanwhile each side continues with its shares of limits, "
-            f"receives no observations from the other side, and lends it nothing.",
+            f"If a region's links fail for {amount(ASSUMED.region_link, 's')} (assumed), each side declares the other "
+            f"dead: {TARGET.region:,} couriers consider {COURIERS - TARGET.region:,} dead, and these consider "
+            f"{TARGET.region:,} dead. Each courier tries to reconnect to one dead member every {members.MEET_EVERY} "
+            f"periods, and forgets dead members after {amount(members.KEEP_DEAD / 1e6, 's')}. Meanwhile each side "
+            f"continues with its shares of limits, receives no observations from the other side, and lends it nothing.",
             "",
-            f"A wave of {amount(T.wave / N, 'share')} of the members that restart within a second was run with up to "
-            f"{max(reading.fit('members-wave', 'known').means):,} members. Extrapolated to {N:,}: the others know of "
-            f"all after {amount(reading.at('members-wave', 'known', N), 's')}, and these know all after "
-            f"{amount(reading.at('members-wave', 'joined', N), 's')}; in groups of {T.zone}, "
-            f"{amount(reading.at('members-wave', 'known', T.zone), 's')} and "
-            f"{amount(reading.at('members-wave', 'joined', T.zone), 's')}. A datagram has room for {members.ROOM} "
-            f"members, and a courier sends about {MEMBER_DATAGRAMS} a second (a probe and an answer), so {T.wave} "
-            f"updates take at least {amount(T.wave / members.ROOM / MEMBER_DATAGRAMS, 's')} to be sent once by each.",
+            f"A wave of {amount(TARGET.wave / COURIERS, 'share')} of the members that restart within a second was run "
+            f"with up to {max(reading.fit('members-wave', 'known').means):,} members. Extrapolated to {COURIERS:,}: "
+            f"the others know of all after {amount(reading.at('members-wave', 'known', COURIERS), 's')}, and these "
+            f"know all after {amount(reading.at('members-wave', 'joined', COURIERS), 's')}; in groups of "
+            f"{TARGET.zone}, {amount(reading.at('members-wave', 'known', TARGET.zone), 's')} and "
+            f"{amount(reading.at('members-wave', 'joined', TARGET.zone), 's')}. A datagram has room for {members.ROOM} "
+            f"members, and a courier sends about {MEMBER_DATAGRAMS} a second (a probe and an answer), so {TARGET.wave} "
+            f"updates take at least {amount(TARGET.wave / members.ROOM / MEMBER_DATAGRAMS, 's')} to be sent once by "
+            "each.",
             "",
         ]
 
@@ -553,31 +564,33 @@
 
 
 def _lost_control_machines(reading: Reading) -> list[str]:
-    left = T.control_machines - T.control_machines_per_region
+    left = TARGET.control_machines - TARGET.control_machines_per_region
 
     def lines() -> list[str]:
-        cost = reading.at("list-change", "teller", T.destinations) / 1e3
-        wire = reading.at("list-change", "wire", T.destinations)
-        missed = T.changes_per_second * A.long_outage
+        cost = reading.at("list-change", "teller", TARGET.destinations) / 1e3
+        wire = reading.at("list-change", "wire", TARGET.destinations)
+        missed = TARGET.changes_per_second * ASSUMED.long_outage
         return [
-            f"Sending all changes takes a machine {amount(T.changes_per_second * N / T.control_machines * cost, 'ms')} "
-            f"a second with all machines, {amount(T.changes_per_second * N / left * cost, 'ms')} with {left}. A "
-            f"courier that received nothing for {amount(A.long_outage, 's')} lacks {number(missed)} changes, "
-            f"{amount(missed * wire, 'bytes')}; {T.region:,} of them at once need "
-            f"{amount(missed * wire * T.region, 'bytes')}, which takes "
-            f"{amount(missed * wire * T.region / left / A.control_mb / 1e6, 's')} from {left} machines.",
+            "Sending all changes takes a machine "
+            f"{amount(TARGET.changes_per_second * COURIERS / TARGET.control_machines * cost, 'ms')} a second with all "
+            f"machines, {amount(TARGET.changes_per_second * COURIERS / left * cost, 'ms')} with {left}. A courier that "
+            f"received nothing for {amount(ASSUMED.long_outage, 's')} lacks {number(missed)} changes, "
+            f"{amount(missed * wire, 'bytes')}; {TARGET.region:,} of them at once need "
+            f"{amount(missed * wire * TARGET.region, 'bytes')}, which takes "
+            f"{amount(missed * wire * TARGET.region / left / ASSUMED.control_mb / 1e6, 's')} from {left} machines.",
             "",
         ]
 
     return [
         "## When a region's control machines are lost",
         "",
-        f"The other {left} serve {number(N / left)} couriers each instead of {number(T.couriers_per_control_machine)}, "
-        f"{number(N / left / T.couriers_per_control_machine)} times as many. Today's couriers need none of them: "
-        "shares of limits and membership continue among the couriers, lists and configuration stay as last received. "
-        f"A region whose {T.control_machines_per_region} brokers are lost receives no observations but those that its "
-        "couriers piggyback within their groups, and no other region's brokers substitute for them: each courier "
-        "judges endpoints by its own calls.",
+        f"The other {left} serve {number(COURIERS / left)} couriers each instead of "
+        f"{number(TARGET.couriers_per_control_machine)}, "
+        f"{number(COURIERS / left / TARGET.couriers_per_control_machine)} times as many. Today's couriers need none of "
+        "them: shares of limits and membership continue among the couriers, lists and configuration stay as last "
+        f"received. A region whose {TARGET.control_machines_per_region} brokers are lost receives no observations but "
+        "those that its couriers piggyback within their groups, and no other region's brokers substitute for them: "
+        "each courier judges endpoints by its own calls.",
         "",
         *_guarded(lines),
     ]
@@ -586,42 +599,43 @@
 def _backlog(reading: Reading) -> list[str]:
     def lines() -> list[str]:
         r = reading
-        disk = r.at("open-message", "disk-each", T.backlog_per_courier) * T.backlog_per_courier
-        memory = r.at("open-message", "memory", T.backlog_per_courier)
-        start = r.at("open-message", "start-wall", T.backlog_per_courier)
+        disk = r.at("open-message", "disk-each", TARGET.backlog_per_courier) * TARGET.backlog_per_courier
+        memory = r.at("open-message", "memory", TARGET.backlog_per_courier)
+        start = r.at("open-message", "start-wall", TARGET.backlog_per_courier)
         up_to = max(r.fit("open-message", "memory").means)
         unloaded_rate, backlog_rate = (
             served_per_second(r),
-            1e6 * (1 - T.core) / r.at("backlog-served", "cpu", T.backlog_per_courier),
+            1e6 * (1 - TARGET.core) / r.at("backlog-served", "cpu", TARGET.backlog_per_courier),
         )
         largest = max(r.fit("backlog-served", "cpu").means)
-        spare = unloaded_rate - T.events_per_courier
-        per_destination = T.backlog / T.destinations_down
-        spare_per_destination = T.events_per_destination * (A.headroom - 1)
+        spare = unloaded_rate - TARGET.events_per_courier
+        per_destination = TARGET.backlog / TARGET.destinations_down
+        spare_per_destination = TARGET.events_per_destination * (ASSUMED.headroom - 1)
         drained = (
-            f"{amount(T.backlog_per_courier / spare, 's')} beside {number(T.events_per_courier)} a second"
+            f"{amount(TARGET.backlog_per_courier / spare, 's')} beside {number(TARGET.events_per_courier)} a second"
             if spare > 0
-            else f"never: it serves less than the {number(T.events_per_courier)} a second that arrive"
+            else f"never: it serves less than the {number(TARGET.events_per_courier)} a second that arrive"
         )
         return [
-            f"{T.backlog_per_courier:,.0f} open messages of a courier take {amount(disk, 'bytes')} of disk, "
+            f"{TARGET.backlog_per_courier:,.0f} open messages of a courier take {amount(disk, 'bytes')} of disk, "
             f"{amount(memory, 'MB')} of memory and {amount(start, 's')} of a start, measured up to {up_to:,} (factor "
-            f"{number(T.backlog_per_courier / up_to)}). All are in one journal, and all are held in memory: "
-            f"{number(T.memory_mb)} MB hold {number(_messages_that_fit(r, T.memory_mb))}.",
+            f"{number(TARGET.backlog_per_courier / up_to)}). All are in one journal, and all are held in memory: "
+            f"{number(TARGET.memory_mb)} MB hold {number(_messages_that_fit(r, TARGET.memory_mb))}.",
             "",
             f"Deliveries slow down with the number of open messages: a message costs "
             f"{amount(r.at('backlog-served', 'cpu', largest), 'us')} of processor time among {largest:,}; extrapolated "
-            f"(factor {number(T.backlog_per_courier / largest)}) a core would serve {number(backlog_rate)} a second, "
-            f"of {number(T.events_per_courier)} that arrive: the backlog "
+            f"(factor {number(TARGET.backlog_per_courier / largest)}) a core would serve {number(backlog_rate)} a "
+            f"second, of {number(TARGET.events_per_courier)} that arrive: the backlog "
             + (
                 "would not drain. "
-                if backlog_rate <= T.events_per_courier
-                else f"would drain in {amount(T.backlog_per_courier / (backlog_rate - T.events_per_courier), 's')}. "
+                if backlog_rate <= TARGET.events_per_courier
+                else "would drain in "
+                f"{amount(TARGET.backlog_per_courier / (backlog_rate - TARGET.events_per_courier), 's')}. "
             )
             + f"At the cost of a message with next to nothing open, a core serves {number(unloaded_rate)} a second "
             f"beside the control plane, and the backlog drains in {drained}, if endpoints accept all messages. They do "
             "not: if all of it is for destinations that are down, a destination has "
-            f"{number(per_destination)} events, and with a limit of {number(A.headroom)} times its mean "
+            f"{number(per_destination)} events, and with a limit of {number(ASSUMED.headroom)} times its mean "
             f"{number(spare_per_destination)} a second to spare: "
             f"{amount(per_destination / spare_per_destination, 's')}, whatever couriers can do.",
             "",
@@ -640,23 +654,23 @@
         r = reading
         up_to = max(r.fit("list-change", "wire").means)
         wire, courier_cost = r.at("list-change", "wire", up_to), r.at("list-change", "hearer", up_to)
-        reload_cost = r.at("config-change", "hearer", T.destinations)
-        n = A.burst_changes
+        reload_cost = r.at("config-change", "hearer", TARGET.destinations)
+        n = ASSUMED.burst_changes
         return [
             f"The users name no burst; {n:,} changes announced within one second are assumed, "
-            f"{number(n / T.changes_per_second)} times the mean. To each courier they are {amount(n * wire, 'bytes')}, "
-            f"{amount(n * wire / T.bytes_a_second, 's')} of its {amount(T.bytes_a_second, 'bytes')} a second, and "
-            f"{amount(n * courier_cost, 'us')} of its processor time, "
-            f"{amount(n * courier_cost / 1e3 / T.processor_ms, 's')} of what the control plane may use (at {up_to:,} "
-            f"listed); to all {N:,} {amount(n * wire * N, 'bytes')}, "
-            f"{amount(n * wire * N / T.control_machines / A.control_mb / 1e6, 's')} from {T.control_machines} "
-            f"machines. If each change is sent only to the {A.placed} couriers interested in its destination, a "
-            f"courier receives {number(n * A.placed / N)} of them.",
+            f"{number(n / TARGET.changes_per_second)} times the mean. To each courier they are "
+            f"{amount(n * wire, 'bytes')}, {amount(n * wire / TARGET.bytes_a_second, 's')} of its "
+            f"{amount(TARGET.bytes_a_second, 'bytes')} a second, and {amount(n * courier_cost, 'us')} of its processor "
+            f"time, {amount(n * courier_cost / 1e3 / TARGET.processor_ms, 's')} of what the control plane may use (at "
+            f"{up_to:,} listed); to all {COURIERS:,} {amount(n * wire * COURIERS, 'bytes')}, "
+            f"{amount(n * wire * COURIERS / TARGET.control_machines / ASSUMED.control_mb / 1e6, 's')} from "
+            f"{TARGET.control_machines} machines. If each change is sent only to the {ASSUMED.placed} couriers "
+            f"interested in its destination, a courier receives {number(n * ASSUMED.placed / COURIERS)} of them.",
             "",
             f"A configuration in a file that is read as a whole costs {amount(reload_cost, 'ms')} of processor time "
-            f"per change with {T.destinations:,} destinations in it: "
-            f"{number(reload_cost / 1e3 * T.changes_per_second)} s in each second at the mean of "
-            f"{number(T.changes_per_second)}. It is then read once for several changes, and late.",
+            f"per change with {TARGET.destinations:,} destinations in it: "
+            f"{number(reload_cost / 1e3 * TARGET.changes_per_second)} s in each second at the mean of "
+            f"{number(TARGET.changes_per_second)}. It is then read once for several changes, and late.",
             "",
         ]
 
@@ -677,13 +691,13 @@
         PublishedSystem(
             "Consul: two levels of gossip, servers and agents",
             "an agent never talks to all",
-            f"couriers in groups of a zone ({T.zone}), a few of each known elsewhere; used for members. Servers that "
-            f"hold all: {N:,} members take little memory, but their observations do not",
+            f"couriers in groups of a zone ({TARGET.zone}), a few of each known elsewhere; used for members. Servers "
+            f"that hold all: {COURIERS:,} members take little memory, but their observations do not",
         ),
         PublishedSystem(
             "Doorman: shares leased from a hierarchy",
             "sums kept by leases, a safe share for a client that receives nothing",
-            f"used for limits shared by many; where {A.placed} share one, they can lend among themselves",
+            f"used for limits shared by many; where {ASSUMED.placed} share one, they can lend among themselves",
         ),
         PublishedSystem(
             "Slicer, Shard Manager: key ranges assigned",
@@ -693,13 +707,13 @@
         PublishedSystem(
             "Configerator: a tree of relays",
             "push along a tree, cache on disk, monotonic versions",
-            f"used for configuration: {N:,} copies of a change cost a relay only as many as it has children",
+            f"used for configuration: {COURIERS:,} copies of a change cost a relay only as many as it has children",
         ),
         PublishedSystem(
             "Envoy's delta discovery: subscriptions",
             "interest instead of broadcast",
             f"used for lists and for observations: {number(PLACED_DESTINATIONS)} destinations instead of "
-            f"{T.destinations:,}",
+            f"{TARGET.destinations:,}",
         ),
         PublishedSystem(
             "Kubernetes' hollow nodes",
@@ -709,7 +723,7 @@
         PublishedSystem(
             "Shuffle sharding",
             "a bad destination affects only a few workers",
-            f"used for placement: {A.placed} of {N:,}, and the client's side must do it",
+            f"used for placement: {ASSUMED.placed} of {COURIERS:,}, and the client's side must do it",
         ),
     ]
     return [
@@ -720,10 +734,10 @@
         *table(["system", "what it shows", "here"], [(each.system, each.shows, each.here) for each in options]),
         "Observations and lists by interest help only if a destination's events reach few couriers. With events "
         f"spread evenly, each courier gets an event for each destination once in "
-        f"{amount(T.seconds_between_encounters, 's')}: all are interested in all {T.destinations:,}. Placed on "
-        f"{A.placed}, a courier is interested in {number(PLACED_DESTINATIONS)}. So the other mechanisms depend on "
-        f"placement at the client's side ({MECHANISM_STATUS[Mechanism.PLACED]}); a courier can still be given a "
-        "message for any destination, and then serves it like one that receives no observations.",
+        f"{amount(TARGET.seconds_between_encounters, 's')}: all are interested in all {TARGET.destinations:,}. Placed "
+        f"on {ASSUMED.placed}, a courier is interested in {number(PLACED_DESTINATIONS)}. So the other mechanisms "
+        f"depend on placement at the client's side ({MECHANISM_STATUS[Mechanism.PLACED]}); a courier can still be "
+        "given a message for any destination, and then serves it like one that receives no observations.",
         "",
     ]
 
@@ -840,15 +854,15 @@
     )
     slowest = max((each for each in exceeded if each.row.kind == "time"), key=lambda each: each.ratio, default=None)
     findings = (
-        f"The control plane's bounds do not exclude all couriers in one group: at {N:,} the worst is {load.row.kind}, "
-        f"{times(load.ratio)} of its bound. "
+        f"The control plane's bounds do not exclude all couriers in one group: at {COURIERS:,} the worst is "
+        f"{load.row.kind}, {times(load.ratio)} of its bound. "
         if load.ratio <= 1
         else f"The control plane's bounds exclude that, too: {load.row.kind}, {times(load.ratio)} times its bound. "
     )
     if slowest is not None:
         findings += f"Time does: {slowest.row.what} it takes {amount(slowest.need, slowest.row.unit)}"
         if slowest.remaining is not None and not callable(slowest.row.bound):
-            findings += f", in a group of {T.zone} {amount(slowest.remaining * slowest.bound, slowest.row.unit)}"
+            findings += f", in a group of {TARGET.zone} {amount(slowest.remaining * slowest.bound, slowest.row.unit)}"
         findings += "."
         if slowest.remaining is not None and slowest.remaining > 1:
             findings += (
@@ -856,14 +870,14 @@
                 "a courier must get the members at once from one that knows them, and not piggybacked on probes."
             )
     lines += [
-        f"1. Members come before all else. Beyond {MAX_MEMBERS:,} of {N:,} the code refuses more, and beyond "
+        f"1. Members come before all else. Beyond {MAX_MEMBERS:,} of {COURIERS:,} the code refuses more, and beyond "
         f"{seal.SENDERS:,} it drops their datagrams; loans, observations and counters go to members only. So no other "
         f"mechanism among couriers can be used or tried at the target before that. {len(exceeded)} rows of members are "
         f"above their bound, and placement helps none of them. {findings}",
         "2. "
         + (
             f"Observations are the worst user of a courier's bytes: {times(sent.ratio)} times the bound when sent to "
-            f"all, {times(sent.remaining or 0)} times when sent only to the {A.placed} couriers interested in a "
+            f"all, {times(sent.remaining or 0)} times when sent only to the {ASSUMED.placed} couriers interested in a "
             f"destination. "
             if sent is not None
             else ""
@@ -904,7 +918,7 @@
         for figure, (old_fit, new_fit) in fits.items():
             unit = reading.slopes[before].figures[figure]
             sizes = sorted(set(old_fit.means) & set(new_fit.means))
-            for size in [*sizes, N]:
+            for size in [*sizes, COURIERS]:
                 old, new = old_fit.at(size), new_fit.at(size)
                 note = (
                     "" if size in sizes else f" (extrapolated, factors {number(old.factor)} and {number(new.factor)})"
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -16,8 +16,7 @@
 from benchmarks.capacity import Row as Measured
 from benchmarks.capacity_fit import Fit, fit
 from benchmarks.slope import Slope
-from benchmarks.target import ASSUMED as A
-from benchmarks.target import TARGET as T
+from benchmarks.target import ASSUMED, TARGET
 from kestrelspar.http.watch import MOST_LINE
 from kestrelspar.peers import counts, seal, shares
 from kestrelspar.peers.brokers import COPIES, SECOND, TERM
@@ -153,19 +152,19 @@
     hypothetical: str = ""  # the condition under which the row applies, which is not met today; it is not ranked then
 
 
-N = T.couriers
-PLACED_DESTINATIONS = T.destinations * A.placed / N  # destinations per courier, with placement
+COURIERS = TARGET.couriers
+PLACED_DESTINATIONS = TARGET.destinations * ASSUMED.placed / COURIERS  # destinations per courier, with placement
 FAILED_CALLS = (
-    T.events_per_courier * T.down
+    TARGET.events_per_courier * TARGET.down
 )  # per second and courier, to destinations that are down, if it does not know
-DESTINATION_LIMIT = A.headroom * T.events_per_destination
+DESTINATION_LIMIT = ASSUMED.headroom * TARGET.events_per_destination
 CONTROL, MEMORY, BYTES = (
     "processor time for the control plane",
     "memory for the control plane",
     "bytes a second for the control plane",
 )
 CODE = "bound in the code"
-REMAINING_CONTROL_MACHINES = T.control_machines - T.control_machines_per_region  # without those of one region
+REMAINING_CONTROL_MACHINES = TARGET.control_machines - TARGET.control_machines_per_region  # without those of one region
 
 
 def list_bytes(r: Reading, count: float) -> float:
@@ -175,18 +174,18 @@
 
 def served_per_second(r: Reading) -> float:
     """Return the messages per second that a courier's core serves beside the control plane."""
-    return (1 - T.core) * 1e6 / r.at("message-served", "cpu", T.events_per_courier)
+    return (1 - TARGET.core) * 1e6 / r.at("message-served", "cpu", TARGET.events_per_courier)
 
 
 def _observations_at_broker(r: Reading, figure: str) -> float:
     """Return one broker's load of observations: each down destination is probed once per step, and the failure sent."""
-    observations = T.destinations_down * COPIES * ROUNDS / T.control_machines
-    return observations * r.at("broker", figure, T.region)
+    observations = TARGET.destinations_down * COPIES * ROUNDS / TARGET.control_machines
+    return observations * r.at("broker", figure, TARGET.region)
 
 
 def _renewals_at_broker(r: Reading, figure: str) -> float:
     """Return one broker's load of leases: each courier of its region renews three times per term."""
-    return T.region * 3 * SECOND / TERM * r.at("broker", figure, T.region)
+    return TARGET.region * 3 * SECOND / TERM * r.at("broker", figure, TARGET.region)
 
 
 ROWS: tuple[Row, ...] = (
@@ -196,108 +195,108 @@
         "state",
         "members known",
         "couriers, over the maximum in the code",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
         MAX_MEMBERS,
         f"{CODE}: more are refused (`About.most`)",
         Mechanism.GROUPS,
-        lambda r: T.zone,
+        lambda r: TARGET.zone,
     ),
     Row(
         Role.COURIER,
         "state",
         "senders whose sequence numbers are stored",
         "couriers, over the maximum in the code",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
         seal.SENDERS,
         f"{CODE}: datagrams of more are dropped (`seal.SENDERS`)",
         Mechanism.GROUPS,
-        lambda r: T.zone,
+        lambda r: TARGET.zone,
     ),
     Row(
         Role.COURIER,
         "memory",
         "members known",
         "member-alone.memory at all couriers",
-        lambda r: r.at("member-alone", "memory", N),
+        lambda r: r.at("member-alone", "memory", COURIERS),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         MEMORY,
         Mechanism.GROUPS,
-        lambda r: r.at("member-alone", "memory", T.zone),
+        lambda r: r.at("member-alone", "memory", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "processor time",
         "idle members, with the target's restarts",
         "member-alone.processor at all couriers",
-        lambda r: r.at("member-alone", "processor", N),
+        lambda r: r.at("member-alone", "processor", COURIERS),
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.GROUPS,
-        lambda r: r.at("member-alone", "processor", T.zone),
+        lambda r: r.at("member-alone", "processor", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "messages",
         "idle members, with the target's restarts",
         "member-alone.sent at all couriers",
-        lambda r: r.at("member-alone", "sent", N),
+        lambda r: r.at("member-alone", "sent", COURIERS),
         "bytes",
-        T.bytes_a_second,
+        TARGET.bytes_a_second,
         BYTES,
         Mechanism.GROUPS,
-        lambda r: r.at("member-alone", "sent", T.zone),
+        lambda r: r.at("member-alone", "sent", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "time",
         "until all are known after starts of all",
         "members.all-known at all couriers",
-        lambda r: r.at("members", "all-known", N),
+        lambda r: r.at("members", "all-known", COURIERS),
         "s",
-        A.spread,
+        ASSUMED.spread,
         "assumed",
         Mechanism.GROUPS,
-        lambda r: r.at("members", "all-known", T.zone),
+        lambda r: r.at("members", "all-known", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "time",
         "until a loss is known",
         "members-churn.loss-known at all couriers",
-        lambda r: r.at("members-churn", "loss-known", N),
+        lambda r: r.at("members-churn", "loss-known", COURIERS),
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.GROUPS,
-        lambda r: r.at("members-churn", "loss-known", T.zone),
+        lambda r: r.at("members-churn", "loss-known", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "time",
         "until a wave of restarts is known",
         "members-wave.known at all couriers",
-        lambda r: r.at("members-wave", "known", N),
+        lambda r: r.at("members-wave", "known", COURIERS),
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.GROUPS,
-        lambda r: r.at("members-wave", "known", T.zone),
+        lambda r: r.at("members-wave", "known", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "time",
         "until those of a wave know all",
         "members-wave.joined at all couriers",
-        lambda r: r.at("members-wave", "joined", N),
+        lambda r: r.at("members-wave", "joined", COURIERS),
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.GROUPS,
-        lambda r: r.at("members-wave", "joined", T.zone),
+        lambda r: r.at("members-wave", "joined", TARGET.zone),
     ),
     # Courier: observations
     Row(
@@ -305,36 +304,42 @@
         "messages",
         "observations of failed endpoints, sent by one courier",
         "failed calls a second x what each member adds to word.sent x members",
-        lambda r: FAILED_CALLS * r.marginal("word", "sent", N - 1),
+        lambda r: FAILED_CALLS * r.marginal("word", "sent", COURIERS - 1),
         "bytes",
-        T.bytes_a_second,
+        TARGET.bytes_a_second,
         BYTES,
         Mechanism.WORDS,
-        lambda r: FAILED_CALLS * r.at("word-brokered", "sent", N),
+        lambda r: FAILED_CALLS * r.at("word-brokered", "sent", COURIERS),
     ),
     Row(
         Role.COURIER,
         "state",
         "members that receive one observation before it expires",
         "couriers, over word-alone.told at all couriers",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
-        lambda r: r.at("word-alone", "told", N),
+        lambda r: r.at("word-alone", "told", COURIERS),
         "measured",
         Mechanism.WORDS,
-        lambda r: A.placed,
+        lambda r: ASSUMED.placed,
     ),
     Row(
         Role.COURIER,
         "processor time",
         "ranking of the couriers that probe a failed endpoint",
         "destinations down x order.processor at the interested couriers x checks a second",
-        lambda r: T.destinations_down * r.at("order", "processor", N) / 1e3 * TICKS_PER_SECOND,
+        lambda r: TARGET.destinations_down * r.at("order", "processor", COURIERS) / 1e3 * TICKS_PER_SECOND,
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.WORDS,
-        lambda r: PLACED_DESTINATIONS * T.down * r.marginal("order", "processor", A.placed) / 1e3 * TICKS_PER_SECOND,
+        lambda r: (
+            PLACED_DESTINATIONS
+            * TARGET.down
+            * r.marginal("order", "processor", ASSUMED.placed)
+            / 1e3
+            * TICKS_PER_SECOND
+        ),
         "observations of all failed endpoints were received",
     ),
     # Courier: limits and counts
@@ -343,33 +348,33 @@
         "state",
         "one courier's share of a limit per second: at least one call needed",
         "couriers that share it, over the limit's calls a second",
-        lambda r: N / DESTINATION_LIMIT,
+        lambda r: COURIERS / DESTINATION_LIMIT,
         "count",
         1.0,
         "one call in a second",
         Mechanism.SHARES,
-        lambda r: A.placed / DESTINATION_LIMIT,
+        lambda r: ASSUMED.placed / DESTINATION_LIMIT,
     ),
     Row(
         Role.COURIER,
         "state",
         "lowest limit of which anything is lent, calls a second",
         "smallest share of which any is lent x couriers that share it, over the limit",
-        lambda r: MIN_SHARE_FOR_LOANS * N,
+        lambda r: MIN_SHARE_FOR_LOANS * COURIERS,
         "count",
         DESTINATION_LIMIT,
         "the limit, assumed",
         Mechanism.SHARES,
-        lambda r: MIN_SHARE_FOR_LOANS * A.placed,
+        lambda r: MIN_SHARE_FOR_LOANS * ASSUMED.placed,
     ),
     Row(
         Role.COURIER,
         "memory",
         "limits of which it has a share",
         "budgets-held.memory at all destinations",
-        lambda r: r.at("budgets-held", "memory", T.destinations),
+        lambda r: r.at("budgets-held", "memory", TARGET.destinations),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         MEMORY,
         Mechanism.SHARES,
         lambda r: r.at("budgets-held", "memory", PLACED_DESTINATIONS),
@@ -379,9 +384,9 @@
         "processor time",
         "limits of which it has a share",
         "budgets-held.tick at all destinations x ticks a second, at least",
-        lambda r: r.at("budgets-held", "tick", T.destinations) * TICKS_PER_SECOND,
+        lambda r: r.at("budgets-held", "tick", TARGET.destinations) * TICKS_PER_SECOND,
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.SHARES,
         lambda r: r.at("budgets-held", "tick", PLACED_DESTINATIONS) * TICKS_PER_SECOND,
@@ -391,19 +396,19 @@
         "state",
         "couriers whose counters are held",
         "couriers, over the maximum in the code",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
         counts.HELD,
         f"{CODE}: nothing is held of more (`counts.HELD`)",
         Mechanism.COUNTS,
-        lambda r: T.zone,
+        lambda r: TARGET.zone,
     ),
     Row(
         Role.COURIER,
         "state",
         "own counters",
         "destinations x counters of each, over the maximum of separate counters",
-        lambda r: T.destinations * COUNTERS_PER_DESTINATION,
+        lambda r: TARGET.destinations * COUNTERS_PER_DESTINATION,
         "count",
         counts.MOST,
         f"{CODE}: further ones share one counter (`counts.MOST`)",
@@ -415,24 +420,24 @@
         "memory",
         "counters of all couriers, 20 each",
         "counts-held.memory at all couriers",
-        lambda r: r.at("counts-held", "memory", N),
+        lambda r: r.at("counts-held", "memory", COURIERS),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         MEMORY,
         Mechanism.COUNTS,
-        lambda r: r.at("counts-held", "memory", T.zone),
+        lambda r: r.at("counts-held", "memory", TARGET.zone),
     ),
     Row(
         Role.COURIER,
         "time",
         "until one courier has received all others' counters",
         "counts.heard at all couriers, over bytes a second of the control plane",
-        lambda r: r.at("counts", "heard", N) / T.bytes_a_second,
+        lambda r: r.at("counts", "heard", COURIERS) / TARGET.bytes_a_second,
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.COUNTS,
-        lambda r: r.at("counts", "heard", T.zone) / T.bytes_a_second,
+        lambda r: r.at("counts", "heard", TARGET.zone) / TARGET.bytes_a_second,
     ),
     # Courier: lists, configuration
     Row(
@@ -440,9 +445,9 @@
         "memory",
         "listed destinations, one endpoint each",
         "listed.memory at all destinations",
-        lambda r: r.at("listed", "memory", T.destinations),
+        lambda r: r.at("listed", "memory", TARGET.destinations),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         MEMORY,
         Mechanism.LISTS,
         lambda r: r.at("listed", "memory", PLACED_DESTINATIONS),
@@ -452,9 +457,9 @@
         "time",
         "a start with that list",
         "listed.start-wall at all destinations",
-        lambda r: r.at("listed", "start-wall", T.destinations),
+        lambda r: r.at("listed", "start-wall", TARGET.destinations),
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.LISTS,
         lambda r: r.at("listed", "start-wall", PLACED_DESTINATIONS),
@@ -464,7 +469,7 @@
         "state",
         "a full list, against the longest line that is read",
         "destinations x what each adds to list-again.wire",
-        lambda r: list_bytes(r, T.destinations),
+        lambda r: list_bytes(r, TARGET.destinations),
         "bytes",
         MOST_LINE,
         f"{CODE}: a longer line closes the watch (`watch.MOST_LINE`)",
@@ -476,12 +481,18 @@
         "processor time",
         "received changes of the list, each sent as the full list",
         "changes a second x list-again.hearer at all destinations",
-        lambda r: T.changes_per_second * r.at("list-again", "hearer", T.destinations) / 1e3,
+        lambda r: TARGET.changes_per_second * r.at("list-again", "hearer", TARGET.destinations) / 1e3,
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.LISTS,
-        lambda r: T.changes_per_second * A.placed / N * r.at("list-change", "hearer", PLACED_DESTINATIONS) / 1e3,
+        lambda r: (
+            TARGET.changes_per_second
+            * ASSUMED.placed
+            / COURIERS
+            * r.at("list-change", "hearer", PLACED_DESTINATIONS)
+            / 1e3
+        ),
         "discovery sent full lists, and they were read",
     ),
     Row(
@@ -489,33 +500,39 @@
         "processor time",
         "received changes of the list, each sent alone",
         "changes a second x list-change.hearer at all destinations",
-        lambda r: T.changes_per_second * r.at("list-change", "hearer", T.destinations) / 1e3,
+        lambda r: TARGET.changes_per_second * r.at("list-change", "hearer", TARGET.destinations) / 1e3,
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.LISTS,
-        lambda r: T.changes_per_second * A.placed / N * r.at("list-change", "hearer", PLACED_DESTINATIONS) / 1e3,
+        lambda r: (
+            TARGET.changes_per_second
+            * ASSUMED.placed
+            / COURIERS
+            * r.at("list-change", "hearer", PLACED_DESTINATIONS)
+            / 1e3
+        ),
     ),
     Row(
         Role.COURIER,
         "processor time",
         "the configuration reloaded for each change",
         "changes a second x config-change.hearer at all destinations",
-        lambda r: T.changes_per_second * r.at("config-change", "hearer", T.destinations),
+        lambda r: TARGET.changes_per_second * r.at("config-change", "hearer", TARGET.destinations),
         "ms",
-        T.processor_ms,
+        TARGET.processor_ms,
         CONTROL,
         Mechanism.CONFIG,
-        lambda r: T.changes_per_second * r.at("config-change", "hearer", PLACED_DESTINATIONS),
+        lambda r: TARGET.changes_per_second * r.at("config-change", "hearer", PLACED_DESTINATIONS),
     ),
     Row(
         Role.COURIER,
         "time",
         "until a changed configuration file is in force",
         "config-change.read at all destinations",
-        lambda r: r.at("config-change", "read", T.destinations) / 1e3,
+        lambda r: r.at("config-change", "read", TARGET.destinations) / 1e3,
         "s",
-        T.in_force,
+        TARGET.in_force,
         "in force everywhere",
         Mechanism.CONFIG,
         lambda r: r.at("config-change", "read", PLACED_DESTINATIONS) / 1e3,
@@ -526,9 +543,9 @@
         "memory",
         "open messages",
         "open-message.memory at the backlog of one courier",
-        lambda r: r.at("open-message", "memory", T.backlog_per_courier),
+        lambda r: r.at("open-message", "memory", TARGET.backlog_per_courier),
         "MB",
-        A.work_mb,
+        ASSUMED.work_mb,
         "assumed",
         Mechanism.BACKLOG,
     ),
@@ -537,9 +554,9 @@
         "state",
         "open messages on disk",
         "open-message.disk-each x the backlog of one courier",
-        lambda r: r.at("open-message", "disk-each", T.backlog_per_courier) * T.backlog_per_courier / 1e6,
+        lambda r: r.at("open-message", "disk-each", TARGET.backlog_per_courier) * TARGET.backlog_per_courier / 1e6,
         "MB",
-        A.disk_mb,
+        ASSUMED.disk_mb,
         "assumed",
         Mechanism.BACKLOG,
     ),
@@ -548,9 +565,9 @@
         "time",
         "a start with that backlog",
         "open-message.start-wall at the backlog of one courier",
-        lambda r: r.at("open-message", "start-wall", T.backlog_per_courier),
+        lambda r: r.at("open-message", "start-wall", TARGET.backlog_per_courier),
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.BACKLOG,
     ),
@@ -559,9 +576,9 @@
         "processor time",
         "messages served",
         "message-served.cpu x events a second of one courier",
-        lambda r: T.events_per_courier * r.at("message-served", "cpu", T.events_per_courier) / 1e3,
+        lambda r: TARGET.events_per_courier * r.at("message-served", "cpu", TARGET.events_per_courier) / 1e3,
         "ms",
-        1_000 * (1 - T.core),
+        1_000 * (1 - TARGET.core),
         "a core beside the control plane",
         Mechanism.COURIER,
     ),
@@ -570,12 +587,12 @@
         "processor time",
         "messages served from that backlog",
         "backlog-served.cpu at the backlog of one courier x events a second of one courier",
-        lambda r: T.events_per_courier * r.at("backlog-served", "cpu", T.backlog_per_courier) / 1e3,
+        lambda r: TARGET.events_per_courier * r.at("backlog-served", "cpu", TARGET.backlog_per_courier) / 1e3,
         "ms",
-        1_000 * (1 - T.core),
+        1_000 * (1 - TARGET.core),
         "a core beside the control plane",
         Mechanism.BACKLOG,
-        lambda r: T.events_per_courier * r.at("message-served", "cpu", T.events_per_courier) / 1e3,
+        lambda r: TARGET.events_per_courier * r.at("message-served", "cpu", TARGET.events_per_courier) / 1e3,
     ),
     # Client's side
     Row(
@@ -583,26 +600,26 @@
         "state",
         "couriers that call one destination",
         "couriers, over those that it is placed on",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
-        A.placed,
+        ASSUMED.placed,
         "assumed",
         Mechanism.PLACED,
-        lambda r: A.placed,
+        lambda r: ASSUMED.placed,
     ),
     Row(
         Role.CLIENT,
         "processor time",
         "placing one event with one hash per courier",
         "order.processor at all couriers, over what serving it costs",
-        lambda r: r.at("order", "processor", N) / r.at("message-served", "cpu", T.events_per_courier),
+        lambda r: r.at("order", "processor", COURIERS) / r.at("message-served", "cpu", TARGET.events_per_courier),
         "count",
         1.0,
         "a courier's cost of serving it",
         Mechanism.PLACED,
         lambda r: (
-            (r.marginal("order", "processor", T.zones) + r.marginal("order", "processor", T.zone))
-            / r.at("message-served", "cpu", T.events_per_courier)
+            (r.marginal("order", "processor", TARGET.zones) + r.marginal("order", "processor", TARGET.zone))
+            / r.at("message-served", "cpu", TARGET.events_per_courier)
         ),
         "clients placed events that way",
     ),
@@ -611,9 +628,9 @@
         "memory",
         "couriers known",
         "member-alone.memory at all couriers",
-        lambda r: r.at("member-alone", "memory", N),
+        lambda r: r.at("member-alone", "memory", COURIERS),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         "assumed as for a courier",
         Mechanism.PLACED,
         hypothetical="clients knew all couriers",
@@ -624,24 +641,34 @@
         "messages",
         "the full list sent to one courier, at its bytes a second",
         "destinations x what each adds to list-again.wire, over bytes a second of the control plane",
-        lambda r: list_bytes(r, T.destinations) / T.bytes_a_second,
+        lambda r: list_bytes(r, TARGET.destinations) / TARGET.bytes_a_second,
         "s",
-        A.restart_in,
+        ASSUMED.restart_in,
         "assumed",
         Mechanism.LISTS,
-        lambda r: list_bytes(r, PLACED_DESTINATIONS) / T.bytes_a_second,
+        lambda r: list_bytes(r, PLACED_DESTINATIONS) / TARGET.bytes_a_second,
     ),
     Row(
         Role.TELLER,
         "messages",
         "the full list sent to a wave, by one region's control machines",
         "wave x destinations x what each adds to list-again.wire, over machines and their bytes a second",
-        lambda r: T.wave * list_bytes(r, T.destinations) / T.control_machines_per_region / (A.control_mb * 1e6),
+        lambda r: (
+            TARGET.wave
+            * list_bytes(r, TARGET.destinations)
+            / TARGET.control_machines_per_region
+            / (ASSUMED.control_mb * 1e6)
+        ),
         "s",
-        A.spread,
+        ASSUMED.spread,
         "assumed",
         Mechanism.LISTS,
-        lambda r: T.wave * list_bytes(r, PLACED_DESTINATIONS) / T.control_machines_per_region / (A.control_mb * 1e6),
+        lambda r: (
+            TARGET.wave
+            * list_bytes(r, PLACED_DESTINATIONS)
+            / TARGET.control_machines_per_region
+            / (ASSUMED.control_mb * 1e6)
+        ),
     ),
     Row(
         Role.TELLER,
@@ -649,15 +676,18 @@
         "changes sent to each courier by one control machine",
         "changes a second x couriers of one machine x list-change.teller at all destinations",
         lambda r: (
-            T.changes_per_second * T.couriers_per_control_machine * r.at("list-change", "teller", T.destinations) / 1e3
+            TARGET.changes_per_second
+            * TARGET.couriers_per_control_machine
+            * r.at("list-change", "teller", TARGET.destinations)
+            / 1e3
         ),
         "ms",
-        1_000 * A.control_core,
+        1_000 * ASSUMED.control_core,
         "assumed",
         Mechanism.CONFIG,
         lambda r: (
-            T.changes_per_second
-            * T.couriers_per_control_machine
+            TARGET.changes_per_second
+            * TARGET.couriers_per_control_machine
             * r.at("list-change", "teller", PLACED_DESTINATIONS)
             / 1e3
         ),
@@ -667,12 +697,18 @@
         "time",
         "a burst of changes sent to one courier, at its bytes a second",
         "changes of the burst x list-change.wire, over bytes a second of the control plane",
-        lambda r: A.burst_changes * r.at("list-change", "wire", T.destinations) / T.bytes_a_second,
+        lambda r: ASSUMED.burst_changes * r.at("list-change", "wire", TARGET.destinations) / TARGET.bytes_a_second,
         "s",
-        T.in_force,
+        TARGET.in_force,
         "in force everywhere",
         Mechanism.CONFIG,
-        lambda r: A.burst_changes * A.placed / N * r.at("list-change", "wire", PLACED_DESTINATIONS) / T.bytes_a_second,
+        lambda r: (
+            ASSUMED.burst_changes
+            * ASSUMED.placed
+            / COURIERS
+            * r.at("list-change", "wire", PLACED_DESTINATIONS)
+            / TARGET.bytes_a_second
+        ),
     ),
     # Control machine
     Row(
@@ -680,7 +716,7 @@
         "state",
         "couriers of one machine when a region's machines are lost",
         "couriers, over the machines left",
-        lambda r: N / REMAINING_CONTROL_MACHINES,
+        lambda r: COURIERS / REMAINING_CONTROL_MACHINES,
         "count",
         MAX_MEMBERS,
         CODE,
@@ -691,13 +727,21 @@
         "messages",
         "changes sent to its couriers, when a region's machines are lost",
         "changes a second x couriers, over the machines left, x list-change.wire",
-        lambda r: T.changes_per_second * N / REMAINING_CONTROL_MACHINES * r.at("list-change", "wire", T.destinations),
+        lambda r: (
+            TARGET.changes_per_second
+            * COURIERS
+            / REMAINING_CONTROL_MACHINES
+            * r.at("list-change", "wire", TARGET.destinations)
+        ),
         "bytes",
-        A.control_mb * 1e6,
+        ASSUMED.control_mb * 1e6,
         "assumed, a second",
         Mechanism.CONFIG,
         lambda r: (
-            T.changes_per_second * A.placed / REMAINING_CONTROL_MACHINES * r.at("list-change", "wire", T.destinations)
+            TARGET.changes_per_second
+            * ASSUMED.placed
+            / REMAINING_CONTROL_MACHINES
+            * r.at("list-change", "wire", TARGET.destinations)
         ),
     ),
     Row(
@@ -705,12 +749,12 @@
         "memory",
         "subscriptions of its region's couriers",
         "broker.memory at a region's couriers",
-        lambda r: r.at("broker", "memory", T.region),
+        lambda r: r.at("broker", "memory", TARGET.region),
         "MB",
-        A.broker_mb,
+        ASSUMED.broker_mb,
         "assumed",
         Mechanism.WORDS,
-        lambda r: r.at("broker", "memory", T.region),
+        lambda r: r.at("broker", "memory", TARGET.region),
     ),
     Row(
         Role.CONTROL,
@@ -719,7 +763,7 @@
         "renewals a second of a region's couriers x broker.renewal",
         lambda r: _renewals_at_broker(r, "renewal") / 1e3,
         "ms",
-        1_000 * A.control_core,
+        1_000 * ASSUMED.control_core,
         "assumed",
         Mechanism.WORDS,
         lambda r: _renewals_at_broker(r, "renewal") / 1e3,
@@ -731,7 +775,7 @@
         "destinations down x owners x rounds, over brokers, x broker.word",
         lambda r: _observations_at_broker(r, "word") / 1e3,
         "ms",
-        1_000 * A.control_core,
+        1_000 * ASSUMED.control_core,
         "assumed",
         Mechanism.WORDS,
         lambda r: _observations_at_broker(r, "word") / 1e3,
@@ -743,7 +787,7 @@
         "destinations down x owners x rounds, over brokers, x broker.word-sent",
         lambda r: _observations_at_broker(r, "word-sent"),
         "bytes",
-        A.control_mb * 1e6,
+        ASSUMED.control_mb * 1e6,
         "assumed, a second",
         Mechanism.WORDS,
         lambda r: _observations_at_broker(r, "word-sent"),
@@ -753,9 +797,9 @@
         "memory",
         "counters of its couriers, 20 each",
         "counts-held.memory at its couriers",
-        lambda r: r.at("counts-held", "memory", T.couriers_per_control_machine),
+        lambda r: r.at("counts-held", "memory", TARGET.couriers_per_control_machine),
         "MB",
-        T.memory_mb,
+        TARGET.memory_mb,
         "assumed as for a courier",
         Mechanism.COUNTS,
         hypothetical="control machines summed up their couriers' counters",
@@ -766,19 +810,19 @@
         "state",
         "couriers that connect to one",
         "couriers that call its destination",
-        lambda r: N,
+        lambda r: COURIERS,
         "count",
-        A.calls_out,
+        ASSUMED.calls_out,
         "assumed",
         Mechanism.PLACED,
-        lambda r: A.placed,
+        lambda r: ASSUMED.placed,
     ),
     Row(
         Role.MEMBER,
         "messages",
         "calls a second that reach it while it is down: at most one per step wanted",
         "events a second for one destination, as no courier knows of another's failed call",
-        lambda r: T.events_per_destination,
+        lambda r: TARGET.events_per_destination,
         "count",
         1.0,
         "one probe per step",
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -162,7 +162,7 @@
 
 def compare_front_ends(rate: int, duration: int) -> None:
     """Print the CPU per message at a steady rate, and the maximum submissions per second, for each front end."""
-    print(f"{'front':<8}{'rate':>8}{'accepted':>9}{'a second':>10}{'CPU per message':>16}")
+    print(f"{'front':<8}{'rate':>8}{'success':>8}{'a second':>10}{'CPU per message':>16}")
     for steady in (True, False):
         for front_end in ("HTTP", "SMPP", "HTTP", "SMPP"):
             environment, accepted_count, submitted = Environment(), [0], [0]
@@ -204,7 +204,7 @@
                 busy = process_usage(environment.pid)
             seconds = time.monotonic() - started - 1
             print(
-                f"{front_end:<8}{rate if steady else 'max':>8}{accepted_count[0]:>9}{submitted[0] / seconds:>10.0f}"
+                f"{front_end:<8}{rate if steady else 'max':>8}{accepted_count[0]:>8}{submitted[0] / seconds:>10.0f}"
                 f"{(busy[0] - idle[0]) * 1e6 / max(1, submitted[0]):>13.0f} us"
             )
 
