--- a/benchmarks/message.py
+++ b/benchmarks/message.py
@@ -1,4 +1,4 @@
-"""What a message costs: processor time per message, and the program's memory.
+"""What a message costs the program that the platform's `run` line starts: CPU per message, and memory.
 
     python -m benchmarks.message [--root CHECKOUT] [--rate 150] [--for 15]
 
