--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -25,7 +25,7 @@
 def run_cases(seeds: range, couriers: int, cases: list[str]) -> int:
     """Run every fault case with these seeds; return the number of runs in which a checker found an error."""
     failed_runs = 0
-    print(f"{'fault':<40}  runs  bad  served  failed  none free  checks with a suspended endpoint")
+    print(f"{'fault':<40}  runs  bad  served  failed  none free  checks with a closed route")
     for case in [each for each in CASES if not cases or any(part in each for part in cases)]:
         seen: Counter[str] = Counter()
         failed = 0
