--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -4,9 +4,9 @@
     python -m benchmarks.brokers --zones 200 1000 5000 [--group 100]
     python -m benchmarks.brokers --words 50 100 200 400
 
-``--plays``: runs each fault case of lab/brokered.py with this many seeds, and with its checkers. ``--zones``: stops a
-whole zone at once and restarts it at once 20 s later; then does the same to as many couriers spread over all zones.
-``--words``: sends one courier's observation with brokers and without.
+``--plays``: runs each fault case of lab/broker_simulation.py with this many seeds, and with its checkers. ``--zones``:
+stops a whole zone at once and restarts it at once 20 s later; then does the same to as many couriers spread over all
+zones. ``--words``: sends one courier's observation with brokers and without.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 import time
 from collections import Counter
 
-from kestrelspar.lab.brokered import CASES, fleet, heard, play, processes
-from kestrelspar.lab.model import SECOND, Net
-from kestrelspar.peers.judgements import Outcome
+from kestrelspar.lab.broker_simulation import CASES, measure_propagation, run_case, running_brokers, start_fleet
+from kestrelspar.lab.simulated_network import SECOND, SimulatedNetwork
+from kestrelspar.peers.judgements import CallOutcome
 
 POLL_INTERVAL = SECOND // 4
 
@@ -30,11 +30,11 @@
         seen: Counter[str] = Counter()
         failed = 0
         for seed in seeds:
-            result = play(case, seed, couriers)
-            seen.update(result.seen)
-            failed += bool(result.faults)
-            if result.faults:
-                print(f"  seed {seed}: {result.faults[:2]}")
+            result = run_case(case, seed, couriers)
+            seen.update(result.counts)
+            failed += bool(result.violations)
+            if result.violations:
+                print(f"  seed {seed}: {result.violations[:2]}")
         failed_runs += failed
         print(
             f"{case:<40} {len(seeds):>5} {failed:>4} {seen['served']:>7} {seen['failed']:>7} {seen['none free']:>10} "
@@ -44,7 +44,7 @@
     return failed_runs
 
 
-def _wait_until(net: Net, timeout: int, condition: object) -> float:
+def _wait_until(net: SimulatedNetwork, timeout: int, condition: object) -> float:
     """Return the seconds until the condition holds, or -1 if it does not within ``timeout``."""
     started_at = net.now
     while net.now < started_at + timeout:
@@ -54,42 +54,42 @@
     return -1.0
 
 
-def _sent(net: Net) -> dict[str, int]:
+def _sent(net: SimulatedNetwork) -> dict[str, int]:
     return {node.name: node.peer.sent for node in net.nodes.values() if node.peer is not None}
 
 
-def _fully_connected(net: Net, node_names: list[str], group: int) -> bool:
+def _fully_connected(net: SimulatedNetwork, node_names: list[str], group: int) -> bool:
     """Return whether all of these know their whole group and have sessions with all brokers of their region."""
     for name in node_names:
         node = net.nodes[name]
         if (
             node.peer is None
             or len(node.peer.members.alive()) < group - 1
-            or node.peer.brokers is None
-            or any(place.answered is None for place in node.peer.brokers.places.values())
+            or node.peer.subscriber is None
+            or any(place.last_reply_at is None for place in node.peer.subscriber.sessions.values())
         ):
             return False
     return True
 
 
-def _propagation_time(net: Net, witness: str) -> float:
+def _propagation_time(net: SimulatedNetwork, witness: str) -> float:
     """Return the seconds until 99 % of the running, interested couriers know the witness's observation, or -1."""
     witness_node = net.nodes[witness]
     assert witness_node.peer is not None
     seen_at = witness_node.clock(net.now)
-    witness_node.peer.judgements.saw("e", Outcome.FAILED, seen_at, seen_at)
-    sequence = witness_node.peer.judgements._n
+    witness_node.peer.observations.record_call("e", CallOutcome.FAILED, seen_at, seen_at)
+    sequence = witness_node.peer.observations._sequence
     interested = [
         node
         for node in net.nodes.values()
-        if node.peer is not None and node is not witness_node and "e" in net.dests[node.name]
+        if node.peer is not None and node is not witness_node and "e" in net.endpoints_by_courier[node.name]
     ]
 
     def is_known() -> bool:
         informed = sum(
             any(
-                source.witness == witness and claim.health is not None and claim.health.n == sequence
-                for source, claim in node.peer.judgements._heard.get("e", {}).items()
+                source.witness == witness and claim.health is not None and claim.health.sequence == sequence
+                for source, claim in node.peer.observations._records.get("e", {}).items()
             )
             for node in interested
             if node.peer is not None
@@ -107,7 +107,7 @@
 def stop_and_restart(members: int, group: int, whole_only: bool) -> None:
     """Stop as many couriers as a zone has at once, and restart them; print what the others notice and send."""
     cpu_started_at = time.process_time()
-    net, interested = fleet(1, members, group, max(8, members // 25))
+    net, interested = start_fleet(1, members, group, max(8, members // 25))
     groups = max(1, -(-members // group))
     zone_size = len([node for node in net.nodes.values() if node.group == "z0"])
     join_time = _wait_until(net, 30 * SECOND, lambda: _fully_connected(net, list(net.nodes), members // groups))
@@ -146,8 +146,8 @@
         max_rate = max(
             (sent - sent_before[each]) / ((net.now - started_at) / SECOND) for each, sent in _sent(net).items()
         )
-        leases_left = sum(each.stand(0)["subscribers"] for each in processes(net))
-        broker_sent_before, started_at = [each.sent for each in processes(net)], net.now
+        leases_left = sum(each.status(0)["subscribers"] for each in running_brokers(net))
+        broker_sent_before, started_at = [each.sent for each in running_brokers(net)], net.now
         for each in stopped:
             net.start(each)
         recovery_time = _wait_until(
@@ -155,10 +155,10 @@
         )
         seconds = max(1.0, (net.now - started_at) / SECOND)
         max_broker_rate = (
-            max(each.sent - sent for each, sent in zip(processes(net), broker_sent_before, strict=True)) / seconds
+            max(each.sent - sent for each, sent in zip(running_brokers(net), broker_sent_before, strict=True)) / seconds
         )
         propagation = _propagation_time(net, witness)
-        over_bandwidth = sum(each.held_back for each in processes(net))
+        over_bandwidth = sum(each.over_bandwidth for each in running_brokers(net))
         print(
             f"  {name} stopped ({len(stopped)}): an observation then takes {propagation_during:.2f} s; all members "
             f"know of the stop after {detection_time:.1f} s; others suspected {len(wrongly_suspected)}; at most "
@@ -174,12 +174,12 @@
     """Print what one observation costs its witness and how long it takes, by brokers and sent to all."""
     for members in sizes:
         for all_to_all in (False, True):
-            results = [heard(seed, members, old=all_to_all) for seed in range(3)]
+            results = [measure_propagation(seed, members, old=all_to_all) for seed in range(3)]
             print(
                 f"{members:>5} members, {'all to all' if all_to_all else 'by brokers':<10}: the 7 other interested "
                 f"couriers know it after {max(each.seconds for each in results):.3f} s (maximum of 3 seeds); witness "
-                f"sends {max(each.witness for each in results)} bytes; uninterested couriers reached "
-                f"{results[0].others}",
+                f"sends {max(each.witness_bytes for each in results)} bytes; uninterested couriers reached "
+                f"{results[0].uninterested_receivers}",
                 flush=True,
             )
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class MeasuredRun:
     """One run of one slope at one size."""
 
     name: str
@@ -82,7 +82,7 @@
     return [available[name] for name in names] if names else list(available.values())
 
 
-def read_rows(file: Path) -> list[Row]:
+def read_rows(file: Path) -> list[MeasuredRun]:
     """Return the rows of the file; none if it does not exist. Raises ``CapacityError`` if it is damaged."""
     try:
         content = json.loads(file.read_text())
@@ -92,7 +92,7 @@
         raise CapacityError(f"{file.name}: can't be read: {error}") from None
     if not isinstance(content, list):
         raise CapacityError(f"{file.name}: not a list of rows")
-    rows: dict[tuple[str, int, int], Row] = {}
+    rows: dict[tuple[str, int, int], MeasuredRun] = {}
     for row_number, item in enumerate(content, 1):
         row = _parse_row(item, f"{file.name}: row {row_number}")
         if row.key in rows:
@@ -103,8 +103,8 @@
     return list(rows.values())
 
 
-def _parse_row(item: Any, where: str) -> Row:
-    expected = {each.name for each in fields(Row)}
+def _parse_row(item: Any, where: str) -> MeasuredRun:
+    expected = {each.name for each in fields(MeasuredRun)}
     if not isinstance(item, dict) or item.keys() != expected:
         raise CapacityError(f"{where}: expected the keys {', '.join(sorted(expected))}")
     for key, kind in (
@@ -124,10 +124,10 @@
     for figure, value in item["figures"].items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < float("inf"):
             raise CapacityError(f"{where}: {figure} is not a finite number: {value!r}")
-    return Row(**item)
+    return MeasuredRun(**item)
 
 
-def write_rows(file: Path, rows: Iterable[Row]) -> None:
+def write_rows(file: Path, rows: Iterable[MeasuredRun]) -> None:
     """Write the rows atomically, by a temporary file and a rename; one row per line, so that diffs are readable."""
     ordered = sorted(rows, key=lambda row: row.key)
     lines = ",\n".join(json.dumps(asdict(row), sort_keys=True) for row in ordered)
@@ -139,7 +139,7 @@
     os.replace(temporary.name, file)
 
 
-def find_problems(rows: Iterable[Row], available: dict[str, Slope]) -> list[str]:
+def find_problems(rows: Iterable[MeasuredRun], available: dict[str, Slope]) -> list[str]:
     """Describe missing and unexpected rows; an empty list if the file is complete."""
     by_key = {row.key: row for row in rows}
     problems = []
@@ -199,7 +199,7 @@
     """Measure every size and run of these slopes; write each row as soon as it is measured."""
     by_name = {slope.name: slope for slope in selected}
 
-    def current_rows() -> dict[tuple[str, int, int], Row]:
+    def current_rows() -> dict[tuple[str, int, int], MeasuredRun]:
         """Read the file again each time, as others may measure, too; drop sizes and runs that a slope no longer has."""
         return {
             row.key: row
@@ -223,7 +223,7 @@
             failures.append(f"{slope.name}, size {size}, run {run}: {type(error).__name__}: {error}")
             continue
         date = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
-        row = Row(slope.name, size, run, slope.setting, date, commit_id, machine_text, figures)
+        row = MeasuredRun(slope.name, size, run, slope.setting, date, commit_id, machine_text, figures)
         write_rows(file, (current_rows() | {row.key: row}).values())
         shown = ", ".join(f"{figure} {value:g} {slope.figures[figure]}" for figure, value in row.figures.items())
         print(f"{slope.name}, {size} {slope.size_unit}, run {run}: {shown}", flush=True)
--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -22,11 +22,17 @@
 )
 from benchmarks.slope import Slope
 from benchmarks.target import ASSUMED, TARGET
-from kestrelspar.lab.brokered import heard
-from kestrelspar.peers.brokers import COPIES, PIECE, Broker, BrokerAbout, mark
-from kestrelspar.peers.judgements import Kind
+from kestrelspar.lab.broker_simulation import measure_propagation
+from kestrelspar.peers.brokers import (
+    MAX_DESTINATIONS_PER_MESSAGE,
+    OWNERS_PER_REGION,
+    Broker,
+    BrokerConfig,
+    destination_digest,
+)
+from kestrelspar.peers.judgements import ObservationKind
 from kestrelspar.peers.seal import Sealer
-from kestrelspar.peers.words import Publish, Renew, Seen, Subscribe, Word
+from kestrelspar.peers.words import LeaseRenewal, Observation, PeerMessage, PublishObservation, Subscribe
 
 GROUP = 50
 MS, SECOND = 1_000, 1_000_000
@@ -69,13 +75,13 @@
 
 def measure_observation(size: int, seed: int) -> dict[str, float]:
     """Measure one courier's observation of an endpoint in whose destination only a few couriers are interested."""
-    result = heard(seed, size, GROUP, ASSUMED.placed)
+    result = measure_propagation(seed, size, GROUP, ASSUMED.placed)
     return {
-        "sent": float(result.witness),
+        "sent": float(result.witness_bytes),
         "known": result.seconds,
-        "told": result.knew * (ASSUMED.placed - 1),
-        "by-brokers": float(result.brokers),
-        "told-beside": float(result.others),
+        "told": result.share_after_3_s * (ASSUMED.placed - 1),
+        "by-brokers": float(result.broker_bytes),
+        "told-beside": float(result.uninterested_receivers),
     }
 
 
@@ -87,27 +93,29 @@
         for n in range(TARGET.control_machines_per_region)
     }
     name = "r0/b0"
-    share = round(TARGET.destinations * ASSUMED.placed / TARGET.couriers * COPIES / TARGET.control_machines_per_region)
+    share = round(
+        TARGET.destinations * ASSUMED.placed / TARGET.couriers * OWNERS_PER_REGION / TARGET.control_machines_per_region
+    )
     sealers = [Sealer(f"c-{n % 20:02}-{n:05}", 1, [KEY]) for n in range(size)]
     gc.collect()
     tracemalloc.start()
-    broker = Broker(BrokerAbout(name, "r0", regions[name], 7, [KEY], regions, TARGET.couriers, 1 << 30), 0, seed)
+    broker = Broker(BrokerConfig(name, "r0", regions[name], 7, [KEY], regions, TARGET.couriers, 1 << 30), 0, seed)
     now = TICK
     broker.tick(now)
 
-    def receive(n: int, *messages: Word) -> None:
-        broker.hear(sealers[n].seal(name, list(messages)), now)
+    def receive(n: int, *messages: PeerMessage) -> None:
+        broker.receive(sealers[n].seal(name, list(messages)), now)
 
     digests = []
     for n in range(size):
         # As many couriers subscribe to each destination as are placed on it.
         destinations = [(n * share // ASSUMED.placed + offset) for offset in range(share)]
         digest = 0
-        receive(n, Renew(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
-        for start in range(0, share, PIECE):
-            receive(n, Subscribe(1, destinations[start : start + PIECE]))
+        receive(n, LeaseRenewal(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
+        for start in range(0, share, MAX_DESTINATIONS_PER_MESSAGE):
+            receive(n, Subscribe(1, destinations[start : start + MAX_DESTINATIONS_PER_MESSAGE]))
         for destination in destinations:
-            digest ^= mark(destination)
+            digest ^= destination_digest(destination)
         digests.append(digest)
         if n % 100 == 0:
             now += TICK
@@ -117,34 +125,37 @@
     tracemalloc.stop()
     now += TICK
     broker.tick(now)
-    renewals = [sealers[n].seal(name, [Renew(2, "10.0.0.1", 2_770, n, 7, 1, share, digests[n])]) for n in range(size)]
+    renewals = [
+        sealers[n].seal(name, [LeaseRenewal(2, "10.0.0.1", 2_770, n, 7, 1, share, digests[n])]) for n in range(size)
+    ]
     cpu_started_at, sent_before = time.process_time(), broker.sent
     for renewal in renewals:
-        broker.hear(renewal, now)
+        broker.receive(renewal, now)
     renewal_cpu, renewal_bytes = (time.process_time() - cpu_started_at) * 1e6 / size, (broker.sent - sent_before) / size
     cpu = bytes_sent = 0.0
     for n in range(OBSERVATIONS):
         witness = n * size // OBSERVATIONS
         destination = witness * share // ASSUMED.placed + share // 2
         datagram = sealers[witness].seal(
-            name, [Publish(destination, Seen(f"e-{destination:07}", Kind.DOWN, 0, 0, n + 1))]
+            name,
+            [PublishObservation(destination, Observation(f"e-{destination:07}", ObservationKind.DOWN, 0, 0, n + 1))],
         )
         now += TICK
         broker.tick(now)
         cpu_started_at, sent_before = time.process_time(), broker.sent
-        broker.hear(datagram, now)
+        broker.receive(datagram, now)
         now += TICK
         broker.tick(now)
         cpu += time.process_time() - cpu_started_at
         bytes_sent += broker.sent - sent_before
-    assert broker.passed_on > 0 and broker.stand(now)["subscribers"] == size
+    assert broker.relayed > 0 and broker.status(now)["subscribers"] == size
     return {
         "memory": memory,
         "renewal": renewal_cpu,
         "renewal-sent": renewal_bytes,
         "word": cpu * 1e6 / OBSERVATIONS,
         "word-sent": bytes_sent / OBSERVATIONS,
-        "told": broker.passed_on / OBSERVATIONS,
+        "told": broker.relayed / OBSERVATIONS,
     }
 
 
--- a/benchmarks/capacity_courier.py
+++ b/benchmarks/capacity_courier.py
@@ -47,14 +47,14 @@
 BODY_BYTES = 200
 MB = 1e6
 LISTED_SIZES = (1_000, 10_000, 50_000, 200_000)
-FULL_LIST_SIZES = (1_000, 3_000, 10_000, 30_000)  # a courier reads lists of up to 4 MiB (watch.MOST_LINE)
+FULL_LIST_SIZES = (1_000, 3_000, 10_000, 30_000)  # a courier reads lists of up to 4 MiB (watch.MAX_LINE_BYTES)
 
 
 class Environment:
     """The stand-in servers around one courier."""
 
-    def __init__(self, seed: int, manners: platform.Manners) -> None:
-        self.loop, self.seen, self.random, self.seed = Loop(), platform.Seen(), random.Random(seed), seed
+    def __init__(self, seed: int, manners: platform.Behaviour) -> None:
+        self.loop, self.seen, self.random, self.seed = Loop(), platform.CallRecord(), random.Random(seed), seed
         self.hops = [platform.NextHop(self.loop, self.seen, seed * HOPS + n, manners) for n in range(HOPS)]
         self.discovery = WatchDiscovery(self.loop, [])
 
@@ -82,7 +82,7 @@
 
 
 def _fast_environment(run: int) -> Environment:
-    return Environment(run, platform.Manners(10 * MS, 20 * MS))
+    return Environment(run, platform.Behaviour(10 * MS, 20 * MS))
 
 
 def measure_listed(size: int, run: int) -> dict[str, float]:
@@ -157,7 +157,7 @@
 
 def _backlog_configuration(size: int) -> dict[str, Any]:
     """Return the configuration of a courier that may hold ``size`` open messages for long."""
-    settings = platform.settings(most_open=2 * size)
+    settings = platform.settings(max_open=2 * size)
     for message_class in settings["classes"]:
         message_class["deadline_ns"] = MESSAGE_LIFETIME * 1_000
     return {
@@ -183,14 +183,14 @@
                 "extra": {},
             }
         )
-        if not journal.taken(number, deadline, text, generator.randbytes(BODY_BYTES)):
+        if not journal.record_accepted(number, deadline, text, generator.randbytes(BODY_BYTES)):
             raise NotMeasured(f"no room for open message {number} in a journal of {limits[0]['disk_mb']} MB")
     return (Path(state_directory) / "journal").stat().st_size
 
 
 def measure_open_messages(size: int, run: int) -> dict[str, float]:
     """Measure a start with ``size`` open messages in the journal, against an empty one; the next hops do not answer."""
-    environment = Environment(run, platform.Manners(silent=1.0))
+    environment = Environment(run, platform.Behaviour(silent=1.0))
     rows, options = environment.rows(HOPS, 1), _backlog_configuration(size)
     with environment.courier(rows, **options) as courier:
         courier.wait_ready()
@@ -222,15 +222,15 @@
         _write_journal(state_directory, size, environment.random, options)
         with environment.courier(rows, state_directory, **options) as courier:
             courier.wait_ready()
-            cost, count, started_at = courier.cpu, len(environment.seen.answered), time.monotonic()
+            cost, count, started_at = courier.cpu, len(environment.seen.first_answered_at), time.monotonic()
             while (
-                len(environment.seen.answered) < count + size // 2
+                len(environment.seen.first_answered_at) < count + size // 2
                 and time.monotonic() < started_at + LOAD_DURATION / SECOND
             ):
                 run_for(environment.loop, MS)
             cost, count, seconds = (
                 courier.cpu - cost,
-                len(environment.seen.answered) - count,
+                len(environment.seen.first_answered_at) - count,
                 time.monotonic() - started_at,
             )
     if not count:
@@ -247,7 +247,7 @@
         statuses = start_load(courier, size, LOAD_DURATION, ("reading",))
         run_for(environment.loop, LOAD_DURATION + SECOND)
         cost = courier.cpu - cpu_before
-    offered, delivered = LOAD_DURATION * size / SECOND, len(environment.seen.answered)
+    offered, delivered = LOAD_DURATION * size / SECOND, len(environment.seen.first_answered_at)
     if not delivered:
         raise NotMeasured(f"nothing was delivered; submissions were answered {sorted(set(statuses))}")
     return {"cpu": cost * 1e6 / delivered, "taken": statuses.count(202) / offered, "delivered": delivered / offered}
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from statistics import mean
 
-from benchmarks.capacity import Row as Measured
+from benchmarks.capacity import MeasuredRun as Measured
 from benchmarks.capacity import find_problems
 from benchmarks.capacity_peers import CALLS, LOAD, RESTART_INTERVAL, SimulatedFleet
 from benchmarks.capacity_roles import (
@@ -41,9 +41,9 @@
     PRIOR_OBSERVATION_MINUTES,
     TARGET,
 )
-from kestrelspar.lab.model import TICK, Faults
+from kestrelspar.lab.simulated_network import TICK_INTERVAL, Faults
 from kestrelspar.peers import counts, judgements, members, seal, shares
-from kestrelspar.peers.shares import spanned
+from kestrelspar.peers.shares import budget_for_rate
 
 CONTROL_PLANE_BOUNDS = (CONTROL, MEMORY, BYTES)
 MEMBER_DATAGRAMS = 2  # membership datagrams that a courier sends per period: its probe, and an answer to another's
@@ -349,7 +349,8 @@
         f"- *One observation takes its witness minutes at {COURIERS:,}*: {minutes}. Each member costs it "
         f"{number(each)} bytes, so all would take {amount(each * COURIERS / TARGET.bytes_a_second, 's')} of its "
         f"{amount(TARGET.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
-        f"{amount(judgements.FRESH / 1e6, 's')} only, then it expires. At {COURIERS:,} members {number(informed)} "
+        f"{amount(judgements.OUTAGE_REPORT_MAX_AGE / 1e6, 's')} only, then it expires. At {COURIERS:,} members "
+        f"{number(informed)} "
         f"receive it, the last after {amount(last, 's')}, and the others never.",
         f"- *Idle membership costs more and more processor time*: {largest:,} members are not idle by then, as starts "
         f"are still being gossiped: {amount(model, 'ms')} a second each. If all know all beforehand, with a restart "
@@ -360,12 +361,13 @@
         f"{confirmed(memory * COURIERS / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, "
         f"{amount(memory * COURIERS, 'MB')} together.",
         f"- *Members beyond {PRIOR_MAX_MEMBERS:,} are refused*: {confirmed(MAX_MEMBERS, PRIOR_MAX_MEMBERS)} by the "
-        f"code, {MAX_MEMBERS:,}. There are two more bounds: the sequence numbers of {seal.SENDERS:,} senders are "
-        f"stored, and datagrams of others are dropped; and counters of {counts.HELD:,} couriers are stored.",
+        f"code, {MAX_MEMBERS:,}. There are two more bounds: the sequence numbers of {seal.MAX_SENDERS:,} senders are "
+        f"stored, and datagrams of others are dropped; and counters of {counts.MAX_COURIERS:,} couriers are stored.",
         f"- *A limit that is shared equally leaves each less than a call*: confirmed, {number(share)} of a call a "
         f"second of a limit of {number(DESTINATION_LIMIT)}; its window is extended for that, to "
-        f"{amount(spanned(DESTINATION_LIMIT, COURIERS)[1] / 1e6, 's')}. And nothing of a share under "
-        f"{MIN_SHARE_FOR_LOANS} calls is lent ({amount(shares.LEND, 'share')} of it, rounded down): of {CALLS} calls a "
+        f"{amount(budget_for_rate(DESTINATION_LIMIT, COURIERS)[1] / 1e6, 's')}. And nothing of a share under "
+        f"{MIN_SHARE_FOR_LOANS} calls is lent ({amount(shares.MAX_LENT_PART, 'share')} of it, rounded down): of "
+        f"{CALLS} calls a "
         f"second, with half of a load of {LOAD} at one courier, {amount(served[smallest], 'share')} of the messages "
         f"are served at {smallest} members, {amount(served[largest_fleet], 'share')} at {largest_fleet}.",
         "",
@@ -480,7 +482,7 @@
     def lines() -> list[str]:
         known = reading.at("members-churn", "loss-known", COURIERS)
         known_in_group = reading.at("members-churn", "loss-known", TARGET.zone)
-        transmissions = int(members.TELL * math.log2(COURIERS + 2))
+        transmissions = int(members.GOSSIP_FACTOR * math.log2(COURIERS + 2))
         full, placed = list_bytes(reading, TARGET.destinations), list_bytes(reading, PLACED_DESTINATIONS)
         table_rows = []
         for what, count, how_often in (
@@ -538,8 +540,9 @@
             "",
             f"If a region's links fail for {amount(ASSUMED.region_link, 's')} (assumed), each side declares the other "
             f"dead: {TARGET.region:,} couriers consider {COURIERS - TARGET.region:,} dead, and these consider "
-            f"{TARGET.region:,} dead. Each courier tries to reconnect to one dead member every {members.MEET_EVERY} "
-            f"periods, and forgets dead members after {amount(members.KEEP_DEAD / 1e6, 's')}. Meanwhile each side "
+            f"{TARGET.region:,} dead. Each courier tries to reconnect to one dead member every "
+            f"{members.RECONNECT_PERIODS} "
+            f"periods, and forgets dead members after {amount(members.DEAD_RETENTION / 1e6, 's')}. Meanwhile each side "
             f"continues with its shares of limits, receives no observations from the other side, and lends it nothing.",
             "",
             f"A wave of {amount(TARGET.wave / COURIERS, 'share')} of the members that restart within a second was run "
@@ -547,9 +550,11 @@
             f"the others know of all after {amount(reading.at('members-wave', 'known', COURIERS), 's')}, and these "
             f"know all after {amount(reading.at('members-wave', 'joined', COURIERS), 's')}; in groups of "
             f"{TARGET.zone}, {amount(reading.at('members-wave', 'known', TARGET.zone), 's')} and "
-            f"{amount(reading.at('members-wave', 'joined', TARGET.zone), 's')}. A datagram has room for {members.ROOM} "
+            f"{amount(reading.at('members-wave', 'joined', TARGET.zone), 's')}. A datagram has room for "
+            f"{members.MAX_GOSSIPED_MEMBERS} "
             f"members, and a courier sends about {MEMBER_DATAGRAMS} a second (a probe and an answer), so {TARGET.wave} "
-            f"updates take at least {amount(TARGET.wave / members.ROOM / MEMBER_DATAGRAMS, 's')} to be sent once by "
+            f"updates take at least {amount(TARGET.wave / members.MAX_GOSSIPED_MEMBERS / MEMBER_DATAGRAMS, 's')} to be "
+            "sent once by "
             "each.",
             "",
         ]
@@ -871,7 +876,8 @@
             )
     lines += [
         f"1. Members come before all else. Beyond {MAX_MEMBERS:,} of {COURIERS:,} the code refuses more, and beyond "
-        f"{seal.SENDERS:,} it drops their datagrams; loans, observations and counters go to members only. So no other "
+        f"{seal.MAX_SENDERS:,} it drops their datagrams; loans, observations and counters go to members only. So no "
+        "other "
         f"mechanism among couriers can be used or tried at the target before that. {len(exceeded)} rows of members are "
         f"above their bound, and placement helps none of them. {findings}",
         "2. "
@@ -966,7 +972,7 @@
         "- No bound for a courier's memory and disk beside the control plane is known; nor a burst, nor a rack; see "
         "the assumptions.",
         "- Times on the model are multiples of its steps: a courier ticks there every "
-        f"{amount(TICK / 1e6, 's')}, and no datagram waits for a busy process.",
+        f"{amount(TICK_INTERVAL / 1e6, 's')}, and no datagram waits for a busy process.",
         "- Processor time was measured on the machine named above, with other work on other cores.",
     ]
     return ["## Limitations", "", *lines, *(f"- Not measured: {each}." for each in find_problems(rows, slopes)[:5])]
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -15,15 +15,15 @@
 
 from benchmarks.slope import Slope
 from benchmarks.target import TARGET
-from kestrelspar.lab.model import MS, SECOND, TICK, Faults, Net, Traffic
+from kestrelspar.lab.simulated_network import MS, SECOND, TICK_INTERVAL, Faults, SimulatedNetwork, Traffic
 from kestrelspar.peers import seal
-from kestrelspar.peers.counts import Counts
-from kestrelspar.peers.judgements import FRESH, Outcome, rank
-from kestrelspar.peers.members import Stand
-from kestrelspar.peers.peer import DEBT, URGENT, About, Datagrams, Peer
+from kestrelspar.peers.counts import FleetCounters
+from kestrelspar.peers.judgements import OUTAGE_REPORT_MAX_AGE, CallOutcome, probe_rank
+from kestrelspar.peers.members import MemberState
+from kestrelspar.peers.peer import BURST_WINDOW, URGENT_RESERVE, Datagrams, Peer, PeerConfig
 from kestrelspar.peers.seal import Sealer
-from kestrelspar.peers.shares import Shares, Terms, spanned
-from kestrelspar.peers.words import Ack, Datagram, Ping, Said, Seen, Tally
+from kestrelspar.peers.shares import LoanTerms, Shares, budget_for_rate
+from kestrelspar.peers.words import Ack, CounterReport, Datagram, MemberUpdate, Observation, Ping
 
 MODELLED, PURE = "modelled network", "pure module"
 KEY = b"a key for the couriers played ..."[:32]
@@ -40,47 +40,47 @@
 KNOWN_SHARE = 0.99
 
 
-def _net(size: int, seed: int, group: int = 0) -> Net:
+def _net(size: int, seed: int, group: int = 0) -> SimulatedNetwork:
     """Create ``size`` couriers; with ``group``, in groups of that size and two regions with three brokers each."""
     if not group:
-        return Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
+        return SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     groups = max(1, size // group)
-    net = Net(
+    net = SimulatedNetwork(
         size,
         seed,
         Faults(),
         seeds=5,
-        bytes_a_second=TARGET.bytes_a_second,
+        bytes_per_second=TARGET.bytes_a_second,
         brokers={"x": 3, "y": 3},
-        place=lambda n: ("xy"[n % groups % 2], f"z{n % groups}"),
+        placement=lambda n: ("xy"[n % groups % 2], f"z{n % groups}"),
     )
     for name in net.brokers:
         net.start(name)
     return net
 
 
-def _start_informed(net: Net) -> list[Peer]:
+def _start_informed(net: SimulatedNetwork) -> list[Peer]:
     """Start all couriers, each knowing its whole group, with no update left to be gossiped, as long after a start."""
     for name in net.nodes:
         net.start(name)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
-    updates = [as_received(peer.members.me) for peer in peers]
+    updates = [as_received(peer.members.own_update) for peer in peers]
     for peer in peers:
-        _inform(peer, [each for each in updates if each.group == peer.about.group])
+        _inform(peer, [each for each in updates if each.group == peer.config.group])
     return peers
 
 
-def as_received(update: Said) -> Said:
+def as_received(update: MemberUpdate) -> MemberUpdate:
     """Return the update as it is received: a separate object, with an enum member as its state."""
-    message = seal.decode(seal.encode(Datagram(update.name, 1, "x", 1, [update]))).words[0]
-    assert isinstance(message, Said)
+    message = seal.decode(seal.encode(Datagram(update.name, 1, "x", 1, [update]))).messages[0]
+    assert isinstance(message, MemberUpdate)
     return message
 
 
-def _inform(peer: Peer, updates: list[Said]) -> None:
-    peer.members.heard(updates[0].name, updates[0].life, updates, 0)
+def _inform(peer: Peer, updates: list[MemberUpdate]) -> None:
+    peer.members.receive(updates[0].name, updates[0].epoch, updates, 0)
     for member in peer.members.members.values():
-        member.told = GOSSIP_EXHAUSTED
+        member.times_gossiped = GOSSIP_EXHAUSTED
     peer.events, peer.members.events = [], []
 
 
@@ -105,7 +105,7 @@
     run_until(CHECK_AT)
     figures = {
         "least-known": float(min(len(peer.members.alive()) for peer in peers) + 1),
-        "held-back": float(sum(peer.held_back for peer in peers)),
+        "held-back": float(sum(peer.over_bandwidth for peer in peers)),
     }
     gc.collect()
     sent_before, cpu_before, checking_time = sum(peer.sent for peer in peers), time.process_time(), 0.0
@@ -131,7 +131,7 @@
         net.at(started_at + n * RESTART_INTERVAL, lambda n=n: net.start(f"n{size // 2 + n}"))  # type: ignore[misc]
     gc.collect()
     sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
-    epochs, cpu, known = {name: node.life for name, node in net.nodes.items()}, time.process_time(), 0
+    epochs, cpu, known = {name: node.epoch for name, node in net.nodes.items()}, time.process_time(), 0
     checking_time = 0.0
     while net.now < started_at + CHURN_DURATION:
         net.run(net.now + 100 * MS)
@@ -141,12 +141,12 @@
         checking_time += time.process_time() - check_started_at
     cpu = time.process_time() - cpu - checking_time
     sent = sum(
-        node.peer.sent - (sent_before[name] if epochs[name] == node.life else 0)
+        node.peer.sent - (sent_before[name] if epochs[name] == node.epoch else 0)
         for name, node in net.nodes.items()
         if node.peer is not None
     )
     wrongly_dead = sum(
-        member.said.stand is Stand.DEAD and name != stopped
+        member.update.state is MemberState.DEAD and name != stopped
         for node in net.nodes.values()
         if node.peer is not None
         for name, member in node.peer.members.members.items()
@@ -179,20 +179,20 @@
         net.at(net.now + SECOND, lambda name=name: net.start(name))  # type: ignore[misc]
     started_at = net.now
     sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
-    over_bandwidth_before = sum(node.peer.held_back for node in net.nodes.values() if node.peer is not None)
+    over_bandwidth_before = sum(node.peer.over_bandwidth for node in net.nodes.values() if node.peer is not None)
     known = joined = sent = over_bandwidth = 0
     while net.now < started_at + WAVE_DURATION or not known * joined and net.now < started_at + MAX_CONVERGENCE_TIME:
         net.run(net.now + 200 * MS)
         peers = {name: node.peer for name, node in net.nodes.items() if node.peer is not None}
         if not known and len(peers) == size:
-            informed = sum(_knows_epoch(peers[observer], name, net.nodes[name].life) for name, observer in pairs)
+            informed = sum(_knows_epoch(peers[observer], name, net.nodes[name].epoch) for name, observer in pairs)
             known = net.now if informed >= KNOWN_SHARE * len(pairs) else 0
         if not joined and len(peers) == size:
             known_members = sum(len(peers[name].members.alive()) for name in stopped)
             joined = net.now if known_members >= KNOWN_SHARE * len(stopped) * ((group or size) - 1) else 0
         if net.now <= started_at + WAVE_DURATION:
             sent = sum(peer.sent - (0 if name in stopped else sent_before[name]) for name, peer in peers.items())
-            over_bandwidth = sum(peer.held_back for peer in peers.values()) - over_bandwidth_before
+            over_bandwidth = sum(peer.over_bandwidth for peer in peers.values()) - over_bandwidth_before
     return {
         "known": ((known or net.now) - started_at) / SECOND,
         "joined": ((joined or net.now) - started_at) / SECOND,
@@ -203,15 +203,15 @@
 
 def _knows_epoch(peer: Peer, name: str, epoch: int) -> bool:
     member = peer.members.members.get(name)
-    return member is not None and member.said.life == epoch and member.said.stand is Stand.ALIVE
+    return member is not None and member.update.epoch == epoch and member.update.state is MemberState.ALIVE
 
 
-def _count_informed_of_loss(net: Net, name: str) -> int:
+def _count_informed_of_loss(net: SimulatedNetwork, name: str) -> int:
     count = 0
     for node in net.nodes.values():
         if node.peer is not None and node.group == net.nodes[name].group:
             member = node.peer.members.members.get(name)
-            count += member is None or member.said.stand >= Stand.DEAD
+            count += member is None or member.update.state >= MemberState.DEAD
     return count
 
 
@@ -223,22 +223,31 @@
         self.others = [self._update(n) for n in range(1, others + 1)]
         self.by_address = {(update.host, update.port): update for update in self.others}
         self._sealers: dict[str, Sealer] = {}
-        config = About(
-            "c-01-0000", ("10.0.0.1", 2770), 1, [KEY], {}, Terms(others + 1, 0), TARGET.bytes_a_second, most=others + 1
+        config = PeerConfig(
+            "c-01-0000",
+            ("10.0.0.1", 2770),
+            1,
+            [KEY],
+            {},
+            LoanTerms(others + 1, 0),
+            TARGET.bytes_a_second,
+            max_members=others + 1,
         )
         self.now = 0
         self.peer = Peer(config, 0, seed, {})
         for update in self.others:  # decoded one by one, as they are when received
-            self.peer.members.heard(update.name, update.life, [self._update(update.number)], 0)
+            self.peer.members.receive(update.name, update.epoch, [self._update(update.number)], 0)
         for member in self.peer.members.members.values():
-            member.told = GOSSIP_EXHAUSTED
+            member.times_gossiped = GOSSIP_EXHAUSTED
         self.peer.events, self.peer.members.events = [], []
         self.peer.tick(0)
 
     @staticmethod
-    def _update(n: int) -> Said:
+    def _update(n: int) -> MemberUpdate:
         address = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
-        return as_received(Said(f"c-{n % 20:02}-{n:05}", address, 2770, n, 1_780_000_000_000 + n, 0, Stand.ALIVE))
+        return as_received(
+            MemberUpdate(f"c-{n % 20:02}-{n:05}", address, 2770, n, 1_780_000_000_000 + n, 0, MemberState.ALIVE)
+        )
 
     def sealer(self, name: str, epoch: int) -> Sealer:
         """Return the sealer of one of the other couriers."""
@@ -246,26 +255,26 @@
             self._sealers[name] = Sealer(name, epoch, [KEY])
         return self._sealers[name]
 
-    def datagram_from(self, update: Said, *messages: Any) -> bytes:
+    def datagram_from(self, update: MemberUpdate, *messages: Any) -> bytes:
         """Return a datagram from this courier, with piggybacked member updates as real ones have."""
         all_messages = [*messages, *self.random.sample(self.others, min(20, len(self.others)))]
-        while Sealer.size(all_messages, 20) > seal.MOST:
+        while Sealer.size(all_messages, 20) > seal.MAX_DATAGRAM_BYTES:
             all_messages.pop()
-        return self.sealer(update.name, update.life).seal("c-01-0000", all_messages)
+        return self.sealer(update.name, update.epoch).seal("c-01-0000", all_messages)
 
-    def open_datagram(self, address: tuple[str, int], data: bytes) -> tuple[Said, Datagram]:
+    def open_datagram(self, address: tuple[str, int], data: bytes) -> tuple[MemberUpdate, Datagram]:
         """Return the receiver and the content of a datagram that the courier sent."""
         update = self.by_address[address]
-        return update, self.sealer(update.name, update.life).open(data)
+        return update, self.sealer(update.name, update.epoch).open(data)
 
 
 def measure_single_courier(size: int, seed: int) -> dict[str, float]:
     """Measure one courier that knows ``size`` members: memory, and 60 s of probes, answers and target restarts."""
-    seal.SENDERS = max(seal.SENDERS, size + 1)  # raised like the bound on members, in this process only
+    seal.MAX_SENDERS = max(seal.MAX_SENDERS, size + 1)  # raised like the bound on members, in this process only
     tracemalloc.start()
     fleet = SimulatedFleet(size, seed)
     for update in fleet.others:  # each one has sent before, so its sequence number is stored
-        fleet.peer.sealer.open(fleet.sealer(update.name, update.life).seal("c-01-0000", []))
+        fleet.peer.sealer.open(fleet.sealer(update.name, update.epoch).seal("c-01-0000", []))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
     del fleet.peer
@@ -277,24 +286,30 @@
     waiting: list[tuple[int, bytes]] = []
     restart_interval, last_ping_second = int(TARGET.restart_interval * SECOND), 0
     while fleet.now < SINGLE_DURATION:
-        fleet.now += TICK
+        fleet.now += TICK_INTERVAL
         incoming = [data for due_at, data in waiting if due_at <= fleet.now]
         waiting = [(due_at, data) for due_at, data in waiting if due_at > fleet.now]
         if fleet.now // SECOND != last_ping_second:  # each is probed by one other per period, on average
             last_ping_second = fleet.now // SECOND
             incoming.append(fleet.datagram_from(fleet.random.choice(fleet.others), Ping(last_ping_second)))
-        if fleet.now % restart_interval < TICK:  # one restart in the fleet, learnt by gossip
+        if fleet.now % restart_interval < TICK_INTERVAL:  # one restart in the fleet, learnt by gossip
             n = fleet.random.randrange(len(fleet.others))
             previous = fleet.others[n]
-            fleet.others[n] = Said(
-                previous.name, previous.host, previous.port, previous.number, previous.life + 1_000, 0, Stand.ALIVE
+            fleet.others[n] = MemberUpdate(
+                previous.name,
+                previous.host,
+                previous.port,
+                previous.number,
+                previous.epoch + 1_000,
+                0,
+                MemberState.ALIVE,
             )
             fleet.by_address[(previous.host, previous.port)] = fleet.others[n]
             incoming.append(fleet.datagram_from(fleet.random.choice(fleet.others), fleet.others[n]))
         outgoing: Datagrams = []
         cpu_started_at = time.process_time()
         for data in incoming:
-            outgoing += peer.hear(data, fleet.now)
+            outgoing += peer.receive(data, fleet.now)
         outgoing += peer.tick(fleet.now)
         cpu += time.process_time() - cpu_started_at
         peer.events = []
@@ -303,7 +318,7 @@
             update, datagram = fleet.open_datagram(address, data)
             waiting += [
                 (fleet.now + 5 * MS, fleet.datagram_from(update, Ack(message.n)))
-                for message in datagram.words
+                for message in datagram.messages
                 if isinstance(message, Ping)
             ]
     return {
@@ -315,22 +330,22 @@
 
 def measure_observation(size: int, seed: int) -> dict[str, float]:
     """Let all know all; one courier sees a failed call and reports it."""
-    net = Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
+    net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     net.run(SETTLING_TIME)
     for each in peers:
-        each.judgements.routes({"x": 1})
+        each.observations.set_routes({"x": 1})
     witness, started_at = peers[0], net.now
     seen_at = net.nodes["n0"].clock(started_at)
-    witness.judgements.saw("x", Outcome.FAILED, seen_at, seen_at)
+    witness.observations.record_call("x", CallOutcome.FAILED, seen_at, seen_at)
     sent_before, known = witness.sent, 0
     while net.now < started_at + OBSERVATION_DURATION:
         net.run(net.now + 5 * MS)
-        if not known and sum("n0" in each.judgements._heard.get("x", {}) for each in peers) >= int(
+        if not known and sum("n0" in each.observations._records.get("x", {}) for each in peers) >= int(
             KNOWN_SHARE * (size - 1)
         ):
             known = net.now
-    informed = sum("n0" in each.judgements._heard.get("x", {}) for each in peers)
+    informed = sum("n0" in each.observations._records.get("x", {}) for each in peers)
     return {
         "sent": float(witness.sent - sent_before),
         "known": ((known or net.now) - started_at) / SECOND,
@@ -342,12 +357,12 @@
     """Measure how many members one courier informs of a failed call before the observation expires, and the bytes."""
     fleet = SimulatedFleet(size, seed)
     peer = fleet.peer
-    peer.judgements.routes({"x": 1})
+    peer.observations.set_routes({"x": 1})
     while fleet.now < SETTLING_TIME:
-        fleet.now += TICK
+        fleet.now += TICK_INTERVAL
         peer.tick(fleet.now)
     started_at = last_informed_at = fleet.now
-    peer.judgements.saw("x", Outcome.FAILED, started_at, started_at)
+    peer.observations.record_call("x", CallOutcome.FAILED, started_at, started_at)
     informed: set[str] = set()
     sent, cpu = 0, 0.0
     while fleet.now < started_at + 2 * OBSERVATION_DURATION:
@@ -356,12 +371,12 @@
         cpu += time.process_time() - cpu_started_at
         for address, data in outgoing:
             update, datagram = fleet.open_datagram(address, data)
-            if any(isinstance(each, Seen) for each in datagram.words):
+            if any(isinstance(each, Observation) for each in datagram.messages):
                 sent += len(data)
                 if update.name not in informed:
                     informed.add(update.name)
                     last_informed_at = fleet.now
-        fleet.now += TICK
+        fleet.now += TICK_INTERVAL
     return {
         "told": float(len(informed)),
         "sent": float(sent),
@@ -372,8 +387,8 @@
 
 def measure_budgets(size: int, seed: int) -> dict[str, float]:
     """Measure one limit of 50 calls a second at a load of 0.8, half of it at one courier; all know all."""
-    net = Net(size, seed, Faults(), bytes_a_second=TARGET.bytes_a_second)
-    calls, window = spanned(float(CALLS), size)
+    net = SimulatedNetwork(size, seed, Faults(), bytes_per_second=TARGET.bytes_a_second)
+    calls, window = budget_for_rate(float(CALLS), size)
     net.budget("d", calls, window)
     peers = _start_informed(net)
     total_rate = CALLS * LOAD
@@ -384,8 +399,8 @@
         MESSAGE_TIMEOUT,
     )
     warm_up = max(WARM_UP, 2 * window)
-    traffic.since = warm_up
-    net.at(warm_up, lambda: setattr(traffic, "came", 0))
+    traffic.count_from = warm_up
+    net.at(warm_up, lambda: setattr(traffic, "arrived", 0))
     net.run(warm_up)
     sent_before = sum(peer.sent for peer in peers)
     net.run(warm_up + LOAD_DURATION)
@@ -393,10 +408,10 @@
     traffic.rates.update(dict.fromkeys(traffic.rates, 0.0))
     net.run(warm_up + LOAD_DURATION + MESSAGE_TIMEOUT)
     return {
-        "served": traffic.served / max(1, traffic.came),
+        "served": traffic.served / max(1, traffic.arrived),
         "span": window / SECOND,
         "sent": sent / (size * LOAD_DURATION / SECOND),
-        "above": float(len(net.judge.faults)),
+        "above": float(len(net.budget_checker.violations)),
     }
 
 
@@ -412,64 +427,66 @@
     gc.collect()
     now, ticks, cpu_started_at = 100 * SECOND, 10, time.process_time()
     for n in range(ticks):
-        shares.tick(now + n * TICK, peers)
+        shares.tick(now + n * TICK_INTERVAL, peers)
     return {"memory": memory / 1e6, "tick": (time.process_time() - cpu_started_at) * 1e3 / ticks}
 
 
 def _shares(size: int, seed: int) -> Shares:
-    shares = Shares(Terms(TARGET.couriers, seed), 1, 0, {}, Random(seed))
-    calls, window = spanned(2 * TARGET.events_per_destination, TARGET.couriers)
+    shares = Shares(LoanTerms(TARGET.couriers, seed), 1, 0, {}, Random(seed))
+    calls, window = budget_for_rate(2 * TARGET.events_per_destination, TARGET.couriers)
     for n in range(size):
-        shares.budget(f"e:hub-{n:07}.example:8080", calls, window)
+        shares.set_budget(f"e:hub-{n:07}.example:8080", calls, window)
     return shares
 
 
 def measure_counts(size: int, seed: int) -> dict[str, float]:
     """Let all know all, each with 20 counters; one courier requests those of all others."""
-    net = Net(size, seed, Faults(), seeds=5, bytes_a_second=TARGET.bytes_a_second)
+    net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     for each in peers:
         for n in range(COUNTERS_PER_COURIER):
-            each.counts.add(f"calls/{n}/ok", n + 1)
+            each.counters.add(f"calls/{n}/ok", n + 1)
     net.run(SETTLING_TIME)
     started_at, requester = net.now, peers[0]
-    received_before = requester.heard
-    requester.counts.want()
+    received_before = requester.received
+    requester.counters.request_all()
     known = 0
     while net.now < started_at + COUNTS_DURATION:
         net.run(net.now + 50 * MS)
-        if not known and _complete_reports(requester.counts) >= int(KNOWN_SHARE * size):
+        if not known and _complete_reports(requester.counters) >= int(KNOWN_SHARE * size):
             known = net.now
     return {
         "known": ((known or net.now) - started_at) / SECOND,
-        "whole": float(_complete_reports(requester.counts)),
-        "heard": float(requester.heard - received_before),
+        "whole": float(_complete_reports(requester.counters)),
+        "heard": float(requester.received - received_before),
     }
 
 
-def _complete_reports(counts: Counts) -> int:
-    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counts.held.values())
+def _complete_reports(counts: FleetCounters) -> int:
+    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counts.by_courier.values())
 
 
 def measure_counts_held(size: int, seed: int) -> dict[str, float]:
     """Measure memory for 20 counters of each of ``size`` couriers, and summing them up for reports."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
-    counts = Counts("n0", 1, 0, {}, Random(seed))
+    counts = FleetCounters("n0", 1, 0, {}, Random(seed))
     for n in range(1, size):
-        report = Tally(f"c-{n:05}", 1, False, 0, [(f"calls/{k}/ok", n + k) for k in range(COUNTERS_PER_COURIER)])
-        for each in seal.decode(seal.encode(Datagram("x", 1, "y", 1, [report]))).words:
-            assert isinstance(each, Tally)
+        report = CounterReport(
+            f"c-{n:05}", 1, False, 0, [(f"calls/{k}/ok", n + k) for k in range(COUNTERS_PER_COURIER)]
+        )
+        for each in seal.decode(seal.encode(Datagram("x", 1, "y", 1, [report]))).messages:
+            assert isinstance(each, CounterReport)
             counts.merge(each, 0)
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
     cpu_started_at = time.process_time()
-    counts.fleet(SECOND)
+    counts.fleet_totals(SECOND)
     return {
         "memory": memory / 1e6,
         "sums": (time.process_time() - cpu_started_at) * 1e3,
-        "couriers": float(len(counts.held)),
+        "couriers": float(len(counts.by_courier)),
     }
 
 
@@ -477,14 +494,14 @@
     """Measure one courier that counts calls by ``size`` destinations: separate counters, and bytes to report all."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
-    own = Counts("c-01-0000", 1, 0, {}, Random(seed))
+    own = FleetCounters("c-01-0000", 1, 0, {}, Random(seed))
     for n in range(size):
         own.add(f"calls/{n}/ok", n + 1)
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
-    report_bytes = sum(len(seal.encode(each)) for each in own.told("c-01-0000", 0))
-    return {"memory": memory / 1e6, "apart": float(len(own.own())), "told": float(report_bytes)}
+    report_bytes = sum(len(seal.encode(each)) for each in own.reports_on("c-01-0000", 0))
+    return {"memory": memory / 1e6, "apart": float(len(own.own_totals())), "told": float(report_bytes)}
 
 
 def measure_probe_rank(size: int, seed: int) -> dict[str, float]:
@@ -493,13 +510,15 @@
     repetitions = max(3, 20_000 // size)
     cpu_started_at = time.process_time()
     for n in range(repetitions):
-        rank(f"hub-{seed}-{n}.example:8080", "c-01-0000", others)
+        probe_rank(f"hub-{seed}-{n}.example:8080", "c-01-0000", others)
     return {"processor": (time.process_time() - cpu_started_at) * 1e6 / repetitions}
 
 
 # A failure is reported for FRESH. Until then a courier may send its bandwidth and what it saved up (DEBT), except for
 # the reserve for probes (URGENT). From 95 % of that on, the bound determines the bytes sent: the run counts as cut off.
-MAX_OBSERVATION_BYTES = 0.95 * TARGET.bytes_a_second * ((FRESH + DEBT) / SECOND - URGENT)
+MAX_OBSERVATION_BYTES = (
+    0.95 * TARGET.bytes_a_second * ((OUTAGE_REPORT_MAX_AGE + BURST_WINDOW) / SECOND - URGENT_RESERVE)
+)
 
 MODELLED_SIZES = (50, 100, 200, 400, 800)
 SINGLE_SIZES = (100, 1_000, 4_000, 10_000)
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -13,21 +13,23 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from benchmarks.capacity import Row as Measured
+from benchmarks.capacity import MeasuredRun as Measured
 from benchmarks.capacity_fit import Fit, fit
 from benchmarks.slope import Slope
 from benchmarks.target import ASSUMED, TARGET
-from kestrelspar.http.watch import MOST_LINE
+from kestrelspar.http.watch import MAX_LINE_BYTES
 from kestrelspar.peers import counts, seal, shares
-from kestrelspar.peers.brokers import COPIES, SECOND, TERM
-from kestrelspar.peers.judgements import ROUNDS
-from kestrelspar.peers.link import MOST_TICK
-from kestrelspar.peers.peer import About
+from kestrelspar.peers.brokers import LEASE_TERM, OWNERS_PER_REGION, SECOND
+from kestrelspar.peers.judgements import REPORT_ROUNDS
+from kestrelspar.peers.link import MAX_TICK_INTERVAL
+from kestrelspar.peers.peer import PeerConfig
 
-MAX_MEMBERS: int = next(each.default for each in dataclasses.fields(About) if each.name == "most")
-MIN_SHARE_FOR_LOANS = math.ceil(1 / shares.LEND)  # calls; nothing of a smaller share is lent
+MAX_MEMBERS: int = next(each.default for each in dataclasses.fields(PeerConfig) if each.name == "max_members")
+MIN_SHARE_FOR_LOANS = math.ceil(1 / shares.MAX_LENT_PART)  # calls; nothing of a smaller share is lent
 COUNTERS_PER_DESTINATION = 2  # at least: calls by outcome, and the use of its budget (link.py)
-TICKS_PER_SECOND = 1_000_000 / MOST_TICK  # at least: the interval between ticks is longest if the state is large
+TICKS_PER_SECOND = (
+    1_000_000 / MAX_TICK_INTERVAL
+)  # at least: the interval between ticks is longest if the state is large
 
 
 class NotMeasured(Exception):
@@ -179,13 +181,13 @@
 
 def _observations_at_broker(r: Reading, figure: str) -> float:
     """Return one broker's load of observations: each down destination is probed once per step, and the failure sent."""
-    observations = TARGET.destinations_down * COPIES * ROUNDS / TARGET.control_machines
+    observations = TARGET.destinations_down * OWNERS_PER_REGION * REPORT_ROUNDS / TARGET.control_machines
     return observations * r.at("broker", figure, TARGET.region)
 
 
 def _renewals_at_broker(r: Reading, figure: str) -> float:
     """Return one broker's load of leases: each courier of its region renews three times per term."""
-    return TARGET.region * 3 * SECOND / TERM * r.at("broker", figure, TARGET.region)
+    return TARGET.region * 3 * SECOND / LEASE_TERM * r.at("broker", figure, TARGET.region)
 
 
 ROWS: tuple[Row, ...] = (
@@ -209,7 +211,7 @@
         "couriers, over the maximum in the code",
         lambda r: COURIERS,
         "count",
-        seal.SENDERS,
+        seal.MAX_SENDERS,
         f"{CODE}: datagrams of more are dropped (`seal.SENDERS`)",
         Mechanism.GROUPS,
         lambda r: TARGET.zone,
@@ -398,7 +400,7 @@
         "couriers, over the maximum in the code",
         lambda r: COURIERS,
         "count",
-        counts.HELD,
+        counts.MAX_COURIERS,
         f"{CODE}: nothing is held of more (`counts.HELD`)",
         Mechanism.COUNTS,
         lambda r: TARGET.zone,
@@ -410,7 +412,7 @@
         "destinations x counters of each, over the maximum of separate counters",
         lambda r: TARGET.destinations * COUNTERS_PER_DESTINATION,
         "count",
-        counts.MOST,
+        counts.MAX_COUNTERS,
         f"{CODE}: further ones share one counter (`counts.MOST`)",
         Mechanism.COUNTS,
         lambda r: PLACED_DESTINATIONS * COUNTERS_PER_DESTINATION,
@@ -471,7 +473,7 @@
         "destinations x what each adds to list-again.wire",
         lambda r: list_bytes(r, TARGET.destinations),
         "bytes",
-        MOST_LINE,
+        MAX_LINE_BYTES,
         f"{CODE}: a longer line closes the watch (`watch.MOST_LINE`)",
         Mechanism.LISTS,
         lambda r: list_bytes(r, PLACED_DESTINATIONS),
--- a/benchmarks/message.py
+++ b/benchmarks/message.py
@@ -24,8 +24,8 @@
     parser.add_argument("--rate", type=int, default=150)
     parser.add_argument("--for", dest="span", type=int, default=15)
     options = parser.parse_args()
-    loop, seen = Loop(), platform.Seen()
-    hops = [platform.NextHop(loop, seen, n, platform.Manners(10 * MS, 20 * MS)) for n in range(HOPS)]
+    loop, seen = Loop(), platform.CallRecord()
+    hops = [platform.NextHop(loop, seen, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)]
     rows = [endpoint_row(n, hop.address, n) for n, hop in enumerate(hops)]
     discovery = platform.Discovery(loop, rows)
     with (
@@ -40,7 +40,8 @@
         busy = process_usage(courier.process.pid)
     accepted = statuses.count(202)
     print(
-        f"{'messages accepted':<40} {accepted} in {time.monotonic() - started_at:.0f} s, delivered {len(seen.answered)}"
+        f"{'messages accepted':<40} {accepted} in {time.monotonic() - started_at:.0f} s, delivered "
+        f"{len(seen.first_answered_at)}"
     )
     print(f"{'CPU per message':<40} {(busy[0] - idle[0]) * 1e6 / accepted:.0f} us")
     print(f"{'memory idle, busy, peak':<40} {idle[1] / 1024:.1f}, {busy[1] / 1024:.1f}, {busy[2] / 1024:.1f} MB")
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from kestrelspar.lab import play as lab
-from kestrelspar.lab.model import MS, SECOND, Faults, Net, Traffic
 from kestrelspar.lab.scenario import load
-from kestrelspar.peers.judgements import Outcome, Voice
+from kestrelspar.lab.simulated_network import MS, SECOND, Faults, SimulatedNetwork, Traffic
+from kestrelspar.peers.judgements import CallOutcome, ClaimSource
 
 COURIERS, CALLS, WARM_UP, LOAD_DURATION, MESSAGE_TIMEOUT = 10, 50, 8 * SECOND, 30 * SECOND, 4 * SECOND
 
@@ -35,7 +35,7 @@
 
 def run_model(seed: int, load: float, mode: str) -> tuple[float, int]:
     """Return the share of the messages served, and the maximum number of calls in any second."""
-    net = Net(COURIERS, seed, Faults(), 0.001)
+    net = SimulatedNetwork(COURIERS, seed, Faults(), 0.001)
     net.budget("d", CALLS)
     for name in net.nodes:
         net.start(name)
@@ -44,11 +44,11 @@
     if mode == "partition":
         net.cut = lambda a, b: net.now // (5 * SECOND) % 2 == 1 and (int(a[1:]) % 3 == 0) != (int(b[1:]) % 3 == 0)
     traffic = Traffic(net, "d", message_rates(load), MESSAGE_TIMEOUT)
-    traffic.since = WARM_UP
-    net.at(WARM_UP, lambda: setattr(traffic, "came", 0))
+    traffic.count_from = WARM_UP
+    net.at(WARM_UP, lambda: setattr(traffic, "arrived", 0))
     net.at(WARM_UP + LOAD_DURATION, lambda: traffic.rates.update(dict.fromkeys(traffic.rates, 0.0)))
     net.run(WARM_UP + LOAD_DURATION + MESSAGE_TIMEOUT)
-    return traffic.served / max(1, traffic.came), net.judge.most["d"]
+    return traffic.served / max(1, traffic.arrived), net.budget_checker.max_calls["d"]
 
 
 def ideal_share_served(seed: int, load: float) -> float:
@@ -79,7 +79,7 @@
 
 def idle_cost(members: int, duration: int = 20 * SECOND) -> tuple[float, float]:
     """Return the bytes and the microseconds of CPU per second for each of ``members`` idle couriers."""
-    net = Net(members, 1, Faults(), seeds=5)
+    net = SimulatedNetwork(members, 1, Faults(), seeds=5)
     for name in net.nodes:
         net.start(name)
     net.run(30 * SECOND)
@@ -92,18 +92,20 @@
 
 def propagation_time(members: int, loss: float, seed: int) -> tuple[float, float]:
     """Return the seconds until 99 % of the members know one courier's observation, and the bytes that it sent."""
-    net = Net(members, seed, Faults(loss=loss), seeds=5, bytes_a_second=20_000)
+    net = SimulatedNetwork(members, seed, Faults(loss=loss), seeds=5, bytes_per_second=20_000)
     for name in net.nodes:
         net.start(name)
     net.run(30 * SECOND)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
     for each in peers:
-        each.judgements.routes({"x": 1})
+        each.observations.set_routes({"x": 1})
     witness, started_at = peers[0], net.now
     seen_at = net.nodes["n0"].clock(started_at)
-    witness.judgements.saw("x", Outcome.FAILED, seen_at, seen_at)
+    witness.observations.record_call("x", CallOutcome.FAILED, seen_at, seen_at)
     sent_before = witness.sent
-    while sum(Voice("n0") in each.judgements._heard.get("x", {}) for each in peers) < int(0.99 * (members - 1)):
+    while sum(ClaimSource("n0") in each.observations._records.get("x", {}) for each in peers) < int(
+        0.99 * (members - 1)
+    ):
         if net.now > started_at + 20 * SECOND:
             return 20.0, 0.0
         net.run(net.now + 5 * MS)
@@ -117,7 +119,7 @@
     settings = load(str(Path(__file__).parent.parent / "scenarios" / f"{scenario}.conf"), couriers)
     settings.peers = peers
     with tempfile.TemporaryDirectory(prefix="kestrelspar-bench-") as state_directory:
-        return lab.play(settings, Path(state_directory), seed)
+        return lab.run_scenario(settings, Path(state_directory), seed)
 
 
 def compare_scenario(scenario: str, couriers: int, seeds: range) -> None:
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -14,7 +14,7 @@
 import ujson
 
 from kestrelspar.http import parser
-from kestrelspar.http.watch import MOST_LINE
+from kestrelspar.http.watch import MAX_LINE_BYTES
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.standins import platform
@@ -51,7 +51,7 @@
 
     loop.spawn(task)
     deadline = loop.clock() + timeout
-    loop.at(deadline, lambda: None)  # wakes the loop up, which might wait forever in its last turn otherwise
+    loop.call_at(deadline, lambda: None)  # wakes the loop up, which might wait forever in its last turn otherwise
     while not outcomes:
         if loop.clock() >= deadline:
             raise NotMeasured(f"{call.__qualname__} did not end within {timeout // SECOND} s")
@@ -77,11 +77,11 @@
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        if head.first[0] == "POST" or "watch=1" not in head.first[1]:
+        if head.start_line[0] == "POST" or "watch=1" not in head.start_line[1]:
             return super().reply(stream, head, body)
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", self.loop.now + SECOND)
         self._watches.append(stream)
-        while not stream.ended():
+        while not stream.peer_closed():
             if not self._writing:
                 stream.write(b"1\r\n\n\r\n", self.loop.now + SECOND)
             self.loop.sleep(SECOND)
@@ -107,7 +107,7 @@
         except (Closed, Late) as error:
             raise NotMeasured(
                 f"the courier did not read a line of {len(line)} bytes from discovery ({error!r}); "
-                f"it reads at most {MOST_LINE}"
+                f"it reads at most {MAX_LINE_BYTES}"
             ) from error
         finally:
             self._writing = False
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from kestrelspar.core.courier import Answer, Courier, End, Message
-from kestrelspar.http.nexthop import NextHops
+from kestrelspar.http.nexthop import HttpCarrier
 from kestrelspar.journal import Journal
 from kestrelspar.registry.follower import Follower
 from kestrelspar.runtime import logs
@@ -53,11 +53,11 @@
     name = "http"
     end_count = 0
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         """Recover no message."""
         return False
 
-    def settle(self, message: Message, end: End) -> None:
+    def report_end(self, message: Message, end: End) -> None:
         """Count one message."""
         self.end_count += 1
 
@@ -67,13 +67,13 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize() // 1024
 
 
-def make_courier(loop: Loop, state_directory: str) -> tuple[Courier, NextHops, BufferPool]:
+def make_courier(loop: Loop, state_directory: str) -> tuple[Courier, HttpCarrier, BufferPool]:
     """Create a courier without front ends."""
-    parsed_settings = settings.read(platform.settings(slots=64, most_open=1_000))
+    parsed_settings = settings.read(platform.settings(slots=64, max_open=1_000))
     buffers = BufferPool(256)
     courier = Courier(loop, parsed_settings, 1, Journal(state_directory, 20_000_000))
     courier.senders["http"] = CountingSender()
-    return courier, NextHops(loop, buffers, parsed_settings, 100), buffers
+    return courier, HttpCarrier(loop, buffers, parsed_settings, 100), buffers
 
 
 def registry_section(wire: str, *ports: int) -> Registry:
@@ -149,7 +149,7 @@
         with tempfile.TemporaryDirectory() as state_directory:
             courier, carrier, buffers = make_courier(loop, state_directory)
             follower = Follower(loop, buffers, courier, carrier, registry_section(wire, port), state_directory, 1)
-            read_at, fill, apply_update = [0], Stream.fill, courier.listed
+            read_at, fill, apply_update = [0], Stream.fill, courier.apply_map_update
 
             def timed_fill(self: Stream, deadline: int | None) -> None:
                 fill(self, deadline)
@@ -162,7 +162,7 @@
             follower.start()
             while not follower.sync.listed:
                 loop.turn()
-            Stream.fill, courier.listed = timed_fill, timed_update  # type: ignore[method-assign]
+            Stream.fill, courier.apply_map_update = timed_fill, timed_update  # type: ignore[method-assign]
             loop.longest_turn, cpu, started_at = 0, time.process_time(), loop.now
             while loop.now < started_at + seconds * SECOND:
                 loop.turn()
@@ -186,17 +186,17 @@
     delays: list[int] = []
     with tempfile.TemporaryDirectory() as state_directory:
         courier, carrier, buffers = make_courier(loop, state_directory)
-        seen = platform.Seen()
-        hops = [platform.NextHop(loop, seen, n, platform.Manners(5 * MS, 10 * MS)) for n in range(2)]
+        seen = platform.CallRecord()
+        hops = [platform.NextHop(loop, seen, n, platform.Behaviour(5 * MS, 10 * MS)) for n in range(2)]
         store = Store()
         listener = free_listener()
         member = Member(loop, store, listener)
         last_calls: dict[bytes, int] = {}
         attempt = carrier.attempt
 
-        def recorded_attempt(message: Any, hop: Any, deadline: int, leave: Any) -> Any:
+        def recorded_attempt(message: Any, hop: Any, deadline: int, guard: Any) -> Any:
             def recorded_leave() -> bool:
-                may_leave = leave()
+                may_leave = guard()
                 if may_leave:
                     last_calls[hop.endpoint.id] = loop.clock()
                 return bool(may_leave)
@@ -218,7 +218,7 @@
                 loop.sleep(5 * MS)
                 number += 1
                 message = Message(f"m{number}", 0, 0, 1, loop.now + 4 * SECOND, b"x", courier.senders["http"])
-                loop.spawn(courier.carry, message, lambda answer: isinstance(answer, Answer))
+                loop.spawn(courier.submit, message, lambda answer: isinstance(answer, Answer))
 
         def both_ready() -> bool:
             states = [hop.endpoint.state for hop in courier.map.hops.values()]
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -25,11 +25,11 @@
 from kestrelspar.http import parser
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
-from kestrelspar.smpp.conform import Account
+from kestrelspar.smpp.conform import Credentials
 from kestrelspar.smpp.pdu import Command, Pdu
 from kestrelspar.smpp.probe import Esme
 from kestrelspar.standins import platform
-from kestrelspar.standins.gateway import Gateway, Manners
+from kestrelspar.standins.gateway import Behaviour, Gateway
 from kestrelspar.standins.server import free_listener
 
 HOPS, CLIENTS, WINDOW = 4, 8, 10
@@ -41,8 +41,10 @@
     """The stand-in servers, and the program between them."""
 
     def __init__(self, limit: int = 0) -> None:
-        self.loop, self.buffers, self.seen = Loop(), BufferPool(2048), platform.Seen()
-        self.hops = [platform.NextHop(self.loop, self.seen, n, platform.Manners(10 * MS, 20 * MS)) for n in range(HOPS)]
+        self.loop, self.buffers, self.seen = Loop(), BufferPool(2048), platform.CallRecord()
+        self.hops = [
+            platform.NextHop(self.loop, self.seen, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)
+        ]
         self.rows = [
             {
                 "name": f"hop-{n}",
@@ -58,7 +60,7 @@
         ]
         self.discovery = platform.Discovery(self.loop, self.rows)
         gateway_listener = free_listener()
-        self.gateway = Gateway(self.loop, gateway_listener, Manners(limit=limit))
+        self.gateway = Gateway(self.loop, gateway_listener, Behaviour(limit=limit))
         self.gateway_address: tuple[str, int] = gateway_listener.getsockname()
         with free_listener() as http_listener, free_listener() as smpp_listener:
             self.http: tuple[str, int] = http_listener.getsockname()
@@ -125,7 +127,7 @@
     def esme(self, command: Command = Command.BIND_TRANSMITTER) -> Esme:
         """Return a bound ESME."""
         client = Esme(self.loop, self.stream(self.smpp))
-        client.bind(command, Account("acme", "secret"), 2 * SECOND)
+        client.bind(command, Credentials("acme", "secret"), 2 * SECOND)
         return client
 
 
@@ -190,7 +192,7 @@
                                 accepted = parser.read_head(stream, None, response=True).status == 202
                             else:
                                 assert esme is not None
-                                accepted = esme.ask(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND).status == 0
+                                accepted = esme.request(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND).status == 0
                             accepted_count[0] += accepted
                             submitted[0] += 1
                             number += 1
@@ -227,7 +229,7 @@
         answered = [0]
 
         def submit_one(esme: Esme, number: int) -> None:
-            esme.ask(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND)
+            esme.request(submit_sm(number, f"37{number % HOPS}"), 5 * SECOND)
             answered[0] += 1
 
         for number, esme in enumerate(bound_sessions):
@@ -250,7 +252,7 @@
         def submit_all() -> None:
             esme = environment.esme()
             for number in range(count):
-                response = esme.ask(
+                response = esme.request(
                     Pdu(
                         Command.SUBMIT_SM,
                         fields={"service_type": "WO", "source_addr": "100", "destination_addr": "9001"},
@@ -261,15 +263,15 @@
                 accepted[0] += response.status == 0
 
         environment.loop.spawn(submit_all)
-        environment.wait(60 * SECOND, lambda: accepted[0] > 0 and environment.gateway.took.total() >= count)
+        environment.wait(60 * SECOND, lambda: accepted[0] > 0 and environment.gateway.accepted.total() >= count)
         gateway = environment.gateway
-    seconds = (gateway.last - gateway.first) / SECOND
+    seconds = (gateway.last_accepted_at - gateway.first_accepted_at) / SECOND
     min_seconds = (count - limit) / limit  # the messages of the first second may be sent at once
     refused = gateway.answers["ESME_RTHROTTLED"]
     print(
-        f"burst of {count}, {limit} within a second: {gateway.took.total()} in {seconds:.2f} s; "
+        f"burst of {count}, {limit} within a second: {gateway.accepted.total()} in {seconds:.2f} s; "
         f"{count / limit:.1f} s at its rate ({seconds * limit / count:.2f}), at least {min_seconds:.1f} s; refused "
-        f"{refused} ({refused / count:.1%}), duplicates {gateway.took.total() - len(gateway.took)}"
+        f"{refused} ({refused / count:.1%}), duplicates {gateway.accepted.total() - len(gateway.accepted)}"
     )
 
 
--- a/kestrelspar/cli/config.py
+++ b/kestrelspar/cli/config.py
@@ -21,7 +21,7 @@
 
 
 def _path(file: str | None) -> str:
-    return file or conf_file.where(os.environ)
+    return file or conf_file.configuration_path(os.environ)
 
 
 @verb.command()
--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -23,7 +23,7 @@
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.standins import platform
-from kestrelspar.standins.platform import CLASSES, Manners, Seen
+from kestrelspar.standins.platform import CLASSES, Behaviour, CallRecord
 from kestrelspar.standins.server import free_listener
 
 READY_TIMEOUT = 15 * SECOND
@@ -46,9 +46,9 @@
 
     def __init__(self, loop: Loop, directory: Path, rate: float, seed: int) -> None:
         self.loop, self.rate, self.random = loop, rate, random.Random(seed)
-        self.buffers, self.seen = BufferPool(1024), Seen()
+        self.buffers, self.seen = BufferPool(1024), CallRecord()
         self.sent: dict[str, SentMessage] = {}  # by trace id
-        behaviours = (Manners(), Manners(min_latency=40 * MS, refused=0.05, error=0.03))
+        behaviours = (Behaviour(), Behaviour(min_latency=40 * MS, refused=0.05, error=0.03))
         hops = [
             platform.NextHop(loop, self.seen, seed + index, behaviour) for index, behaviour in enumerate(behaviours)
         ]
@@ -67,7 +67,7 @@
             for group in GROUPS
         ]
         self.discovery = platform.Discovery(loop, rows)
-        self.discovery.heard = self._receive_notice
+        self.discovery.on_notice = self._receive_notice
         with free_listener() as reserved:  # picks a free port; closed before the courier binds it
             self.listen: tuple[str, int] = reserved.getsockname()
         config = platform.configuration("{}:{}".format(*self.listen), self.discovery.address, str(directory))
@@ -103,7 +103,7 @@
         try:
             stream.write(request, self.loop.now + SECOND)
             return parser.read_head(stream, self.loop.now + SECOND, response=True).status
-        except (Closed, Late, parser.BadMessage):
+        except (Closed, Late, parser.MalformedMessageError):
             return 0
         finally:
             stream.close()
@@ -135,7 +135,7 @@
         sent = self.sent[trace]
         if sent.status != 202:
             return ["returned"] if sent.status in (429, 503) else ["not answered"]
-        delivered = ["delivered"] if trace in self.seen.answered else []
+        delivered = ["delivered"] if trace in self.seen.first_answered_at else []
         return delivered + sorted(set(sent.notices))
 
     def pending(self) -> int:
@@ -158,7 +158,7 @@
 
     def progress_text(self) -> str:
         """Counts of messages for the progress bar."""
-        return f"{len(self.sent)} submitted, {len(self.seen.answered)} delivered, {self.pending()} pending"
+        return f"{len(self.sent)} submitted, {len(self.seen.first_answered_at)} delivered, {self.pending()} pending"
 
     def stop(self) -> int:
         """Stop the courier by SIGTERM, killing it after 5 s, and return its exit code."""
@@ -189,7 +189,9 @@
             traces = [trace for trace, sent in self.sent.items() if sent.cls == cls]
             outcomes = [outcome for trace in traces for outcome in self.outcomes(trace)]
             latencies = sorted(
-                self.seen.answered[t] - self.sent[t].submitted_at for t in traces if t in self.seen.answered
+                self.seen.first_answered_at[t] - self.sent[t].submitted_at
+                for t in traces
+                if t in self.seen.first_answered_at
             )
             table.add_row(
                 cls,
--- a/kestrelspar/cli/journal.py
+++ b/kestrelspar/cli/journal.py
@@ -25,12 +25,12 @@
     if state is not None:
         return Path(state)
     try:
-        return Path(platform.read(os.environ, again=True).state)
+        return Path(platform.read(os.environ, reload=True).state)
     except ValueError as error:
         raise ConfigurationError(ValueError(f"--state is not given, and {error}")) from error
 
 
-def _read_journal(state: str | None) -> tuple[Path, reading.Found]:
+def _read_journal(state: str | None) -> tuple[Path, reading.JournalContent]:
     path = _state_directory(state) / "journal"
     try:
         with open(path, "rb") as file:  # a compaction renames a new file over this one; the open file stays complete
@@ -76,7 +76,7 @@
     selected = [
         history
         for history in (journal.open if only_open else journal.histories.values())
-        if trace in (None, history.trace) and cls in (None, history.told.get("class"))
+        if trace in (None, history.trace) and cls in (None, history.fields.get("class"))
     ]
     if trace is not None and not selected:
         raise CommandError(
@@ -93,9 +93,9 @@
         )
         rows.add_row(
             history.trace,
-            str(history.told.get("class")),
-            str(history.told.get("dest")),
-            history.state + (" (reported)" if history.over else ""),
+            str(history.fields.get("class")),
+            str(history.fields.get("dest")),
+            history.state + (" (reported)" if history.done else ""),
             attempts or "none",
             _format_time(history.deadline),
         )
@@ -128,7 +128,7 @@
     """
     path, journal = _read_journal(state)
     for fault in journal.faults:
-        click.echo(f"{path}:{fault.at}: {fault.what}", err=True)
+        click.echo(f"{path}:{fault.at}: {fault.description}", err=True)
     torn = f", {journal.torn} bytes torn at the end" if journal.torn else ""
     click.echo(
         f"{path}: {journal.kinds.total()} records, {len(journal.open)} messages open, "
--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -18,8 +18,8 @@
 from kestrelspar.cli.units import DURATION
 from kestrelspar.lab import play as scenario_run
 from kestrelspar.lab import scale, scenario
-from kestrelspar.lab.modelled import play as run_modelled
-from kestrelspar.lab.plan import FAULTS, Asked, plan, plan_model
+from kestrelspar.lab.plan import FAULTS, RunParameters, plan_model, plan_run
+from kestrelspar.lab.simulated_scale import run as run_modelled
 
 
 @click.group("lab")
@@ -63,7 +63,7 @@
         if any(directory.iterdir()):
             raise ConfigurationError(ValueError(f"--keep: {directory} is not empty"))
         try:
-            report = scenario_run.play(loaded, directory, seed, lambda text: status.update(text))
+            report = scenario_run.run_scenario(loaded, directory, seed, lambda text: status.update(text))
         except TimeoutError as error:
             raise CommandError(str(error)) from error
     if out:
@@ -168,37 +168,41 @@
     """
     console = Console()
     runs: list[dict[str, Any]] = []
-    report: dict[str, Any] = {"machine": scale.machine(), "plays": runs}
+    report: dict[str, Any] = {"machine": scale.machine_info(), "plays": runs}
     try:
         requested = [
-            Asked(real, int(number), zones, span, seed, fault, grouped, 0.0 if compare else rate, failing, period)
+            RunParameters(
+                real, int(number), zones, span, seed, fault, grouped, 0.0 if compare else rate, failing, period
+            )
             for number in filter(None, hollow.split(","))
         ]
         modelled = [
-            Asked(0, int(number), zones, span, seed, fault, grouped, rate, failing, period)
+            RunParameters(0, int(number), zones, span, seed, fault, grouped, rate, failing, period)
             for number in filter(None, model.split(","))
         ]
         for request in requested:  # check all of them before the first is started
-            plan(request, scale.bounds())
+            plan_run(request, scale.default_bounds())
         for request in modelled:
-            plan_model(request, scale.bounds())
+            plan_model(request, scale.default_bounds())
         for request in requested:
             with tempfile.TemporaryDirectory(prefix="kestrelspar-lab-") as directory, console.status("") as status:
-                runs.append(scale.play(request, Path(directory), scale.bounds(), progress(console, status), compare))
+                runs.append(
+                    scale.run(request, Path(directory), scale.default_bounds(), progress(console, status), compare)
+                )
             console.print(_summary(runs[-1]))
         for request in modelled:
             with console.status("") as status:
-                runs.append(run_modelled(request, scale.bounds(), progress(console, status)))
+                runs.append(run_modelled(request, scale.default_bounds(), progress(console, status)))
             console.print(_summary(runs[-1]))
     except ValueError as error:
         raise ConfigurationError(error) from error
     except (TimeoutError, RuntimeError) as error:
         raise CommandError(str(error)) from error
-    except scale.Stopped as stopped:
+    except scale.StoppedBySignalError as stopped:
         click.echo("ended", err=True)
         raise SystemExit(128 + stopped.args[0]) from None
     if compare:
-        report["factors"] = scale.factors(runs[0])
+        report["factors"] = scale.cost_ratios(runs[0])
     if out:
         Path(out).write_text(ujson.dumps(report, indent=1) + "\n")
     if site:
--- a/kestrelspar/cli/main.py
+++ b/kestrelspar/cli/main.py
@@ -6,7 +6,7 @@
 
 import click
 
-from kestrelspar.settings.lines import ConfFaults
+from kestrelspar.settings.lines import ConfErrors
 
 COMMAND_MODULES = {
     "serve": "serve",
@@ -56,7 +56,7 @@
     exit_code = 2
 
     def __init__(self, error: ValueError) -> None:
-        messages = map(str, error.faults) if isinstance(error, ConfFaults) else [str(error)]
+        messages = map(str, error.errors) if isinstance(error, ConfErrors) else [str(error)]
         super().__init__("\n".join(messages))
 
     def show(self, file: object = None) -> None:
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -20,11 +20,11 @@
 from kestrelspar.cli.units import DURATION
 from kestrelspar.core import entries
 from kestrelspar.core.transport_map import NextHop, TransportMap
-from kestrelspar.registry import keep
+from kestrelspar.registry import saved_list
 from kestrelspar.registry.consul import Consul
 from kestrelspar.registry.etcd import Etcd
 from kestrelspar.registry.follower import Follower
-from kestrelspar.registry.link import Broken, Compacted, Link
+from kestrelspar.registry.link import MemberConnection, RegistryError, RevisionCompactedError
 from kestrelspar.registry.sync import Item
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool
@@ -80,29 +80,29 @@
         self.config = config
 
     def _member(self, loop: Loop, server: tuple[str, int]) -> Etcd | Consul:
-        link = Link(
+        link = MemberConnection(
             loop,
             BufferPool(64),
             server,
-            self.config.told.answer_within,
+            self.config.section.answer_within,
             self.config.secure,
-            self.config.told.server_name,
+            self.config.section.server_name,
         )
-        return Etcd(link, self.config) if self.config.told.type == "etcd" else Consul(link, self.config)
+        return Etcd(link, self.config) if self.config.section.type == "etcd" else Consul(link, self.config)
 
     def _call_first_available(self, call: Callable[[Etcd | Consul], T]) -> T:
         """Result of the call on the first member that answers."""
 
         def work(loop: Loop) -> T:
             errors = []
-            for server in self.config.told.servers:
+            for server in self.config.section.servers:
                 member = self._member(loop, server)
                 try:
                     return call(member)
-                except (Broken, Compacted) as error:
+                except (RegistryError, RevisionCompactedError) as error:
                     errors.append(f"{server[0]}:{server[1]}: {error}")
                 finally:
-                    member.link.close()
+                    member.connection.close()
             raise CommandError("no member of the registry answers:\n" + "\n".join(errors))
 
         return run(work)
@@ -110,7 +110,8 @@
     def rows(self) -> list[Row]:
         """All entries, sorted by key."""
         return sorted(
-            (_row(item) for item in self._call_first_available(lambda member: member.all())), key=lambda row: row.key
+            (_row(item) for item in self._call_first_available(lambda member: member.read_all())),
+            key=lambda row: row.key,
         )
 
     def change(self, row_key: str, value: bytes | None, expected: int) -> None:
@@ -122,21 +123,21 @@
 
         def work(loop: Loop) -> bool:
             last_error = ""
-            for server in self.config.told.servers:
+            for server in self.config.section.servers:
                 member = self._member(loop, server)
                 try:
                     member.get(row_key)  # checks that the member answers, before the change is sent to it
-                except Broken as error:
+                except RegistryError as error:
                     last_error = f"{server[0]}:{server[1]}: {error}"
                     continue
                 try:
                     return member.change(row_key, value, expected)
-                except Broken as error:
+                except RegistryError as error:
                     raise CommandError(
                         f"{row_key}: {error}; the change may have been written or not: check with `map list`"
                     ) from error
                 finally:
-                    member.link.close()
+                    member.connection.close()
             raise CommandError(f"no member of the registry answers: {last_error}")
 
         if not run(work):
@@ -164,12 +165,12 @@
 
 def registry(conf: str | None, label: str | None) -> resolve.Registry:
     """The configured registry with this label, or the only one."""
-    path = conf or conf_file.where(os.environ)
+    path = conf or conf_file.configuration_path(os.environ)
     try:
         loaded = conf_file.load(path)
         keys = resolve.keys(loaded)
         registries = resolve.registries(loaded)
-        registries = registries if keys is None else keys.secured(registries)
+        registries = registries if keys is None else keys.with_tls(registries)
     except ValueError as error:
         raise ConfigurationError(error) from error
     selected = [r for r in registries if label in (None, r.label)]
@@ -240,11 +241,13 @@
         self.settings, self.map, self.as_json = VIEWER_SETTINGS, TransportMap(), as_json
         self.stale: dict[str, int] = {}
 
-    def listed(self, source: str, hops: list[NextHop], whole: bool = False, left: list[bytes] | None = None) -> None:
+    def apply_map_update(
+        self, source: str, hops: list[NextHop], complete: bool = False, removed: list[bytes] | None = None
+    ) -> None:
         """Apply an update of the list to the map, and print one line per changed endpoint."""
         before = dict(self.map.hops)
-        change = self.map.take(source, hops, whole, left or [])
-        for endpoint in change.rows:
+        change = self.map.apply(source, hops, complete, removed or [])
+        for endpoint in change.endpoints:
             hop = self.map.hops.get(endpoint.id) or before.get(endpoint.id)
             fields = {
                 "name": endpoint.id.decode(),
@@ -287,7 +290,7 @@
     viewer: Any = _Viewer(as_json)
     Follower(loop, BufferPool(64), viewer, _NullCarrier(), config, None, os.getpid()).start()
     if span is not None:
-        loop.at(loop.now + span, loop.stop)
+        loop.call_at(loop.now + span, loop.stop)
     with contextlib.suppress(KeyboardInterrupt):
         loop.run()
 
@@ -350,7 +353,7 @@
     if before is not None and entry == before.entry:
         click.echo(f"{name}: unchanged")
         return
-    key = before.key if before is not None else config.told.prefix + name
+    key = before.key if before is not None else config.section.prefix + name
     if not dry_run:
         client.change(key, entries.encode(entry), before.revision if before is not None else 0)
     _report(dry_run, f"put {key}: {entries.encode(entry).decode()}")
@@ -405,11 +408,13 @@
 
     importer = Importer(zone, kind)
     transport_map = importer.read(file)
-    for line in importer.lost:
+    for line in importer.unsupported:
         click.echo(line, err=True)
-    if importer.lost and not lossy:
-        raise CommandError(f"{file}: {len(importer.lost)} directives have no equivalent (--lossy imports the rest)")
-    imported = entries.merged(msgspec.convert(transport_map, entries.OwnMap))
+    if importer.unsupported and not lossy:
+        raise CommandError(
+            f"{file}: {len(importer.unsupported)} directives have no equivalent (--lossy imports the rest)"
+        )
+    imported = entries.with_destination_values(msgspec.convert(transport_map, entries.OwnMap))
     return [
         msgspec.structs.replace(entry, origin=os.path.basename(file), group=entry.group + first_group - 1)
         for entry in imported
@@ -500,7 +505,7 @@
     wanted = _imported(file, zone, kind, first_group, lossy)
     steps = compare(client.rows(), wanted, os.path.basename(file))
     for what, row, entry in steps:
-        key = row.key if row is not None else config.told.prefix + entry.name
+        key = row.key if row is not None else config.section.prefix + entry.name
         if not dry_run:
             client.change(key, entries.encode(entry) if entry is not None else None, row.revision if row else 0)
         _report(dry_run, f"{what} {key}")
@@ -526,7 +531,7 @@
     rows = Client(config).rows()
     if os.path.isdir(file):
         try:
-            saved = keep.read(keep.path(file, config.label), 1 << 40)
+            saved = saved_list.read(saved_list.path(file, config.label), 1 << 40)
         except ValueError as error:
             raise CommandError(str(error)) from error
         if saved is None:
--- a/kestrelspar/cli/nginx.py
+++ b/kestrelspar/cli/nginx.py
@@ -30,7 +30,7 @@
     """
     importer = Importer(zone, kind)
     transport_map = importer.read(file)
-    for line in importer.lost:
+    for line in importer.unsupported:
         click.echo(line, err=True)
     click.echo(ujson.dumps(transport_map, indent=2, escape_forward_slashes=False))
     if not transport_map["endpoints"]:
--- a/kestrelspar/cli/peers.py
+++ b/kestrelspar/cli/peers.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from kestrelspar.cli.main import CommandError
-from kestrelspar.peers import door
+from kestrelspar.peers import status_socket
 
 
 @click.group("peers")
@@ -23,7 +23,7 @@
 
 def _query(state: str, fleet: bool = False) -> dict[str, Any]:
     try:
-        return door.ask(state, fleet=fleet)
+        return status_socket.query_status(state, fleet=fleet)
     except (OSError, ValueError) as error:
         raise CommandError(f"no broker, and no courier with peers enabled, answers in {state}: {error}") from error
 
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -19,7 +19,7 @@
 from kestrelspar.runtime.loop import SECOND, Loop
 from kestrelspar.settings import kinds
 from kestrelspar.settings.kinds import address as address_kind
-from kestrelspar.settings.resolve import PASSWORD
+from kestrelspar.settings.resolve import MAX_PASSWORD_LENGTH
 from kestrelspar.smpp import conform as cases_of
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import probe
@@ -43,9 +43,9 @@
         """Parse the value; see ``click.ParamType.convert``."""
         meta = address_kind("")
         try:
-            host, port = kinds.value(str(value), meta, "")
+            host, port = kinds.parse_value(str(value), meta, "")
         except ValueError as error:
-            self.fail(f"{error} (wanted: {kinds.wanted(meta)})", param, ctx)
+            self.fail(f"{error} (wanted: {kinds.describe_accepted(meta)})", param, ctx)
         return str(host), int(port)
 
 
@@ -89,13 +89,13 @@
     ) -> None:
         try:
             password = kinds.read_secret(password_file)
-            if len(password.encode()) > PASSWORD:
-                raise ValueError(f"{password_file} holds more than {PASSWORD} bytes")
+            if len(password.encode()) > MAX_PASSWORD_LENGTH:
+                raise ValueError(f"{password_file} holds more than {MAX_PASSWORD_LENGTH} bytes")
         except ValueError as error:
             raise ConfigurationError(error) from error
         self.loop, self.buffers = Loop(), BufferPool(64)
-        self.account = cases_of.Account(account, password, **account_fields)
-        self.dial = probe.plain(self.loop, self.buffers, address)
+        self.account = cases_of.Credentials(account, password, **account_fields)
+        self.dial = probe.tcp_dialer(self.loop, self.buffers, address)
         if authorities is not None:
             import ssl
 
@@ -111,7 +111,7 @@
         def task() -> None:
             try:
                 call()
-            except (probe.Refused, Closed, Late) as error:
+            except (probe.ProbeError, Closed, Late) as error:
                 errors.append(error)
             finally:
                 self.loop.stop()
@@ -128,7 +128,7 @@
         """Connect and bind; return the session, which passes received messages to ``on_deliver``."""
         stream = self.dial(self.loop.now + within)
         if stream is None:
-            raise probe.Refused("no connection")
+            raise probe.ProbeError("no connection")
         esme = probe.Esme(self.loop, stream, on_deliver)
         esme.bind(how, self.account, within)
         return esme
@@ -182,7 +182,9 @@
         known_groups = sorted({case.group for case in cases_of.cases(runner.account)})
         raise click.UsageError(f"no such group (there are: {', '.join(known_groups)})")
     verdicts: list[probe.Verdict] = []
-    runner.run(lambda: probe.Examiner(runner.loop, runner.dial, runner.account, within).run(selected, verdicts.append))
+    runner.run(
+        lambda: probe.CaseRunner(runner.loop, runner.dial, runner.account, within).run(selected, verdicts.append)
+    )
     failed = [verdict for verdict in verdicts if verdict.fault]
     if as_json:
         click.echo(
@@ -196,7 +198,7 @@
                             "case": v.case.name,
                             "clause": v.case.clause,
                             "state": v.case.state.value,
-                            "wanted": str(v.case.wanted),
+                            "wanted": str(v.case.expected),
                             "fault": v.fault,
                         }
                         for v in verdicts
@@ -217,7 +219,7 @@
     if failed:
         rows = Table("case", "clause", "wanted", "fault")
         for verdict in failed:
-            rows.add_row(verdict.case.name, verdict.case.clause, str(verdict.case.wanted), verdict.fault)
+            rows.add_row(verdict.case.name, verdict.case.clause, str(verdict.case.expected), verdict.fault)
         console.print(rows)
     cases_by_group, failed_by_group = Counter(v.case.group for v in verdicts), Counter(v.case.group for v in failed)
     rows = Table("group", "cases", "failed")
@@ -263,7 +265,7 @@
     Example:
       kestrelspar smpp send 127.0.0.1:2775 --account acme --password-file acme.password --to 3725550 "Tere!"
     """
-    from kestrelspar.smpp import text as texts
+    from kestrelspar.smpp import alphabets as texts
 
     runner = _EsmeRunner(address, account, password_file, authorities, server_name)
     received: list[Pdu] = []
@@ -274,7 +276,7 @@
 
     def run_session() -> None:
         esme = runner.bound(Command.BIND_TRANSCEIVER if receipt else Command.BIND_TRANSMITTER, within, receive)
-        coding, body = texts.coded(text.encode())
+        coding, body = texts.encode_text(text.encode())
         fields = {
             "source_addr": source,
             "destination_addr": destination,
@@ -283,7 +285,7 @@
             "registered_delivery": int(receipt),
         }
         use_payload_tlv = len(body) > MAX_SHORT_MESSAGE_BYTES
-        response = esme.ask(
+        response = esme.request(
             Pdu(
                 Command.SUBMIT_SM,
                 fields=fields,
@@ -293,15 +295,15 @@
             within,
         )
         if response.status:
-            raise probe.Refused(f"submit_sm: {cases_of.shown(response.status)}")
+            raise probe.ProbeError(f"submit_sm: {cases_of.status_name(response.status)}")
         click.echo(f"accepted as {response.text('message_id')}")
         deadline = runner.loop.now + span
         while receipt and not received:
             try:
-                esme.next(deadline)
+                esme.read_pdu(deadline)
             except Late:
-                raise probe.Refused("no receipt received in time") from None
-        esme.ask(Pdu(Command.UNBIND), within)
+                raise probe.ProbeError("no receipt received in time") from None
+        esme.request(Pdu(Command.UNBIND), within)
         esme.stream.close()
 
     runner.run(run_session)
@@ -338,10 +340,10 @@
         while end is None or runner.loop.now < end:
             enquire_at = runner.loop.now + ENQUIRE_LINK_INTERVAL
             try:
-                esme.read(enquire_at if end is None else min(enquire_at, end))
+                esme.read_response(enquire_at if end is None else min(enquire_at, end))
             except Late:
-                esme.ask(Pdu(Command.ENQUIRE_LINK), within)
-        esme.ask(Pdu(Command.UNBIND), within)
+                esme.request(Pdu(Command.ENQUIRE_LINK), within)
+        esme.request(Pdu(Command.UNBIND), within)
         esme.stream.close()
 
     runner.run(run_session)
@@ -359,10 +361,10 @@
     Example:
       kestrelspar smpp listen --listen 127.0.0.1:2776
     """
-    from kestrelspar.standins.gateway import Gateway, Manners
+    from kestrelspar.standins.gateway import Behaviour, Gateway
 
     loop = Loop()
-    Gateway(loop, listener(address), Manners(receipts=SECOND), on_submit=lambda outcome, pdu: _show(pdu))
+    Gateway(loop, listener(address), Behaviour(receipts=SECOND), on_submit=lambda outcome, pdu: _show(pdu))
     click.echo(f"message centre on {address[0]}:{address[1]}")
     run_for(loop, span)
 
@@ -391,7 +393,7 @@
     Example:
       kestrelspar smpp passwd > acme.password
     """
-    from kestrelspar.passwords import hashed
+    from kestrelspar.passwords import hash_password
 
     try:
         password = (
@@ -401,6 +403,8 @@
         )
     except ValueError as error:
         raise ConfigurationError(error) from error
-    if not 0 < len(password.encode()) <= PASSWORD:
-        raise CommandError(f"an SMPP password has 1 to {PASSWORD} bytes, this one has {len(password.encode())}")
-    click.echo(hashed(password))
+    if not 0 < len(password.encode()) <= MAX_PASSWORD_LENGTH:
+        raise CommandError(
+            f"an SMPP password has 1 to {MAX_PASSWORD_LENGTH} bytes, this one has {len(password.encode())}"
+        )
+    click.echo(hash_password(password))
--- a/kestrelspar/cli/standin.py
+++ b/kestrelspar/cli/standin.py
@@ -11,7 +11,7 @@
 from kestrelspar.cli.units import DURATION, run_for
 from kestrelspar.core import entries
 from kestrelspar.runtime.loop import MS, SECOND, Loop
-from kestrelspar.settings.kinds import address, value
+from kestrelspar.settings.kinds import address, parse_value
 from kestrelspar.standins.registry import Member, Store, run_random_faults
 
 
@@ -61,7 +61,7 @@
     Example:
       kestrelspar standin registry --listen 127.0.0.1:2379 --members 2 --schedule rough --seed 7
     """
-    host, first_port = value(listen, address(""), "")
+    host, first_port = parse_value(listen, address(""), "")
     loop, store, served_members = Loop(), Store(), []
     for index in range(members):
         sock = socket.socket()
@@ -72,7 +72,7 @@
             raise CommandError(f"{host}:{first_port + index}: {error}") from error
         sock.listen(512)
         sock.setblocking(False)
-        served_members.append(Member(loop, store, sock, limit_fragment=500))
+        served_members.append(Member(loop, store, sock, max_fragment_events=500))
         click.echo(f"registry member on {host}:{first_port + index}")
     rows = [
         entries.Entry(name=f"hop-{n}", address=f"127.0.0.1:{20_000 + n % 10_000}", group=n // 2) for n in range(fill)
@@ -84,7 +84,7 @@
     def expire_leases() -> None:
         while True:
             loop.sleep(SECOND)
-            store.lapse(loop.now)
+            store.expire_leases(loop.now)
 
     def change_entries() -> None:
         random_source, begin, done = random.Random(seed), loop.now, 0
@@ -152,17 +152,21 @@
       kestrelspar standin gateway --limit 50 --receipts 2s --lost 0.05 --cuts 0.01
     """
     from kestrelspar.cli.smpp import listener
-    from kestrelspar.standins.gateway import Gateway, Manners
+    from kestrelspar.standins.gateway import Behaviour, Gateway
 
-    host, port = value(listen, address(""), "")
+    host, port = parse_value(listen, address(""), "")
     loop = Loop()
     server = Gateway(
         loop,
         listener((host, port)),
-        Manners(limit, window, latency, -1 if receipts is None else receipts, lost, undelivered, refuses, silent, cuts),
+        Behaviour(
+            limit, window, latency, -1 if receipts is None else receipts, lost, undelivered, refuses, silent, cuts
+        ),
         seed,
     )
     click.echo(f"gateway on {host}:{port}")
     run_for(loop, span)
     answers = ", ".join(f"{count} {name}" for name, count in server.answers.most_common()) or "nothing"
-    click.echo(f"accepted {server.took.total()} messages ({len(server.took)} different texts); answered {answers}")
+    click.echo(
+        f"accepted {server.accepted.total()} messages ({len(server.accepted)} different texts); answered {answers}"
+    )
--- a/kestrelspar/cli/units.py
+++ b/kestrelspar/cli/units.py
@@ -21,9 +21,9 @@
             return value
         meta = kinds.duration("", 1, 7 * 86_400 * kinds.SECOND)
         try:
-            return int(kinds.value(str(value), meta, ""))
+            return int(kinds.parse_value(str(value), meta, ""))
         except ValueError as error:
-            self.fail(f"{error} (wanted: {kinds.wanted(meta)})", param, ctx)
+            self.fail(f"{error} (wanted: {kinds.describe_accepted(meta)})", param, ctx)
 
 
 DURATION = Duration()
@@ -36,7 +36,7 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
     if span is not None:
-        loop.at(loop.now + span, loop.stop)
+        loop.call_at(loop.now + span, loop.stop)
     try:
         loop.run()
     except KeyboardInterrupt:
--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -1,7 +1,8 @@
 """Protocol-independent core: the life cycle of a message, from submission to final answer.
 
 Front ends (HTTP, SMPP) use the types below: a front end submits messages and receives their final states
-(``SenderSide``), makes delivery attempts (``Carrier``), and reports changes of the transport map (``Courier.listed``).
+(``SenderSide``), makes delivery attempts (``Carrier``), and reports changes of the transport map
+(``Courier.apply_map_update``).
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 from kestrelspar.core.transport_map import Carrier, NextHop, TransportMap
 from kestrelspar.journal import Entry, Journal
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.loop import MS, SECOND, Loop, Parking
+from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension
 from snowlock import Controller
 from snowlock import interface as api
-from snowlock.control import FEW
+from snowlock.control import SMALL_FLEET_SIZE
 from snowlock.interface import Outcome
 
 NS = 1_000  # nanoseconds (controller) per microsecond (event loop)
 MIN_SHUTDOWN_TIME = 500 * MS  # minimum time between SIGTERM and exit: new connections may arrive for 400 ms
 LAST_ATTEMPT_START = 2_200 * MS  # after SIGTERM: an attempt that starts later might not end before the exit
-LEAVE_AT = 3_500 * MS  # latest exit after SIGTERM: SIGKILL may come at 3.7 s
+EXIT_TIMEOUT = 3_500 * MS  # latest exit after SIGTERM: SIGKILL may come at 3.7 s
 DEFAULT_RETRY_AFTER = 1_000 * MS  # default retry-after delay of a deferred submission
 OUTCOME_QUERY_MARGIN = 1_000 * MS  # time left at which a missing outcome is queried and the message ends
 BUDGET_WAIT_TIMEOUT = 500 * MS  # maximum wait of a call for room in the budget, before an endpoint is chosen anew
@@ -68,7 +69,7 @@
     fingerprint: tuple[int, int, int]
 
 
-class Reason(Enum):
+class RefusalReason(Enum):
     """Why a submission is refused. The values appear in logs and in answers to clients."""
 
     CLOSING = "shutting down"
@@ -84,11 +85,11 @@
 class Answer:
     """The answer to a submission: accepted, deferred (retry later), or rejected (do not retry)."""
 
-    taken: bool
+    accepted: bool
     defer: bool = False
-    why: Reason = Reason.CLOSING
+    why: RefusalReason = RefusalReason.CLOSING
     text: str = ""
-    come_back: int = DEFAULT_RETRY_AFTER
+    retry_after: int = DEFAULT_RETRY_AFTER
 
     @property
     def reason(self) -> str:
@@ -104,15 +105,15 @@
     """How a delivery attempt ended."""
 
     outcome: Outcome
-    told_wait: int = 0  # retry-after delay in microseconds
+    retry_after: int = 0  # retry-after delay in microseconds
     no_slot: bool = False
-    closed: bool = False  # the message is answered already: no further attempt and no report
+    already_answered: bool = False  # the message is answered already: no further attempt and no report
     report: tuple[float, ...] = ()
     note: str = ""
-    waited: int = 0  # queueing time before the first byte, excluded from the latency of the call
+    queued: int = 0  # queueing time before the first byte, excluded from the latency of the call
     # With OK: the next hop has only accepted the message, and the outcome follows. Name of the outcome source in
-    # ``Courier.later``, and the data by which that source recognizes the outcome.
-    later: tuple[str, dict[str, Any]] | None = None
+    # ``Courier.outcome_sources``, and the data by which that source recognizes the outcome.
+    outcome_source: tuple[str, dict[str, Any]] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,28 +129,28 @@
 
     name: str
 
-    def settle(self, message: Message, end: End) -> None:
+    def report_end(self, message: Message, end: End) -> None:
         """Report the final state, and return once the sender side has received it."""
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         """Called for each recovered message after a restart; true if the sender side holds it back for now."""
 
 
-class Later(Protocol):
+class OutcomeSource(Protocol):
     """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts."""
 
     def expect(self, message: Message, awaits: dict[str, Any]) -> None:
-        """Wait for the outcome of a message accepted in this process or a former one; pass it to ``Courier.told``."""
+        """Wait for the outcome of a message accepted by this process or before; report it by ``outcome_received``."""
 
-    def overdue(self, message: Message, awaits: dict[str, Any]) -> str:
+    def query_outcome(self, message: Message, awaits: dict[str, Any]) -> str:
         """The deadline is near: query the outcome, if that is possible before it, and return the final state."""
 
-    def forget(self, message: Message) -> None:
+    def stop_waiting(self, message: Message) -> None:
         """The message no longer waits for an outcome."""
 
 
 class _SendGuard:
-    """See ``transport_map.Leave``."""
+    """See ``transport_map.SendGuard``."""
 
     __slots__ = ("_may_send", "_record_attempt")
 
@@ -159,27 +160,27 @@
     def __call__(self) -> bool:
         return self._may_send() and self._record_attempt()
 
-    def still(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether the rest of the attempt may still be sent."""
         return self._may_send()
 
 
 class Peers(Protocol):
-    """Budgets shared with other couriers; optional. ``again``: the call is not the first attempt of its message."""
+    """Budgets shared with other couriers; optional. ``is_retry``: the call is not the first attempt of its message."""
 
-    def spend(self, endpoint: api.EndpointId, again: bool) -> bool:
+    def spend_budget(self, endpoint: api.EndpointId, is_retry: bool) -> bool:
         """Take one call from this courier's share of the budget of the endpoint; false if none is left now."""
 
-    def wait_for_room(self, endpoint: api.EndpointId, again: bool, until: int) -> None:
+    def wait_for_budget(self, endpoint: api.EndpointId, is_retry: bool, deadline: int) -> None:
         """Wait until the budget has room for a call, at most until the given time."""
 
-    def called(self, endpoint: api.EndpointId, result: Result, sent: int) -> None:
+    def attempt_ended(self, endpoint: api.EndpointId, result: Result, sent: int) -> None:
         """A call has ended that began at ``sent``."""
 
-    def came(self, message: Message) -> None:
+    def message_accepted(self, message: Message) -> None:
         """A message was accepted."""
 
-    def ended(self, message: Message, end: End) -> None:
+    def message_ended(self, message: Message, end: End) -> None:
         """A message has reached its final state."""
 
 
@@ -204,13 +205,13 @@
     def __init__(self, loop: Loop, settings: api.Settings, seed: int, journal: Journal) -> None:
         self.loop, self.settings, self.journal = loop, settings, journal
         self.senders: dict[str, SenderSide] = {}
-        self.later: dict[str, Later] = {}  # sources of later outcomes, by name
+        self.outcome_sources: dict[str, OutcomeSource] = {}  # sources of later outcomes, by name
         # Messages accepted by a next hop whose outcome is outstanding: message, name of its source, data awaited.
         self._awaiting: dict[int, tuple[Message, str, dict[str, Any]]] = {}
         # Graceful shutdown of the front ends: each call is started as a task at SIGTERM.
-        self.at_close: list[Callable[[], None]] = []
-        self.unfinished: list[Callable[[], bool]] = []  # true while a front end has work that delays the exit
-        self.at_leave: list[Callable[[], None]] = []  # called right before the exit, to close sessions in order
+        self.shutdown_tasks: list[Callable[[], None]] = []
+        self.busy_checks: list[Callable[[], bool]] = []  # true while a front end has work that delays the exit
+        self.exit_calls: list[Callable[[], None]] = []  # called right before the exit, to close sessions in order
         self.hooks: list[Hook] = []
         self.peers: Peers | None = None
         self.map = TransportMap()
@@ -219,39 +220,39 @@
         self.closing: int | None = None  # time of SIGTERM
         self._controller = Controller(settings, seed, time.time_ns() - time.monotonic_ns())
         self._events: list[api.Event] = []
-        self._parked: dict[int, Parking] = {}  # by message number: tasks that wait for the controller's next action
+        self._parked: dict[int, Suspension] = {}  # by message number: tasks that wait for the controller's next action
         self.open: dict[int, Message] = {}
         self._known: dict[str, Message | EndedMessage] = {}  # by id: open messages, and recently ended ones
         self._ended: deque[tuple[int, str]] = deque()  # expiry times and ids of the ended ones, oldest first
         # A duplicate of a request can arrive within the longest deadline, and be processed within the longest window.
         self._remember_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS
-        self.out = 0  # delivery attempts in flight
-        self._last = max(journal.entries, default=0)
-        loop.at_turn_end.append(self._decide)
+        self.attempts_in_flight = 0  # delivery attempts in flight
+        self._last_number = max(journal.entries, default=0)
+        loop.turn_end_calls.append(self._decide)
 
     # Message life cycle
 
-    def carry(self, message: Message, answer: Callable[[Answer], bool]) -> None:
+    def submit(self, message: Message, answer: Callable[[Answer], bool]) -> None:
         """Process one message from submission to final answer, in the calling task.
 
         ``answer`` reports at once whether the message is accepted; it returns false if the sender side was not reached.
         """
-        if self.keep(message, answer):
+        if self.accept(message, answer):
             self._deliver(message)
 
-    def keep(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
+    def accept(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
         """Accept or refuse a message, journalled before the answer; true if this courier now owns it."""
         refusal = self._check_admission(message)
         if refusal is not None:
             answer(refusal)
             return False
         earliest = max(self.loop.now, message.start)
-        message.deadline = min(message.deadline, earliest + self.map.within(message.dest))
-        self._last += 1
-        message.number = self._last
+        message.deadline = min(message.deadline, earliest + self.map.delivery_timeout(message.dest))
+        self._last_number += 1
+        message.number = self._last_number
         text = ujson.dumps(self._journal_fields(message))
-        if not self.journal.taken(message.number, message.deadline, text, message.body):
-            answer(Answer(False, True, Reason.DISK))
+        if not self.journal.record_accepted(message.number, message.deadline, text, message.body):
+            answer(Answer(False, True, RefusalReason.DISK))
             return False
         self.open[message.number] = message
         self._known[message.trace] = message
@@ -259,7 +260,7 @@
             self._drop(message, RETURNED)
             return False
         if self.peers is not None:
-            self.peers.came(message)
+            self.peers.message_accepted(message)
         logs.event(
             "taken",
             logs.DEBUG,
@@ -277,10 +278,12 @@
         A crash before the parts are marked done leaves them and the joined message in the journal:
         ``whole.extra["joined"]`` has the numbers of its parts, so that ``resume`` can drop them.
         """
-        self._last += 1
-        whole.number = self._last
+        self._last_number += 1
+        whole.number = self._last_number
         whole.extra["joined"] = [part.number for part in parts]
-        if not self.journal.taken(whole.number, whole.deadline, ujson.dumps(self._journal_fields(whole)), whole.body):
+        if not self.journal.record_accepted(
+            whole.number, whole.deadline, ujson.dumps(self._journal_fields(whole)), whole.body
+        ):
             return False
         self.open[whole.number] = self._known[whole.trace] = whole
         for part in parts:
@@ -289,8 +292,8 @@
         self.loop.spawn(self._deliver, whole)
         return True
 
-    def end_kept(self, message: Message, state: str) -> None:
-        """End a message that was accepted by ``keep`` and never passed to the controller."""
+    def end_accepted(self, message: Message, state: str) -> None:
+        """End a message that was accepted by ``accept`` and never passed to the controller."""
         self._end(message, End(state))
 
     def _deliver(
@@ -299,7 +302,7 @@
         """Run a message's attempts as the controller decides, until its final state."""
         attempt_index = attempts
         if message.start > self.loop.now:
-            parking = self._parked[message.number] = Parking(self.loop)
+            parking = self._parked[message.number] = Suspension(self.loop)
             if self.loop.park(parking, message.start) is _WITHDRAW:
                 self._end(message, End(WITHDRAWN))
                 return
@@ -324,20 +327,20 @@
                     action.endpoint,
                     result.outcome,
                     latency * NS,
-                    closed=result.closed or result.outcome is Outcome.OK,
-                    wait_ns=result.told_wait * NS,
+                    closed=result.already_answered or result.outcome is Outcome.OK,
+                    wait_ns=result.retry_after * NS,
                     no_slot=result.no_slot,
                     report=result.report,
                 ),
-                final=result.closed or result.outcome is Outcome.OK,
+                final=result.already_answered or result.outcome is Outcome.OK,
             )
             if result.outcome is Outcome.OK:
-                if result.later is None:
+                if result.outcome_source is None:
                     self._end(message, End(DELIVERED))
                 else:
-                    self._await_outcome(message, *result.later)
+                    self._await_outcome(message, *result.outcome_source)
                 return
-            if result.closed:
+            if result.already_answered:
                 self._drop(message, FAILED)
                 return
         if action is _WITHDRAW:
@@ -355,53 +358,53 @@
         # Checked again right before the first byte: since the endpoint was chosen, it may have been drained or have
         # asked for a retry-after delay, and a connection to an endpoint that was down may come up only after the
         # window of a work-order has ended.
-        leave = _SendGuard(
-            lambda: self._controller.may_still_go(self.loop.now * NS, action.endpoint, message.number),
+        guard = _SendGuard(
+            lambda: self._controller.may_still_send(self.loop.now * NS, action.endpoint, message.number),
             lambda: (
                 self._spend(action.endpoint, attempt_index)
-                and self.journal.attempt(message.number, attempt_index, self.loop.now)
+                and self.journal.record_attempt(message.number, attempt_index, self.loop.now)
             ),
         )
         if self.peers is not None:
-            self.peers.wait_for_room(
+            self.peers.wait_for_budget(
                 action.endpoint, attempt_index > 0, min(sent + action.timeout_ns // NS, sent + BUDGET_WAIT_TIMEOUT)
             )
         began = self.loop.now
-        self.out += 1
+        self.attempts_in_flight += 1
         try:
-            result = hop.carrier.attempt(message, hop, sent + action.timeout_ns // NS, leave)
+            result = hop.carrier.attempt(message, hop, sent + action.timeout_ns // NS, guard)
         finally:
-            self.out -= 1
+            self.attempts_in_flight -= 1
         if result.outcome in NEVER_RAN:
-            self.journal.not_run(message.number, attempt_index)
+            self.journal.record_not_run(message.number, attempt_index)
         self._save_limit(hop, result)
         if self.peers is not None:
-            self.peers.called(action.endpoint, result, began)
-        if result.outcome is not Outcome.OK or logs.shows(logs.DEBUG):
+            self.peers.attempt_ended(action.endpoint, result, began)
+        if result.outcome is not Outcome.OK or logs.is_enabled(logs.DEBUG):
             logs.event(
                 "attempt",
                 trace=message.trace,
                 n=attempt_index,
                 hop=hop.name,
                 outcome=result.outcome.name.lower(),
-                wait_ms=result.told_wait // MS or None,
+                wait_ms=result.retry_after // MS or None,
                 note=result.note or None,
                 dest=message.dest,
                 report=",".join(f"{x:g}" for x in result.report) or None,
                 after_ms=(self.loop.now - sent) // MS,
             )
-        return result, max(0, self.loop.now - sent - result.waited)
+        return result, max(0, self.loop.now - sent - result.queued)
 
     def _spend(self, endpoint: api.EndpointId, attempt_index: int) -> bool:
         """Take a call that is about to be sent from the shared budget, where there is one."""
-        return self.peers is None or self.peers.spend(endpoint, attempt_index > 0)
+        return self.peers is None or self.peers.spend_budget(endpoint, attempt_index > 0)
 
-    def shares(self, event: api.Parts | api.Judged) -> None:
+    def update_shares(self, event: api.Parts | api.Judged) -> None:
         """Queue a result of sharing with other couriers for the controller."""
         self._events.append(event)
 
     @property
-    def module(self) -> Controller:
+    def controller(self) -> Controller:
         """The controller, for read access."""
         return self._controller
 
@@ -409,60 +412,60 @@
         """Journal the rate limit that the endpoint reported.
 
         Couriers of a large fleet that restart together without known limits would exceed them with their first calls.
-        A fleet of at most ``FEW`` couriers needs no such record.
+        A fleet of at most ``SMALL_FLEET_SIZE`` couriers needs no such record.
         """
         column = self.settings.limit_column
         rate = result.report[column] if column is not None and column < len(result.report) else 0.0
-        if self.settings.forwarders > FEW and rate > 0:
+        if self.settings.forwarders > SMALL_FLEET_SIZE and rate > 0:
             self.journal.record_limit(hop.endpoint.id, rate)
 
     # Outcomes that arrive after acceptance
 
     def _await_outcome(self, message: Message, source: str, awaits: dict[str, Any]) -> None:
-        """Wait for the outcome of an accepted attempt, which arrives through ``told``.
+        """Wait for the outcome of an accepted attempt, which arrives through ``outcome_received``.
 
         The message holds no slot, and no attempt follows: the next hop may still be processing it, so that a second
         attempt could run at the same time.
         """
-        self.journal.awaits(message.number, ujson.dumps({"by": source, **awaits}))
+        self.journal.record_awaited(message.number, ujson.dumps({"by": source, **awaits}))
         logs.event("accepted", logs.DEBUG, trace=message.trace, by=source)
         self._register_awaiting(message, source, awaits)
 
     def _register_awaiting(self, message: Message, source: str, awaits: dict[str, Any]) -> None:
         self._awaiting[message.number] = message, source, awaits
-        self.later[source].expect(message, awaits)
+        self.outcome_sources[source].expect(message, awaits)
         left = max(0, message.deadline - self.loop.now)
-        self.loop.at(
+        self.loop.call_at(
             message.deadline - min(OUTCOME_QUERY_MARGIN, left // 2),
             lambda: self.loop.spawn(self._overdue, message.number),
         )
 
-    def awaited(self, number: int) -> dict[str, Any]:
+    def awaited_outcome(self, number: int) -> dict[str, Any]:
         """The data by which the outcome of an accepted message will be recognized."""
         return self._awaiting[number][2]
 
-    def awaits_now(self, number: int, awaits: dict[str, Any]) -> bool:
-        """Reduce the data of ``awaited`` after a partial outcome; false, and unchanged, if that can't be journalled."""
+    def update_awaited_outcome(self, number: int, awaits: dict[str, Any]) -> bool:
+        """Reduce the data of ``awaited_outcome`` after a partial outcome; false, and unchanged, if not journalled."""
         message, source, _ = self._awaiting[number]
-        if not self.journal.awaits(number, ujson.dumps({"by": source, **awaits})):
+        if not self.journal.record_awaited(number, ujson.dumps({"by": source, **awaits})):
             return False
         self._awaiting[number] = message, source, awaits
         return True
 
-    def told(self, number: int, state: str) -> bool:
+    def outcome_received(self, number: int, state: str) -> bool:
         """Handle the outcome of an accepted message; false when it can't be journalled and has to be reported again."""
         if number not in self._awaiting:
             return True  # it has ended already
         message = self._awaiting[number][0]
-        if not self.journal.verdict(number, state, 0):
+        if not self.journal.record_end(number, state, 0):
             return False
         self._stop_awaiting(number)
-        self.loop.spawn(self._tell, message, End(state))
+        self.loop.spawn(self._report_end, message, End(state))
         return True
 
     def _stop_awaiting(self, number: int) -> None:
         message, source, _ = self._awaiting.pop(number)
-        self.later[source].forget(message)
+        self.outcome_sources[source].stop_waiting(message)
 
     def _overdue(self, number: int) -> None:
         """End a message whose outcome is missing shortly before its deadline; later outcomes are ignored."""
@@ -471,7 +474,7 @@
         message, source, awaits = self._awaiting[number]
         state = FAILED
         try:
-            state = self.later[source].overdue(message, awaits)
+            state = self.outcome_sources[source].query_outcome(message, awaits)
         finally:
             if number in self._awaiting:
                 logs.warn("outcome-overdue", trace=message.trace, by=source, state=state)
@@ -480,10 +483,10 @@
 
     def _end(self, message: Message, end: End) -> None:
         """Journal the final state, report it to the sender side, and drop the message."""
-        self.journal.verdict(message.number, end.state, end.after_ms)
-        self._tell(message, end)
+        self.journal.record_end(message.number, end.state, end.after_ms)
+        self._report_end(message, end)
 
-    def _tell(self, message: Message, end: End) -> None:
+    def _report_end(self, message: Message, end: End) -> None:
         """Report a journalled final state to the sender side, and drop the message."""
         self.open.pop(message.number, None)
         logs.event(
@@ -496,8 +499,8 @@
         for hook in self.hooks:
             hook.end(message, end)
         if self.peers is not None:
-            self.peers.ended(message, end)
-        message.sender.settle(message, end)
+            self.peers.message_ended(message, end)
+        message.sender.report_end(message, end)
         self._drop(message, end.state)
 
     def _drop(self, message: Message, state: str = "") -> None:
@@ -506,7 +509,7 @@
         until = self.loop.now + self._remember_for
         self._ended.append((until, message.trace))
         self._known[message.trace] = EndedMessage(until, state, _fingerprint(message))
-        self.journal.done(message.number)
+        self.journal.record_done(message.number)
 
     def _answer_duplicate(self, message: Message, before: Message | EndedMessage) -> Answer | None:
         """The answer to a submission under a known id; none if it is to be processed as a new message.
@@ -516,15 +519,15 @@
         submitted again.
         """
         if (before.fingerprint if isinstance(before, EndedMessage) else _fingerprint(before)) != _fingerprint(message):
-            return Answer(False, False, Reason.DUPLICATE)
+            return Answer(False, False, RefusalReason.DUPLICATE)
         if isinstance(before, Message) or before.state == DELIVERED:
             return ACCEPTED
-        return None if before.state == RETURNED else Answer(False, False, Reason.DUPLICATE)
+        return None if before.state == RETURNED else Answer(False, False, RefusalReason.DUPLICATE)
 
     def _check_admission(self, message: Message) -> Answer | None:
         """The answer without processing: a refusal, or that to a duplicate; none if the message can be accepted."""
         if self.closing is not None:
-            return Answer(False, True, Reason.CLOSING)
+            return Answer(False, True, RefusalReason.CLOSING)
         while self._ended and self._ended[0][0] < self.loop.now:
             until, trace = self._ended.popleft()
             known = self._known.get(trace)
@@ -539,12 +542,17 @@
                 return verdict
         if self.stale:
             source = next(iter(self.stale))
-            return Answer(False, True, Reason.STALE, source, self.stale[source])
-        if message.dest not in self.map.dests:
+            return Answer(False, True, RefusalReason.STALE, source, self.stale[source])
+        if message.dest not in self.map.destinations:
             # A list from before the start, or of a source that is disconnected, may lack destinations that exist.
-            return Answer(False, bool(self.map.unheard or self.map.behind), Reason.UNKNOWN_DEST, str(message.dest))
+            return Answer(
+                False,
+                bool(self.map.pending_sources or self.map.disconnected_sources),
+                RefusalReason.UNKNOWN_DEST,
+                str(message.dest),
+            )
         if len(self.open) >= self.settings.max_open:
-            return Answer(False, True, Reason.FULL)
+            return Answer(False, True, RefusalReason.FULL)
         return None
 
     def _journal_fields(self, message: Message) -> dict[str, Any]:
@@ -571,11 +579,11 @@
             if '"joined"' in entry.text
         ]
         for number in {number for numbers in joined for number in numbers}:
-            self.journal.done(number)  # part of a joined message, left by a crash: see ``join``
+            self.journal.record_done(number)  # part of a joined message, left by a crash: see ``join``
         for entry in list(self.journal.entries.values()):
             try:
                 message = self._from_journal(entry)
-                held_by_sender = message.sender.took(message)
+                held_by_sender = message.sender.recover(message)
             except (KeyError, ValueError, TypeError, StopIteration) as error:
                 logs.error("journal-unusable", number=entry.number, why=repr(error))
                 continue
@@ -584,7 +592,7 @@
                 "taken-up",
                 trace=message.trace,
                 attempts=entry.attempts,
-                may_have_run=entry.maybe_since is not None,
+                may_have_run=entry.may_have_run_since is not None,
                 state=entry.verdict or None,
             )
             if entry.verdict:
@@ -596,17 +604,17 @@
             if entry.awaits:
                 awaits = ujson.loads(entry.awaits)
                 source = awaits.pop("by")
-                if source in self.later:
+                if source in self.outcome_sources:
                     self._register_awaiting(message, source, awaits)
                 else:  # its front end is disabled now: no outcome can arrive, and the message may have run
                     self.loop.spawn(self._end, message, End(FAILED))
                 continue
-            since = None if entry.maybe_since is None else entry.maybe_since * NS
+            since = None if entry.may_have_run_since is None else entry.may_have_run_since * NS
             self.loop.spawn(self._deliver, message, entry.attempts, since, True)
 
     def _report_recovered(self, message: Message, end: End) -> None:
         """Report a final state from before the restart, which the sender side may not have received."""
-        message.sender.settle(message, end)
+        message.sender.report_end(message, end)
         self._drop(message, end.state)
 
     def _from_journal(self, entry: Entry) -> Message:
@@ -636,20 +644,20 @@
         known = self._known.get(trace)
         return known if isinstance(known, Message) else None
 
-    def untried(self, message: Message) -> bool:
+    def never_attempted(self, message: Message) -> bool:
         """Whether no attempt can have run, is in flight, or is about to start."""
         entry = self.journal.entries.get(message.number)
         return (
             entry is not None
             and not entry.verdict
-            and entry.maybe_since is None
+            and entry.may_have_run_since is None
             and message.number in self._parked
-            and not self._parked[message.number].given
+            and not self._parked[message.number].resumed
         )
 
     def withdraw(self, message: Message) -> bool:
         """End a message of which no attempt can have run; false where one may have, or is in flight."""
-        if not self.untried(message):
+        if not self.never_attempted(message):
             return False
         if message.start <= self.loop.now:
             self._events.append(api.Withdrawn(message.number))
@@ -659,10 +667,10 @@
     def replace(self, message: Message, body: bytes, extra: dict[str, Any]) -> bool:
         """Change a message without attempts; false where it has some, or the journal has no room."""
         entry = self.journal.entries.get(message.number)
-        if entry is None or entry.attempts or not self.untried(message):
+        if entry is None or entry.attempts or not self.never_attempted(message):
             return False
         text = ujson.dumps(self._journal_fields(message) | {"extra": extra})
-        if not self.journal.replaced(message.number, text, body):
+        if not self.journal.record_replacement(message.number, text, body):
             return False
         message.body, message.extra = body, extra
         return True
@@ -674,7 +682,7 @@
         self._events.append(event)
         if final:
             return None
-        parking = self._parked[number] = Parking(self.loop)
+        parking = self._parked[number] = Suspension(self.loop)
         return self.loop.park(parking)
 
     def _decide(self) -> None:
@@ -702,7 +710,7 @@
                 if parking is not None:
                     parking.resume(action)
             elif isinstance(action, api.SetTimer):
-                self.loop.at(-(-action.at_ns // NS), partial(self._timer, action.token))
+                self.loop.call_at(-(-action.at_ns // NS), partial(self._timer, action.token))
             elif isinstance(action, api.CloseIdle):
                 hop = self.map.hops.get(action.endpoint)
                 if hop is not None:
@@ -720,20 +728,22 @@
         """Whether submissions are accepted: started, not shutting down, and no list too old."""
         return self.ready and not self.stale
 
-    def listed(
-        self, source: str, hops: Iterable[NextHop], whole: bool = False, left: Iterable[api.EndpointId] = ()
+    def apply_map_update(
+        self, source: str, hops: Iterable[NextHop], complete: bool = False, removed: Iterable[api.EndpointId] = ()
     ) -> None:
         """Apply an update from one source to the transport map; ids missing from a whole list are removed."""
-        change = self.map.take(source, hops, whole, left)
+        change = self.map.apply(source, hops, complete, removed)
         for name, fields in change.events:
             logs.error(name, **fields)
-        for hop in change.idle:
+        for hop in change.close_idle:
             hop.carrier.close_idle(hop)
-        self._events.append(api.EndpointList(api.ListKind.DELTA, tuple(map(self._recalled, change.rows))))
+        self._events.append(
+            api.EndpointList(api.ListKind.DELTA, tuple(map(self._with_journalled_state, change.endpoints)))
+        )
         # Immediately, not at the end of the turn: a task of this turn may be about to write its first byte.
         self._decide()
 
-    def _recalled(self, row: api.Endpoint) -> api.Endpoint:
+    def _with_journalled_state(self, row: api.Endpoint) -> api.Endpoint:
         """The endpoint with the limit and outage journalled before a restart."""
         limit, outage = self.journal.limit(row.id), self.journal.outage(row.id)
         if limit:
@@ -754,28 +764,28 @@
         """Graceful shutdown at SIGTERM: accept nothing, finish attempts in flight, leave the rest in the journal."""
         if self.closing is None:
             self.closing, self.ready = self.loop.now, False
-            logs.event("closing", open=len(self.open), out=self.out)
-            for call in self.at_close:
+            logs.event("closing", open=len(self.open), out=self.attempts_in_flight)
+            for call in self.shutdown_tasks:
                 self.loop.spawn(call)
             self.loop.spawn(self._exit_when_done)
 
     def _exit_when_done(self) -> None:
         assert self.closing is not None
         self.loop.sleep(MIN_SHUTDOWN_TIME)
-        while self.loop.now < self.closing + LEAVE_AT and self._has_work():
+        while self.loop.now < self.closing + EXIT_TIMEOUT and self._has_work():
             self.loop.sleep(10 * MS)
-        for call in self.at_leave:
+        for call in self.exit_calls:
             call()
-        if self.at_leave:
+        if self.exit_calls:
             self.loop.sleep(50 * MS)
-        logs.event("closed", kept=len(self.journal.entries), out=self.out)
+        logs.event("closed", kept=len(self.journal.entries), out=self.attempts_in_flight)
         self.loop.stop()
 
     def _has_work(self) -> bool:
         """Whether work remains: an attempt in flight or possible, or a front end with an answer or notice to send."""
         assert self.closing is not None
         may_try = bool(self.journal.entries) and self.loop.now <= self.closing + LAST_ATTEMPT_START
-        return bool(self.out) or may_try or any(busy() for busy in self.unfinished)
+        return bool(self.attempts_in_flight) or may_try or any(busy() for busy in self.busy_checks)
 
 
 __all__ = ["Answer", "Carrier", "Courier", "End", "Message", "NextHop", "Result", "SECOND", "SenderSide"]
--- a/kestrelspar/core/entries.py
+++ b/kestrelspar/core/entries.py
@@ -8,9 +8,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from kestrelspar.core.transport_map import FOREVER, Carrier, NextHop
+from kestrelspar.core.transport_map import NO_BOUND, Carrier, NextHop
 from kestrelspar.settings.kinds import MS
-from kestrelspar.settings.platform import STATES, address, place
+from kestrelspar.settings.platform import STATES, address, index_of
 from snowlock import interface as api
 
 Count = Annotated[int, Meta(ge=0, le=10**9)]
@@ -76,7 +76,7 @@
     return msgspec.json.encode(entry)
 
 
-def hop(entry: Entry, settings: api.Settings, carrier: Carrier) -> NextHop:
+def to_next_hop(entry: Entry, settings: api.Settings, carrier: Carrier) -> NextHop:
     """Convert an entry to a next hop; ``ValueError`` if the settings don't have its zone or type.
 
     Without a zone, the first zone is used; without a type, the first kind whose endpoints are separate routes, or kind
@@ -85,9 +85,9 @@
     separate_kinds = [kind for kind, is_separate in enumerate(settings.routes_apart) if is_separate]
     zone, kind = 0, separate_kinds[0] if separate_kinds else 0
     if entry.zone is not None and settings.zones:
-        zone = place(entry.zone, settings.zones, "zone")
+        zone = index_of(entry.zone, settings.zones, "zone")
     if entry.type is not None and settings.kinds:
-        kind = place(entry.type, settings.kinds, "type")
+        kind = index_of(entry.type, settings.kinds, "type")
     endpoint = api.Endpoint(
         entry.name.encode(),
         entry.group,
@@ -105,12 +105,12 @@
         address(entry.address),
         carrier,
         entry.target,
-        entry.connect_timeout_ms * MS or FOREVER,
-        entry.within_ms * MS or FOREVER,
+        entry.connect_timeout_ms * MS or NO_BOUND,
+        entry.within_ms * MS or NO_BOUND,
     )
 
 
-def merged(raw: OwnMap) -> list[Entry]:
+def with_destination_values(raw: OwnMap) -> list[Entry]:
     """The endpoints of a map, with the values of their destinations filled in."""
     groups = {destination.group: destination for destination in raw.destinations}
     found = []
@@ -133,7 +133,7 @@
     """Read the entries of a map file; ``ValueError`` names the file, the field and the expected value."""
     try:
         raw = msgspec.json.decode(Path(path).read_bytes(), type=OwnMap)
-        found = merged(raw)
+        found = with_destination_values(raw)
         for entry in found:
             address(entry.address)
     except OSError as error:
--- a/kestrelspar/core/transport_map.py
+++ b/kestrelspar/core/transport_map.py
@@ -15,24 +15,24 @@
 
 from snowlock import interface as api
 
-FOREVER = 1 << 62  # microseconds: no bound
+NO_BOUND = 1 << 62  # microseconds: no bound
 
 
-class Leave(Protocol):
+class SendGuard(Protocol):
     """Called right before the first byte of a delivery attempt; if false, nothing may be sent."""
 
     def __call__(self) -> bool:
         """Whether the attempt may be sent; if so, it has been journalled."""
 
-    def still(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether the rest of a started attempt may be sent: no drain or retry-after delay since, window still open."""
 
 
 class Carrier(Protocol):
     """Makes delivery attempts over one protocol."""
 
-    def attempt(self, message: Any, hop: NextHop, deadline: int, leave: Leave) -> Any:
-        """Make one delivery attempt; ``leave`` is called right before the first byte: if false, send nothing."""
+    def attempt(self, message: Any, hop: NextHop, deadline: int, guard: SendGuard) -> Any:
+        """Make one delivery attempt; ``guard`` is called right before the first byte: if false, send nothing."""
 
     def close_idle(self, hop: NextHop) -> None:
         """Close idle connections to the next hop."""
@@ -46,8 +46,8 @@
     address: tuple[str, int]
     carrier: Carrier
     target: str = "/v1/messages"  # path of HTTP calls
-    connect_within: int = FOREVER  # maximum time to connect
-    within: int = FOREVER  # maximum delivery time of a message, from its submission
+    connect_timeout: int = NO_BOUND  # maximum time to connect
+    delivery_timeout: int = NO_BOUND  # maximum delivery time of a message, from its submission
 
     @property
     def name(self) -> str:
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class Change:
+class MapUpdate:
     """The effects of an update from one source."""
 
-    rows: list[api.Endpoint] = field(default_factory=list)  # for the decision module
-    idle: list[NextHop] = field(default_factory=list)  # next hops whose idle connections have to be closed
+    endpoints: list[api.Endpoint] = field(default_factory=list)  # for the decision module
+    close_idle: list[NextHop] = field(default_factory=list)  # next hops whose idle connections have to be closed
     events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)  # for the log
 
 
@@ -76,51 +76,52 @@
 
     def __init__(self) -> None:
         self.hops: dict[api.EndpointId, NextHop] = {}
-        self.dests: set[int] = set()  # destinations that were ever listed
-        self.unheard: set[str] = set()  # sources that have reported nothing since the start
-        self.behind: set[str] = (
+        self.destinations: set[int] = set()  # destinations that were ever listed
+        self.pending_sources: set[str] = set()  # sources that have reported nothing since the start
+        self.disconnected_sources: set[str] = (
             set()
         )  # disconnected sources: their lists may lack entries that have existed for a while
         self._owner: dict[api.EndpointId, str] = {}
         self._rivals: dict[api.EndpointId, dict[str, NextHop]] = {}
-        self._bounds: dict[int, dict[api.EndpointId, int]] = {}  # by destination: finite ``within`` values
+        self._bounds: dict[int, dict[api.EndpointId, int]] = {}  # by destination: finite ``delivery_timeout`` values
 
     def owner(self, name: api.EndpointId) -> str | None:
         """The source that owns the entry."""
         return self._owner.get(name)
 
-    def within(self, dest: int) -> int:
+    def delivery_timeout(self, dest: int) -> int:
         """The smallest maximum delivery time among the entries of a destination, in microseconds."""
         bounds = self._bounds.get(dest)
-        return min(bounds.values()) if bounds else FOREVER
+        return min(bounds.values()) if bounds else NO_BOUND
 
-    def of(self, source: str) -> list[api.EndpointId]:
+    def ids_listed_by(self, source: str) -> list[api.EndpointId]:
         """The ids that a source lists, as their owner or as a rival."""
         owned = [name for name, owner in self._owner.items() if owner == source]
         return owned + [name for name, rivals in self._rivals.items() if source in rivals]
 
-    def take(
-        self, source: str, hops: Iterable[NextHop], whole: bool = False, left: Iterable[api.EndpointId] = ()
-    ) -> Change:
-        """Apply an update from one source: changed entries and removed ids; ``whole``: ids not in ``hops`` are removed.
+    def apply(
+        self, source: str, hops: Iterable[NextHop], complete: bool = False, removed: Iterable[api.EndpointId] = ()
+    ) -> MapUpdate:
+        """Apply an update from one source: changed entries and removed ids; ``complete``: ids not in ``hops`` are
+        removed.
 
         Removals come first, so that an id that a source removes and lists again in one update is kept.
         """
-        change, hops = Change(), list(hops)
-        if whole:
+        change, hops = MapUpdate(), list(hops)
+        if complete:
             names = {hop.endpoint.id for hop in hops}
-            left = [*left, *(name for name in self.of(source) if name not in names)]
-        for name in left:
+            removed = [*removed, *(name for name in self.ids_listed_by(source) if name not in names)]
+        for name in removed:
             self._remove(source, name, change)
         for hop in hops:
             if hop.endpoint.state is api.EndpointState.GONE:
-                self.dests.add(hop.endpoint.destination)
+                self.destinations.add(hop.endpoint.destination)
                 self._remove(source, hop.endpoint.id, change, hop)
             else:
                 self._add_or_update(source, hop, change)
         return change
 
-    def _add_or_update(self, source: str, hop: NextHop, change: Change) -> None:
+    def _add_or_update(self, source: str, hop: NextHop, change: MapUpdate) -> None:
         name = hop.endpoint.id
         owner = self._owner.setdefault(name, source)
         if owner != source:
@@ -133,14 +134,14 @@
         if before is not None:
             self._remove_bound(before)
             if before.endpoint.destination != hop.endpoint.destination or before.address != hop.address:
-                change.idle.append(before)
+                change.close_idle.append(before)
         self.hops[name] = hop
-        self.dests.add(hop.endpoint.destination)
-        if hop.within != FOREVER:
-            self._bounds.setdefault(hop.endpoint.destination, {})[name] = hop.within
-        change.rows.append(hop.endpoint)
+        self.destinations.add(hop.endpoint.destination)
+        if hop.delivery_timeout != NO_BOUND:
+            self._bounds.setdefault(hop.endpoint.destination, {})[name] = hop.delivery_timeout
+        change.endpoints.append(hop.endpoint)
         if hop.endpoint.state is not api.EndpointState.READY:
-            change.idle.append(hop)
+            change.close_idle.append(hop)
 
     def _remove_bound(self, hop: NextHop) -> None:
         bounds = self._bounds.get(hop.endpoint.destination)
@@ -149,7 +150,7 @@
             if not bounds:
                 del self._bounds[hop.endpoint.destination]
 
-    def _remove(self, source: str, name: api.EndpointId, change: Change, reported: NextHop | None = None) -> None:
+    def _remove(self, source: str, name: api.EndpointId, change: MapUpdate, reported: NextHop | None = None) -> None:
         owner = self._owner.get(name)
         if owner != source:
             rivals = self._rivals.get(name, {})
@@ -157,13 +158,13 @@
             if not rivals:
                 self._rivals.pop(name, None)
             if owner is None and reported is not None:
-                change.rows.append(reported.endpoint)  # not in this map, but the decision module may know it
+                change.endpoints.append(reported.endpoint)  # not in this map, but the decision module may know it
             return
         before = self.hops.pop(name)
         del self._owner[name]
         self._remove_bound(before)
-        change.rows.append(gone(before.endpoint))
-        change.idle.append(before)
+        change.endpoints.append(gone(before.endpoint))
+        change.close_idle.append(before)
         rivals = self._rivals.pop(name, {})
         if rivals:
             successor = next(iter(rivals))
--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -18,7 +18,7 @@
 BODY_TIMEOUT = 1 * SECOND  # from the first byte of a response to its last
 
 
-def seconds(text: str) -> int:
+def parse_retry_after(text: str) -> int:
     """Parses a Retry-After value into microseconds, rounded up; 0 if it is missing or invalid."""
     try:
         value = float(text)
@@ -44,7 +44,7 @@
 def meaning(status: int, headers: dict[str, str], columns: tuple[str, ...]) -> Result:
     """Classifies a complete response as an outcome for the decision module."""
     report = load_report(headers.get("endpoint-load-metrics", ""), columns)
-    retry_after = seconds(headers.get("retry-after", ""))
+    retry_after = parse_retry_after(headers.get("retry-after", ""))
     if 200 <= status < 300:
         return Result(Outcome.OK, report=report)
     if status == 429:
@@ -56,16 +56,16 @@
     if status == 504:
         return Result(Outcome.MOOT, report=report, note="attempts exhausted")
     if status == 410:
-        return Result(Outcome.MOOT, closed=True, report=report, note="message closed")
+        return Result(Outcome.MOOT, already_answered=True, report=report, note="message closed")
     return Result(Outcome.ERROR, report=report, note=str(status))
 
 
 def _is_duplicate(stream: Stream, answer: parser.Head) -> bool:
     """Whether the bytes after a response begin a copy of it, judged by the status line."""
-    return bytes(stream.unread).startswith(" ".join(answer.first).encode("latin-1"))
+    return bytes(stream.unread).startswith(" ".join(answer.start_line).encode("latin-1"))
 
 
-class NextHops:
+class HttpCarrier:
     """Makes delivery attempts and pools idle connections."""
 
     def __init__(self, loop: Loop, buffers: BufferPool, settings: api.Settings, max_idle: int) -> None:
@@ -77,18 +77,18 @@
         self._idle_timeout = int(settings.idle_ns // 1000 * IDLE_FRACTION)
         loop.spawn(self._close_expired)
 
-    def attempt(self, message: Message, hop: NextHop, deadline: int, leave: Callable[[], bool]) -> Result:
+    def attempt(self, message: Message, hop: NextHop, deadline: int, guard: Callable[[], bool]) -> Result:
         """Makes one delivery attempt, from connecting to the outcome."""
         stream = self._acquire(hop)
         if stream is None:
-            timeout = min(self.settings.connect_timeout_ns // 1000, hop.connect_within)
+            timeout = min(self.settings.connect_timeout_ns // 1000, hop.connect_timeout)
             connect_deadline = min(deadline, self.loop.now + timeout)
             sock = connect(self.loop, hop.address, connect_deadline)
             if sock is None:
                 return Result(Outcome.CONNECT_FAILED)
             self.opened += 1
             stream = Stream(self.loop, sock, self.buffers)
-        if not leave():
+        if not guard():
             self._release(hop, stream)
             return Result(Outcome.MOOT, note="barred meanwhile")
         headers = {"X-Trace-Id": message.trace}
@@ -98,7 +98,10 @@
         request = parser.request("POST", hop.target, "app.svc", headers, message.body)
         try:
             stream.write(request, deadline)
-        except (Closed, Late):  # the last byte was not written: the next hop cannot have processed it
+        except (
+            Closed,
+            Late,
+        ):  # the last byte was not written: the next hop cannot have processed it
             stream.close()
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         return self._answer(hop, stream, deadline)
@@ -135,15 +138,17 @@
                 return self._delivered(hop, stream, deadline)
             answer = parser.read_head(stream, deadline, response=True)
             result = meaning(status, answer.headers, self.settings.columns)
-            retry_after = result.told_wait
+            retry_after = result.retry_after
             if status not in (204, 304):
                 parser.read_body(stream, answer, deadline, response=True)
             if len(stream.unread) and result.outcome in NEVER_RAN and not _is_duplicate(stream, answer):
-                raise parser.BadMessage("bytes after the end of the response: noise, or a wrong Content-Length")
+                raise parser.MalformedMessageError(
+                    "bytes after the end of the response: noise, or a wrong Content-Length"
+                )
         except Closed:
             stream.close()
             return Result(Outcome.RESET, retry_after, note="response truncated")
-        except (Late, parser.BadMessage):
+        except (Late, parser.MalformedMessageError):
             stream.close()
             return Result(Outcome.ERROR, retry_after, note="malformed response")
         self._finish(hop, stream, answer)
@@ -154,7 +159,7 @@
         try:
             answer = parser.head(stream.unread, response=True)
             length = parser.body_length(answer) if answer is not None else None
-        except parser.BadMessage:
+        except parser.MalformedMessageError:
             stream.close()
             return Result(Outcome.OK)
         if answer is None:
@@ -184,7 +189,7 @@
         try:
             answer = parser.read_head(stream, deadline, response=True)
             parser.read_body(stream, answer, deadline, response=True)
-        except (Closed, Late, parser.BadMessage):
+        except (Closed, Late, parser.MalformedMessageError):
             stream.close()
             return
         finally:
@@ -194,7 +199,7 @@
     def _finish(self, hop: NextHop, stream: Stream, answer: parser.Head) -> None:
         """Returns the connection to the pool if the end of its response is known and nothing followed it."""
         delimited = answer.status in (204, 304) or parser.body_length(answer) != -1
-        if delimited and answer.keeps and stream.quiet():
+        if delimited and answer.keep_alive and stream.is_reusable():
             self._release(hop, stream)
         else:
             stream.close()
@@ -212,7 +217,7 @@
             stream, since = idle.pop()
             # A request on a connection that the next hop has closed would end with a reset. Whatever arrives on an
             # idle connection, end of input or noise, belongs to no request.
-            if self.loop.now - since < self._idle_timeout and stream.quiet():
+            if self.loop.now - since < self._idle_timeout and stream.is_reusable():
                 self.reused += 1
                 return stream
             stream.close()
@@ -230,7 +235,7 @@
             for key, idle in list(self._idle.items()):
                 remaining = []
                 for stream, since in idle:
-                    if self.loop.now - since < self._idle_timeout and stream.quiet():
+                    if self.loop.now - since < self._idle_timeout and stream.is_reusable():
                         remaining.append((stream, since))
                     else:
                         stream.close()
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -8,7 +8,7 @@
 from kestrelspar.http import parser
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
-from kestrelspar.runtime.loop import MS, SECOND, Loop, Parking, connect
+from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension, connect
 
 # A final state may be reported up to 300 ms after a message's deadline. A persistent connection that no longer responds
 # must not use that up: the platform responds at once, so the first attempt is short; each further one, on a new
@@ -25,7 +25,7 @@
 
     def __init__(self, loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> None:
         self.loop, self.buffers, self.address = loop, buffers, address
-        self._pending: list[tuple[str, Parking]] = []
+        self._pending: list[tuple[str, Suspension]] = []
         self._stream: Stream | None = None
         self._sending = False
         self._move_count = 0
@@ -39,18 +39,18 @@
         if self._sending:
             self.loop.spawn(self._send_pending)
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         """Always false, as HTTP clients cannot query their messages again."""
         return False
 
-    def settle(self, message: Message, end: End) -> None:
+    def report_end(self, message: Message, end: End) -> None:
         """Reports the final state and waits until it is acknowledged; a delivered message needs no notice."""
         if end.state == DELIVERED:
             return
         notice: dict[str, object] = {"id": message.trace, "state": end.state}
         if end.after_ms:
             notice["after_ms"] = end.after_ms
-        acknowledged = Parking(self.loop)
+        acknowledged = Suspension(self.loop)
         self._pending.append((ujson.dumps(notice), acknowledged))
         if not self._sending:
             self._sending = True
@@ -103,7 +103,7 @@
         """
         deadline, move_count = self.loop.now + timeout, self._move_count
         stream, self._stream = self._stream, None
-        if stream is not None and not stream.quiet():
+        if stream is not None and not stream.is_reusable():
             stream.close()
             stream = None
         if stream is None:
@@ -119,10 +119,10 @@
                 answer = parser.read_head(stream, deadline, response=True)
                 if answer.status != 204:
                     parser.read_body(stream, answer, deadline, response=True)
-                if answer.keeps and move_count == self._move_count:
+                if answer.keep_alive and move_count == self._move_count:
                     return answer.status
                 status: int | None = answer.status
-            except (Closed, Late, parser.BadMessage):
+            except (Closed, Late, parser.MalformedMessageError):
                 status = None
             if move_count == self._move_count:
                 self._stream = None
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -13,7 +13,7 @@
 _TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
-class BadMessage(Exception):
+class MalformedMessageError(Exception):
     """A malformed or unsupported HTTP/1.1 message; ``status`` is the response's status if a client sent it."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -25,21 +25,21 @@
 class Head:
     """The three parts of the start line, and the headers by their lower-case names."""
 
-    first: tuple[str, str, str]
+    start_line: tuple[str, str, str]
     headers: dict[str, str]
     size: int  # bytes, with the empty line at its end
 
     @property
-    def keeps(self) -> bool:
+    def keep_alive(self) -> bool:
         """Whether the connection stays open after this message."""
         connection = self.headers.get("connection", "").lower()
-        version = self.first[2] if self.first[2].startswith("HTTP/") else self.first[0]
+        version = self.start_line[2] if self.start_line[2].startswith("HTTP/") else self.start_line[0]
         return "close" not in connection and (version == "HTTP/1.1" or "keep-alive" in connection)
 
     @property
     def status(self) -> int:
         """The status code of a response."""
-        return int(self.first[1])
+        return int(self.start_line[1])
 
 
 def status(data: memoryview) -> int | None:
@@ -47,11 +47,11 @@
     line, end, _ = bytes(data[:MAX_HEAD_BYTES]).partition(b"\n")
     if not end:
         if len(data) >= MAX_HEAD_BYTES:
-            raise BadMessage("status line too long")
+            raise MalformedMessageError("status line too long")
         return None
     parts = line.rstrip(b"\r").split(b" ", 2)
     if parts[0] not in (b"HTTP/1.1", b"HTTP/1.0") or len(parts) < 2 or not (len(parts[1]) == 3 and parts[1].isdigit()):
-        raise BadMessage("bad status line")
+        raise MalformedMessageError("bad status line")
     return int(parts[1])
 
 
@@ -61,47 +61,47 @@
     end = text.find(b"\r\n\r\n")
     if end < 0:
         if len(data) >= MAX_HEAD_BYTES:
-            raise BadMessage("head too long", 431)
+            raise MalformedMessageError("head too long", 431)
         return None
     lines = text[:end].split(b"\r\n")
     if len(lines) > MAX_HEADERS + 1:
-        raise BadMessage("too many headers", 431)
+        raise MalformedMessageError("too many headers", 431)
     parts = lines[0].decode("latin-1").split(" ", 2)
     if response:
         parts += [""] * (3 - len(parts))
         if not parts[0].startswith("HTTP/1.") or not (len(parts[1]) == 3 and parts[1].isascii() and parts[1].isdigit()):
-            raise BadMessage("bad status line")
+            raise MalformedMessageError("bad status line")
     elif len(parts) != 3 or not parts[0] or not parts[1] or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
-        raise BadMessage("bad request line")
+        raise MalformedMessageError("bad request line")
     headers: dict[str, str] = {}
     for line in lines[1:]:
         name, colon, value = line.partition(b":")
         if not colon or not name or not _TOKEN.issuperset(name):
-            raise BadMessage("bad header line")
+            raise MalformedMessageError("bad header line")
         key, field = name.decode("ascii").lower(), value.decode("latin-1").strip(" \t")
         if "\r" in field or "\n" in field or "\0" in field:
-            raise BadMessage("bad header value")
+            raise MalformedMessageError("bad header value")
         if key in headers and key == "content-length" and headers[key] != field:
-            raise BadMessage("two lengths")
+            raise MalformedMessageError("two lengths")
         headers[key] = f"{headers[key]}, {field}" if key in headers and key != "content-length" else field
     return Head((parts[0], parts[1], parts[2]), headers, end + 4)
 
 
-def body_length(parsed: Head, most: int = MAX_BODY_BYTES) -> int | None:
+def body_length(parsed: Head, max_bytes: int = MAX_BODY_BYTES) -> int | None:
     """The body's Content-Length; None if the body is chunked, -1 if neither is given."""
     coding = parsed.headers.get("transfer-encoding")
     length = parsed.headers.get("content-length")
     if coding is not None:
         # Both headers at once allow request smuggling, as two servers may disagree on where the body ends.
         if coding.lower() != "chunked" or length is not None:
-            raise BadMessage("transfer coding not served")
+            raise MalformedMessageError("transfer coding not served")
         return None
     if length is None:
         return -1
     if not (length.isascii() and length.isdigit()):
-        raise BadMessage("bad length")
-    if len(length) > 9 or int(length) > most:
-        raise BadMessage("body too long", 413)
+        raise MalformedMessageError("bad length")
+    if len(length) > 9 or int(length) > max_bytes:
+        raise MalformedMessageError("body too long", 413)
     return int(length)
 
 
@@ -111,7 +111,7 @@
     return any(text.startswith(method) or method.startswith(text) for method in _METHODS)
 
 
-class Chunks:
+class ChunkedDecoder:
     """Incremental decoder of a chunked body: accepts fragments of any size."""
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
         self._state = "size"
         self.done = False
 
-    def take(self, data: bytes) -> tuple[bytes, int]:
+    def feed(self, data: bytes) -> tuple[bytes, int]:
         """Returns decoded data and the number of bytes consumed (all of them, until the body is complete)."""
         decoded, at = [], 0
         while at < len(data) and not self.done:
@@ -137,7 +137,7 @@
             self._line += data[at:stop]
             at = stop
             if len(self._line) > MAX_HEAD_BYTES:
-                raise BadMessage("chunk line too long")
+                raise MalformedMessageError("chunk line too long")
             if end >= 0:
                 line, self._line = self._line, b""
                 self._complete_line(line)
@@ -145,18 +145,18 @@
 
     def _complete_line(self, line: bytes) -> None:
         if not line.endswith(b"\r\n"):
-            raise BadMessage("bad chunk line")
+            raise MalformedMessageError("bad chunk line")
         line = line[:-2]
         if self._state == "end of data":
             if line:
-                raise BadMessage("chunk longer than told")
+                raise MalformedMessageError("chunk longer than told")
             self._state = "size"
         elif self._state == "trailer":
             self.done = not line
         else:
             size = line.split(b";", 1)[0].strip()
             if not size or len(size) > 8 or not all(c in b"0123456789abcdefABCDEF" for c in size):
-                raise BadMessage("bad chunk size")
+                raise MalformedMessageError("bad chunk size")
             self._remaining = int(size, 16)
             self._state = "data" if self._remaining else "trailer"
 
@@ -170,19 +170,19 @@
 
 
 def read_body(
-    stream: Stream, parsed: Head, deadline: int | None, response: bool = False, most: int = MAX_BODY_BYTES
+    stream: Stream, parsed: Head, deadline: int | None, response: bool = False, max_bytes: int = MAX_BODY_BYTES
 ) -> bytes:
     """Reads and consumes the body that follows the head."""
-    length = body_length(parsed, most)
+    length = body_length(parsed, max_bytes)
     if length is not None and length < 0:
         if not response:
             return b""
-        length = most + 1  # the body ends with the connection
-    chunks = Chunks() if length is None else None
+        length = max_bytes + 1  # the body ends with the connection
+    chunks = ChunkedDecoder() if length is None else None
     parts, size = [], 0
     while True:
         if chunks is not None:
-            data, used = chunks.take(bytes(stream.unread))
+            data, used = chunks.feed(bytes(stream.unread))
         else:
             assert length is not None
             data = bytes(stream.unread[: length - size])
@@ -190,14 +190,14 @@
         stream.consume(used)
         parts.append(data)
         size += len(data)
-        if size > most:
-            raise BadMessage("body too long", 413)
+        if size > max_bytes:
+            raise MalformedMessageError("body too long", 413)
         if size == length or chunks is not None and chunks.done:
             return b"".join(parts)
         try:
             stream.fill(deadline)
         except Closed:
-            if length != most + 1:
+            if length != max_bytes + 1:
                 raise
             return b"".join(parts)
 
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -10,11 +10,11 @@
 
 import ujson
 
-from kestrelspar.core.courier import Answer, Courier, Message, Reason, SenderSide
+from kestrelspar.core.courier import Answer, Courier, Message, RefusalReason, SenderSide
 from kestrelspar.http import parser
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
-from kestrelspar.runtime.loop import MS, SECOND, Loop, Parking
+from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension
 
 IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
 READ_TIMEOUT = 2_500 * MS  # from a request's first byte to its last
@@ -25,7 +25,7 @@
 SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM, as new connections may arrive for 400 ms
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
-REJECTION_STATUSES = {Reason.DUPLICATE: 409}
+REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}
 WRITE_TIMEOUT = 400 * MS  # a client waits this long for its response
 _EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
@@ -35,7 +35,7 @@
     """Parses X-Expires-In into microseconds."""
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
-        raise parser.BadMessage("bad X-Expires-In")
+        raise parser.MalformedMessageError("bad X-Expires-In")
     return math.floor(float(match[1]) * (MS if match[2] == "m" else 1))
 
 
@@ -77,8 +77,8 @@
         self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}
         self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
-        courier.at_close.append(self.close_connections)
-        courier.unfinished.append(self.busy)
+        courier.shutdown_tasks.append(self.close_connections)
+        courier.busy_checks.append(self.busy)
 
     @property
     def count(self) -> int:
@@ -108,7 +108,7 @@
     def _start_connection(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(Stream(self.loop, sock, self.buffers, guest=True), self.loop.now)
+        client = Client(Stream(self.loop, sock, self.buffers, incoming=True), self.loop.now)
         self._clients[State.NEW][client] = client.since
         self.loop.spawn(self._serve, client)
 
@@ -125,11 +125,11 @@
             for client, since in self._clients[state].items():
                 if since > self.loop.now - min_age:
                     break
-                if state in (State.NEW, State.IDLE) and not client.stream.quiet():
+                if state in (State.NEW, State.IDLE) and not client.stream.is_reusable():
                     continue
                 self._log_throttled("closed-to-make-room", state.value)
                 if state is State.ASKING:  # it closes after its 408 response
-                    client.stream.expire()
+                    client.stream.expire_read()
                     return False
                 del self._clients[state][client]
                 client.stream.close()
@@ -147,10 +147,10 @@
         started_at = self.loop.now
         while True:
             for client in list(self._clients[State.IDLE]):
-                client.stream.expire()
+                client.stream.expire_read()
             for client, since in list(self._clients[State.NEW].items()):
                 if max(since, started_at) <= self.loop.now - SHUTDOWN_FIRST_BYTE_TIMEOUT:
-                    client.stream.expire()
+                    client.stream.expire_read()
             if self._listener is not None and self.loop.now >= started_at + SHUTDOWN_ACCEPT_TIME:
                 self._close_listener(self._listener)
             self.loop.sleep(SHUTDOWN_POLL_INTERVAL)
@@ -163,7 +163,7 @@
                 self._start_connection(listener.accept()[0])
             except OSError:
                 break
-        self.loop.forget(listener)
+        self.loop.unregister(listener)
         listener.close()
 
     def busy(self) -> bool:
@@ -179,7 +179,7 @@
             return
         logs.event(event, front="http", trace=trace, why=why)
         if not self._suppressed_counts:
-            self.loop.at(self.loop.now + SECOND, self._log_suppressed)
+            self.loop.call_at(self.loop.now + SECOND, self._log_suppressed)
         self._suppressed_counts[key] = 0
 
     def _log_suppressed(self) -> None:
@@ -209,7 +209,7 @@
             try:
                 stream.fill(deadline)
             except Late:
-                if stream.quiet():
+                if stream.is_reusable():
                     return False
                 deadline = self.loop.now + READ_TIMEOUT  # a request began at that very moment, and is served
         return True
@@ -227,20 +227,20 @@
                 stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             body = parser.read_body(stream, head, deadline)
             if not parser.may_begin_request(stream.unread):  # the Content-Length is wrong, so the body may be truncated
-                raise parser.BadMessage("bytes behind the body that begin no request")
+                raise parser.MalformedMessageError("bytes behind the body that begin no request")
             self._set_state(client, State.SERVED)
-            method, target, _ = head.first
+            method, target, _ = head.start_line
             path = target.partition("?")[0]
             # Clients that send one request and stay connected would soon use up all connections.
             room = len(self._clients[State.IDLE]) < self._max_idle
-            keep = head.keeps and room and self.courier.closing is None
+            keep = head.keep_alive and room and self.courier.closing is None
             if method == "GET":
                 stream.write(self._get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
             if method != "POST":
-                raise parser.BadMessage("only POST and GET are served", 405)
+                raise parser.MalformedMessageError("only POST and GET are served", 405)
             message = self._message(path, head, body)
-        except parser.BadMessage as error:
+        except parser.MalformedMessageError as error:
             # Unless the request was complete, the start of the next one is unknown.
             self._log_throttled("request-rejected", str(error))
             stream.write(
@@ -251,27 +251,27 @@
             self._log_throttled("request-rejected", "request incomplete at the time-out")
             stream.write(parser.response(408, keep=False), self.loop.now + WRITE_TIMEOUT)
             return False
-        responded = Parking(self.loop)
+        responded = Suspension(self.loop)
         self.loop.spawn(self._submit, message, stream, keep, responded)
         return bool(self.loop.park(responded)) and keep
 
-    def _submit(self, message: Message, stream: Stream, keep: bool, responded: Parking) -> None:
+    def _submit(self, message: Message, stream: Stream, keep: bool, responded: Suspension) -> None:
         """Runs as the message's own task; the connection continues as soon as the response is written."""
 
         def respond(given: Answer) -> bool:
             accepted = False
             try:
-                if given.taken and not stream.ended():
+                if given.accepted and not stream.peer_closed():
                     stream.write(parser.response(202, keep=keep), self.loop.now + WRITE_TIMEOUT)
                     accepted = True
-                elif given.taken or given.defer:
-                    retry_after = {"Retry-After": f"{given.come_back / SECOND:g}"}
+                elif given.accepted or given.defer:
+                    retry_after = {"Retry-After": f"{given.retry_after / SECOND:g}"}
                     stream.write(parser.response(503, keep=keep, headers=retry_after), self.loop.now + WRITE_TIMEOUT)
                     logs.event(
                         "deferred",
                         trace=message.trace,
                         front="http",
-                        why="client gone" if given.taken else given.reason,
+                        why="client gone" if given.accepted else given.reason,
                     )
                 else:
                     self._log_throttled("rejected", given.reason, message.trace)
@@ -288,7 +288,7 @@
             return accepted
 
         try:
-            self.courier.carry(message, respond)
+            self.courier.submit(message, respond)
         finally:
             responded.resume(False)
 
@@ -309,25 +309,25 @@
             pass
 
     def _message(self, path: str, head: parser.Head, body: bytes) -> Message:
-        """Builds the message that a request submits; raises ``BadMessage`` if the request is invalid."""
+        """Builds the message that a request submits; raises ``MalformedMessageError`` if the request is invalid."""
         settings, headers = self.courier.settings, head.headers
         trace = headers.get("x-trace-id", "")
         if not trace or len(trace) > 128 or not trace.isascii() or not trace.isprintable():
-            raise parser.BadMessage("X-Trace-Id missing or unusable")
+            raise parser.MalformedMessageError("X-Trace-Id missing or unusable")
         name = headers.get("x-qos", "") or path.split("/")[1]
         path_class = path.split("/")[1] if path.startswith("/") else ""
         cls = next(self._indices(name, settings.classes), None)
         if cls is None or path_class != name:
-            raise parser.BadMessage(f"unknown class {path_class!r:.40}", 404)
+            raise parser.MalformedMessageError(f"unknown class {path_class!r:.40}", 404)
         tenant = 0
         if settings.tenants:
             found = next(self._indices(headers.get("x-customer", ""), settings.tenants), None)
             if found is None:
-                raise parser.BadMessage(f"unknown tenant {headers.get('x-customer', '')!r:.40}", 422)
+                raise parser.MalformedMessageError(f"unknown tenant {headers.get('x-customer', '')!r:.40}", 422)
             tenant = found
         dest = _DEST.search(headers.get("x-route-to", ""))
         if dest is None:
-            raise parser.BadMessage("X-Route-To holds no dest")
+            raise parser.MalformedMessageError("X-Route-To holds no dest")
         key = headers.get("idempotency-key", "")
         lifetime = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
         deadline = self.loop.now + lifetime
@@ -344,6 +344,6 @@
         if path == "/health/live":
             return parser.response(200, keep=keep)
         if path == "/stats":
-            stats = {"open": len(self.courier.open), "out": self.courier.out, "connections": self.count}
+            stats = {"open": len(self.courier.open), "out": self.courier.attempts_in_flight, "connections": self.count}
             return parser.response(200, ujson.dumps(stats).encode() + b"\n", keep=keep)
         return parser.response(404, keep=keep)
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -10,16 +10,16 @@
 
 from kestrelspar.core.courier import Carrier, Courier, NextHop
 from kestrelspar.http import parser
-from kestrelspar.http.asking import CONNECT_TIMEOUT, WATCH_SILENCE_TIMEOUT, DiscoveryBackoff
-from kestrelspar.journal.left import Left
+from kestrelspar.http.backoff import CONNECT_TIMEOUT, WATCH_SILENCE_TIMEOUT, DiscoveryBackoff
+from kestrelspar.journal.removal_log import RemovalLog
 from kestrelspar.runtime import heap, logs
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
-from kestrelspar.settings.platform import STATES, address, place
+from kestrelspar.settings.platform import STATES, address, index_of
 from snowlock import interface as api
 
 SOURCE = "discovery"
-MOST_LINE = 4 * 1024 * 1024
+MAX_LINE_BYTES = 4 * 1024 * 1024
 MIN_PROGRESS_BYTES = 64 * 1024  # of a line that is still incomplete: as many count as activity, fewer do not
 CATCH_UP_TIME = 6 * SECOND  # a change counts as known by then: until then the list may be outdated after a break
 BATCH_SIZE = 1_000  # rows
@@ -32,8 +32,8 @@
     endpoint = api.Endpoint(
         str(raw["name"]).encode(),
         int(raw["group"]),
-        place(raw.get("zone"), settings.zones, "zone"),
-        place(raw.get("type"), settings.kinds, "type"),
+        index_of(raw.get("zone"), settings.zones, "zone"),
+        index_of(raw.get("type"), settings.kinds, "type"),
         state,
         float(raw.get("weight", 1.0)),
     )
@@ -55,7 +55,7 @@
     ) -> None:
         self.loop, self.buffers, self.courier, self.carrier = loop, buffers, courier, carrier
         self.discovery = discovery
-        courier.map.unheard.add(SOURCE)
+        courier.map.pending_sources.add(SOURCE)
         self.index = 0  # the revision received last
         self._backoff = DiscoveryBackoff(courier.settings.forwarders, seed, not courier.settings.must_subscribe)
         self._disconnected_at: int | None = None  # None while the watch receives lines
@@ -71,7 +71,7 @@
         self._removals = (
             None
             if state_directory is None
-            else Left(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, forget=True)
+            else RemovalLog(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, forget=True)
         )
 
     def load_known(self, known: dict[str, Any]) -> None:
@@ -81,7 +81,7 @@
         """
         index, rows = known.get("index"), known.get("endpoints")
         if self._removals is not None and isinstance(rows, list):
-            self._removals.cut(index if isinstance(index, int) else 0)
+            self._removals.drop_through(index if isinstance(index, int) else 0)
             states = {
                 name: "leaving" if state is api.EndpointState.DRAINING else "left"
                 for name, state in self._removals.since(-1).items()
@@ -97,7 +97,7 @@
         """Applies one object of the list, and records removals and drains; see ``_apply``."""
         self._apply(raw, self._removals)
 
-    def _apply(self, raw: Any, removals: Left | None) -> None:
+    def _apply(self, raw: Any, removals: RemovalLog | None) -> None:
         """Applies one object of the list; removals and drains are recorded in ``removals``.
 
         An invalid row is logged and skipped, as is an object that is no list.
@@ -105,9 +105,9 @@
         if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
             self._log_unreadable("not a list", f"{raw!r:.120}")
             return
-        pause_gc = len(raw["endpoints"]) >= heap.WORTH
+        pause_gc = len(raw["endpoints"]) >= heap.COLLECT_THRESHOLD
         if pause_gc:
-            heap.hold()
+            heap.disable_collection()
         try:
             hops, is_snapshot, index = self._hops(raw["endpoints"]), raw.get("snapshot") is True, raw.get("index")
             if isinstance(index, int) and not isinstance(index, bool):
@@ -115,16 +115,16 @@
                     removals.clear()  # revisions of another discovery, or of one that was reset
                 self._awaiting_snapshot, self.index = self._awaiting_snapshot and not is_snapshot, index
             if removals is not None:  # before it is logged: a reader of the log may kill the process at once
-                removals.note(self._states_by_name(hops, is_snapshot), self.index)
+                removals.record(self._states_by_name(hops, is_snapshot), self.index)
             for hop in hops:
                 if hop.endpoint.state is not api.EndpointState.READY:
                     logs.event("map-leaves", source=SOURCE, hop=hop.name, state=hop.endpoint.state.name.lower())
-            self.courier.listed(SOURCE, hops, is_snapshot)
+            self.courier.apply_map_update(SOURCE, hops, is_snapshot)
             self._has_snapshot = self._has_snapshot or is_snapshot
         finally:
             if pause_gc:
-                heap.release()
-                heap.grew(heap.WORTH)
+                heap.enable_collection()
+                heap.count_new_entries(heap.COLLECT_THRESHOLD)
 
     def _hops(self, rows: list[Any]) -> list[NextHop]:
         """Converts the rows of a list, which is emptied in batches to limit memory use.
@@ -145,7 +145,7 @@
     def _states_by_name(self, hops: list[NextHop], is_snapshot: bool) -> dict[str, api.EndpointState]:
         """The state of each endpoint in the list and, if it is complete, of those that are missing from it."""
         names = {hop.endpoint.id for hop in hops} if is_snapshot else set()
-        missing = [name for name in self.courier.map.of(SOURCE) if name not in names] if is_snapshot else []
+        missing = [name for name in self.courier.map.ids_listed_by(SOURCE) if name not in names] if is_snapshot else []
         return {name.decode(): api.EndpointState.GONE for name in missing} | {
             hop.name: hop.endpoint.state for hop in hops
         }
@@ -176,7 +176,7 @@
                     "map-break", source=SOURCE, revision=self.index, status=self._refusal_status, again_ms=delay // MS
                 )
                 self._disconnected_at, self._attempts = self.loop.now, 0
-                self.courier.map.behind.add(SOURCE)
+                self.courier.map.disconnected_sources.add(SOURCE)
             self._attempts += 1
             self.loop.sleep(delay)
 
@@ -201,22 +201,24 @@
             if answer.status != 200:
                 self._refusal_status = answer.status
                 return False
-            chunks = parser.Chunks() if parser.body_length(answer) is None else None
-            lines, objects, pending = Lines(), JsonObjects(), 0
+            chunks = parser.ChunkedDecoder() if parser.body_length(answer) is None else None
+            lines, objects, pending = LineSplitter(), JsonObjects(), 0
             last_activity = self.loop.now
             while True:
                 data = bytes(stream.unread)
                 if chunks is None:
                     used = len(data)
                 else:
-                    data, used = chunks.take(data)
+                    data, used = chunks.feed(data)
                 stream.consume(used)
                 pending += used
                 if pending >= MIN_PROGRESS_BYTES:
                     pending, last_activity = 0, self.loop.now
-                for line in lines.take(data):
-                    for text in objects.take(line):
-                        if not self._line(text):  # its changes are lost: requested again from the last good revision
+                for line in lines.feed(data):
+                    for text in objects.feed(line):
+                        if not self._handle_line(
+                            text
+                        ):  # its changes are lost: requested again from the last good revision
                             return False
                         received, pending = True, 0
                         last_activity = self.loop.now
@@ -225,7 +227,7 @@
                 if self.loop.now >= last_activity + WATCH_SILENCE_TIMEOUT:
                     raise Late
                 stream.fill(last_activity + WATCH_SILENCE_TIMEOUT)
-        except (Closed, parser.BadMessage):
+        except (Closed, parser.MalformedMessageError):
             return received
         except Late:
             self._silent_for, self._headers_timed_out = (
@@ -241,24 +243,26 @@
         deadline = self.loop.now + self._backoff.response_timeout
         stream.write(parser.request("GET", "/registry/instances", "app.svc", {}), deadline)
         answer = parser.read_head(stream, deadline, response=True)
-        body = parser.read_body(stream, answer, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, most=MOST_LINE)
+        body = parser.read_body(
+            stream, answer, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, max_bytes=MAX_LINE_BYTES
+        )
         if answer.status != 200:
             self._refusal_status = answer.status
             return False
-        return self._line(body)
+        return self._handle_line(body)
 
-    def _line(self, text: bytes) -> bool:
+    def _handle_line(self, text: bytes) -> bool:
         """Applies one object of the list, or an empty line; returns false if it cannot be parsed."""
-        self.courier.map.unheard.discard(SOURCE)
+        self.courier.map.pending_sources.discard(SOURCE)
         if self._disconnected_at is not None:
             logs.event(
                 "map-heard", source=SOURCE, tries=self._attempts, after_ms=(self.loop.now - self._disconnected_at) // MS
             )
             self._disconnected_at = None
-            self.loop.at(self.loop.now + CATCH_UP_TIME, self._mark_current)
+            self.loop.call_at(self.loop.now + CATCH_UP_TIME, self._mark_current)
         if not text.strip():
             if self._removals is not None:
-                self._removals.mend()
+                self._removals.retry_write()
             return True
         try:
             raw = ujson.loads(text)
@@ -274,7 +278,7 @@
         From now on, an endpoint that is missing from the list does not exist.
         """
         if self._disconnected_at is None:
-            self.courier.map.behind.discard(SOURCE)
+            self.courier.map.disconnected_sources.discard(SOURCE)
 
     def _log_unreadable(self, why: str, got: str) -> None:
         if got != self._unreadable:
@@ -292,7 +296,7 @@
         self._parts: list[bytes] = []  # lines of an incomplete object
         self._depth = self._size = 0
 
-    def take(self, line: bytes) -> list[bytes]:
+    def feed(self, line: bytes) -> list[bytes]:
         """Returns what the line completes: objects, empty lines, and, unchanged, text that cannot become an object."""
         text = line.strip()
         if not text:  # objects hold no empty lines: an incomplete one was cut off
@@ -304,8 +308,8 @@
             return [*self._flush(), text]  # a complete object after one that was cut off
         self._parts.append(line)
         self._depth, self._size = self._depth + depth_change, self._size + len(line)
-        if self._size > MOST_LINE:
-            raise parser.BadMessage("object too long")
+        if self._size > MAX_LINE_BYTES:
+            raise parser.MalformedMessageError("object too long")
         return self._flush() if self._depth <= 0 else []
 
     def _flush(self) -> list[bytes]:
@@ -319,15 +323,15 @@
         return unquoted.count(b"{") + unquoted.count(b"[") - unquoted.count(b"}") - unquoted.count(b"]")
 
 
-class Lines:
+class LineSplitter:
     """Splits fragments of any size into lines."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
-    def take(self, data: bytes) -> list[bytes]:
+    def feed(self, data: bytes) -> list[bytes]:
         """Returns the lines that are complete, without their line ends."""
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
-        if len(self._incomplete) > MOST_LINE:
-            raise parser.BadMessage("line too long")
+        if len(self._incomplete) > MAX_LINE_BYTES:
+            raise parser.MalformedMessageError("line too long")
         return lines
--- a/kestrelspar/journal/read.py
+++ b/kestrelspar/journal/read.py
@@ -44,25 +44,25 @@
     """All that the journal has on one message."""
 
     number: int
-    told: dict[str, Any]  # JSON object of the TAKEN record
+    fields: dict[str, Any]  # JSON object of the TAKEN record
     body: bytes
     deadline: int
     attempts: dict[int, Attempt] = field(default_factory=dict)
     awaits: dict[str, Any] | None = None
     end: str = ""
     after_ms: int = 0
-    over: bool = False  # DONE: no further report is needed
+    done: bool = False  # DONE: no further report is needed
     replaced: int = 0  # number of changes before its first attempt
 
     @property
     def trace(self) -> str:
         """The message id given by the sender side."""
-        return str(self.told.get("trace", ""))
+        return str(self.fields.get("trace", ""))
 
     @property
     def state(self) -> str:
         """The state for reports: open, may-have-run, accepted, ended, or the final state."""
-        if self.over or self.end:
+        if self.done or self.end:
             return self.end or "ended"
         if self.awaits is not None:
             return "accepted"
@@ -74,11 +74,11 @@
     """Damaged bytes, or a record with an invalid payload or kind."""
 
     at: int
-    what: str
+    description: str
 
 
 @dataclass(slots=True)
-class Found:
+class JournalContent:
     """The decoded content of a journal."""
 
     size: int
@@ -93,12 +93,12 @@
     @property
     def open(self) -> list[History]:
         """Messages that still need a report of their final state."""
-        return [history for history in self.histories.values() if not history.over]
+        return [history for history in self.histories.values() if not history.done]
 
 
-def read(data: bytes) -> Found:
+def read(data: bytes) -> JournalContent:
     """Decode all records. Damaged ones are listed as faults and skipped; bytes after the last one count as torn."""
-    found, at, offset = Found(len(data)), 0, 0
+    found, at, offset = JournalContent(len(data)), 0, 0
     for scanned in records.scan(data):
         at = scanned.end
         if scanned.fault:
@@ -115,7 +115,7 @@
     return found
 
 
-def _apply(found: Found, kind: int, number: int, payload: bytes, offset: int) -> int:
+def _apply(found: JournalContent, kind: int, number: int, payload: bytes, offset: int) -> int:
     """Apply one record; returns the clock offset to add to the times of the following records."""
     if kind == CLOCK:
         return int(struct.unpack("<q", payload)[0])
@@ -138,7 +138,7 @@
         return offset
     history = found.histories[number]
     if kind == DONE:
-        history.over = True
+        history.done = True
     elif kind == AWAITS:
         history.awaits = ujson.loads(payload)
     elif kind == VERDICT:
@@ -156,7 +156,7 @@
 
 def row(history: History, with_body: bool = False) -> dict[str, Any]:
     """A message as a JSON object, for audits."""
-    told = history.told
+    told = history.fields
     result: dict[str, Any] = {
         "number": history.number,
         "trace": history.trace,
@@ -166,7 +166,7 @@
         "sender": told.get("sender"),
         "key": told.get("key") or None,
         "state": history.state,
-        "over": history.over,
+        "over": history.done,
         "deadline": history.deadline,
         "bytes": len(history.body),
         "attempts": [{"n": a.index, "at": a.at, "ran": a.ran} for a in history.attempts.values()],
--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -17,7 +17,7 @@
 LIMIT_FIELDS = struct.Struct("<qd")  # expiry time, calls per second
 OUTAGE_FIELDS = struct.Struct("<qqq")  # expiry time, start of the outage, start of the recovery
 MAX_PAYLOAD = 96 * 1024  # bytes
-# Kinds of records; LEFT stands only in the separate files of left.py.
+# Kinds of records; LEFT stands only in the separate files of removal_log.py.
 CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(1, 11)
 OUTAGE = 11
 KNOWN_KINDS = range(CLOCK, OUTAGE + 1)
@@ -32,7 +32,7 @@
     body: bytes
     deadline: int
     attempts: int = 0
-    maybe_since: int | None = None  # start of the first attempt that may have run
+    may_have_run_since: int | None = None  # start of the first attempt that may have run
     verdict: str = ""  # final state that is decided, and may not have been reported to the sender side
     after_ms: int = 0
     awaits: str = ""  # JSON data of the outcome that an accepted message waits for
@@ -51,7 +51,7 @@
         self._update_maybe_since()
 
     def _update_maybe_since(self) -> None:
-        self.maybe_since = min(self._unresolved.values(), default=None)
+        self.may_have_run_since = min(self._unresolved.values(), default=None)
 
     def records(self) -> bytes:
         """All records of the entry, as compaction writes them."""
