--- a/kestrelspar/journal/left.py
+++ b/kestrelspar/journal/removal_log.py
@@ -27,22 +27,25 @@
 Row = tuple[str, State, int]  # key, state, revision at which it was reported
 
 
-class Left:
+class RemovalLog:
     """Keys that a source reported as gone or draining, newest last."""
 
-    def __init__(self, file: Path, most: int, forget: bool = False) -> None:
-        """``most``: maximum file size in bytes. ``forget``: drop the oldest rows there, else ``note`` returns false."""
-        self.file, self.most, self._drop_oldest = file, most, forget
+    def __init__(self, file: Path, max_bytes: int, forget: bool = False) -> None:
+        """``max_bytes``: maximum file size in bytes.
+
+        ``forget``: drop the oldest rows there, else ``record`` returns false.
+        """
+        self.file, self.max_bytes, self._drop_oldest = file, max_bytes, forget
         self.rows_by_key: dict[str, tuple[int, State]] = {}  # revision and state
-        self.number = 0  # highest revision recorded so far
-        self.behind = False  # the file lacks some reported rows
+        self.revision = 0  # highest revision recorded so far
+        self.incomplete = False  # the file lacks some reported rows
         self._size = 0
         self._load()
 
     @staticmethod
-    def reserve(most: int) -> int:
+    def max_disk_usage(max_bytes: int) -> int:
         """Maximum disk usage: the file and its replacement, in whole blocks."""
-        return 2 * (-(-most // BLOCK) * BLOCK) if most else 0
+        return 2 * (-(-max_bytes // BLOCK) * BLOCK) if max_bytes else 0
 
     def _load(self) -> None:
         """Read the file; damaged records are logged and skipped, and a torn end is cut at the next write."""
@@ -68,43 +71,43 @@
             self.rows_by_key.pop(key, None)
             if state is not State.READY:
                 self.rows_by_key[key] = number, state
-            self.number = max(self.number, number)
+            self.revision = max(self.revision, number)
 
     def since(self, number: int) -> dict[str, State]:
         """The states reported after this revision."""
         return {key: state for key, (at, state) in self.rows_by_key.items() if at > number}
 
-    def note(self, rows: dict[str, State], number: int | None = None) -> bool:
+    def record(self, rows: dict[str, State], number: int | None = None) -> bool:
         """Record reported states at the source's revision, or the next number; false if not all rows are on file."""
-        number = self.number + 1 if number is None else number
+        number = self.revision + 1 if number is None else number
         changes = [
             (key, state, number)
             for key, state in rows.items()
             if self.rows_by_key.get(key, (0, State.READY))[1] is not state
         ]
         if not changes:
-            return not self.behind
+            return not self.incomplete
         self._apply(changes)
         data = _encode(changes)
-        if self.behind or self._size + len(data) > self.most:
+        if self.incomplete or self._size + len(data) > self.max_bytes:
             return self._write()
         return self._try_write(lambda: self._append(data))
 
-    def cut(self, number: int) -> None:
+    def drop_through(self, number: int) -> None:
         """Drop the rows up to this revision: the saved list contains them."""
         remaining = {key: row for key, row in self.rows_by_key.items() if row[0] > number}
-        if len(remaining) < len(self.rows_by_key) or self.behind:
+        if len(remaining) < len(self.rows_by_key) or self.incomplete:
             self.rows_by_key = remaining
             self._write()
 
     def clear(self) -> None:
         """Drop all rows and the file."""
-        self.rows_by_key, self._size, self.behind = {}, 0, False
+        self.rows_by_key, self._size, self.incomplete = {}, 0, False
         self.file.unlink(missing_ok=True)
 
-    def mend(self) -> None:
+    def retry_write(self) -> None:
         """Retry a write that failed."""
-        if self.behind:
+        if self.incomplete:
             self._write()
 
     def _write(self) -> bool:
@@ -112,12 +115,12 @@
         if not self.rows_by_key:
             return self._try_write(self.clear)
         data = self._encode_all()
-        while len(data) > self.most and self._drop_oldest and self.rows_by_key:
+        while len(data) > self.max_bytes and self._drop_oldest and self.rows_by_key:
             for key in list(self.rows_by_key)[: len(self.rows_by_key) // 4 + 1]:
                 del self.rows_by_key[key]
             data = self._encode_all()
-        if len(data) > self.most:
-            self._log_failure(f"the rows need more than the limit of {self.most} bytes")
+        if len(data) > self.max_bytes:
+            self._log_failure(f"the rows need more than the limit of {self.max_bytes} bytes")
             return False
         return self._try_write(lambda: self._replace(data))
 
@@ -131,13 +134,13 @@
         except OSError as error:
             self._log_failure(str(error))
             return False
-        self.behind = False
+        self.incomplete = False
         return True
 
     def _log_failure(self, why: str) -> None:
-        if not self.behind:
+        if not self.incomplete:
             logs.warn("map-left-not-kept", file=self.file.name, entries=len(self.rows_by_key), why=why)
-        self.behind = True
+        self.incomplete = True
 
     def _append(self, data: bytes) -> None:
         file = os.open(self.file, os.O_WRONLY | os.O_CREAT, 0o600)
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -48,10 +48,10 @@
 class Journal:
     """The open messages, and the file that preserves them over restarts."""
 
-    def __init__(self, folder: str, limit: int, attempts: int = 8) -> None:
-        self._path, self._limit = Path(folder) / "journal", limit
+    def __init__(self, state_directory: str, limit: int, attempts: int = 8) -> None:
+        self._path, self._limit = Path(state_directory) / "journal", limit
         self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * attempts
-        self._new_path = Path(folder) / "journal.new"
+        self._new_path = Path(state_directory) / "journal.new"
         self.entries: dict[int, Entry] = {}
         self._live = 0  # bytes of a compacted file, plus the room reserved for later records
         self._weights: dict[int, int] = {}  # by message number: bytes of its records, and the room reserved
@@ -145,7 +145,7 @@
             self._ended_live -= size
             self._live -= size
 
-    def keep_ended(self, name: str, text: str, retention: int) -> None:
+    def retain_ended(self, name: str, text: str, retention: int) -> None:
         """Retain a text on an ended message for so many microseconds, over restarts, if there is room."""
         now = time.time_ns() // 1000
         record = records.ended_record(name, now + retention, text)
@@ -290,7 +290,7 @@
         os.lseek(self._file, self._size, os.SEEK_SET)
         return False
 
-    def taken(self, number: int, deadline: int, text: str, body: bytes) -> bool:
+    def record_accepted(self, number: int, deadline: int, text: str, body: bytes) -> bool:
         """Record an accepted message; false when there is no room, and then it must be refused."""
         record = records.record(TAKEN, number, records.taken_payload(deadline, text, body))
         more = len(record) + self._reserved
@@ -301,7 +301,7 @@
         self._add(Entry(number, text, body, deadline))
         return True
 
-    def replaced(self, number: int, text: str, body: bytes) -> bool:
+    def record_replacement(self, number: int, text: str, body: bytes) -> bool:
         """Record new content of a message without attempts; false, and unchanged, when there is no room."""
         entry = self.entries[number]
         record = records.record(TAKEN, number, records.taken_payload(entry.deadline, text, body))
@@ -310,7 +310,7 @@
         self._add(Entry(number, text, body, entry.deadline))
         return True
 
-    def attempt(self, number: int, index: int, sent: int) -> bool:
+    def record_attempt(self, number: int, index: int, sent: int) -> bool:
         """Record an attempt that is about to be sent; false when that failed, and then it must not be sent."""
         entry = self.entries.get(number)
         if entry is None or not self._append(records.record(ATTEMPT, number, records.ATTEMPT_FIELDS.pack(index, sent))):
@@ -318,14 +318,14 @@
         entry.attempted(index, sent)
         return True
 
-    def not_run(self, number: int, index: int) -> None:
+    def record_not_run(self, number: int, index: int) -> None:
         """Record that an attempt never ran, as its outcome proved."""
         entry = self.entries.get(number)
         if entry is not None:
             entry.not_run(index)
             self._append(records.record(NOT_RUN, number, records.ATTEMPT_FIELDS.pack(index, 0)))
 
-    def awaits(self, number: int, text: str) -> bool:
+    def record_awaited(self, number: int, text: str) -> bool:
         """Record that an attempt was accepted and its outcome is awaited; false when that could not be written."""
         entry = self.entries.get(number)
         record = records.record(AWAITS, number, text.encode())
@@ -340,7 +340,7 @@
         self._live += more
         self._weights[entry.number] += more
 
-    def verdict(self, number: int, state: str, after_ms: int) -> bool:
+    def record_end(self, number: int, state: str, after_ms: int) -> bool:
         """Record a final state before it is reported to the sender side; false when that could not be written."""
         entry = self.entries.get(number)
         if entry is None:
@@ -348,7 +348,7 @@
         entry.verdict, entry.after_ms = state, after_ms
         return self._append(records.record(VERDICT, number, records.verdict_payload(state, after_ms)))
 
-    def done(self, number: int) -> None:
+    def record_done(self, number: int) -> None:
         """Record that a message needs no further report, and drop it."""
         if number in self.entries:
             self._append(records.record(DONE, number, b""))
--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -13,7 +13,7 @@
 from kestrelspar.runtime.loop import SECOND, Loop
 from kestrelspar.settings import schema
 from kestrelspar.settings.conf import Conf
-from kestrelspar.settings.lines import ConfFaults, Fault
+from kestrelspar.settings.lines import ConfError, ConfErrors
 from kestrelspar.settings.resolve import Registry
 
 DAY = 86_400 * SECOND
@@ -90,39 +90,39 @@
         raise TlsFileError("certificate", f"{file} holds no certificate (wanted: PEM)") from None
 
 
-class Keys:
+class TlsStore:
     """The contexts of all ``tls`` sections. New connections use the latest ones; existing connections keep theirs."""
 
     def __init__(self, conf: Conf) -> None:
-        """Loads all files; raises ``ConfFaults``, which names each unusable one."""
+        """Loads all files; raises ``ConfErrors``, which names each unusable one."""
         self._contexts: dict[str, TlsContexts] = {}
         self._load(conf)
 
     def _load(self, conf: Conf) -> None:
         contexts: dict[str, TlsContexts] = {}
-        faults: list[Fault] = []
-        for section in conf.many(schema.Tls):
+        errors: list[ConfError] = []
+        for section in conf.sections_of(schema.Tls):
             assert isinstance(section.values, schema.Tls)
             try:
                 contexts[section.label] = read(section.values)
             except TlsFileError as error:
-                faults.append(section.fault(error.key, str(error)))
+                errors.append(section.error(error.key, str(error)))
         for title, key, section in [
             (s.TITLE, "tls", t)
             for s in (schema.Smpp, schema.SmppGateway, schema.Registry)
-            for t in (conf.many(s) if s.LABELED else [conf.told(s)])
+            for t in (conf.sections_of(s) if s.LABELED else [conf.section(s)])
         ]:
             name = getattr(section.values, key)
-            if name and name not in {t.label for t in conf.many(schema.Tls)}:
-                faults.append(section.fault(key, f"there is no section tls {name}"))
+            if name and name not in {t.label for t in conf.sections_of(schema.Tls)}:
+                errors.append(section.error(key, f"there is no section tls {name}"))
             elif name and title == "smpp" and name in contexts and contexts[name].server is None:
-                faults.append(section.fault(key, f"tls {name} has no certificate, which a listener requires"))
-        if faults:
-            raise ConfFaults(sorted(faults))
+                errors.append(section.error(key, f"tls {name} has no certificate, which a listener requires"))
+        if errors:
+            raise ConfErrors(sorted(errors))
         self._contexts |= contexts  # settings that are read only at the start may still name a section that was removed
 
     def reload_files(self, conf: Conf) -> None:
-        """Reads the files again; ``ConfFaults`` leaves the current contexts in place."""
+        """Reads the files again; ``ConfErrors`` leaves the current contexts in place."""
         self._load(conf)
         for label in self._contexts:
             logs.event("tls-read", section=label)
@@ -158,6 +158,6 @@
             self.log_expiry()
             loop.sleep(DAY)
 
-    def secured(self, registries: list[Registry]) -> list[Registry]:
+    def with_tls(self, registries: list[Registry]) -> list[Registry]:
         """Returns the registries, with a TLS context for those that use TLS."""
-        return [replace(r, secure=partial(self.client, r.told.tls)) if r.told.tls else r for r in registries]
+        return [replace(r, secure=partial(self.client, r.section.tls)) if r.section.tls else r for r in registries]
--- a/kestrelspar/lab/brokered.py
+++ b/kestrelspar/lab/broker_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated runs of couriers in zones with brokers, each with one fault, and their checkers. See model.py.
+"""Simulated runs of couriers in zones with brokers, each with one fault, and their checkers. See simulated_network.py.
 
 Couriers call the endpoints that they use, which are up or down in real time; they report what they observe, and avoid
 endpoints that others report as failing. The checkers know the real state of the endpoints:
@@ -17,16 +17,32 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kestrelspar.lab.model import MS, SECOND, Faults, Net, Node, Traffic
+from kestrelspar.lab.simulated_network import MS, SECOND, Faults, Node, SimulatedNetwork, Traffic
 from kestrelspar.peers.brokers import Broker
-from kestrelspar.peers.judgements import FRESH, RANKS, Held, Kind, Outcome
+from kestrelspar.peers.judgements import (
+    MAX_PROBE_RANK,
+    OUTAGE_REPORT_MAX_AGE,
+    CallOutcome,
+    ObservationKind,
+    RouteRestriction,
+)
 from kestrelspar.peers.peer import Peer
-from kestrelspar.peers.words import Forward, Publish, Relayed, Seen, Word
+from kestrelspar.peers.words import (
+    ForwardedObservation,
+    Observation,
+    PeerMessage,
+    PublishObservation,
+    RelayedObservation,
+)
 
 PROBE_INTERVAL = 200 * MS  # between the couriers' probes of an endpoint that is down
 MAX_WAIT = 2 * SECOND
-MAX_CLOSED_TIME = max(MAX_WAIT, RANKS * PROBE_INTERVAL, FRESH)  # longest time ahead that reports may close a route
-MAX_STALE_TIME = FRESH + RANKS * PROBE_INTERVAL + SECOND  # after so long an endpoint that is up is closed nowhere
+MAX_CLOSED_TIME = max(
+    MAX_WAIT, MAX_PROBE_RANK * PROBE_INTERVAL, OUTAGE_REPORT_MAX_AGE
+)  # longest time ahead that reports may close a route
+MAX_STALE_TIME = (
+    OUTAGE_REPORT_MAX_AGE + MAX_PROBE_RANK * PROBE_INTERVAL + SECOND
+)  # after so long an endpoint that is up is closed nowhere
 CALL_INTERVAL, FAILURE_TIME, SUCCESS_TIME = 200 * MS, 60 * MS, 10 * MS  # of calls for a destination; latency of a call
 OWN_CLOSED_TIME = 400 * MS  # that a courier avoids an endpoint after its own failed call
 CHECK_INTERVAL = 250 * MS
@@ -39,32 +55,34 @@
 class World:
     """The simulated network, the real state of the endpoints, and the checkers' results."""
 
-    net: Net
+    net: SimulatedNetwork
     endpoints: dict[str, int]  # their destinations
     down: dict[str, tuple[int, int]] = field(default_factory=dict)  # begin and end of an endpoint's outage
     honest: set[str] = field(default_factory=set)
-    lied: bool = False
-    faults: list[str] = field(default_factory=list)
-    seen: Counter[str] = field(default_factory=Counter)  # calls served, failed; checks with a closed route
+    has_liar: bool = False
+    violations: list[str] = field(default_factory=list)
+    counts: Counter[str] = field(default_factory=Counter)  # calls served, failed; checks with a closed route
     last_closed_at: int = 0  # when a courier last had a route closed by reports
     own_closed: dict[tuple[str, str], int] = field(default_factory=dict)  # by courier and endpoint: until when
-    restrictions: dict[str, tuple[int, dict[str, Held]]] = field(default_factory=dict)  # by courier: when read, cached
+    restrictions: dict[str, tuple[int, dict[str, RouteRestriction]]] = field(
+        default_factory=dict
+    )  # by courier: when read, cached
 
     def up(self, endpoint: str, since: int) -> bool:
         """Whether an endpoint has been up since that time."""
         begin, end = self.down.get(endpoint, (0, 0))
         return end <= since or begin > self.net.now
 
-    def holds(self, node: Node, peer: Peer) -> dict[str, Held]:
+    def holds(self, node: Node, peer: Peer) -> dict[str, RouteRestriction]:
         """A courier's restrictions by reports of others, read at most every 50 ms as in the program."""
         read_at, restrictions = self.restrictions.get(node.name, (-SECOND, {}))
         if self.net.now - read_at >= RESTRICTIONS_CACHE_TIME:
             now = node.clock(self.net.now)
             closed = [
-                name for name in peer.judgements._routes if self.own_closed.get((node.name, name), 0) > self.net.now
+                name for name in peer.observations._routes if self.own_closed.get((node.name, name), 0) > self.net.now
             ]
-            peer.judgements.routes(peer.judgements._routes, closed)
-            restrictions = peer.judgements.holds(now, peer.members.alive())
+            peer.observations.set_routes(peer.observations._routes, closed)
+            restrictions = peer.observations.restrictions(now, peer.members.alive())
             self.restrictions[node.name] = self.net.now, restrictions
         return restrictions
 
@@ -76,26 +94,28 @@
         if peer is None or node.paused_until > net.now:
             return
         restrictions, now = self.holds(node, peer), node.clock(net.now)
-        candidates = [route for route, destination in peer.judgements._routes.items() if destination == dest]
+        candidates = [route for route, destination in peer.observations._routes.items() if destination == dest]
         available = [
             route
             for route in candidates
             if self.own_closed.get((name, route), 0) <= net.now
-            and (route not in restrictions or restrictions[route].one or restrictions[route].until <= now)
+            and (route not in restrictions or restrictions[route].one_at_a_time or restrictions[route].until <= now)
         ]
         if not available:
-            self.seen["none free"] += 1
+            self.counts["none free"] += 1
             return
         endpoint = net.random.choice(available)
         success = self.up(endpoint, net.now)
-        self.seen["served" if success else "failed"] += 1
+        self.counts["served" if success else "failed"] += 1
 
         def ended() -> None:
             if node.peer is not peer or node.paused_until > net.now:
                 return
             if not success:
                 self.own_closed[(name, endpoint)] = net.now + OWN_CLOSED_TIME
-            peer.judgements.saw(endpoint, Outcome.SERVED if success else Outcome.FAILED, now, node.clock(net.now))
+            peer.observations.record_call(
+                endpoint, CallOutcome.SERVED if success else CallOutcome.FAILED, now, node.clock(net.now)
+            )
 
         net.at(net.now + (SUCCESS_TIME if success else FAILURE_TIME), ended)
 
@@ -107,29 +127,31 @@
             if node.peer is None or node.paused_until > self.net.now:
                 continue
             now = node.clock(self.net.now)
-            restrictions = node.peer.judgements.holds(now, node.peer.members.alive())
+            restrictions = node.peer.observations.restrictions(now, node.peer.members.alive())
             closed = {
-                route for route, restriction in restrictions.items() if not restriction.one and restriction.until > now
+                route
+                for route, restriction in restrictions.items()
+                if not restriction.one_at_a_time and restriction.until > now
             }
-            routes = node.peer.judgements._routes
+            routes = node.peer.observations._routes
             if not closed:
                 continue
             self.last_closed_at = self.net.now
-            self.seen["looks with something left alone"] += 1
+            self.counts["looks with something left alone"] += 1
             if len(closed) > len(routes) // 2:
-                self.faults.append(f"{self.net.now} {name}: {len(closed)} of {len(routes)} routes closed")
+                self.violations.append(f"{self.net.now} {name}: {len(closed)} of {len(routes)} routes closed")
             for dest in {routes[route] for route in closed}:
                 if closed >= {route for route, destination in routes.items() if destination == dest}:
-                    self.faults.append(f"{self.net.now} {name}: all routes of destination {dest} closed")
+                    self.violations.append(f"{self.net.now} {name}: all routes of destination {dest} closed")
             for route in closed:
                 if restrictions[route].until > now + MAX_CLOSED_TIME + 2 * MS:
-                    self.faults.append(
+                    self.violations.append(
                         f"{self.net.now} {name}: {route} closed for too long, in us: {restrictions[route].until - now}"
                     )
-                if not self.lied and self.up(route, self.net.now - MAX_STALE_TIME):
-                    self.faults.append(f"{self.net.now} {name}: {route} closed, though it has been up for long")
-                if self.lied and restrictions[route].until > now + MAX_WAIT:
-                    self.faults.append(
+                if not self.has_liar and self.up(route, self.net.now - MAX_STALE_TIME):
+                    self.violations.append(f"{self.net.now} {name}: {route} closed, though it has been up for long")
+                if self.has_liar and restrictions[route].until > now + MAX_WAIT:
+                    self.violations.append(
                         f"{self.net.now} {name}: {route} closed by a liar for longer than the maximum wait"
                     )
 
@@ -139,25 +161,25 @@
 
     ``old``: all couriers start without groups and brokers.
     """
-    net = Net(
+    net = SimulatedNetwork(
         couriers,
         seed,
         Faults(loss=loss),
         0.001,
-        bytes_a_second=17_000,
+        bytes_per_second=17_000,
         seeds=2,
-        step=PROBE_INTERVAL,
+        probe_interval=PROBE_INTERVAL,
         brokers={"x": brokers, "y": brokers},
-        place=lambda n: ("y" if n % 3 == 2 else "x", f"z{n % 3}"),
+        placement=lambda n: ("y" if n % 3 == 2 else "x", f"z{n % 3}"),
     )
     created = World(net, {f"e{dest}.{k}": dest for dest in range(6) for k in (0, 1)}, honest=set(net.nodes))
-    net.old = set(net.nodes) if old else set()
+    net.pre_broker_couriers = set(net.nodes) if old else set()
     net.budget(BUDGET_KEY, BUDGET_CALLS)
     for name in net.brokers:
         net.start(name)
     for name, node in net.nodes.items():
         dests = [(node.number // 3 + k) % 6 for k in (0, 1, 3)]
-        net.concerns(name, {endpoint: dest for endpoint, dest in created.endpoints.items() if dest in dests})
+        net.set_endpoints(name, {endpoint: dest for endpoint, dest in created.endpoints.items() if dest in dests})
         net.start(name)
         for dest in dests:
             net.at(net.random.randrange(CALL_INTERVAL), lambda name=name, dest=dest: created.call(name, dest))  # type: ignore[misc]
@@ -184,8 +206,8 @@
 
 
 def _broker_stopped(w: World) -> None:
-    w.net.stop("x/b1", 5 * SECOND)  # while an endpoint goes down
-    w.net.stop("y/b1", 16 * SECOND)  # longer than its lease term, in runs that last long enough
+    w.net.pause("x/b1", 5 * SECOND)  # while an endpoint goes down
+    w.net.pause("y/b1", 16 * SECOND)  # longer than its lease term, in runs that last long enough
 
 
 def _cut(inside: Callable[[Node], bool], both: bool) -> Callable[[World], None]:
@@ -208,7 +230,7 @@
     """Couriers restart one after the other, now with groups and brokers; the last one before the end of the run."""
 
     def upgrade(name: str) -> None:
-        w.net.old.discard(name)
+        w.net.pre_broker_couriers.discard(name)
         w.net.start(name)
 
     for n, name in enumerate(w.net.nodes):
@@ -218,19 +240,19 @@
 def _half_downgraded(w: World) -> None:
     """Half of the couriers restart without groups and brokers."""
     for name in list(w.net.nodes)[::2]:
-        w.net.old.add(name)
+        w.net.pre_broker_couriers.add(name)
         w.net.start(name)
 
 
-def false_observations(n: int) -> list[Seen]:
+def false_observations(n: int) -> list[Observation]:
     """The ``n``-th set of false observations: each endpoint, all of them up, is reported as failing."""
-    kind = (Kind.WAIT, Kind.DOWN, Kind.SILENT, Kind.WAIT)[n % 4]
-    return [Seen(f"e{dest}.{k}", kind, 0, 2_000, (n + 1) << 20) for dest in range(6) for k in (0, 1)]
+    kind = (ObservationKind.WAIT, ObservationKind.DOWN, ObservationKind.SILENT, ObservationKind.WAIT)[n % 4]
+    return [Observation(f"e{dest}.{k}", kind, 0, 2_000, (n + 1) << 20) for dest in range(6) for k in (0, 1)]
 
 
 def _lying_courier(w: World) -> None:
     """A courier sends false observations to the brokers of its region and all its group, several times a second."""
-    w.lied = True
+    w.has_liar = True
     w.down = {}
     liar = w.net.nodes["n0"]
     w.honest.discard("n0")
@@ -242,20 +264,22 @@
         if peer is None or ticks[0] % 4:
             return
         observations = false_observations(ticks[0] // 4)
-        published: list[Word] = [Publish(int(observation.endpoint[1]), observation) for observation in observations]
+        published: list[PeerMessage] = [
+            PublishObservation(int(observation.endpoint[1]), observation) for observation in observations
+        ]
         messages_to = {name: published for name in w.net.brokers if w.net.brokers[name].region == node.region}
         messages_to |= {name: [*observations] for name in peer.members.alive()}
-        w.net._out(
+        w.net._send_all(
             node,
             [(w.net.node(name).address, peer.sealer.seal(name, messages)) for name, messages in messages_to.items()],
         )
 
-    liar.lies = lie
+    liar.byzantine_behavior = lie
 
 
 def _lying_broker(w: World) -> None:
     """A broker sends observations of invented witnesses to its subscribers and to the other region's brokers."""
-    w.lied = True
+    w.has_liar = True
     w.down = {}
     ticks = [0]
 
@@ -267,9 +291,9 @@
         random, observations = w.net.random, false_observations(ticks[0] // 4)
         name_count = len(w.net.nodes) if ticks[0] % 8 else 1 << 30  # names of couriers, or mostly unknown ones
         datagrams = []
-        for lease in list(broker._subscribed.values()):
-            relayed: list[Word] = [
-                Relayed(
+        for lease in list(broker._leases.values()):
+            relayed: list[PeerMessage] = [
+                RelayedObservation(
                     f"n{random.randrange(name_count)}",
                     random.randrange(len(w.net.nodes)),
                     1 << 50,
@@ -281,8 +305,8 @@
             datagrams.append((lease.address, broker.sealer.seal(lease.name, relayed)))
         for name, other in w.net.brokers.items():
             if other.region != node.region:
-                forwarded: list[Word] = [
-                    Forward(
+                forwarded: list[PeerMessage] = [
+                    ForwardedObservation(
                         f"n{random.randrange(name_count)}",
                         random.randrange(len(w.net.nodes)),
                         1 << 50,
@@ -292,9 +316,9 @@
                     for observation in observations
                 ]
                 datagrams.append((other.address, broker.sealer.seal(name, forwarded)))
-        w.net._out(node, datagrams)
+        w.net._send_all(node, datagrams)
 
-    w.net.brokers["x/b0"].lies = lie
+    w.net.brokers["x/b0"].byzantine_behavior = lie
 
 
 CASES: dict[str, tuple[Callable[[World], None], float]] = {  # fault, and share of datagrams that is lost
@@ -314,8 +338,8 @@
 }
 
 
-def play(case: str, seed: int, couriers: int = 30, duration: int = RUN_DURATION) -> World:
-    """Run one case to its end; violations found by the checkers are in ``faults``."""
+def run_case(case: str, seed: int, couriers: int = 30, duration: int = RUN_DURATION) -> World:
+    """Run one case to its end; violations found by the checkers are in ``violations``."""
     begin, loss = CASES[case]
     w = world(seed, couriers, loss, old=begin is _rolling_upgrade)
     random = w.net.random
@@ -323,16 +347,18 @@
         w.down[f"e{2 * n}.{random.randrange(2)}"] = when, when + random.randrange(2, 5) * SECOND // 2
     w.net.at(4 * SECOND, lambda: begin(w))
     w.net.run(duration)
-    w.faults += [f"{at}: {count} calls in one window of {BUDGET_KEY}" for at, key, count in w.net.judge.faults[:3]]
+    w.violations += [
+        f"{at}: {count} calls in one window of {BUDGET_KEY}" for at, key, count in w.net.budget_checker.violations[:3]
+    ]
     declared_dead = {str(fields.get("peer")) for _, _, event, fields in w.net.events if event == "peers-dead"}
     if (
         declared_dead
         and begin in (_no_fault, _rolling_upgrade, _half_downgraded, _broker_killed, _broker_empty)
         and not loss
     ):
-        w.faults.append(f"declared dead: {sorted(declared_dead)}")
-    if w.lied and w.last_closed_at > duration - 3 * SECOND:
-        w.faults.append(f"a liar still had a route closed at {w.last_closed_at}")
+        w.violations.append(f"declared dead: {sorted(declared_dead)}")
+    if w.has_liar and w.last_closed_at > duration - 3 * SECOND:
+        w.violations.append(f"a liar still had a route closed at {w.last_closed_at}")
     return w
 
 
@@ -341,63 +367,63 @@
     """How one courier's observation spread."""
 
     seconds: float  # until 99 % of the couriers that use the endpoint had received it; 20 if they had not within 5 s
-    witness: int  # bytes of the datagrams that the witness sent for it
-    brokers: int  # bytes that all brokers sent in 5 s, including leases and probes
-    knew: float  # share of the couriers that use the endpoint and had received it after 3 s
-    others: int  # couriers that received it, but do not use the endpoint
+    witness_bytes: int  # bytes of the datagrams that the witness sent for it
+    broker_bytes: int  # bytes that all brokers sent in 5 s, including leases and probes
+    share_after_3_s: float  # share of the couriers that use the endpoint and had received it after 3 s
+    uninterested_receivers: int  # couriers that received it, but do not use the endpoint
 
 
-def fleet(
-    seed: int, members: int, group: int, concerned: int, loss: float = 0.0, old: bool = False, brokers: int = 3
-) -> tuple[Net, list[str]]:
+def start_fleet(
+    seed: int, members: int, group: int, user_count: int, loss: float = 0.0, old: bool = False, brokers: int = 3
+) -> tuple[SimulatedNetwork, list[str]]:
     """Couriers in groups of two regions, 30 s after they started together, and the users of one destination.
 
-    ``concerned``: number of its users.
+    ``user_count``: number of its users.
     """
     groups = max(1, -(-members // group))
-    net = Net(
+    net = SimulatedNetwork(
         members,
         seed,
         Faults(loss=loss),
         seeds=3,
-        bytes_a_second=17_000,
-        step=PROBE_INTERVAL,
+        bytes_per_second=17_000,
+        probe_interval=PROBE_INTERVAL,
         brokers={"x": brokers, "y": brokers},
-        place=lambda n: ("xy"[n % groups % 2], f"z{n % groups}"),
+        placement=lambda n: ("xy"[n % groups % 2], f"z{n % groups}"),
     )
-    net.old = set(net.nodes) if old else set()
-    users = [f"n{n * members // concerned}" for n in range(concerned)]
+    net.pre_broker_couriers = set(net.nodes) if old else set()
+    users = [f"n{n * members // user_count}" for n in range(user_count)]
     for name in [*net.brokers, *net.nodes]:
         if name in net.nodes:
-            net.concerns(name, {"e": 1} if name in users else {"other": 2})
+            net.set_endpoints(name, {"e": 1} if name in users else {"other": 2})
         net.start(name)
     net.run(30 * SECOND)
     return net, users
 
 
-def heard(
-    seed: int, members: int, group: int = 50, concerned: int = 8, loss: float = 0.0, old: bool = False
+def measure_propagation(
+    seed: int, members: int, group: int = 50, user_count: int = 8, loss: float = 0.0, old: bool = False
 ) -> Propagation:
     """Measure how one failure that a courier observes spreads; ``old``: without groups and brokers, all to all."""
-    net, users = fleet(seed, members, group, concerned, loss, old)
+    net, users = start_fleet(seed, members, group, user_count, loss, old)
     witness = net.nodes[users[0]]
     assert witness.peer is not None
-    begin, at, broker_bytes = net.now, witness.clock(net.now), sum(broker.sent for broker in processes(net))
+    begin, at, broker_bytes = net.now, witness.clock(net.now), sum(broker.sent for broker in running_brokers(net))
     seal, witness_bytes = witness.peer.sealer.seal, [0]
 
-    def counting_seal(to: str, words: list[Word]) -> bytes:
-        data = seal(to, words)
-        if all(isinstance(message, (Seen, Publish)) for message in words):
+    def counting_seal(to: str, messages: list[PeerMessage]) -> bytes:
+        data = seal(to, messages)
+        if all(isinstance(message, (Observation, PublishObservation)) for message in messages):
             witness_bytes[0] += len(data)
         return data
 
     witness.peer.sealer.seal = counting_seal  # type: ignore[method-assign]
-    witness.peer.judgements.saw("e", Outcome.FAILED, at, at)
+    witness.peer.observations.record_call("e", CallOutcome.FAILED, at, at)
     seconds, knew = 20.0, 0.0
     while net.now < begin + 5 * SECOND:
         net.run(net.now + 5 * MS)
         share = sum(
-            any(source.witness == witness.name for source in node.peer.judgements._heard.get("e", {}))
+            any(source.witness == witness.name for source in node.peer.observations._records.get("e", {}))
             for node in (net.nodes[name] for name in users[1:])
             if node.peer is not None
         ) / (len(users) - 1)
@@ -406,16 +432,16 @@
         if net.now <= begin + 3 * SECOND:
             knew = share
     others = [node for node in net.nodes.values() if node.peer is not None and node.name not in users]
-    informed = sum(bool(node.peer.judgements._heard) for node in others if node.peer is not None)
+    informed = sum(bool(node.peer.observations._records) for node in others if node.peer is not None)
     return Propagation(
         seconds,
         witness_bytes[0],
-        sum(broker.sent for broker in processes(net)) - broker_bytes,
+        sum(broker.sent for broker in running_brokers(net)) - broker_bytes,
         knew,
         informed,
     )
 
 
-def processes(net: Net) -> list[Broker]:
+def running_brokers(net: SimulatedNetwork) -> list[Broker]:
     """The running brokers."""
     return [node.broker for node in net.brokers.values() if node.broker is not None]
--- a/kestrelspar/lab/child.py
+++ b/kestrelspar/lab/child.py
@@ -42,7 +42,7 @@
         loop.readable(pipe, None)
         data = os.read(descriptor, READ_BYTES)
         if not data:
-            loop.forget(pipe)
+            loop.unregister(pipe)
             on_end()
             return
         *complete, rest = (rest + data).split(b"\n")
@@ -59,14 +59,14 @@
         loop.run()
 
 
-def say(report: dict[str, Any]) -> None:
+def send_report(report: dict[str, Any]) -> None:
     """In the helper process: send one report; raises ``BrokenPipeError`` if the parent reads no more."""
     data = ujson.dumps(report).encode() + b"\n"
     while data:
         data = data[os.write(1, data) :]
 
 
-class Child:
+class HelperProcess:
     """In the parent: handle of one helper process."""
 
     def __init__(self, loop: Loop, module: str, on_report: Callable[[dict[str, Any]], None], name: str = "") -> None:
@@ -83,7 +83,7 @@
     def _end(self) -> None:
         self.ended = True
 
-    def tell(self, command: dict[str, Any]) -> None:
+    def send_command(self, command: dict[str, Any]) -> None:
         """Send one command; ignored if the process has ended."""
         with suppress(OSError, ValueError):
             self._stdin.write(ujson.dumps(command).encode() + b"\n")
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -24,15 +24,15 @@
 from msgspec import Struct
 
 from kestrelspar.lab import child
-from kestrelspar.lab.relays import Address, dropped
-from kestrelspar.lab.rig import Noted
-from kestrelspar.peers import kept
-from kestrelspar.peers.judgements import Outcome
-from kestrelspar.peers.link import AT_ONCE, KEEP_EVERY, TICK, keys
-from kestrelspar.peers.peer import About, Datagrams, Peer
-from kestrelspar.peers.seal import MOST
-from kestrelspar.peers.shares import Terms, spanned
-from kestrelspar.peers.words import Stand
+from kestrelspar.lab.relays import Address, dropped_datagrams
+from kestrelspar.lab.rig import TimedLoop
+from kestrelspar.peers import state_file
+from kestrelspar.peers.judgements import CallOutcome
+from kestrelspar.peers.link import MAX_DATAGRAMS_PER_TURN, MIN_TICK_INTERVAL, SAVE_INTERVAL, keys
+from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES
+from kestrelspar.peers.shares import LoanTerms, budget_for_rate
+from kestrelspar.peers.words import MemberState
 from kestrelspar.runtime.loop import MS, SECOND
 
 RECEIVE_BUFFER_BYTES = 1_000_000  # of a courier's socket: hundreds of other couriers are served between two reads
@@ -69,7 +69,10 @@
 
 def endpoint_budgets(config: HollowConfig) -> dict[str, tuple[int, int]]:
     """Calls and window by budget key, as real couriers derive them from a configured limit."""
-    return {f"e:{name}": spanned(limit * config.spend / 100, config.couriers) for name, limit in config.limits.items()}
+    return {
+        f"e:{name}": budget_for_rate(limit * config.spend / 100, config.couriers)
+        for name, limit in config.limits.items()
+    }
 
 
 class Workload:
@@ -106,12 +109,12 @@
             self._next += max(1, int(self._random.expovariate(self.rate) * SECOND))
         return self.arrived - before
 
-    def outcome(self) -> tuple[Outcome, int]:
+    def outcome(self) -> tuple[CallOutcome, int]:
         """The outcome of a call, and the retry-after delay reported with it."""
         draw = self._random.random()
         if draw < self.failing:
-            return Outcome.FAILED, 0
-        return (Outcome.REFUSED, RETRY_AFTER) if draw < 2 * self.failing else (Outcome.SERVED, 0)
+            return CallOutcome.FAILED, 0
+        return (CallOutcome.REFUSED, RETRY_AFTER) if draw < 2 * self.failing else (CallOutcome.SERVED, 0)
 
     def step(
         self,
@@ -128,24 +131,24 @@
         while self.in_flight:
             sent, name = self.in_flight.popleft()
             outcome, retry_after = self.outcome()
-            peer.judgements.saw(name, outcome, sent, now, retry_after)
-            peer.counts.add(f"calls/{name}/{outcome.name.lower()}")
-            peer.counts.add("ended/reading/delivered")
+            peer.observations.record_call(name, outcome, sent, now, retry_after)
+            peer.counters.add(f"calls/{name}/{outcome.name.lower()}")
+            peer.counters.add("ended/reading/delivered")
         for _ in range(self.arrive(now)):
-            peer.counts.add("taken/reading")
-        peer.judgements.routes(self.routes)
+            peer.counters.add("taken/reading")
+        peer.observations.set_routes(self.routes)
         for key, (calls, window) in budgets.items():
             name = key[2:]
-            shares.budget(key, calls, window, False, 0, now)
+            shares.set_budget(key, calls, window, False, 0, now)
             while self.waiting[name]:
                 at = clock()
-                if not shares.spend(key, at):
+                if not shares.try_call(key, at):
                     break
                 self.waiting[name] -= 1
                 self.in_flight.append((at, name))
                 on_call(key, at)
-                peer.counts.add(f"used/{key}")
-            shares.lacks(key, self.waiting[name], float(self.waiting[name]), now)
+                peer.counters.add(f"used/{key}")
+            shares.set_shortfall(key, self.waiting[name], float(self.waiting[name]), now)
 
 
 class HollowCourier:
@@ -158,7 +161,7 @@
         self.calls: list[tuple[str, int]] = []  # since the last report
         self.events: Counter[str] = Counter()
         self.unsent = self.sent = self.received = self.over_bandwidth = 0  # of ended processes; unsent: of all
-        self._state = kept.Kept(0, {}, {})
+        self._state = state_file.SavedState(0, {}, {})
         self._state_file = b""  # in memory
         self._save_at = 0
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -171,14 +174,14 @@
     def start(self) -> None:
         """Start, as a new process with the saved state of the previous one."""
         config, courier_config, now = self.config, self.courier_config, self.loop.clock()
-        self._state.life = kept.next_life(self._state)
-        peer_config = About(
+        self._state.epoch = state_file.next_epoch(self._state)
+        peer_config = PeerConfig(
             courier_config.name,
             courier_config.advertise or self.address,
-            self._state.life,
+            self._state.epoch,
             keys([config.key]),
             self.host.seeds | courier_config.seeds,
-            Terms(config.couriers, courier_config.number, config.term),
+            LoanTerms(config.couriers, courier_config.number, config.term),
             config.bytes_a_second,
             config.period,
         )
@@ -198,8 +201,8 @@
     def stop(self) -> None:
         """End at once, as if killed: it sends nothing more, and datagrams to it are lost."""
         if self.peer is not None:
-            self.sent, self.received = self.sent + self.peer.sent, self.received + self.peer.heard
-            self.over_bandwidth += self.peer.held_back
+            self.sent, self.received = self.sent + self.peer.sent, self.received + self.peer.received
+            self.over_bandwidth += self.peer.over_bandwidth
             self.peer = None
 
     def _save(self) -> None:
@@ -209,7 +212,7 @@
     def _save_loans(self, lent: dict[str, int]) -> bool:
         self._state.lent = lent
         if self.peer is not None:
-            self._state.counts = self.peer.counts.own()
+            self._state.counts = self.peer.counters.own_totals()
         self._save()
         return True
 
@@ -226,21 +229,21 @@
     def _read(self) -> None:
         while True:
             self.loop.readable(self.socket, None)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
-                    data = self.socket.recv(MOST + 1)
+                    data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
                     continue
                 if self.peer is not None:
-                    self._send(self.peer, self.peer.hear(data, self.loop.clock()))
-            if self.peer is not None and self.peer.news:
+                    self._send(self.peer, self.peer.receive(data, self.loop.clock()))
+            if self.peer is not None and self.peer.has_new_observations:
                 self._apply_observations(self.peer)
 
     def _apply_observations(self, peer: Peer) -> None:
-        peer.news = False
-        peer.judgements.holds(self.loop.clock(), peer.members.alive())
+        peer.has_new_observations = False
+        peer.observations.restrictions(self.loop.clock(), peer.members.alive())
 
     def _tick(self, peer: Peer) -> None:
         self.loop.sleep(1 + self.tick_offset())
@@ -253,10 +256,10 @@
             for key in self.host.budgets if self.config.rate > 0 else ():
                 peer.shares.allowed(key, began)
             if began >= self._save_at:
-                self._state.counts, self._save_at = peer.counts.own(), began + KEEP_EVERY
+                self._state.counts, self._save_at = peer.counters.own_totals(), began + SAVE_INTERVAL
                 self._save()
-            scheduled = self.loop.now + TICK
-            self.loop.sleep(TICK)
+            scheduled = self.loop.now + MIN_TICK_INTERVAL
+            self.loop.sleep(MIN_TICK_INTERVAL)
             self.host.record_tick(self.loop.clock() - scheduled)
 
     def _record_call(self, key: str, at: int) -> None:
@@ -264,7 +267,7 @@
 
     def tick_offset(self) -> int:
         """Offset that spreads the ticks of a host's couriers over the interval; the same after each restart."""
-        return self.courier_config.number * 7_919 % TICK
+        return self.courier_config.number * 7_919 % MIN_TICK_INTERVAL
 
 
 class Host:
@@ -283,7 +286,7 @@
     """
 
     def __init__(self) -> None:
-        self.loop = Noted()
+        self.loop = TimedLoop()
         self.config = HollowConfig(1, 0)
         self.budgets: dict[str, tuple[int, int]] = {}
         self.couriers: dict[str, HollowCourier] = {}
@@ -313,14 +316,14 @@
 
         def restart(courier: HollowCourier) -> None:
             courier.stop()
-            self.loop.at(self.loop.now + int(fields.get("gap", 0)), courier.start)
+            self.loop.call_at(self.loop.now + int(fields.get("gap", 0)), courier.start)
 
         self._spread(fields.get("restart", ()), fields.get("within", 0), restart)
 
     def _spread(self, names: list[str], duration: int, call: Callable[[HollowCourier], None]) -> None:
         for index, name in enumerate(names):
             courier = self.couriers[name]
-            self.loop.at(self.loop.now + duration * index // len(names), lambda courier=courier: call(courier))  # type: ignore[misc]
+            self.loop.call_at(self.loop.now + duration * index // len(names), lambda courier=courier: call(courier))  # type: ignore[misc]
 
     def _open(self, arguments: dict[str, Any]) -> None:
         self.config = msgspec.convert(arguments["told"], HollowConfig)
@@ -329,13 +332,13 @@
             entry["name"]: HollowCourier(self, msgspec.convert(entry, HollowCourierConfig))
             for entry in arguments["couriers"]
         }
-        self.loop.at(self.loop.now + self.config.span, self.loop.stop)
-        child.say({"open": {name: courier.address for name, courier in self.couriers.items()}})
+        self.loop.call_at(self.loop.now + self.config.span, self.loop.stop)
+        child.send_report({"open": {name: courier.address for name, courier in self.couriers.items()}})
         self.loop.spawn(self._report)
 
     def _report(self) -> None:
         while True:
-            child.say(self.report())
+            child.send_report(self.report())
             self.loop.sleep(SECOND)
 
     def report(self) -> dict[str, Any]:
@@ -366,10 +369,10 @@
             )
             if peer is None:
                 continue
-            sums.update(couriers=1, sent=peer.sent, heard=peer.heard, held_back=peer.held_back)
+            sums.update(couriers=1, sent=peer.sent, heard=peer.received, held_back=peer.over_bandwidth)
             members, killed = peer.members, self.killed.get(courier.courier_config.zone, set())
             ghosts = sum(
-                name in members.members and members.members[name].said.stand <= Stand.SUSPECT for name in killed
+                name in members.members and members.members[name].update.state <= MemberState.SUSPECT for name in killed
             )
             known = len(members.alive()) - ghosts
             least_known = known if least_known is None else min(least_known, known)
@@ -380,14 +383,14 @@
                 ghosts=ghosts,
                 ghost_pairs=len(killed),
                 buried=len(members.gone() - killed),
-                refused=members.refused,
+                refused=members.rejected_members,
             )
         found = {
             "at": self.loop.now,
             "pid": os.getpid(),
             "cpu": usage.ru_utime + usage.ru_stime,
             "rss": rss,
-            "longest": self.loop.longest,
+            "longest": self.loop.longest_turn,
             "ticks": self.ticks,
             "late": self.total_lateness,
             "latest": self.max_lateness,
@@ -396,9 +399,9 @@
             "sums": dict(sums),
             "events": dict(events),
             "calls": calls,
-            "dropped": dropped([courier.socket for courier in self.couriers.values()]),
+            "dropped": dropped_datagrams([courier.socket for courier in self.couriers.values()]),
         }
-        self.loop.longest = self.ticks = self.total_lateness = self.max_lateness = self.stalls = 0
+        self.loop.longest_turn = self.ticks = self.total_lateness = self.max_lateness = self.stalls = 0
         return found
 
 
--- a/kestrelspar/lab/judge.py
+++ b/kestrelspar/lab/judge.py
@@ -10,7 +10,7 @@
 SECOND = 1_000_000
 
 
-def most_in_a_second(calls: Iterable[Call], window: int = SECOND) -> int:
+def max_calls_per_second(calls: Iterable[Call], window: int = SECOND) -> int:
     """Return the most calls, including refused ones, that a member system received within any ``window``.
 
     If timestamps may be late, pass one second less the largest delay: calls stamped within that time arrived within one
@@ -37,7 +37,7 @@
     return found
 
 
-def wrong_ends(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
+def delivery_violations(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
     """Describe the accepted messages without an end, messages with several ends, and payments that ran twice.
 
     A message that ran may have been reported as failed or returned, if its answer was lost or late. So a message is
@@ -56,7 +56,7 @@
     return found
 
 
-def served(sent: dict[str, Submission], calls: Iterable[Call]) -> float:
+def served_share(sent: dict[str, Submission], calls: Iterable[Call]) -> float:
     """Return the share of the submitted messages that ran."""
     ran = {call.trace for call in calls if call.accepted}
     return len(ran & sent.keys()) / max(1, len(sent))
--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -14,17 +14,31 @@
 
 from kestrelspar.lab.rig import KEY, Rig
 from kestrelspar.lab.zones import ZonedRig
-from kestrelspar.peers.brokers import Broker, BrokerAbout
-from kestrelspar.peers.judgements import Kind
-from kestrelspar.peers.peer import About, Datagrams, Peer
-from kestrelspar.peers.seal import HEAD, MOST, decode, keys
-from kestrelspar.peers.shares import Terms
-from kestrelspar.peers.words import Ask, Forward, Grant, Publish, Relayed, Renew, Seen, Word
+from kestrelspar.peers.brokers import Broker, BrokerConfig
+from kestrelspar.peers.judgements import ObservationKind
+from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
+from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, decode, keys
+from kestrelspar.peers.shares import LoanTerms
+from kestrelspar.peers.words import (
+    ForwardedObservation,
+    LeaseRenewal,
+    LoanGrant,
+    LoanRequest,
+    Observation,
+    PeerMessage,
+    PublishObservation,
+    RelayedObservation,
+)
 from kestrelspar.runtime.loop import MS
 
 LIE_INTERVAL = 200 * MS  # between false observations to each member
 # Kind and value: waits are in milliseconds, limits in thousandths of a call per second.
-LIES = ((Kind.DOWN, 0), (Kind.WAIT, 1 << 39), (Kind.BACK, 0), (Kind.LIMIT, 1_000))
+LIES = (
+    (ObservationKind.DOWN, 0),
+    (ObservationKind.WAIT, 1 << 39),
+    (ObservationKind.BACK, 0),
+    (ObservationKind.LIMIT, 1_000),
+)
 
 
 class LyingCourier:
@@ -38,13 +52,13 @@
         self._peer_addresses = rig.peer_addresses(name)
         self._to = {address: to for to, address in self._peer_addresses.items()}
         config = rig.peer_config(name)
-        about = About(
+        about = PeerConfig(
             name=name,
-            life=rig.loop.now,
+            epoch=rig.loop.now,
             keys=keys([KEY]),
             seeds=self._peer_addresses,
-            terms=Terms(len(rig.nodes), node.number),
-            bytes_a_second=1_000_000,
+            terms=LoanTerms(len(rig.nodes), node.number),
+            bytes_per_second=1_000_000,
             period=300 * MS,
             **config,
         )
@@ -65,48 +79,54 @@
     def close(self) -> None:
         """Stop sending and receiving."""
         self._closed = True
-        self.rig.loop.forget(self._socket)
+        self.rig.loop.unregister(self._socket)
         self._socket.close()
 
-    def _send_messages(self, to: str, messages: list[Word]) -> None:
+    def _send_messages(self, to: str, messages: list[PeerMessage]) -> None:
         self._send([((self._peer_addresses | self._brokers)[to], self._peer.sealer.seal(to, messages))])
 
     def _read(self) -> None:
         while not self._closed:
             self.rig.loop.readable(self._socket, None)
             try:
-                data = self._socket.recv(MOST + 1)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
             before = dict(self._peer.sealer.dropped)
-            self._send(self._peer.hear(data, self.rig.loop.clock()))
+            self._send(self._peer.receive(data, self.rig.loop.clock()))
             if before == dict(self._peer.sealer.dropped):
                 self._grant_loans(data)
 
     def _grant_loans(self, data: bytes) -> None:
         """Answer each loan request with a grant of what was asked for, and one of ten times as much."""
-        datagram = decode(data[HEAD:])
-        for message in datagram.words:
-            if isinstance(message, Ask) and datagram.sender in self._peer_addresses:
+        datagram = decode(data[HEADER_BYTES:])
+        for message in datagram.messages:
+            if isinstance(message, LoanRequest) and datagram.sender in self._peer_addresses:
                 self._sequence += 1
-                self._send_messages(datagram.sender, [Grant(message.n, self._sequence, message.calls)])
-                self._send_messages(datagram.sender, [Grant(message.n, self._sequence + 1_000_000, 10 * message.calls)])
+                self._send_messages(datagram.sender, [LoanGrant(message.n, self._sequence, message.calls)])
+                self._send_messages(
+                    datagram.sender, [LoanGrant(message.n, self._sequence + 1_000_000, 10 * message.calls)]
+                )
 
     def _tick(self) -> None:
         while not self._closed:
             now = self.rig.loop.clock()
-            self._peer.interest(self.rig.groups.values(), now)
+            self._peer.record_interest(self.rig.groups.values(), now)
             self._send(self._peer.tick(now))
             if now >= self._last_lie_at + LIE_INTERVAL:
                 self._last_lie_at = now
                 kind, value = LIES[self.rig.rng.randrange(len(LIES))]
                 self._sequence += 1
-                observations: list[Word] = [Seen(name, kind, 0, value, self._sequence) for name in self.rig.members]
+                observations: list[PeerMessage] = [
+                    Observation(name, kind, 0, value, self._sequence) for name in self.rig.members
+                ]
                 for to in self._peer_addresses:
                     for at in range(0, len(observations), 20):
                         self._send_messages(to, observations[at : at + 20])
-                publications: list[Word] = [
-                    Publish(self.rig.groups[seen.endpoint], seen) for seen in observations if isinstance(seen, Seen)
+                publications: list[PeerMessage] = [
+                    PublishObservation(self.rig.groups[seen.endpoint], seen)
+                    for seen in observations
+                    if isinstance(seen, Observation)
                 ]
                 for to in self._brokers:
                     for at in range(0, len(publications), 20):
@@ -124,7 +144,7 @@
         self._socket.bind(rig.brokers[name].peers)
         self._other_brokers = {to: rig.address(to) for to in rig.brokers if to != name}
         epoch = time.time_ns() // MS // MS  # larger than that of the broker it replaces
-        about = BrokerAbout(
+        about = BrokerConfig(
             name,
             name.partition("/")[0],
             rig.address(name),
@@ -150,16 +170,16 @@
         while True:
             self.rig.loop.readable(self._socket, None)
             try:
-                data = self._socket.recv(MOST + 1)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
-            self._send(self._broker.hear(data, self.rig.loop.clock()))
+            self._send(self._broker.receive(data, self.rig.loop.clock()))
             with suppress(ValueError):  # other data on the socket
-                datagram = decode(data[HEAD:])
-                for message in datagram.words:
-                    if isinstance(message, Renew):
+                datagram = decode(data[HEADER_BYTES:])
+                for message in datagram.messages:
+                    if isinstance(message, LeaseRenewal):
                         self._epochs[datagram.sender], self._courier_addresses[datagram.sender] = (
-                            datagram.life,
+                            datagram.epoch,
                             (message.host, message.port),
                         )
 
@@ -175,14 +195,16 @@
     def _lie(self) -> None:
         kind, value = LIES[self.rig.rng.randrange(len(LIES))]
         self._sequence += 1
-        seen = [Seen(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
+        seen = [Observation(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
         claims = [
             (name, self.rig.nodes[name].number, epoch, observation)
             for name, epoch in self._epochs.items()
             for observation in seen
         ]
-        to_couriers: list[Word] = [Relayed(*each) for each in claims]
-        to_others: list[Word] = [Forward(*each[:3], self.rig.groups[each[3].endpoint], each[3]) for each in claims]
+        to_couriers: list[PeerMessage] = [RelayedObservation(*each) for each in claims]
+        to_others: list[PeerMessage] = [
+            ForwardedObservation(*each[:3], self.rig.groups[each[3].endpoint], each[3]) for each in claims
+        ]
         for addresses, messages in ((self._courier_addresses, to_couriers), (self._other_brokers, to_others)):
             for to, address in addresses.items():
                 for at in range(0, len(messages), 10):
--- a/kestrelspar/lab/plan.py
+++ b/kestrelspar/lab/plan.py
@@ -10,7 +10,7 @@
 
 MB = 1_000_000
 MAX_MEMORY_BYTES, MAX_PROCESSES = 12_000 * MB, 200
-MOST_MEMBERS = 1_024  # that a courier holds (``About.most``)
+MAX_MEMBERS = 1_024  # that a courier holds (``PeerConfig.max_members``)
 MAX_REAL_COURIERS = 100  # a rig has a block of 256 ports, and a courier takes two
 MEMBER_BYTES = 1_100  # for each member that a courier holds
 # Of a hollow courier without members, and of a process of hollow couriers.
@@ -20,14 +20,17 @@
 MODELLED_COURIER_BYTES = 120_000  # without members
 # Number of hollow couriers that each get a process, to measure what one costs alone, if there are at least so many.
 SINGLE_HOSTS, MIN_HOLLOW_FOR_SINGLE_HOSTS = 2, 20
-A_HOST, COURIERS_PER_RELAY_PROCESS = 250, 1_000  # hollow couriers per process, and couriers per process of relays
+COURIERS_PER_HOST, COURIERS_PER_RELAY_PROCESS = (
+    250,
+    1_000,
+)  # hollow couriers per process, and couriers per process of relays
 SPARE_DESCRIPTORS = 64  # of a process, beside those of its couriers
 DESCRIPTORS_PER_REAL_COURIER = 24  # in the parent process, for the courier's clients and its calls
 FAULTS = ("none", "loss", "delay", "cut", "one-way", "stop", "kill", "restarts")
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RunParameters:
     """Parameters of one scale run. Times in microseconds."""
 
     real: int
@@ -48,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResourceLimits:
     """Resource limits of a run."""
 
     memory: int = MAX_MEMORY_BYTES
@@ -62,7 +65,9 @@
 
     zones: dict[str, str] = field(default_factory=dict)  # by courier
     hosts: list[tuple[str, list[str]]] = field(default_factory=list)  # of each host: its zone, its couriers
-    alone: list[str] = field(default_factory=list)  # couriers with a host of their own; then one host has no courier
+    single_hosts: list[str] = field(
+        default_factory=list
+    )  # couriers with a host of their own; then one host has no courier
     relays: list[list[str]] = field(default_factory=list)  # of each relay process: its zones
     numbers: dict[str, int] = field(default_factory=dict)  # by courier: its position among all
     memory: int = 0
@@ -73,16 +78,16 @@
         return [courier for courier, zone in self.zones.items() if zone == name]
 
 
-class TooMuch(ValueError):
+class RunTooLargeError(ValueError):
     """The requested run is invalid or exceeds the bounds; each line names one error and what is allowed."""
 
 
-def _largest(asked: Asked) -> int:
+def _largest(asked: RunParameters) -> int:
     """Return the size of the largest group in which all couriers know each other."""
     return -(-asked.couriers // asked.zones) if asked.grouped else asked.couriers
 
 
-def _static_errors(asked: Asked) -> list[str]:
+def _static_errors(asked: RunParameters) -> list[str]:
     """Return the errors that do not depend on the bounds."""
     errors: list[str] = []
     if asked.fault not in FAULTS:
@@ -104,18 +109,18 @@
 
 def _too_many_members(largest: int) -> str:
     return (
-        f"{largest} couriers know each other, and one holds {MOST_MEMBERS} members (wanted: {MOST_MEMBERS + 1} at "
+        f"{largest} couriers know each other, and one holds {MAX_MEMBERS} members (wanted: {MAX_MEMBERS + 1} at "
         "the most in a group: fewer, or --grouped and more --zones)"
     )
 
 
-def plan(asked: Asked, bounds: Bounds) -> Plan:
-    """Plan a run; raise ``TooMuch`` with all errors at once."""
+def plan_run(asked: RunParameters, bounds: ResourceLimits) -> Plan:
+    """Plan a run; raise ``RunTooLargeError`` with all errors at once."""
     errors = _static_errors(asked)
     if errors:
-        raise TooMuch("\n".join(errors))
+        raise RunTooLargeError("\n".join(errors))
     largest = _largest(asked)
-    if largest - 1 > MOST_MEMBERS:
+    if largest - 1 > MAX_MEMBERS:
         errors.append(_too_many_members(largest))
     layout = _lay_out(asked)
     members = largest * MEMBER_BYTES
@@ -154,11 +159,11 @@
                 "less, or a higher limit by ulimit -n in the starting shell)"
             )
     if errors:
-        raise TooMuch("\n".join(errors))
+        raise RunTooLargeError("\n".join(errors))
     return layout
 
 
-def _lay_out(asked: Asked) -> Plan:
+def _lay_out(asked: RunParameters) -> Plan:
     layout = Plan()
     names = [f"n{n}" for n in range(asked.real)] + [f"h{n}" for n in range(asked.hollow)]
     layout.numbers = {name: position for position, name in enumerate(names)}
@@ -166,14 +171,14 @@
     for position, name in enumerate(names):
         layout.zones[name] = f"z{position % asked.zones}"
     if asked.hollow >= MIN_HOLLOW_FOR_SINGLE_HOSTS:
-        layout.alone = [f"h{n}" for n in range(SINGLE_HOSTS)]
+        layout.single_hosts = [f"h{n}" for n in range(SINGLE_HOSTS)]
     for zone in (f"z{n}" for n in range(asked.zones)):
-        hollow = [name for name in layout.zone(zone) if name.startswith("h") and name not in layout.alone]
+        hollow = [name for name in layout.zone(zone) if name.startswith("h") and name not in layout.single_hosts]
         # Two hosts at least if grouped: with one, killing it would leave nobody in the zone to detect the failure.
-        host_count = min(len(hollow), max(-(-len(hollow) // A_HOST), 2 if asked.grouped else 1))
+        host_count = min(len(hollow), max(-(-len(hollow) // COURIERS_PER_HOST), 2 if asked.grouped else 1))
         layout.hosts += [(zone, hollow[n::host_count]) for n in range(host_count)]
-    layout.hosts += [(layout.zones[name], [name]) for name in layout.alone]
-    if layout.alone:
+    layout.hosts += [(layout.zones[name], [name]) for name in layout.single_hosts]
+    if layout.single_hosts:
         layout.hosts.append(("z0", []))  # measures what reporting costs
     zones = [f"z{n}" for n in range(asked.zones)]
     processes = min(len(zones), max(1, -(-asked.couriers // COURIERS_PER_RELAY_PROCESS)))
@@ -181,20 +186,20 @@
     return layout
 
 
-def plan_model(asked: Asked, bounds: Bounds) -> int:
-    """Return the bytes that a modelled network takes; raise ``TooMuch`` with the calculation if they are too many."""
+def plan_model(asked: RunParameters, bounds: ResourceLimits) -> int:
+    """Return the bytes that a modelled network takes; if too many, raise ``RunTooLargeError`` with the calculation."""
     errors = _static_errors(asked)
     if errors:
-        raise TooMuch("\n".join(errors))
+        raise RunTooLargeError("\n".join(errors))
     couriers, largest = asked.couriers, _largest(asked)
     memory = PARENT_BYTES + couriers * (MODELLED_COURIER_BYTES + largest * MEMBER_BYTES)
     if memory > bounds.memory:
         fits = int((((bounds.memory - PARENT_BYTES) / couriers) - MODELLED_COURIER_BYTES) / MEMBER_BYTES)
-        raise TooMuch(
+        raise RunTooLargeError(
             f"--model: {couriers:,} couriers that know {largest:,} each at {MEMBER_BYTES:,} bytes take "
             f"{memory / MB:,.0f} MB (wanted: {bounds.memory / MB:,.0f} MB at the most; "
             + (f"--grouped with --zones {-(-couriers // fits)} or more)" if fits > 1 else "fewer)")
         )
-    if largest - 1 > MOST_MEMBERS:
-        raise TooMuch(f"--model: {_too_many_members(largest)}")
+    if largest - 1 > MAX_MEMBERS:
+        raise RunTooLargeError(f"--model: {_too_many_members(largest)}")
     return memory
--- a/kestrelspar/lab/play.py
+++ b/kestrelspar/lab/play.py
@@ -62,7 +62,7 @@
         setattr(rig.members[arguments[0]], name, True)
 
 
-def play(
+def run_scenario(
     scenario: Scenario, directory: Path, seed: int, progress: Callable[[str], None] = lambda text: None
 ) -> dict[str, Any]:
     """Run a scenario, and return its report for JSON; its ``faults`` are empty if the checkers found nothing."""
@@ -96,7 +96,7 @@
         rig.run(max(0, begin + scenario.span - rig.loop.now))
         cpu_seconds = {node: max(0.0, rig.cpu(node) - cpu_before[node]) for node in rig.nodes}
         progress("waiting for the last messages to end")
-        rig.settled()
+        rig.drain()
         return _report(rig, scenario, seed, begin, earlier_calls, cpu_seconds)
 
 
@@ -104,17 +104,17 @@
     rig: Rig, scenario: Scenario, seed: int, begin: int, earlier_calls: dict[str, int], cpu_seconds: dict[str, float]
 ) -> dict[str, Any]:
     calls_of_all = [call for member in rig.members.values() for call in member.calls]
-    members, findings = {}, judge.wrong_ends(rig.sent, calls_of_all)
+    members, findings = {}, judge.delivery_violations(rig.submissions, calls_of_all)
     for name, member in rig.members.items():
         calls = member.calls[earlier_calls[name] :]
-        most = judge.most_in_a_second(calls, max(MS, SECOND - rig.loop.longest))
+        most = judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn))
         limit_changes = [
             action.at for action in scenario.actions if action.name == "limit" and action.arguments[0] == name
         ]
         settled_calls = [
             call for call in calls if not limit_changes or call.at >= begin + max(limit_changes) + LIMIT_CHANGE_GRACE
         ]
-        most_settled = judge.most_in_a_second(settled_calls, max(MS, SECOND - rig.loop.longest))
+        most_settled = judge.max_calls_per_second(settled_calls, max(MS, SECOND - rig.loop.longest_turn))
         if scenario.peers and most_settled > member.limit:
             findings.append(f"{name}: {most_settled} calls in a second, its limit is {member.limit}")
         findings += [
@@ -143,8 +143,8 @@
             if most > allowed
         ]
     for name in (node.name for node in rig.nodes.values() if node.log.is_file()):
-        findings += [f"{name}: {line[:300]}" for line in rig.logs(name).splitlines() if "event=fault" in line]
-    by_courier = {name: [s for s in rig.sent.values() if s.courier == name] for name in rig.nodes}
+        findings += [f"{name}: {line[:300]}" for line in rig.read_log(name).splitlines() if "event=fault" in line]
+    by_courier = {name: [s for s in rig.submissions.values() if s.courier == name] for name in rig.nodes}
     ran = {call.trace for call in calls_of_all if call.accepted}
     timed_out = {call.trace for call in calls_of_all if call.unanswered}
     return {
@@ -153,12 +153,12 @@
         "peers": scenario.peers,
         "members": members,
         "most_second_attempts": {group: most for group, (most, _) in repeats.items()},
-        "served": judge.served(rig.sent, calls_of_all),
+        "served": judge.served_share(rig.submissions, calls_of_all),
         "couriers": {
             name: {
                 "handed_in": len(sent),
                 "taken": sum(s.status == 202 for s in sent),
-                "ran": sum(f"{trace}" in ran for trace, s in rig.sent.items() if s.courier == name),
+                "ran": sum(f"{trace}" in ran for trace, s in rig.submissions.items() if s.courier == name),
                 "cpu_ms_a_second": round(1_000 * cpu_seconds[name] * SECOND / scenario.span, 1),
                 "bytes_a_second": round(
                     sum(w.received_bytes for (a, _), w in rig.proxies.items() if a == name)
@@ -178,7 +178,7 @@
     for group in sorted(set(scenario.groups.values())):
         names = [name for name, each in scenario.groups.items() if each == group]
         repeats = judge.repeats(call for name in names for call in rig.members[name].calls if call.at >= begin)
-        most = judge.most_in_a_second(repeats, max(MS, SECOND - rig.loop.longest))
+        most = judge.max_calls_per_second(repeats, max(MS, SECOND - rig.loop.longest_turn))
         budget = sum(scenario.limits[name] for name in names) * SHARED_PERCENT / 100 * scenario.again / 100
         # A budget of less than one call for each courier has a longer window.
         found[str(group)] = most, max(budget, scenario.couriers)
--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from kestrelspar.lab import child
-from kestrelspar.lab.rig import Noted
-from kestrelspar.peers.seal import HEAD, MARK
+from kestrelspar.lab.rig import TimedLoop
+from kestrelspar.peers.seal import HEADER_BYTES, MAGIC
 from kestrelspar.runtime.loop import SECOND, Loop
 
 RECEIVE_BUFFER_BYTES = 4_000_000  # requested; the system may grant less
@@ -42,16 +42,16 @@
 
 def read_routing_header(data: bytes) -> RoutingHeader | None:
     """Read the sender and the receiver of a datagram; nothing if it is malformed."""
-    if not data.startswith(MARK):
+    if not data.startswith(MAGIC):
         return None
     try:
-        return _decode(data[HEAD:])
+        return _decode(data[HEADER_BYTES:])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
 
 
 @dataclass(slots=True)
-class Path:
+class PathFaults:
     """Faults of the path from one group to another: shares of the datagrams, and delays in microseconds."""
 
     loss: float = 0.0
@@ -65,7 +65,7 @@
 
     def __init__(self, seed: int) -> None:
         self.groups: dict[str, str] = {}  # by courier
-        self.faults: dict[tuple[str, str], Path] = {}  # by the sender's group and the receiver's
+        self.faults: dict[tuple[str, str], PathFaults] = {}  # by the sender's group and the receiver's
         self._rng = Random(seed)
 
     def heal(self) -> None:
@@ -122,7 +122,7 @@
             self.lost["fault"] += 1
         for delay in delays:
             if delay:
-                self.loop.at(self.loop.now + delay, lambda: self._forward(data, address))
+                self.loop.call_at(self.loop.now + delay, lambda: self._forward(data, address))
             else:
                 self._forward(data, address)
 
@@ -137,7 +137,7 @@
 
     def close(self) -> None:
         """Close the socket and stop forwarding."""
-        self.loop.forget(self.socket)
+        self.loop.unregister(self.socket)
         self.socket.close()
 
 
@@ -151,7 +151,7 @@
     """
 
     def __init__(self) -> None:
-        self.loop = Noted()
+        self.loop = TimedLoop()
         self.network = FaultyNetwork(0)
         self.relays: dict[str, Relay] = {}
 
@@ -160,7 +160,7 @@
         if "open" in request:
             self.network = FaultyNetwork(request["seed"])
             self.relays = {group: Relay(self.loop, group, self.network) for group in request["open"]}
-            child.say({"open": {group: relay.address for group, relay in self.relays.items()}})
+            child.send_report({"open": {group: relay.address for group, relay in self.relays.items()}})
             self.loop.spawn(self._report)
         self.network.groups.update(request.get("groups", {}))
         for name, address in request.get("places", {}).items():
@@ -170,7 +170,7 @@
         if "faults" in request:
             self.network.heal()
             for sender, to, fault in request["faults"]:
-                path = Path(**fault)
+                path = PathFaults(**fault)
                 path.delay = (path.delay[0], path.delay[1])
                 self.network.faults[(sender, to)] = path
 
@@ -181,26 +181,26 @@
             lost: Counter[str] = Counter()
             for relay in self.relays.values():
                 lost += relay.lost
-            child.say(
+            child.send_report(
                 {
                     "at": self.loop.now,
                     "cpu": used.ru_utime + used.ru_stime,
-                    "longest": self.loop.longest,
+                    "longest": self.loop.longest_turn,
                     "passed": sum(relay.forwarded for relay in self.relays.values()),
                     "bytes": sum(relay.forwarded_bytes for relay in self.relays.values()),
                     "lost": dict(lost),
-                    "dropped": dropped([relay.socket for relay in self.relays.values()]),
+                    "dropped": dropped_datagrams([relay.socket for relay in self.relays.values()]),
                 }
             )
-            self.loop.longest = 0
+            self.loop.longest_turn = 0
 
 
-def fault(sender: str, to: str, path: Path) -> list[Any]:
+def encode_faults(sender: str, to: str, path: PathFaults) -> list[Any]:
     """Encode the faults of one path for the command ``faults``."""
     return [sender, to, asdict(path)]
 
 
-def dropped(sockets: list[socket.socket]) -> int:
+def dropped_datagrams(sockets: list[socket.socket]) -> int:
     """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if unavailable."""
     ports = {sock.getsockname()[1] for sock in sockets}
     try:
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -40,15 +40,15 @@
 RETRY_AFTER_RESOLUTION = 10 * MS  # Retry-After is sent in hundredths of a second
 
 
-class Noted(Loop):
+class TimedLoop(Loop):
     """Event loop that records its longest turn: arrivals during a turn are timestamped late by up to that much."""
 
-    longest = 0
+    longest_turn = 0
 
     def turn(self) -> None:
         """See ``Loop.turn``."""
         super().turn()
-        self.longest = max(self.longest, self.clock() - self.now)
+        self.longest_turn = max(self.longest_turn, self.clock() - self.now)
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
     """A member system's endpoint: refuses calls above its limit in any second, and reports its load in each answer."""
 
     def __init__(
-        self, loop: Noted, limit: int, latency: int, rng: random.Random, call_faults: dict[str, CallFaults]
+        self, loop: TimedLoop, limit: int, latency: int, rng: random.Random, call_faults: dict[str, CallFaults]
     ) -> None:
         super().__init__(loop)
         self.timed_loop = loop
@@ -145,12 +145,16 @@
         call = Call(self.loop.now, trace, courier, accepted)
         self.calls.append(call)
         first_sent_at, until = self._waits.get(courier, (0, 0))
-        if first_sent_at + RETRY_AFTER_GRACE + self.timed_loop.longest < self.loop.now < until - RETRY_AFTER_RESOLUTION:
+        if (
+            first_sent_at + RETRY_AFTER_GRACE + self.timed_loop.longest_turn
+            < self.loop.now
+            < until - RETRY_AFTER_RESOLUTION
+        ):
             self.early_calls.append(call)
         if not self.down and self._is_overloaded():
             self.overloads.append(self.loop.now)
             self.down, self._recovering_since = True, None
-            self.loop.at(self.loop.now + 2 * SECOND, self.up)
+            self.loop.call_at(self.loop.now + 2 * SECOND, self.up)
         if self.down:
             call.unanswered, call.accepted = True, False
             self.loop.sleep(30 * SECOND)
@@ -206,7 +210,7 @@
             for _ in range(2 if self._rng.random() < self.double else 1):
                 wait = self._rng.randint(*self.delay)
                 if wait:
-                    self.loop.at(self.loop.now + wait, lambda data=data: self.deliver(data))  # type: ignore[misc]
+                    self.loop.call_at(self.loop.now + wait, lambda data=data: self.deliver(data))  # type: ignore[misc]
                 else:
                     self.deliver(data)
 
@@ -217,14 +221,14 @@
 
 
 @dataclass
-class Node:
+class CourierProcess:
     """The process of a courier or broker, running or not."""
 
     name: str
     number: int
     listen: tuple[str, int]  # HTTP address
     peers: tuple[str, int]  # UDP address for datagrams of other couriers
-    folder: Path
+    directory: Path
     process: subprocess.Popen[bytes] | None = None
     paused: bool = False
     log: Path = Path()
@@ -253,7 +257,7 @@
 
 
 @dataclass
-class Beyond:
+class ExternalFleet:
     """Peer settings for a fleet with couriers outside of the rig, all behind relays, in place of the rig's proxies."""
 
     couriers: int  # of the whole fleet
@@ -280,14 +284,15 @@
         extra_settings: str = "",
         spend: int = 90,
         groups: dict[str, int] | None = None,
-        beyond: Beyond | None = None,
+        external_fleet: ExternalFleet | None = None,
     ) -> None:
         """``limits`` is by member system; ``groups`` has its destination's number, if several share a destination.
 
         ``spend`` is the percentage of the limits that is shared; ``extra_settings`` are further lines of ``peers``.
-        With ``beyond`` there are no proxies; its entries for a courier must be complete before that courier is started.
+        With ``external_fleet`` there are no proxies; its entries for a courier must be complete before that courier is
+        started.
         """
-        self.beyond = beyond
+        self.external_fleet = external_fleet
         self.directory, self.seed, self.extra_settings, self.spend, self.peers = (
             directory,
             seed,
@@ -295,7 +300,7 @@
             spend,
             peers,
         )
-        self.loop, self.rng = Noted(), random.Random(seed)
+        self.loop, self.rng = TimedLoop(), random.Random(seed)
         self.buffers = BufferPool(2048)
         self.call_faults: dict[str, CallFaults] = {}  # by courier
         self.members = {
@@ -318,18 +323,18 @@
                 for name, member in self.members.items()
             ],
         )
-        self.discovery.heard = self._receive_notice
-        self.sent: dict[str, Submission] = {}
-        self.nodes: dict[str, Node] = {}
-        self.brokers: dict[str, Node] = {}  # filled by zones.py
+        self.discovery.on_notice = self._receive_notice
+        self.submissions: dict[str, Submission] = {}
+        self.nodes: dict[str, CourierProcess] = {}
+        self.brokers: dict[str, CourierProcess] = {}  # filled by zones.py
         self.ports = ports = Ports()
         for number in range(couriers):
             name = f"n{number}"
             (directory / name).mkdir()
-            self.nodes[name] = Node(
+            self.nodes[name] = CourierProcess(
                 name, number, ports.allocate(socket.SOCK_STREAM), ports.allocate(socket.SOCK_DGRAM), directory / name
             )
-        self.proxies = self._make_proxies() if beyond is None else {}
+        self.proxies = self._make_proxies() if external_fleet is None else {}
         self.program = [sys.executable, "-m", "kestrelspar"]  # a test may replace it by a deliberately broken one
         self._draining = False
 
@@ -345,10 +350,10 @@
         return {to: proxy.address for (a, to), proxy in self.proxies.items() if a == sender}
 
     def peer_config(self, name: str) -> dict[str, Any]:
-        """Peer settings of a courier that is simulated in this process, as arguments of ``peer.About``."""
+        """Peer settings of a courier that is simulated in this process, as arguments of ``peer.PeerConfig``."""
         return {"address": self.nodes[name].peers}
 
-    def node(self, name: str) -> Node:
+    def node(self, name: str) -> CourierProcess:
         """The process of a courier or broker."""
         return self.brokers[name] if name in self.brokers else self.nodes[name]
 
@@ -367,58 +372,62 @@
     def start(self, name: str, keep_state: bool = True, peers: bool | None = None) -> None:
         """Start a courier; without ``keep_state`` its state directory is emptied first."""
         node = self.nodes[name]
-        state = node.folder / "state"
+        state = node.directory / "state"
         if not keep_state:
             for file in state.iterdir() if state.exists() else ():
                 file.unlink()
-            for sent in self.sent.values():
+            for sent in self.submissions.values():
                 sent.state_lost = sent.state_lost or sent.courier == name
         state.mkdir(exist_ok=True)
         config = platform.configuration("{}:{}".format(*node.listen), self.discovery.address, str(state), name=name)
         config["seed"] = f"{self.seed * 1000 + node.number:x}"
         config["known"]["endpoints"] = self.discovery.rows
-        couriers = self.beyond.couriers if self.beyond else len(self.nodes)
+        couriers = self.external_fleet.couriers if self.external_fleet else len(self.nodes)
         config["settings"] |= {
             "n_instances": couriers,
             "my_number": node.number,
             "load_report": {"how": "inline", "columns": ["x0", "x1"]},
         }
-        (node.folder / "config.json").write_text(ujson.dumps(config))
+        (node.directory / "config.json").write_text(ujson.dumps(config))
         self._configure(node, self.peers if peers is None else peers, [KEY])
         self._run(
             node,
             self.program,
-            {"RELAY_CONFIG": str(node.folder / "config.json"), "KESTRELSPAR_CONF": str(node.folder / "k.conf")},
+            {"RELAY_CONFIG": str(node.directory / "config.json"), "KESTRELSPAR_CONF": str(node.directory / "k.conf")},
         )
 
-    def _run(self, node: Node, program: list[str], variables: dict[str, str]) -> None:
+    def _run(self, node: CourierProcess, program: list[str], variables: dict[str, str]) -> None:
         environment = {
             key: value for key, value in os.environ.items() if not key.startswith(("RELAY_", "KESTRELSPAR_"))
         }
         environment |= variables | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
-        node.log = node.folder / "log"
+        node.log = node.directory / "log"
         with node.log.open("ab") as out:
-            node.process = subprocess.Popen(program, env=environment, stdout=out, stderr=out, cwd=node.folder)
+            node.process = subprocess.Popen(program, env=environment, stdout=out, stderr=out, cwd=node.directory)
         node.paused = False
 
-    def _configure(self, node: Node, peers: bool, keys: list[str]) -> None:
+    def _configure(self, node: CourierProcess, peers: bool, keys: list[str]) -> None:
         for number, key in enumerate(keys):
-            (node.folder / f"key{number}").write_text(key)
-            (node.folder / f"key{number}").chmod(0o600)
+            (node.directory / f"key{number}").write_text(key)
+            (node.directory / f"key{number}").chmod(0o600)
         seed_addresses, period, term, advertise = self.peer_addresses(node.name), "300ms", "2s", ""
-        if self.beyond is not None:
-            seed_addresses, period, term = self.beyond.seeds.get(node.name, {}), self.beyond.period, self.beyond.term
-            if node.name in self.beyond.advertise:
-                advertise = "    advertise {}:{}\n".format(*self.beyond.advertise[node.name])
+        if self.external_fleet is not None:
+            seed_addresses, period, term = (
+                self.external_fleet.seeds.get(node.name, {}),
+                self.external_fleet.period,
+                self.external_fleet.term,
+            )
+            if node.name in self.external_fleet.advertise:
+                advertise = "    advertise {}:{}\n".format(*self.external_fleet.advertise[node.name])
         seeds = "".join(f"    seed {to} {host}:{port}\n" for to, (host, port) in seed_addresses.items())
         files = " ".join(f"key{number}" for number in range(len(keys)))
-        (node.folder / "k.conf").write_text(
+        (node.directory / "k.conf").write_text(
             f"log\n    level debug\npeers\n    enabled {'on' if peers else 'off'}\n"
             f"    listen {node.peers[0]}:{node.peers[1]}\n{advertise}    key-file {files}\n    period {period}\n"
             f"    term {term}\n    spend {self.spend}\n{seeds}{self._extra_peer_settings(node)}{self.extra_settings}"
         )
 
-    def _extra_peer_settings(self, node: Node) -> str:
+    def _extra_peer_settings(self, node: CourierProcess) -> str:
         """Further lines of a courier's section ``peers``."""
         return ""
 
@@ -436,7 +445,7 @@
         process = node.process
         process.send_signal(signal_number)
         # Run the event loop instead of blocking: arrivals meanwhile have to be timestamped when they come.
-        self.until(lambda: process.poll() is not None, 10 * SECOND)
+        self.run_until(lambda: process.poll() is not None, 10 * SECOND)
         node.exit_codes.append(process.returncode)
         node.process, node.paused = None, False
 
@@ -447,7 +456,7 @@
         ]
         for _, process in running:
             process.send_signal(signal.SIGTERM)
-        self.until(lambda: all(process.poll() is not None for _, process in running), 10 * SECOND)
+        self.run_until(lambda: all(process.poll() is not None for _, process in running), 10 * SECOND)
         for node, process in running:
             node.exit_codes.append(process.returncode)
             node.process, node.paused = None, False
@@ -473,7 +482,7 @@
                 process.send_signal(signal.SIGCONT)
                 node.paused = False
 
-        self.loop.at(self.loop.now + span, resume)
+        self.loop.call_at(self.loop.now + span, resume)
 
     def ready(self) -> None:
         """Run until all started couriers are ready; raise ``TimeoutError`` with the ends of the logs of the others."""
@@ -489,14 +498,14 @@
         for name in names:
             self.loop.spawn(poll, name)
         try:
-            self.until(lambda: all(statuses.get(name) == 200 for name in names), READY_TIMEOUT)
+            self.run_until(lambda: all(statuses.get(name) == 200 for name in names), READY_TIMEOUT)
         except TimeoutError:
-            not_ready = [f"{name}: {self.logs(name)[-200:]}" for name in names if statuses.get(name) != 200]
+            not_ready = [f"{name}: {self.read_log(name)[-200:]}" for name in names if statuses.get(name) != 200]
             raise TimeoutError(f"couriers not ready in time: {'; '.join(not_ready)}") from None
 
     # Time
 
-    def until(self, done: Callable[[], object], within: int) -> None:
+    def run_until(self, done: Callable[[], object], within: int) -> None:
         """Run the event loop until ``done`` holds; raise ``TimeoutError`` after ``within``."""
         deadline = self.loop.now + within
         while not done():
@@ -507,8 +516,8 @@
     def run(self, span: int) -> None:
         """Run the event loop for ``span``."""
         elapsed: list[int] = []
-        self.loop.at(self.loop.now + span, lambda: elapsed.append(1))
-        self.until(lambda: elapsed, span + 60 * SECOND)
+        self.loop.call_at(self.loop.now + span, lambda: elapsed.append(1))
+        self.run_until(lambda: elapsed, span + 60 * SECOND)
 
     # Clients
 
@@ -521,7 +530,7 @@
         try:
             stream.write(call, self.loop.now + RESPONSE_TIMEOUT)
             return parser.read_head(stream, self.loop.now + RESPONSE_TIMEOUT, response=True).status
-        except (Closed, Late, parser.BadMessage):
+        except (Closed, Late, parser.MalformedMessageError):
             return 0
         finally:
             stream.close()
@@ -543,8 +552,8 @@
     def submit(self, name: str, group: int) -> None:
         """Submit one message of a random class."""
         message_class = self.rng.choice(platform.CLASSES)
-        trace = f"{name}-{len(self.sent):06d}"
-        sent = self.sent[trace] = Submission(message_class, name, self.loop.now)
+        trace = f"{name}-{len(self.submissions):06d}"
+        sent = self.submissions[trace] = Submission(message_class, name, self.loop.now)
         lifetime_minutes = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[message_class]
         headers = {
             "X-Trace-Id": trace,
@@ -556,11 +565,11 @@
         sent.status = self.send_request(name, parser.request("POST", f"/{message_class}", "rig", headers, b"{}"))
 
     def _receive_notice(self, notice: dict[str, Any]) -> None:
-        sent = self.sent.get(str(notice.get("id")))
+        sent = self.submissions.get(str(notice.get("id")))
         if sent is not None:
             sent.notices.append(str(notice.get("state")))
 
-    def settled(self) -> None:
+    def drain(self) -> None:
         """Stop submitting messages, and run until those accepted have had time to end."""
         self._draining = True
         self.run(7 * SECOND)
@@ -568,11 +577,11 @@
     def wait_for_log(self, name: str, text: str, within: int) -> None:
         """Run until the log of a courier contains ``text``."""
         deadline = self.loop.now + within
-        while text not in self.logs(name):
+        while text not in self.read_log(name):
             if self.loop.now > deadline:
                 raise TimeoutError(f"{name} did not log in time: {text}")
             self.run(200 * MS)
 
-    def logs(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """The log of a courier or broker so far."""
         return self.node(name).log.read_text()
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -24,14 +24,14 @@
 import msgspec
 
 from kestrelspar.lab import judge
-from kestrelspar.lab.child import Child
+from kestrelspar.lab.child import HelperProcess
 from kestrelspar.lab.hollow import HollowConfig, endpoint_budgets
-from kestrelspar.lab.plan import MB, Asked, Bounds, Plan, TooMuch, plan
-from kestrelspar.lab.relays import Path as RelayPath
-from kestrelspar.lab.relays import fault as path_fault
-from kestrelspar.lab.rig import KEY, Beyond, Rig
-from kestrelspar.peers.door import ask
-from kestrelspar.peers.link import TICK
+from kestrelspar.lab.plan import MB, Plan, ResourceLimits, RunParameters, RunTooLargeError, plan_run
+from kestrelspar.lab.relays import PathFaults as RelayPath
+from kestrelspar.lab.relays import encode_faults as path_fault
+from kestrelspar.lab.rig import KEY, ExternalFleet, Rig
+from kestrelspar.peers.link import MIN_TICK_INTERVAL
+from kestrelspar.peers.status_socket import query_status
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.settings import kinds
 
@@ -50,7 +50,7 @@
 CONTROL_COURIERS = 2  # real couriers with peers disabled, for the comparison of real and hollow ones
 
 
-class Stopped(Exception):
+class StoppedBySignalError(Exception):
     """A signal asked the run to end; the argument is the signal's number."""
 
 
@@ -98,7 +98,7 @@
 
 @contextmanager
 def stopping_on_signals(loop: Loop) -> Iterator[None]:
-    """Raise ``Stopped`` on SIGINT and SIGTERM, at the end of a loop turn, so that no step is left half done."""
+    """Raise ``StoppedBySignalError`` on SIGINT and SIGTERM, at the end of a turn, so that no step is left half done."""
     received: list[int] = []
 
     def record_signal(number: int, _: FrameType | None) -> None:
@@ -106,14 +106,14 @@
 
     def check_signals() -> None:
         if received:
-            raise Stopped(received[0])
+            raise StoppedBySignalError(received[0])
 
     previous = {number: signal.signal(number, record_signal) for number in (signal.SIGINT, signal.SIGTERM)}
-    loop.at_turn_end.append(check_signals)
+    loop.turn_end_calls.append(check_signals)
     try:
         yield
     finally:
-        loop.at_turn_end.remove(check_signals)
+        loop.turn_end_calls.remove(check_signals)
         for number, handler in previous.items():
             signal.signal(number, handler)
 
@@ -122,10 +122,15 @@
     """One scale run in real time."""
 
     def __init__(
-        self, asked: Asked, folder: Path, bounds: Bounds, progress: Callable[[str], None], compare: bool = False
+        self,
+        asked: RunParameters,
+        folder: Path,
+        bounds: ResourceLimits,
+        progress: Callable[[str], None],
+        compare: bool = False,
     ) -> None:
         self.asked, self.folder, self.bounds, self.progress, self.compare = asked, folder, bounds, progress, compare
-        self.plan: Plan = plan(asked, bounds)
+        self.plan: Plan = plan_run(asked, bounds)
         self.limits = {name: max(40, 2 * asked.couriers) for name in MEMBER_SYSTEMS}
         self.config = HollowConfig(
             asked.couriers,
@@ -139,18 +144,20 @@
             key=KEY,
             span=900 * SECOND + 3 * asked.span,
         )
-        self.rig_options = Beyond(asked.couriers, period=kinds.span(asked.period), term=kinds.span(LOAN_TERM))
+        self.rig_options = ExternalFleet(
+            asked.couriers, period=kinds.format_quantity(asked.period), term=kinds.format_quantity(LOAN_TERM)
+        )
         self.rig = Rig(
             folder,
             asked.real + (CONTROL_COURIERS if compare else 0),
             asked.seed,
             self.limits,
             spend=SPEND_PERCENT,
-            beyond=self.rig_options,
+            external_fleet=self.rig_options,
         )
         self.loop = self.rig.loop
-        self.hosts: dict[str, Child] = {}
-        self.relays: dict[str, Child] = {}
+        self.hosts: dict[str, HelperProcess] = {}
+        self.relays: dict[str, HelperProcess] = {}
         self.reports: dict[str, dict[str, Any]] = {}  # by child: its last report
         self.opened: dict[str, dict[str, Any]] = {}  # by child: addresses of its zones or couriers
         self.addresses: dict[str, Any] = {}  # of couriers
@@ -180,7 +187,7 @@
         finally:
             self.rig.__exit__()
 
-    def children(self) -> dict[str, Child]:
+    def children(self) -> dict[str, HelperProcess]:
         """The processes of relays and hollow couriers."""
         return self.relays | self.hosts
 
@@ -204,19 +211,19 @@
         for key, times in report.get("calls", {}).items():
             self.calls[key] += times
 
-    def _child(self, name: str, module: str) -> Child:
-        return Child(self.loop, f"kestrelspar.lab.{module}", lambda report: self._receive(name, report), name)
+    def _child(self, name: str, module: str) -> HelperProcess:
+        return HelperProcess(self.loop, f"kestrelspar.lab.{module}", lambda report: self._receive(name, report), name)
 
     def open(self) -> None:
         """Start and configure relays, hosts and real couriers; hollow couriers are opened, but not started yet."""
-        self.loop.at_turn_end.append(self._check_bounds)
+        self.loop.turn_end_calls.append(self._check_bounds)
         self.loop.spawn(self._watch)
         asked = self.asked
         for index, zones in enumerate(self.plan.relays):
             name = f"relays {index}"
             self.relays[name] = self._child(name, "relays")
-            self.relays[name].tell({"open": zones, "seed": asked.seed + index, "groups": self.plan.zones})
-        self.rig.until(lambda: len(self.opened) == len(self.relays), OPEN_TIMEOUT)
+            self.relays[name].send_command({"open": zones, "seed": asked.seed + index, "groups": self.plan.zones})
+        self.rig.run_until(lambda: len(self.opened) == len(self.relays), OPEN_TIMEOUT)
         zone_addresses = {zone: tuple(listener) for opened in self.opened.values() for zone, listener in opened.items()}
         seeds: dict[str, dict[str, Any]] = {}
         for name, zone in self.plan.zones.items():
@@ -226,7 +233,7 @@
         for index, (zone, names) in enumerate(self.plan.hosts):
             host = f"hollow {index} of {zone}"
             self.hosts[host] = self._child(host, "hollow")
-            self.hosts[host].tell(
+            self.hosts[host].send_command(
                 {
                     "open": {
                         "told": msgspec.to_builtins(self.config),
@@ -245,7 +252,7 @@
                     }
                 }
             )
-        self.rig.until(lambda: len(self.opened) == len(self.relays) + len(self.hosts), OPEN_TIMEOUT)
+        self.rig.run_until(lambda: len(self.opened) == len(self.relays) + len(self.hosts), OPEN_TIMEOUT)
         for name in self.real:
             self.rig_options.advertise[name] = zone_addresses[self.plan.zones[name]]
             self.rig_options.seeds[name] = {
@@ -255,7 +262,7 @@
         for host in self.hosts:
             self.addresses |= self.opened[host]
         for relay in self.relays.values():
-            relay.tell({"places": self.addresses})
+            relay.send_command({"places": self.addresses})
         self.send_actual_membership()
         for name in self.rig.nodes:
             self.rig.start(name, peers=name in self.real)
@@ -271,13 +278,13 @@
         for name in sorted(self.killed_couriers):
             killed.setdefault(self.scope(name), []).append(name)
         for host in self.hosts.values():
-            host.tell({"truth": {"there": running, "gone": killed}})
+            host.send_command({"truth": {"there": running, "gone": killed}})
 
     def start_hollow(self) -> None:
         """Start the hollow couriers, spread over time."""
         start_period = max(2 * SECOND, self.asked.hollow * 5 * MS)
         for (_, names), host in zip(self.plan.hosts, self.hosts.values(), strict=True):
-            host.tell({"start": names, "within": start_period})
+            host.send_command({"start": names, "within": start_period})
 
     # Bounds
 
@@ -297,7 +304,7 @@
 
     def _check_bounds(self) -> None:
         if self._exceeded:
-            raise TooMuch(self._exceeded)
+            raise RunTooLargeError(self._exceeded)
 
     # Figures
 
@@ -360,14 +367,14 @@
         found = {}
         for name in self.real:
             with suppress(OSError, ValueError):
-                found[name] = ask(str(self.rig.nodes[name].folder / "state"), 2.0)
+                found[name] = query_status(str(self.rig.nodes[name].directory / "state"), 2.0)
         return found
 
     def snapshot(self) -> Snapshot:
         """Take the totals, and count lateness anew from here."""
         self.max_lateness.clear()
         self.ticks.clear()
-        self.loop.longest = 0
+        self.loop.longest_turn = 0
         usage = resource.getrusage(resource.RUSAGE_SELF)
         cpu_by_child = {name: (report["at"], report["cpu"]) for name, report in self.reports.items()}
         return Snapshot(
@@ -383,7 +390,7 @@
 
     def phase(self, begin: Snapshot) -> dict[str, Any]:
         """The figures since a snapshot, per second and courier; process loads are shares of a core."""
-        lateness, longest, ticks = dict(self.max_lateness), self.loop.longest, Counter(self.ticks)
+        lateness, longest, ticks = dict(self.max_lateness), self.loop.longest_turn, Counter(self.ticks)
         end = self.snapshot()
         seconds = max(1, end.at - begin.at) / SECOND
 
@@ -416,8 +423,8 @@
         # A host without couriers shows the cost of reporting; less that, a host with one courier shows the cost of a
         # courier that shares its process with no other.
         reporting = sum(share for name, share in hosts.items() if not couriers[name])
-        alone = [share - reporting for name, share in hosts.items() if couriers[name] == 1 and self.plan.alone]
-        shared = {name: share for name, share in hosts.items() if couriers[name] > (1 if self.plan.alone else 0)}
+        alone = [share - reporting for name, share in hosts.items() if couriers[name] == 1 and self.plan.single_hosts]
+        shared = {name: share for name, share in hosts.items() if couriers[name] > (1 if self.plan.single_hosts else 0)}
         found: dict[str, Any] = {
             "seconds": round(seconds, 1),
             "cpu_ms_a_hollow": round(1_000 * sum(shared.values()) / max(1, sum(couriers[n] for n in shared)), 3),
@@ -461,7 +468,7 @@
             outbound = [path_fault(last, zone, RelayPath(cut=True)) for zone in others]
             self._set_path_faults(inbound if asked.fault == "one-way" else inbound + outbound)
             duration = min(CUT_DURATION, asked.span)
-            self.loop.at(self.loop.now + duration, lambda: self._set_path_faults([]))
+            self.loop.call_at(self.loop.now + duration, lambda: self._set_path_faults([]))
             self.affected = len(self.plan.zone(last))
             return duration
         elif asked.fault in ("stop", "kill"):
@@ -478,7 +485,7 @@
             child = self.hosts[host]
             if asked.fault == "stop":
                 child.process.send_signal(signal.SIGSTOP)
-                self.loop.at(self.loop.now + PAUSE_DURATION, lambda: child.process.send_signal(signal.SIGCONT))
+                self.loop.call_at(self.loop.now + PAUSE_DURATION, lambda: child.process.send_signal(signal.SIGCONT))
                 return PAUSE_DURATION
             self.killed_hosts.add(host)
             self.killed_couriers |= set(names)
@@ -487,14 +494,14 @@
         elif asked.fault == "restarts":
             for (_, names), host_child in zip(self.plan.hosts, self.hosts.values(), strict=True):
                 chosen = random.sample(names, len(names) // 2)
-                host_child.tell({"restart": chosen, "gap": RESTART_DOWNTIME, "within": RESTART_PERIOD})
+                host_child.send_command({"restart": chosen, "gap": RESTART_DOWNTIME, "within": RESTART_PERIOD})
                 self.affected += len(chosen)
             return RESTART_PERIOD + RESTART_DOWNTIME
         return 0
 
     def _set_path_faults(self, faults: list[Any]) -> None:
         for relay in self.relays.values():
-            relay.tell({"faults": faults})
+            relay.send_command({"faults": faults})
 
     def converged(self, since: int) -> bool:
         """Whether, by reports sent more than a second after ``since``, the couriers' membership lists are correct."""
@@ -568,7 +575,7 @@
             figures |= {"fault": self.phase(fault), "injected_s": injected}
         self.progress("waiting for the last messages to end")
         if self.real and not self.compare:
-            self.rig.settled()
+            self.rig.drain()
         findings = self.findings(known, settled)
         return {
             "from": "real time",
@@ -590,8 +597,8 @@
             "least_known": least_known,
             "settled_s": _seconds(settled),
             **figures,
-            "messages": len(self.rig.sent),
-            "served": round(judge.served(self.rig.sent, self._member_calls()), 4),
+            "messages": len(self.rig.submissions),
+            "served": round(judge.served_share(self.rig.submissions, self._member_calls()), 4),
             "busiest_span": self.busiest(),
             **memory_growth,
             "saturated": [
@@ -608,7 +615,7 @@
 
     def _run_for(self, duration: int) -> None:
         end = self.loop.now + duration
-        self.loop.at(end, lambda: None)
+        self.loop.call_at(end, lambda: None)
         self.wait(lambda: self.loop.now >= end, 1 << 60, "measuring")
 
     def _memory_growth(self, real_before: dict[str, int], hosts_before: dict[str, int]) -> dict[str, Any]:
@@ -653,7 +660,7 @@
 
     def findings(self, known: int | None, settled: int | None) -> list[str]:
         """Violated guarantees, and phases that did not converge."""
-        asked, found = self.asked, judge.wrong_ends(self.rig.sent, self._member_calls())
+        asked, found = self.asked, judge.delivery_violations(self.rig.submissions, self._member_calls())
         if known is None:
             found.append(
                 f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
@@ -671,11 +678,11 @@
             if count > calls
         ]
         for name, member in self.rig.members.items():
-            count = judge.most_in_a_second(member.calls, max(MS, SECOND - self.loop.longest))
+            count = judge.max_calls_per_second(member.calls, max(MS, SECOND - self.loop.longest_turn))
             if count > member.limit:
                 found.append(f"{name}: {count} calls in a second, its limit is {member.limit}")
         for name in self.real:
-            found += [f"{name}: {line[:300]}" for line in self.rig.logs(name).splitlines() if "event=fault" in line]
+            found += [f"{name}: {line[:300]}" for line in self.rig.read_log(name).splitlines() if "event=fault" in line]
         statuses = self.statuses()
         found += [f"{name}: no answer from its status socket" for name in self.real if name not in statuses]
         for name, status in statuses.items():
@@ -719,7 +726,7 @@
             f"all cores were busy: {figures['cores_busy']:.0%} of {figures['cores']}, "
             f"{figures['cores_stolen']:.0%} stolen by the hypervisor"
         )
-    if figures["mean_tick_late_ms"] * MS > TICK:
+    if figures["mean_tick_late_ms"] * MS > MIN_TICK_INTERVAL:
         found.append(f"ticks of hollow couriers were {figures['mean_tick_late_ms']:.0f} ms late on average")
     if figures["stalled_ticks"] > MAX_STALLED_SHARE:
         found.append(f"{figures['stalled_ticks']:.1%} of the ticks were more than a period late")
@@ -728,7 +735,7 @@
     return found
 
 
-def factors(report: dict[str, Any]) -> dict[str, float]:
+def cost_ratios(report: dict[str, Any]) -> dict[str, float]:
     """Ratios of a hollow courier's cost to a real one's, of the peer protocol alone.
 
     The processor time of a real courier is that with peers enabled, less that with peers disabled.
@@ -746,27 +753,27 @@
     }
 
 
-def play(
-    asked: Asked,
+def run(
+    asked: RunParameters,
     folder: Path,
-    bounds: Bounds,
+    bounds: ResourceLimits,
     progress: Callable[[str], None] = lambda text: None,
     compare: bool = False,
 ) -> dict[str, Any]:
     """Run once and return the report, a dict that JSON can hold.
 
-    Raises ``TooMuch`` and ``Stopped``; whatever it raises, no process is left behind.
+    Raises ``RunTooLargeError`` and ``StoppedBySignalError``; whatever it raises, no process is left behind.
     """
     with ScaleRun(asked, folder, bounds, progress, compare) as scale_run, stopping_on_signals(scale_run.loop):
         return scale_run.run()
 
 
-def bounds() -> Bounds:
+def default_bounds() -> ResourceLimits:
     """The default bounds, with this process's limit of descriptors."""
-    return Bounds(descriptors=resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+    return ResourceLimits(descriptors=resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def machine() -> dict[str, Any]:
+def machine_info() -> dict[str, Any]:
     """Cores and Python version that the run used."""
     return {"cores": sorted(os.sched_getaffinity(0)), "python": sys.version.split()[0]}
 
--- a/kestrelspar/lab/scenario.py
+++ b/kestrelspar/lab/scenario.py
@@ -28,7 +28,7 @@
 
 from kestrelspar.runtime.loop import MS, SECOND
 from kestrelspar.settings import kinds
-from kestrelspar.settings.lines import Block, ConfFaults, Fault, Line, Place, read
+from kestrelspar.settings.lines import Block, ConfError, ConfErrors, Line, SourceLocation, read
 
 DURATION = kinds.duration("", 0, 3_600 * SECOND)
 POSITIVE_PERCENT = kinds.number("", 1, 100)
@@ -98,21 +98,23 @@
 
     def __init__(self) -> None:
         self.scenario = Scenario()
-        self.errors: list[Fault] = []
+        self.errors: list[ConfError] = []
 
-    def add_error(self, place: Place, key: str, text: str) -> None:
-        self.errors.append(Fault(place, key, text))
+    def add_error(self, place: SourceLocation, key: str, text: str) -> None:
+        self.errors.append(ConfError(place, key, text))
 
     def parse_value(self, line: Line, key: str, text: str, meta: Any) -> Any:
         try:
-            return kinds.value(text, meta, "")
+            return kinds.parse_value(text, meta, "")
         except ValueError as error:
-            self.add_error(line.place, key, f"{error} (wanted: {kinds.wanted(meta)})")
+            self.add_error(line.location, key, f"{error} (wanted: {kinds.describe_accepted(meta)})")
             return None
 
     def parse_single(self, line: Line, key: str, meta: Any) -> Any:
         if len(line.words) != 1:
-            self.add_error(line.place, key, f"has {len(line.words)} arguments (wanted: {kinds.wanted(meta)})")
+            self.add_error(
+                line.location, key, f"has {len(line.words)} arguments (wanted: {kinds.describe_accepted(meta)})"
+            )
             return None
         return self.parse_value(line, key, line.words[0], meta)
 
@@ -124,7 +126,7 @@
         for line in block.lines:
             key = f"{block.kind}{' ' + block.label if block.label else ''}.{line.key}"
             if line.key not in table:
-                self.add_error(line.place, key, f"unknown key (wanted: {' or '.join(table)})")
+                self.add_error(line.location, key, f"unknown key (wanted: {' or '.join(table)})")
                 continue
             meta, assign = table[line.key]
             value = self.parse_single(line, key, meta)
@@ -146,14 +148,14 @@
         )
         if scenario.liar and self.known_courier(scenario.liar) is None:
             self.add_error(
-                block.place,
+                block.location,
                 "lab.liar",
                 f"{scenario.liar!r:.40} is not a courier (wanted: n0 to n{scenario.couriers - 1})",
             )
 
     def member(self, block: Block) -> None:
         if not block.label:
-            self.add_error(block.place, "member", "has no name")
+            self.add_error(block.location, "member", "has no name")
         self.scenario.limits[block.label], self.scenario.latencies[block.label] = 50, 20 * MS
         self.scenario.groups[block.label] = len(self.scenario.groups) + 1
         self.parse_keys(
@@ -168,7 +170,7 @@
     def traffic(self, block: Block) -> None:
         if block.label != "*" and self.known_courier(block.label) is None:
             self.add_error(
-                block.place,
+                block.location,
                 "traffic",
                 f"{block.label!r:.40} is not a courier (wanted: * or n0 to n{self.scenario.couriers - 1})",
             )
@@ -181,13 +183,13 @@
 
     def at(self, block: Block) -> None:
         try:
-            when = kinds.value(block.label, DURATION, "")
+            when = kinds.parse_value(block.label, DURATION, "")
         except ValueError as error:
-            self.add_error(block.place, "at", f"{error} (wanted: {kinds.wanted(DURATION)})")
+            self.add_error(block.location, "at", f"{error} (wanted: {kinds.describe_accepted(DURATION)})")
             when = 0  # its lines are checked all the same
         for line in block.lines:
             if line.key not in ACTIONS:
-                self.add_error(line.place, f"at.{line.key}", f"unknown action (wanted: {', '.join(ACTIONS)})")
+                self.add_error(line.location, f"at.{line.key}", f"unknown action (wanted: {', '.join(ACTIONS)})")
                 continue
             arguments = self.parse_arguments(line)
             if arguments is not None:
@@ -201,7 +203,7 @@
         needed = sum(not kind.endswith("?") for kind in types)
         if not needed <= len(given) <= len(types):
             self.add_error(
-                line.place, f"at.{line.key}", f"has {len(given)} arguments (wanted: {' '.join(types) or 'none'})"
+                line.location, f"at.{line.key}", f"has {len(given)} arguments (wanted: {' '.join(types) or 'none'})"
             )
             return None
         found: list[Any] = []
@@ -216,20 +218,20 @@
                 "empty?": argument if argument == "empty" else None,
             }[kind]
             if known is None:
-                self.add_error(line.place, f"at.{line.key}", f"{argument!r:.40} is not a known {kind.rstrip('?')}")
+                self.add_error(line.location, f"at.{line.key}", f"{argument!r:.40} is not a known {kind.rstrip('?')}")
             found.append(known)
         return None if None in found else tuple(found)
 
 
 def load(path: str, couriers: int | None = None) -> Scenario:
-    """Load a scenario; raise ``ConfFaults`` with all errors. ``couriers`` overrides the number in the file."""
+    """Load a scenario; raise ``ConfErrors`` with all errors. ``couriers`` overrides the number in the file."""
     blocks, errors = read(path)
     reader = _Reader()
     reader.errors += errors
     order = ("lab", "member", "traffic", "at")
     for block in blocks:
         if block.kind not in order:
-            reader.add_error(block.place, block.kind, f"unknown section (wanted: {' or '.join(order)})")
+            reader.add_error(block.location, block.kind, f"unknown section (wanted: {' or '.join(order)})")
     for kind in order:
         for block in blocks:
             if block.kind == kind:
@@ -237,8 +239,8 @@
         if kind == "lab" and couriers is not None:
             reader.scenario.couriers = couriers
     if not reader.scenario.limits and not reader.errors:
-        reader.add_error(Place(path, 0), "member", "missing section (wanted: one or more)")
+        reader.add_error(SourceLocation(path, 0), "member", "missing section (wanted: one or more)")
     if reader.errors:
-        raise ConfFaults(sorted(reader.errors))
+        raise ConfErrors(sorted(reader.errors))
     reader.scenario.actions.sort(key=lambda action: action.at)
     return reader.scenario
--- a/kestrelspar/lab/model.py
+++ b/kestrelspar/lab/simulated_network.py
@@ -6,7 +6,8 @@
 independent of the couriers: it counts their calls in real time.
 
 Brokers are nodes beside the couriers and belong to regions. Where there are brokers, each courier is configured with
-all of them, its region and its group, except for the couriers in ``Net.old``, which run without groups and brokers.
+all of them, its region and its group, except for the couriers in ``SimulatedNetwork.pre_broker_couriers``, which run
+without groups and brokers.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from kestrelspar.peers.brokers import Broker, BrokerAbout
-from kestrelspar.peers.peer import About, Datagrams, Peer
-from kestrelspar.peers.shares import Terms
+from kestrelspar.peers.brokers import Broker, BrokerConfig
+from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
+from kestrelspar.peers.shares import LoanTerms
 
 MS, SECOND = 1_000, 1_000_000
-TICK = 50 * MS
+TICK_INTERVAL = 50 * MS
 TICK_JITTER = 5 * MS
 CALL_INTERVAL = 20 * MS  # between a courier's attempts to make calls for waiting messages
 KEY = b"a key for the model's couriers.."
@@ -34,7 +35,7 @@
     """Faults of datagrams: shares of all datagrams, and the bounds of their delay in microseconds."""
 
     loss: float = 0.0
-    double: float = 0.0
+    duplicate: float = 0.0
     delay: tuple[int, int] = (1 * MS, 5 * MS)
 
 
@@ -48,11 +49,13 @@
     clock_rate: float  # local clock's microseconds for each one of real time
     clock_offset: int  # microseconds
     peer: Peer | None = None
-    life: int = 0
+    epoch: int = 0
     saved_loans: dict[str, int] | None = None  # state on disk: the most that was lent of each budget
     paused_until: int = 0
     queued: list[bytes] = field(default_factory=list)  # datagrams that arrived during a pause
-    lies: Callable[[Node, int], None] | None = None  # Byzantine behaviour, called with the real time before each tick
+    byzantine_behavior: Callable[[Node, int], None] | None = (
+        None  # Byzantine behaviour, called with the real time before each tick
+    )
     group: str = ""
     region: str = ""
     before_tick: Callable[[Node, Peer], None] | None = None  # the workload of a courier
@@ -72,10 +75,10 @@
 
     def __init__(self) -> None:
         self.limits: dict[str, tuple[int, int]] = {}
-        self.most: dict[str, int] = defaultdict(int)
+        self.max_calls: dict[str, int] = defaultdict(int)
         self.calls: dict[str, int] = defaultdict(int)
-        self.by: dict[tuple[str, str], int] = defaultdict(int)
-        self.faults: list[tuple[int, str, int]] = []
+        self.calls_by_courier: dict[tuple[str, str], int] = defaultdict(int)
+        self.violations: list[tuple[int, str, int]] = []
         self._times: dict[str, deque[int]] = defaultdict(deque)
 
     def call(self, now: int, name: str, key: str) -> None:
@@ -86,13 +89,13 @@
         while times[0] <= now - window:
             times.popleft()
         self.calls[key] += 1
-        self.by[(name, key)] += 1
-        self.most[key] = max(self.most[key], len(times))
+        self.calls_by_courier[(name, key)] += 1
+        self.max_calls[key] = max(self.max_calls[key], len(times))
         if len(times) > calls:
-            self.faults.append((now, key, len(times)))
+            self.violations.append((now, key, len(times)))
 
 
-class Net:
+class SimulatedNetwork:
     """The simulated couriers and brokers, the network between them, and the event queue."""
 
     def __init__(
@@ -101,25 +104,30 @@
         seed: int,
         faults: Faults | None = None,
         drift: float = 0.0,
-        terms: dict[str, float] | None = None,
-        bytes_a_second: int = 50_000,
+        loan_terms: dict[str, float] | None = None,
+        bytes_per_second: int = 50_000,
         seeds: int = 3,
         brokers: dict[str, int] | None = None,
-        place: Callable[[int], tuple[str, str]] | None = None,
-        step: int = SECOND,
+        placement: Callable[[int], tuple[str, str]] | None = None,
+        probe_interval: int = SECOND,
         period: int = SECOND,
     ) -> None:
-        """``brokers``: number of brokers by region; ``place``: returns region and group for a courier's number.
+        """``brokers``: number of brokers by region; ``placement``: returns region and group for a courier's number.
 
-        ``step``: interval between the couriers' probes of an endpoint that is down. ``seeds``: number of seed members
-        of each group; without groups, of the whole fleet.
+        ``probe_interval``: interval between the couriers' probes of an endpoint that is down. ``seeds``: number of seed
+        members of each group; without groups, of the whole fleet.
         """
         self.random = Random(seed)
         self.now = 0
         self.faults = faults or Faults()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False  # whether datagrams are cut off, by direction
-        self.judge = BudgetChecker()
-        self.terms, self.bytes_a_second, self.step, self.period = terms or {}, bytes_a_second, step, period
+        self.budget_checker = BudgetChecker()
+        self.terms, self.bytes_a_second, self.step, self.period = (
+            loan_terms or {},
+            bytes_per_second,
+            probe_interval,
+            period,
+        )
         self.events: list[tuple[int, str, str, dict[str, object]]] = []  # (real time, node, event, fields)
         self._order = itertools.count()
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -129,9 +137,9 @@
             )
             for i in range(couriers)
         }
-        if place is not None:
+        if placement is not None:
             for node in self.nodes.values():
-                node.region, node.group = place(node.number)
+                node.region, node.group = placement(node.number)
         group_sizes: dict[str, int] = defaultdict(int)
         self._seeds: dict[str, tuple[str, int]] = {}
         for node in self.nodes.values():
@@ -150,8 +158,10 @@
             )
             for n, (region, name) in enumerate(names)
         }
-        self.old: set[str] = set()  # couriers that run without groups and brokers
-        self.dests: dict[str, dict[str, int]] = {}  # by courier: destination of each endpoint that it uses
+        self.pre_broker_couriers: set[str] = set()  # couriers that run without groups and brokers
+        self.endpoints_by_courier: dict[
+            str, dict[str, int]
+        ] = {}  # by courier: destination of each endpoint that it uses
         self._by_address = {node.address: node for node in [*self.nodes.values(), *self.brokers.values()]}
         self.budgets: dict[str, tuple[int, int]] = {}
 
@@ -170,10 +180,10 @@
 
     def budget(self, key: str, calls: int, window: int = SECOND) -> None:
         """Configure a budget at all couriers, now and at each later start."""
-        self.budgets[key] = self.judge.limits[key] = calls, window
+        self.budgets[key] = self.budget_checker.limits[key] = calls, window
         for node in self.nodes.values():
             if node.peer is not None:
-                node.peer.shares.budget(key, calls, window)
+                node.peer.shares.set_budget(key, calls, window)
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
         """Addresses of the seed members that a courier may be configured with."""
@@ -184,12 +194,12 @@
         node = self.node(name)
         if not keep_state:
             node.saved_loans = None
-        node.life = max(node.life + 1, self.now // MS + 1)
+        node.epoch = max(node.epoch + 1, self.now // MS + 1)
         broker_addresses = {broker.name: broker.address for broker in self.brokers.values()}
         node.paused_until, node.queued = 0, []
         if name in self.brokers:
             node.broker = Broker(
-                BrokerAbout(name, node.region, node.address, node.life, [KEY], broker_addresses, len(self.nodes)),
+                BrokerConfig(name, node.region, node.address, node.epoch, [KEY], broker_addresses, len(self.nodes)),
                 node.clock(self.now),
                 self.random.randrange(1 << 30),
             )
@@ -198,21 +208,21 @@
         seeds = {
             seed: address
             for seed, address in self.seeds_of(name).items()
-            if name in self.old or self.nodes[seed].group == node.group
+            if name in self.pre_broker_couriers or self.nodes[seed].group == node.group
         }
-        config = About(
+        config = PeerConfig(
             name,
             node.address,
-            node.life,
+            node.epoch,
             [KEY],
             seeds,
-            Terms(len(self.nodes), node.number, **self.terms),  # type: ignore[arg-type]
+            LoanTerms(len(self.nodes), node.number, **self.terms),  # type: ignore[arg-type]
             self.bytes_a_second,
             self.period,
-            step=self.step,
+            retry_step=self.step,
             **(
                 {}
-                if name in self.old
+                if name in self.pre_broker_couriers
                 # type: ignore[arg-type]
                 else {"group": node.group, "region": node.region, "brokers": broker_addresses}
             ),
@@ -224,8 +234,8 @@
 
         node.peer = Peer(config, node.clock(self.now), self.random.randrange(1 << 30), node.saved_loans, persist)
         for key, (calls, window) in self.budgets.items():
-            node.peer.shares.budget(key, calls, window)
-        node.peer.judgements.routes(dict(self.dests.get(name, {})))
+            node.peer.shares.set_budget(key, calls, window)
+        node.peer.observations.set_routes(dict(self.endpoints_by_courier.get(name, {})))
         self._tick(node, node.peer)
 
     def node(self, name: str) -> Node:
@@ -236,16 +246,16 @@
         """End a process at once, as SIGKILL does."""
         self.node(name).peer = self.node(name).broker = None
 
-    def stop(self, name: str, duration: int) -> None:
+    def pause(self, name: str, duration: int) -> None:
         """Pause a process for a duration, as SIGSTOP and a later SIGCONT do."""
         self.node(name).paused_until = self.now + duration
 
-    def concerns(self, name: str, routes: dict[str, int]) -> None:
+    def set_endpoints(self, name: str, routes: dict[str, int]) -> None:
         """Set the endpoints that a courier uses, with their destinations, for now and after restarts."""
-        self.dests[name] = routes
+        self.endpoints_by_courier[name] = routes
         peer = self.nodes[name].peer
         if peer is not None:
-            peer.judgements.routes(dict(routes))
+            peer.observations.set_routes(dict(routes))
 
     def _tick(self, node: Node, process: Peer | Broker) -> None:
         if node.process() is not process:
@@ -254,30 +264,30 @@
             self.at(node.paused_until, lambda: self._tick(node, process))
             return
         for data in node.queued:
-            self._out(node, process.hear(data, node.clock(self.now)))
+            self._send_all(node, process.receive(data, node.clock(self.now)))
         node.queued = []
-        if node.lies is not None:
-            node.lies(node, self.now)
+        if node.byzantine_behavior is not None:
+            node.byzantine_behavior(node, self.now)
         if isinstance(process, Peer):
-            process.interest(self.dests.get(node.name, {}).values(), node.clock(self.now))
+            process.record_interest(self.endpoints_by_courier.get(node.name, {}).values(), node.clock(self.now))
             if node.before_tick is not None:
                 node.before_tick(node, process)
-        self._out(node, process.tick(node.clock(self.now)))
-        self.at(self.now + TICK + self.random.randrange(TICK_JITTER), lambda: self._tick(node, process))
+        self._send_all(node, process.tick(node.clock(self.now)))
+        self.at(self.now + TICK_INTERVAL + self.random.randrange(TICK_JITTER), lambda: self._tick(node, process))
 
     def call(self, name: str, key: str) -> bool:
         """Make a call if the courier's share of the budget allows it; a paused courier makes none."""
         node = self.nodes[name]
         if node.peer is None or node.paused_until > self.now:
             return False
-        if not node.peer.shares.spend(key, node.clock(self.now)):
+        if not node.peer.shares.try_call(key, node.clock(self.now)):
             return False
-        self.judge.call(self.now, name, key)
+        self.budget_checker.call(self.now, name, key)
         return True
 
     # Network
 
-    def _out(self, node: Node, datagrams: Datagrams) -> None:
+    def _send_all(self, node: Node, datagrams: Datagrams) -> None:
         process = node.process()
         if process is not None:
             self.events += [(self.now, node.name, event, fields) for event, fields in process.events]
@@ -291,7 +301,7 @@
         """Send a datagram: it is lost, or arrives after a delay, once or twice."""
         if self.cut(sender, receiver.name) or self.random.random() < self.faults.loss:
             return
-        for _ in range(2 if self.random.random() < self.faults.double else 1):
+        for _ in range(2 if self.random.random() < self.faults.duplicate else 1):
             self.at(self.now + self.random.randint(*self.faults.delay), lambda: self._deliver(receiver, data))
 
     def _deliver(self, receiver: Node, data: bytes) -> None:
@@ -301,7 +311,7 @@
         if receiver.paused_until > self.now:
             receiver.queued.append(data)
             return
-        self._out(receiver, process.hear(data, receiver.clock(self.now)))
+        self._send_all(receiver, process.receive(data, receiver.clock(self.now)))
 
 
 class Traffic:
@@ -310,32 +320,32 @@
     Arrivals are a Poisson process; ``rates`` gives messages per second by courier.
     """
 
-    def __init__(self, net: Net, key: str, rates: dict[str, float], timeout: int = 4 * SECOND) -> None:
+    def __init__(self, net: SimulatedNetwork, key: str, rates: dict[str, float], timeout: int = 4 * SECOND) -> None:
         self.net, self.key, self.rates, self.timeout = net, key, dict(rates), timeout
         self.waiting: dict[str, deque[int]] = {name: deque() for name in rates}
-        self.since = 0  # messages that arrived earlier are not counted
-        self.came = self.served = 0
+        self.count_from = 0  # messages that arrived earlier are not counted
+        self.arrived = self.served = 0
         for name in rates:
-            self._next(name)
+            self._schedule_arrival(name)
             self._call_waiting(name)
 
-    def _next(self, name: str) -> None:
+    def _schedule_arrival(self, name: str) -> None:
         if self.rates[name] > 0:
             self.net.at(
                 self.net.now + int(self.net.random.expovariate(self.rates[name]) * SECOND), lambda: self._arrive(name)
             )
 
     def _arrive(self, name: str) -> None:
-        self.came += self.net.now >= self.since
+        self.arrived += self.net.now >= self.count_from
         self.waiting[name].append(self.net.now)
-        self._next(name)
+        self._schedule_arrival(name)
 
     def _call_waiting(self, name: str) -> None:
         waiting, node = self.waiting[name], self.net.nodes[name]
         while waiting and waiting[0] < self.net.now - self.timeout:
             waiting.popleft()
         while waiting and self.net.call(name, self.key):
-            self.served += waiting.popleft() >= self.since
+            self.served += waiting.popleft() >= self.count_from
         if node.peer is not None and node.paused_until <= self.net.now:
-            node.peer.shares.lacks(self.key, len(waiting), float(len(waiting)), node.clock(self.net.now))
+            node.peer.shares.set_shortfall(self.key, len(waiting), float(len(waiting)), node.clock(self.net.now))
         self.net.at(self.net.now + CALL_INTERVAL, lambda: self._call_waiting(name))
--- a/kestrelspar/lab/modelled.py
+++ b/kestrelspar/lab/simulated_scale.py
@@ -1,4 +1,4 @@
-"""The scale run on the simulated network, for fleet sizes that no machine runs in real time. See scale.py, model.py.
+"""The scale run on the simulated network, for sizes that no machine runs in real time. See scale.py.
 
 Membership, peer messages, budgets, judgements and counters are the production modules, with the random workload of
 hollow couriers; datagrams and time are simulated. So bytes, convergence and its duration are figures of the protocol;
@@ -17,8 +17,7 @@
 from typing import Any
 
 from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
-from kestrelspar.lab.model import Faults, Net, Node
-from kestrelspar.lab.plan import A_HOST, MB, Asked, Bounds, TooMuch, plan_model
+from kestrelspar.lab.plan import COURIERS_PER_HOST, MB, ResourceLimits, RunParameters, RunTooLargeError, plan_model
 from kestrelspar.lab.scale import (
     CONVERGENCE_TIMEOUT,
     CUT_DURATION,
@@ -33,21 +32,27 @@
     RESTART_PERIOD,
     SEEDS_PER_GROUP,
     SPEND_PERCENT,
-    Stopped,
+    StoppedBySignalError,
 )
+from kestrelspar.lab.simulated_network import Faults, Node, SimulatedNetwork
 from kestrelspar.peers.peer import Peer
-from kestrelspar.peers.words import Stand
+from kestrelspar.peers.words import MemberState
 from kestrelspar.runtime.loop import MS, SECOND
 
 SIGNAL_CHECK_INTERVAL = 100 * MS  # of simulated time
 
 
-class ZonedNet(Net):
+class ZonedNet(SimulatedNetwork):
     """Simulated couriers in zones, with a random workload."""
 
-    def __init__(self, asked: Asked) -> None:
+    def __init__(self, asked: RunParameters) -> None:
         super().__init__(
-            asked.couriers, asked.seed, Faults(), terms={"term": LOAN_TERM}, bytes_a_second=20_000, period=asked.period
+            asked.couriers,
+            asked.seed,
+            Faults(),
+            loan_terms={"term": LOAN_TERM},
+            bytes_per_second=20_000,
+            period=asked.period,
         )
         self.asked = asked
         self.zones = {name: f"z{node.number % asked.zones}" for name, node in self.nodes.items()}
@@ -60,7 +65,7 @@
         config = HollowConfig(asked.couriers, asked.seed, asked.rate, asked.failing, limits=limits, spend=SPEND_PERCENT)
         self.endpoint_budgets = endpoint_budgets(config)
         for key, (calls, window) in self.endpoint_budgets.items():
-            self.judge.limits[key] = calls, window
+            self.budget_checker.limits[key] = calls, window
         self.workloads = {name: Workload(config, node.number) for name, node in self.nodes.items()}
         self.killed: set[str] = set()
         self.ended_totals = Counter[str]()  # of processes that have ended
@@ -74,11 +79,11 @@
         return self.zones[name] if self.asked.grouped else "all"
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
-        """See ``Net``."""
+        """See ``SimulatedNetwork``."""
         return self._seeded[self.scope(name)]
 
     def _workload_step(self, name: str) -> Callable[[Node, Peer], None]:
-        workload, checker = self.workloads[name], self.judge
+        workload, checker = self.workloads[name], self.budget_checker
 
         def step(node: Node, peer: Peer) -> None:
             workload.step(
@@ -91,15 +96,15 @@
         return step
 
     def send(self, sender: str, receiver: Node, data: bytes) -> None:
-        """See ``Net``."""
+        """See ``SimulatedNetwork``."""
         self.sent_datagrams += 1
         super().send(sender, receiver, data)
 
     def kill(self, name: str) -> None:
-        """See ``Net``."""
+        """See ``SimulatedNetwork``."""
         peer = self.nodes[name].peer
         if peer is not None:
-            self.ended_totals.update(sent=peer.sent, heard=peer.heard, held_back=peer.held_back)
+            self.ended_totals.update(sent=peer.sent, heard=peer.received, held_back=peer.over_bandwidth)
         self.workloads[name].in_flight.clear()
         super().kill(name)
 
@@ -118,20 +123,21 @@
                 continue
             members, ended = node.peer.members, killed.get(self.scope(name), ())
             ghosts = sum(
-                other in members.members and members.members[other].said.stand <= Stand.SUSPECT for other in ended
+                other in members.members and members.members[other].update.state <= MemberState.SUSPECT
+                for other in ended
             )
             others = running[self.scope(name)] - 1
             known = len(members.alive()) - ghosts
             found.update(
                 couriers=1,
                 sent=node.peer.sent,
-                heard=node.peer.heard,
-                held_back=node.peer.held_back,
+                heard=node.peer.received,
+                held_back=node.peer.over_bandwidth,
                 pairs=others,
                 missing=max(0, others - known),
                 ghosts=ghosts,
                 ghost_pairs=len(ended),
-                refused=members.refused,
+                refused=members.rejected_members,
             )
         return found
 
@@ -139,7 +145,7 @@
 class SimulatedRun:
     """One scale run on the simulated network."""
 
-    def __init__(self, asked: Asked, bounds: Bounds, progress: Callable[[str], None]) -> None:
+    def __init__(self, asked: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None]) -> None:
         self.planned_memory = plan_model(asked, bounds)
         self.asked, self.bounds, self.progress = asked, bounds, progress
         self.initial_memory = _rss()
@@ -153,10 +159,10 @@
         for _ in range(max(1, duration // SIGNAL_CHECK_INTERVAL)):
             self.net.run(self.net.now + SIGNAL_CHECK_INTERVAL)
             if self.signals:
-                raise Stopped(self.signals[0])
+                raise StoppedBySignalError(self.signals[0])
         self.peak_memory = max(self.peak_memory, _rss())
         if self.peak_memory > self.bounds.memory:
-            raise TooMuch(
+            raise RunTooLargeError(
                 f"{self.peak_memory / MB:,.0f} MB of memory in use (wanted: {self.bounds.memory / MB:,.0f} MB or "
                 "less); the simulation was ended"
             )
@@ -229,7 +235,7 @@
         self.affected = {
             "cut": len(inside),
             "one-way": len(inside),
-            "stop": len(inside[:A_HOST]),
+            "stop": len(inside[:COURIERS_PER_HOST]),
             "restarts": asked.couriers // 2,
         }.get(asked.fault, asked.couriers)
         if asked.fault == "loss":
@@ -245,11 +251,11 @@
             net.at(net.now + duration, lambda: setattr(net, "cut", lambda sender, receiver: False))
             return duration
         elif asked.fault == "stop":
-            for name in inside[:A_HOST]:
-                net.stop(name, PAUSE_DURATION)
+            for name in inside[:COURIERS_PER_HOST]:
+                net.pause(name, PAUSE_DURATION)
             return PAUSE_DURATION
         elif asked.fault == "kill":
-            names = inside[: min(A_HOST, len(inside) // 2 if asked.grouped else A_HOST)]
+            names = inside[: min(COURIERS_PER_HOST, len(inside) // 2 if asked.grouped else COURIERS_PER_HOST)]
             for name in names:
                 net.kill(name)
             net.killed |= set(names)
@@ -283,8 +289,8 @@
             settled = self.wait(RECOVERY_TIMEOUT)
             figures["fault"] = self.figures(before, sent, cpu, begin)
         found = [
-            f"{key}: {count} calls in one window at {at // MS} ms, {net.judge.limits[key][0]} allowed"
-            for at, key, count in net.judge.faults[:3]
+            f"{key}: {count} calls in one window at {at // MS} ms, {net.budget_checker.limits[key][0]} allowed"
+            for at, key, count in net.budget_checker.violations[:3]
         ]
         sums = net.sums()
         if known is None:
@@ -318,7 +324,9 @@
             **figures,
             "messages": 0,
             "served": 0.0,
-            "busiest_span": {key: [net.judge.most[key], calls] for key, (calls, _) in net.judge.limits.items()},
+            "busiest_span": {
+                key: [net.budget_checker.max_calls[key], calls] for key, (calls, _) in net.budget_checker.limits.items()
+            },
             "memory_a_member_hollow": round((self.peak_memory - self.initial_memory) / asked.couriers / group_size),
             "saturated": [],
             "findings": found,
@@ -343,8 +351,13 @@
     return round(sums[part] / max(1, sums[total]), 4)
 
 
-def play(asked: Asked, bounds: Bounds, progress: Callable[[str], None] = lambda text: None) -> dict[str, Any]:
-    """Run once and return the report, a dict that JSON can hold. Raises ``TooMuch`` and ``Stopped``."""
+def run(
+    asked: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None] = lambda text: None
+) -> dict[str, Any]:
+    """Run once and return the report, a dict that JSON can hold.
+
+    Raises ``RunTooLargeError`` and ``StoppedBySignalError``.
+    """
     simulation = SimulatedRun(asked, bounds, progress)
 
     def record_signal(number: int, _: FrameType | None) -> None:
--- a/kestrelspar/lab/zones.py
+++ b/kestrelspar/lab/zones.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from kestrelspar.lab.relays import FaultyNetwork, Relay
-from kestrelspar.lab.relays import Path as Faults
-from kestrelspar.lab.rig import KEY, READY_TIMEOUT, Node, Rig, UdpProxy
-from kestrelspar.peers.seal import HEAD, decode
-from kestrelspar.peers.words import Relayed
+from kestrelspar.lab.relays import PathFaults as Faults
+from kestrelspar.lab.rig import KEY, READY_TIMEOUT, CourierProcess, Rig, UdpProxy
+from kestrelspar.peers.seal import HEADER_BYTES, decode
+from kestrelspar.peers.words import RelayedObservation
 from kestrelspar.runtime.loop import Loop
 
 
@@ -30,9 +30,9 @@
         super()._forward(data, address)
         with suppress(ValueError):  # deliberately forged
             self.relayed += [
-                (self.loop.now, message.witness, message.seen.endpoint)
-                for message in decode(data[HEAD:]).words
-                if isinstance(message, Relayed)
+                (self.loop.now, message.witness, message.observation.endpoint)
+                for message in decode(data[HEADER_BYTES:]).messages
+                if isinstance(message, RelayedObservation)
             ]
 
 
@@ -54,7 +54,7 @@
         assert list(zones) == list(self.nodes)
         for number, name in enumerate(brokers):
             (directory / name.replace("/", "-")).mkdir()
-            self.brokers[name] = Node(
+            self.brokers[name] = CourierProcess(
                 name, number, ("", 0), self.ports.allocate(socket.SOCK_DGRAM), directory / name.replace("/", "-")
             )
         self.network = FaultyNetwork(seed)
@@ -91,7 +91,7 @@
         """The address at which others reach a courier or broker."""
         return self.relays[self.network.groups[name]].address
 
-    def _extra_peer_settings(self, node: Node) -> str:
+    def _extra_peer_settings(self, node: CourierProcess) -> str:
         advertise = "    advertise {}:{}\n".format(*self.address(node.name))
         if node.name in self.ungrouped:
             return advertise
@@ -106,22 +106,22 @@
     def start_broker(self, name: str, keep_state: bool = True) -> None:
         """Start a broker, and wait until it serves; without ``keep_state`` its state is deleted first."""
         node = self.brokers[name]
-        state = node.folder / "state"
+        state = node.directory / "state"
         if not keep_state:
             for file in state.iterdir():
                 file.unlink()
             state.rmdir()
         state.mkdir(exist_ok=True)
-        (node.folder / "key0").write_text(KEY)
-        (node.folder / "key0").chmod(0o600)
-        (node.folder / "k.conf").write_text(
+        (node.directory / "key0").write_text(KEY)
+        (node.directory / "key0").chmod(0o600)
+        (node.directory / "k.conf").write_text(
             f"log\n    level debug\npeers\n    listen {node.peers[0]}:{node.peers[1]}\n    key-file key0\n"
             f"    region {name.partition('/')[0]}\n    couriers {len(self.nodes)}\n{self._broker_lines()}"
         )
-        arguments = ["broker", "--conf", str(node.folder / "k.conf"), "--name", name, "--state", str(state)]
+        arguments = ["broker", "--conf", str(node.directory / "k.conf"), "--name", name, "--state", str(state)]
         before = node.log.read_text().count("event=broker-serves") if node.log.is_file() else 0
         self._run(node, [sys.executable, "-m", "kestrelspar", *arguments], {})
-        self.until(lambda: node.log.read_text().count("event=broker-serves") > before, READY_TIMEOUT)
+        self.run_until(lambda: node.log.read_text().count("event=broker-serves") > before, READY_TIMEOUT)
 
     # Faults between zones
 
--- a/kestrelspar/nginx/importer.py
+++ b/kestrelspar/nginx/importer.py
@@ -50,7 +50,7 @@
 
     zone: str | None = None
     type: str | None = None
-    lost: list[str] = field(default_factory=list)
+    unsupported: list[str] = field(default_factory=list)
     upstreams: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
     _locations: list[tuple[dict[str, Any], list[dict[str, Any]]]] = field(default_factory=list)
 
@@ -58,7 +58,7 @@
         """Convert a file and the files that it includes to a map."""
         parsed = crossplane.parse(path, combine=True, check_ctx=False, strict=False)
         for error in parsed["errors"]:
-            self.lost.append(f"{error.get('file') or path}:{error.get('line') or 0}: {error['error']}")
+            self.unsupported.append(f"{error.get('file') or path}:{error.get('line') or 0}: {error['error']}")
         directives = [directive for file in parsed["config"] for directive in file["parsed"]]
         self._collect_upstreams(directives)
         self._convert_block(directives, {})
@@ -66,7 +66,7 @@
 
     def _report_unsupported(self, directive: dict[str, Any], reason: str = "is not carried over") -> None:
         directive_text = " ".join([directive["directive"], *directive["args"]])
-        self.lost.append(f"{directive['file']}:{directive['line']}: {directive_text!r:.100} {reason}")
+        self.unsupported.append(f"{directive['file']}:{directive['line']}: {directive_text!r:.100} {reason}")
 
     def _collect_upstreams(self, directives: list[dict[str, Any]]) -> None:
         """Collect all upstreams first, as a location may precede the upstream that it uses."""
--- a/kestrelspar/passwords.py
+++ b/kestrelspar/passwords.py
@@ -18,13 +18,13 @@
     return text.startswith("$scrypt$")
 
 
-def usable(text: str) -> bool:
-    """Whether ``same`` can check the hash at an acceptable cost."""
+def is_supported_hash(text: str) -> bool:
+    """Whether ``matches`` can check the hash at an acceptable cost."""
     match = _PHC.fullmatch(text)
     return match is not None and 4 <= int(match[1]) <= MAX_LOG_N and 1 <= int(match[2]) <= 16 and int(match[3]) == 1
 
 
-def hashed(password: str) -> str:
+def hash_password(password: str) -> str:
     """Hashes a password with a random salt."""
     salt = os.urandom(16)
     return f"$scrypt$ln={LOG_N},r={R},p={P}${_to_base64(salt)}${_to_base64(_scrypt(password, salt, LOG_N, R, P, 32))}"
@@ -37,7 +37,7 @@
         self._key = os.urandom(32)  # per process, so that cached digests are of no use elsewhere
         self._verified: dict[str, bytes] = {}  # keyed digest of the password, by its stored hash
 
-    def same(self, stored: str, password: str) -> bool:
+    def matches(self, stored: str, password: str) -> bool:
         """Whether the password matches the stored one, which is clear text or a hash."""
         if not is_hash(stored):
             return hmac.compare_digest(stored.encode(), password.encode())
@@ -46,7 +46,7 @@
         if cached is not None and hmac.compare_digest(cached, digest):
             return True
         match = _PHC.fullmatch(stored)
-        if match is None or not usable(stored):
+        if match is None or not is_supported_hash(stored):
             return False
         salt, expected = _from_base64(match[4]), _from_base64(match[5])
         computed = _scrypt(password, salt, int(match[1]), int(match[2]), int(match[3]), len(expected))
--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -14,17 +14,17 @@
 from random import Random
 from typing import Any
 
-from kestrelspar.peers import kept
-from kestrelspar.peers.brokers import Broker, BrokerAbout
-from kestrelspar.peers.door import StatusSocket
+from kestrelspar.peers import state_file
+from kestrelspar.peers.brokers import Broker, BrokerConfig
+from kestrelspar.peers.event_log import EventLog
 from kestrelspar.peers.peer import Datagrams
-from kestrelspar.peers.seal import MOST, keys
-from kestrelspar.peers.telling import EventLog
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, keys
+from kestrelspar.peers.status_socket import StatusSocket
 from kestrelspar.runtime import logs, signals
 from kestrelspar.runtime.loop import MS, Loop
 from kestrelspar.settings import conf as conf_file
 from kestrelspar.settings import resolve, schema
-from kestrelspar.settings.lines import ConfFaults
+from kestrelspar.settings.lines import ConfErrors
 
 TICK = 50 * MS
 MAX_DATAGRAMS_PER_TURN = 256  # so that ticks and signals are handled in between
@@ -36,7 +36,7 @@
 class BrokerLink:
     """Connects a ``Broker`` to its socket, clock, log and status socket."""
 
-    def __init__(self, loop: Loop, config: BrokerAbout, bound: socket.socket, state_directory: str) -> None:
+    def __init__(self, loop: Loop, config: BrokerConfig, bound: socket.socket, state_directory: str) -> None:
         """``state_directory``: if empty, there is no status socket."""
         self.loop, self._socket = loop, bound
         self.broker = Broker(config, loop.clock(), Random().randrange(1 << 32))
@@ -52,11 +52,11 @@
         self.loop.spawn(self._tick)
         if self._status_socket is not None:
             self._status_socket.start()
-        config = self.broker.about
+        config = self.broker.config
         logs.event(
             "broker-serves",
             broker=config.name,
-            life=config.life,
+            life=config.epoch,
             listen="{}:{}".format(*self._socket.getsockname()),
             brokers=len(config.brokers),
         )
@@ -66,12 +66,12 @@
             self.loop.readable(self._socket, None)
             for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
-                    data = self._socket.recv(MOST + 1)
+                    data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:  # ICMP port unreachable for a datagram sent earlier
                     continue
-                self._send(self.broker.hear(data, self.loop.clock()))
+                self._send(self.broker.receive(data, self.loop.clock()))
 
     def _tick(self) -> None:
         while True:
@@ -94,20 +94,20 @@
 
     def status(self) -> dict[str, Any]:
         """Status for operators."""
-        config = self.broker.about
+        config = self.broker.config
         return {
             "broker": config.name,
             "region": config.region,
             "unsent": dict(self.unsent),
-            **self.broker.stand(self.loop.clock()),
+            **self.broker.status(self.loop.clock()),
         }
 
     def end(self) -> None:
         """SIGTERM: notify subscribers, and stop."""
-        self._send(self.broker.leave(self.loop.clock()))
+        self._send(self.broker.shut_down(self.loop.clock()))
         if self._status_socket is not None:
             self._status_socket.stop()
-        logs.event("broker-ends", broker=self.broker.about.name)
+        logs.event("broker-ends", broker=self.broker.config.name)
         self.loop.stop()
 
 
@@ -116,20 +116,20 @@
 
     def __init__(self, path: str, name: str) -> None:
         self.conf = conf_file.load(path)
-        section = self.conf.told(schema.Peers)
-        self.peers = self.conf.one(schema.Peers)
+        section = self.conf.section(schema.Peers)
+        self.peers = self.conf.values_of(schema.Peers)
         errors = []
         if name not in self.peers.broker:
             known = ", ".join(sorted(self.peers.broker)) or "a line broker REGION/NAME HOST:PORT"
-            errors.append(section.fault("broker", f"no broker is named {name} (wanted: {known})"))
+            errors.append(section.error("broker", f"no broker is named {name} (wanted: {known})"))
         self.secrets: list[str] = []
         try:
             self.secrets = resolve.peer_keys(self.conf, broker=True)
-        except ConfFaults as error:
-            errors += error.faults
+        except ConfErrors as error:
+            errors += error.errors
         if errors:
-            raise ConfFaults(sorted(errors))
-        self.listen = self.peers.listen if "listen" in section.places else self.peers.broker[name]
+            raise ConfErrors(sorted(errors))
+        self.listen = self.peers.listen if "listen" in section.locations else self.peers.broker[name]
 
 
 def _next_epoch(state_directory: str) -> int:
@@ -139,17 +139,17 @@
     the state directory.
     """
     if not state_directory:
-        return kept.next_life(kept.Kept(0))
+        return state_file.next_epoch(state_file.SavedState(0))
     file = Path(state_directory) / "broker"
-    state = kept.read(file)
-    state.life = kept.next_life(state)
+    state = state_file.read(file)
+    state.epoch = state_file.next_epoch(state)
     try:
-        kept.put(file, state)
+        state_file.put(file, state)
     except OSError as error:
         if error.errno not in DISK_FULL_ERRNOS:
             raise
         logs.warn("peers-not-kept", file=file.name, why=str(error))
-    return state.life
+    return state.epoch
 
 
 def _reload(link: BrokerLink, settings: BrokerSettings, path: str, name: str) -> None:
@@ -160,7 +160,7 @@
         for line in error_lines(error):
             logs.error("configuration-not-taken", why=line)
         return
-    log = reloaded.conf.one(schema.Log)
+    log = reloaded.conf.values_of(schema.Log)
     logs.set_up(log.format, log.level)
     link.rekey(reloaded.secrets)
     restart_needed = [
@@ -175,19 +175,19 @@
 
 def error_lines(error: ValueError) -> list[str]:
     """Each error of a configuration, as one line."""
-    return list(map(str, error.faults)) if isinstance(error, ConfFaults) else [str(error)]
+    return list(map(str, error.errors)) if isinstance(error, ConfErrors) else [str(error)]
 
 
 def main(path: str, name: str, state_directory: str) -> int:
     """Run the broker. Exit code 0 after SIGTERM or SIGINT, 2 for unusable settings, address or state directory."""
-    signal_socket = signals.ear()
+    signal_socket = signals.open_signal_socket()
     try:
         settings = BrokerSettings(path, name)
     except ValueError as error:
         for line in error_lines(error):
             logs.error("configuration", why=line)
         return 2
-    log, peers = settings.conf.one(schema.Log), settings.peers
+    log, peers = settings.conf.values_of(schema.Log), settings.peers
     logs.set_up(log.format, log.level)
     loop = Loop()
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -203,7 +203,7 @@
     except OSError as error:
         logs.error("can't-start", why=f"the state directory {state_directory} can't be written: {error}")
         return 2
-    config = BrokerAbout(
+    config = BrokerConfig(
         name,
         name.partition("/")[0],
         peers.broker[name],
@@ -219,7 +219,7 @@
         signal.SIGINT: link.end,
         signal.SIGHUP: lambda: _reload(link, settings, path, name),
     }
-    loop.spawn(signals.heed, loop, signal_socket, handlers)
+    loop.spawn(signals.handle_signals, loop, signal_socket, handlers)
     link.start()
     loop.run()
     return 0
--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -6,9 +6,9 @@
 Theory of operation
 -------------------
 A broker is a process on a machine set aside for it. It is named ``REGION/NAME``, and all couriers and brokers know all
-brokers from their settings. The owners of a destination are, in each region, the first ``COPIES`` of that region's
-brokers in the order of a hash of broker and destination (rendezvous hashing) that answer as far as the process that
-asks can tell. There is no agreement protocol, and a failed broker costs the destinations that it owned only one of
+brokers from their settings. The owners of a destination are, in each region, the first ``OWNERS_PER_REGION`` of that
+region's brokers in the order of a hash of broker and destination (rendezvous hashing) that answer as far as the process
+that asks can tell. There is no agreement protocol, and a failed broker costs the destinations that it owned only one of
 their owners.
 
 A courier subscribes to the destinations that it deals with at their owners in its region, and publishes its
@@ -50,34 +50,34 @@
 
 import xxhash
 
-from kestrelspar.peers.members import Events, Out
-from kestrelspar.peers.seal import HEAD, MOST, DatagramRejectedError, Sealer, encode
+from kestrelspar.peers.members import Events, Outgoing
+from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
 from kestrelspar.peers.words import (
     Ack,
     Datagram,
-    Forward,
-    Lease,
+    ForwardedObservation,
+    LeaseRenewal,
+    LeaseReply,
+    Observation,
+    PeerMessage,
     Ping,
-    Publish,
-    Relayed,
-    Renew,
-    Seen,
+    PublishObservation,
+    RelayedObservation,
     Subscribe,
     Unsubscribe,
-    Word,
 )
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
-COPIES = 2  # owners of a destination in each region
+OWNERS_PER_REGION = 2  # owners of a destination in each region
 INTEREST_TTL = 60 * SECOND  # how long a courier stays interested in a destination after it last dealt with it
 INTEREST_UPDATE_INTERVAL = SECOND  # the time of last use of a destination is updated at most this often
 MAX_INTERESTS = 4_096  # destinations per courier; beyond that the least recently used are evicted
 MAX_PLACED_PER_CALL = 512  # new destinations whose owners are looked up in one call
-TERM = 15 * SECOND  # of a lease, which is renewed three times per term
+LEASE_TERM = 15 * SECOND  # of a lease, which is renewed three times per term
 RENEWAL_ATTEMPTS, RENEWAL_RETRY_INTERVAL = 3, 500 * MS  # attempts before a renewal counts as missed
 MAX_MISSED_RENEWALS = 2  # consecutive missed renewals after which a broker counts as failed
 RESUBSCRIBE_JITTER = 3 * SECOND  # a whole set is sent again within this time; doubles while the broker's set differs
-PIECE = 100  # destinations in one message
+MAX_DESTINATIONS_PER_MESSAGE = 100  # destinations in one message
 UNSUBSCRIBE_DELAY = 5 * SECOND  # for a substitute, so that the owner has the subscription again before it loses it
 OBSERVATION_TTL = 3 * SECOND  # an older observation, other than of a limit, is not relayed
 MIN_REPEAT_INTERVAL = 200 * MS  # an observation repeated sooner is a duplicate made by the network
@@ -92,24 +92,24 @@
 SWEEP_INTERVAL = SECOND  # between two removals of expired leases and observations
 URGENT_RESERVE = 0.25  # of the bytes per second: reserved for leases and for pings between brokers
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
-LIMIT_KIND = 4  # of ``judgements.Kind``
+LIMIT_KIND = 4  # of ``judgements.ObservationKind``
 
 Address = tuple[str, int]
 Datagrams = list[tuple[Address, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
-class BrokerAbout:
+class BrokerConfig:
     """Configuration of a broker: itself and the others."""
 
     name: str  # in full, as in ``brokers``: "REGION/NAME"
     region: str
     address: Address
-    life: int  # epoch: larger at each start, as a courier's
+    epoch: int  # epoch: larger at each start, as a courier's
     keys: list[bytes]
     brokers: dict[str, Address]  # of all regions, including this one
     couriers: int  # a witness has a number below that
-    bytes_a_second: int = 1_000_000
+    bytes_per_second: int = 1_000_000
     max_subscribers: int = 4_096
 
 
@@ -128,7 +128,7 @@
     return sorted(brokers, key=lambda name: (xxhash.xxh64_intdigest(f"{name}\0d:{dest}".encode()), name))
 
 
-def mark(dest: int) -> int:
+def destination_digest(dest: int) -> int:
     """The destination's contribution to a digest of a set of destinations."""
     return xxhash.xxh64_intdigest(f"d:{dest}".encode()) >> 2
 
@@ -144,7 +144,7 @@
     next_renewal: int  # when the next renewal, or the next attempt of one, is due
     epoch: int = 0  # the highest that was received
     answering: bool = True
-    answered: int | None = None
+    last_reply_at: int | None = None
     n: int = 0  # of the renewal
     open: bool = False  # the renewal is unanswered
     attempts: int = 0
@@ -159,7 +159,7 @@
 
 
 class Subscriber:
-    """The courier side: what it is interested in, who owns that, and what the owners hold. ``Peer.brokers``."""
+    """The courier side: what it is interested in, who owns that, and what the owners hold. ``Peer.subscriber``."""
 
     def __init__(
         self, name: str, address: Address, number: int, brokers: Iterable[str], now: int, random: Random
@@ -169,8 +169,8 @@
         self.events: Events = []
         self.refused = 0  # destinations beyond ``MAX_INTERESTS``
         self.silent = False
-        self.places = {each: BrokerSession(each, now + random.randrange(SECOND)) for each in brokers}
-        for session in self.places.values():
+        self.sessions = {each: BrokerSession(each, now + random.randrange(SECOND)) for each in brokers}
+        for session in self.sessions.values():
             session.add_after = session.next_renewal  # a subscription needs a lease, which the first renewal begins
         self._random = random
         self._last_n = random.randrange(1, 1 << 32)
@@ -209,13 +209,15 @@
         return self._owners.get(dest) or self._find_owners(dest)
 
     def _find_owners(self, dest: int) -> list[str]:
-        return [name for name in rendezvous_order(self.places, dest) if self.places[name].answering][:COPIES]
+        return [name for name in rendezvous_order(self.sessions, dest) if self.sessions[name].answering][
+            :OWNERS_PER_REGION
+        ]
 
     def _drop_interest(self, dest: int, now: int) -> None:
         """The courier is no longer interested in the destination."""
         del self._interests[dest]
         for name in self._owners.pop(dest):
-            self._schedule_unsubscribe(self.places[name], dest, now)
+            self._schedule_unsubscribe(self.sessions[name], dest, now)
 
     def _assign_owners(self, dest: int, now: int) -> None:
         """Determine the owners again, and schedule the changes of subscriptions."""
@@ -223,9 +225,9 @@
         self._owners[dest] = after
         for name in before:
             if name not in after:
-                self._schedule_unsubscribe(self.places[name], dest, now + UNSUBSCRIBE_DELAY)
+                self._schedule_unsubscribe(self.sessions[name], dest, now + UNSUBSCRIBE_DELAY)
         for name in after:
-            session = self.places[name]
+            session = self.sessions[name]
             session.to_drop.pop(dest, None)
             if dest not in session.subscribed:
                 session.to_add[dest] = None
@@ -238,15 +240,15 @@
 
     # Leases
 
-    def receive(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> Out:
+    def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> Outgoing:
         """Handle the replies of a broker of the own region to lease renewals."""
-        session = self.places[sender]
+        session = self.sessions[sender]
         for message in messages:
-            if not isinstance(message, Lease):
+            if not isinstance(message, LeaseReply):
                 continue
             if message.n == 0:  # it is shutting down
                 self._broker_failed(session, now)
-                session.open, session.next_renewal = False, now + self._jitter(TERM)
+                session.open, session.next_renewal = False, now + self._jitter(LEASE_TERM)
             elif message.n == session.n and session.open:
                 self._renewed(session, message.ok, now)
         if epoch > session.epoch:  # it restarted, or this is its first reply: a renewal must name its epoch
@@ -254,8 +256,8 @@
         return []
 
     def _renewed(self, session: BrokerSession, ok: bool, now: int) -> None:
-        session.missed, session.answered = 0, now
-        session.open, session.next_renewal = False, now + self._jitter(TERM // 3)
+        session.missed, session.last_reply_at = 0, now
+        session.open, session.next_renewal = False, now + self._jitter(LEASE_TERM // 3)
         if not session.answering:
             session.answering = True
             self.events.append(("peers-broker-answers", {"broker": session.name, "life": session.epoch}))
@@ -283,7 +285,7 @@
         session.generation += 1
         session.subscribed, session.digest, session.to_drop, session.to_add = set(), 0, {}, {}
         self.events.append(("peers-broker-silent", {"broker": session.name, "life": session.epoch}))
-        for other in self.places.values():
+        for other in self.sessions.values():
             if other is not session:
                 other.add_after = max(other.add_after, now + self._random.randrange(RESUBSCRIBE_JITTER))
         for dest in self._interests:
@@ -296,7 +298,7 @@
 
     # Timers
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now: int) -> Outgoing:
         """Messages that are due: renewals, and changes of subscriptions."""
         if self.silent:
             return []
@@ -305,32 +307,32 @@
             if now - last_used < INTEREST_TTL:
                 break
             self._drop_interest(dest, now)
-        return [(session.name, messages) for session in self.places.values() if (messages := self._due(session, now))]
+        return [(session.name, messages) for session in self.sessions.values() if (messages := self._due(session, now))]
 
-    def _due(self, session: BrokerSession, now: int) -> list[Word]:
-        messages: list[Word] = []
+    def _due(self, session: BrokerSession, now: int) -> list[PeerMessage]:
+        messages: list[PeerMessage] = []
         if now >= session.next_renewal:
             messages.append(self._renew(session, now))
         if not session.answering:
             return messages
         if session.to_drop:
-            dropped = [dest for dest, when in session.to_drop.items() if now >= when][:PIECE]
+            dropped = [dest for dest, when in session.to_drop.items() if now >= when][:MAX_DESTINATIONS_PER_MESSAGE]
             for dest in dropped:
                 del session.to_drop[dest]
                 session.subscribed.discard(dest)
-                session.digest ^= mark(dest)
+                session.digest ^= destination_digest(dest)
             if dropped:
                 messages.append(Unsubscribe(session.generation, dropped))
         if session.to_add and now >= session.add_after:
-            added = list(session.to_add)[:PIECE]
+            added = list(session.to_add)[:MAX_DESTINATIONS_PER_MESSAGE]
             for dest in added:
                 del session.to_add[dest]
                 session.subscribed.add(dest)
-                session.digest ^= mark(dest)
+                session.digest ^= destination_digest(dest)
             messages.append(Subscribe(session.generation, added))
         return messages
 
-    def _renew(self, session: BrokerSession, now: int) -> Renew:
+    def _renew(self, session: BrokerSession, now: int) -> LeaseRenewal:
         if session.open and session.attempts >= (RENEWAL_ATTEMPTS if session.answering else 1):
             session.open = False
             session.missed += 1
@@ -340,8 +342,8 @@
             self._last_n += 1
             session.n, session.open, session.attempts = self._last_n, True, 0
         session.attempts += 1
-        session.next_renewal = now + self._jitter(RENEWAL_RETRY_INTERVAL if session.answering else TERM)
-        return Renew(
+        session.next_renewal = now + self._jitter(RENEWAL_RETRY_INTERVAL if session.answering else LEASE_TERM)
+        return LeaseRenewal(
             session.n,
             *self.address,
             self.number,
@@ -360,9 +362,9 @@
                 "answering": session.answering,
                 "life": session.epoch,
                 "keys": len(session.subscribed),
-                "answered_ms": None if session.answered is None else (now - session.answered) // MS,
+                "answered_ms": None if session.last_reply_at is None else (now - session.last_reply_at) // MS,
             }
-            for name, session in self.places.items()
+            for name, session in self.sessions.items()
         }
 
 
@@ -435,46 +437,48 @@
 
     number: int
     epoch: int
-    seen: Seen
+    observation: Observation
     seen_at: int  # by our clock; not earlier than it really was
     relayed_at: int  # when it was last relayed
 
-    def to_message(self, key: ObservationKey, now: int) -> Relayed:
+    def to_message(self, key: ObservationKey, now: int) -> RelayedObservation:
         """The message to a subscriber."""
-        return Relayed(key.witness, self.number, self.epoch, self.aged(now), key.origin)
+        return RelayedObservation(key.witness, self.number, self.epoch, self.aged(now), key.origin)
 
-    def aged(self, now: int) -> Seen:
+    def aged(self, now: int) -> Observation:
         """The observation with its present age."""
-        seen = self.seen
+        seen = self.observation
         age = min(max(0, now - self.seen_at) // MS, 3_600_000)
-        return Seen(seen.endpoint, seen.kind, age, seen.value, seen.n)
+        return Observation(seen.endpoint, seen.kind, age, seen.value, seen.sequence)
 
 
 class Broker:
-    """All decisions of one broker. As ``Peer`` for a courier: ``hear`` handles datagrams, ``tick`` timers."""
+    """All decisions of one broker. As ``Peer`` for a courier: ``receive`` handles datagrams, ``tick`` timers."""
 
-    def __init__(self, about: BrokerAbout, now: int, seed: int) -> None:
+    def __init__(self, config: BrokerConfig, now: int, seed: int) -> None:
         """It serves at once, without state: couriers fill it again as they renew their leases."""
-        self.about = about
-        self.sealer = Sealer(about.name, about.life, about.keys)
+        self.config = config
+        self.sealer = Sealer(config.name, config.epoch, config.keys)
         self.events: Events = []  # emptied by the caller; errors: broker-name-twice, broker-number-twice
-        self.stepped_back = False  # a younger process has our name: nothing is sent any more
+        self.superseded = False  # a younger process has our name: nothing is sent any more
         self.silent = False  # stepped back, or shut down
-        self.sent = self.received = self.held_back = self.passed_on = self.forwarded = self.stalled = 0
+        self.sent = self.received = self.over_bandwidth = self.relayed = self.forwarded = self.stalled = 0
         self.refused: Counter[str] = Counter()  # rejected messages, by reason
         self._random = Random(seed)
-        self._subscribed: dict[str, CourierLease] = {}
+        self._leases: dict[str, CourierLease] = {}
         self._subscribers_of: dict[int, dict[str, None]] = {}  # by destination
         self._subscription_count = 0  # of all couriers together
         self._courier_by_number: dict[int, str] = {}
         self._remote_brokers = {
-            name: RemoteBroker(TokenBucket(FORWARD_RATE, FORWARD_RATE, now), now + self._random.randrange(TERM // 3))
-            for name in about.brokers
-            if name != about.name
+            name: RemoteBroker(
+                TokenBucket(FORWARD_RATE, FORWARD_RATE, now), now + self._random.randrange(LEASE_TERM // 3)
+            )
+            for name in config.brokers
+            if name != config.name
         }
         self._regions = {
-            region: brokers_in_region(about.brokers, region)
-            for region in sorted({region_of(name) for name in about.brokers})
+            region: brokers_in_region(config.brokers, region)
+            for region in sorted({region_of(name) for name in config.brokers})
         }
         self._observations: dict[int, dict[ObservationKey, CachedObservation]] = {}  # by destination
         self._observation_count = 0
@@ -484,13 +488,13 @@
         self._last_n = self._random.randrange(1, 1 << 32)
         self._last_tick = self._last_sweep = self._refilled_at = now
         self._after_stall = False  # the last tick came after a stall: what is read until the next one may be late
-        self._available_bytes = float(about.bytes_a_second)
+        self._available_bytes = float(config.bytes_per_second)
         self._reported_at: dict[tuple[str, str], int] = {}  # by event and subject
         self._reported_drops: Counter[str] = Counter()  # by kind: dropped datagrams that are reported already
 
     # Incoming datagrams
 
-    def hear(self, data: bytes, now: int) -> Datagrams:
+    def receive(self, data: bytes, now: int) -> Datagrams:
         """Handle a datagram and return the replies; observations are relayed with the next tick."""
         self.received += len(data)
         try:
@@ -506,9 +510,9 @@
                 )
                 self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if datagram.sender == self.about.name:  # another process with our name and the key: the higher epoch wins
-            if datagram.life > self.about.life:
-                self._step_back(datagram.life, now)
+        if datagram.sender == self.config.name:  # another process with our name and the key: the higher epoch wins
+            if datagram.epoch > self.config.epoch:
+                self._step_back(datagram.epoch, now)
             return []
         if self.silent:
             return []
@@ -519,18 +523,18 @@
 
     def _handle_courier(self, datagram: Datagram, late: bool, now: int) -> Datagrams:
         out: Datagrams = []
-        for message in datagram.words:
-            if isinstance(message, Renew):
-                out += self._renew_lease(datagram.sender, datagram.life, message, now)
+        for message in datagram.messages:
+            if isinstance(message, LeaseRenewal):
+                out += self._renew_lease(datagram.sender, datagram.epoch, message, now)
                 continue
-            lease = self._subscribed.get(datagram.sender)
-            if lease is None or lease.epoch != datagram.life:
+            lease = self._leases.get(datagram.sender)
+            if lease is None or lease.epoch != datagram.epoch:
                 self.refused["unknown"] += 1
             elif isinstance(message, Subscribe):
                 self._subscribe(lease, message)
             elif isinstance(message, Unsubscribe):
                 self._unsubscribe(lease, message)
-            elif isinstance(message, Publish):
+            elif isinstance(message, PublishObservation):
                 self._handle_publish(lease, message, late, now)
             else:
                 self.refused["odd"] += 1
@@ -538,47 +542,52 @@
 
     def _handle_broker(self, datagram: Datagram, late: bool, now: int) -> Datagrams:
         other, replies = self._remote_brokers[datagram.sender], []
-        for message in datagram.words:
+        for message in datagram.messages:
             if isinstance(message, Ping):
                 replies.append(Ack(message.n))
             elif isinstance(message, Ack):
                 if other.open and message.n == other.n:
                     other.open, other.missed = False, 0
-            elif not isinstance(message, Forward) or region_of(datagram.sender) == self.about.region:
+            elif not isinstance(message, ForwardedObservation) or region_of(datagram.sender) == self.config.region:
                 self.refused["odd"] += 1
             elif late:
                 self.refused["late"] += 1
-            elif message.number >= self.about.couriers:
+            elif message.number >= self.config.couriers:
                 self.refused["no-place"] += 1
             elif not other.rate_limit.take(now):
                 self.refused["flood"] += 1
             else:
                 key = ObservationKey(
-                    message.seen.endpoint, message.witness, datagram.sender, message.seen.kind == LIMIT_KIND
+                    message.observation.endpoint,
+                    message.witness,
+                    datagram.sender,
+                    message.observation.kind == LIMIT_KIND,
                 )
                 self._accept(
                     message.dest,
                     key,
-                    CachedObservation(message.number, message.life, message.seen, now - message.seen.age * MS, now),
+                    CachedObservation(
+                        message.number, message.epoch, message.observation, now - message.observation.age * MS, now
+                    ),
                     now,
                 )
-        return self._send(datagram.sender, self.about.brokers[datagram.sender], [*replies], now, True)
+        return self._send(datagram.sender, self.config.brokers[datagram.sender], [*replies], now, True)
 
-    def _renew_lease(self, name: str, epoch: int, message: Renew, now: int) -> Datagrams:
+    def _renew_lease(self, name: str, epoch: int, message: LeaseRenewal, now: int) -> Datagrams:
         """Renew or create a lease. The reply says whether the held subscriptions match the courier's digest."""
-        if message.known > self.about.life:
+        if message.known_epoch > self.config.epoch:
             self._seen_newer_epoch.add(name)
             if len(self._seen_newer_epoch) >= 2:
-                self._step_back(message.known, now)
+                self._step_back(message.known_epoch, now)
                 return []
-        lease = self._subscribed.get(name)
-        if message.number >= self.about.couriers:
+        lease = self._leases.get(name)
+        if message.number >= self.config.couriers:
             self.refused["no-place"] += 1
             return []
-        if lease is None and len(self._subscribed) >= self.about.max_subscribers:
+        if lease is None and len(self._leases) >= self.config.max_subscribers:
             self.refused["subscribers"] += 1
             if self._may_report("broker-full", "", now):
-                self.events.append(("broker-full", {"subscribers": len(self._subscribed)}))
+                self.events.append(("broker-full", {"subscribers": len(self._leases)}))
             return []
         if lease is None or lease.epoch < epoch:
             rate_limit = (  # a restart does not refill the bucket
@@ -586,21 +595,21 @@
             )
             if lease is not None:
                 self._remove_lease(lease)
-            lease = self._subscribed[name] = CourierLease(
+            lease = self._leases[name] = CourierLease(
                 name, (message.host, message.port), message.number, epoch, 0, rate_limit
             )
         if message.generation > lease.generation:
             self._unsubscribe_all(lease)
             lease.generation = message.generation
-        lease.address, lease.number, lease.expires_at = (message.host, message.port), message.number, now + TERM
-        lease.known_epoch = max(lease.known_epoch, message.known)
+        lease.address, lease.number, lease.expires_at = (message.host, message.port), message.number, now + LEASE_TERM
+        lease.known_epoch = max(lease.known_epoch, message.known_epoch)
         self._check_number(message.number, name, now)
         ok = (
             len(lease.dests) == message.count
             and lease.digest == message.digest
             and lease.generation == message.generation
         )
-        return self._send(name, lease.address, [Lease(message.n, ok)], now, True)
+        return self._send(name, lease.address, [LeaseReply(message.n, ok)], now, True)
 
     def _check_number(self, number: int, name: str, now: int) -> None:
         """Report two couriers with one number: they spend one share of each budget twice.
@@ -608,15 +617,10 @@
         Where they are in different groups, only brokers see both.
         """
         rival = self._courier_by_number.get(number)
-        if (
-            rival is not None
-            and rival != name
-            and rival in self._subscribed
-            and self._subscribed[rival].number == number
-        ):
+        if rival is not None and rival != name and rival in self._leases and self._leases[rival].number == number:
             if self._may_report("broker-number-twice", str(number), now):
                 self.events.append(("broker-number-twice", {"courier": name, "rival": rival, "number": number}))
-        elif name in self._subscribed:
+        elif name in self._leases:
             self._courier_by_number[number] = name
 
     def _subscribe(self, lease: CourierLease, message: Subscribe) -> None:
@@ -632,7 +636,7 @@
                 self.refused["keys"] += 1
                 continue
             lease.dests.add(dest)
-            lease.digest ^= mark(dest)
+            lease.digest ^= destination_digest(dest)
             self._subscription_count += 1
             self._subscribers_of.setdefault(dest, {})[lease.name] = None
             if dest in self._observations:
@@ -647,7 +651,7 @@
         if dest not in lease.dests:
             return
         lease.dests.discard(dest)
-        lease.digest ^= mark(dest)
+        lease.digest ^= destination_digest(dest)
         self._subscription_count -= 1
         names = self._subscribers_of[dest]
         del names[lease.name]
@@ -660,17 +664,17 @@
 
     def _remove_lease(self, lease: CourierLease) -> None:
         self._unsubscribe_all(lease)
-        del self._subscribed[lease.name]
+        del self._leases[lease.name]
         self._new_subscriptions.pop(lease.name, None)
         if self._courier_by_number.get(lease.number) == lease.name:
             del self._courier_by_number[lease.number]
 
     # Observations
 
-    def _handle_publish(self, lease: CourierLease, message: Publish, late: bool, now: int) -> None:
+    def _handle_publish(self, lease: CourierLease, message: PublishObservation, late: bool, now: int) -> None:
         if late:
             self.refused["late"] += 1
-        elif lease.known_epoch != self.about.life:  # a replay from before our start, or our reply has not arrived yet
+        elif lease.known_epoch != self.config.epoch:  # a replay from before our start, or our reply has not arrived yet
             self.refused["unready"] += 1
         elif not lease.rate_limit.take(now):
             self.refused["flood"] += 1
@@ -679,11 +683,13 @@
         elif now < lease.bandwidth_used_until:  # one observation may exceed the share: the next has to wait for it
             self.refused["share"] += 1
         else:
-            key = ObservationKey(message.seen.endpoint, lease.name, "", message.seen.kind == LIMIT_KIND)
-            observation = CachedObservation(lease.number, lease.epoch, message.seen, now - message.seen.age * MS, now)
+            key = ObservationKey(message.observation.endpoint, lease.name, "", message.observation.kind == LIMIT_KIND)
+            observation = CachedObservation(
+                lease.number, lease.epoch, message.observation, now - message.observation.age * MS, now
+            )
             if self._accept(message.dest, key, observation, now):
                 cost = RELAY_COST_BYTES * (len(self._subscribers_of.get(message.dest, ())) + len(self._regions) - 1)
-                share = COURIER_BANDWIDTH_SHARE * self.about.bytes_a_second
+                share = COURIER_BANDWIDTH_SHARE * self.config.bytes_per_second
                 lease.bandwidth_used_until = max(lease.bandwidth_used_until, now - SECOND) + int(cost * SECOND / share)
 
     def _accept(self, dest: int, key: ObservationKey, observation: CachedObservation, now: int) -> bool:
@@ -694,7 +700,10 @@
         of_dest = self._observations.get(dest, {})
         known = of_dest.get(key)
         if known is not None:
-            before, after = (known.epoch, known.seen.n), (observation.epoch, observation.seen.n)
+            before, after = (
+                (known.epoch, known.observation.sequence),
+                (observation.epoch, observation.observation.sequence),
+            )
             if after < before or after == before and now - known.relayed_at < MIN_REPEAT_INTERVAL:
                 self.refused["repeated"] += 1
                 return False
@@ -708,7 +717,7 @@
             for each, other in of_dest.items()
             if each.endpoint == key.endpoint
             and each.origin == key.origin
-            and other.seen.kind == observation.seen.kind
+            and other.observation.kind == observation.observation.kind
             and now - other.relayed_at < OBSERVATION_TTL
         }
         if len(witnesses) >= MAX_WITNESSES and key.witness not in witnesses:
@@ -724,7 +733,7 @@
         return [
             name
             for name in rendezvous_order(self._regions[region], dest)
-            if name == self.about.name or self._remote_brokers[name].answering
+            if name == self.config.name or self._remote_brokers[name].answering
         ]
 
     # Timers
@@ -744,14 +753,16 @@
                 other.missed += other.open
                 self._last_n += 1
                 interval = (
-                    RENEWAL_RETRY_INTERVAL if 0 < other.missed < MAX_MISSED_RENEWALS * RENEWAL_ATTEMPTS else TERM // 3
+                    RENEWAL_RETRY_INTERVAL
+                    if 0 < other.missed < MAX_MISSED_RENEWALS * RENEWAL_ATTEMPTS
+                    else LEASE_TERM // 3
                 )
                 other.n, other.open, other.next_ping = (
                     self._last_n,
                     True,
                     now + int(interval * self._random.uniform(0.8, 1.0)),
                 )
-                out += self._send(name, self.about.brokers[name], [Ping(other.n)], now, True)
+                out += self._send(name, self.config.brokers[name], [Ping(other.n)], now, True)
         if now >= self._last_sweep + SWEEP_INTERVAL:
             self._last_sweep = now
             self._sweep(now)
@@ -759,7 +770,7 @@
 
     def _relay(self, now: int) -> Datagrams:
         """Send queued observations, and fresh ones to new subscribers: one or a few datagrams for each receiver."""
-        by_receiver: dict[str, list[Word]] = {}
+        by_receiver: dict[str, list[PeerMessage]] = {}
         due, self._to_relay = self._to_relay, {}
         new_subscriptions, self._new_subscriptions = self._new_subscriptions, {}
         for dest, key in due:
@@ -784,8 +795,8 @@
         out: Datagrams = []
         # In random order: where the bandwidth does not suffice for all, it is not always the same ones that lose.
         for name in self._random.sample(list(by_receiver), len(by_receiver)):
-            lease = self._subscribed.get(name)
-            address = lease.address if lease is not None else self.about.brokers.get(name)
+            lease = self._leases.get(name)
+            address = lease.address if lease is not None else self.config.brokers.get(name)
             if address is not None:
                 out += self._send(name, address, by_receiver[name], now)
         return out
@@ -796,13 +807,13 @@
         key: ObservationKey,
         observation: CachedObservation,
         now: int,
-        by_receiver: dict[str, list[Word]],
+        by_receiver: dict[str, list[PeerMessage]],
     ) -> None:
         """To one owner in each other region: the first of ours to the first of theirs, the second to the second."""
-        rank = self._find_owners(self.about.region, dest).index(self.about.name) % COPIES
-        message = Forward(key.witness, observation.number, observation.epoch, dest, observation.aged(now))
+        rank = self._find_owners(self.config.region, dest).index(self.config.name) % OWNERS_PER_REGION
+        message = ForwardedObservation(key.witness, observation.number, observation.epoch, dest, observation.aged(now))
         for region in self._regions:
-            if region == self.about.region:
+            if region == self.config.region:
                 continue
             owners = self._find_owners(region, dest)
             if owners:
@@ -810,7 +821,7 @@
 
     def _sweep(self, now: int) -> None:
         """Remove expired leases and observations, and the records of events that may be reported again."""
-        for lease in [lease for lease in self._subscribed.values() if now >= lease.expires_at]:
+        for lease in [lease for lease in self._leases.values() if now >= lease.expires_at]:
             self._remove_lease(lease)
         for dest, of_dest in list(self._observations.items()):
             expired = [key for key, observation in of_dest.items() if now - observation.relayed_at > OBSERVATION_TTL]
@@ -821,23 +832,23 @@
                 del self._observations[dest]
         self._reported_at = {which: at for which, at in self._reported_at.items() if now < at + EVENT_INTERVAL}
 
-    def leave(self, now: int) -> Datagrams:
+    def shut_down(self, now: int) -> Datagrams:
         """Shut down: relay what is queued, and tell subscribers to use other brokers."""
         if self.silent:
             return []
         out = self._relay(now)
-        for lease in list(self._subscribed.values()):
-            out += self._send(lease.name, lease.address, [Lease(0, False)], now, True)
+        for lease in list(self._leases.values()):
+            out += self._send(lease.name, lease.address, [LeaseReply(0, False)], now, True)
         self.silent = True
         return out
 
     def _step_back(self, epoch: int, now: int) -> None:
         """Another process has our name and a higher epoch: couriers accept only its messages."""
-        if self.stepped_back:
+        if self.superseded:
             return
-        self.stepped_back = self.silent = True
+        self.superseded = self.silent = True
         self._to_relay.clear()
-        self.events.append(("broker-name-twice", {"life": self.about.life, "younger": epoch}))
+        self.events.append(("broker-name-twice", {"life": self.config.epoch, "younger": epoch}))
 
     def _may_report(self, event: str, which: str, now: int) -> bool:
         if (
@@ -850,15 +861,17 @@
 
     # Outgoing datagrams
 
-    def _send(self, name: str, address: Address, messages: list[Word], now: int, urgent: bool = False) -> Datagrams:
+    def _send(
+        self, name: str, address: Address, messages: list[PeerMessage], now: int, urgent: bool = False
+    ) -> Datagrams:
         """Pack messages for one receiver into as few datagrams as possible, within the bytes per second."""
         if not messages:
             return []
-        bandwidth = float(self.about.bytes_a_second)
+        bandwidth = float(self.config.bytes_per_second)
         self._available_bytes = min(bandwidth, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND)
         self._refilled_at = now
-        capacity = MOST - HEAD - 40 - len(name.encode()) - len(self.about.name.encode())
-        batches: list[list[Word]] = [[]]
+        capacity = MAX_DATAGRAM_BYTES - HEADER_BYTES - 40 - len(name.encode()) - len(self.config.name.encode())
+        batches: list[list[PeerMessage]] = [[]]
         left = capacity
         for message in messages:
             size = len(encode(message))
@@ -874,33 +887,33 @@
         for batch in batches if batches[0] else []:
             data = self.sealer.seal(name, batch)
             if len(data) > self._available_bytes - (0 if urgent else URGENT_RESERVE * bandwidth):
-                self.held_back += 1
+                self.over_bandwidth += 1
                 if self._may_report("broker-held-back", "", now):
                     self.events.append(
-                        ("broker-held-back", {"datagrams": self.held_back, "bytes_a_second": int(bandwidth)})
+                        ("broker-held-back", {"datagrams": self.over_bandwidth, "bytes_a_second": int(bandwidth)})
                     )
                 continue
             self._available_bytes -= len(data)
             self.sent += len(data)
-            self.passed_on += sum(isinstance(message, Relayed) for message in batch)
-            self.forwarded += sum(isinstance(message, Forward) for message in batch)
+            self.relayed += sum(isinstance(message, RelayedObservation) for message in batch)
+            self.forwarded += sum(isinstance(message, ForwardedObservation) for message in batch)
             out.append((address, data))
         return out
 
     # Reports
 
-    def stand(self, now: int) -> dict[str, Any]:
+    def status(self, now: int) -> dict[str, Any]:
         """For operators: life (epoch), subscribers, keys, passed_on, forwarded, held_back, refused, stalled ..."""
         return {
-            "life": self.about.life,
-            "stepped_back": self.stepped_back,
-            "subscribers": len(self._subscribed),
+            "life": self.config.epoch,
+            "stepped_back": self.superseded,
+            "subscribers": len(self._leases),
             "keys": len(self._subscribers_of),
             "subscriptions": self._subscription_count,
             "fresh": self._observation_count,
-            "passed_on": self.passed_on,
+            "passed_on": self.relayed,
             "forwarded": self.forwarded,
-            "held_back": self.held_back,
+            "held_back": self.over_bandwidth,
             "dropped": dict(self.sealer.dropped),
             "refused": dict(self.refused),
             "stalled": self.stalled,
