--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -13,9 +13,9 @@
 earlier epochs (``past`` and ``now`` together). So a lost state directory or a crash between two writes loses nothing
 that any other courier had received. If each courier added up the epochs, they would arrive at different sums.
 
-Now and then a courier sends its counters to some others, recent changes first; ``Want`` requests all of them at once.
-Counters of couriers that are gone are sent by whoever holds them. Each courier has at most ``MOST`` counters; any
-further ones are counted as one.
+Now and then a courier sends its counters to some others, recent changes first; ``CounterRequest`` requests all of them
+at once. Counters of couriers that are gone are sent by whoever holds them. Each courier has at most ``MAX_COUNTERS``
+counters; any further ones are counted as one.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from kestrelspar.peers.members import Out
-from kestrelspar.peers.words import Tally, Want, Word
+from kestrelspar.peers.members import Outgoing
+from kestrelspar.peers.words import CounterReport, CounterRequest, PeerMessage
 
 MS, SECOND = 1_000, 1_000_000
 REPORT_INTERVAL = 2 * SECOND  # between unrequested reports
 REPORT_FANOUT = 2  # members that receive each of them
 ROWS_PER_MESSAGE = 16  # counters in a message, so that it fits a datagram
 MAX_KEY_LENGTH = 40  # characters of a counter's name
-MOST = 1_000  # max counters of one courier
+MAX_COUNTERS = 1_000  # max counters of one courier
 OVERFLOW_KEY = "beyond"  # the counter for all further ones
-HELD = 4_096  # max couriers whose counters are held
+MAX_COURIERS = 4_096  # max couriers whose counters are held
 MAX_REPLIES = 40  # reports in reply to one request
 REPLY_INTERVAL = SECOND  # min time between replies to one member
 
@@ -53,13 +53,13 @@
         return {key: self.past.get(key, 0) + self.now.get(key, 0) for key in self.past.keys() | self.now.keys()}
 
 
-class Counts:
+class FleetCounters:
     """This courier's counters, and those it holds of the others."""
 
     def __init__(self, own_name: str, epoch: int, now: int, past: dict[str, int], random: Random) -> None:
         self.own_name = own_name
         self.silent = False
-        self.held: dict[str, CourierCounters] = {own_name: CourierCounters(epoch, dict(past), {}, now)}
+        self.by_courier: dict[str, CourierCounters] = {own_name: CourierCounters(epoch, dict(past), {}, now)}
         self._random = random
         self._former_epochs: dict[int, CourierCounters] = {}  # what others hold of this courier's earlier epochs
         self._changed_keys: dict[str, None] = {}  # own counters to report, the longest waiting first
@@ -71,61 +71,63 @@
 
     def add(self, key: str, calls: int = 1) -> None:
         """Add to a counter."""
-        own_counters, key = self.held[self.own_name].now, key[:MAX_KEY_LENGTH]
-        if key not in own_counters and len(own_counters) >= MOST:
+        own_counters, key = self.by_courier[self.own_name].now, key[:MAX_KEY_LENGTH]
+        if key not in own_counters and len(own_counters) >= MAX_COUNTERS:
             key = OVERFLOW_KEY
         own_counters[key] = own_counters.get(key, 0) + calls
         self._changed_keys[key] = None
 
-    def own(self) -> dict[str, int]:
+    def own_totals(self) -> dict[str, int]:
         """Totals to persist for the next epoch."""
-        return self.held[self.own_name].total()
+        return self.by_courier[self.own_name].total()
 
     # Counters of other couriers
 
-    def heard(self, sender: str, messages: Iterable[Word], now: int, gone: set[str]) -> Out:
+    def receive(self, sender: str, messages: Iterable[PeerMessage], now: int, gone: set[str]) -> Outgoing:
         """Handle a member's messages about counters. ``gone``: couriers that can't reply themselves."""
-        out: Out = []
+        out: Outgoing = []
         for message in messages:
-            if isinstance(message, Tally):
+            if isinstance(message, CounterReport):
                 self.merge(message, now)
             elif (
-                isinstance(message, Want)
+                isinstance(message, CounterRequest)
                 and not self.silent
                 and now >= self._last_reply.get(sender, -REPLY_INTERVAL) + REPLY_INTERVAL
             ):
                 self._last_reply[sender] = now
-                replies = [report for name in (self.own_name, sender, *sorted(gone)) for report in self.told(name, now)]
+                replies = [
+                    report for name in (self.own_name, sender, *sorted(gone)) for report in self.reports_on(name, now)
+                ]
                 out += [(sender, [report]) for report in replies[:MAX_REPLIES]]
         return out
 
-    def merge(self, report: Tally, now: int) -> None:
+    def merge(self, report: CounterReport, now: int) -> None:
         """Merge a report on a courier, whoever sent it."""
         if report.name == self.own_name:
             self._merge_own(report)
             return
-        counters = self.held.get(report.name)
-        if counters is None or report.life > counters.epoch:
-            if counters is None and len(self.held) >= HELD:
+        counters = self.by_courier.get(report.name)
+        if counters is None or report.epoch > counters.epoch:
+            if counters is None and len(self.by_courier) >= MAX_COURIERS:
                 return
-            counters = self.held[report.name] = CourierCounters(report.life)
-        if report.life < counters.epoch:
+            counters = self.by_courier[report.name] = CourierCounters(report.epoch)
+        if report.epoch < counters.epoch:
             return
         target = counters.past if report.past else counters.now
         for key, count in report.rows:
-            if key in target or len(target) <= MOST:
+            if key in target or len(target) <= MAX_COUNTERS:
                 target[key] = max(target.get(key, 0), count)
         counters.reported_at = max(counters.reported_at, now - report.age * MS)
 
-    def _merge_own(self, report: Tally) -> None:
+    def _merge_own(self, report: CounterReport) -> None:
         """Merge what others hold of earlier epochs: more than was persisted if the state file is old or lost."""
-        own_counters = self.held[self.own_name]
-        if report.life >= own_counters.epoch:
+        own_counters = self.by_courier[self.own_name]
+        if report.epoch >= own_counters.epoch:
             return
-        former = self._former_epochs.setdefault(report.life, CourierCounters(report.life))
+        former = self._former_epochs.setdefault(report.epoch, CourierCounters(report.epoch))
         target = former.past if report.past else former.now
         for key, count in report.rows:
-            if key in target or len(target) <= MOST:
+            if key in target or len(target) <= MAX_COUNTERS:
                 target[key] = max(target.get(key, 0), count)
                 total = former.past.get(key, 0) + former.now.get(key, 0)
                 if total > own_counters.past.get(key, 0):
@@ -135,34 +137,34 @@
 
     # Reports to other couriers
 
-    def want(self) -> None:
+    def request_all(self) -> None:
         """Request all counters of all members with the next tick."""
         self._request_pending = True
 
-    def tick(self, now: int, others: list[str]) -> Out:
+    def tick(self, now: int, others: list[str]) -> Outgoing:
         """Messages that are due."""
-        out: Out = []
+        out: Outgoing = []
         if self.silent:
             return out
         if self._request_pending:
             self._request_pending = False
-            out += [(name, [Want()]) for name in others]
+            out += [(name, [CounterRequest()]) for name in others]
         if now >= self._next_report_at and others:
             self._next_report_at = now + REPORT_INTERVAL
-            self.held[self.own_name].reported_at = now
+            self.by_courier[self.own_name].reported_at = now
             receivers = self._random.sample(others, min(REPORT_FANOUT, len(others)))
             changed = list(self._changed_keys)[:ROWS_PER_MESSAGE]
             for key in changed:
                 del self._changed_keys[key]
-            complete = self.told(self.own_name, now)
+            complete = self.reports_on(self.own_name, now)
             for name in receivers:
-                own_counters = self.held[self.own_name]
+                own_counters = self.by_courier[self.own_name]
                 if changed:
                     out.append(
                         (
                             name,
                             [
-                                Tally(
+                                CounterReport(
                                     self.own_name,
                                     own_counters.epoch,
                                     False,
@@ -176,9 +178,9 @@
                     out.append((name, [self._random.choice(complete)]))
         return out
 
-    def told(self, name: str, now: int) -> list[Tally]:
+    def reports_on(self, name: str, now: int) -> list[CounterReport]:
         """All that is held of one courier, as reports."""
-        counters = self.held.get(name)
+        counters = self.by_courier.get(name)
         if counters is None:
             return []
         age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
@@ -186,17 +188,17 @@
         for past, values in ((True, counters.past), (False, counters.now)):
             items = sorted(values.items())
             reports += [
-                Tally(name, counters.epoch, past, age, items[start : start + ROWS_PER_MESSAGE])
+                CounterReport(name, counters.epoch, past, age, items[start : start + ROWS_PER_MESSAGE])
                 for start in range(0, len(items), ROWS_PER_MESSAGE)
             ]
         return reports
 
     # Totals
 
-    def fleet(self, now: int) -> dict[str, dict[str, int]]:
+    def fleet_totals(self, now: int) -> dict[str, dict[str, int]]:
         """Fleet totals: by counter the sum, the number of couriers covered, and the age of the oldest part in ms."""
         totals: dict[str, dict[str, int]] = {}
-        for name, counters in self.held.items():
+        for name, counters in self.by_courier.items():
             age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
             for key, count in counters.total().items():
                 total = totals.setdefault(key, {"sum": 0, "couriers": 0, "age_ms": 0})
--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from kestrelspar.peers.shares import spanned
+from kestrelspar.peers.shares import budget_for_rate
 from snowlock.control import Controller
 from snowlock.interface import EndpointId, Settings
 from snowlock.state import Destination
@@ -20,42 +20,42 @@
     """One budget, as the decision module's state gives it."""
 
     calls: int
-    span: int  # microseconds
+    window: int  # microseconds
     endpoints: list[EndpointId]  # whose rate it limits
     waiting: int = 0  # messages
-    worth: float = 0.0  # total weight of these messages
-    whole: bool = False  # a courier may lend its whole share
+    waiting_weight: float = 0.0  # total weight of these messages
+    fully_lendable: bool = False  # a courier may lend its whole share
 
 
 @dataclass(slots=True)
-class Look:
+class DemandSnapshot:
     """Snapshot of the decision module's state."""
 
-    wanted: dict[str, Demand] = field(default_factory=dict)  # by name of the budget
+    budgets: dict[str, Demand] = field(default_factory=dict)  # by name of the budget
     routes: dict[str, int] = field(default_factory=dict)  # destination by endpoint
     ids: dict[str, EndpointId] = field(default_factory=dict)
     silent: list[str] = field(default_factory=list)  # endpoints with calls in flight and no answer for long
     down: list[str] = field(default_factory=list)  # endpoints in an outage, according to the decision module
     closed: list[str] = field(default_factory=list)  # the same, and those with a retry-after delay
-    concerns: set[int] = field(default_factory=set)  # destinations with messages waiting or calls in flight
+    active_destinations: set[int] = field(default_factory=set)  # destinations with messages waiting or calls in flight
 
 
-def name(endpoint: EndpointId) -> str:
+def endpoint_name(endpoint: EndpointId) -> str:
     """Name of an endpoint in messages between couriers."""
     return endpoint.decode("utf-8", "replace")[:190]
 
 
-def key(endpoint: EndpointId, dest: Destination) -> str:
+def budget_key(endpoint: EndpointId, dest: Destination) -> str:
     """Name of the budget for a call: the endpoint's, or its destination's if the endpoints share one limit."""
-    return f"e:{name(endpoint)}" if dest.apart else f"d:{dest.id}"
+    return f"e:{endpoint_name(endpoint)}" if dest.separate_limits else f"d:{dest.id}"
 
 
-def cold_key(endpoint: str) -> str:
+def slow_start_key(endpoint: str) -> str:
     """Name of the budget for calls to an endpoint in an outage or in slow start."""
     return f"c:{endpoint}"
 
 
-def again_key(dest: int) -> str:
+def retry_key(dest: int) -> str:
     """Name of the budget for second and later delivery attempts at a destination."""
     return f"r:{dest}"
 
@@ -65,14 +65,14 @@
     return f"t:{tenant}"
 
 
-def look(
+def take_snapshot(
     controller: Controller,
     settings: Settings,
     shared_part: float,
     retry_part: float,
     reported_limit: Callable[[str], float] = lambda _: 0.0,
     recovering: Mapping[str, int] = MappingProxyType({}),
-) -> Look:
+) -> DemandSnapshot:
     """All current budgets with the messages that wait for each, and the state of the routes.
 
     ``shared_part``: the part of a limit that is shared. ``retry_part``: of that, the part for second and later attempts
@@ -80,29 +80,29 @@
     if trusted, else 0. ``recovering``: time since the return of endpoints after an outage, microseconds. Messages that
     may go to several endpoints with separate limits count evenly towards each of them.
     """
-    snapshot, couriers = Look(), settings.forwarders
+    snapshot, couriers = DemandSnapshot(), settings.forwarders
     retry_rates: dict[int, float] = {}  # attempts per second, by destination
     for route in controller.routes.values():
         if not route.ready:
             continue
-        endpoint, dest = name(route.id), route.dest
+        endpoint, dest = endpoint_name(route.id), route.dest
         snapshot.routes[endpoint], snapshot.ids[endpoint] = dest.id, route.id
         if dest.queue or route.inflight:
-            snapshot.concerns.add(dest.id)
-        if route.inflight and controller.silent(route) and controller.now - route.heard > MIN_SILENCE_NS:
+            snapshot.active_destinations.add(dest.id)
+        if route.inflight and controller.is_silent(route) and controller.now - route.last_outcome_at > MIN_SILENCE_NS:
             snapshot.silent.append(endpoint)
-        down = route.down and route.back is None
+        down = route.down and route.recovering_since is None
         if down:
             snapshot.down.append(endpoint)
-        if down or max(route.wait_until, dest.wait_until) > controller.now:
+        if down or max(route.retry_after_until, dest.retry_after_until) > controller.now:
             snapshot.closed.append(endpoint)
         reported = reported_limit(endpoint)
         rate = min(route.limit.rate, reported) if route.limit.rate and reported else route.limit.rate or reported
         if endpoint in recovering:
             calls = slow_start_calls(rate or route.rate, recovering[endpoint], settings)
             # Otherwise the limit would slow down the other endpoints that share it.
-            rate_limited = [route.id] if dest.apart or len(dest.routes) == 1 else []
-            snapshot.wanted[cold_key(endpoint)] = Demand(
+            rate_limited = [route.id] if dest.separate_limits or len(dest.routes) == 1 else []
+            snapshot.budgets[slow_start_key(endpoint)] = Demand(
                 calls,
                 settings.fall_ns // 1_000,
                 rate_limited,
@@ -112,19 +112,19 @@
             )
         if not rate:
             continue
-        demand = snapshot.wanted.get(key(route.id, dest))
+        demand = snapshot.budgets.get(budget_key(route.id, dest))
         if demand is None:
-            calls, span = spanned(rate * shared_part, couriers)
-            demand = snapshot.wanted[key(route.id, dest)] = Demand(calls, span, [])
-            route_count = len(dest.routes) if dest.apart else 1
+            calls, span = budget_for_rate(rate * shared_part, couriers)
+            demand = snapshot.budgets[budget_key(route.id, dest)] = Demand(calls, span, [])
+            route_count = len(dest.routes) if dest.separate_limits else 1
             demand.waiting = -(-len(dest.queue) // max(1, route_count))
-            demand.worth = sum(message.weight for message in dest.queue) / max(1, route_count)
+            demand.waiting_weight = sum(message.weight for message in dest.queue) / max(1, route_count)
             retry_rates[dest.id] = retry_rates.get(dest.id, 0.0) + rate * shared_part * retry_part
         demand.endpoints.append(route.id)
     for dest_id, rate in retry_rates.items() if retry_part < 1 else ():
-        retries = [message for message in controller.dests[dest_id].queue if message.attempts]
-        snapshot.wanted[again_key(dest_id)] = Demand(
-            *spanned(rate, couriers), [], len(retries), sum(m.weight for m in retries)
+        retries = [message for message in controller.destinations[dest_id].queue if message.attempts]
+        snapshot.budgets[retry_key(dest_id)] = Demand(
+            *budget_for_rate(rate, couriers), [], len(retries), sum(m.weight for m in retries)
         )
     return snapshot
 
--- a/kestrelspar/peers/judgements.py
+++ b/kestrelspar/peers/judgements.py
@@ -19,7 +19,8 @@
   another courier;
 - the last route of a destination is never closed: it is called one call at a time. Nor are more than
   ``max_restricted_share`` of all routes closed: those with the fewest witnesses are called one call at a time, too;
-- the first ``BACK`` or served call after an outage starts the endpoint's slow start (``cold``): how much all couriers
+- the first ``BACK`` or served call after an outage starts the endpoint's slow start (``recovering``): how much all
+couriers
   may send it then is a budget, see demand.py;
 - a witness that this courier's calls contradict is distrusted: each contradiction adds one to its score, each
   confirmation takes ``CONFIRMATION_CREDIT`` off, and it is trusted while its score is below
@@ -28,10 +29,10 @@
 One courier at a time probes an endpoint in an outage: members are ranked by a hash of endpoint and member name, and the
 one of rank r calls again, one call at a time, r probe intervals after the last report of a failure. If its call fails,
 that is the next report; if it is served, the wait ends for all. A courier that receives nothing calls after at most
-``RANKS`` intervals, as it would alone.
+``MAX_PROBE_RANK`` intervals, as it would alone.
 
 A broker may alter or invent what it relays, and so may the broker of another region that it received it from. Claims
-are therefore kept by witness and relay path (``Voice``), and two witnesses count as two only if no single party,
+are therefore kept by witness and relay path (``ClaimSource``), and two witnesses count as two only if no single party,
 witness or broker, handled all of their claims. So neither one lying courier, which is one witness on all its paths, nor
 one lying broker, however many witnesses it invents, can restrict a route by anything but a retry-after delay.
 A claim source is distrusted as above; a relay path after ``PATH_DISTRUST_SCORE`` contradicted calls, and a broker after
@@ -51,14 +52,14 @@
 
 import xxhash
 
-from kestrelspar.peers.members import Events, Out
-from kestrelspar.peers.words import Publish, Relayed, Seen, Word
+from kestrelspar.peers.members import Events, Outgoing
+from kestrelspar.peers.words import Observation, PeerMessage, PublishObservation, RelayedObservation
 
 MS, SECOND = 1_000, 1_000_000
 MAX_WITNESSES = 12  # per endpoint: direct ones, and as many again by each broker
-FRESH = 3 * SECOND  # an older report of a failure is no evidence of a current outage
-RANKS = 8  # max probe intervals that a courier waits for those ranked before it
-ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # times that a report is sent to all; the delay doubles each time
+OUTAGE_REPORT_MAX_AGE = 3 * SECOND  # an older report of a failure is no evidence of a current outage
+MAX_PROBE_RANK = 8  # max probe intervals that a courier waits for those ranked before it
+REPORT_ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # times that a report is sent to all; the delay doubles each time
 SUFFICIENT_REPORTS = 3  # witnesses with the same report; a further one is sent in the last round only
 MIN_REPORT_INTERVAL = 250 * MS  # between reports of failures at one endpoint
 MIN_REPORTED_WAIT = 50 * MS  # a shorter retry-after delay ends before other couriers receive it
@@ -75,7 +76,7 @@
 OBSERVATION_DATAGRAM_BYTES = 150  # approximate size of a datagram with one observation
 
 
-class Kind(IntEnum):
+class ObservationKind(IntEnum):
     """What was observed."""
 
     WAIT = 0  # the endpoint asked to retry later; value: milliseconds left
@@ -85,7 +86,7 @@
     LIMIT = 4  # the endpoint reported its limit; value: thousandths of a call per second
 
 
-class Outcome(IntEnum):
+class CallOutcome(IntEnum):
     """How a call of this courier ended, as far as it says something about the endpoint."""
 
     SERVED = 0
@@ -95,11 +96,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class RouteRestriction:
     """Restriction of a route, for the decision module: closed until then, or limited to one call at a time."""
 
     until: int
-    one: bool
+    one_at_a_time: bool
 
 
 @dataclass(slots=True)
@@ -117,7 +118,7 @@
 class PendingReport:
     """One observation of this courier that is being sent to all others."""
 
-    kind: Kind
+    kind: ObservationKind
     at: int
     value: int
     sequence: int
@@ -131,11 +132,11 @@
 class Claim:
     """The latest claim of a witness about an endpoint's health or its limit."""
 
-    kind: Kind
+    kind: ObservationKind
     at: int  # when it was observed, by the local clock; never earlier than it really was
     until: int  # end of a ``WAIT``
     value: int
-    n: int  # sequence number at the witness
+    sequence: int  # sequence number at the witness
     scored: bool = False  # a call of this courier has confirmed or contradicted it
 
 
@@ -149,58 +150,60 @@
     limit: Claim | None = None
 
 
-class Voice(NamedTuple):
+class ClaimSource(NamedTuple):
     """Claim source: the witness, and the relay path by which its claim came.
 
-    ``by``: the broker that relayed it; empty if it came directly. ``origin``: the broker of another region that ``by``
-    received it from. Without a witness it stands for the whole relay path; with ``ANY_ORIGIN`` for all that the broker
-    relays.
+    ``relay``: the broker that relayed it; empty if it came directly. ``origin``: the broker of another region that
+    ``relay`` received it from. Without a witness it stands for the whole relay path; with ``ANY_ORIGIN`` for all that
+    the broker relays.
     """
 
     witness: str
-    by: str = ""
+    relay: str = ""
     origin: str = ""
 
     def parties(self) -> set[tuple[bool, str]]:
         """All parties that handled the claim, and whether each is a broker."""
-        return {(False, self.witness)} | {(True, name) for name in (self.by, self.origin) if name}
+        return {(False, self.witness)} | {(True, name) for name in (self.relay, self.origin) if name}
 
-    def trust_levels(self) -> list[tuple[Voice, float]]:
+    def trust_levels(self) -> list[tuple[ClaimSource, float]]:
         """The source, its relay path and its broker, each with the score from which on it is distrusted.
 
         A claim counts only if all of them are trusted.
         """
-        if not self.by:
+        if not self.relay:
             return [(self, SOURCE_DISTRUST_SCORE)]
         return [
             (self, SOURCE_DISTRUST_SCORE),
-            (Voice("", self.by, self.origin), PATH_DISTRUST_SCORE),
-            (Voice("", self.by, ANY_ORIGIN), BROKER_DISTRUST_SCORE),
+            (ClaimSource("", self.relay, self.origin), PATH_DISTRUST_SCORE),
+            (ClaimSource("", self.relay, ANY_ORIGIN), BROKER_DISTRUST_SCORE),
         ]
 
     def __str__(self) -> str:
         """The form used in logs and reports."""
-        if not self.by:
+        if not self.relay:
             return self.witness
         origin = " and all it passes on" if self.origin == ANY_ORIGIN else f" from {self.origin}" if self.origin else ""
-        return f"{self.witness} by {self.by}{origin}".strip()
+        return f"{self.witness} by {self.relay}{origin}".strip()
 
 
 ANY_ORIGIN = "*"
 
 
-def independently_sourced(sources: Iterable[Voice]) -> bool:
+def independently_sourced(sources: Iterable[ClaimSource]) -> bool:
     """Whether no single party handled all of the claims, so that no single liar can have made all of them."""
     parties = [source.parties() for source in sources]
     return len(parties) > 1 and not set.intersection(*parties)
 
 
-def independent_witness_count(sources: Collection[Voice]) -> int:
+def independent_witness_count(sources: Collection[ClaimSource]) -> int:
     """Number of independent witnesses; several that came by one relay path count as one."""
-    return min(len({source.witness for source in sources}), len({source.by or (source.witness,) for source in sources}))
+    return min(
+        len({source.witness for source in sources}), len({source.relay or (source.witness,) for source in sources})
+    )
 
 
-def rank(endpoint: str, own_name: str, others: Iterable[str]) -> int:
+def probe_rank(endpoint: str, own_name: str, others: Iterable[str]) -> int:
     """How many of the others probe this endpoint before this courier.
 
     Rendezvous hashing gives the same order at all couriers.
@@ -213,7 +216,7 @@
     return sum((score(name), name) < (own_score, own_name) for name in others)
 
 
-class Judgements:
+class ObservationTracker:
     """This courier's observations, those of other couriers, and the route restrictions that follow from them."""
 
     def __init__(
@@ -244,23 +247,27 @@
         )
         self.events: Events = []
         self.couriers, self.number, self.origins = couriers, number, frozenset(origins)
-        self.scores: dict[Voice, float] = {}  # contradicted claims, less a credit for each confirmed one; never below 0
-        self.distrusted: set[Voice] = set()
+        self.scores: dict[
+            ClaimSource, float
+        ] = {}  # contradicted claims, less a credit for each confirmed one; never below 0
+        self.distrusted: set[ClaimSource] = set()
         self.silent = False
         self._random = random
-        self._n = 0
+        self._sequence = 0
         self._routes: dict[str, int] = {}  # destination by endpoint
         self._locally_closed: frozenset[str] = frozenset()
         self._local: dict[str, LocalRecord] = {}
         self._pending_reports: dict[tuple[str, bool], PendingReport] = {}  # by endpoint, and whether it is its limit
         self._number_conflicts: set[str] = set()  # couriers that claim this courier's number
-        self._heard: dict[str, dict[Voice, WitnessRecord]] = {}  # by endpoint
+        self._records: dict[str, dict[ClaimSource, WitnessRecord]] = {}  # by endpoint
         self._outages: dict[str, int] = {}  # start of the current outage, by endpoint
         self._recovering: dict[str, int] = {}  # end of a recent outage, by endpoint
 
     # Observations of this courier
 
-    def saw(self, endpoint: str, outcome: Outcome, sent: int, now: int, wait: int = 0, limit: float = 0.0) -> None:
+    def record_call(
+        self, endpoint: str, outcome: CallOutcome, sent: int, now: int, wait: int = 0, limit: float = 0.0
+    ) -> None:
         """Record the end of a call that was sent at ``sent``.
 
         ``wait``: the retry-after delay that it was answered with, microseconds. ``limit``: the limit that the endpoint
@@ -269,77 +276,85 @@
         local = self._local.setdefault(endpoint, LocalRecord())
         if limit > 0:
             if abs(limit - local.limit) > LIMIT_TOLERANCE * local.limit:
-                self._queue_report(endpoint, Kind.LIMIT, now, int(limit * 1_000))
+                self._queue_report(endpoint, ObservationKind.LIMIT, now, int(limit * 1_000))
             local.limit, local.limit_at = limit, now
-        if outcome is Outcome.SERVED:
+        if outcome is CallOutcome.SERVED:
             local.served = max(local.served, sent)
             self._end_outage(endpoint, now)
             self._score_claims(endpoint, sent, now, served=True)
             pending = self._pending_reports.get((endpoint, False))
-            if pending is not None and pending.kind is not Kind.BACK or self._reported_unwell(endpoint, now):
-                self._queue_report(endpoint, Kind.BACK, now, 0)
-        elif outcome is Outcome.REFUSED:
+            if pending is not None and pending.kind is not ObservationKind.BACK or self._reported_unwell(endpoint, now):
+                self._queue_report(endpoint, ObservationKind.BACK, now, 0)
+        elif outcome is CallOutcome.REFUSED:
             local.refused = sent
-        elif outcome is Outcome.FAILED and sent > local.served:
+        elif outcome is CallOutcome.FAILED and sent > local.served:
             local.failed = max(local.failed, sent)
             self._score_claims(endpoint, sent, now, served=False)
-            self._queue_report(endpoint, Kind.DOWN, now, 0)
+            self._queue_report(endpoint, ObservationKind.DOWN, now, 0)
         if wait >= MIN_REPORTED_WAIT:
             self._score_claims(endpoint, sent, now, served=False)
-            self._queue_report(endpoint, Kind.WAIT, now, min(wait, self.max_wait) // MS)
+            self._queue_report(endpoint, ObservationKind.WAIT, now, min(wait, self.max_wait) // MS)
 
-    def silence(self, endpoint: str, now: int) -> None:
+    def record_silence(self, endpoint: str, now: int) -> None:
         """Record that calls to the endpoint are in flight without an answer for longer than usual."""
-        self._queue_report(endpoint, Kind.SILENT, now, 0)
+        self._queue_report(endpoint, ObservationKind.SILENT, now, 0)
 
-    def _queue_report(self, endpoint: str, kind: Kind, now: int, value: int) -> None:
+    def _queue_report(self, endpoint: str, kind: ObservationKind, now: int, value: int) -> None:
         """Queue a report to all others, unless a recent one says the same.
 
         If enough other witnesses have reported it, it is sent in one round only.
         """
-        key = endpoint, kind is Kind.LIMIT
+        key = endpoint, kind is ObservationKind.LIMIT
         pending = self._pending_reports.get(key)
         if (
             pending is not None
-            and pending.kind in (kind, Kind.DOWN)
-            and kind in (Kind.DOWN, Kind.SILENT)
+            and pending.kind in (kind, ObservationKind.DOWN)
+            and kind in (ObservationKind.DOWN, ObservationKind.SILENT)
             and now - pending.at < MIN_REPORT_INTERVAL
         ):
             return
-        self._n += 1
-        reports = self._independent_reports(endpoint, kind, now) if kind is not Kind.LIMIT else 0
+        self._sequence += 1
+        reports = self._independent_reports(endpoint, kind, now) if kind is not ObservationKind.LIMIT else 0
         self._pending_reports[key] = PendingReport(
             kind,
             now,
             value,
-            self._n,
-            rounds_sent=ROUNDS - 1 if reports >= SUFFICIENT_REPORTS else 0,
+            self._sequence,
+            rounds_sent=REPORT_ROUNDS - 1 if reports >= SUFFICIENT_REPORTS else 0,
             next_round_at=now,
         )
 
-    def _independent_reports(self, endpoint: str, kind: Kind, now: int) -> int:
+    def _independent_reports(self, endpoint: str, kind: ObservationKind, now: int) -> int:
         """Number of witnesses with the same report: direct ones, or by two brokers, as one could invent witnesses."""
         paths: dict[str, set[str]] = {}
-        for source, record in self._heard.get(endpoint, {}).items():
-            if record.health is not None and record.health.kind is kind and now - record.health.at < FRESH:
-                paths.setdefault(source.witness, set()).add(source.by)
+        for source, record in self._records.get(endpoint, {}).items():
+            if (
+                record.health is not None
+                and record.health.kind is kind
+                and now - record.health.at < OUTAGE_REPORT_MAX_AGE
+            ):
+                paths.setdefault(source.witness, set()).add(source.relay)
         return sum("" in by or len(by) > 1 for by in paths.values())
 
     # Observations of other couriers
 
-    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> bool:
+    def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> bool:
         """Handle a member's messages. Returns whether any of them was new."""
         changed = False
         for message in messages:
-            if isinstance(message, Seen) and message.endpoint in self._routes and sender != self.own_name:
-                changed |= self._record(Voice(sender), epoch, message, now)
+            if isinstance(message, Observation) and message.endpoint in self._routes and sender != self.own_name:
+                changed |= self._record(ClaimSource(sender), epoch, message, now)
         return changed
 
-    def relayed(self, broker: str, messages: Iterable[Word], now: int) -> bool:
+    def receive_relayed(self, broker: str, messages: Iterable[PeerMessage], now: int) -> bool:
         """Handle what a broker of this courier's region relays. Returns whether any of it was new."""
         changed = False
         for message in messages:
-            if not isinstance(message, Relayed) or message.witness == self.own_name or message.number >= self.couriers:
+            if (
+                not isinstance(message, RelayedObservation)
+                or message.witness == self.own_name
+                or message.number >= self.couriers
+            ):
                 continue
             if (
                 message.number == self.number
@@ -354,17 +369,19 @@
                         {"peer": message.witness, "rival": self.own_name, "number": message.number, "by": broker},
                     )
                 )
-            if message.seen.endpoint in self._routes and (not message.origin or message.origin in self.origins):
-                changed |= self._record(Voice(message.witness, broker, message.origin), message.life, message.seen, now)
+            if message.observation.endpoint in self._routes and (not message.origin or message.origin in self.origins):
+                changed |= self._record(
+                    ClaimSource(message.witness, broker, message.origin), message.epoch, message.observation, now
+                )
         return changed
 
-    def _evict_witness(self, records: dict[Voice, WitnessRecord], by: str) -> None:
+    def _evict_witness(self, records: dict[ClaimSource, WitnessRecord], by: str) -> None:
         """Make room for one more witness of this broker (empty: of those that report directly).
 
         The witnesses of one broker never displace those of another. Within one broker, the oldest record of the origin
         with the most records is evicted.
         """
-        same = [source for source in records if source.by == by]
+        same = [source for source in records if source.relay == by]
         if len(same) < MAX_WITNESSES:
             return
         origins = [source.origin for source in same]
@@ -373,62 +390,62 @@
             min((source for source in same if source.origin == largest), key=lambda source: records[source].last_heard)
         ]
 
-    def _trusted(self, source: Voice) -> bool:
+    def _trusted(self, source: ClaimSource) -> bool:
         return not self.distrusted or not any(level in self.distrusted for level, _ in source.trust_levels())
 
-    def unheard(self, broker: str) -> bool:
+    def broker_distrusted(self, broker: str) -> bool:
         """Whether nothing is trusted that this broker relays from couriers of its own region."""
-        return not self.distrusted.isdisjoint((Voice("", broker), Voice("", broker, ANY_ORIGIN)))
+        return not self.distrusted.isdisjoint((ClaimSource("", broker), ClaimSource("", broker, ANY_ORIGIN)))
 
-    def not_believed(self) -> list[str]:
+    def distrusted_sources(self) -> list[str]:
         """Distrusted sources, relay paths and brokers, for reports."""
         return sorted(str(source) for source in self.distrusted)
 
-    def _record(self, source: Voice, epoch: int, observation: Seen, now: int) -> bool:
-        records = self._heard.setdefault(observation.endpoint, {})
+    def _record(self, source: ClaimSource, epoch: int, observation: Observation, now: int) -> bool:
+        records = self._records.setdefault(observation.endpoint, {})
         witness = records.get(source)
         if witness is None or epoch > witness.epoch:
             if witness is None:
-                self._evict_witness(records, source.by)
+                self._evict_witness(records, source.relay)
             witness = records[source] = WitnessRecord(epoch)
         at = now - observation.age * MS
         claim = Claim(
-            Kind(observation.kind),
+            ObservationKind(observation.kind),
             at,
             at + min(observation.value * MS, self.max_wait),
             observation.value,
-            observation.n,
+            observation.sequence,
         )
-        previous = witness.limit if claim.kind is Kind.LIMIT else witness.health
-        if epoch < witness.epoch or previous is not None and observation.n <= previous.n:
-            if previous is not None and observation.n == previous.n:
+        previous = witness.limit if claim.kind is ObservationKind.LIMIT else witness.health
+        if epoch < witness.epoch or previous is not None and observation.sequence <= previous.sequence:
+            if previous is not None and observation.sequence == previous.sequence:
                 previous.at = min(previous.at, at)  # the same observation by a faster path
             return False
         witness.last_heard = now
-        if claim.kind is Kind.LIMIT:
+        if claim.kind is ObservationKind.LIMIT:
             witness.limit = claim
         else:
             witness.health = claim
-            if claim.kind is Kind.BACK and self._trusted(source):
+            if claim.kind is ObservationKind.BACK and self._trusted(source):
                 self._end_outage(observation.endpoint, at)
         return True
 
     def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
         """Score the claims made before an own call was sent by the outcome of that call, each claim once."""
-        paths: dict[Voice, tuple[int, Kind]] = {}
-        for source, witness in self._heard.get(endpoint, {}).items():
+        paths: dict[ClaimSource, tuple[int, ObservationKind]] = {}
+        for source, witness in self._records.get(endpoint, {}).items():
             claim = witness.health
             if (
                 claim is None
                 or claim.scored
                 or sent <= claim.at
-                or now - claim.at > FRESH
-                or claim.kind is Kind.WAIT
+                or now - claim.at > OUTAGE_REPORT_MAX_AGE
+                or claim.kind is ObservationKind.WAIT
                 and sent > claim.until
             ):
                 continue
             claim.scored = True
-            contradicted = served is not (claim.kind is Kind.BACK)
+            contradicted = served is not (claim.kind is ObservationKind.BACK)
             (level, threshold), *broader = source.trust_levels()
             disregarded = level in self.distrusted
             self._adjust_score(level, threshold, contradicted, endpoint, claim.kind)
@@ -445,7 +462,7 @@
                 self._adjust_score(level, threshold, verdict == CONTRADICTED, endpoint, kind)
 
     def _adjust_score(
-        self, level: Voice, threshold: float, contradicted: bool, endpoint: str, claimed_kind: Kind
+        self, level: ClaimSource, threshold: float, contradicted: bool, endpoint: str, claimed_kind: ObservationKind
     ) -> None:
         score = self.scores.get(level, 0.0)
         self.scores[level] = score = min(
@@ -461,27 +478,33 @@
             self.distrusted.discard(level)
             self.events.append(("peers-believed-again", {"peer": str(level)}))
 
-    def _standing_claims(self, endpoint: str) -> list[tuple[Voice, Claim]]:
+    def _standing_claims(self, endpoint: str) -> list[tuple[ClaimSource, Claim]]:
         """Trusted claims of trouble that neither a call of this courier nor a ``BACK`` has contradicted."""
         local = self._local.get(endpoint) or LocalRecord()
         claims = [
             (source, record.health)
-            for source, record in self._heard.get(endpoint, {}).items()
+            for source, record in self._records.get(endpoint, {}).items()
             if record.health is not None and self._trusted(source)
         ]
-        served_at = max([local.served, *(claim.at for _, claim in claims if claim.kind is Kind.BACK)])
-        return [(source, claim) for source, claim in claims if claim.kind is not Kind.BACK and claim.at > served_at]
+        served_at = max([local.served, *(claim.at for _, claim in claims if claim.kind is ObservationKind.BACK)])
+        return [
+            (source, claim)
+            for source, claim in claims
+            if claim.kind is not ObservationKind.BACK and claim.at > served_at
+        ]
 
     def _reported_unwell(self, endpoint: str, now: int) -> bool:
         """Whether other couriers recently reported trouble."""
         return any(
-            record.health is not None and record.health.kind is not Kind.BACK and now - record.health.at < FRESH
-            for record in self._heard.get(endpoint, {}).values()
+            record.health is not None
+            and record.health.kind is not ObservationKind.BACK
+            and now - record.health.at < OUTAGE_REPORT_MAX_AGE
+            for record in self._records.get(endpoint, {}).values()
         )
 
     # Resulting restrictions
 
-    def out(self, endpoint: str, now: int) -> None:
+    def start_outage(self, endpoint: str, now: int) -> None:
         """Record the start of an outage found by this courier or reported by others; slow start follows it."""
         self._outages.setdefault(endpoint, now)
 
@@ -494,49 +517,63 @@
         if since is not None and at - since >= MIN_OUTAGE:
             self._recovering[endpoint] = at
 
-    def cold(self, now: int, ramp: int) -> dict[str, int]:
+    def recovering(self, now: int, ramp: int) -> dict[str, int]:
         """Endpoints in an outage or in slow start, with the time since their return; 0 while they are out."""
         self._recovering = {name: at for name, at in self._recovering.items() if now - at < ramp}
         return {name: max(0, now - at) for name, at in self._recovering.items()} | {
             name: 0 for name, since in self._outages.items() if now - since >= MIN_OUTAGE
         }
 
-    def holds(self, now: int, others: list[str]) -> dict[str, Held]:
+    def restrictions(self, now: int, others: list[str]) -> dict[str, RouteRestriction]:
         """Current restrictions of routes, by endpoint."""
-        candidates: dict[str, tuple[int, Held]] = {}  # with the number of independent witnesses
-        for endpoint in self._heard:
+        candidates: dict[str, tuple[int, RouteRestriction]] = {}  # with the number of independent witnesses
+        for endpoint in self._records:
             restriction = self._restriction(endpoint, now, others)
             if restriction is not None:
                 candidates[endpoint] = restriction
         return self._apply_bounds(candidates, now)
 
-    def _restriction(self, endpoint: str, now: int, others: list[str]) -> tuple[int, Held] | None:
+    def _restriction(self, endpoint: str, now: int, others: list[str]) -> tuple[int, RouteRestriction] | None:
         claims = self._standing_claims(endpoint)
-        waits = [(source, claim.until) for source, claim in claims if claim.kind is Kind.WAIT and claim.until > now]
+        waits = [
+            (source, claim.until)
+            for source, claim in claims
+            if claim.kind is ObservationKind.WAIT and claim.until > now
+        ]
         if waits:
-            return independent_witness_count([source for source, _ in waits]), Held(
+            return independent_witness_count([source for source, _ in waits]), RouteRestriction(
                 max(until for _, until in waits), False
             )
-        down = [source for source, claim in claims if claim.kind in (Kind.DOWN, Kind.SILENT) and now - claim.at < FRESH]
+        down = [
+            source
+            for source, claim in claims
+            if claim.kind in (ObservationKind.DOWN, ObservationKind.SILENT) and now - claim.at < OUTAGE_REPORT_MAX_AGE
+        ]
         local = self._local.get(endpoint) or LocalRecord()
-        failed = local.failed > local.served and now - local.failed < FRESH
-        confirmed = failed or any(claim.kind is Kind.DOWN and now - claim.at < FRESH for _, claim in claims)
+        failed = local.failed > local.served and now - local.failed < OUTAGE_REPORT_MAX_AGE
+        confirmed = failed or any(
+            claim.kind is ObservationKind.DOWN and now - claim.at < OUTAGE_REPORT_MAX_AGE for _, claim in claims
+        )
         if (failed and down or independently_sourced(down)) and confirmed:  # silence alone may be a slow call or two
-            self.out(endpoint, now)
+            self.start_outage(endpoint, now)
         elif endpoint not in self._outages or not claims:
             return None
         # A confirmed outage lasts until a call is served. Otherwise all would call at once when the reports are old.
-        last = max([claim.at for _, claim in claims if claim.kind is not Kind.WAIT] or [local.failed])
+        last = max([claim.at for _, claim in claims if claim.kind is not ObservationKind.WAIT] or [local.failed])
         last = max(last, local.failed)
-        if now >= last + max(FRESH, self.probe_interval * RANKS):
+        if now >= last + max(OUTAGE_REPORT_MAX_AGE, self.probe_interval * MAX_PROBE_RANK):
             return None
         witnesses = independent_witness_count([source for source, _ in claims])
-        until = last + self.probe_interval * min(RANKS, rank(endpoint, self.own_name, others))
+        until = last + self.probe_interval * min(MAX_PROBE_RANK, probe_rank(endpoint, self.own_name, others))
         if until > now:
-            return witnesses, Held(until, False)
-        return witnesses, Held(last + max(FRESH, self.probe_interval * RANKS), True)
+            return witnesses, RouteRestriction(until, False)
+        return witnesses, RouteRestriction(
+            last + max(OUTAGE_REPORT_MAX_AGE, self.probe_interval * MAX_PROBE_RANK), True
+        )
 
-    def _apply_bounds(self, candidates: dict[str, tuple[int, Held]], now: int) -> dict[str, Held]:
+    def _apply_bounds(
+        self, candidates: dict[str, tuple[int, RouteRestriction]], now: int
+    ) -> dict[str, RouteRestriction]:
         """Close neither the last route of a destination nor more than the allowed share of all routes.
 
         Other candidates are limited to one call at a time.
@@ -545,16 +582,16 @@
         for endpoint, dest in self._routes.items():
             free[dest] = free.get(dest, 0) + (endpoint not in candidates and endpoint not in self._locally_closed)
         quota = int(self.max_restricted_share * len(self._routes))
-        bounded: dict[str, Held] = {}
+        bounded: dict[str, RouteRestriction] = {}
         for endpoint, (_, restriction) in sorted(candidates.items(), key=lambda item: (-item[1][0], item[0])):
-            if not restriction.one:
+            if not restriction.one_at_a_time:
                 restrict = free[self._routes[endpoint]] > 0 and quota > 0
                 quota -= restrict
-                restriction = restriction if restrict else Held(restriction.until, True)
+                restriction = restriction if restrict else RouteRestriction(restriction.until, True)
             bounded[endpoint] = restriction
         return bounded
 
-    def limit(self, endpoint: str, now: int) -> float:
+    def reported_limit(self, endpoint: str, now: int) -> float:
         """The limit reported to other couriers, calls per second.
 
         0 if no trusted claim is newer than the last report to this courier. It takes two independent witnesses that
@@ -563,7 +600,7 @@
         local = self._local.get(endpoint) or LocalRecord()
         limits = sorted(
             (record.limit.value / 1_000, source)
-            for source, record in self._heard.get(endpoint, {}).items()
+            for source, record in self._records.get(endpoint, {}).items()
             if record.limit is not None and record.limit.at > local.limit_at and self._trusted(source)
         )
         if len({source.witness for _, source in limits}) == 1 and local.refused > local.limit_at:
@@ -580,27 +617,29 @@
 
     # Updates by the caller
 
-    def routes(self, routes: dict[str, int], closed: Iterable[str] = ()) -> None:
+    def set_routes(self, routes: dict[str, int], closed: Iterable[str] = ()) -> None:
         """Set the endpoints that are currently listed, with their destinations. State of other endpoints is dropped.
 
         ``closed``: endpoints that this courier itself doesn't call at present.
         """
         if routes.keys() != self._routes.keys():
             self._local = {name: local for name, local in self._local.items() if name in routes}
-            self._heard = {name: heard for name, heard in self._heard.items() if name in routes}
+            self._records = {name: heard for name, heard in self._records.items() if name in routes}
             self._outages = {name: at for name, at in self._outages.items() if name in routes}
             self._recovering = {name: at for name, at in self._recovering.items() if name in routes}
             self._pending_reports = {key: pending for key, pending in self._pending_reports.items() if key[0] in routes}
         self._routes, self._locally_closed = routes, frozenset(closed)
 
-    def members(self, names: Iterable[str]) -> None:
+    def set_members(self, names: Iterable[str]) -> None:
         """Set the current members; the scores of former members are dropped."""
         names = set(names)
-        self.scores = {source: score for source, score in self.scores.items() if source.by or source.witness in names}
+        self.scores = {
+            source: score for source, score in self.scores.items() if source.relay or source.witness in names
+        }
         excess = len(self.scores) - MAX_RELAYED_SCORES - len(names)
         if excess > 0:  # a broker can invent any number of witnesses: those with the lowest scores are dropped
             lowest = sorted(
-                (source for source in self.scores if source.by and source.witness), key=lambda v: self.scores[v]
+                (source for source in self.scores if source.relay and source.witness), key=lambda v: self.scores[v]
             )
             for source in lowest[:excess]:
                 del self.scores[source]
@@ -608,17 +647,17 @@
 
     def tick(
         self, now: int, others: list[str], byte_budget: int, brokers_of: Callable[[int], list[str]] | None = None
-    ) -> Out:
+    ) -> Outgoing:
         """Observations that are due, in about ``byte_budget`` bytes. ``brokers_of``: the brokers of a destination."""
         if self.silent:
             return []
-        outgoing: dict[str, list[Word]] = {}
+        outgoing: dict[str, list[PeerMessage]] = {}
         max_datagrams = byte_budget // OBSERVATION_DATAGRAM_BYTES
         for (endpoint, _), pending in self._pending_reports.items():
             if (
                 not pending.pending_members
                 and not pending.pending_brokers
-                and pending.rounds_sent < ROUNDS
+                and pending.rounds_sent < REPORT_ROUNDS
                 and now >= pending.next_round_at
             ):
                 pending.pending_members = self._random.sample(others, len(others))
@@ -629,8 +668,8 @@
             if (
                 not pending.pending_members
                 and not pending.pending_brokers
-                or pending.kind is not Kind.LIMIT
-                and now - pending.at > FRESH
+                or pending.kind is not ObservationKind.LIMIT
+                and now - pending.at > OUTAGE_REPORT_MAX_AGE
             ):
                 pending.pending_members, pending.pending_brokers = [], []
                 continue
@@ -640,7 +679,7 @@
             ):
                 if endpoint in self._routes:
                     outgoing.setdefault(pending.pending_brokers[-1], []).append(
-                        Publish(self._routes[endpoint], observation)
+                        PublishObservation(self._routes[endpoint], observation)
                     )
                 pending.pending_brokers.pop()
             while pending.pending_members and (
@@ -649,12 +688,12 @@
                 outgoing.setdefault(pending.pending_members.pop(), []).append(observation)
         return list(outgoing.items())
 
-    def along(self, now: int) -> list[Word]:
+    def piggybacked(self, now: int) -> list[PeerMessage]:
         """A sample of own current observations to piggyback on a datagram, so that late joiners receive them."""
         current = [
             (key, pending)
             for key, pending in self._pending_reports.items()
-            if pending.kind is Kind.LIMIT or now - pending.at < FRESH
+            if pending.kind is ObservationKind.LIMIT or now - pending.at < OUTAGE_REPORT_MAX_AGE
         ]
         return [
             self._observation(key[0], pending, now)
@@ -662,18 +701,18 @@
         ]
 
     @staticmethod
-    def _observation(endpoint: str, pending: PendingReport, now: int) -> Seen:
-        return Seen(
+    def _observation(endpoint: str, pending: PendingReport, now: int) -> Observation:
+        return Observation(
             endpoint, pending.kind, min(max(0, now - pending.at) // MS, 3_600_000), pending.value, pending.sequence
         )
 
     # Reports
 
-    def stand(self, now: int, others: list[str]) -> dict[str, dict[str, int | str]]:
+    def status(self, now: int, others: list[str]) -> dict[str, dict[str, int | str]]:
         """Status of each endpoint with claims: number of witnesses, latest claim, resulting restriction and limit."""
-        restrictions = self.holds(now, others)
+        restrictions = self.restrictions(now, others)
         status: dict[str, dict[str, int | str]] = {}
-        for endpoint, records in self._heard.items():
+        for endpoint, records in self._records.items():
             claims = [record.health for record in records.values() if record.health is not None]
             held = restrictions.get(endpoint)
             last = max(claims, key=lambda claim: claim.at, default=None)
@@ -681,7 +720,11 @@
                 "witnesses": len({source.witness for source in records}),
                 "last": last.kind.name.lower() if last else "limit",
                 "age_ms": (now - last.at) // MS if last else 0,
-                "held": "no" if held is None else "one at a time" if held.one else f"{(held.until - now) // MS} ms",
-                "limit": f"{self.limit(endpoint, now):g}",
+                "held": "no"
+                if held is None
+                else "one at a time"
+                if held.one_at_a_time
+                else f"{(held.until - now) // MS} ms",
+                "limit": f"{self.reported_limit(endpoint, now):g}",
             }
         return status
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -37,7 +37,7 @@
 from random import Random
 from typing import Any
 
-from kestrelspar.peers.words import Ack, Nack, Ping, Probe, Said, Stand, Word
+from kestrelspar.peers.words import Ack, MemberState, MemberUpdate, Nack, PeerMessage, Ping, Probe
 
 MS, SECOND = 1_000, 1_000_000
 INDIRECT_PROBES = 3  # helpers asked to probe a member that doesn't answer, and seeds pinged at once
@@ -45,13 +45,13 @@
 ACK_TIMEOUT_SHARE, NACK_TIMEOUT_SHARE = 0.4, 0.8  # of a period for an ack; of that timeout, for a helper's nack
 MIN_SUSPICION_FACTOR, MAX_SUSPICION_FACTOR = 3.0, 6.0  # timeout in periods, times log10 of the number of members
 MAX_SUSPICION_WITNESSES = 3  # with so many the suspicion timeout is the shortest
-TELL = 3.0  # times that a change is gossiped, times log2 of the number of members
-KEEP_DEAD = 600 * SECOND
-MEET_EVERY = 5  # periods between pings to a dead member, or to a seed that is not a member
-ROOM = 24  # max members in a datagram
+GOSSIP_FACTOR = 3.0  # times that a change is gossiped, times log2 of the number of members
+DEAD_RETENTION = 600 * SECOND
+RECONNECT_PERIODS = 5  # periods between pings to a dead member, or to a seed that is not a member
+MAX_GOSSIPED_MEMBERS = 24  # max members in a datagram
 MAX_RELAYED_PROBES = 64  # open probes on behalf of other members
 
-Out = list[tuple[str, list[Word]]]  # receiver and messages
+Outgoing = list[tuple[str, list[PeerMessage]]]  # receiver and messages
 Events = list[tuple[str, dict[str, Any]]]
 
 
@@ -59,9 +59,9 @@
 class Member:
     """What is known about one other courier."""
 
-    said: Said
+    update: MemberUpdate
     since: int  # when its state was received, or its suspicion timeout restarted
-    told: int = 0  # times that it was gossiped since it changed
+    times_gossiped: int = 0  # times that it was gossiped since it changed
     witnesses: set[str] = field(default_factory=set)  # members that suspect it
 
 
@@ -76,25 +76,31 @@
     answered: bool = False
 
 
-def precedence(update: Said) -> tuple[int, int, int]:
+def precedence(update: MemberUpdate) -> tuple[int, int, int]:
     """Sort key of updates of one member: the largest wins."""
-    return update.life, update.inc, update.stand
+    return update.epoch, update.incarnation, update.state
 
 
 class Members:
     """One courier's view of all members."""
 
     def __init__(
-        self, me: Said, seeds: dict[str, tuple[str, int]], period: int, max_members: int, now: int, random: Random
+        self,
+        own_update: MemberUpdate,
+        seeds: dict[str, tuple[str, int]],
+        period: int,
+        max_members: int,
+        now: int,
+        random: Random,
     ) -> None:
-        self.me = me
-        self.seeds = {name: address for name, address in seeds.items() if name != me.name}
+        self.own_update = own_update
+        self.seeds = {name: address for name, address in seeds.items() if name != own_update.name}
         self.period, self.max_members = period, max_members
         self.members: dict[str, Member] = {}
-        self.stepped_back = False  # another process with a later epoch has this courier's name
+        self.superseded = False  # another process with a later epoch has this courier's name
         self.leaving = False
-        self.ailing = 0  # local health score; 0 is healthy
-        self.refused = 0  # members not accepted beyond ``max_members``
+        self.local_health = 0  # local health score; 0 is healthy
+        self.rejected_members = 0  # members not accepted beyond ``max_members``
         self.foreign = 0  # ignored updates of couriers in other groups
         self.events: Events = []
         self._random = random
@@ -109,52 +115,56 @@
         self._periods = 0
         self._stalled = False  # this process was paused and has received no ack since
         self._alive: list[str] | None = None  # cache, cleared on a change
-        self._number_holders: dict[int, str] = {me.number: me.name}  # last courier seen with each number
+        self._number_holders: dict[int, str] = {
+            own_update.number: own_update.name
+        }  # last courier seen with each number
         self._not_alive: set[str] = set()
         self._updated: set[str] = set()  # members whose last change is still gossiped
-        self._foreign_couriers: dict[str, Said] = {}  # couriers of other groups, by name, so that they can be answered
+        self._foreign_couriers: dict[
+            str, MemberUpdate
+        ] = {}  # couriers of other groups, by name, so that they can be answered
 
     # Queries
 
     def alive(self) -> list[str]:
         """Members that are alive or suspected, as suspects may refute."""
         if self._alive is None:
-            self._alive = [name for name, m in self.members.items() if m.said.stand <= Stand.SUSPECT]
+            self._alive = [name for name, m in self.members.items() if m.update.state <= MemberState.SUSPECT]
         return self._alive
 
     def gone(self) -> set[str]:
         """Members that are dead or have left."""
-        return {name for name in self._not_alive if self.members[name].said.stand >= Stand.DEAD}
+        return {name for name in self._not_alive if self.members[name].update.state >= MemberState.DEAD}
 
     def address(self, name: str) -> tuple[str, int] | None:
         """Address of a courier; a configured one takes precedence over a gossiped one."""
         if name in self.seeds:
             return self.seeds[name]
         member = self.members.get(name)
-        update = member.said if member is not None else self._foreign_couriers.get(name)
+        update = member.update if member is not None else self._foreign_couriers.get(name)
         return (update.host, update.port) if update is not None else None
 
     def group(self, name: str) -> str:
         """Group of a member; empty if it has none or is no member."""
         member = self.members.get(name)
-        return member.said.group if member is not None else ""
+        return member.update.group if member is not None else ""
 
     def number(self, name: str) -> int | None:
         """Position of a member among the couriers; None if unknown."""
         member = self.members.get(name)
-        return member.said.number if member is not None else None
+        return member.update.number if member is not None else None
 
     # Periodic work
 
-    def tick(self, now: int) -> Out:
+    def tick(self, now: int) -> Outgoing:
         """Messages that are due. Call it several times per period."""
-        if self.stepped_back or self.leaving:
+        if self.superseded or self.leaving:
             return []
         self._handle_stall(now)
-        out: Out = []
+        out: Outgoing = []
         self._send_nacks(now, out)
         self._expire_members(now)
-        probe, probe_period = self._probe, self.period * (1 + self.ailing)
+        probe, probe_period = self._probe, self.period * (1 + self.local_health)
         if (
             probe is not None
             and not probe.answered
@@ -169,7 +179,7 @@
             return out
         if probe is not None:
             self._finish_probe(probe, now)
-        self._probe, self._next_period_at = None, now + self.period * (1 + self.ailing)
+        self._probe, self._next_period_at = None, now + self.period * (1 + self.local_health)
         self._periods += 1
         self._probe_next(now, out)
         self._reconnect(out)
@@ -185,16 +195,16 @@
             return
         self.events.append(("peers-stalled", {"ms": gap // MS}))
         self._probe, self._stalled, self._next_period_at = None, True, now
-        self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
+        self.local_health = min(MAX_HEALTH_MULTIPLIER - 1, self.local_health + 1)
         for name in self._not_alive:
-            if self.members[name].said.stand is Stand.SUSPECT:
+            if self.members[name].update.state is MemberState.SUSPECT:
                 self.members[name].since = now
 
-    def _probe_next(self, now: int, out: Out) -> None:
+    def _probe_next(self, now: int, out: Outgoing) -> None:
         """Ping the next member; each member is pinged once in a round."""
         while self._probe_order:
             name = self._probe_order.pop()
-            if name in self.members and self.members[name].said.stand <= Stand.SUSPECT:
+            if name in self.members and self.members[name].update.state <= MemberState.SUSPECT:
                 self._probe, self._probe_number = PendingProbe(name, now), self._next_number()
                 out.append((name, [Ping(self._probe_number)]))
                 return
@@ -203,7 +213,7 @@
         if self._probe_order:
             self._probe_next(now, out)
 
-    def _reconnect(self, out: Out) -> None:
+    def _reconnect(self, out: Outgoing) -> None:
         """Ping seeds that are not members, and dead members: the fleet may have been partitioned."""
         missing = [name for name in self.seeds if name not in self.members]
         if not self.alive() and missing:  # no members yet: ping several at once
@@ -211,49 +221,49 @@
                 (name, [Ping(self._next_number())])
                 for name in self._random.sample(missing, min(INDIRECT_PROBES, len(missing)))
             ]
-        elif self._periods % MEET_EVERY == 0:
-            missing += [name for name, m in self.members.items() if m.said.stand is Stand.DEAD]
+        elif self._periods % RECONNECT_PERIODS == 0:
+            missing += [name for name, m in self.members.items() if m.update.state is MemberState.DEAD]
             if missing:
                 out.append((self._random.choice(missing), [Ping(self._next_number())]))
 
     def _finish_probe(self, probe: PendingProbe, now: int) -> None:
         """At the end of a period, suspect the probed member if neither it nor a helper sent an ack."""
         if probe.answered:
-            self.ailing = max(0, self.ailing - 1)
+            self.local_health = max(0, self.local_health - 1)
             return
         if probe.nacks < probe.helpers_asked or not probe.helpers_asked:
             # Helpers didn't answer either, so this courier itself may be the cause.
-            self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
+            self.local_health = min(MAX_HEALTH_MULTIPLIER - 1, self.local_health + 1)
         member = self.members.get(probe.target)
-        if member is not None and member.said.stand is Stand.ALIVE and not self._stalled:
-            self._set_state(member, _with_state(member.said, Stand.SUSPECT), now)
-            member.witnesses = {self.me.name}
-            self.events.append(("peers-suspect", {"peer": probe.target, "by": self.me.name}))
+        if member is not None and member.update.state is MemberState.ALIVE and not self._stalled:
+            self._set_state(member, _with_state(member.update, MemberState.SUSPECT), now)
+            member.witnesses = {self.own_update.name}
+            self.events.append(("peers-suspect", {"peer": probe.target, "by": self.own_update.name}))
 
     def _expire_members(self, now: int) -> None:
         """Declare suspects dead after their timeout, and drop members that have been dead or gone for long enough."""
         for name in sorted(self._not_alive):
             member = self.members[name]
             expired = now - member.since >= self.suspicion_timeout(member)
-            if member.said.stand is Stand.SUSPECT and expired and not self._stalled:
-                self._set_state(member, _with_state(member.said, Stand.DEAD), now)
+            if member.update.state is MemberState.SUSPECT and expired and not self._stalled:
+                self._set_state(member, _with_state(member.update, MemberState.DEAD), now)
                 self.events.append(("peers-dead", {"peer": name, "witnesses": len(member.witnesses)}))
-            elif member.said.stand >= Stand.DEAD and now - member.since > KEEP_DEAD:
+            elif member.update.state >= MemberState.DEAD and now - member.since > DEAD_RETENTION:
                 self._forget(name)
 
     def _forget(self, name: str) -> None:
-        self._number_holders.pop(self.members.pop(name).said.number, None)
+        self._number_holders.pop(self.members.pop(name).update.number, None)
         self._not_alive.discard(name)
         self._updated.discard(name)
         self._alive = None
 
     def suspicion_timeout(self, member: Member) -> int:
         """Suspicion timeout in microseconds: the more witnesses, the shorter."""
-        scale = max(1.0, math.log10(len(self.members) + 1)) * self.period * (1 + self.ailing)
+        scale = max(1.0, math.log10(len(self.members) + 1)) * self.period * (1 + self.local_health)
         confirmation = min(1.0, math.log(max(1, len(member.witnesses))) / math.log(MAX_SUSPICION_WITNESSES))
         return int(scale * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - MIN_SUSPICION_FACTOR) * confirmation))
 
-    def _send_nacks(self, now: int, out: Out) -> None:
+    def _send_nacks(self, now: int, out: Outgoing) -> None:
         """Send a nack for each relayed probe without an ack: this courier at least is alive."""
         for number, (requester, request_number, received_at, nack_sent) in list(self._relayed_probes.items()):
             if not nack_sent and now - received_at >= int(self.period * ACK_TIMEOUT_SHARE * NACK_TIMEOUT_SHARE):
@@ -264,28 +274,28 @@
 
     # Messages
 
-    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int) -> Out:
+    def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> Outgoing:
         """Handle a member's messages about membership."""
-        out: Out = []
-        if self.stepped_back:
+        out: Outgoing = []
+        if self.superseded:
             return out
         for message in messages:
-            if isinstance(message, Said):
+            if isinstance(message, MemberUpdate):
                 self._apply_update(message, sender, now)
             elif isinstance(message, Ping):
                 out.append((sender, [Ack(message.n)]))
             elif isinstance(message, Ack):
                 self._handle_ack(message.n, out)
             elif isinstance(message, Probe):
-                if len(self._relayed_probes) < MAX_RELAYED_PROBES and message.whom != self.me.name:
+                if len(self._relayed_probes) < MAX_RELAYED_PROBES and message.target != self.own_update.name:
                     number = self._next_number()
                     self._relayed_probes[number] = sender, message.n, now, False
-                    out.append((message.whom, [Ping(number)]))
+                    out.append((message.target, [Ping(number)]))
             elif isinstance(message, Nack) and self._probe is not None and message.n == self._probe_number:
                 self._probe.nacks += 1
         return out
 
-    def _handle_ack(self, number: int, out: Out) -> None:
+    def _handle_ack(self, number: int, out: Outgoing) -> None:
         self._stalled = False
         if self._probe is not None and number == self._probe_number:
             self._probe.answered = True
@@ -293,69 +303,69 @@
             requester, request_number, _, _ = self._relayed_probes.pop(number)
             out.append((requester, [Ack(request_number)]))
 
-    def _apply_update(self, update: Said, reporter: str, now: int) -> None:
+    def _apply_update(self, update: MemberUpdate, reporter: str, now: int) -> None:
         """Apply an update of a courier that ``reporter`` sent."""
-        if update.name == self.me.name:
+        if update.name == self.own_update.name:
             self._handle_own_state(update)
             return
         member = self.members.get(update.name)
         if self._check_foreign(update):
             return
         if member is None:
-            if update.stand >= Stand.DEAD:
+            if update.state >= MemberState.DEAD:
                 return
             if len(self.members) >= self.max_members:
-                self.refused += 1
+                self.rejected_members += 1
                 return
             member = self.members[update.name] = Member(update, now)
             self._set_state(member, update, now)
             self._probe_order.insert(self._random.randrange(len(self._probe_order) + 1), update.name)
             self._announce_join(member)
             return
-        if precedence(update) > precedence(member.said):
-            before = member.said
+        if precedence(update) > precedence(member.update):
+            before = member.update
             self._set_state(member, update, now)
             member.witnesses = {reporter}
-            if update.life > before.life or before.stand >= Stand.DEAD and update.stand is Stand.ALIVE:
+            if update.epoch > before.epoch or before.state >= MemberState.DEAD and update.state is MemberState.ALIVE:
                 self._announce_join(member)
-            elif update.stand is not before.stand:
+            elif update.state is not before.state:
                 event_names = {
-                    Stand.ALIVE: "peers-refuted",
-                    Stand.SUSPECT: "peers-suspect",
-                    Stand.DEAD: "peers-dead",
-                    Stand.LEFT: "peers-left",
+                    MemberState.ALIVE: "peers-refuted",
+                    MemberState.SUSPECT: "peers-suspect",
+                    MemberState.DEAD: "peers-dead",
+                    MemberState.LEFT: "peers-left",
                 }
-                self.events.append((event_names[update.stand], {"peer": update.name, "by": reporter}))
+                self.events.append((event_names[update.state], {"peer": update.name, "by": reporter}))
         elif (
-            precedence(update) == precedence(member.said)
-            and update.stand is Stand.SUSPECT
+            precedence(update) == precedence(member.update)
+            and update.state is MemberState.SUSPECT
             and reporter not in member.witnesses
             and len(member.witnesses) < MAX_SUSPICION_WITNESSES
         ):
             member.witnesses.add(reporter)
-            member.told = 0  # one more witness is gossiped, too
+            member.times_gossiped = 0  # one more witness is gossiped, too
             self._updated.add(update.name)
 
-    def _check_foreign(self, update: Said) -> bool:
+    def _check_foreign(self, update: MemberUpdate) -> bool:
         """Whether the courier is of another group. If it was a member, it is dropped.
 
         Couriers that don't support groups gossip its update without the group, so a known foreign courier is recognised
         by its process epoch.
         """
-        if not self.me.group:
+        if not self.own_update.group:
             return False
         known = self._foreign_couriers.get(update.name)
-        if update.group in ("", self.me.group):
+        if update.group in ("", self.own_update.group):
             if known is None:
                 return False
-            if update.life < known.life or update.life == known.life and not update.group:
+            if update.epoch < known.epoch or update.epoch == known.epoch and not update.group:
                 self.foreign += 1
                 return True
             del self._foreign_couriers[update.name]  # restarted in this group or without a group
             return False
         self.foreign += 1
         member = self.members.get(update.name)
-        if member is not None and update.life < member.said.life:
+        if member is not None and update.epoch < member.update.epoch:
             return True  # an update from before it joined this group
         if member is not None:
             self._forget(update.name)
@@ -366,85 +376,96 @@
         return True
 
     def _announce_join(self, member: Member) -> None:
-        update = member.said
-        self.events.append(("peers-joined", {"peer": update.name, "life": update.life, "number": update.number}))
+        update = member.update
+        self.events.append(("peers-joined", {"peer": update.name, "life": update.epoch, "number": update.number}))
         other = self._number_holders.setdefault(update.number, update.name)
         if other != update.name:
-            if other == self.me.name or other in self.alive():
+            if other == self.own_update.name or other in self.alive():
                 self.events.append(
                     ("peers-number-twice", {"peer": update.name, "rival": other, "number": update.number})
                 )
             self._number_holders[update.number] = update.name
 
-    def _handle_own_state(self, update: Said) -> None:
+    def _handle_own_state(self, update: MemberUpdate) -> None:
         """Handle an update of this courier: refute it, or detect that another process has the same name."""
-        if update.life > self.me.life:
-            self.stepped_back = True
+        if update.epoch > self.own_update.epoch:
+            self.superseded = True
             self.events.append(
                 (
                     "peers-name-twice",
-                    {"life": self.me.life, "younger": update.life, "at": f"{update.host}:{update.port}"},
+                    {"life": self.own_update.epoch, "younger": update.epoch, "at": f"{update.host}:{update.port}"},
                 )
             )
-        elif update.life == self.me.life and update.stand and update.inc >= self.me.inc and not self.leaving:
-            self.me = Said(
-                self.me.name,
-                self.me.host,
-                self.me.port,
-                self.me.number,
-                self.me.life,
-                update.inc + 1,
-                Stand.ALIVE,
-                self.me.group,
+        elif (
+            update.epoch == self.own_update.epoch
+            and update.state
+            and update.incarnation >= self.own_update.incarnation
+            and not self.leaving
+        ):
+            self.own_update = MemberUpdate(
+                self.own_update.name,
+                self.own_update.host,
+                self.own_update.port,
+                self.own_update.number,
+                self.own_update.epoch,
+                update.incarnation + 1,
+                MemberState.ALIVE,
+                self.own_update.group,
             )
-            self.ailing = min(MAX_HEALTH_MULTIPLIER - 1, self.ailing + 1)
+            self.local_health = min(MAX_HEALTH_MULTIPLIER - 1, self.local_health + 1)
 
-    def _set_state(self, member: Member, update: Said, now: int) -> None:
-        member.said, member.since, member.told = update, now, 0
+    def _set_state(self, member: Member, update: MemberUpdate, now: int) -> None:
+        member.update, member.since, member.times_gossiped = update, now, 0
         self._updated.add(update.name)
         self._alive = None
-        (self._not_alive.discard if update.stand is Stand.ALIVE else self._not_alive.add)(update.name)
+        (self._not_alive.discard if update.state is MemberState.ALIVE else self._not_alive.add)(update.name)
 
     # Gossip
 
-    def gossip(self, to: str) -> list[Word]:
+    def gossip(self, to: str) -> list[PeerMessage]:
         """Updates to add to a datagram for that member, most urgent first. The caller cuts them to fit."""
-        max_sent = int(TELL * math.log2(len(self.members) + 2))
+        max_sent = int(GOSSIP_FACTOR * math.log2(len(self.members) + 2))
         receiver = self.members.get(to)
-        updates: list[Word] = [self.me]
-        if receiver is not None and receiver.said.stand is not Stand.ALIVE:
-            updates.append(receiver.said)  # so that it can refute
-        self._updated = {name for name in self._updated if name in self.members and self.members[name].told < max_sent}
+        updates: list[PeerMessage] = [self.own_update]
+        if receiver is not None and receiver.update.state is not MemberState.ALIVE:
+            updates.append(receiver.update)  # so that it can refute
+        self._updated = {
+            name for name in self._updated if name in self.members and self.members[name].times_gossiped < max_sent
+        }
         recent = heapq.nsmallest(
-            ROOM, (self.members[name] for name in sorted(self._updated - {to})), key=lambda m: m.told
+            MAX_GOSSIPED_MEMBERS,
+            (self.members[name] for name in sorted(self._updated - {to})),
+            key=lambda m: m.times_gossiped,
         )
-        updates += [m.said for m in recent]
-        if len(recent) < ROOM and self.members:  # a random sample repairs what was lost
-            names = self._random.sample(list(self.members), min(ROOM - len(recent), len(self.members)))
-            rest = [self.members[name].said for name in names if name != to and name not in self._updated]
-            updates += [update for update in rest if update.stand < Stand.DEAD]
+        updates += [m.update for m in recent]
+        if len(recent) < MAX_GOSSIPED_MEMBERS and self.members:  # a random sample repairs what was lost
+            names = self._random.sample(list(self.members), min(MAX_GOSSIPED_MEMBERS - len(recent), len(self.members)))
+            rest = [self.members[name].update for name in names if name != to and name not in self._updated]
+            updates += [update for update in rest if update.state < MemberState.DEAD]
         return updates
 
-    def passed_on(self, messages: Iterable[Word]) -> None:
+    def count_gossiped(self, messages: Iterable[PeerMessage]) -> None:
         """Count updates that were sent."""
         for message in messages:
-            if isinstance(message, Said) and message.name in self.members:
-                self.members[message.name].told += 1
+            if isinstance(message, MemberUpdate) and message.name in self.members:
+                self.members[message.name].times_gossiped += 1
 
-    def leave(self) -> Out:
+    def shut_down(self) -> Outgoing:
         """Leave on SIGTERM: returns the messages to some members, which gossip them further."""
         self.leaving = True
-        self.me = _with_state(self.me, Stand.LEFT)
+        self.own_update = _with_state(self.own_update, MemberState.LEFT)
         names = self._unsuspected()
-        return [(name, [self.me]) for name in self._random.sample(names, min(2 * INDIRECT_PROBES, len(names)))]
+        return [(name, [self.own_update]) for name in self._random.sample(names, min(2 * INDIRECT_PROBES, len(names)))]
 
     def _unsuspected(self) -> list[str]:
-        return [name for name, m in self.members.items() if m.said.stand is Stand.ALIVE]
+        return [name for name, m in self.members.items() if m.update.state is MemberState.ALIVE]
 
     def _next_number(self) -> int:
         self._last_number += 1
         return self._last_number
 
 
-def _with_state(update: Said, stand: Stand) -> Said:
-    return Said(update.name, update.host, update.port, update.number, update.life, update.inc, stand, update.group)
+def _with_state(update: MemberUpdate, stand: MemberState) -> MemberUpdate:
+    return MemberUpdate(
+        update.name, update.host, update.port, update.number, update.epoch, update.incarnation, stand, update.group
+    )
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -1,6 +1,6 @@
 """The protocol between couriers as one object: membership, budgets, observations, counters. No I/O.
 
-``hear`` handles a datagram, ``tick`` timers; both return the datagrams to send. All traffic is within the configured
+``receive`` handles a datagram, ``tick`` timers; both return the datagrams to send. All traffic is within the configured
 bytes per second: what exceeds them is not sent, as every message of the protocol may be lost anyway.
 """
 
@@ -13,38 +13,50 @@
 from typing import Any
 
 from kestrelspar.peers.brokers import Subscriber, brokers_in_region
-from kestrelspar.peers.counts import Counts
-from kestrelspar.peers.judgements import Judgements
-from kestrelspar.peers.members import Events, Members, Out
-from kestrelspar.peers.seal import MOST, DatagramRejectedError, Sealer, encode
-from kestrelspar.peers.shares import Shares, Terms
-from kestrelspar.peers.words import Ack, Nack, Ping, Probe, Renew, Said, Seen, Stand, Tally, Want, Word
+from kestrelspar.peers.counts import FleetCounters
+from kestrelspar.peers.judgements import ObservationTracker
+from kestrelspar.peers.members import Events, Members, Outgoing
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
+from kestrelspar.peers.shares import LoanTerms, Shares
+from kestrelspar.peers.words import (
+    Ack,
+    CounterReport,
+    CounterRequest,
+    LeaseRenewal,
+    MemberState,
+    MemberUpdate,
+    Nack,
+    Observation,
+    PeerMessage,
+    Ping,
+    Probe,
+)
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
-URGENT = 0.25  # share of the bytes per second that is reserved for pings, probes, their replies and renewals
+URGENT_RESERVE = 0.25  # share of the bytes per second that is reserved for pings, probes, their replies and renewals
 OBSERVATION_SHARE = 0.5  # of the bytes that may be sent now: for observations of endpoints
-DEBT = SECOND  # burst: the unused bandwidth of this time may be sent at once
+BURST_WINDOW = SECOND  # burst: the unused bandwidth of this time may be sent at once
 
 Datagrams = list[tuple[tuple[str, int], bytes]]
 
 
 @dataclass(frozen=True, slots=True)
-class About:
+class PeerConfig:
     """Configuration of a courier: itself and the others."""
 
     name: str
     address: tuple[str, int]
-    life: int  # epoch: larger at each start
+    epoch: int  # epoch: larger at each start
     keys: list[bytes]
     seeds: dict[str, tuple[str, int]]
-    terms: Terms
-    bytes_a_second: int = 20_000
+    terms: LoanTerms
+    bytes_per_second: int = 20_000
     period: int = SECOND
-    most: int = 1_024  # members that are tracked
+    max_members: int = 1_024  # members that are tracked
     max_retry_after: int = 2 * SECOND  # longest retry-after delay that is accepted from other couriers
     max_held_share: float = 0.5  # of all routes: what reports of other couriers may suspend
-    step: int = SECOND  # between the couriers that try a failed endpoint
+    retry_step: int = SECOND  # between the couriers that try a failed endpoint
     group: str = ""  # only couriers of the same group, or of none, are members
     region: str = ""  # the brokers of this region are used
     brokers: dict[str, tuple[str, int]] = field(default_factory=dict)  # of all regions, by "REGION/NAME"
@@ -55,7 +67,7 @@
 
     def __init__(
         self,
-        about: About,
+        config: PeerConfig,
         now: int,
         seed: int,
         saved_lent: dict[str, int] | None = None,
@@ -64,55 +76,59 @@
     ) -> None:
         """``saved_lent``, ``save_lent``: see ``Shares``; ``saved_counts``: counters of earlier epochs, as persisted."""
         random = Random(seed)
-        self.about = about
-        self.sealer = Sealer(about.name, about.life, about.keys)
-        own_update = Said(about.name, *about.address, about.terms.number, about.life, 0, Stand.ALIVE, about.group)
-        self.members = Members(own_update, about.seeds, about.period, about.most, now, random)
-        self.shares = Shares(about.terms, about.life, now, saved_lent, random, save_lent)
-        own_brokers = brokers_in_region(about.brokers, about.region)
-        self.judgements = Judgements(
-            about.name,
-            about.life,
-            about.max_retry_after,
-            about.max_held_share,
-            about.step,
+        self.config = config
+        self.sealer = Sealer(config.name, config.epoch, config.keys)
+        own_update = MemberUpdate(
+            config.name, *config.address, config.terms.number, config.epoch, 0, MemberState.ALIVE, config.group
+        )
+        self.members = Members(own_update, config.seeds, config.period, config.max_members, now, random)
+        self.shares = Shares(config.terms, config.epoch, now, saved_lent, random, save_lent)
+        own_brokers = brokers_in_region(config.brokers, config.region)
+        self.observations = ObservationTracker(
+            config.name,
+            config.epoch,
+            config.max_retry_after,
+            config.max_held_share,
+            config.retry_step,
             Random(seed + 1),
-            about.terms.couriers,
-            about.terms.number,
-            set(about.brokers) - set(own_brokers),
+            config.terms.couriers,
+            config.terms.number,
+            set(config.brokers) - set(own_brokers),
         )
-        self.counts = Counts(about.name, about.life, now, saved_counts or {}, Random(seed + 2))
-        self.brokers = (
-            Subscriber(about.name, about.address, about.terms.number, own_brokers, now, Random(seed + 3))
+        self.counters = FleetCounters(config.name, config.epoch, now, saved_counts or {}, Random(seed + 2))
+        self.subscriber = (
+            Subscriber(config.name, config.address, config.terms.number, own_brokers, now, Random(seed + 3))
             if own_brokers
             else None
         )
-        self.news = False  # observations of endpoints have arrived; the caller resets it
+        self.has_new_observations = False  # observations of endpoints have arrived; the caller resets it
         self.events: Events = []
-        self.sent = self.heard = self.held_back = 0  # bytes, bytes received, datagrams over the bandwidth limit
-        self._available_bytes, self._refilled_at = float(about.bytes_a_second), now
+        self.sent = self.received = self.over_bandwidth = 0  # bytes, bytes received, datagrams over the bandwidth limit
+        self._available_bytes, self._refilled_at = float(config.bytes_per_second), now
         self._reported_at: dict[str, int] = {}
         self._reported_drops: Counter[str] = Counter()
-        if about.terms.number >= about.terms.couriers:
-            self.events.append(("peers-owns-nothing", {"number": about.terms.number, "couriers": about.terms.couriers}))
+        if config.terms.number >= config.terms.couriers:
+            self.events.append(
+                ("peers-owns-nothing", {"number": config.terms.number, "couriers": config.terms.couriers})
+            )
 
-    def interest(self, dests: Iterable[int], now: int) -> None:
+    def record_interest(self, dests: Iterable[int], now: int) -> None:
         """Destinations that were called since the last tick, or have messages waiting; ignored without brokers."""
-        if self.brokers is not None:
-            self.brokers.record_interest(dests, now)
+        if self.subscriber is not None:
+            self.subscriber.record_interest(dests, now)
 
     def broker_status(self, now: int) -> dict[str, dict[str, Any]]:
         """For operators, by broker: ``Subscriber.status``, and whether its reports are ignored; {} without brokers."""
-        if self.brokers is None:
+        if self.subscriber is None:
             return {}
         return {
-            name: {**status, "voiceless": self.judgements.unheard(name)}
-            for name, status in self.brokers.status(now).items()
+            name: {**status, "voiceless": self.observations.broker_distrusted(name)}
+            for name, status in self.subscriber.status(now).items()
         }
 
-    def hear(self, data: bytes, now: int) -> Datagrams:
+    def receive(self, data: bytes, now: int) -> Datagrams:
         """Handle a datagram and return those to send."""
-        self.heard += len(data)
+        self.received += len(data)
         try:
             datagram = self.sealer.open(data)
         except DatagramRejectedError as error:
@@ -124,30 +140,32 @@
             )
             self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if datagram.sender == self.about.name:  # another process with our name and the key: the higher epoch wins
-            self.members.heard(
+        if datagram.sender == self.config.name:  # another process with our name and the key: the higher epoch wins
+            self.members.receive(
                 datagram.sender,
-                datagram.life,
-                [message for message in datagram.words if isinstance(message, Said)],
+                datagram.epoch,
+                [message for message in datagram.messages if isinstance(message, MemberUpdate)],
                 now,
             )
             self._step_back()
             return self._send([], now)
-        if datagram.sender in self.about.brokers:  # not a courier, whatever messages it sends
-            if self.brokers is None or datagram.sender not in self.brokers.places:
+        if datagram.sender in self.config.brokers:  # not a courier, whatever messages it sends
+            if self.subscriber is None or datagram.sender not in self.subscriber.sessions:
                 return []  # of another region: brokers of our region relay its observations
-            out = self.brokers.receive(datagram.sender, datagram.life, datagram.words, now)
-            self.news |= self.judgements.relayed(datagram.sender, datagram.words, now)
+            out = self.subscriber.receive(datagram.sender, datagram.epoch, datagram.messages, now)
+            self.has_new_observations |= self.observations.receive_relayed(datagram.sender, datagram.messages, now)
             return self._send(out, now)
-        out = self.members.heard(datagram.sender, datagram.life, datagram.words, now)
-        out += self.shares.heard(
-            datagram.sender, datagram.life, datagram.words, now, self.members.number(datagram.sender)
+        out = self.members.receive(datagram.sender, datagram.epoch, datagram.messages, now)
+        out += self.shares.receive(
+            datagram.sender, datagram.epoch, datagram.messages, now, self.members.number(datagram.sender)
         )
         number = self.members.number(datagram.sender)
         # A witness must have a number below the fleet size.
-        if number is not None and number < self.about.terms.couriers:
-            self.news |= self.judgements.heard(datagram.sender, datagram.life, datagram.words, now)
-        out += self.counts.heard(datagram.sender, datagram.words, now, self.members.gone())
+        if number is not None and number < self.config.terms.couriers:
+            self.has_new_observations |= self.observations.receive(
+                datagram.sender, datagram.epoch, datagram.messages, now
+            )
+        out += self.counters.receive(datagram.sender, datagram.messages, now, self.members.gone())
         self._step_back()
         return self._send(out, now)
 
@@ -156,36 +174,36 @@
         alive = self.members.alive()
         out = self.members.tick(now) + self.shares.tick(now, alive)
         self._refill(now)
-        if self.brokers is None:
-            out += self.judgements.tick(now, alive, int(OBSERVATION_SHARE * self._available_bytes))
+        if self.subscriber is None:
+            out += self.observations.tick(now, alive, int(OBSERVATION_SHARE * self._available_bytes))
         else:  # members without a group may not use brokers: observations are sent to them directly
-            out += self.brokers.tick(now)
+            out += self.subscriber.tick(now)
             ungrouped = [name for name in alive if not self.members.group(name)]
-            out += self.judgements.tick(
-                now, ungrouped, int(OBSERVATION_SHARE * self._available_bytes), self.brokers.owners
+            out += self.observations.tick(
+                now, ungrouped, int(OBSERVATION_SHARE * self._available_bytes), self.subscriber.owners
             )
-        out += self.counts.tick(now, alive)
-        self.judgements.members(self.members.members)
+        out += self.counters.tick(now, alive)
+        self.observations.set_members(self.members.members)
         return self._send(out, now)
 
-    def leave(self, now: int, ends: bool = True) -> Datagrams:
+    def shut_down(self, now: int, ends: bool = True) -> Datagrams:
         """Tell the others that the process ``ends`` or only stops communicating, so that they need no time-out.
 
         One that ends makes no calls any more; one that goes on keeps its share, less what it has lent until the loans
         have expired.
         """
-        out = self.members.leave()
-        self.shares.gone = ends
-        self.shares.silent = self.judgements.silent = self.counts.silent = True
-        if self.brokers is not None:
-            self.brokers.silent = True  # its leases expire
+        out = self.members.shut_down()
+        self.shares.stopped = ends
+        self.shares.silent = self.observations.silent = self.counters.silent = True
+        if self.subscriber is not None:
+            self.subscriber.silent = True  # its leases expire
         return self._send(out, now)
 
     def _step_back(self) -> None:
-        if self.members.stepped_back:
-            self.shares.gone = self.judgements.silent = self.counts.silent = True
-            if self.brokers is not None:
-                self.brokers.silent = True
+        if self.members.superseded:
+            self.shares.stopped = self.observations.silent = self.counters.silent = True
+            if self.subscriber is not None:
+                self.subscriber.silent = True
 
     def _may_report(self, kind: str, now: int) -> bool:
         if now < self._reported_at.get(kind, -(1 << 60)) + EVENT_INTERVAL:
@@ -193,75 +211,81 @@
         self._reported_at[kind] = now
         return True
 
-    def _send(self, out: Out, now: int) -> Datagrams:
+    def _send(self, out: Outgoing, now: int) -> Datagrams:
         """Pack messages into one datagram or more for each receiver; free space is used for member updates."""
-        components: tuple[Members | Shares | Judgements | Subscriber | None, ...] = (
+        components: tuple[Members | Shares | ObservationTracker | Subscriber | None, ...] = (
             self.members,
             self.shares,
-            self.judgements,
-            self.brokers,
+            self.observations,
+            self.subscriber,
         )
         for component in components:
             if component is None:
                 continue
             self.events += component.events
             component.events = []
-        by_receiver: dict[str, list[Word]] = {}
+        by_receiver: dict[str, list[PeerMessage]] = {}
         for name, messages in out:
             by_receiver.setdefault(name, []).extend(messages)
-        bandwidth = self.about.bytes_a_second
+        bandwidth = self.config.bytes_per_second
         self._refill(now)
         sent: Datagrams = []
         for name, to_send in by_receiver.items():
-            address = self.about.brokers.get(name) or self.members.address(name)
+            address = self.config.brokers.get(name) or self.members.address(name)
             if address is None:
                 continue
             for messages in self._split(name, to_send):
-                if name not in self.about.brokers:  # a broker has no use for member updates
+                if name not in self.config.brokers:  # a broker has no use for member updates
                     messages = self._piggyback(name, messages, now)
                 data = self.sealer.seal(name, messages)
-                urgent = any(isinstance(message, (Ping, Ack, Probe, Nack, Renew)) for message in messages)
-                if len(data) > self._available_bytes - (0 if urgent else URGENT * bandwidth):
-                    self.held_back += 1
+                urgent = any(isinstance(message, (Ping, Ack, Probe, Nack, LeaseRenewal)) for message in messages)
+                if len(data) > self._available_bytes - (0 if urgent else URGENT_RESERVE * bandwidth):
+                    self.over_bandwidth += 1
                     if self._may_report("held-back", now):
                         self.events.append(
-                            ("peers-held-back", {"datagrams": self.held_back, "bytes_a_second": bandwidth})
+                            ("peers-held-back", {"datagrams": self.over_bandwidth, "bytes_a_second": bandwidth})
                         )
                     continue
                 self._available_bytes -= len(data)
                 self.sent += len(data)
-                self.members.passed_on(messages)
+                self.members.count_gossiped(messages)
                 sent.append((address, data))
         return sent
 
-    def _split(self, name: str, messages: list[Word]) -> list[list[Word]]:
+    def _split(self, name: str, messages: list[PeerMessage]) -> list[list[PeerMessage]]:
         """Split messages for one receiver so that each part fits into a datagram."""
-        name_bytes = len(name.encode()) + len(self.about.name.encode())
-        batches: list[list[Word]] = [[]]
+        name_bytes = len(name.encode()) + len(self.config.name.encode())
+        batches: list[list[PeerMessage]] = [[]]
         for message in messages:
-            if batches[-1] and Sealer.size([*batches[-1], message], name_bytes) > MOST:
+            if batches[-1] and Sealer.size([*batches[-1], message], name_bytes) > MAX_DATAGRAM_BYTES:
                 batches.append([])
             batches[-1].append(message)
         return batches
 
     def _refill(self, now: int) -> None:
         """Add the bytes that may be sent for the time since the last call (token bucket)."""
-        bandwidth = float(self.about.bytes_a_second)
+        bandwidth = float(self.config.bytes_per_second)
         self._available_bytes = min(
-            bandwidth * DEBT / SECOND, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND
+            bandwidth * BURST_WINDOW / SECOND, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND
         )
         self._refilled_at = now
 
-    def _piggyback(self, name: str, messages: list[Word], now: int) -> list[Word]:
+    def _piggyback(self, name: str, messages: list[PeerMessage], now: int) -> list[PeerMessage]:
         """Add as many observations and member updates to the messages as the datagram has room for."""
-        name_bytes = len(name.encode()) + len(self.about.name.encode())
+        name_bytes = len(name.encode()) + len(self.config.name.encode())
         messages = list(messages)
         # Observations and counters go to all members, in dozens of datagrams at once: with additions to each, most of
         # the datagrams would exceed the bandwidth limit and not be sent.
-        if self.members.leaving or all(isinstance(message, (Seen, Tally, Want)) for message in messages):
+        if self.members.leaving or all(
+            isinstance(message, (Observation, CounterReport, CounterRequest)) for message in messages
+        ):
             return messages
-        room = MOST - Sealer.size(messages, name_bytes) - 8  # bytes by which the length prefix of the list may grow
-        observations = [] if any(isinstance(message, Seen) for message in messages) else self.judgements.along(now)
+        room = (
+            MAX_DATAGRAM_BYTES - Sealer.size(messages, name_bytes) - 8
+        )  # bytes by which the length prefix of the list may grow
+        observations = (
+            [] if any(isinstance(message, Observation) for message in messages) else self.observations.piggybacked(now)
+        )
         for message in observations + self.members.gossip(name):
             room -= len(encode(message))
             if room < 0:
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -16,27 +16,29 @@
 
 import msgspec
 
-from kestrelspar.peers.words import Bare, Datagram, Said, Word
+from kestrelspar.peers.words import Datagram, MemberUpdate, PeerMessage, UngroupedMemberUpdate
 
-MARK = b"KP1"
-MOST = 1_200  # maximum size of a datagram in bytes: needs no fragmentation on any path
+MAGIC = b"KP1"
+MAX_DATAGRAM_BYTES = 1_200  # maximum size of a datagram in bytes: needs no fragmentation on any path
 TAG_SIZE = 16  # bytes of the keyed hash
-HEAD = len(MARK) + 1 + TAG_SIZE  # bytes before the body
+HEADER_BYTES = len(MAGIC) + 1 + TAG_SIZE  # bytes before the body
 REPLAY_WINDOW = 1_024  # sequence numbers below the highest that are still accepted, once each
-SENDERS = 4_096  # maximum of senders that are tracked: whoever has a key could make up any number of names
+MAX_SENDERS = 4_096  # maximum of senders that are tracked: whoever has a key could make up any number of names
 
 _encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
-def _to_wire(message: Word) -> Word | Bare:
+def _to_wire(message: PeerMessage) -> PeerMessage | UngroupedMemberUpdate:
     """Omit the group of a member without one, for compatibility: couriers that know no groups use the same bytes."""
-    if type(message) is not Said or message.group:
+    if type(message) is not MemberUpdate or message.group:
         return message
-    return Bare(message.name, message.host, message.port, message.number, message.life, message.inc, message.stand)
+    return UngroupedMemberUpdate(
+        message.name, message.host, message.port, message.number, message.epoch, message.incarnation, message.state
+    )
 
 
-def encode(message: Word) -> bytes:
+def encode(message: PeerMessage) -> bytes:
     """One message as it is written into a datagram."""
     return _encode(_to_wire(message))
 
@@ -64,8 +66,8 @@
     ``keys``: 16 to 64 bytes each; datagrams are sealed with the first one, and opened with any.
     """
 
-    def __init__(self, name: str, life: int, keys: list[bytes]) -> None:
-        self.name, self.life = name, life
+    def __init__(self, name: str, epoch: int, keys: list[bytes]) -> None:
+        self.name, self.epoch = name, epoch
         self.dropped: Counter[str] = Counter()
         self._seq = 0
         # By sender: epoch, highest sequence number, and a bit set of the numbers received up to it.
@@ -76,20 +78,20 @@
         """Replace the keys."""
         self._keys = keys
 
-    def seal(self, to: str, words: list[Word]) -> bytes:
+    def seal(self, to: str, messages: list[PeerMessage]) -> bytes:
         """The sealed datagram; raises ``ValueError`` if it would be too large."""
         self._seq += 1
         # The fields of a ``Datagram``, in its order.
-        body = _encode((self.name, self.life, to, self._seq, [_to_wire(message) for message in words]))
-        if HEAD + len(body) > MOST:
-            raise ValueError(f"datagram too large: {HEAD + len(body)} of at most {MOST} bytes")
+        body = _encode((self.name, self.epoch, to, self._seq, [_to_wire(message) for message in messages]))
+        if HEADER_BYTES + len(body) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram too large: {HEADER_BYTES + len(body)} of at most {MAX_DATAGRAM_BYTES} bytes")
         key = self._keys[0]
-        return MARK + _key_id(key) + _tag(key, body) + body
+        return MAGIC + _key_id(key) + _tag(key, body) + body
 
     @staticmethod
-    def size(messages: list[Word], name_bytes: int) -> int:
+    def size(messages: list[PeerMessage], name_bytes: int) -> int:
         """Upper bound of a datagram's size; ``name_bytes``: length of the sender's and receiver's names together."""
-        return HEAD + 40 + name_bytes + len(_encode([_to_wire(message) for message in messages]))
+        return HEADER_BYTES + 40 + name_bytes + len(_encode([_to_wire(message) for message in messages]))
 
     def open(self, data: bytes) -> Datagram:
         """Verify and decode a datagram; raises ``DatagramRejectedError`` with the kind of failure, and counts it."""
@@ -100,11 +102,11 @@
             raise
 
     def _open(self, data: bytes) -> Datagram:
-        if len(data) > MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramRejectedError("oversized")
-        if len(data) <= HEAD or not data.startswith(MARK):
+        if len(data) <= HEADER_BYTES or not data.startswith(MAGIC):
             raise DatagramRejectedError("foreign")
-        key_id, tag, body = data[3:4], data[4:HEAD], data[HEAD:]
+        key_id, tag, body = data[3:4], data[4:HEADER_BYTES], data[HEADER_BYTES:]
         if not any(_key_id(key) == key_id and hmac.compare_digest(_tag(key, body), tag) for key in self._keys):
             raise DatagramRejectedError("forged")
         try:
@@ -119,12 +121,12 @@
     def _check_replay(self, datagram: Datagram) -> None:
         """Accept each sequence number of an epoch only once."""
         epoch, highest, received = self._received.get(datagram.sender, (0, 0, 0))
-        if datagram.life < epoch:
+        if datagram.epoch < epoch:
             raise DatagramRejectedError("old-life")
-        if datagram.life > epoch:
-            if datagram.sender not in self._received and len(self._received) >= SENDERS:
+        if datagram.epoch > epoch:
+            if datagram.sender not in self._received and len(self._received) >= MAX_SENDERS:
                 raise DatagramRejectedError("too-many")
-            self._received[datagram.sender] = datagram.life, datagram.seq, 1
+            self._received[datagram.sender] = datagram.epoch, datagram.seq, 1
             return
         ahead = datagram.seq - highest
         if ahead > 0:
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -23,9 +23,9 @@
   matters;
 - for one window after a start a courier neither calls nor lends, as it does not know what its earlier process called.
 
-Demand: ``lacks`` sets how many more calls than it may make a courier could use, and the weight of the messages that
-wait for them. Requests are gathered and granted together, call by call to the request with the most weight per call
-granted. A lender retains what it used recently.
+Demand: ``set_shortfall`` sets how many more calls than it may make a courier could use, and the weight of the messages
+that wait for them. Requests are gathered and granted together, call by call to the request with the most weight per
+call granted. A lender retains what it used recently.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from kestrelspar.peers.members import Events, Out
-from kestrelspar.peers.words import Ask, Back, Grant, Word
+from kestrelspar.peers.members import Events, Outgoing
+from kestrelspar.peers.words import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 
 MS, SECOND = 1_000, 1_000_000
-LEND = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
+MAX_LENT_PART = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
 REQUEST_GATHERING_TIME = 50 * MS  # between the first request and the grants for all gathered so far
 REQUEST_INTERVAL = 200 * MS  # per budget, while calls are lacking
 MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked at once; doubles while too little is granted
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LoanTerms:
     """Settings that must be the same at all couriers, and the position of this one."""
 
     couriers: int
@@ -70,7 +70,7 @@
     return calls // couriers + (number < calls % couriers)
 
 
-def spanned(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
+def budget_for_rate(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
     """A budget for ``rate`` calls per second, as (calls, window length).
 
     The window is lengthened if a courier's share would otherwise be less than one call.
@@ -132,7 +132,7 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: LoanTerms,
         epoch: int,
         now: int,
         lent_before: dict[str, int] | None,
@@ -152,18 +152,18 @@
         self._budgets: dict[str, Budget] = {}
         self._sent_requests: dict[int, SentRequest] = {}
         # By budget: borrower, its process epoch, and its request.
-        self._pending_requests: dict[str, list[tuple[str, int, Ask]]] = {}
+        self._pending_requests: dict[str, list[tuple[str, int, LoanRequest]]] = {}
         self._gathering_since: int | None = None
         self._request_number = 0
         self._loan_number = 0
         self._granted_loans: dict[int, tuple[str, tuple[str, int, int]]] = {}  # budget and key in ``lent``, by number
         self.storage_failed = False  # loans can't be persisted: nothing is lent or borrowed
-        self.gone = False  # another process has this name, or this one is leaving: it has no share
+        self.stopped = False  # another process has this name, or this one is leaving: it has no share
         self.silent = False  # sends no messages any more, so it neither lends nor borrows
 
     # Budgets
 
-    def budget(
+    def set_budget(
         self, key: str, calls: int, window: int, fully_lendable: bool = False, rotation: int = 0, now: int = 0
     ) -> None:
         """Set a budget: all couriers together may make ``calls`` calls in any ``window`` microseconds.
@@ -192,13 +192,13 @@
         n = self.terms.couriers
         return equal_share(calls, n, (number + rotation) % n) if 0 <= number < n else 0
 
-    def drop(self, key: str) -> None:
+    def retire_budget(self, key: str) -> None:
         """Retire the budget of a destination that is gone. It may return, so its loans count until they end."""
         self._calls_without_budget.pop(key, None)
         if key in self._budgets:
             self._budgets[key].retired = True
 
-    def names(self) -> list[str]:
+    def budget_names(self) -> list[str]:
         """Names of all budgets, retired ones included."""
         return list(self._budgets)
 
@@ -212,13 +212,13 @@
         borrowed = 0 if self.silent else sum(loan.calls for loan in budget.borrowed.values() if now < loan.until)
         return self._retained(key, budget, now) + borrowed
 
-    def owned(self, key: str) -> int:
+    def share(self, key: str) -> int:
         """This courier's share, including what it has lent."""
-        return 0 if self.gone or key not in self._budgets else self._budgets[key].share
+        return 0 if self.stopped or key not in self._budgets else self._budgets[key].share
 
     def _retained(self, key: str, budget: Budget, now: int) -> int:
         """What is left of this courier's share after loans."""
-        if self.gone:
+        if self.stopped:
             return 0
         lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until)
         return max(0, budget.share - lent - self._possibly_lent(key, budget, now))
@@ -235,7 +235,7 @@
         return self._started_at + int(budget.window * (1 + self.terms.drift)) + 1
 
     def _max_lendable(self, budget: Budget) -> int:
-        return budget.share if budget.fully_lendable else int(LEND * budget.share)
+        return budget.share if budget.fully_lendable else int(MAX_LENT_PART * budget.share)
 
     def _loan_hold_time(self, budget: Budget) -> int:
         """From a grant until the lender may use the lent calls again."""
@@ -248,7 +248,7 @@
             budget.recent_calls.popleft()
         return len(budget.recent_calls)
 
-    def may(self, key: str, now: int) -> bool:
+    def may_call(self, key: str, now: int) -> bool:
         """Whether a call may be made now. ``now`` must be a fresh reading of the clock."""
         budget = self._budgets.get(key)
         return (
@@ -257,9 +257,9 @@
             or self._may_call_unowned(budget, now)
         )
 
-    def spend(self, key: str, now: int) -> bool:
+    def try_call(self, key: str, now: int) -> bool:
         """Count a call if one may be made. Returns whether it may be made."""
-        if not self.may(key, now):
+        if not self.may_call(key, now):
             return False
         budget = self._budgets.get(key)
         if budget is None:
@@ -272,7 +272,7 @@
         return True
 
     def _may_call_unowned(self, budget: Budget, now: int) -> bool:
-        return budget.fully_lendable and not budget.share and not self.gone and now >= budget.next_unowned_call_at
+        return budget.fully_lendable and not budget.share and not self.stopped and now >= budget.next_unowned_call_at
 
     def _unowned_interval(self, budget: Budget) -> int:
         """Time until the next call of a courier without a share; 0 if it has one or the budget isn't fully lendable.
@@ -282,7 +282,7 @@
         interval = self.terms.couriers * budget.window // max(1, budget.calls)
         return int(interval * (0.5 + self._random.random())) if budget.fully_lendable and not budget.share else 0
 
-    def lacks(self, key: str, calls: int, waiting_weight: float, now: int) -> None:
+    def set_shortfall(self, key: str, calls: int, waiting_weight: float, now: int) -> None:
         """Set how many more calls than allowed this courier could use now, and the total weight of their messages."""
         budget = self._budgets.get(key)
         if budget is not None:
@@ -308,10 +308,10 @@
 
     # Periodic work
 
-    def tick(self, now: int, peers: list[str]) -> Out:
+    def tick(self, now: int, peers: list[str]) -> Outgoing:
         """Requests, grants and returns that are due. ``peers``: members that may be asked for loans."""
-        out: Out = []
-        if self.gone or self.silent:
+        out: Outgoing = []
+        if self.stopped or self.silent:
             return out
         for key, budget in list(self._budgets.items()):
             self._expire_loans(budget, now)
@@ -339,7 +339,7 @@
                 del budget.lent[lent_key]
                 self._granted_loans = {n: at for n, at in self._granted_loans.items() if at[1] != lent_key}
 
-    def _renew_or_return(self, key: str, budget: Budget, now: int, out: Out) -> None:
+    def _renew_or_return(self, key: str, budget: Budget, now: int, out: Outgoing) -> None:
         """Renew borrowed loans in time, and return those that are no longer needed."""
         demand, available = self._demand(budget, now), self._retained(key, budget, now)
         for (lender, number), loan in list(budget.borrowed.items()):
@@ -352,7 +352,7 @@
                     for n, request in self._sent_requests.items()
                     if request.peer != lender or request.loan != number
                 }
-                out.append((lender, [Back(number)]))
+                out.append((lender, [LoanReturn(number)]))
             elif (
                 now >= loan.requested_at + int(RENEWAL_POINT * self.terms.term)
                 and demand > available
@@ -362,7 +362,7 @@
                 out.append((lender, [self._loan_request(key, lender, loan.calls, budget.waiting_weight, now, number)]))
             available += loan.calls
 
-    def _request_loans(self, key: str, budget: Budget, now: int, peers: list[str], out: Out) -> None:
+    def _request_loans(self, key: str, budget: Budget, now: int, peers: list[str], out: Outgoing) -> None:
         """Ask a few members for the shortfall, and more of them while too little is granted."""
         shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
         # What is served within one window is worth no loan: every courier has such bursts.
@@ -392,33 +392,35 @@
                 )
             )
 
-    def _loan_request(self, key: str, peer: str, calls: int, waiting_weight: float, now: int, loan: int) -> Ask:
+    def _loan_request(self, key: str, peer: str, calls: int, waiting_weight: float, now: int, loan: int) -> LoanRequest:
         self._request_number += 1
         self._sent_requests[self._request_number] = SentRequest(peer, key, now, calls, loan)
-        return Ask(self._request_number, key, calls, waiting_weight, loan)
+        return LoanRequest(self._request_number, key, calls, waiting_weight, loan)
 
     # Messages
 
-    def heard(self, sender: str, epoch: int, messages: Iterable[Word], now: int, number: int | None) -> Out:
+    def receive(
+        self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int, number: int | None
+    ) -> Outgoing:
         """Handle a member's messages about loans. ``number``: its position among the couriers, if known."""
-        out: Out = []
+        out: Outgoing = []
         for message in messages:
-            if isinstance(message, Ask):
+            if isinstance(message, LoanRequest):
                 self._handle_request(sender, epoch, message, now, out)
-            elif isinstance(message, Grant):
+            elif isinstance(message, LoanGrant):
                 self._handle_grant(sender, message, now, number)
-            elif isinstance(message, Back):
+            elif isinstance(message, LoanReturn):
                 self._handle_return(sender, epoch, message, now)
         return out
 
-    def _handle_request(self, sender: str, epoch: int, ask: Ask, now: int, out: Out) -> None:
-        if self.gone or self.silent or self.storage_failed or ask.key not in self._budgets:
+    def _handle_request(self, sender: str, epoch: int, ask: LoanRequest, now: int, out: Outgoing) -> None:
+        if self.stopped or self.silent or self.storage_failed or ask.key not in self._budgets:
             return
         budget = self._budgets[ask.key]
         existing = budget.lent.get((sender, epoch, ask.n))
         if existing is not None:  # a repeated request gets the same answer and no longer term
             number = next(n for n, at in self._granted_loans.items() if at == (ask.key, (sender, epoch, ask.n)))
-            out.append((sender, [Grant(ask.n, number, existing.calls)]))
+            out.append((sender, [LoanGrant(ask.n, number, existing.calls)]))
         elif ask.loan:
             self._handle_renewal(sender, epoch, ask, budget, now, out)
         elif not any(
@@ -428,7 +430,9 @@
             self._pending_requests.setdefault(ask.key, []).append((sender, epoch, ask))
             self._gathering_since = now if self._gathering_since is None else self._gathering_since
 
-    def _handle_renewal(self, sender: str, epoch: int, ask: Ask, budget: Budget, now: int, out: Out) -> None:
+    def _handle_renewal(
+        self, sender: str, epoch: int, ask: LoanRequest, budget: Budget, now: int, out: Outgoing
+    ) -> None:
         """Extend a loan unless this courier needs the calls; the lender's end moves before the grant leaves."""
         key, loan_key = self._granted_loans.get(ask.loan, ("", ("", 0, 0)))
         loan = budget.lent.get(loan_key)
@@ -439,12 +443,12 @@
         ):
             return
         loan.until = max(loan.until, now + self._loan_hold_time(budget))
-        out.append((sender, [Grant(ask.n, ask.loan, loan.calls)]))
+        out.append((sender, [LoanGrant(ask.n, ask.loan, loan.calls)]))
 
-    def _grant_requests(self, now: int, out: Out) -> None:
+    def _grant_requests(self, now: int, out: Outgoing) -> None:
         """Lend spare calls one by one, each to the request with the most weight per call granted."""
         gathered, self._pending_requests, self._gathering_since = self._pending_requests, {}, None
-        grants: list[tuple[str, str, int, Ask, int]] = []
+        grants: list[tuple[str, str, int, LoanRequest, int]] = []
         new_max: dict[str, int] = {}
         for key, requests in gathered.items():
             budget = self._budgets.get(key)
@@ -456,7 +460,7 @@
                 unmet = [n for n, (_, _, ask) in enumerate(requests) if granted[n] < ask.calls]
                 if not unmet:
                     break
-                best = max(unmet, key=lambda n: (requests[n][2].worth / (granted[n] + 1), -n))
+                best = max(unmet, key=lambda n: (requests[n][2].waiting_weight / (granted[n] + 1), -n))
                 granted[best] += 1
                 spare -= 1
             grants += [(key, *each, calls) for each, calls in zip(requests, granted, strict=True) if calls]
@@ -472,7 +476,7 @@
             loan_key = (borrower, epoch, ask.n)
             budget.lent[loan_key] = Loan(borrower, calls, now + self._loan_hold_time(budget))
             self._granted_loans[self._loan_number] = key, loan_key
-            out.append((borrower, [Grant(ask.n, self._loan_number, calls)]))
+            out.append((borrower, [LoanGrant(ask.n, self._loan_number, calls)]))
 
     def _persist(self, new_max: dict[str, int], now: int) -> bool:
         """Persist the most that is lent, before any of it is used. While that fails, nothing is lent or borrowed."""
@@ -499,7 +503,7 @@
         unused = budget.share - lent - max(self._used_calls(budget, now), self._reserve(budget, now))
         return min(unused, self._max_lendable(budget) - lent)
 
-    def _handle_grant(self, sender: str, grant: Grant, now: int, number: int | None) -> None:
+    def _handle_grant(self, sender: str, grant: LoanGrant, now: int, number: int | None) -> None:
         """Accept a loan for an open request; its term runs from when the request was sent."""
         request = self._sent_requests.get(grant.n)
         if request is None or request.peer != sender or self.storage_failed:
@@ -519,7 +523,7 @@
         share = self._share_of(budget.calls, number, budget.rotation)
         already = sum(loan.calls for (lender, _), loan in budget.borrowed.items() if lender == sender)
         if (
-            already + grant.calls > (share if budget.fully_lendable else int(LEND * share))
+            already + grant.calls > (share if budget.fully_lendable else int(MAX_LENT_PART * share))
             or grant.calls > request.calls
         ):
             self.events.append(
@@ -529,7 +533,7 @@
         budget.borrowed[(sender, grant.loan)] = Loan(sender, grant.calls, until, request.at, now)
         self.events.append(("peers-borrowed", {"peer": sender, "budget": request.key, "calls": grant.calls}))
 
-    def _handle_return(self, sender: str, epoch: int, back: Back, now: int) -> None:
+    def _handle_return(self, sender: str, epoch: int, back: LoanReturn, now: int) -> None:
         """Take back a loan that is no longer used; the calls may be used again a window later."""
         key, loan_key = self._granted_loans.get(back.loan, ("", ("", 0, 0)))
         budget = self._budgets.get(key)
@@ -541,7 +545,7 @@
 
     # Reports
 
-    def stand(self, key: str, now: int) -> dict[str, int]:
+    def status(self, key: str, now: int) -> dict[str, int]:
         """Status of a budget.
 
         ``held_back``: what an earlier process epoch may still have lent. ``used``: calls in the preceding window.
--- a/kestrelspar/peers/kept.py
+++ b/kestrelspar/peers/state_file.py
@@ -6,35 +6,35 @@
 from pathlib import Path
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from kestrelspar.runtime import files, logs
 
-MOST = 256 * 1024  # maximum size of the file in bytes
+MAX_FILE_BYTES = 256 * 1024  # maximum size of the file in bytes
 
 
-class Kept(Struct):
+class SavedState(Struct):
     """Contents of the state file."""
 
-    life: int  # epoch
+    epoch: int = field(name="life")
     lent: dict[str, int] | None = None  # None: unknown what earlier processes lent
     counts: dict[str, int] = {}
 
 
-def read(file: Path) -> Kept:
+def read(file: Path) -> SavedState:
     """The saved state; epoch 0 and unknown loans if the file is missing or unusable."""
     try:
-        if file.stat().st_size > MOST:
-            raise ValueError(f"larger than {MOST} bytes")
-        return msgspec.json.decode(file.read_bytes(), type=Kept)
+        if file.stat().st_size > MAX_FILE_BYTES:
+            raise ValueError(f"larger than {MAX_FILE_BYTES} bytes")
+        return msgspec.json.decode(file.read_bytes(), type=SavedState)
     except FileNotFoundError:
-        return Kept(0)
+        return SavedState(0)
     except (OSError, ValueError, msgspec.MsgspecError) as error:
         logs.error("peers-kept-unusable", file=file.name, why=str(error))
-        return Kept(0)
+        return SavedState(0)
 
 
-def write(file: Path, state: Kept) -> bool:
+def write(file: Path, state: SavedState) -> bool:
     """Save by writing a new file and renaming it; log and return false if that fails."""
     try:
         put(file, state)
@@ -44,17 +44,17 @@
     return True
 
 
-def put(file: Path, state: Kept) -> None:
+def put(file: Path, state: SavedState) -> None:
     """Like ``write``, but raises ``OSError`` on failure."""
     data = msgspec.json.encode(state)
-    if len(data) > MOST:
-        raise OSError(f"larger than {MOST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise OSError(f"larger than {MAX_FILE_BYTES} bytes")
     files.replace(file, data)
 
 
-def next_life(state: Kept) -> int:
+def next_epoch(state: SavedState) -> int:
     """The next epoch: the clock's milliseconds or the last epoch plus one, whichever is larger.
 
     So it rises with each start even if the state directory was lost.
     """
-    return max(state.life + 1, time.time_ns() // 1_000_000)
+    return max(state.epoch + 1, time.time_ns() // 1_000_000)
--- a/kestrelspar/peers/door.py
+++ b/kestrelspar/peers/status_socket.py
@@ -82,17 +82,17 @@
             deadline = self.loop.now + CLIENT_TIMEOUT
             while data and self.loop.writable(sock, deadline):
                 data = data[sock.send(data) :]
-        self.loop.forget(sock)
+        self.loop.unregister(sock)
         sock.close()
 
 
-def ask(state_directory: str, within: float = 5.0, fleet: bool = False) -> dict[str, Any]:
+def query_status(state_directory: str, timeout_s: float = 5.0, fleet: bool = False) -> dict[str, Any]:
     """The status of the process with this state directory.
 
     Raises ``OSError`` if none answers, ``ValueError`` if the reply is truncated.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(within)
+        sock.settimeout(timeout_s)
         sock.connect(str(Path(state_directory) / NAME))
         sock.sendall(FLEET_REQUEST if fleet else LOCAL_REQUEST)
         chunks = []
--- a/kestrelspar/peers/words.py
+++ b/kestrelspar/peers/words.py
@@ -21,7 +21,7 @@
 Calls = Annotated[int, Meta(ge=0, le=1_000_000)]
 
 
-class Stand(IntEnum):
+class MemberState(IntEnum):
     """State of a member. Of two states with the same incarnation the larger wins."""
 
     ALIVE = 0
@@ -30,35 +30,35 @@
     LEFT = 3
 
 
-class Said(Struct, array_like=True, frozen=True, tag="s"):
+class MemberUpdate(Struct, array_like=True, frozen=True, tag="s"):
     """Membership update: what the sender knows about a member.
 
-    ``number``: the member's position among the couriers, as configured. ``life``: its process epoch. ``inc``: its
-    incarnation. ``stand``: its state.
-    ``group`` comes last because couriers that don't support groups ignore what follows ``stand``. A member without a
-    group is sent as ``Bare``.
+    ``number``: the member's position among the couriers, as configured. ``epoch``: its process epoch. ``incarnation``:
+    its incarnation. ``state``: its state.
+    ``group`` comes last because couriers that don't support groups ignore what follows ``state``. A member without a
+    group is sent as ``UngroupedMemberUpdate``.
     """
 
     name: Name
     host: Annotated[str, Meta(max_length=15)]
     port: Annotated[int, Meta(ge=1, le=65535)]
     number: Count
-    life: Count
-    inc: Count
-    stand: Stand
+    epoch: Count
+    incarnation: Count
+    state: MemberState
     group: Group = ""
 
 
-class Bare(Struct, array_like=True, frozen=True, tag="s"):
-    """``Said`` for a member without a group: the bytes that were sent before groups existed. Only encoded."""
+class UngroupedMemberUpdate(Struct, array_like=True, frozen=True, tag="s"):
+    """``MemberUpdate`` for a member without a group: the bytes that were sent before groups existed. Only encoded."""
 
     name: str
     host: str
     port: int
     number: int
-    life: int
-    inc: int
-    stand: Stand
+    epoch: int
+    incarnation: int
+    state: MemberState
 
 
 class Ping(Struct, array_like=True, frozen=True, tag="p"):
@@ -74,10 +74,10 @@
 
 
 class Probe(Struct, array_like=True, frozen=True, tag="q"):
-    """Asks the receiver to ping the member ``whom``; it answers with an ``Ack`` or ``Nack`` that repeats ``n``."""
+    """Asks the receiver to ping the member ``target``; it answers with an ``Ack`` or ``Nack`` that repeats ``n``."""
 
     n: Count
-    whom: Name
+    target: Name
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="n"):
@@ -86,57 +86,57 @@
     n: Count
 
 
-class Ask(Struct, array_like=True, frozen=True, tag="k"):
+class LoanRequest(Struct, array_like=True, frozen=True, tag="k"):
     """Requests a loan of ``calls`` calls per window of the budget, or the renewal of ``loan``.
 
-    ``worth``: total weight of the messages that wait for these calls.
+    ``waiting_weight``: total weight of the messages that wait for these calls.
     """
 
     n: Count
     key: Key
     calls: Calls
-    worth: Annotated[float, Meta(ge=0, le=1e12)]
+    waiting_weight: Annotated[float, Meta(ge=0, le=1e12)]
     loan: Count = 0
 
 
-class Grant(Struct, array_like=True, frozen=True, tag="g"):
-    """Answer to ``Ask`` number ``n``: the receiver may use ``calls`` calls for the loan term, as loan ``loan``."""
+class LoanGrant(Struct, array_like=True, frozen=True, tag="g"):
+    """Answer to ``LoanRequest`` ``n``: the receiver may use ``calls`` calls, as loan ``loan``, for a loan term."""
 
     n: Count
     loan: Count
     calls: Calls
 
 
-class Back(Struct, array_like=True, frozen=True, tag="b"):
+class LoanReturn(Struct, array_like=True, frozen=True, tag="b"):
     """Returns a loan: the sender no longer uses it."""
 
     loan: Count
 
 
-class Seen(Struct, array_like=True, frozen=True, tag="j"):
+class Observation(Struct, array_like=True, frozen=True, tag="j"):
     """Observation: the sender saw ``kind`` at an endpoint itself, ``age`` milliseconds ago.
 
-    ``n`` rises with each observation of the sender's process epoch.
+    ``sequence`` rises with each observation of the sender's process epoch.
     """
 
     endpoint: Key
-    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``judgements.Kind``
+    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``judgements.ObservationKind``
     age: Annotated[int, Meta(ge=0, le=3_600_000)]
     value: Annotated[int, Meta(ge=0, le=1 << 40)]
-    n: Count
+    sequence: Count
 
 
-class Tally(Struct, array_like=True, frozen=True, tag="t"):
+class CounterReport(Struct, array_like=True, frozen=True, tag="t"):
     """Counters of one courier: totals from before its process epoch (``past``), or counts since. See counts.py."""
 
     name: Name
-    life: Count
+    epoch: Count
     past: bool
     age: Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds since the courier itself reported them
     rows: Annotated[list[tuple[Key, Count]], Meta(max_length=64)]
 
 
-class Want(Struct, array_like=True, frozen=True, tag="w"):
+class CounterRequest(Struct, array_like=True, frozen=True, tag="w"):
     """Requests the receiver's counters."""
 
 
@@ -154,26 +154,26 @@
     dests: Annotated[list[Dest], Meta(max_length=256)]
 
 
-class Renew(Struct, array_like=True, frozen=True, tag="R"):
+class LeaseRenewal(Struct, array_like=True, frozen=True, tag="R"):
     """To a broker: renews the lease on the sender's subscriptions.
 
-    ``host``, ``port``, ``number``: the sender's address and position. ``known``: the highest process epoch of this
-    broker that the sender has seen. ``generation``: as in ``Subscribe``. ``count``, ``digest``: how many destinations
-    the broker should have on record for the sender, and their digest.
+    ``host``, ``port``, ``number``: the sender's address and position. ``known_epoch``: the highest process epoch of
+    this broker that the sender has seen. ``generation``: as in ``Subscribe``. ``count``, ``digest``: how many
+    destinations the broker should have on record for the sender, and their digest.
     """
 
     n: Count
     host: Host
     port: Annotated[int, Meta(ge=1, le=65535)]
     number: Count
-    known: Count
+    known_epoch: Count
     generation: Count
     count: Annotated[int, Meta(ge=0, le=1 << 20)]
     digest: Digest
 
 
-class Lease(Struct, array_like=True, frozen=True, tag="L"):
-    """A broker's answer to ``Renew`` ``n``: the lease is extended by a term.
+class LeaseReply(Struct, array_like=True, frozen=True, tag="L"):
+    """A broker's answer to ``LeaseRenewal`` ``n``: the lease is extended by a term.
 
     ``ok``: the subscriptions on record match the count and digest of the renewal.
     """
@@ -182,55 +182,55 @@
     ok: bool
 
 
-class Publish(Struct, array_like=True, frozen=True, tag="P"):
+class PublishObservation(Struct, array_like=True, frozen=True, tag="P"):
     """To a broker: an observation of the sender's own at an endpoint of ``dest``, to be relayed."""
 
     dest: Dest
-    seen: Seen
+    observation: Observation
 
 
-class Relayed(Struct, array_like=True, frozen=True, tag="r"):
-    """From a broker: an observation made by ``witness``, at position ``number``, in its process epoch ``life``.
+class RelayedObservation(Struct, array_like=True, frozen=True, tag="r"):
+    """From a broker: an observation made by ``witness``, at position ``number``, in its process epoch ``epoch``.
 
     ``origin``: the broker of another region that received it from the witness; empty if it was the sending broker.
     """
 
     witness: Name
     number: Count
-    life: Count
-    seen: Seen
+    epoch: Count
+    observation: Observation
     origin: Group = ""
 
 
-class Forward(Struct, array_like=True, frozen=True, tag="F"):
+class ForwardedObservation(Struct, array_like=True, frozen=True, tag="F"):
     """From a broker to a broker of another region: an observation for its subscribers only."""
 
     witness: Name
     number: Count
-    life: Count
+    epoch: Count
     dest: Dest
-    seen: Seen
+    observation: Observation
 
 
-Word = Union[
-    Said,
+PeerMessage = Union[
+    MemberUpdate,
     Ping,
     Ack,
     Probe,
     Nack,
-    Ask,
-    Grant,
-    Back,
-    Seen,
-    Tally,
-    Want,
+    LoanRequest,
+    LoanGrant,
+    LoanReturn,
+    Observation,
+    CounterReport,
+    CounterRequest,
     Subscribe,
     Unsubscribe,
-    Renew,
-    Lease,
-    Publish,
-    Relayed,
-    Forward,
+    LeaseRenewal,
+    LeaseReply,
+    PublishObservation,
+    RelayedObservation,
+    ForwardedObservation,
 ]
 
 
@@ -238,7 +238,7 @@
     """The content of one datagram."""
 
     sender: Name
-    life: Count
+    epoch: Count
     to: Name
     seq: Count
-    words: list[Word]
+    messages: list[PeerMessage]
--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from kestrelspar.core.courier import Answer, End, Message, Reason
+from kestrelspar.core.courier import Answer, End, Message, RefusalReason
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.loop import MS, Loop
 from snowlock import interface as api
@@ -26,8 +26,8 @@
 MAX_TEXT_LENGTH = 64 * 1024  # characters
 MAX_NUMBER = 10**15
 MAX_DEFER_MS = 60_000
-ARRIVAL = frozenset({"trace", "cls", "tenant", "dest", "key", "size", "body", "left_ms", "front"})
-END = ARRIVAL | {"state", "after_ms"}
+ARRIVAL_FIELDS = frozenset({"trace", "cls", "tenant", "dest", "key", "size", "body", "left_ms", "front"})
+END_FIELDS = ARRIVAL_FIELDS | {"state", "after_ms"}
 ACTIONS = {"arrival": ("defer", "reject", "set class", "set dest"), "end": ("log",)}
 _RULE = re.compile(r"on\s+(arrival|end)\s+when\s+(.*)", re.S)
 _BINARY: dict[type[ast.AST], Callable[[Any, Any], Any]] = {
@@ -61,7 +61,7 @@
     """An invalid script; the message names its file and line."""
 
 
-class Failed(Exception):
+class EvaluationError(Exception):
     """An expression that could not be evaluated for this message."""
 
 
@@ -101,18 +101,18 @@
             if isinstance(child, ast.expr):
                 self._check(child, names)
 
-    def work_out(self, fields: dict[str, Any]) -> Any:
-        """Evaluates the expression for these fields; raises ``Failed`` if that is not possible."""
+    def evaluate(self, fields: dict[str, Any]) -> Any:
+        """Evaluates the expression for these fields; raises ``EvaluationError`` if that is not possible."""
         self._steps = MAX_STEPS
         try:
             return self._value(self._tree, fields)
         except (TypeError, ValueError, ArithmeticError, AttributeError) as error:
-            raise Failed(str(error)) from error
+            raise EvaluationError(str(error)) from error
 
     def _value(self, node: ast.expr, fields: dict[str, Any]) -> Any:
         self._steps -= 1
         if self._steps < 0:
-            raise Failed("too many steps")
+            raise EvaluationError("too many steps")
         if isinstance(node, ast.Constant):
             return node.value
         if isinstance(node, ast.Name):
@@ -149,10 +149,10 @@
         if not (both_text and isinstance(node.op, ast.Add)) and not all(
             isinstance(operand, (int, float)) for operand in (left, right)
         ):
-            raise Failed(f"{type(left).__name__} and {type(right).__name__} are incompatible operands")
+            raise EvaluationError(f"{type(left).__name__} and {type(right).__name__} are incompatible operands")
         value = _BINARY[type(node.op)](left, right)
         if len(value) > MAX_TEXT_LENGTH if isinstance(value, str) else abs(value) > MAX_NUMBER:
-            raise Failed("value too large")
+            raise EvaluationError("value too large")
         return value
 
 
@@ -165,7 +165,7 @@
         if match is None:
             raise ScriptError(f"{location}: a rule has the form 'on arrival|end when CONDITION: ACTION'")
         self.trigger = match[1]
-        names = ARRIVAL if self.trigger == "arrival" else END
+        names = ARRIVAL_FIELDS if self.trigger == "arrival" else END_FIELDS
         error = "no ':' between condition and action"
         rest = match[2]
         # A colon may also stand inside a string, so each one is tried until the text before it is an expression.
@@ -217,21 +217,21 @@
                 continue
             fields = self._fields(message)
             try:
-                if not rule.condition.work_out(fields):
+                if not rule.condition.evaluate(fields):
                     continue
-                value = rule.argument.work_out(fields)
+                value = rule.argument.evaluate(fields)
                 if rule.verb == "defer":
                     delay = int(value)
                     if not 0 <= delay <= MAX_DEFER_MS:
-                        raise Failed(f"{delay} ms is not a valid delay")
-                    return Answer(False, True, Reason.PLUGIN, rule.location, delay * MS)
+                        raise EvaluationError(f"{delay} ms is not a valid delay")
+                    return Answer(False, True, RefusalReason.PLUGIN, rule.location, delay * MS)
                 if rule.verb == "reject":
-                    return Answer(False, False, Reason.PLUGIN, str(value)[:200])
+                    return Answer(False, False, RefusalReason.PLUGIN, str(value)[:200])
                 if rule.verb == "set dest":
                     message.dest = int(value)
                 else:
                     message.cls = [c.name for c in self.settings.classes].index(value)
-            except (Failed, ValueError, TypeError, OverflowError) as error:
+            except (EvaluationError, ValueError, TypeError, OverflowError) as error:
                 logs.warn("plugin-passed-over", trace=message.trace, rule=rule.location, why=str(error))
         return None
 
@@ -242,14 +242,14 @@
                 continue
             fields = self._fields(message) | {"state": end.state, "after_ms": end.after_ms}
             try:
-                if rule.condition.work_out(fields):
+                if rule.condition.evaluate(fields):
                     logs.event(
                         "plugin",
                         trace=message.trace,
                         rule=rule.location,
-                        text=str(rule.argument.work_out(fields))[:400],
+                        text=str(rule.argument.evaluate(fields))[:400],
                     )
-            except Failed as error:
+            except EvaluationError as error:
                 logs.warn("plugin-passed-over", trace=message.trace, rule=rule.location, why=str(error))
 
     def _fields(self, message: Message) -> dict[str, Any]:
--- a/kestrelspar/registry/consul.py
+++ b/kestrelspar/registry/consul.py
@@ -12,8 +12,8 @@
 from msgspec import Struct
 
 from kestrelspar.http import parser
-from kestrelspar.http.nexthop import seconds
-from kestrelspar.registry.link import Broken, Link
+from kestrelspar.http.nexthop import parse_retry_after
+from kestrelspar.registry.link import MemberConnection, RegistryError
 from kestrelspar.registry.stream import JsonObjectSplitter, MalformedStreamError
 from kestrelspar.registry.sync import Item
 from kestrelspar.settings.resolve import Registry
@@ -31,11 +31,11 @@
 
 
 def decode_key_value(raw: bytes) -> KeyValue:
-    """Decode the JSON object of a key. Raises ``Broken`` if it is not one of Consul's."""
+    """Decode the JSON object of a key. Raises ``RegistryError`` if it is not one of Consul's."""
     try:
         return _decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Broken(f"not a Consul response: {error}") from None
+        raise RegistryError(f"not a Consul response: {error}") from None
 
 
 def parse_number(text: str) -> int | None:
@@ -46,30 +46,30 @@
 class Consul:
     """One Consul agent or server, with the settings of a registry section."""
 
-    def __init__(self, link: Link, config: Registry) -> None:
-        self.link, self.config = link, config
+    def __init__(self, connection: MemberConnection, config: Registry) -> None:
+        self.connection, self.config = connection, config
         self._headers = {"X-Consul-Token": config.token} if config.token else {}
 
     def _request(self, method: str, key: str, query: str, body: bytes = b"", wait: int = 0) -> parser.Head:
-        return self.link.request(method, f"/v1/kv/{quote(key)}?{query}", self._headers, body, wait)
+        return self.connection.request(method, f"/v1/kv/{quote(key)}?{query}", self._headers, body, wait)
 
-    def _response_error(self, head: parser.Head) -> Broken:
-        text = self.link.read_body(head).decode("latin-1").strip()[:200]
+    def _response_error(self, head: parser.Head) -> RegistryError:
+        text = self.connection.read_body(head).decode("latin-1").strip()[:200]
         reason = {403: "the token lacks the permission", 429: "too many requests", 500: "no leader"}.get(
             head.status, ""
         )
-        return Broken(
+        return RegistryError(
             f"status {head.status}{f', {reason}' if reason else ''}: {text}",
-            seconds(head.headers.get("retry-after", "")),
+            parse_retry_after(head.headers.get("retry-after", "")),
         )
 
     def read(self, index: int, consistent: bool) -> tuple[parser.Head, int | None, bool, int]:
         """Begin to read the whole list, blocking while it is at the index.
 
         Returns the head, its index, whether the member knows a leader, and milliseconds since their last contact.
-        Raises ``Broken`` if the response is neither a list nor 404, which is an empty list.
+        Raises ``RegistryError`` if the response is neither a list nor 404, which is an empty list.
         """
-        section = self.config.told
+        section = self.config.section
         query = "recurse=true"
         if index:
             query += f"&index={index}&wait={section.wait // 1000}ms"
@@ -91,13 +91,13 @@
     def item_batches(self, head: parser.Head) -> Iterator[list[Item]]:
         """Yield the keys of a response as they arrive. Keys that end with a slash are folders, not entries."""
         splitter = JsonObjectSplitter()
-        for chunk in self.link.body_chunks(head):
+        for chunk in self.connection.body_chunks(head):
             if head.status == 404:
                 continue
             try:
                 found = splitter.feed(chunk or b"")
             except MalformedStreamError as error:
-                raise Broken(f"not a Consul response: {error}") from None
+                raise RegistryError(f"not a Consul response: {error}") from None
             key_values = [decode_key_value(raw) for raw in found]
             yield [
                 Item(key_value.Key, key_value.Value or b"", key_value.ModifyIndex)
@@ -105,16 +105,16 @@
                 if not key_value.Key.endswith("/")
             ]
         if not splitter.at_boundary:
-            raise Broken("not a Consul response: truncated")
+            raise RegistryError("not a Consul response: truncated")
 
     # Operator commands
 
-    def all(self) -> list[Item]:
+    def read_all(self) -> list[Item]:
         """Read the whole list."""
-        head, _, leader, _ = self.read(0, self.config.told.consistency != "stale")
+        head, _, leader, _ = self.read(0, self.config.section.consistency != "stale")
         found = [item for batch in self.item_batches(head) for item in batch]
         if not leader:
-            raise Broken("the member knows no leader")
+            raise RegistryError("the member knows no leader")
         return found
 
     def get(self, key: str) -> Item | None:
@@ -130,4 +130,4 @@
         head = self._request("DELETE" if value is None else "PUT", key, f"cas={expected}", value or b"")
         if head.status != 200:
             raise self._response_error(head)
-        return self.link.read_body(head).strip() == b"true"
+        return self.connection.read_body(head).strip() == b"true"
--- a/kestrelspar/registry/etcd.py
+++ b/kestrelspar/registry/etcd.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from kestrelspar.http import parser
-from kestrelspar.registry.link import Broken, Compacted, Link, UnauthenticatedError
+from kestrelspar.registry.link import MemberConnection, RegistryError, RevisionCompactedError, UnauthenticatedError
 from kestrelspar.registry.stream import JsonObjectSplitter, MalformedStreamError
 from kestrelspar.registry.sync import Item
 from kestrelspar.settings.resolve import Registry
@@ -118,7 +118,7 @@
     try:
         return msgspec.json.decode(data, type=response_type, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Broken(f"not an etcd response: {error}") from None
+        raise RegistryError(f"not an etcd response: {error}") from None
 
 
 def response_error(status: int, body: bytes) -> Exception:
@@ -126,13 +126,13 @@
     try:
         response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Broken(f"status {status}, not an etcd response")
+        return RegistryError(f"status {status}, not an etcd response")
     text = response.error or response.message
     if response.code == GRPC_OUT_OF_RANGE and "compacted" in text:
-        return Compacted(0)
+        return RevisionCompactedError(0)
     if status == 401 or response.code == GRPC_UNAUTHENTICATED or "invalid auth token" in text:
         return UnauthenticatedError(f"status {status}: {text[:200]}")
-    return Broken(f"status {status}: {text[:200]}")
+    return RegistryError(f"status {status}: {text[:200]}")
 
 
 def items_from_key_values(key_values: list[KeyValue]) -> list[Item]:
@@ -164,43 +164,43 @@
 class Etcd:
     """One member of an etcd cluster, with the settings of a registry section."""
 
-    def __init__(self, link: Link, config: Registry, auth: AuthToken | None = None) -> None:
-        self.link, self.config = link, config
-        self.prefix = config.told.prefix.encode()
+    def __init__(self, connection: MemberConnection, config: Registry, auth: AuthToken | None = None) -> None:
+        self.connection, self.config = connection, config
+        self.prefix = config.section.prefix.encode()
         self.auth = auth or AuthToken()
 
     def call(self, path: str, body: dict[str, Any], response_type: Any) -> Any:
         """Send a request and decode its response. An expired token is renewed once."""
         for may_retry in (True, False):
             head = self._send(path, body)
-            response_body = self.link.read_body(head)
+            response_body = self.connection.read_body(head)
             if head.status == 200:
                 return _decode(response_body, response_type)
             error = response_error(head.status, response_body)
             self.auth.token = "" if isinstance(error, UnauthenticatedError) else self.auth.token
-            if not (isinstance(error, UnauthenticatedError) and may_retry and self.config.told.username):
+            if not (isinstance(error, UnauthenticatedError) and may_retry and self.config.section.username):
                 raise error
         raise AssertionError
 
     def _send(self, path: str, body: dict[str, Any]) -> parser.Head:
         headers = {"Content-Type": "application/json"}
-        if self.config.told.username and not self.auth.token:
+        if self.config.section.username and not self.auth.token:
             self._authenticate()
         if self.auth.token:
             headers["Authorization"] = self.auth.token
-        return self.link.request("POST", path, headers, msgspec.json.encode(body))
+        return self.connection.request("POST", path, headers, msgspec.json.encode(body))
 
     def _authenticate(self) -> None:
-        body = {"name": self.config.told.username, "password": self.config.password}
-        head = self.link.request(
+        body = {"name": self.config.section.username, "password": self.config.password}
+        head = self.connection.request(
             "POST", "/v3/auth/authenticate", {"Content-Type": "application/json"}, msgspec.json.encode(body)
         )
-        response_body = self.link.read_body(head)
+        response_body = self.connection.read_body(head)
         if head.status != 200:
-            raise Broken(f"not authenticated: {response_error(head.status, response_body)}")
+            raise RegistryError(f"not authenticated: {response_error(head.status, response_body)}")
         self.auth.token = _decode(response_body, AuthenticateResponse).token
         if not self.auth.token or not self.auth.token.isprintable():
-            raise Broken("not authenticated: no token")
+            raise RegistryError("not authenticated: no token")
 
     def _key_range(self) -> dict[str, Any]:
         return {"key": encode_base64(self.prefix), "range_end": encode_base64(range_end(self.prefix))}
@@ -226,18 +226,18 @@
         request = self._key_range() | {"start_revision": str(revision), "progress_notify": True, "fragment": True}
         head = self._send("/v3/watch", {"create_request": request})
         if head.status != 200:
-            error = response_error(head.status, self.link.read_body(head))
+            error = response_error(head.status, self.connection.read_body(head))
             self.auth.token = "" if isinstance(error, UnauthenticatedError) else self.auth.token
             raise error
         splitter = JsonObjectSplitter()
-        for chunk in self.link.body_chunks(head, silence):
+        for chunk in self.connection.body_chunks(head, silence):
             if chunk is None:
                 yield None
                 continue
             try:
                 raw_messages = splitter.feed(chunk)
             except MalformedStreamError as error:
-                raise Broken(f"not an etcd response: {error}") from None
+                raise RegistryError(f"not an etcd response: {error}") from None
             for raw in raw_messages:
                 message: StreamMessage = _decode(raw, StreamMessage)
                 if message.error is not None or message.result is None:
@@ -246,24 +246,24 @@
                         failure.grpc_code or failure.code
                     ) == GRPC_UNAUTHENTICATED or "invalid auth token" in failure.message:
                         self.auth.token = ""
-                    raise Broken(f"watch ended: {failure.message[:200]}")
+                    raise RegistryError(f"watch ended: {failure.message[:200]}")
                 if message.result.compact_revision:
-                    raise Compacted(message.result.compact_revision)
+                    raise RevisionCompactedError(message.result.compact_revision)
                 if message.result.canceled:
                     if "auth token" in message.result.cancel_reason:
                         self.auth.token = ""
-                    raise Broken(f"watch canceled: {message.result.cancel_reason[:200] or 'no reason given'}")
+                    raise RegistryError(f"watch canceled: {message.result.cancel_reason[:200] or 'no reason given'}")
                 yield message.result
-        raise Broken("watch ended")
+        raise RegistryError("watch ended")
 
     # Operator commands
 
-    def all(self) -> list[Item]:
+    def read_all(self) -> list[Item]:
         """Read the whole list at one revision."""
         found: list[Item] = []
         after, revision = "", 0
         while True:
-            page = self.page(after, revision, self.config.told.page)
+            page = self.page(after, revision, self.config.section.page)
             revision = revision or page.header.revision
             found += items_from_key_values(page.kvs)
             if not page.more or not page.kvs:
--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -9,11 +9,11 @@
 from kestrelspar.core import entries
 from kestrelspar.core.courier import Courier
 from kestrelspar.core.transport_map import Carrier, NextHop
-from kestrelspar.journal.left import Left
-from kestrelspar.registry import keep
+from kestrelspar.journal.removal_log import RemovalLog
+from kestrelspar.registry import saved_list
 from kestrelspar.registry.consul import Consul
 from kestrelspar.registry.etcd import Etcd, WatchResponse, items_from_events, items_from_key_values
-from kestrelspar.registry.link import Broken, Compacted, Link
+from kestrelspar.registry.link import MemberConnection, RegistryError, RevisionCompactedError
 from kestrelspar.registry.sync import (
     ConsulSync,
     EtcdSync,
@@ -56,14 +56,16 @@
         self.loop, self.buffers, self.courier, self.carrier = loop, buffers, courier, carrier
         self.config, self.source = config, f"registry {config.label}"
         # None: no list is saved.
-        self._list_file = keep.path(state_directory, config.label) if state_directory is not None else None
+        self._list_file = saved_list.path(state_directory, config.label) if state_directory is not None else None
         self._removal_log = (
-            None if self._list_file is None else Left(self._list_file.with_suffix(".left"), _max_removals_bytes(config))
+            None
+            if self._list_file is None
+            else RemovalLog(self._list_file.with_suffix(".left"), _max_removals_bytes(config))
         )
         self._random = Random(seed)
         self.known_list = KnownList(self._parse)
         self.sync = self._create_sync()
-        self._links: list[Link] = []
+        self._links: list[MemberConnection] = []
         self._clients: list[Etcd | Consul] = []
         self._generation = 0  # rises when the settings change, which ends tasks of the old ones
         self._has_unsaved_changes = False  # the list has changed since it was last saved
@@ -72,7 +74,7 @@
         self._create_connections()
 
     def _create_sync(self) -> EtcdSync | ConsulSync:
-        section = self.config.told
+        section = self.config.section
         if section.type == "etcd":
             return EtcdSync(self.known_list, len(section.servers), section.patience, self.loop.now, self._random)
         return ConsulSync(
@@ -85,11 +87,13 @@
         )
 
     def _create_connections(self) -> None:
-        section = self.config.told
+        section = self.config.section
         for link in self._links:
             link.close()
         self._links = [
-            Link(self.loop, self.buffers, server, section.answer_within, self.config.secure, section.server_name)
+            MemberConnection(
+                self.loop, self.buffers, server, section.answer_within, self.config.secure, section.server_name
+            )
             for server in section.servers
         ]
         self._clients = [
@@ -97,7 +101,7 @@
         ]
 
     def _make_hop(self, entry: entries.Entry) -> NextHop:
-        return entries.hop(entry, self.courier.settings, self.carrier)
+        return entries.to_next_hop(entry, self.courier.settings, self.carrier)
 
     def _parse(self, value: bytes) -> NextHop:
         return self._make_hop(entries.decode(value))
@@ -106,28 +110,28 @@
 
     def start(self) -> None:
         """Restore the saved list, if there is one, and begin to follow the registry."""
-        self.courier.map.unheard.add(self.source)
+        self.courier.map.pending_sources.add(self.source)
         self._restore_list()
         self._tick()
         self.loop.spawn(self._maintain, self._generation)
         self.loop.spawn(self.run, self._generation)
 
-    def move(self, config: Registry) -> None:
+    def apply_settings(self, config: Registry) -> None:
         """Apply settings that SIGHUP reloaded: other members, prefix or token, or the same ones again.
 
         The current list is used until the new one is complete, and then compared with it.
         """
-        same = config.told.type == self.config.told.type
+        same = config.section.type == self.config.section.type
         self.config = config
         self._generation += 1
         self._create_connections()
         if same:
-            self.sync.settings_changed(len(config.told.servers), config.told.patience, self.loop.now)
+            self.sync.settings_changed(len(config.section.servers), config.section.patience, self.loop.now)
         else:
             before = self.sync
             self.sync = self._create_sync()
             self.sync.confirmed_at, self.sync.listed = before.confirmed_at, before.listed
-        logs.event("registry-moves", registry=config.label, to=_servers(config), prefix=config.told.prefix)
+        logs.event("registry-moves", registry=config.label, to=_servers(config), prefix=config.section.prefix)
         self.loop.spawn(self._maintain, self._generation)
         self.loop.spawn(self.run, self._generation)
 
@@ -137,8 +141,8 @@
         for link in self._links:
             link.close()
         self.courier.stale.pop(self.source, None)
-        self.courier.map.unheard.discard(self.source)
-        self.courier.listed(self.source, [], whole=True)
+        self.courier.map.pending_sources.discard(self.source)
+        self.courier.apply_map_update(self.source, [], complete=True)
         if self._list_file is not None:
             self._list_file.unlink(missing_ok=True)
         if self._removal_log is not None:
@@ -156,10 +160,10 @@
                     self._send(request, generation)
             except SettingsChanged:
                 return
-            except Compacted as error:
+            except RevisionCompactedError as error:
                 if generation == self._generation and isinstance(self.sync, EtcdSync):
                     self._apply(self.sync.revision_compacted(self.loop.now, error.oldest), generation)
-            except Broken as error:
+            except RegistryError as error:
                 if generation == self._generation:
                     self._apply(self.sync.member_failed(self.loop.now, str(error), wait=error.wait), generation)
             except Exception:
@@ -178,7 +182,7 @@
         if isinstance(request, WatchRequest):
             self._watch(client, request, generation)
             return
-        page = client.page(request.after, request.revision, self.config.told.page)
+        page = client.page(request.after, request.revision, self.config.section.page)
         self._check_generation(generation)
         self._apply(
             self.sync.receive_page(
@@ -200,17 +204,17 @@
         sync = self.sync
         assert isinstance(sync, EtcdSync)
         member_index = sync.member_index
-        link = Link(
+        link = MemberConnection(
             self.loop,
             self.buffers,
-            self.config.told.servers[member_index],
-            self.config.told.answer_within,
+            self.config.section.servers[member_index],
+            self.config.section.answer_within,
             self.config.secure,
-            self.config.told.server_name,
+            self.config.section.server_name,
         )
-        self._links.append(link)  # so that ``move`` and ``stop`` close it
+        self._links.append(link)  # so that ``apply_settings`` and ``stop`` close it
         watcher = Etcd(link, self.config, client.auth)
-        checked_at, silence = self.loop.now, min(RECHECK_DELAY, self.config.told.check)
+        checked_at, silence = self.loop.now, min(RECHECK_DELAY, self.config.section.check)
         try:
             for response in watcher.watch(request.revision, silence):
                 self._check_generation(generation)
@@ -218,7 +222,7 @@
                     self._apply_watch_response(response, generation)
                 if sync.member_index != member_index:  # the member was passed over
                     return
-                next_check_at = checked_at + (RECHECK_DELAY if sync.check_disagreed else self.config.told.check)
+                next_check_at = checked_at + (RECHECK_DELAY if sync.check_disagreed else self.config.section.check)
                 if self.loop.now >= next_check_at:
                     checked_at = self.loop.now
                     page = client.check()
@@ -261,10 +265,10 @@
         self._check_generation(generation)
         rejection = sync.begin_response(self.loop.now, index, leader, contact_ms)
         if rejection is not None:
-            client.link.close()  # its body is not read
+            client.connection.close()  # its body is not read
             self._apply(rejection, generation)
             return
-        heap.hold()
+        heap.disable_collection()
         try:
             for batch in client.item_batches(head):
                 self._check_generation(generation)
@@ -273,7 +277,7 @@
             self._check_generation(generation)
             self._apply(sync.finish_response(self.loop.now), generation)
         finally:
-            heap.release()
+            heap.enable_collection()
 
     # Updates
 
@@ -285,8 +289,8 @@
         # Before the log lines: whoever reads those may end the process at once.
         if (
             self._removal_log is not None
-            and self.config.told.keep
-            and not self._removal_log.note(update.states_by_key)
+            and self.config.section.keep
+            and not self._removal_log.record(update.states_by_key)
             and not self._save_error
         ):
             self.loop.spawn(self._save_list)  # too many for the log of removals: save the list itself
@@ -301,24 +305,24 @@
             logs.event("map-leaves", source=self.source, hop=removed_name.decode("utf-8", "replace"), state="gone")
         self._has_unsaved_changes = self._has_unsaved_changes or bool(hops or removed)
         if removed or draining:
-            self.courier.listed(self.source, draining, left=removed)
+            self.courier.apply_map_update(self.source, draining, removed=removed)
         for start in range(0, len(ready), BATCH_SIZE):
-            self.courier.listed(self.source, ready[start : start + BATCH_SIZE])
+            self.courier.apply_map_update(self.source, ready[start : start + BATCH_SIZE])
             if len(ready) > BATCH_SIZE:
                 self.loop.sleep(0)  # let other tasks run
                 self._check_generation(generation)
-        heap.grew(len(hops))
+        heap.count_new_entries(len(hops))
         if self.sync.listed:
-            self.courier.map.unheard.discard(self.source)
+            self.courier.map.pending_sources.discard(self.source)
         self._update_deferral()
 
     def _update_deferral(self) -> None:
         """Defer new messages while this list is too old, if the settings say so."""
         age = self.loop.now - self.sync.confirmed_at
-        if self.config.told.on_stale == "defer" and (
-            age > self.config.told.patience or not self.known_list.entries and not self.sync.listed
+        if self.config.section.on_stale == "defer" and (
+            age > self.config.section.patience or not self.known_list.entries and not self.sync.listed
         ):
-            self.courier.stale[self.source] = min(MAX_RETRY_AFTER, self.config.told.patience)
+            self.courier.stale[self.source] = min(MAX_RETRY_AFTER, self.config.section.patience)
         else:
             self.courier.stale.pop(self.source, None)
 
@@ -329,7 +333,7 @@
 
     def _maintain(self, generation: int) -> None:
         """Check the age of the list regularly, and save the list when it has changed."""
-        interval = min(SECOND, max(50 * MS, self.config.told.patience // 10))
+        interval = min(SECOND, max(50 * MS, self.config.section.patience // 10))
         saved_at = self.loop.now - SAVE_INTERVAL + interval
         while generation == self._generation:
             self.loop.sleep(interval)
@@ -337,10 +341,13 @@
                 return
             self._tick()
             must_save = (
-                self._list_file is not None and self.config.told.keep and self.sync.listed and self._has_unsaved_changes
+                self._list_file is not None
+                and self.config.section.keep
+                and self.sync.listed
+                and self._has_unsaved_changes
             )
             if self._removal_log is not None:
-                self._removal_log.mend()
+                self._removal_log.retry_write()
             if must_save and self.loop.now >= saved_at + SAVE_INTERVAL:
                 saved_at = self.loop.now
                 self._save_list()
@@ -349,7 +356,7 @@
 
     def _restore_list(self) -> None:
         """Begin with the list that the previous process saved, whatever its age."""
-        section = self.config.told
+        section = self.config.section
         if self._list_file is None or self._removal_log is None:
             return
         if not section.keep:
@@ -357,7 +364,7 @@
             self._removal_log.clear()
             return
         try:
-            saved = keep.read(self._list_file, section.keep)
+            saved = saved_list.read(self._list_file, section.keep)
         except ValueError as error:
             logs.error("registry-kept-unusable", registry=self.config.label, why=str(error))
             self._list_file.unlink(missing_ok=True)
@@ -370,8 +377,8 @@
             return
         update = Update()
         removed = self._removal_log.since(saved.head.told)
-        self._removal_log.number = max(self._removal_log.number, saved.head.told)
-        unusable = keep.restore(self.known_list, saved, self._make_hop, update, removed)
+        self._removal_log.revision = max(self._removal_log.revision, saved.head.told)
+        unusable = saved_list.restore(self.known_list, saved, self._make_hop, update, removed)
         self._has_unsaved_changes = bool(removed)
         age = max(0, time.time_ns() // 1_000_000 - saved.head.at_ms) * MS
         self.sync.confirmed_at = self.loop.now - age
@@ -385,16 +392,16 @@
             age_s=age // SECOND,
             revision=saved.head.revision,
         )
-        self.courier.listed(self.source, update.changed_hops())
+        self.courier.apply_map_update(self.source, update.changed_hops())
 
     def _save_list(self) -> None:
         assert self._list_file is not None and self._removal_log is not None
         if self._saving or not self.sync.listed:
             return  # before the first complete list, entries may be missing
-        section, sync, removal_revision = self.config.told, self.sync, self._removal_log.number
+        section, sync, removal_revision = self.config.section, self.sync, self._removal_log.revision
         confirmed_at_ms = time.time_ns() // 1_000_000 - (self.loop.now - sync.confirmed_at) // MS
-        head = keep.ListHeader(
-            format=keep.FORMAT,
+        head = saved_list.ListHeader(
+            format=saved_list.FORMAT,
             type=section.type,
             prefix=section.prefix,
             cluster=sync.cluster,
@@ -406,7 +413,7 @@
         )
         self._has_unsaved_changes, self._saving = False, True
         try:
-            size = keep.write(
+            size = saved_list.write(
                 self._list_file,
                 section.keep,
                 head,
@@ -420,7 +427,7 @@
         else:
             reason = "" if size else f"it takes more than {section.keep} bytes"
             if size:
-                self._removal_log.cut(removal_revision)
+                self._removal_log.drop_through(removal_revision)
         finally:
             self._saving = False
         if reason and reason != self._save_error:
@@ -429,8 +436,8 @@
 
 
 def _max_removals_bytes(config: Registry) -> int:
-    return config.told.keep // keep.REMOVALS_DIVISOR
+    return config.section.keep // saved_list.REMOVALS_DIVISOR
 
 
 def _servers(config: Registry) -> str:
-    return " ".join(f"{host}:{port}" for host, port in config.told.servers)
+    return " ".join(f"{host}:{port}" for host, port in config.section.servers)
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -15,7 +15,7 @@
 MAX_RESPONSE_SIZE = 64_000_000  # bytes of a response body
 
 
-class Broken(Exception):
+class RegistryError(Exception):
     """The member could not be reached, or its response violates its protocol.
 
     ``wait``: its Retry-After delay in microseconds.
@@ -26,7 +26,7 @@
         self.wait = wait
 
 
-class Compacted(Exception):
+class RevisionCompactedError(Exception):
     """The requested revision was compacted. ``oldest`` is the oldest one available, or 0 if the member did not say."""
 
     def __init__(self, oldest: int) -> None:
@@ -34,12 +34,12 @@
         self.oldest = oldest
 
 
-class UnauthenticatedError(Broken):
+class UnauthenticatedError(RegistryError):
     """The token is not accepted, or has expired."""
 
 
-class Link:
-    """A connection to one member, opened when needed. All errors are raised as ``Broken``."""
+class MemberConnection:
+    """A connection to one member, opened when needed. All errors are raised as ``RegistryError``."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
     def _open(self) -> tuple[Stream, bool]:
         """A stream, and whether it was used before."""
         stream, self._stream = self._stream, None
-        if stream is not None and stream.quiet():
+        if stream is not None and stream.is_reusable():
             return stream, True
         if stream is not None:
             stream.close()
@@ -71,7 +71,7 @@
             sock = connect(self.loop, self.address, deadline)
             stream = None if sock is None else Stream(self.loop, sock, self.buffers)
         if stream is None:
-            raise Broken("no connection")
+            raise RegistryError("no connection")
         return stream, False
 
     def request(
@@ -88,31 +88,31 @@
             self.close()
             if reused and method == "GET":  # the idle connection was closed while the request was sent
                 return self.request(method, path, headers, body, wait)
-            raise Broken("connection closed") from None
+            raise RegistryError("connection closed") from None
         except Late:
             self.close()
-            raise Broken("response timed out") from None
-        except parser.BadMessage as error:
+            raise RegistryError("response timed out") from None
+        except parser.MalformedMessageError as error:
             self.close()
-            raise Broken(f"not HTTP: {error}") from None
+            raise RegistryError(f"not HTTP: {error}") from None
 
     def body_chunks(self, head: parser.Head, silence: int | None = None) -> Iterator[bytes | None]:
         """Yield the body of a response as it arrives.
 
         After ``silence`` without data it yields None, and the caller decides whether to continue. Without ``silence``,
-        a time-out raises ``Broken``.
+        a time-out raises ``RegistryError``.
         """
         stream = self._stream
         if stream is None:
-            raise Broken("connection closed")
+            raise RegistryError("connection closed")
         try:
             length = parser.body_length(head, MAX_RESPONSE_SIZE)
-            decoder = parser.Chunks() if length is None else None
+            decoder = parser.ChunkedDecoder() if length is None else None
             remaining = length if length is not None and length >= 0 else None
             while not (decoder is not None and decoder.done or remaining == 0):
                 data = bytes(stream.unread if remaining is None or decoder is not None else stream.unread[:remaining])
                 if data:
-                    decoded, consumed = decoder.take(data) if decoder is not None else (data, len(data))
+                    decoded, consumed = decoder.feed(data) if decoder is not None else (data, len(data))
                     stream.consume(consumed)
                     remaining = remaining - consumed if remaining is not None else None
                     if decoded:
@@ -124,19 +124,19 @@
                     if silence is None:
                         raise
                     yield None
-            if not head.keeps:
+            if not head.keep_alive:
                 self.close()
         except Closed:
             self.close()
             if parser.body_length(head, MAX_RESPONSE_SIZE) == -1:
                 return  # no length given: the body ends with the connection
-            raise Broken("connection closed in the middle of a response") from None
+            raise RegistryError("connection closed in the middle of a response") from None
         except Late:
             self.close()
-            raise Broken("time-out in the middle of a response") from None
-        except parser.BadMessage as error:
+            raise RegistryError("time-out in the middle of a response") from None
+        except parser.MalformedMessageError as error:
             self.close()
-            raise Broken(f"not HTTP: {error}") from None
+            raise RegistryError(f"not HTTP: {error}") from None
 
     def read_body(self, head: parser.Head) -> bytes:
         """Read the whole body of a response."""
@@ -146,7 +146,7 @@
             size += len(chunks[-1])
             if size > MAX_RESPONSE_SIZE:
                 self.close()
-                raise Broken(f"response of more than {MAX_RESPONSE_SIZE} bytes")
+                raise RegistryError(f"response of more than {MAX_RESPONSE_SIZE} bytes")
         return b"".join(chunks)
 
     def close(self) -> None:
--- a/kestrelspar/registry/keep.py
+++ b/kestrelspar/registry/saved_list.py
@@ -19,8 +19,8 @@
 from msgspec import Struct
 
 from kestrelspar.core import entries
-from kestrelspar.core.transport_map import FOREVER, NextHop
-from kestrelspar.journal.left import Left
+from kestrelspar.core.transport_map import NO_BOUND, NextHop
+from kestrelspar.journal.removal_log import RemovalLog
 from kestrelspar.registry.sync import KnownEntry, KnownList
 from kestrelspar.runtime import files
 from kestrelspar.settings.kinds import MS
@@ -45,7 +45,7 @@
     at_ms: int  # Unix time in ms at which the list was last known to be current
     count: int
     xxh64: str
-    told: int = 0  # the list contains the rows of journal/left.py up to this revision
+    told: int = 0  # the list contains the rows of journal/removal_log.py up to this revision
 
 
 class ListRow(Struct):
@@ -68,7 +68,9 @@
 
     It is that of the old and the new file, in whole blocks, and of the log of removals.
     """
-    return 2 * (-(-keep // BLOCK_SIZE) * BLOCK_SIZE) + Left.reserve(keep // REMOVALS_DIVISOR) if keep else 0
+    return (
+        2 * (-(-keep // BLOCK_SIZE) * BLOCK_SIZE) + RemovalLog.max_disk_usage(keep // REMOVALS_DIVISOR) if keep else 0
+    )
 
 
 def entry_from_hop(hop: NextHop, settings: api.Settings) -> entries.Entry:
@@ -87,8 +89,8 @@
         target=hop.target,
         read_timeout_ms=endpoint.patience_ns // (MS * 1000),
         max_fails=endpoint.fails,
-        connect_timeout_ms=0 if hop.connect_within == FOREVER else hop.connect_within // MS,
-        within_ms=0 if hop.within == FOREVER else hop.within // MS,
+        connect_timeout_ms=0 if hop.connect_timeout == NO_BOUND else hop.connect_timeout // MS,
+        within_ms=0 if hop.delivery_timeout == NO_BOUND else hop.delivery_timeout // MS,
     )
 
 
@@ -100,7 +102,7 @@
     return Path(state_directory) / f"registry-{escaped_label[:120]}.list"
 
 
-def clear(state_directory: str, labels: list[str]) -> list[str]:
+def remove_unused(state_directory: str, labels: list[str]) -> list[str]:
     """Remove saved lists of registries that are no longer followed, and incomplete files. Returns the names."""
     wanted = {path(state_directory, label).name for label in labels}
     unwanted = [
--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -7,7 +7,9 @@
 
 from kestrelspar.runtime.loop import MS, Loop
 
-SIZE = 16 * 1024  # bytes; a head of 8 KiB always fits, and nearly every message; longer bodies are read in pieces
+BUFFER_SIZE = (
+    16 * 1024
+)  # bytes; a head of 8 KiB always fits, and nearly every message; longer bodies are read in pieces
 BUFFER_RETRY_INTERVAL = 5 * MS  # retry interval while all buffers are in use
 
 
@@ -23,28 +25,28 @@
 
 
 class BufferPool:
-    """Buffers of ``SIZE`` bytes; at most ``most`` are allocated, so that memory stays bounded.
+    """Buffers of ``BUFFER_SIZE`` bytes; at most ``max_buffers`` are allocated, so that memory stays bounded.
 
-    The last ``kept`` are reserved for connections that this process opened, so that answers to its own calls can always
-    be read. Guests are incoming connections, whose number and behaviour it doesn't control.
+    The last ``reserved`` are reserved for connections that this process opened, so that answers to its own calls can
+    always be read. Guests are incoming connections, whose number and behaviour it doesn't control.
     """
 
-    def __init__(self, most: int = 256, kept: int = 0) -> None:
+    def __init__(self, max_buffers: int = 256, reserved: int = 0) -> None:
         self._free: list[bytearray] = []
-        self._made, self._most, self._kept = 0, most, kept
+        self._made, self._most, self._kept = 0, max_buffers, reserved
 
-    def take(self, guest: bool = False) -> bytearray | None:
+    def acquire(self, incoming: bool = False) -> bytearray | None:
         """Take a buffer; None if none is free, or the free ones are reserved and this is a guest."""
-        if guest and len(self._free) + self._most - self._made <= self._kept:
+        if incoming and len(self._free) + self._most - self._made <= self._kept:
             return None
         if self._free:
             return self._free.pop()
         if self._made >= self._most:
             return None
         self._made += 1
-        return bytearray(SIZE)
+        return bytearray(BUFFER_SIZE)
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Return a buffer; its content is not cleared, as readers keep their own offsets."""
         self._free.append(buffer)
 
@@ -52,8 +54,8 @@
 class Stream:
     """The bytes of a connection, read into one pooled buffer that is held only while it has unread bytes."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, pool: BufferPool, guest: bool = False) -> None:
-        self.loop, self.sock, self.pool, self._guest = loop, sock, pool, guest
+    def __init__(self, loop: Loop, sock: socket.socket, pool: BufferPool, incoming: bool = False) -> None:
+        self.loop, self.sock, self.pool, self._guest = loop, sock, pool, incoming
         self._buffer: bytearray | None = None
         self._start = self._end = 0
 
@@ -67,7 +69,7 @@
         self._start += count
         if self._start >= self._end and self._buffer is not None:
             self._start = self._end = 0
-            self.pool.give(self._buffer)
+            self.pool.release(self._buffer)
             self._buffer = None
 
     def fill(self, deadline: int | None) -> None:
@@ -75,12 +77,12 @@
         if not self.loop.readable(self.sock, deadline):
             raise Late
         while self._buffer is None:
-            self._buffer = self.pool.take(self._guest)
+            self._buffer = self.pool.acquire(self._guest)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
                 self.loop.sleep(BUFFER_RETRY_INTERVAL)
-        if self._start and self._end == SIZE:
+        if self._start and self._end == BUFFER_SIZE:
             remaining = self._buffer[self._start : self._end]
             self._buffer[: len(remaining)] = remaining
             self._start, self._end = 0, len(remaining)
@@ -124,11 +126,11 @@
         except OSError as error:
             raise Closed from error
 
-    def expire(self) -> None:
+    def expire_read(self) -> None:
         """Expire the deadline of a pending read now, unless bytes have arrived in this turn."""
-        self.loop.expire(self.sock)
+        self.loop.expire_read(self.sock)
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the peer is known to have closed or reset the connection; consumes no bytes."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -137,7 +139,7 @@
         except OSError:
             return True
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether no bytes, read or unread, and no end of the connection have arrived.
 
         Only then may an idle connection be reused; otherwise stray bytes would be read as the next answer.
@@ -153,5 +155,5 @@
     def close(self) -> None:
         """Close the socket and return the buffer."""
         self.consume(self._end - self._start)
-        self.loop.forget(self.sock)
+        self.loop.unregister(self.sock)
         self.sock.close()
--- a/kestrelspar/runtime/logs.py
+++ b/kestrelspar/runtime/logs.py
@@ -84,7 +84,7 @@
         _logger.log(level, record)
 
 
-def shows(level: int) -> bool:
+def is_enabled(level: int) -> bool:
     """Whether events of this level are logged."""
     return _logger.isEnabledFor(level)
 
--- a/kestrelspar/runtime/loop.py
+++ b/kestrelspar/runtime/loop.py
@@ -24,7 +24,7 @@
 READ = select.POLLIN
 WRITE = select.POLLOUT
 BACKLOG = 512  # listen queue, in connections
-LATE = object()  # result of ``Loop.park`` after its deadline
+TIMED_OUT = object()  # result of ``Loop.park`` after its deadline
 
 
 def clock() -> int:
@@ -45,18 +45,18 @@
         self.call = None
 
 
-class Parking:
+class Suspension:
     """One suspension of the current task; only the first ``resume`` takes effect."""
 
-    __slots__ = ("_loop", "_task", "given")
+    __slots__ = ("_loop", "_task", "resumed")
 
     def __init__(self, loop: Loop) -> None:
-        self._loop, self._task, self.given = loop, getcurrent(), False
+        self._loop, self._task, self.resumed = loop, getcurrent(), False
 
     def resume(self, value: Any = None) -> None:
         """Resume the task with this value."""
-        if not self.given:
-            self.given = True
+        if not self.resumed:
+            self.resumed = True
             self._loop.schedule(self._task, value)
 
 
@@ -67,13 +67,13 @@
         self.clock = clock
         self.now = clock()
         self._poll = select.poll()
-        self._waits: dict[int, dict[int, Parking]] = {}  # by descriptor and READ or WRITE
+        self._waits: dict[int, dict[int, Suspension]] = {}  # by descriptor and READ or WRITE
         self._timers: list[tuple[int, int, Timer]] = []
         self._sequence = itertools.count()
         self._ready: deque[tuple[greenlet, Any]] = deque()
         self._scheduler: greenlet = getcurrent()
         self._stopped = False
-        self.at_turn_end: list[Callable[[], None]] = []  # called at the end of each turn
+        self.turn_end_calls: list[Callable[[], None]] = []  # called at the end of each turn
 
     def spawn(self, call: Callable[..., None], *given: Any) -> None:
         """Start a task; an exception ends the task and is logged, and never ends the process."""
@@ -90,15 +90,15 @@
         """Switch to the task in this turn, or in the next one if this turn already runs its tasks."""
         self._ready.append((task, value))
 
-    def at(self, when: int, call: Callable[[], None]) -> Timer:
+    def call_at(self, when: int, call: Callable[[], None]) -> Timer:
         """Schedule a call at or after a time."""
         timer = Timer(call)
         heapq.heappush(self._timers, (when, next(self._sequence), timer))
         return timer
 
-    def park(self, parking: Parking, deadline: int | None = None) -> Any:
-        """Suspend the current task until it is resumed; returns the value, or ``LATE`` after the deadline."""
-        timer = self.at(deadline, lambda: parking.resume(LATE)) if deadline is not None else None
+    def park(self, parking: Suspension, deadline: int | None = None) -> Any:
+        """Suspend the current task until it is resumed; returns the value, or ``TIMED_OUT`` after the deadline."""
+        timer = self.call_at(deadline, lambda: parking.resume(TIMED_OUT)) if deadline is not None else None
         value = self._scheduler.switch()
         if timer is not None:
             timer.cancel()
@@ -106,7 +106,7 @@
 
     def sleep(self, duration: int) -> None:
         """Suspend the current task for a number of microseconds."""
-        self.park(Parking(self), self.now + duration)
+        self.park(Suspension(self), self.now + duration)
 
     def readable(self, sock: socket.socket, deadline: int | None) -> bool:
         """Wait until the socket is readable or closed; false after the deadline."""
@@ -118,17 +118,17 @@
 
     def _wait(self, sock: socket.socket, mask: int, deadline: int | None) -> bool:
         """Wait for one kind of readiness; false after the deadline."""
-        descriptor, parking = sock.fileno(), Parking(self)
+        descriptor, parking = sock.fileno(), Suspension(self)
         if descriptor < 0:
             return True  # already closed: the caller's read or write will fail
         waits = self._waits.setdefault(descriptor, {})
         waits[mask] = parking
         self._register(descriptor)
         value = self.park(parking, deadline)
-        if value is LATE and waits.get(mask) is parking:
+        if value is TIMED_OUT and waits.get(mask) is parking:
             del waits[mask]
             self._register(descriptor)
-        return value is not LATE
+        return value is not TIMED_OUT
 
     def _register(self, descriptor: int) -> None:
         """Register exactly the events with poll that tasks wait for."""
@@ -139,7 +139,7 @@
             del self._waits[descriptor]
             self._poll.unregister(descriptor)
 
-    def forget(self, sock: socket.socket) -> None:
+    def unregister(self, sock: socket.socket) -> None:
         """Unregister a socket that is about to be closed; waiting tasks resume and find it closed."""
         waits = self._waits.pop(sock.fileno(), None)
         if waits is not None:
@@ -147,11 +147,11 @@
             for parking in waits.values():
                 parking.resume(None)
 
-    def expire(self, sock: socket.socket) -> None:
+    def expire_read(self, sock: socket.socket) -> None:
         """Expire the deadline of the task that waits to read from the socket."""
         parking = self._waits.get(sock.fileno(), {}).get(READ)
         if parking is not None:
-            parking.resume(LATE)
+            parking.resume(TIMED_OUT)
 
     def stop(self) -> None:
         """End ``run`` after this turn."""
@@ -186,7 +186,7 @@
         for _ in range(len(self._ready)):
             task, value = self._ready.popleft()
             task.switch(value)
-        for call in self.at_turn_end:
+        for call in self.turn_end_calls:
             call()
 
 
@@ -217,6 +217,6 @@
         pass
     else:
         return sock
-    loop.forget(sock)
+    loop.unregister(sock)
     sock.close()
     return None
--- a/kestrelspar/runtime/signals.py
+++ b/kestrelspar/runtime/signals.py
@@ -9,7 +9,7 @@
 from kestrelspar.runtime.loop import Loop
 
 
-def ear() -> socket.socket:
+def open_signal_socket() -> socket.socket:
     """Create the socket on which SIGTERM, SIGINT and SIGHUP arrive, one byte each.
 
     Signals that arrive during the start are queued there.
@@ -25,7 +25,7 @@
     return signal_socket
 
 
-def heed(loop: Loop, signal_socket: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
+def handle_signals(loop: Loop, signal_socket: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
     """Run the calls of the received signals, each in a task of its own, so that a failure affects no other."""
     while True:
         loop.readable(signal_socket, None)
--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -7,7 +7,14 @@
 import ssl
 
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BUFFER_RETRY_INTERVAL, SIZE, BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import (
+    BUFFER_RETRY_INTERVAL,
+    BUFFER_SIZE,
+    BufferPool,
+    Closed,
+    Late,
+    Stream,
+)
 from kestrelspar.runtime.loop import Loop, connect
 
 MAX_RECORD_SIZE = 16 * 1024  # maximum plaintext bytes of a TLS record (RFC 8446, section 5.1)
@@ -28,10 +35,10 @@
         context: ssl.SSLContext,
         server: bool,
         name: str | None = None,
-        guest: bool = False,
+        incoming: bool = False,
     ) -> None:
         """``name``: on the client side, the server name that the peer's certificate is checked against."""
-        super().__init__(loop, sock, pool, guest)
+        super().__init__(loop, sock, pool, incoming)
         self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=server, server_hostname=name)
         self._filling = False  # a task waits for the socket: no other may read from it
@@ -65,7 +72,7 @@
 
     def _read_socket(self) -> int:
         try:
-            data = self.sock.recv(SIZE)
+            data = self.sock.recv(BUFFER_SIZE)
         except BlockingIOError:
             return 0
         except OSError as error:
@@ -92,19 +99,19 @@
     def _decrypt(self, deadline: int | None = None) -> int:
         """Decrypt received bytes into the buffer; returns the number of plaintext bytes."""
         while self._buffer is None:
-            self._buffer = self.pool.take(self._guest)
+            self._buffer = self.pool.acquire(self._guest)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
                 self.loop.sleep(BUFFER_RETRY_INTERVAL)
-        if self._start and self._end == SIZE:
+        if self._start and self._end == BUFFER_SIZE:
             remaining = self._buffer[self._start : self._end]
             self._buffer[: len(remaining)] = remaining
             self._start, self._end = 0, len(remaining)
-        if self._end == SIZE:
+        if self._end == BUFFER_SIZE:
             return 0
         try:
-            count = int(self._tls.read(SIZE - self._end, memoryview(self._buffer)[self._end :]))
+            count = int(self._tls.read(BUFFER_SIZE - self._end, memoryview(self._buffer)[self._end :]))
         except ssl.SSLWantReadError:
             count = -1
         except ssl.SSLError as error:  # close_notify, an invalid record, or an end without close_notify
@@ -146,19 +153,19 @@
         else:
             closed = False
         try:
-            while self._end < SIZE and self._decrypt(self.loop.now):
+            while self._end < BUFFER_SIZE and self._decrypt(self.loop.now):
                 pass
         except (Closed, Late):
             closed = True
         return not closed
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the peer is known to have closed or reset the connection, and no plaintext is unread."""
         if self._filling:  # the bytes belong to the waiting reader, which detects the end itself
-            return super().ended()
+            return super().peer_closed()
         return not self._process_available() and self._start == self._end
 
-    def quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether no plaintext and no end of the connection have arrived; session tickets don't count."""
         return not self._filling and self._process_available() and self._start == self._end
 
