--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -15,24 +15,24 @@
 from kestrelspar.core import entries
 from kestrelspar.core.courier import Courier
 from kestrelspar.core.transport_map import NextHop
-from kestrelspar.http.nexthop import NextHops
+from kestrelspar.http.nexthop import HttpCarrier
 from kestrelspar.http.notices import Notices
 from kestrelspar.http.sender import SenderServer
 from kestrelspar.http.watch import MAX_REMOVALS_BYTES, Watch
 from kestrelspar.journal import Journal
-from kestrelspar.journal.left import Left
-from kestrelspar.registry import keep
+from kestrelspar.journal.removal_log import RemovalLog
+from kestrelspar.registry import saved_list
 from kestrelspar.runtime import heap, logs, signals
-from kestrelspar.runtime.buffers import SIZE, BufferPool
+from kestrelspar.runtime.buffers import BUFFER_SIZE, BufferPool
 from kestrelspar.runtime.loop import BACKLOG, MS, Loop, bind
 from kestrelspar.settings import conf as conf_file
 from kestrelspar.settings import platform, resolve, schema
-from kestrelspar.settings.lines import ConfFaults
+from kestrelspar.settings.lines import ConfErrors
 from snowlock import interface as api
 from snowlock.settings import SettingsError
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # imports ssl, which is loaded only where it is needed
+    from kestrelspar.keys import TlsStore  # imports ssl, which is loaded only where it is needed
     from kestrelspar.peers.link import PeerLink
     from kestrelspar.registry.follower import Follower
 
@@ -48,27 +48,27 @@
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self.platform = platform.read(environment)
-        self.conf = conf_file.load(conf_file.where(environment), environment)
-        self.log = self.conf.one(schema.Log)
+        self.conf = conf_file.load(conf_file.configuration_path(environment), environment)
+        self.log = self.conf.values_of(schema.Log)
         self.smpp = resolve.smpp(self.conf, self.platform.settings)
         self.keys = resolve.keys(self.conf)
         self.registries = resolve.registries(self.conf)
         if self.keys is not None:
-            self.registries = self.keys.secured(self.registries)
+            self.registries = self.keys.with_tls(self.registries)
         self.peer_keys = resolve.peer_keys(self.conf)
-        extra = self.conf.one(schema.Plugins)
+        extra = self.conf.values_of(schema.Plugins)
         scripts = extra.scripts if extra.enabled else ()
         self.rules = []
         if scripts:  # here and below: disabled features are not imported, as that delays the start of a whole fleet
             from kestrelspar import plugins
 
             self.rules = [rule for name in scripts for rule in plugins.read(Path(name))]
-        reserved = sum(keep.reserve(r.told.keep) for r in self.registries)
+        reserved = sum(saved_list.reserve(r.section.keep) for r in self.registries)
         if reserved > MAX_SAVED_LISTS_FRACTION * self.platform.disk_bytes:
-            section = next(s for s in self.conf.many(schema.Registry) if s.label == self.registries[0].label)
-            raise ConfFaults(
+            section = next(s for s in self.conf.sections_of(schema.Registry) if s.label == self.registries[0].label)
+            raise ConfErrors(
                 [
-                    section.fault(
+                    section.error(
                         "keep",
                         f"saved lists may take {reserved} bytes, with old and new copy, and the "
                         f"journal needs half of limits.disk_mb, "
@@ -78,20 +78,20 @@
             )
         self.reserved = reserved
         self.maps: dict[str, list[entries.Entry]] = {}
-        for section in self.conf.many(schema.Map):
+        for section in self.conf.sections_of(schema.Map):
             assert isinstance(section.values, schema.Map)
             try:
                 self.maps[section.label] = entries.read_map(section.values.file)
                 for entry in self.maps[section.label]:
-                    entries.hop(entry, self.platform.settings, _NULL_CARRIER)
+                    entries.to_next_hop(entry, self.platform.settings, _NULL_CARRIER)
             except ValueError as error:
-                raise ConfFaults([section.fault("file", str(error))]) from error
+                raise ConfErrors([section.error("file", str(error))]) from error
 
 
 class _NullCarrier:
     """A placeholder where validating a map entry needs a carrier."""
 
-    def attempt(self, message: object, hop: NextHop, deadline: int, leave: Callable[[], bool]) -> object:
+    def attempt(self, message: object, hop: NextHop, deadline: int, guard: Callable[[], bool]) -> object:
         """Never called."""
         raise NotImplementedError
 
@@ -104,9 +104,9 @@
 
 def report_invalid_configuration(error: ValueError) -> int:
     """Logs each configuration error; returns the exit code."""
-    faults = list(map(str, error.faults)) if isinstance(error, ConfFaults | SettingsError) else [str(error)]
-    for fault in faults:
-        logs.error("configuration", why=fault)
+    errors = list(map(str, error.errors)) if isinstance(error, ConfErrors | SettingsError) else [str(error)]
+    for text in errors:
+        logs.error("configuration", why=text)
     return 2
 
 
@@ -116,7 +116,7 @@
     def __init__(self, loop: Loop, buffers: BufferPool, courier: Courier, config: StartupConfig) -> None:
         self._loop, self._buffers, self._courier, self._config = loop, buffers, courier, config
         self._followers: dict[str, Follower] = {}
-        self._carrier: NextHops | None = None  # created when needed, as the platform uses no registry
+        self._carrier: HttpCarrier | None = None  # created when needed, as the platform uses no registry
         self._idle = config.platform.sockets // 8 if config.registries else 8
         # Idle connections to next hops, and for each registry a list request, a watch and a state file.
         self.descriptors = self._idle + 4 * len(config.registries) if config.registries else 0
@@ -128,10 +128,10 @@
             self._followers.pop(label).stop()
         for label, registry in wanted.items():
             if label in self._followers:
-                self._followers[label].move(registry)
+                self._followers[label].apply_settings(registry)
                 continue
             if self._carrier is None:
-                self._carrier = NextHops(self._loop, self._buffers, self._config.platform.settings, self._idle)
+                self._carrier = HttpCarrier(self._loop, self._buffers, self._config.platform.settings, self._idle)
             from kestrelspar.registry.follower import Follower
 
             seed = self._config.platform.seed ^ zlib.crc32(label.encode())
@@ -155,22 +155,22 @@
     stops talking to peers. Open messages continue. An invalid configuration changes nothing.
     """
     try:
-        new_config = platform.read(environment, again=True)
-        conf = conf_file.load(conf_file.where(environment), environment)
+        new_config = platform.read(environment, reload=True)
+        conf = conf_file.load(conf_file.configuration_path(environment), environment)
         followed, secrets = resolve.registries(conf), resolve.peer_keys(conf)
         if config.keys is None and resolve.keys(conf) is not None:
             raise ValueError("tls: adding the first certificate or key requires a restart")
-        if sum(keep.reserve(r.told.keep) for r in followed) > config.reserved:
+        if sum(saved_list.reserve(r.section.keep) for r in followed) > config.reserved:
             raise ValueError(
                 "registry.keep: saved lists may take no more disk space than at the start (restart, or set keep 0B)"
             )
         if config.keys is not None:  # last, as an invalid configuration must change nothing
             config.keys.reload_files(conf)
-            followed = config.keys.secured(followed)
+            followed = config.keys.with_tls(followed)
     except ValueError as error:
-        faults = error.faults if isinstance(error, ConfFaults | SettingsError) else [error]
-        for fault in faults:
-            logs.error("configuration-not-taken", why=str(fault))
+        errors = error.errors if isinstance(error, ConfErrors | SettingsError) else [error]
+        for each in errors:
+            logs.error("configuration-not-taken", why=str(each))
         return
     needs_restart = [key for key in RESTART_ONLY if getattr(new_config, key) != getattr(config.platform, key)]
     needs_restart += [
@@ -178,10 +178,10 @@
         for title in ("smpp", "smpp-account", "smpp-gateway", "plugins", "map")
         if [s.values for s in conf.sections.get(title, [])] != [s.values for s in config.conf.sections.get(title, [])]
     ]
-    logs.set_up(conf.one(schema.Log).format, conf.one(schema.Log).level)
+    logs.set_up(conf.values_of(schema.Log).format, conf.values_of(schema.Log).level)
     registries.follow(followed)
     if link is not None:
-        link.reload(conf.one(schema.Peers), secrets)
+        link.reload(conf.values_of(schema.Peers), secrets)
     elif secrets:
         needs_restart.append("peers")
     logs.event("configuration-read", at_next_start=" ".join(needs_restart) or None)
@@ -193,7 +193,7 @@
 
 def _buffer_limits(memory: int, settings: api.Settings) -> tuple[int, int]:
     """The maximum number of read buffers, and how many of them are reserved for responses to the courier's requests."""
-    max_buffers = max(32, memory // BUFFER_MEMORY_DIVISOR // SIZE)
+    max_buffers = max(32, memory // BUFFER_MEMORY_DIVISOR // BUFFER_SIZE)
     return max_buffers, min(max_buffers // 2, settings.slots + 16)
 
 
@@ -210,8 +210,9 @@
 
 def main(environment: Mapping[str, str] = os.environ) -> int:
     """Runs the courier; returns exit code 0 after SIGTERM, 2 for an invalid configuration or an unusable address."""
-    signal_socket = signals.ear()
-    heap.hold()  # a long list makes no reference cycles, and garbage collection over it took half of the start time
+    signal_socket = signals.open_signal_socket()
+    # a long list makes no reference cycles, and garbage collection over it took half of the start time
+    heap.disable_collection()
     try:
         startup = StartupConfig(environment)
     except ValueError as error:
@@ -221,9 +222,9 @@
     loop = Loop()
     buffers = BufferPool(*_buffer_limits(config.memory, config.settings))
     try:
-        for name in keep.clear(config.state, [registry.label for registry in startup.registries]):
+        for name in saved_list.remove_unused(config.state, [registry.label for registry in startup.registries]):
             logs.event("registry-kept-removed", file=name)
-        journal_bytes = config.disk_bytes - startup.reserved - Left.reserve(MAX_REMOVALS_BYTES)
+        journal_bytes = config.disk_bytes - startup.reserved - RemovalLog.max_disk_usage(MAX_REMOVALS_BYTES)
         journal = Journal(config.state, journal_bytes, config.settings.max_attempts)
         listener = bind(config.listen)
         smpp_listener = None if smpp is None else bind(smpp.listen)
@@ -232,17 +233,19 @@
         return 2
     courier = Courier(loop, config.settings, config.seed, journal)
     max_clients, max_idle = split_descriptors(config.sockets, config.settings.slots)
-    carrier = NextHops(loop, buffers, config.settings, max_idle)
+    carrier = HttpCarrier(loop, buffers, config.settings, max_idle)
     notices = Notices(loop, buffers, config.discovery)
     courier.senders[notices.name] = notices
-    courier.unfinished.append(notices.has_pending)
+    courier.busy_checks.append(notices.has_pending)
     reserved = config.sockets - max_clients
     if startup.maps:
         reserved += config.sockets // 8
         # For the next hops of transport map files.
-        map_carrier = NextHops(loop, buffers, config.settings, config.sockets // 8)
+        map_carrier = HttpCarrier(loop, buffers, config.settings, config.sockets // 8)
         for label, rows in startup.maps.items():
-            courier.listed(f"map {label}", [entries.hop(row, config.settings, map_carrier) for row in rows], whole=True)
+            courier.apply_map_update(
+                f"map {label}", [entries.to_next_hop(row, config.settings, map_carrier) for row in rows], complete=True
+            )
     front_ends: list[Callable[[], None]] = []  # the functions that open the front ends
     if smpp is not None and smpp_listener is not None:
         reserved += _add_smpp(smpp, smpp_listener, loop, buffers, courier, config.seed, startup.keys, front_ends)
@@ -258,7 +261,13 @@
         reserved += 2
         try:
             link = PeerLink(
-                loop, courier, config.name, startup.conf.one(schema.Peers), startup.peer_keys, config.state, config.seed
+                loop,
+                courier,
+                config.name,
+                startup.conf.values_of(schema.Peers),
+                startup.peer_keys,
+                config.state,
+                config.seed,
             )
         except OSError as error:
             logs.error("can't-start", why=f"peers.listen: {error}")
@@ -269,7 +278,7 @@
     server = SenderServer(loop, buffers, courier, notices, max(MIN_CLIENT_CONNECTIONS, config.sockets - reserved))
     watch = Watch(loop, buffers, courier, carrier, config.discovery, config.seed, config.state)
     loop.spawn(
-        signals.heed,
+        signals.handle_signals,
         loop,
         signal_socket,
         {
@@ -287,7 +296,7 @@
     front_ends.append(partial(_open_front_end, loop, listener, server.accept))
     loop.spawn(_open_front_ends, courier, front_ends, config)
     gc.freeze()
-    heap.release()
+    heap.enable_collection()
     loop.run()
     return 0 if courier.closing is not None else 2
 
@@ -303,7 +312,7 @@
     deadline = courier.loop.now + (
         INITIAL_LIST_POLL_INTERVAL if config.settings.must_subscribe else INITIAL_LIST_TIMEOUT
     )
-    while courier.map.unheard and courier.loop.now < deadline:
+    while courier.map.pending_sources and courier.loop.now < deadline:
         courier.loop.sleep(INITIAL_LIST_POLL_INTERVAL)
     courier.resume()
     try:
@@ -323,7 +332,7 @@
         most_open=config.settings.max_open,
         sockets=config.sockets,
         memory_mb=config.memory // 1_000_000,
-        unheard=" ".join(sorted(courier.map.unheard)) or None,
+        unheard=" ".join(sorted(courier.map.pending_sources)) or None,
     )
 
 
@@ -344,22 +353,22 @@
     buffers: BufferPool,
     courier: Courier,
     seed: int,
-    keys: Keys | None,
+    keys: TlsStore | None,
     front_ends: list[Callable[[], None]],
 ) -> int:
     """Prepares the SMPP front end, adds its opener to ``front_ends``, and returns how many descriptors it may need."""
-    from kestrelspar.smpp.client import Gateways  # only where enabled, as the platform's memory is small
-    from kestrelspar.smpp.inbound import Arrivals
+    from kestrelspar.smpp.client import SmppCarrier  # only where enabled, as the platform's memory is small
+    from kestrelspar.smpp.inbound import InboundMessages
     from kestrelspar.smpp.server import SmppServer
 
-    arrivals = Arrivals(courier, lambda gateway, pdu: contractors.alert(gateway, pdu))
-    gateways = Gateways(loop, buffers, courier.settings, config.gateways, courier, arrivals, seed, keys)
-    contractors = SmppServer(loop, buffers, courier, config, gateways.outbound, keys)
+    arrivals = InboundMessages(courier, lambda gateway, pdu: contractors.forward_alert(gateway, pdu))
+    gateways = SmppCarrier(loop, buffers, courier.settings, config.gateways, courier, arrivals, seed, keys)
+    contractors = SmppServer(loop, buffers, courier, config, gateways.outbind_handler, keys)
     courier.senders[contractors.name] = contractors
     courier.senders[arrivals.name] = arrivals
-    courier.later[gateways.name] = gateways
-    courier.at_leave += [contractors.leave, gateways.leave]
-    courier.listed("smpp", [*gateways.hops(), *contractors.receivers.hops()], whole=True)
+    courier.outcome_sources[gateways.name] = gateways
+    courier.exit_calls += [contractors.shut_down, gateways.shut_down]
+    courier.apply_map_update("smpp", [*gateways.hops(), *contractors.receivers.hops()], complete=True)
 
     def start() -> None:
         gateways.start()
@@ -368,4 +377,4 @@
 
     front_ends.append(start)
     # A session that still waits for late responses may already have a successor.
-    return config.most_sessions + sum(2 * (g.sessions + 1) for g in config.gateways) + 1
+    return config.max_sessions + sum(2 * (g.sessions + 1) for g in config.gateways) + 1
--- a/kestrelspar/settings/conf.py
+++ b/kestrelspar/settings/conf.py
@@ -13,7 +13,7 @@
 from msgspec import NODEFAULT, Meta, structs
 
 from kestrelspar.settings import kinds, lines, schema
-from kestrelspar.settings.lines import ConfFaults, Fault, Place
+from kestrelspar.settings.lines import ConfError, ConfErrors, SourceLocation
 from kestrelspar.settings.schema import SECTIONS, Section
 
 PATH_VARIABLE = "KESTRELSPAR_CONF"
@@ -68,13 +68,13 @@
 
     label: str
     values: Section
-    place: Place
-    places: dict[str, Place]  # by key; for a key that is repeated with names also by `key NAME`
+    location: SourceLocation
+    locations: dict[str, SourceLocation]  # by key; for a key that is repeated with names also by `key NAME`
 
-    def fault(self, key: str, text: str) -> Fault:
+    def error(self, key: str, text: str) -> ConfError:
         """An error in a key of this section that is found after parsing."""
         name = f"{self.values.TITLE}{f' {self.label}' if self.label else ''}.{key}"
-        return Fault(self.places.get(key, self.place), name, text)
+        return ConfError(self.locations.get(key, self.location), name, text)
 
 
 @dataclass(slots=True)
@@ -84,29 +84,29 @@
     path: str
     sections: dict[str, list[ConfSection]] = field(default_factory=dict)
 
-    def one(self, section: type[SectionT]) -> SectionT:
+    def values_of(self, section: type[SectionT]) -> SectionT:
         """The values of a section that exists only once."""
-        return self.told(section).values  # type: ignore[return-value]
+        return self.section(section).values  # type: ignore[return-value]
 
-    def told(self, section: type[Section]) -> ConfSection:
+    def section(self, section: type[Section]) -> ConfSection:
         """A section that exists only once, with its place."""
         found = self.sections.get(section.TITLE)
-        return found[0] if found else ConfSection("", section(), Place(self.path, 0), {})
+        return found[0] if found else ConfSection("", section(), SourceLocation(self.path, 0), {})
 
-    def many(self, section: type[Section]) -> list[ConfSection]:
+    def sections_of(self, section: type[Section]) -> list[ConfSection]:
         """All sections of a kind that may be repeated, in the order of the file."""
         return self.sections.get(section.TITLE, [])
 
 
-def where(environment: Mapping[str, str]) -> str:
+def configuration_path(environment: Mapping[str, str]) -> str:
     """The path of the configuration file."""
     return environment.get(PATH_VARIABLE) or DEFAULT_PATH
 
 
 def load(path: str, environment: Mapping[str, str] | None = None) -> Conf:
-    """Read and check a file and the files that it includes. ``ConfFaults`` has all errors."""
+    """Read and check a file and the files that it includes. ``ConfErrors`` has all errors."""
     errors = [
-        Fault(Place(variable, 0), "", f"this variable is not read any more: {replacement} of {path}")
+        ConfError(SourceLocation(variable, 0), "", f"this variable is not read any more: {replacement} of {path}")
         for variable, replacement in REMOVED_VARIABLES.items()
         if environment and environment.get(variable)
     ]
@@ -119,7 +119,7 @@
     for block in blocks:
         _add_section(block, conf, errors)
     if errors:
-        raise ConfFaults(sorted(errors))
+        raise ConfErrors(sorted(errors))
     return conf
 
 
@@ -128,13 +128,13 @@
     return f"; did you mean {matches[0]}?" if matches else ""
 
 
-def _add_section(block: lines.Block, conf: Conf, errors: list[Fault]) -> None:
+def _add_section(block: lines.Block, conf: Conf, errors: list[ConfError]) -> None:
     """Check one section and add it to the configuration."""
     struct = SECTIONS.get(block.kind)
     if struct is None:
         errors.append(
-            Fault(
-                block.place,
+            ConfError(
+                block.location,
                 block.kind,
                 f"unknown section (wanted: {', '.join(SECTIONS)}{_suggestion(block.kind, list(SECTIONS))})",
             )
@@ -143,21 +143,21 @@
     name = f"{block.kind} {block.label}" if block.label else block.kind
     existing = conf.sections.setdefault(block.kind, [])
     if struct.LABELED and not block.label:
-        errors.append(Fault(block.place, name, f"has no label (wanted: {block.kind} NAME)"))
+        errors.append(ConfError(block.location, name, f"has no label (wanted: {block.kind} NAME)"))
     if block.label and not struct.LABELED:
-        errors.append(Fault(block.place, name, "takes no label: there is only one"))
+        errors.append(ConfError(block.location, name, "takes no label: there is only one"))
     duplicate = next((section for section in existing if section.label == block.label), None)
     if duplicate is not None:
-        errors.append(Fault(block.place, name, f"is defined a second time (first at {duplicate.place})"))
+        errors.append(ConfError(block.location, name, f"is defined a second time (first at {duplicate.location})"))
     values: dict[str, Any] = {}
-    places: dict[str, Place] = {}
+    places: dict[str, SourceLocation] = {}
     known, error_count = keys(struct), len(errors)
     for line in block.lines:
         key = known.get(line.key)
         if key is None:
             errors.append(
-                Fault(
-                    line.place,
+                ConfError(
+                    line.location,
                     f"{name}.{line.key}",
                     f"unknown key (wanted: {', '.join(known)}{_suggestion(line.key, list(known))})",
                 )
@@ -165,39 +165,45 @@
             continue
         if key.shape == "one" and key.name in places:
             errors.append(
-                Fault(line.place, f"{name}.{key.name}", f"is set a second time (first at {places[key.name]})")
+                ConfError(line.location, f"{name}.{key.name}", f"is set a second time (first at {places[key.name]})")
             )
             continue
-        places[key.name] = line.place
+        places[key.name] = line.location
         if key.shape == "named" and line.words:  # each of its lines may have an error of its own
-            places[f"{key.name} {line.words[0]}"] = line.place
+            places[f"{key.name} {line.words[0]}"] = line.location
         try:
             values[key.field] = _value(key, line, values.get(key.field))
         except ValueError as error:
-            errors.append(Fault(line.place, f"{name}.{key.name}", f"{error} (wanted: {kinds.wanted(key.meta)})"))
+            errors.append(
+                ConfError(line.location, f"{name}.{key.name}", f"{error} (wanted: {kinds.describe_accepted(key.meta)})")
+            )
     for key in known.values():
         if key.default is NODEFAULT and key.field not in values and key.name not in places:
-            errors.append(Fault(block.place, f"{name}.{key.name}", f"is missing (wanted: {kinds.wanted(key.meta)})"))
+            errors.append(
+                ConfError(
+                    block.location, f"{name}.{key.name}", f"is missing (wanted: {kinds.describe_accepted(key.meta)})"
+                )
+            )
     if len(errors) == error_count:
         parsed_values = struct(**values)
-        section = ConfSection(block.label, parsed_values, block.place, places)
-        errors += [section.fault(key, text) for key, text in parsed_values.wrong()]
+        section = ConfSection(block.label, parsed_values, block.location, places)
+        errors += [section.error(key, text) for key, text in parsed_values.errors()]
         existing.append(section)
     else:  # only the name is stored, so that a second one of that name is still an error
-        existing.append(ConfSection(block.label, Section(), block.place, places))
+        existing.append(ConfSection(block.label, Section(), block.location, places))
 
 
 def _value(key: Key, line: lines.Line, existing: Any) -> Any:
     """Parse a line's words as the value of its key, added to the values of earlier lines."""
-    base_directory = os.path.dirname(line.place.path)
+    base_directory = os.path.dirname(line.location.path)
     if key.shape == "named":
         if len(line.words) != 2:
             raise ValueError(f"has {len(line.words)} words, a name and a value are needed")
         name, word = line.words
         if name in (existing or {}):
             raise ValueError(f"{name!r:.40} is set a second time")
-        return {**(existing or {}), name: kinds.value(word, key.meta, base_directory)}
-    found = [kinds.value(word, key.meta, base_directory) for word in line.words]
+        return {**(existing or {}), name: kinds.parse_value(word, key.meta, base_directory)}
+    found = [kinds.parse_value(word, key.meta, base_directory) for word in line.words]
     if key.shape == "many":
         if not found:
             raise ValueError("has no value")
@@ -207,17 +213,30 @@
     return found[0]
 
 
-def shown(struct: type[Section], values: Section) -> Iterator[tuple[Key, list[str], bool]]:
+def formatted_values(struct: type[Section], values: Section) -> Iterator[tuple[Key, list[str], bool]]:
     """Yield each key with the lines that would set its value, and whether that is the default."""
     for key in keys(struct).values():
         value = getattr(values, key.field)
         if key.shape == "named":
-            rows = [f"{lines.quoted(name)} {lines.quoted(kinds.shown(item, key.meta))}" for name, item in value.items()]
+            rows = [
+                f"{lines.quoted(name)} {lines.quoted(kinds.format_value(item, key.meta))}"
+                for name, item in value.items()
+            ]
         elif key.shape == "many":
-            rows = [" ".join(lines.quoted(kinds.shown(item, key.meta)) for item in value)] if value else []
+            rows = [" ".join(lines.quoted(kinds.format_value(item, key.meta)) for item in value)] if value else []
         else:
-            rows = [lines.quoted(kinds.shown(value, key.meta))] if value != "" else []
+            rows = [lines.quoted(kinds.format_value(value, key.meta))] if value != "" else []
         yield key, rows, value == key.default
 
 
-__all__ = ["Conf", "ConfFaults", "ConfSection", "Key", "keys", "load", "schema", "shown", "where"]
+__all__ = [
+    "Conf",
+    "ConfErrors",
+    "ConfSection",
+    "Key",
+    "keys",
+    "load",
+    "schema",
+    "formatted_values",
+    "configuration_path",
+]
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -72,20 +72,20 @@
     return _meta("secret", doc)
 
 
-def span(value: int, units: dict[str, int] = TIMES) -> str:
+def format_quantity(value: int, units: dict[str, int] = TIMES) -> str:
     """Format a number with the largest unit that divides it, as it is written in the file."""
     unit = max((name for name, factor in units.items() if value % factor == 0), key=units.__getitem__)
     return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIMES else 'B'}"
 
 
-def wanted(meta: Meta) -> str:
+def describe_accepted(meta: Meta) -> str:
     """Describe the values that are accepted, for error messages and the documentation."""
     extra = meta.extra or {}
     kind = extra["kind"]
     if kind == "duration":
-        return f"a time from {span(meta.ge or 0)} to {span(meta.le or 0)}, like 500ms or 30s"  # type: ignore[arg-type]
+        return f"a time from {format_quantity(meta.ge or 0)} to {format_quantity(meta.le or 0)}, like 500ms or 30s"  # type: ignore[arg-type]
     if kind == "size":
-        minimum, maximum = span(meta.ge or 0, SIZES), span(meta.le or 0, SIZES)  # type: ignore[arg-type]
+        minimum, maximum = format_quantity(meta.ge or 0, SIZES), format_quantity(meta.le or 0, SIZES)  # type: ignore[arg-type]
         return f"a size from {minimum} to {maximum}, like 64KB or 3MB"
     if kind == "number":
         return f"a whole number from {meta.ge} to {meta.le}"
@@ -138,7 +138,7 @@
 }
 
 
-def value(word: str, meta: Meta, base_directory: str) -> Any:
+def parse_value(word: str, meta: Meta, base_directory: str) -> Any:
     """Parse a word as a value of this kind. ``ValueError`` says what is wrong, but not what is accepted."""
     extra = meta.extra or {}
     kind = extra["kind"]
@@ -158,13 +158,13 @@
     return found
 
 
-def shown(found: Any, meta: Meta) -> str:
+def format_value(found: Any, meta: Meta) -> str:
     """Format a value as it would be written in the file."""
     kind = (meta.extra or {})["kind"]
     if kind == "duration":
-        return span(found)
+        return format_quantity(found)
     if kind == "size":
-        return span(found, SIZES)
+        return format_quantity(found, SIZES)
     if kind == "switch":
         return "on" if found else "off"
     if kind == "address":
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class SourceLocation:
     """A line of a file; line 0 stands for the whole file."""
 
     path: str
@@ -29,30 +29,30 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Fault:
+class ConfError:
     """An error in the configuration: its place, its key, what is wrong and what is accepted."""
 
-    place: Place
+    location: SourceLocation
     key: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.key}: {self.text}" if self.key else f"{self.place}: {self.text}"
+        return f"{self.location}: {self.key}: {self.text}" if self.key else f"{self.location}: {self.text}"
 
 
-class ConfFaults(ValueError):
+class ConfErrors(ValueError):
     """All errors of a configuration, in the order of files and lines."""
 
-    def __init__(self, faults: list[Fault]) -> None:
-        super().__init__("\n".join(map(str, faults)))
-        self.faults = faults
+    def __init__(self, errors: list[ConfError]) -> None:
+        super().__init__("\n".join(map(str, errors)))
+        self.errors = errors
 
 
 @dataclass(slots=True)
 class Line:
     """One setting, as written."""
 
-    place: Place
+    location: SourceLocation
     key: str
     words: tuple[str, ...]
 
@@ -61,7 +61,7 @@
 class Block:
     """One section, as written."""
 
-    place: Place
+    location: SourceLocation
     kind: str
     label: str = ""
     lines: list[Line] = field(default_factory=list)
@@ -92,7 +92,7 @@
     return '"' + word.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
-def read(path: str) -> tuple[list[Block], list[Fault]]:
+def read(path: str) -> tuple[list[Block], list[ConfError]]:
     """The sections of this file and of the files that it includes, and all errors of their syntax."""
     reader = _Reader()
     reader.read_file(path, None)
@@ -102,47 +102,47 @@
 class _Reader:
     def __init__(self) -> None:
         self.blocks: list[Block] = []
-        self.errors: list[Fault] = []
+        self.errors: list[ConfError] = []
         self._open_files: list[str] = []  # files being read, to detect one that includes itself
         self._file_count = 0
 
-    def read_file(self, path: str, included_from: Place | None) -> None:
+    def read_file(self, path: str, included_from: SourceLocation | None) -> None:
         """Read one file. ``included_from`` is the place of the include line that named it."""
-        real_path, place = os.path.realpath(path), included_from or Place(path, 0)
+        real_path, place = os.path.realpath(path), included_from or SourceLocation(path, 0)
         self._file_count += 1
         if real_path in self._open_files or self._file_count > MAX_FILES:
             reason = "includes itself" if real_path in self._open_files else f"is one of more than {MAX_FILES} files"
-            self.errors.append(Fault(place, "include", f"{path} {reason}"))
+            self.errors.append(ConfError(place, "include", f"{path} {reason}"))
             return
         try:
             with open(path, encoding="utf-8") as file:
                 text = file.read(MAX_FILE_SIZE + 1)
         except (OSError, UnicodeDecodeError) as error:
             reason = str(error.strerror) if isinstance(error, OSError) else "not UTF-8 text"
-            self.errors.append(Fault(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
+            self.errors.append(ConfError(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
             return
         if len(text) > MAX_FILE_SIZE:
-            self.errors.append(Fault(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
+            self.errors.append(ConfError(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
             return
         self._open_files.append(real_path)
         block: Block | None = None
         for number, line in enumerate(text.split("\n"), 1):
-            block = self._read_line(Place(path, number), line, block)
+            block = self._read_line(SourceLocation(path, number), line, block)
         self._open_files.pop()
 
-    def _read_line(self, place: Place, text: str, block: Block | None) -> Block | None:
+    def _read_line(self, place: SourceLocation, text: str, block: Block | None) -> Block | None:
         """Read one line and return the section that the next one belongs to."""
         try:
             found = words(text)
         except ValueError as error:
-            self.errors.append(Fault(place, block.kind if block and text[:1] in " \t" else "", str(error)))
+            self.errors.append(ConfError(place, block.kind if block and text[:1] in " \t" else "", str(error)))
             return block
         if not found:
             return block
         if text[0] in " \t":
             if block is None:
                 self.errors.append(
-                    Fault(place, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
+                    ConfError(place, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
                 )
             else:
                 block.lines.append(Line(place, found[0], found[1:]))
@@ -152,7 +152,7 @@
             return None
         if len(found) > 2:
             self.errors.append(
-                Fault(
+                ConfError(
                     place,
                     found[0],
                     f"{' '.join(found[1:])!r:.60} is no label (one word is "
@@ -162,9 +162,9 @@
         self.blocks.append(Block(place, found[0], found[1] if len(found) > 1 else ""))
         return self.blocks[-1]
 
-    def _include(self, place: Place, patterns: tuple[str, ...]) -> None:
+    def _include(self, place: SourceLocation, patterns: tuple[str, ...]) -> None:
         if not patterns:
-            self.errors.append(Fault(place, "include", "names no file"))
+            self.errors.append(ConfError(place, "include", "names no file"))
         for pattern in patterns:
             path = os.path.join(os.path.dirname(place.path), pattern)
             found = sorted(glob.glob(path))
--- a/kestrelspar/settings/pages.py
+++ b/kestrelspar/settings/pages.py
@@ -7,7 +7,7 @@
 from msgspec import NODEFAULT
 
 from kestrelspar.settings import kinds, lines
-from kestrelspar.settings.conf import Conf, Key, keys, shown
+from kestrelspar.settings.conf import Conf, Key, formatted_values, keys
 from kestrelspar.settings.schema import SECTIONS, Section
 
 HEAD = """# Configuration
@@ -46,13 +46,13 @@
     if key.default in ("", (), {}):
         return "none"
     if key.shape == "many":
-        return " ".join(kinds.shown(item, key.meta) for item in key.default)
-    return kinds.shown(key.default, key.meta)
+        return " ".join(kinds.format_value(item, key.meta) for item in key.default)
+    return kinds.format_value(key.default, key.meta)
 
 
 def value(key: Key) -> str:
     """The values that a key accepts."""
-    text = kinds.wanted(key.meta)
+    text = kinds.describe_accepted(key.meta)
     return {"one": text, "many": f"one or more: {text}", "named": f"NAME and {text}; repeated"}[key.shape]
 
 
@@ -81,13 +81,13 @@
     """The effective configuration in the format of its file. Secrets are shown as the names of their files."""
     parts: list[str] = []
     for title, section in SECTIONS.items():
-        found = conf.many(section)
+        found = conf.sections_of(section)
         rows = [(conf_section.label, conf_section.values) for conf_section in found]
         if not rows and not section.LABELED and not only_set:
             rows = [("", section())]
         for label, values in rows:
             parts.append(f"{title} {lines.quoted(label)}" if label else title)
-            for key, written, is_default in shown(section, values):
+            for key, written, is_default in formatted_values(section, values):
                 if not (only_set and is_default):
                     parts += [f"    {key.name:<17} {row}{'    # default' if is_default else ''}" for row in written]
             parts.append("")
--- a/kestrelspar/settings/platform.py
+++ b/kestrelspar/settings/platform.py
@@ -24,7 +24,7 @@
     return host, int(port)
 
 
-def place(name: Any, names: tuple[str, ...], what: str) -> int:
+def index_of(name: Any, names: tuple[str, ...], what: str) -> int:
     """The index of a name in a list of the settings."""
     for index, known in enumerate(names):
         if name == known:
@@ -82,7 +82,7 @@
         raise SettingsError(f"{path}: {error}") from error
 
 
-def read(environment: Mapping[str, str], again: bool = False) -> Config:
+def read(environment: Mapping[str, str], reload: bool = False) -> Config:
     """Read the configuration from RELAY_CONFIG's file. The other RELAY_ variables take precedence over it.
 
     If it is read again, the file is newer than the environment, so the file's address of discovery takes precedence.
@@ -92,7 +92,7 @@
     raw = _object_or_error(read_json(environment["RELAY_CONFIG"]))
     for key in ("name", "listen", "discovery", "state"):
         variable = f"RELAY_{key.upper()}"
-        if environment.get(variable) and not (again and key == "discovery" and key in raw):
+        if environment.get(variable) and not (reload and key == "discovery" and key in raw):
             raw[key] = environment[variable]
     top = Section(raw, "config")
     limits = top.section("limits", optional=True)
@@ -108,7 +108,7 @@
         known=top.get("known", _object, {}),
         settings=top.get("settings", _settings),
     )
-    top.raise_faults()
+    top.raise_errors()
     return config
 
 
--- a/kestrelspar/settings/resolve.py
+++ b/kestrelspar/settings/resolve.py
@@ -10,15 +10,15 @@
 
 from kestrelspar.settings import kinds, schema
 from kestrelspar.settings.conf import Conf, ConfSection
-from kestrelspar.settings.lines import ConfFaults, Fault
+from kestrelspar.settings.lines import ConfError, ConfErrors
 from snowlock import interface as api
 
 if TYPE_CHECKING:
     import ssl
 
-    from kestrelspar.keys import Keys  # it imports ssl, so only if TLS is used
+    from kestrelspar.keys import TlsStore  # it imports ssl, so only if TLS is used
 
-PASSWORD = 8  # maximum length of an SMPP password in bytes
+MAX_PASSWORD_LENGTH = 8  # maximum length of an SMPP password in bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
     password: str
     bind: str
     window: int
-    response: int  # time-out in microseconds, the unit of all times here
-    enquire: int
+    response_timeout: int  # time-out in microseconds, the unit of all times here
+    enquire_link_interval: int
     throttle_wait: int
     source_addr: str
     destination_addr: str
@@ -61,8 +61,8 @@
     sessions: int = 1
     rate: int = 0
     rank: int = 0
-    bind_wait: int = 200_000
-    bind_wait_most: int = 30_000_000
+    bind_retry_delay: int = 200_000
+    max_bind_retry_delay: int = 30_000_000
     idle_unbind: int = 0
     stay_bound: bool = False
     outcome: str = "response"
@@ -83,18 +83,18 @@
 
     listen: tuple[str, int]
     system_id: str
-    bind_within: int
-    enquire: int
-    response: int
+    bind_timeout: int
+    enquire_link_interval: int
+    response_timeout: int
     receipt_hold: int
-    most_sessions: int
+    max_sessions: int
     accounts: tuple[Account, ...]
     service_types: dict[str, int]
     destinations: dict[str, int]  # by prefix of the destination address
     gateways: tuple[Gateway, ...]
     keep_ended: int = 0  # how long query_sm can find an ended message
     tls: str = ""  # the section's label
-    parts_within: int = 10_000_000  # time-out for the parts of a long message; 0: parts are not joined
+    parts_timeout: int = 10_000_000  # time-out for the parts of a long message; 0: parts are not joined
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
     """A registry to follow, with its secrets."""
 
     label: str
-    told: schema.Registry
+    section: schema.Registry
     password: str = ""
     token: str = ""
     secure: Callable[[], ssl.SSLContext] | None = None  # makes a context with the newest keys, if TLS is used
@@ -112,7 +112,7 @@
     """Resolves names and collects the errors."""
 
     def __init__(self) -> None:
-        self.errors: list[Fault] = []
+        self.errors: list[ConfError] = []
 
     def index_of(self, section: ConfSection, key: str, name: str, names: tuple[str, ...], what: str) -> int:
         """The index of a name in a list of the settings; 0 if no name is given or the list has no names."""
@@ -122,7 +122,7 @@
             return names.index(name)
         matches = difflib.get_close_matches(name, names, 1, 0.6)
         suggestion = f"; did you mean {matches[0]}?" if matches else ""
-        self.errors.append(section.fault(key, f"unknown {what} {name!r:.40} (wanted: {', '.join(names)}{suggestion})"))
+        self.errors.append(section.error(key, f"unknown {what} {name!r:.40} (wanted: {', '.join(names)}{suggestion})"))
         return 0
 
     def secret(
@@ -134,43 +134,45 @@
         try:
             found = kinds.read_secret(path)
         except ValueError as error:
-            self.errors.append(section.fault(key, str(error)))
+            self.errors.append(section.error(key, str(error)))
             return ""
-        if max_length == PASSWORD and found.startswith("$scrypt$"):
+        if max_length == MAX_PASSWORD_LENGTH and found.startswith("$scrypt$"):
             from kestrelspar import passwords  # loads OpenSSL (2.5 MB), so only if a hash is used
 
-            if not allow_hash or not passwords.usable(found):
+            if not allow_hash or not passwords.is_supported_hash(found):
                 what = "holds a hash that can't be used" if allow_hash else "holds a hash, where a password is needed"
-                self.errors.append(section.fault(key, f"{path} {what}"))
+                self.errors.append(section.error(key, f"{path} {what}"))
         elif len(found.encode()) > max_length:
-            self.errors.append(section.fault(key, f"{path} holds more than {max_length} bytes"))
+            self.errors.append(section.error(key, f"{path} holds more than {max_length} bytes"))
         return found
 
     def raise_errors(self) -> None:
-        """Raise ``ConfFaults`` if there were errors."""
+        """Raise ``ConfErrors`` if there were errors."""
         if self.errors:
-            raise ConfFaults(sorted(self.errors))
+            raise ConfErrors(sorted(self.errors))
 
 
 def smpp(conf: Conf, settings: api.Settings) -> Smpp | None:
     """The SMPP front end, or None if it is off."""
-    smpp_section = conf.told(schema.Smpp)
-    smpp_values = conf.one(schema.Smpp)
+    smpp_section = conf.section(schema.Smpp)
+    smpp_values = conf.values_of(schema.Smpp)
     if not smpp_values.enabled:
         return None
     resolver = _NameResolver()
     classes = tuple(c.name for c in settings.classes)
     tenants = tuple(t.name for t in settings.tenants)
     accounts, gateways = [], []
-    for section in conf.many(schema.SmppAccount):
+    for section in conf.sections_of(schema.SmppAccount):
         account = section.values
         assert isinstance(account, schema.SmppAccount)
         if len(section.label.encode()) > 15:
-            resolver.errors.append(section.fault("", f"{section.label!r:.40} is longer than a system_id of 15 bytes"))
+            resolver.errors.append(section.error("", f"{section.label!r:.40} is longer than a system_id of 15 bytes"))
         accounts.append(
             Account(
                 section.label,
-                resolver.secret(section, "password-file", account.password_file, PASSWORD, not account.outbind),
+                resolver.secret(
+                    section, "password-file", account.password_file, MAX_PASSWORD_LENGTH, not account.outbind
+                ),
                 resolver.index_of(section, "tenant", account.tenant, tenants, "tenant"),
                 resolver.index_of(section, "message-class", account.message_class, classes, "class"),
                 account.window,
@@ -183,8 +185,8 @@
             )
         )
         if account.certificate and not smpp_values.tls:
-            resolver.errors.append(section.fault("certificate", "can't be checked without smpp.tls"))
-    for section in conf.many(schema.SmppGateway):
+            resolver.errors.append(section.error("certificate", "can't be checked without smpp.tls"))
+    for section in conf.sections_of(schema.SmppGateway):
         gateway = section.values
         assert isinstance(gateway, schema.SmppGateway)
         gateways.append(
@@ -195,7 +197,7 @@
                 resolver.index_of(section, "zone", gateway.zone, settings.zones, "zone"),
                 resolver.index_of(section, "type", gateway.type, settings.kinds, "type"),
                 gateway.system_id,
-                resolver.secret(section, "password-file", gateway.password_file, PASSWORD),
+                resolver.secret(section, "password-file", gateway.password_file, MAX_PASSWORD_LENGTH),
                 gateway.bind,
                 gateway.window,
                 gateway.response,
@@ -221,7 +223,7 @@
                 else 0,
                 resolver.index_of(section, "inbound-tenant", gateway.inbound_tenant, tenants, "tenant"),
                 gateway.outbind_system_id,
-                resolver.secret(section, "outbind-password-file", gateway.outbind_password_file, PASSWORD),
+                resolver.secret(section, "outbind-password-file", gateway.outbind_password_file, MAX_PASSWORD_LENGTH),
                 gateway.tls,
                 gateway.server_name,
             )
@@ -252,7 +254,7 @@
 def registries(conf: Conf) -> list[Registry]:
     """The registries to follow, with their secrets."""
     resolver, found = _NameResolver(), []
-    for section in conf.many(schema.Registry):
+    for section in conf.sections_of(schema.Registry):
         registry = section.values
         assert isinstance(registry, schema.Registry)
         if registry.enabled:
@@ -270,15 +272,15 @@
 
 def peer_keys(conf: Conf, broker: bool = False) -> list[str]:
     """The keys that couriers share, beginning with the one that seals. Empty for a courier if peers are off."""
-    section, resolver = conf.told(schema.Peers), _NameResolver()
-    peers = conf.one(schema.Peers)
+    section, resolver = conf.section(schema.Peers), _NameResolver()
+    peers = conf.values_of(schema.Peers)
     if not peers.enabled and not broker:
         return []
     if not peers.key_file:
-        resolver.errors.append(section.fault("key-file", "names 0 files (wanted: the key's, or two while it changes)"))
+        resolver.errors.append(section.error("key-file", "names 0 files (wanted: the key's, or two while it changes)"))
     found = [resolver.secret(section, "key-file", file) for file in peers.key_file]
     resolver.errors += [
-        section.fault("key-file", f"holds {len(secret)} bytes (wanted: 16 or more)")
+        section.error("key-file", f"holds {len(secret)} bytes (wanted: 16 or more)")
         for secret in found
         if secret and len(secret.encode()) < 16
     ]
@@ -286,11 +288,11 @@
     return found
 
 
-def keys(conf: Conf) -> Keys | None:
+def keys(conf: Conf) -> TlsStore | None:
     """The ``tls`` sections with their files. None, without importing ssl, if no section exists or is named."""
-    tls_users = [*conf.many(schema.Registry), *conf.many(schema.SmppGateway), conf.told(schema.Smpp)]
-    if not conf.many(schema.Tls) and not any(getattr(section.values, "tls", "") for section in tls_users):
+    tls_users = [*conf.sections_of(schema.Registry), *conf.sections_of(schema.SmppGateway), conf.section(schema.Smpp)]
+    if not conf.sections_of(schema.Tls) and not any(getattr(section.values, "tls", "") for section in tls_users):
         return None
-    from kestrelspar.keys import Keys
+    from kestrelspar.keys import TlsStore
 
-    return Keys(conf)
+    return TlsStore(conf)
--- a/kestrelspar/settings/schema.py
+++ b/kestrelspar/settings/schema.py
@@ -17,11 +17,11 @@
     address,
     choice,
     duration,
+    format_quantity,
     number,
     path,
     secret,
     size,
-    span,
     switch,
     text,
 )
@@ -37,7 +37,7 @@
     TITLE: ClassVar[str] = ""
     LABELED: ClassVar[bool] = False  # whether there may be several sections, each with a label
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """Errors of keys that contradict each other: (key, what is wrong)."""
         return []
 
@@ -85,7 +85,7 @@
         str, choice("for a listener: whether clients present a certificate", "none", "wanted", "required")
     ] = "none"
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """A key without a certificate, and client certificates without authorities to check them."""
         found = []
         if self.key and not self.certificate:
@@ -155,7 +155,7 @@
         address("address to which an outbind is sent if messages wait and it is not bound; at most one"),
     ] = ()
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """More than one address, and invalid networks."""
         found = [("outbind", "names more than one address (wanted: one HOST:PORT)")] if len(self.outbind) > 1 else []
         for network in self.networks:
@@ -242,7 +242,7 @@
     source_addr: Annotated[str, text("source address of messages without one", 20)] = ""
     destination_addr: Annotated[str, text("destination address of messages without one", 20)] = ""
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """Keys that need a receiver, and incomplete or contradictory pairs of keys."""
         found = []
         can_receive = self.bind != "transmitter"
@@ -258,7 +258,7 @@
         if bool(self.outbind_system_id) != bool(self.outbind_password_file):
             found.append(("outbind-system-id", "and outbind-password-file go together"))
         if self.bind_wait > self.bind_wait_most:
-            found.append(("bind-wait", f"is more than bind-wait-most, {span(self.bind_wait_most)}"))
+            found.append(("bind-wait", f"is more than bind-wait-most, {format_quantity(self.bind_wait_most)}"))
         return found
 
 
@@ -307,7 +307,7 @@
         ),
     ] = 1_000_000
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """Keys of one protocol used with the other, incomplete credentials, and a time-out that is too short."""
         found = []
         if not self.servers:
@@ -321,7 +321,11 @@
         max_silence, name = (2 * self.check, "check") if self.type == "etcd" else (2 * self.wait, "wait")
         if max_silence > self.patience:
             found.append(
-                (name, f"is more than half of patience, {span(self.patience)}: an unchanged list would be stale")
+                (
+                    name,
+                    f"is more than half of patience, {format_quantity(self.patience)}: an unchanged list would be "
+                    "stale",
+                )
             )
         if self.type == "consul" and self.prefix.startswith("/"):
             found.append(("prefix", "begins with / (wanted: consul's keys have none in front)"))
@@ -396,7 +400,7 @@
         int, number("share of all endpoints that may be restricted by reports of other couriers, in percent", 0, 100)
     ] = 50
 
-    def wrong(self) -> list[tuple[str, str]]:
+    def errors(self) -> list[tuple[str, str]]:
         """Too few or too many keys or addresses, and errors of the brokers.
 
         Brokers read their keys also if the section is off.
@@ -446,7 +450,7 @@
             )
         return found
 
-    def told(self) -> Address:
+    def advertised_address(self) -> Address:
         """The address that others use."""
         return self.advertise[0] if self.advertise else self.listen
 
--- a/kestrelspar/smpp/door.py
+++ b/kestrelspar/smpp/access.py
@@ -8,20 +8,20 @@
 FIRST_DELAYED_REFUSAL = 3  # from this refused bind on an address has to wait
 INITIAL_DELAY, MAX_DELAY = SECOND, 60 * SECOND  # doubles with each refusal
 REFUSAL_TTL = 300 * SECOND  # an address without a refusal for this long starts anew
-MOST_KNOWN = 1_024  # addresses; beyond that the one refused longest ago is dropped
+MAX_ADDRESSES = 1_024  # addresses; beyond that the one refused longest ago is dropped
 
 
-class Door:
+class BindThrottle:
     """Counts refused binds by address. Times are in microseconds."""
 
     def __init__(self) -> None:
         self._refused: dict[str, tuple[int, int]] = {}  # by address: the number, and the time of the last
 
-    def refused(self, address: str, now: int) -> int:
+    def record_refusal(self, address: str, now: int) -> int:
         """Count a refused bind; returns the delay for the address, 0 for none yet."""
         count, last = self._refused.pop(address, (0, now))
         count = 1 if now - last > REFUSAL_TTL else count + 1
-        while len(self._refused) >= MOST_KNOWN:
+        while len(self._refused) >= MAX_ADDRESSES:
             del self._refused[next(iter(self._refused))]
         self._refused[address] = count, now
         return self._delay(count)
@@ -34,16 +34,16 @@
             else min(MAX_DELAY, INITIAL_DELAY << min(count - FIRST_DELAYED_REFUSAL, 10))
         )
 
-    def waits(self, address: str, now: int) -> bool:
+    def is_throttled(self, address: str, now: int) -> bool:
         """Whether connections from the address are refused at this time."""
         count, last = self._refused.get(address, (0, now))
         return now < last + self._delay(count)
 
-    def welcome(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """A bind from the address succeeded: reset its count."""
         self._refused.pop(address, None)
 
 
-def within(address: str, networks: tuple[IPv4Network, ...]) -> bool:
+def in_networks(address: str, networks: tuple[IPv4Network, ...]) -> bool:
     """Whether the address is in one of the networks; always if none is configured."""
     return not networks or any(IPv4Address(address) in network for network in networks)
--- a/kestrelspar/smpp/text.py
+++ b/kestrelspar/smpp/alphabets.py
@@ -9,7 +9,7 @@
 _codec = gsm0338.Codec()
 
 
-def coded(body: bytes) -> tuple[int, bytes]:
+def encode_text(body: bytes) -> tuple[int, bytes]:
     """The data_coding and octets for the body of a message that was not submitted by SMPP.
 
     UTF-8 is converted to the smallest alphabet that has all its characters; any other body is sent as binary. GSM
--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -9,22 +9,22 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from kestrelspar.core.courier import DELIVERED, FAILED, NEVER_RAN, RETURNED, Courier, Message, NextHop, Result
-from kestrelspar.core.transport_map import Leave
+from kestrelspar.core.transport_map import SendGuard
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool, Late, Stream
-from kestrelspar.runtime.loop import LATE, MS, SECOND, Loop, Parking
+from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension
 from kestrelspar.settings.resolve import Gateway
-from kestrelspar.smpp import errors, parts, receipts
+from kestrelspar.smpp import parts, receipts, status_codes
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.link import BIND_COMMANDS, BoundSession, Link
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
-from kestrelspar.smpp.session import Lost, NotSent
-from kestrelspar.smpp.table import BINDS, Side, refusal
+from kestrelspar.smpp.session import NotSentError, SessionLostError
+from kestrelspar.smpp.table import BOUND_STATES, Side, refusal
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # imports ssl, so only for type checks
+    from kestrelspar.keys import TlsStore  # imports ssl, so only for type checks
 
 # After this wait for a session an attempt returns to the decision module, as it occupies a slot.
 MAX_QUEUE_TIME = 2 * SECOND
@@ -32,37 +32,39 @@
 QUERY_TIMEOUT = 400 * MS  # for each query_sm or cancel_sm about a message whose receipt is missing
 
 
-class Doubt:
+class TimedOutSubmits:
     """Submits of one delivery attempt that timed out and are still in flight on an open session."""
 
     def __init__(self, deadline: int, parts: int = 1) -> None:
         self.deadline = deadline  # of the message: no attempt can follow it
         self.parts = parts
-        self.out = 0
-        self.over = False
-        self.answer: Pdu | None = None
-        self.waiting: Parking | None = None
+        self.in_flight = 0
+        self.all_ended = False
+        self.late_response: Pdu | None = None
+        self.waiting: Suspension | None = None
 
-    def settle(self, answer: Pdu | None) -> None:
+    def record_late_response(self, answer: Pdu | None) -> None:
         """One of the submits got a late response, or its session has ended."""
-        self.out -= 1
-        self.over = self.out <= 0
-        self.answer = answer if self.parts == 1 else None  # the response to one part says nothing about the others
-        if self.over and self.waiting is not None:
+        self.in_flight -= 1
+        self.all_ended = self.in_flight <= 0
+        self.late_response = (
+            answer if self.parts == 1 else None
+        )  # the response to one part says nothing about the others
+        if self.all_ended and self.waiting is not None:
             self.waiting.resume()
 
 
 class InboundHandler(Protocol):
     """Receiver of the messages and alerts that gateways send."""
 
-    def message(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
+    def submit(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
         """Handle a message, in its own task; ``answer`` sends the response and returns whether it was written."""
 
-    def alert(self, gateway: Gateway, pdu: Pdu) -> None:
+    def forward_alert(self, gateway: Gateway, pdu: Pdu) -> None:
         """Handle an alert_notification, which has no response."""
 
 
-class Gateways:
+class SmppCarrier:
     """Makes delivery attempts to SMPP gateways."""
 
     name = "smpp"
@@ -76,7 +78,7 @@
         courier: Courier | None = None,
         inbound: InboundHandler | None = None,
         seed: int = 0,
-        keys: Keys | None = None,
+        keys: TlsStore | None = None,
     ) -> None:
         """``courier`` gets the outcomes reported by receipts; ``inbound`` gets the messages that gateways send."""
         self.loop, self.buffers, self.settings = loop, buffers, settings
@@ -94,11 +96,11 @@
             )
             link.needs_receiving = self._receiving_predicate(gateway)
             self._links[gateway.name.encode()] = link
-        self._unresolved: dict[int, Doubt] = {}
-        self._ledger = receipts.Ledger()
+        self._unresolved: dict[int, TimedOutSubmits] = {}
+        self._ledger = receipts.ReceiptTracker()
 
     def _receiving_predicate(self, gateway: Gateway) -> Callable[[], bool]:
-        return lambda: gateway.stay_bound or self._ledger.waiting(gateway.name) > 0
+        return lambda: gateway.stay_bound or self._ledger.pending_count(gateway.name) > 0
 
     def hops(self) -> list[NextHop]:
         """The gateways as entries of the transport map."""
@@ -116,16 +118,16 @@
         for link in self._links.values():
             link.ensure_receiving()
 
-    def attempt(self, message: Message, hop: NextHop, deadline: int, leave: Leave) -> Result:
+    def attempt(self, message: Message, hop: NextHop, deadline: int, guard: SendGuard) -> Result:
         """Make one delivery attempt: bind if needed, and send one submit_sm, or one for each part of a long message."""
         link = self._links[hop.endpoint.id]
         link.attempts_in_progress += 1
         try:
-            return self._attempt(message, link, deadline, leave)
+            return self._attempt(message, link, deadline, guard)
         finally:
             link.attempts_in_progress -= 1
 
-    def _attempt(self, message: Message, link: Link, deadline: int, leave: Leave) -> Result:
+    def _attempt(self, message: Message, link: Link, deadline: int, guard: SendGuard) -> Result:
         gateway = link.gateway
         try:
             link.last_reference += 1
@@ -138,17 +140,17 @@
         earlier_result = self._earlier_result(message, deadline, gateway)
         if earlier_result is not None:
             return earlier_result
-        unresolved = Doubt(message.deadline, len(requests))
-        first = self._submit(message, link, requests[0], deadline, leave, unresolved)
+        unresolved = TimedOutSubmits(message.deadline, len(requests))
+        first = self._submit(message, link, requests[0], deadline, guard, unresolved)
         if len(requests) == 1 or first.outcome is not Outcome.OK:
             return first
         results: list[Result | None] = [first, *[None] * (len(requests) - 1)]
-        all_ended = Parking(self.loop)
+        all_ended = Suspension(self.loop)
 
         def may_continue() -> bool:
             """Called right before the first byte of a part: another may have failed while it waited for a session."""
             failed = any(ended is not None and ended.outcome is not Outcome.OK for ended in results)
-            return not failed and leave.still()
+            return not failed and guard.may_continue()
 
         def send_part(index: int) -> None:
             try:
@@ -166,7 +168,13 @@
         return _combined_result([result for result in results if result is not None])
 
     def _submit(
-        self, message: Message, link: Link, request: Pdu, deadline: int, leave: Callable[[], bool], unresolved: Doubt
+        self,
+        message: Message,
+        link: Link,
+        request: Pdu,
+        deadline: int,
+        guard: Callable[[], bool],
+        unresolved: TimedOutSubmits,
     ) -> Result:
         """Wait for a session with room, send one submit_sm, and return its outcome."""
         started_at, timeout = self.loop.now, max(0, deadline - self.loop.now)
@@ -177,24 +185,32 @@
             wait = max(0, link.backoff.retry_at - self.loop.now)
             return Result(Outcome.CONNECT_FAILED, wait, note="no session")
         if not isinstance(bound, BoundSession):
-            return Result(Outcome.MOOT, note="window full", waited=waited)
+            return Result(Outcome.MOOT, note="window full", queued=waited)
         try:
             # Other messages may have been throttled while this one waited for a bind or for a session with room.
-            if not leave():
-                return Result(Outcome.MOOT, note="barred meanwhile", waited=waited)
-            return dataclasses.replace(self._send(message, link, bound, request, deadline, unresolved), waited=waited)
+            if not guard():
+                return Result(Outcome.MOOT, note="barred meanwhile", queued=waited)
+            return dataclasses.replace(self._send(message, link, bound, request, deadline, unresolved), queued=waited)
         finally:
             link.release(bound)
 
     def _send(
-        self, message: Message, link: Link, bound: BoundSession, request: Pdu, deadline: int, unresolved: Doubt
+        self,
+        message: Message,
+        link: Link,
+        bound: BoundSession,
+        request: Pdu,
+        deadline: int,
+        unresolved: TimedOutSubmits,
     ) -> Result:
         gateway, sent = link.gateway, self.loop.now
         try:
-            answer = bound.session.ask(request, min(deadline, sent + gateway.response), unresolved.settle)
-        except NotSent:
+            answer = bound.session.request(
+                request, min(deadline, sent + gateway.response_timeout), unresolved.record_late_response
+            )
+        except NotSentError:
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
-        except Lost:
+        except SessionLostError:
             return Result(Outcome.RESET)
         except Late:
             # SMPP cannot withdraw a submit in flight, and other requests on the session need their responses, so the
@@ -203,16 +219,16 @@
                 number: earlier for number, earlier in self._unresolved.items() if earlier.deadline > self.loop.now
             }
             self._unresolved[message.number] = unresolved
-            unresolved.out += 1
+            unresolved.in_flight += 1
             bound.window.record_loss(self.loop.now)
-            bound.session.retire()
+            bound.session.drain()
             return Result(Outcome.TIMEOUT)
         must_report = link.record_response(bound, sent, answer)
         result = self._result(gateway, answer)
         if result.outcome is Outcome.FULL and not must_report:
             # Rate control keeps to the limit and delays all submits. The decision module would count each of several
             # refusals of one burst, so none is reported.
-            return Result(Outcome.MOOT, result.told_wait, note="throttled")
+            return Result(Outcome.MOOT, result.retry_after, note="throttled")
         return result
 
     @staticmethod
@@ -220,11 +236,11 @@
         """The outcome of a response; if outcomes come by receipt, success only means that the message was accepted."""
         if answer.command is not Command.SUBMIT_SM_RESP:  # also a generic_nack: the message was not processed
             status = answer.status or Status.ESME_RSYSERR
-            return errors.result(status, gateway.throttle_wait)
-        result = errors.result(answer.status, gateway.throttle_wait)
+            return status_codes.result_of(status, gateway.throttle_wait)
+        result = status_codes.result_of(answer.status, gateway.throttle_wait)
         if result.outcome is Outcome.OK and gateway.outcome == "receipt":
             awaits = {"gate": gateway.name, "ids": [answer.text("message_id")]}
-            return dataclasses.replace(result, later=(Gateways.name, awaits))
+            return dataclasses.replace(result, outcome_source=(SmppCarrier.name, awaits))
         return result
 
     def _earlier_result(self, message: Message, deadline: int, gateway: Gateway) -> Result | None:
@@ -236,14 +252,14 @@
         unresolved = self._unresolved.get(message.number)
         if unresolved is None:
             return None
-        if not unresolved.over:
-            unresolved.waiting = Parking(self.loop)
-            if self.loop.park(unresolved.waiting, deadline) is LATE:
+        if not unresolved.all_ended:
+            unresolved.waiting = Suspension(self.loop)
+            if self.loop.park(unresolved.waiting, deadline) is TIMED_OUT:
                 return Result(Outcome.MOOT, note="an earlier attempt is still in flight")
         del self._unresolved[message.number]
-        if unresolved.answer is None:
+        if unresolved.late_response is None:
             return None
-        result = self._result(gateway, unresolved.answer)
+        result = self._result(gateway, unresolved.late_response)
         return None if result.outcome in NEVER_RAN else result
 
     # Outcomes by receipt
@@ -259,11 +275,11 @@
                 parking.resume()
             link.ensure_receiving()
 
-    def forget(self, message: Message) -> None:
+    def stop_waiting(self, message: Message) -> None:
         """See ``core.courier.Later``."""
         self._ledger.drop(message.number)
 
-    def overdue(self, message: Message, awaits: dict[str, Any]) -> str:
+    def query_outcome(self, message: Message, awaits: dict[str, Any]) -> str:
         """No receipt has arrived: query the gateway for the final state, and cancel what it has not delivered.
 
         The message is not sent again, whatever its class, as the gateway may still be processing it.
@@ -289,71 +305,75 @@
             for key in ("dest_addr_ton", "dest_addr_npi", "destination_addr")
         }
         dest["destination_addr"] = dest["destination_addr"] or link.gateway.destination_addr
-        bound = next((bound for bound in link.sessions if bound.open and bound.session.state in BINDS.values()), None)
+        bound = next(
+            (bound for bound in link.sessions if bound.open and bound.session.state in BOUND_STATES.values()), None
+        )
         if bound is None or not message_id:
             return FAILED
         try:
-            answer = bound.session.ask(
+            answer = bound.session.request(
                 Pdu(Command.QUERY_SM, fields={"message_id": message_id, **source}), self.loop.now + QUERY_TIMEOUT
             )
             state = answer.number("message_state")
-            if answer.command is Command.QUERY_SM_RESP and not answer.status and state in receipts.ENDS:
-                return receipts.ENDS[State(state)]
-            answer = bound.session.ask(
+            if answer.command is Command.QUERY_SM_RESP and not answer.status and state in receipts.FINAL_STATES:
+                return receipts.FINAL_STATES[State(state)]
+            answer = bound.session.request(
                 Pdu(Command.CANCEL_SM, fields={"message_id": message_id, **source, **dest}),
                 self.loop.now + QUERY_TIMEOUT,
             )
-        except (NotSent, Lost, Late, ValueError):
+        except (NotSentError, SessionLostError, Late, ValueError):
             return FAILED
         # Cancelled before delivery: it certainly took no effect and may be submitted again.
         return RETURNED if answer.command is Command.CANCEL_SM_RESP and not answer.status else FAILED
 
     def _handle_receipt(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
         """Handle a receipt in its own task; it is acknowledged after its outcome has been journalled."""
-        gateway, receipt = link.gateway, receipts.read(pdu)
+        gateway, receipt = link.gateway, receipts.parse(pdu)
         if receipt is None or self._courier is None or gateway.outcome != "receipt":
             logs.event("smpp-receipt-unread", peer=bound.session.name)
-            bound.session.post(pdu.reply())
+            bound.session.send(pdu.reply())
             return
-        wait_until = self.loop.now + gateway.response
-        while (number := self._ledger.owner(gateway.name, receipt.id, gateway.receipt_id)) is None:
+        wait_until = self.loop.now + gateway.response_timeout
+        while (number := self._ledger.message_number(gateway.name, receipt.id, gateway.receipt_id)) is None:
             # The receipt may arrive before the submit_sm_resp that it belongs to, or on another session.
             if not link.attempts_in_progress or self.loop.now >= wait_until:
                 logs.event(
                     "smpp-receipt-unknown", peer=bound.session.name, id=receipt.id, state=receipt.state.name.lower()
                 )
-                bound.session.post(pdu.reply())
+                bound.session.send(pdu.reply())
                 return
             if len(link.early_receipts) >= MAX_EARLY_RECEIPTS:
-                bound.session.post(pdu.reply(Status.ESME_RX_T_APPN))
+                bound.session.send(pdu.reply(Status.ESME_RX_T_APPN))
                 return
-            parking = Parking(self.loop)
+            parking = Suspension(self.loop)
             link.early_receipts.append(parking)
             if (
-                self.loop.park(parking, min(wait_until, self.loop.now + 50 * MS)) is LATE
+                self.loop.park(parking, min(wait_until, self.loop.now + 50 * MS)) is TIMED_OUT
                 and parking in link.early_receipts
             ):
                 link.early_receipts.remove(parking)
-        bound.session.post(
+        bound.session.send(
             pdu.reply(Status.ESME_ROK if self._apply_receipt(gateway, number, receipt) else Status.ESME_RX_T_APPN)
         )
 
     def _apply_receipt(self, gateway: Gateway, number: int, receipt: receipts.Receipt) -> bool:
         """Apply a receipt to its message; false if the outcome could not be journalled."""
         assert self._courier is not None
-        if receipt.end is None:
+        if receipt.final_state is None:
             return True
-        if receipt.end == DELIVERED:
-            remaining = self._ledger.left(number, receipt.id, gateway.receipt_id)
+        if receipt.final_state == DELIVERED:
+            remaining = self._ledger.remaining_ids(number, receipt.id, gateway.receipt_id)
             if remaining:  # other parts of a long message
-                if not self._courier.awaits_now(number, {"gate": gateway.name, "ids": remaining, "some": True}):
+                if not self._courier.update_awaited_outcome(
+                    number, {"gate": gateway.name, "ids": remaining, "some": True}
+                ):
                     return False
                 self._ledger.expect(number, gateway.name, remaining, gateway.response_id)
                 return True
-        end = receipt.end
-        if end == RETURNED and self._courier.awaited(number).get("some", self._ledger.several(number)):
+        end = receipt.final_state
+        if end == RETURNED and self._courier.awaited_outcome(number).get("some", self._ledger.awaits_several(number)):
             end = FAILED  # another part was or may have been delivered, so the message may have taken effect
-        return self._courier.told(number, end)
+        return self._courier.outcome_received(number, end)
 
     # Requests from gateways
 
@@ -362,19 +382,19 @@
         session = bound.session
         refused = refusal(Side.ESME, session.state, pdu)
         if refused is not None:
-            session.post(refused)
+            session.send(refused)
         elif pdu.command is Command.OUTBIND:
             # This side is binding already.
-            session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVBNDSTS))
+            session.send(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVBNDSTS))
         elif pdu.command is Command.ALERT_NOTIFICATION:
             if self._inbound is not None:
-                self._inbound.alert(link.gateway, pdu)
+                self._inbound.forward_alert(link.gateway, pdu)
         elif pdu.command not in (Command.DELIVER_SM, Command.DATA_SM):
             return  # answered by the session
         elif receipts.is_receipt(pdu):
             self.loop.spawn(self._handle_receipt, link, bound, pdu)
         elif self._inbound is not None and link.gateway.inbound:
-            self.loop.spawn(self._inbound.message, link.gateway, pdu, lambda status: session.post(pdu.reply(status)))
+            self.loop.spawn(self._inbound.submit, link.gateway, pdu, lambda status: session.send(pdu.reply(status)))
         else:
             logs.event(
                 "smpp-not-passed-on",
@@ -382,16 +402,16 @@
                 command=pdu.command.name.lower(),
                 source_addr=pdu.text("source_addr"),
             )
-            session.post(pdu.reply())
+            session.send(pdu.reply())
 
-    def outbound(self, system_id: str, password: str) -> Callable[[Stream], None] | None:
+    def outbind_handler(self, system_id: str, password: str) -> Callable[[Stream], None] | None:
         """Called for an outbind: what takes over the connection, or none if no gateway has these credentials."""
         for link in self._links.values():
             gateway = link.gateway
             if (
                 gateway.outbind_system_id
                 and gateway.outbind_system_id == system_id
-                and errors.same_secret(gateway.outbind_password, password)
+                and status_codes.same_secret(gateway.outbind_password, password)
             ):
                 command = Command.BIND_RECEIVER if gateway.bind == "pair" else BIND_COMMANDS[gateway.bind]
                 logs.event("smpp-outbind", peer=gateway.name)
@@ -402,7 +422,7 @@
         """Unbind the gateway's sessions that have nothing in flight and are not needed to receive."""
         self._links[hop.endpoint.id].close_idle()
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Unbind the sessions with nothing in flight. Others may still get responses; the journal covers the rest."""
         for link in self._links.values():
             link.shut_down()
@@ -412,12 +432,12 @@
     """The outcome of an attempt in parts: delivered if all parts are; once one has run, the message may have."""
     failed = [result for result in results if result.outcome is not Outcome.OK]
     if not failed:
-        later = [result.later for result in results if result.later is not None]
+        later = [result.outcome_source for result in results if result.outcome_source is not None]
         if not later:
             return results[0]
         ids = [message_id for _, awaits in later for message_id in awaits["ids"]]
-        return dataclasses.replace(results[0], later=(later[0][0], later[0][1] | {"ids": ids}))
-    wait = max(result.told_wait for result in failed)
+        return dataclasses.replace(results[0], outcome_source=(later[0][0], later[0][1] | {"ids": ids}))
+    wait = max(result.retry_after for result in failed)
     note = f"{len(results) - len(failed)} of {len(results)} parts were accepted, then {failed[0].outcome.name.lower()}"
     return Result(Outcome.TIMEOUT if failed[0].outcome is Outcome.TIMEOUT else Outcome.ERROR, wait, note=note)
 
@@ -436,9 +456,9 @@
     tlvs = [(int(tag), bytes.fromhex(value)) for tag, value in message.extra.get("tlvs", [])]
     body = message.body
     if gateway.coding == "text" and not submitted:
-        from kestrelspar.smpp import text  # imports the GSM codec, so only if needed
+        from kestrelspar.smpp import alphabets  # imports the GSM codec, so only if needed
 
-        fields["data_coding"], body = text.coded(body)
+        fields["data_coding"], body = alphabets.encode_text(body)
     # A message with its own user data header cannot have a second one.
     has_header = int(fields.get("esm_class", 0)) & parts.UDHI
     if gateway.split != "payload" and not has_header:
@@ -446,7 +466,7 @@
         if len(pieces) > 1:
             requests = []
             for sequence, piece in enumerate(pieces, 1):
-                short_message, part_tlvs = parts.marked(piece, gateway.split, reference, len(pieces), sequence)
+                short_message, part_tlvs = parts.mark_part(piece, gateway.split, reference, len(pieces), sequence)
                 part_fields = {
                     "esm_class": int(fields.get("esm_class", 0)) | (parts.UDHI if gateway.split == "udh" else 0)
                 }
--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -13,8 +13,8 @@
 
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import table
-from kestrelspar.smpp.pdu import Command, Dest, Pdu, Status
-from kestrelspar.smpp.table import BINDS, Bound, Side
+from kestrelspar.smpp.pdu import Command, Destination, Pdu, Status
+from kestrelspar.smpp.table import BOUND_STATES, SessionState, Side
 
 REQUEST_SEQUENCE = 0x01020304  # sequence_number of the request under test
 UNKNOWN_MESSAGE_ID = "no-such-message"
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class Credentials:
     """The credentials that the cases bind with, and the fields of the messages that they submit."""
 
     system_id: str
@@ -75,13 +75,13 @@
         if not self.commands:
             return f"unexpected response: {response.command.name.lower()}"
         if response.command not in self.commands:
-            return f"unexpected response {response.command.name.lower()} with status {shown(response.status)}"
+            return f"unexpected response {response.command.name.lower()} with status {status_name(response.status)}"
         if response.sequence != self.sequence:
             return f"sequence_number {response.sequence:#x}, expected {self.sequence:#x}"
         if self.statuses is not None and response.status not in self.statuses:
-            return f"unexpected status {shown(response.status)}"
+            return f"unexpected status {status_name(response.status)}"
         if response.status in self.forbidden:
-            return f"unexpected status {shown(response.status)}"
+            return f"unexpected status {status_name(response.status)}"
         if self.required_tlv is not None and response.tlv(self.required_tlv) is None:
             return f"response lacks the parameter {self.required_tlv:#06x}"
         return ""
@@ -89,15 +89,15 @@
     def __str__(self) -> str:
         text = " or ".join(Command(command).name.lower() for command in self.commands) or "no response"
         if self.statuses is not None and len(self.statuses) < 4:
-            text += " with " + " or ".join(shown(status) for status in self.statuses)
+            text += " with " + " or ".join(status_name(status) for status in self.statuses)
         elif self.statuses is not None:
             text += " with an error"
         elif self.forbidden:
-            text += " but not with " + " or ".join(shown(status) for status in self.forbidden)
+            text += " but not with " + " or ".join(status_name(status) for status in self.forbidden)
         return text + (" or the connection closed" if self.may_close else "")
 
 
-def shown(status: int) -> str:
+def status_name(status: int) -> str:
     """The name of a status, or its number if it is not defined."""
     return Status(status).name if status in Status._value2member_map_ else f"{status:#x}"
 
@@ -109,21 +109,21 @@
     group: str
     name: str
     clause: str
-    state: Bound
+    state: SessionState
     chunks: tuple[bytes, ...]
-    wanted: ExpectedResponse
+    expected: ExpectedResponse
     session_continues: bool = True  # whether enquire_link has to be answered afterwards
     refused_bind: bool = field(default=False)  # may count as a refused bind, for which servers throttle an address
 
 
-def _valid_request(account: Account, command: Command, **overrides: object) -> Pdu:
+def _valid_request(account: Credentials, command: Command, **overrides: object) -> Pdu:
     """A valid request of this kind, with some fields replaced."""
     fields: dict[str, object] = {
         "source_addr": account.source,
         "destination_addr": account.destination,
         "service_type": account.service_type,
     }
-    if command in BINDS:
+    if command in BOUND_STATES:
         fields = {"system_id": account.system_id, "password": account.password, "interface_version": 0x34}
     elif command in (Command.QUERY_SM, Command.CANCEL_SM, Command.REPLACE_SM):
         fields["message_id"] = UNKNOWN_MESSAGE_ID
@@ -133,7 +133,7 @@
         fields = {"source_addr": account.source, "esme_addr": account.destination}
     request = Pdu(command, REQUEST_SEQUENCE, 0, fields | overrides)
     if command is Command.SUBMIT_MULTI:
-        request.dests = [Dest(account.destination, 1, 1)]
+        request.dests = [Destination(account.destination, 1, 1)]
     if command in (Command.SUBMIT_SM, Command.SUBMIT_MULTI, Command.DELIVER_SM, Command.REPLACE_SM):
         request.message = b"conformance"
     if command is Command.DATA_SM:
@@ -159,7 +159,7 @@
     return p.HEADER.pack(p.HEADER.size + len(body), command, status, sequence) + body
 
 
-def cases(account: Account) -> list[Case]:
+def cases(account: Credentials) -> list[Case]:
     """All conformance cases."""
     return [
         *_state_cases(account),
@@ -172,10 +172,10 @@
     ]
 
 
-def _state_cases(account: Account) -> Iterator[Case]:
+def _state_cases(account: Credentials) -> Iterator[Case]:
     """Each request in each session state."""
     for command in table.requests():
-        for state in Bound:
+        for state in SessionState:
             refusal = table.refusal(Side.CENTRE, state, Pdu(command))
             if command is Command.OUTBIND or command is Command.ALERT_NOTIFICATION:
                 # No response is defined; a message centre may reject the request with a generic_nack, or ignore it.
@@ -190,7 +190,7 @@
             elif refusal is not None:
                 commands = (refusal.command, Command.GENERIC_NACK)
                 expected, session_continues = (
-                    ExpectedResponse(commands, (refusal.status,), may_close=state is Bound.OPEN),
+                    ExpectedResponse(commands, (refusal.status,), may_close=state is SessionState.OPEN),
                     False,
                 )
             else:
@@ -200,7 +200,7 @@
                 session_continues = command is not Command.UNBIND
                 if command is Command.UNBIND:
                     expected = ExpectedResponse(
-                        (_response_to(command),), (Status.ESME_ROK,), must_close=state is not Bound.OPEN
+                        (_response_to(command),), (Status.ESME_ROK,), must_close=state is not SessionState.OPEN
                     )
                 elif command is Command.ENQUIRE_LINK:
                     expected = ExpectedResponse((_response_to(command),), (Status.ESME_ROK,))
@@ -215,15 +215,15 @@
             )
 
 
-def _bind_cases(account: Account) -> Iterator[Case]:
+def _bind_cases(account: Credentials) -> Iterator[Case]:
     """Binds: versions, and wrong credentials."""
-    for command in BINDS:
+    for command in BOUND_STATES:
         name, response = command.name.lower(), _response_to(command)
         yield Case(
             "binds",
             f"{name} in order",
             "4.1.2",
-            Bound.OPEN,
+            SessionState.OPEN,
             (p.encode(_valid_request(account, command)),),
             ExpectedResponse((response,), (Status.ESME_ROK,)),
         )
@@ -231,7 +231,7 @@
             "binds",
             f"{name} tells the version it speaks",
             "4.1.2, sc_interface_version",
-            Bound.OPEN,
+            SessionState.OPEN,
             (p.encode(_valid_request(account, command)),),
             ExpectedResponse((response,), required_tlv=p.SC_INTERFACE_VERSION),
         )
@@ -239,7 +239,7 @@
             "binds",
             f"{name} with another password",
             "5.1.3",
-            Bound.OPEN,
+            SessionState.OPEN,
             (p.encode(_valid_request(account, command, password="wr0ng")),),
             ExpectedResponse((response,), (Status.ESME_RINVPASWD, Status.ESME_RBINDFAIL), may_close=True),
             False,
@@ -249,7 +249,7 @@
             "binds",
             f"{name} with an unknown system_id",
             "5.1.3",
-            Bound.OPEN,
+            SessionState.OPEN,
             (p.encode(_valid_request(account, command, system_id="nobody-known")),),
             ExpectedResponse((response,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
             False,
@@ -259,7 +259,7 @@
             "binds",
             f"{name} with an empty system_id",
             "5.2.1",
-            Bound.OPEN,
+            SessionState.OPEN,
             (p.encode(_valid_request(account, command, system_id="")),),
             ExpectedResponse((response,), (Status.ESME_RINVSYSID, Status.ESME_RBINDFAIL), may_close=True),
             False,
@@ -270,18 +270,18 @@
                 "binds",
                 f"{name} with interface_version {version:#04x}",
                 "5.2.4",
-                Bound.OPEN,
+                SessionState.OPEN,
                 (p.encode(_valid_request(account, command, interface_version=version)),),
                 ExpectedResponse((response,), forbidden=(Status.ESME_RINVCMDID,)),
                 version != 0,
             )
 
 
-def _header_cases(account: Account) -> Iterator[Case]:
+def _header_cases(account: Credentials) -> Iterator[Case]:
     """Command lengths, command ids, sequence numbers, and PDUs split over several writes."""
     enquire = p.encode(Pdu(Command.ENQUIRE_LINK, REQUEST_SEQUENCE))
     enquire_answered = ExpectedResponse((Command.ENQUIRE_LINK_RESP,), (Status.ESME_ROK,))
-    for state in (Bound.OPEN, Bound.TRX):
+    for state in (SessionState.OPEN, SessionState.TRX):
         for size in (0, 4, 15, 0x7FFFFFFF, 0xFFFFFFFF):
             yield Case(
                 "headers",
@@ -307,15 +307,15 @@
             "4.3.1",
             state,
             (_raw_pdu(0x8000000A, b""),),
-            ExpectedResponse((), may_close=state is Bound.OPEN),
-            state is not Bound.OPEN,
+            ExpectedResponse((), may_close=state is SessionState.OPEN),
+            state is not SessionState.OPEN,
         )
     for sequence in (1, 0x7FFFFFFF, 0):
         yield Case(
             "headers",
             f"sequence_number {sequence:#x} is returned",
             "5.1.4",
-            Bound.TRX,
+            SessionState.TRX,
             (_with_header(enquire, sequence=sequence),),
             ExpectedResponse((Command.ENQUIRE_LINK_RESP,), sequence=sequence),
         )
@@ -323,7 +323,7 @@
         "headers",
         "a request's command_status is not looked at",
         "5.1.3",
-        Bound.TRX,
+        SessionState.TRX,
         (_with_header(enquire, status=0x58),),
         enquire_answered,
     )
@@ -331,7 +331,7 @@
         "headers",
         "a PDU in single bytes",
         "3.1",
-        Bound.TRX,
+        SessionState.TRX,
         tuple(enquire[at : at + 1] for at in range(len(enquire))),
         enquire_answered,
     )
@@ -340,7 +340,7 @@
         "headers",
         "a submit_sm in two halves",
         "3.1",
-        Bound.TRX,
+        SessionState.TRX,
         (submit[: len(submit) // 2], submit[len(submit) // 2 :]),
         ExpectedResponse((Command.SUBMIT_SM_RESP,), forbidden=(Status.ESME_RINVCMDLEN,)),
     )
@@ -348,7 +348,7 @@
         "headers",
         "two PDUs in one write",
         "3.1",
-        Bound.TRX,
+        SessionState.TRX,
         (enquire + _with_header(enquire, sequence=7),),
         enquire_answered,
     )
@@ -356,13 +356,13 @@
         "headers",
         "enquire_link with a body",
         "4.11.1",
-        Bound.TRX,
+        SessionState.TRX,
         (_raw_pdu(Command.ENQUIRE_LINK, b"\0\0"),),
         ExpectedResponse((Command.ENQUIRE_LINK_RESP, Command.GENERIC_NACK)),
     )
 
 
-def _field_cases(account: Account) -> Iterator[Case]:
+def _field_cases(account: Credentials) -> Iterator[Case]:
     """Truncated requests, and requests with a string that exceeds its field."""
     for command in (
         Command.SUBMIT_SM,
@@ -371,16 +371,21 @@
         Command.QUERY_SM,
         Command.CANCEL_SM,
         Command.REPLACE_SM,
-        *BINDS,
+        *BOUND_STATES,
     ):
-        state = Bound.OPEN if command in BINDS else Bound.TRX
+        state = SessionState.OPEN if command in BOUND_STATES else SessionState.TRX
         name, expected = (
             command.name.lower(),
             ExpectedResponse((_response_to(command), Command.GENERIC_NACK), _MALFORMED_BODY_STATUSES, may_close=True),
         )
         encoded = p.encode(_valid_request(account, command))
         case = partial(
-            Case, "fields", state=state, wanted=expected, session_continues=False, refused_bind=command in BINDS
+            Case,
+            "fields",
+            state=state,
+            expected=expected,
+            session_continues=False,
+            refused_bind=command in BOUND_STATES,
         )
         yield case(name=f"{name} without a body", clause="3.2", chunks=(_raw_pdu(command, b""),))
         body = encoded[p.HEADER.size :]
@@ -401,7 +406,7 @@
                 )
 
 
-def _with_overlong_field(account: Account, command: Command, name: str, max_size: int) -> bytes:
+def _with_overlong_field(account: Credentials, command: Command, name: str, max_size: int) -> bytes:
     """A request with one string that fills its field, so that its terminator lies beyond the field."""
     request, encoded = _valid_request(account, command), []
     for field_name, size in p.FIELDS[command]:
@@ -418,7 +423,7 @@
     return _raw_pdu(command, b"".join(encoded))
 
 
-def _parameter_cases(account: Account) -> Iterator[Case]:
+def _parameter_cases(account: Credentials) -> Iterator[Case]:
     """Optional parameters, valid and malformed."""
     request = _valid_request(account, Command.SUBMIT_SM)
     accepted = ExpectedResponse(
@@ -453,7 +458,7 @@
         ("a user_message_reference", struct.pack(">HHH", 0x0204, 2, 7)),
         ("the same parameter twice", 2 * struct.pack(">HHH", 0x0204, 2, 7)),
     ):
-        yield Case("parameters", f"submit_sm with {name}", "3.3", Bound.TRX, with_tail(tail), accepted)
+        yield Case("parameters", f"submit_sm with {name}", "3.3", SessionState.TRX, with_tail(tail), accepted)
     for name, tail in (
         ("half a tag", b"\x02"),
         ("a tag without a length", b"\x02\x04"),
@@ -461,12 +466,14 @@
         ("a value cut short", b"\x02\x04\x00\x02\x07"),
         ("a length beyond the PDU", b"\x02\x04\xff\xff\x00\x07"),
     ):
-        yield Case("parameters", f"submit_sm with {name}", "3.2.4.1", Bound.TRX, with_tail(tail), rejected, False)
+        yield Case(
+            "parameters", f"submit_sm with {name}", "3.2.4.1", SessionState.TRX, with_tail(tail), rejected, False
+        )
     yield Case(
         "parameters",
         "submit_sm with a message_payload instead of a short_message",
         "4.4.1",
-        Bound.TRX,
+        SessionState.TRX,
         (
             p.encode(
                 Pdu(Command.SUBMIT_SM, REQUEST_SEQUENCE, 0, request.fields, b"", [(p.MESSAGE_PAYLOAD, b"x" * 300)])
@@ -478,7 +485,7 @@
         "parameters",
         "submit_sm with both",
         "4.4.1, 5.3.2.32",
-        Bound.TRX,
+        SessionState.TRX,
         (p.encode(Pdu(Command.SUBMIT_SM, REQUEST_SEQUENCE, 0, request.fields, b"x", [(p.MESSAGE_PAYLOAD, b"y")])),),
         ExpectedResponse(
             (Command.SUBMIT_SM_RESP,),
@@ -487,7 +494,7 @@
     )
 
 
-def _semantic_cases(account: Account) -> Iterator[Case]:
+def _semantic_cases(account: Credentials) -> Iterator[Case]:
     """Well-formed fields with invalid values, and valid messages."""
 
     def submit(clause: str, name: str, statuses: tuple[Status, ...], **fields: object) -> Case:
@@ -495,7 +502,7 @@
             "meaning",
             f"submit_sm with {name}",
             clause,
-            Bound.TRX,
+            SessionState.TRX,
             (p.encode(_valid_request(account, Command.SUBMIT_SM, **fields)),),
             ExpectedResponse((Command.SUBMIT_SM_RESP,), statuses),
         )
@@ -518,7 +525,7 @@
             "meaning",
             f"submit_sm whose sm_length says {size} of 11",
             "5.2.21",
-            Bound.TRX,
+            SessionState.TRX,
             (encoded[:length_at] + bytes([size]) + encoded[length_at + 1 :],),
             ExpectedResponse((Command.SUBMIT_SM_RESP, Command.GENERIC_NACK), _MALFORMED_BODY_STATUSES),
             False,
@@ -539,7 +546,7 @@
             "meaning",
             f"submit_multi with {name}",
             "4.5.1, 5.2.24",
-            Bound.TRX,
+            SessionState.TRX,
             (_raw_pdu(Command.SUBMIT_MULTI, fields[:count_at] + dests + fields[count_at + 1 + dests_length :]),),
             ExpectedResponse((Command.SUBMIT_MULTI_RESP, Command.GENERIC_NACK), statuses),
             False,
@@ -554,7 +561,7 @@
                 "meaning",
                 f"{command.name.lower()} of the unknown message {unknown_id:.16}",
                 "5.1.3",
-                Bound.TRX,
+                SessionState.TRX,
                 (p.encode(_valid_request(account, command, message_id=unknown_id)),),
                 ExpectedResponse((_response_to(command),), (Status.ESME_RINVMSGID, failure)),
             )
@@ -563,13 +570,13 @@
             "meaning",
             f"{command.name.lower()} in order",
             "4.4.2, 4.5.2, 4.7.2",
-            Bound.TRX,
+            SessionState.TRX,
             (p.encode(_valid_request(account, command)),),
             ExpectedResponse((_response_to(command),), (Status.ESME_ROK,)),
         )
 
 
-def _unsolicited_response_cases(account: Account) -> Iterator[Case]:
+def _unsolicited_response_cases(account: Credentials) -> Iterator[Case]:
     """Responses without a request: ignored, and the session continues."""
     for command in Command:
         if command & p.RESPONSE:
@@ -577,7 +584,7 @@
                 "unasked",
                 f"{command.name.lower()} that nobody asked for",
                 "4.3.1",
-                Bound.TRX,
+                SessionState.TRX,
                 (_raw_pdu(command, b"", status=0x58),),
                 ExpectedResponse(),
             )
--- a/kestrelspar/smpp/inbound.py
+++ b/kestrelspar/smpp/inbound.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from kestrelspar.core.courier import DELIVERED, Answer, Courier, End, Message, Reason
+from kestrelspar.core.courier import DELIVERED, Answer, Courier, End, Message, RefusalReason
 from kestrelspar.runtime import logs
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
@@ -16,7 +16,7 @@
 DEFERRED_STATUS, REJECTED_STATUS = Status.ESME_RX_T_APPN, Status.ESME_RX_R_APPN
 
 
-class Arrivals:
+class InboundMessages:
     """The sender side of messages from gateways. Their final states go only to the log."""
 
     name = "smpp-inbound"
@@ -25,7 +25,7 @@
         """``forward_alert`` forwards an alert_notification to the clients that are bound."""
         self._courier, self._forward_alert = courier, forward_alert
 
-    def message(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
+    def submit(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
         """Process a deliver_sm or data_sm in the task of its message; answered as soon as it is journalled."""
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
@@ -35,17 +35,17 @@
         if prefix is None:
             self._refuse(gateway, pdu, answer, Status.ESME_RINVDSTADR)
             return
-        if len(body) > p.MOST_BODY or payload is not None and pdu.message:
+        if len(body) > p.MAX_BODY_BYTES or payload is not None and pdu.message:
             self._refuse(gateway, pdu, answer, Status.ESME_RINVMSGLEN)
             return
-        if sum(len(value) for _, value in tlvs) > 2 * p.MOST_TLVS:
+        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:
             self._refuse(gateway, pdu, answer, Status.ESME_ROPTPARNOTALLWD)
             return
         trace = os.urandom(8).hex()
         settings = self._courier.settings
         deadline = self._courier.loop.now + settings.classes[gateway.inbound_class].deadline_ns // 1000
         extra = {
-            "smpp": p.kept(pdu),
+            "smpp": p.stored_fields(pdu),
             "tlvs": tlvs,
             "gate": gateway.name,
             "payload": payload is not None,
@@ -64,14 +64,14 @@
         )
 
         def respond(result: Answer) -> bool:
-            if result.taken:
+            if result.accepted:
                 return answer(Status.ESME_ROK)
             logs.event("deferred" if result.defer else "rejected", trace=trace, why=result.reason, front=self.name)
-            status = Status.ESME_RINVDSTADR if result.why is Reason.UNKNOWN_DEST else REJECTED_STATUS
+            status = Status.ESME_RINVDSTADR if result.why is RefusalReason.UNKNOWN_DEST else REJECTED_STATUS
             answer(DEFERRED_STATUS if result.defer else status)
             return False
 
-        self._courier.carry(message, respond)
+        self._courier.submit(message, respond)
 
     @staticmethod
     def _refuse(gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool], status: Status) -> None:
@@ -84,15 +84,15 @@
         )
         answer(status)
 
-    def alert(self, gateway: Gateway, pdu: Pdu) -> None:
+    def forward_alert(self, gateway: Gateway, pdu: Pdu) -> None:
         """Forward an alert_notification to the clients bound now, as it says that a handset can be reached now."""
         self._forward_alert(gateway.name, pdu)
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         """Recovered messages are never held back."""
         return False
 
-    def settle(self, message: Message, end: End) -> None:
+    def report_end(self, message: Message, end: End) -> None:
         """Log a message that was not delivered; the gateway got its response when the message was accepted."""
         if end.state != DELIVERED:
             logs.warn(
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -8,23 +8,23 @@
 
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool, Late, Stream
-from kestrelspar.runtime.loop import Loop, Parking, Timer, connect
+from kestrelspar.runtime.loop import Loop, Suspension, Timer, connect
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.pace import Backoff, RateControl, Window
+from kestrelspar.smpp.flow_control import Backoff, RateControl, Window
 from kestrelspar.smpp.pdu import Command, Pdu, Status
-from kestrelspar.smpp.session import Lost, NotSent, Session
-from kestrelspar.smpp.table import Bound
+from kestrelspar.smpp.session import NotSentError, Session, SessionLostError
+from kestrelspar.smpp.table import SessionState
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # imports ssl, so only for type checks
+    from kestrelspar.keys import TlsStore  # imports ssl, so only for type checks
 
 BIND_COMMANDS = {
     "transmitter": Command.BIND_TRANSMITTER,
     "transceiver": Command.BIND_TRANSCEIVER,
     "pair": Command.BIND_TRANSMITTER,
 }
-TRANSMITTING_STATES, RECEIVING_STATES = (Bound.TX, Bound.TRX), (Bound.RX, Bound.TRX)
+TRANSMITTING_STATES, RECEIVING_STATES = (SessionState.TX, SessionState.TRX), (SessionState.RX, SessionState.TRX)
 FULL = (Status.ESME_RTHROTTLED, Status.ESME_RMSGQFUL)
 # An early retry after one of these cannot succeed, and may lock the account.
 PERMANENT_BIND_ERRORS = (Status.ESME_RINVPASWD, Status.ESME_RINVSYSID)
@@ -42,7 +42,7 @@
     @property
     def open(self) -> bool:
         """Whether new requests may be sent on it."""
-        return not (self.session.closed or self.session.retired) and self.session.state is not Bound.OPEN
+        return not (self.session.closed or self.session.draining) and self.session.state is not SessionState.OPEN
 
 
 class Link:
@@ -56,23 +56,23 @@
         connect_timeout: int,
         seed: int,
         handle: RequestHandler,
-        keys: Keys | None = None,
+        keys: TlsStore | None = None,
     ) -> None:
         self.keys = keys
         self.loop, self.buffers, self.gateway = loop, buffers, gateway
         self.rate_control = RateControl(float(gateway.rate))
-        self.backoff = Backoff(gateway.bind_wait, gateway.bind_wait_most, seed)
+        self.backoff = Backoff(gateway.bind_retry_delay, gateway.max_bind_retry_delay, seed)
         self.sessions: list[BoundSession] = []
         self.last_reference = 0  # concatenation reference number of the last message
         self.attempts_in_progress = (
             0  # delivery attempts in progress: a receipt may arrive before the response that it belongs to
         )
-        self.early_receipts: list[Parking] = []  # tasks of receipts that wait for that response
+        self.early_receipts: list[Suspension] = []  # tasks of receipts that wait for that response
         self.needs_receiving: Callable[[], bool] = lambda: gateway.stay_bound
         self._connect_timeout, self._handle = connect_timeout, handle
         self._binding = False
         self._slow_start = False  # true after a failed bind or a lost session, until the next bind succeeds
-        self._queue: deque[Parking] = deque()
+        self._queue: deque[Suspension] = deque()
         self._rate_timer: Timer | None = None
         self._idle_timer: Timer | None = None
         self._shutting_down = False
@@ -80,8 +80,8 @@
     # Sending
 
     def acquire(self, deadline: int) -> BoundSession | None | object:
-        """Wait for a session with room, within the rate; none if no session can be bound, ``LATE`` at the deadline."""
-        parking = Parking(self.loop)
+        """Wait for a session with room, within the rate; none if none can be bound, ``TIMED_OUT`` at the deadline."""
+        parking = Suspension(self.loop)
         self._queue.append(parking)
         self._serve_queue()
         acquired: BoundSession | None | object = self.loop.park(parking, deadline)
@@ -127,7 +127,7 @@
     def _serve_queue(self) -> None:
         """Serve waiting senders as far as sessions, windows and rate allow; bind another session if one is needed."""
         while self._queue:
-            if self._queue[0].given:  # its deadline has passed
+            if self._queue[0].resumed:  # its deadline has passed
                 self._queue.popleft()
                 continue
             now, sessions = self.loop.now, self._transmitting()
@@ -146,7 +146,7 @@
                 if len(sessions) < self.gateway.sessions:
                     self._bind(BIND_COMMANDS[self.gateway.bind])
                 return
-            if bound.session.stream.ended():  # the connection is closed, and its reading task has not noticed yet
+            if bound.session.stream.peer_closed():  # the connection is closed, and its reading task has not noticed yet
                 self._slow_start = True
                 bound.session.close()
                 continue
@@ -157,7 +157,7 @@
     def _schedule(self, due: int) -> None:
         if self._rate_timer is not None:
             self._rate_timer.cancel()
-        self._rate_timer = self.loop.at(due, self._serve_queue)
+        self._rate_timer = self.loop.call_at(due, self._serve_queue)
 
     # Binding
 
@@ -202,7 +202,7 @@
     def bind_on(self, stream: Stream, command: Command, deadline: int) -> bool:
         """Bind on a connection, whichever side opened it; returns whether it succeeded."""
         gateway = self.gateway
-        session = Session(self.loop, stream, gateway.name, gateway.enquire, gateway.response)
+        session = Session(self.loop, stream, gateway.name, gateway.enquire_link_interval, gateway.response_timeout)
         bound = BoundSession(session, Window(gateway.window))
         self.loop.spawn(self._run_session, bound)
         bind = Pdu(
@@ -214,8 +214,8 @@
             },
         )
         try:
-            response = session.ask(bind, deadline)
-        except (NotSent, Lost, Late):
+            response = session.request(bind, deadline)
+        except (NotSentError, SessionLostError, Late):
             session.close()
             self._bind_failed("no answer")
             return False
@@ -235,7 +235,7 @@
 
     def accept_outbind(self, command: Command, stream: Stream) -> None:
         """Bind on a connection that the gateway opened (outbind)."""
-        if self.bind_on(stream, command, self.loop.now + self.gateway.response):
+        if self.bind_on(stream, command, self.loop.now + self.gateway.response_timeout):
             self.backoff.succeeded()
             self._serve_queue()
 
@@ -255,23 +255,23 @@
             self.ensure_receiving()
             self._serve_queue()
 
-    def hears(self) -> bool:
+    def is_receiving(self) -> bool:
         """Whether a session is open on which the gateway can send requests."""
         return any(bound.open and bound.session.state in RECEIVING_STATES for bound in self.sessions)
 
     def ensure_receiving(self) -> None:
         """Keep a receiving session bound while receipts or messages from the gateway are expected."""
-        if self._shutting_down or self._binding or not self.needs_receiving() or self.hears():
+        if self._shutting_down or self._binding or not self.needs_receiving() or self.is_receiving():
             return
         command = Command.BIND_RECEIVER if self.gateway.bind == "pair" else BIND_COMMANDS[self.gateway.bind]
         if not self._bind(command):
-            self.loop.at(max(self.loop.now + 1, self.backoff.retry_at), self.ensure_receiving)
+            self.loop.call_at(max(self.loop.now + 1, self.backoff.retry_at), self.ensure_receiving)
 
     # Unbinding
 
     def _schedule_idle_check(self) -> None:
         if self.gateway.idle_unbind and self._idle_timer is None:
-            self._idle_timer = self.loop.at(self.loop.now + self.gateway.idle_unbind, self._unbind_idle)
+            self._idle_timer = self.loop.call_at(self.loop.now + self.gateway.idle_unbind, self._unbind_idle)
 
     def _unbind_idle(self) -> None:
         """Unbind sessions without requests for the idle time, except for a receiving one that is still needed."""
--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -214,7 +214,7 @@
     return count % 2 == 1
 
 
-def marked(text: bytes, how: str, ref: int, total: int, place: int) -> tuple[bytes, list[tuple[int, bytes]]]:
+def mark_part(text: bytes, how: str, ref: int, total: int, place: int) -> tuple[bytes, list[tuple[int, bytes]]]:
     """Mark a part with its position: its text with a user data header in front, or its SAR parameters."""
     if how == "udh":
         return bytes([5, CONCAT_8, 3, ref % 256, total, place]) + text, []
--- a/kestrelspar/smpp/pdu.py
+++ b/kestrelspar/smpp/pdu.py
@@ -204,14 +204,14 @@
 SM_FIELDS = tuple(name for name, _ in _SM_LAYOUT)
 DATA_FIELDS = tuple(name for name, _ in _DATA_LAYOUT)
 _SM_STRINGS = frozenset(name for name, max_length in _SM_LAYOUT if max_length)
-MOST_BODY, MOST_TLVS = 64 * 1024, 8 * 1024  # maximum bytes of a message body, and of its optional parameters
+MAX_BODY_BYTES, MAX_TLV_BYTES = 64 * 1024, 8 * 1024  # maximum bytes of a message body, and of its optional parameters
 
 
-class BadLength(Exception):
+class FramingError(Exception):
     """The command_length is invalid, so the start of the next PDU in the stream is unknown."""
 
 
-class BadPdu(Exception):
+class MalformedPduError(Exception):
     """A PDU with a complete header, but an unknown command or an invalid body; ``status`` goes into the response."""
 
     def __init__(self, text: str, command: int, sequence: int, status: Status) -> None:
@@ -220,7 +220,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dest:
+class Destination:
     """One destination of a submit_multi: an address, or the name of a distribution list."""
 
     addr: str
@@ -249,7 +249,7 @@
     fields: dict[str, Any] = field(default_factory=dict)
     message: bytes = b""  # short_message
     tlvs: list[tuple[int, bytes]] = field(default_factory=list)
-    dests: list[Dest] = field(default_factory=list)  # of a submit_multi
+    dests: list[Destination] = field(default_factory=list)  # of a submit_multi
     unsuccess: list[Unsuccess] = field(default_factory=list)  # of a submit_multi_resp
 
     def text(self, name: str) -> str:
@@ -269,7 +269,7 @@
         return Pdu(Command(self.command | RESPONSE), self.sequence, status, fields)
 
 
-def kept(pdu: Pdu) -> dict[str, Any]:
+def stored_fields(pdu: Pdu) -> dict[str, Any]:
     """The submit_sm fields of a received PDU; stored with its message for the delivery attempts."""
     return {name: pdu.fields.get(name, "" if name in _SM_STRINGS else 0) for name in SM_FIELDS}
 
@@ -314,29 +314,29 @@
     return HEADER.pack(HEADER.size + len(body), pdu.command, pdu.status, pdu.sequence) + body
 
 
-def whole(data: memoryview | bytearray) -> int:
+def complete_length(data: memoryview | bytearray) -> int:
     """The length of the PDU at the start of the data, or 0 while the data does not hold all of it."""
     if len(data) < 4:
         return 0
     size = int.from_bytes(data[:4], "big")
     if not HEADER.size <= size <= MAX_PDU_BYTES:
-        raise BadLength(f"invalid command_length {size}")
+        raise FramingError(f"invalid command_length {size}")
     return size if len(data) >= size else 0
 
 
 def decode(data: bytes) -> Pdu:
-    """Decode one complete PDU; raises ``BadPdu`` if it is malformed."""
+    """Decode one complete PDU; raises ``MalformedPduError`` if it is malformed."""
     size, command, status, sequence = HEADER.unpack_from(data)
     try:
         known = Command(command)
     except ValueError:
-        raise BadPdu("unknown command_id", command, sequence, Status.ESME_RINVCMDID) from None
+        raise MalformedPduError("unknown command_id", command, sequence, Status.ESME_RINVCMDID) from None
     pdu, offset = Pdu(known, sequence, status), HEADER.size
     if offset == size and (command & RESPONSE):
         return pdu  # an error response, or a response without a body
 
-    def malformed(text: str, status: Status = Status.ESME_RINVPARLEN) -> BadPdu:
-        return BadPdu(text, command, sequence, status)
+    def malformed(text: str, status: Status = Status.ESME_RINVPARLEN) -> MalformedPduError:
+        return MalformedPduError(text, command, sequence, status)
 
     def integer(name: str, width: int = 1) -> int:
         nonlocal offset
@@ -360,7 +360,7 @@
                 if flag not in (1, 2):
                     raise malformed(f"invalid dest_flag {flag}", Status.ESME_RINVDESTFLAG)
                 ton, npi = (integer("dest_addr_ton"), integer("dest_addr_npi")) if flag == 1 else (0, 0)
-                pdu.dests.append(Dest(text("destination_addr", 21), ton, npi, flag == 2))
+                pdu.dests.append(Destination(text("destination_addr", 21), ton, npi, flag == 2))
             if not 0 < len(pdu.dests) <= MAX_DESTINATIONS:
                 raise malformed(f"{len(pdu.dests)} destinations, allowed are 1 to 254", Status.ESME_RINVNUMDESTS)
         elif max_length == _UNSUCCESS_LIST:
--- a/kestrelspar/smpp/probe.py
+++ b/kestrelspar/smpp/probe.py
@@ -8,16 +8,16 @@
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.conform import Account, Case, shown
+from kestrelspar.smpp.conform import Case, Credentials, status_name
 from kestrelspar.smpp.pdu import Command, Pdu
-from kestrelspar.smpp.table import BINDS, Bound
+from kestrelspar.smpp.table import BOUND_STATES, SessionState
 
-BIND_BY_STATE = {bound: command for command, bound in BINDS.items()}
+BIND_BY_STATE = {bound: command for command, bound in BOUND_STATES.items()}
 LIVENESS_SEQUENCE = 0x0FFFFFFF  # sequence_number of the enquire_link that checks whether the session still works
 Dial = Callable[[int], Stream | None]  # connects until a deadline; None if that fails
 
 
-class Refused(Exception):
+class ProbeError(Exception):
     """The other side refused a request, did not answer, or sent something other than a PDU."""
 
 
@@ -34,17 +34,20 @@
         """Write raw bytes."""
         self.stream.write(data, self.loop.now + 5 * SECOND)
 
-    def read(self, deadline: int) -> Pdu:
-        """Read the next response. Raises ``Closed``, ``Late``, or ``Refused`` if something other than a PDU arrives."""
-        while not (pdu := self.next(deadline)).command & p.RESPONSE:
+    def read_response(self, deadline: int) -> Pdu:
+        """Read the next response.
+
+        Raises ``Closed``, ``Late``, or ``ProbeError`` if something other than a PDU arrives.
+        """
+        while not (pdu := self.read_pdu(deadline)).command & p.RESPONSE:
             pass
         return pdu
 
-    def next(self, deadline: int) -> Pdu:
+    def read_pdu(self, deadline: int) -> Pdu:
         """Read the next PDU; a request is passed to ``on_request`` and acknowledged."""
         while True:
             try:
-                size = p.whole(self._unparsed)
+                size = p.complete_length(self._unparsed)
                 if size:
                     data = bytes(self._unparsed[:size])
                     del self._unparsed[:size]
@@ -54,30 +57,30 @@
                         if pdu.command not in (Command.ALERT_NOTIFICATION, Command.OUTBIND):
                             self.send(p.encode(pdu.reply()))
                     return pdu
-            except (p.BadLength, p.BadPdu) as error:
-                raise Refused(f"invalid PDU received: {error}") from None
+            except (p.FramingError, p.MalformedPduError) as error:
+                raise ProbeError(f"invalid PDU received: {error}") from None
             self.stream.fill(deadline)
             self._unparsed += self.stream.unread
             self.stream.consume(len(self.stream.unread))
 
-    def ask(self, pdu: Pdu, timeout: int) -> Pdu:
-        """Send a request and return its response; raises ``Refused`` if there is none."""
+    def request(self, pdu: Pdu, timeout: int) -> Pdu:
+        """Send a request and return its response; raises ``ProbeError`` if there is none."""
         self._sequence += 1
         pdu.sequence = self._sequence
         try:
             self.send(p.encode(pdu))
             deadline = self.loop.now + timeout
-            while (response := self.read(deadline)).sequence != pdu.sequence:
+            while (response := self.read_response(deadline)).sequence != pdu.sequence:
                 pass
         except Closed:
-            raise Refused(f"{pdu.command.name.lower()}: connection closed") from None
+            raise ProbeError(f"{pdu.command.name.lower()}: connection closed") from None
         except Late:
-            raise Refused(f"{pdu.command.name.lower()}: no response in time") from None
+            raise ProbeError(f"{pdu.command.name.lower()}: no response in time") from None
         return response
 
-    def bind(self, command: Command, account: Account, timeout: int) -> None:
-        """Bind; raises ``Refused`` if the bind fails."""
-        response = self.ask(
+    def bind(self, command: Command, account: Credentials, timeout: int) -> None:
+        """Bind; raises ``ProbeError`` if the bind fails."""
+        response = self.request(
             Pdu(
                 command,
                 fields={"system_id": account.system_id, "password": account.password, "interface_version": 0x34},
@@ -85,7 +88,7 @@
             timeout,
         )
         if response.status or response.command != command | p.RESPONSE:
-            raise Refused(f"{command.name.lower()}: {shown(response.status)}")
+            raise ProbeError(f"{command.name.lower()}: {status_name(response.status)}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,10 +99,10 @@
     fault: str
 
 
-class Examiner:
+class CaseRunner:
     """Runs cases one after the other, each on its own connection."""
 
-    def __init__(self, loop: Loop, dial: Dial, account: Account, timeout: int) -> None:
+    def __init__(self, loop: Loop, dial: Dial, account: Credentials, timeout: int) -> None:
         """``timeout``: for connecting and for each response, in microseconds."""
         self.loop, self._dial, self._account, self._timeout = loop, dial, account, timeout
 
@@ -112,7 +115,7 @@
         for case in cases:
             try:
                 fault = self._run_case(case)
-            except Refused as error:
+            except ProbeError as error:
                 fault = str(error)
             if case.refused_bind:
                 self._clear_bind_refusals()
@@ -121,7 +124,7 @@
     def _connect(self) -> Esme:
         stream = self._dial(self.loop.now + self._timeout)
         if stream is None:
-            raise Refused("no connection")
+            raise ProbeError("no connection")
         return Esme(self.loop, stream)
 
     def _clear_bind_refusals(self) -> None:
@@ -129,16 +132,16 @@
             esme = self._connect()
             try:
                 esme.bind(Command.BIND_TRANSCEIVER, self._account, self._timeout)
-                esme.ask(Pdu(Command.UNBIND), self._timeout)
+                esme.request(Pdu(Command.UNBIND), self._timeout)
             finally:
                 esme.stream.close()
-        except Refused:
+        except ProbeError:
             pass
 
     def _run_case(self, case: Case) -> str:
         esme = self._connect()
         try:
-            if case.state is not Bound.OPEN:
+            if case.state is not SessionState.OPEN:
                 esme.bind(BIND_BY_STATE[case.state], self._account, self._timeout)
             return self._exchange(esme, case)
         finally:
@@ -152,25 +155,25 @@
                 if index:
                     self.loop.sleep(2 * MS)  # so that the operating system does not join the chunks
                 esme.send(chunk)
-            if not case.wanted.commands and case.session_continues:
+            if not case.expected.commands and case.session_continues:
                 esme.send(enquire)
-            response = esme.read(self.loop.now + self._timeout)
+            response = esme.read_response(self.loop.now + self._timeout)
         except Closed:
             closed = True
         except Late:
             pass
-        if response is not None and not case.wanted.commands and response.sequence == LIVENESS_SEQUENCE:
+        if response is not None and not case.expected.commands and response.sequence == LIVENESS_SEQUENCE:
             return ""  # the PDU was ignored as expected, and the session continues
-        fault = case.wanted.find_fault(response, closed)
+        fault = case.expected.find_fault(response, closed)
         if fault or closed:
             return fault
-        if case.wanted.must_close:
+        if case.expected.must_close:
             return self._check_closed(esme)
         return self._check_liveness(esme, enquire) if case.session_continues else ""
 
     def _check_closed(self, esme: Esme) -> str:
         try:
-            esme.read(self.loop.now + self._timeout)
+            esme.read_response(self.loop.now + self._timeout)
         except Closed:
             return ""
         except Late:
@@ -180,14 +183,14 @@
     def _check_liveness(self, esme: Esme, enquire: bytes) -> str:
         try:
             esme.send(enquire)
-            while (response := esme.read(self.loop.now + self._timeout)).sequence != LIVENESS_SEQUENCE:
+            while (response := esme.read_response(self.loop.now + self._timeout)).sequence != LIVENESS_SEQUENCE:
                 pass
-        except (Closed, Late, Refused):
+        except (Closed, Late, ProbeError):
             return "session does not answer enquire_link afterwards"
         return "" if response.command is Command.ENQUIRE_LINK_RESP else "enquire_link refused afterwards"
 
 
-def plain(loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> Dial:
+def tcp_dialer(loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> Dial:
     """Connections without TLS."""
 
     def dial(deadline: int) -> Stream | None:
--- a/kestrelspar/smpp/receipts.py
+++ b/kestrelspar/smpp/receipts.py
@@ -29,7 +29,7 @@
 # The courier's final state for each final message_state. With REJECTED and DELETED the message certainly had no effect,
 # so submitting it again is harmless. With EXPIRED and UNDELIVERABLE the gateway tried to deliver it, and the
 # confirmation of the last try may have been lost on its way to the gateway.
-ENDS = {
+FINAL_STATES = {
     State.DELIVERED: DELIVERED,
     State.ACCEPTED: DELIVERED,
     State.REJECTED: RETURNED,
@@ -48,9 +48,9 @@
     state: State
 
     @property
-    def end(self) -> str | None:
+    def final_state(self) -> str | None:
         """The final state of the message; None while it is still en route."""
-        return ENDS.get(self.state)
+        return FINAL_STATES.get(self.state)
 
 
 def is_receipt(pdu: Pdu) -> bool:
@@ -58,7 +58,7 @@
     return pdu.number("esm_class") & MESSAGE_TYPE_MASK in (DELIVERY_RECEIPT, INTERMEDIATE_NOTIFICATION)
 
 
-def read(pdu: Pdu) -> Receipt | None:
+def parse(pdu: Pdu) -> Receipt | None:
     """Parse a receipt from the parameters of a PDU, else from its text; None if the id or the state is missing."""
     receipted_id, state_value = pdu.tlv(p.RECEIPTED_MESSAGE_ID), pdu.tlv(p.MESSAGE_STATE)
     text = (pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b"").decode("latin-1")
@@ -96,7 +96,7 @@
         return "t" + message_id
 
 
-class Ledger:
+class ReceiptTracker:
     """Which message waits for which receipts of which gateway."""
 
     def __init__(self) -> None:
@@ -113,15 +113,15 @@
         for normalized in awaited:
             self._message_numbers[gateway, normalized] = number
 
-    def owner(self, gateway: str, message_id: str, base: str) -> int | None:
+    def message_number(self, gateway: str, message_id: str, base: str) -> int | None:
         """The number of the message that a receipt is for."""
         return self._message_numbers.get((gateway, normalized_id(message_id, base)))
 
-    def waiting(self, gateway: str) -> int:
+    def pending_count(self, gateway: str) -> int:
         """The number of messages that wait for receipts of a gateway."""
         return self._pending_counts.get(gateway, 0)
 
-    def left(self, number: int, message_id: str, base: str) -> list[str]:
+    def remaining_ids(self, number: int, message_id: str, base: str) -> list[str]:
         """The ids that a message still waits for after the receipt for one of them."""
         return [
             other
@@ -129,7 +129,7 @@
             if normalized != normalized_id(message_id, base)
         ]
 
-    def several(self, number: int) -> bool:
+    def awaits_several(self, number: int) -> bool:
         """Whether a message waits for more than one receipt."""
         return len(self._awaited[number][1]) > 1
 
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 
 from kestrelspar.core.courier import Message, NextHop, Result
-from kestrelspar.core.transport_map import Leave
+from kestrelspar.core.transport_map import SendGuard
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import Late
 from kestrelspar.runtime.loop import MS, Loop
 from kestrelspar.settings.resolve import Account
-from kestrelspar.smpp import errors
 from kestrelspar.smpp import pdu as p
+from kestrelspar.smpp import status_codes
 from kestrelspar.smpp.pdu import Command, Pdu
-from kestrelspar.smpp.session import Lost, NotSent, Session
+from kestrelspar.smpp.session import NotSentError, Session, SessionLostError
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
@@ -57,7 +57,7 @@
             if account.dest is not None
         ]
 
-    def attempt(self, message: Message, hop: NextHop, deadline: int, leave: Leave) -> Result:
+    def attempt(self, message: Message, hop: NextHop, deadline: int, guard: SendGuard) -> Result:
         """Make one delivery attempt: choose a session, send one deliver_sm, and return its outcome."""
         account = self._accounts[hop.endpoint.id]
         request = deliver_sm(message)
@@ -72,13 +72,13 @@
             return Result(Outcome.CONNECT_FAILED, NOT_BOUND_RETRY_AFTER, note="not bound")
         if session is None:
             return Result(Outcome.MOOT, FULL_RETRY_AFTER, note="window full")
-        if not leave():
+        if not guard():
             return Result(Outcome.MOOT, note="barred meanwhile")
         try:
-            response = session.ask(request, min(deadline, self.loop.now + self._response_timeout))
-        except NotSent:
+            response = session.request(request, min(deadline, self.loop.now + self._response_timeout))
+        except NotSentError:
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
-        except Lost:
+        except SessionLostError:
             return Result(Outcome.RESET)
         except Late:
             # A deliver_sm cannot be withdrawn, so the session ends before the message may be sent on another one.
@@ -86,7 +86,7 @@
             return Result(Outcome.TIMEOUT)
         if response.command is not Command.DELIVER_SM_RESP:
             return Result(Outcome.ERROR, note=response.command.name.lower())
-        return errors.result(response.status, NOT_BOUND_RETRY_AFTER)
+        return status_codes.result_of(response.status, NOT_BOUND_RETRY_AFTER)
 
     def close_idle(self, hop: NextHop) -> None:
         """Does nothing, as contractors open and close their sessions."""
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -13,34 +13,34 @@
 
 import ujson
 
-from kestrelspar.core.courier import DELIVERED, FAILED, Answer, Courier, End, Message, Reason
+from kestrelspar.core.courier import DELIVERED, FAILED, Answer, Courier, End, Message, RefusalReason
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
-from kestrelspar.runtime.loop import LATE, MS, SECOND, Loop, Parking, Timer, connect
+from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension, Timer, connect
 from kestrelspar.settings.resolve import Account, Smpp
 
 if TYPE_CHECKING:
-    from kestrelspar.keys import Keys  # imports ssl, which is loaded only if TLS is configured
+    from kestrelspar.keys import TlsStore  # imports ssl, which is loaded only if TLS is configured
 from kestrelspar.passwords import Verifier
-from kestrelspar.smpp import errors, parts, table
+from kestrelspar.smpp import parts, status_codes, table
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.door import Door, within
+from kestrelspar.smpp.access import BindThrottle, in_networks
 from kestrelspar.smpp.parts import PartDisposition
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.receivers import Receivers
-from kestrelspar.smpp.session import Lost, NotSent, Session
-from kestrelspar.smpp.table import BINDS, Bound, Side
+from kestrelspar.smpp.session import NotSentError, Session, SessionLostError
+from kestrelspar.smpp.table import BOUND_STATES, SessionState, Side
 
 MIN_UNBOUND_AGE = 50 * MS  # a younger connection may be about to bind
 OUTBIND_INTERVAL = 5 * SECOND  # minimum time between two outbinds to one account
 MAX_REFUSED_BINDS = 3  # per connection
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND  # of a receipt
-RECEIVER_STATES = (Bound.RX, Bound.TRX)
+RECEIVER_STATES = (SessionState.RX, SessionState.TRX)
 MAX_SCHEDULE_DELAY = 30 * 86_400 * SECOND  # a later schedule_delivery_time is refused
 _SMPP_TIME = re.compile(r"(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d)(\d\d)([+\-R])")
 
 
-def validity(text: str, wall: datetime) -> int | None:
+def parse_time(text: str, wall: datetime) -> int | None:
     """Parse an SMPP time, absolute or relative, into microseconds from ``wall``.
 
     Returns None for an empty string; raises ``ValueError`` if the time is malformed.
@@ -89,21 +89,23 @@
         courier: Courier,
         config: Smpp,
         claim_outbind: Callable[[str, str], Callable[[Stream], None] | None] = lambda system_id, password: None,
-        keys: Keys | None = None,
+        keys: TlsStore | None = None,
     ) -> None:
         """``claim_outbind`` maps the system_id and password of an outbind to the owner of the gateway's connection.
 
         It returns None if they match no configured gateway.
         """
-        self._keys, self._bind_throttle, self._verifier = keys, Door(), Verifier()
+        self._keys, self._bind_throttle, self._verifier = keys, BindThrottle(), Verifier()
         self._claim_outbind = claim_outbind
         self._next_outbind_at: dict[str, int] = {}  # by account: earliest time of the next outbind
-        self.receivers = Receivers(loop, config.accounts, config.response, self._find_receiver, self._request_bind)
-        self.loop, self.buffers, self.courier, self.told = loop, buffers, courier, config
-        self._guests: list[ClientConnection] = []
-        self._waiting_for_bind: list[Parking] = []  # receipts that wait until a client binds
+        self.receivers = Receivers(
+            loop, config.accounts, config.response_timeout, self._find_receiver, self._request_bind
+        )
+        self.loop, self.buffers, self.courier, self.config = loop, buffers, courier, config
+        self._connections: list[ClientConnection] = []
+        self._waiting_for_bind: list[Suspension] = []  # receipts that wait until a client binds
         self._open_by_id: dict[str, dict[int, Message]] = {}  # by message_id returned to the client, and number
-        self._reassembler = parts.Reassembler(config.parts_within)
+        self._reassembler = parts.Reassembler(config.parts_timeout)
         self._held_parts: dict[int, Message] = {}  # by number: parts that wait for the rest of their message
         self._expiry_timer: Timer | None = None
         self._operations: dict[Command, Callable[[Account, Pdu], Pdu]] = {
@@ -124,10 +126,10 @@
                 logs.warn("not-accepted", front="smpp", why=str(error))
                 self.loop.sleep(20 * MS)
                 continue
-            if self._bind_throttle.waits(peer[0], self.loop.now):  # its refused binds were answered
+            if self._bind_throttle.is_throttled(peer[0], self.loop.now):  # its refused binds were answered
                 sock.close()
                 continue
-            if len(self._guests) >= self.told.most_sessions and not self._make_room():
+            if len(self._connections) >= self.config.max_sessions and not self._make_room():
                 logs.warn("smpp-too-many")
                 sock.close()
                 continue
@@ -137,9 +139,9 @@
 
     def _make_room(self) -> bool:
         """Close the oldest connection that has not bound, so that idle connections cannot lock clients out."""
-        for client in self._guests:
+        for client in self._connections:
             if (
-                client.session.state is Bound.OPEN
+                client.session.state is SessionState.OPEN
                 and not client.session.closed
                 and client.connected_at <= self.loop.now - MIN_UNBOUND_AGE
             ):
@@ -153,52 +155,56 @@
 
         With TLS the handshake comes first, and has a time limit of its own.
         """
-        if not self.told.tls or self._keys is None:
+        if not self.config.tls or self._keys is None:
             self._run_session(Stream(self.loop, sock, self.buffers), name)
             return
         from kestrelspar.runtime.tls import TlsStream  # loads ssl, so only if TLS is configured
 
-        stream = TlsStream(self.loop, sock, self.buffers, self._keys.server(self.told.tls), True, guest=True)
-        client = ClientConnection(Session(self.loop, stream, name, self.told.enquire, self.told.response))
-        self._guests.append(client)  # counts as unbound, and may be closed to make room
+        stream = TlsStream(self.loop, sock, self.buffers, self._keys.server(self.config.tls), True, incoming=True)
+        client = ClientConnection(
+            Session(self.loop, stream, name, self.config.enquire_link_interval, self.config.response_timeout)
+        )
+        self._connections.append(client)  # counts as unbound, and may be closed to make room
         try:
-            stream.handshake(self.loop.now + self.told.bind_within)
+            stream.handshake(self.loop.now + self.config.bind_timeout)
         except (Closed, Late) as error:
             logs.warn("tls-handshake-failed", peer=name, why=str(error) or type(error).__name__)
             stream.close()
             return
         finally:
-            self._guests.remove(client)
+            self._connections.remove(client)
         self._run_session(stream, name)
 
     def _run_session(self, stream: Stream, name: str) -> None:
         """Serve a session from its bind until it ends."""
-        client = ClientConnection(Session(self.loop, stream, name, self.told.enquire, self.told.response))
-        self._guests.append(client)
-        bind_timer = self.loop.at(
-            self.loop.now + self.told.bind_within,
-            lambda: client.session.close() if client.session.state is Bound.OPEN else None,
+        client = ClientConnection(
+            Session(self.loop, stream, name, self.config.enquire_link_interval, self.config.response_timeout)
+        )
+        self._connections.append(client)
+        bind_timer = self.loop.call_at(
+            self.loop.now + self.config.bind_timeout,
+            lambda: client.session.close() if client.session.state is SessionState.OPEN else None,
         )
         try:
             client.session.run(lambda pdu: self._handle(client, pdu))
         finally:
             bind_timer.cancel()
-            self._guests.remove(client)
+            self._connections.remove(client)
 
     def _handle(self, client: ClientConnection, pdu: Pdu) -> None:
         refusal = table.refusal(Side.CENTRE, client.session.state, pdu)
         if refusal is not None:
-            client.session.post(refusal)
+            client.session.send(refusal)
         elif pdu.command is Command.OUTBIND:
             self._handle_outbind(client, pdu)
-        elif pdu.command in BINDS:
+        elif pdu.command in BOUND_STATES:
             self._bind(client, pdu)
         elif client.account is None:
-            client.session.post(pdu.reply(Status.ESME_RINVBNDSTS))
+            client.session.send(pdu.reply(Status.ESME_RINVBNDSTS))
         elif pdu.command in self._operations:
-            client.session.post(self._operations[pdu.command](client.account, pdu))
+            client.session.send(self._operations[pdu.command](client.account, pdu))
         elif client.pending_submits >= client.account.window:
-            client.session.post(pdu.reply(Status.ESME_RTHROTTLED))
+            client.session.send(pdu.reply(Status.ESME_RTHROTTLED))
         elif pdu.command is Command.SUBMIT_MULTI:
             client.pending_submits += 1
             self.loop.spawn(self._submit_multi, client, client.account, pdu)
@@ -207,23 +213,23 @@
             self.loop.spawn(self._submit, client, client.account, pdu)
 
     def _bind(self, client: ClientConnection, pdu: Pdu) -> None:
-        account = next((a for a in self.told.accounts if a.system_id == pdu.text("system_id")), None)
+        account = next((a for a in self.config.accounts if a.system_id == pdu.text("system_id")), None)
         status = Status.ESME_ROK
         if account is None:
             status = Status.ESME_RINVSYSID
         elif (
-            not within(client.host, account.networks)
+            not in_networks(client.host, account.networks)
             or account.certificate
             and account.certificate not in client.certificate_names()
         ):
             status = Status.ESME_RBINDFAIL
-        elif not self._verifier.same(account.password, pdu.text("password")):
+        elif not self._verifier.matches(account.password, pdu.text("password")):
             status = Status.ESME_RINVPASWD
         elif self.courier.closing is not None:
             status = Status.ESME_RBINDFAIL
         if status is Status.ESME_ROK:
-            client.account, client.session.state = account, BINDS[pdu.command]
-            self._bind_throttle.welcome(client.host)
+            client.account, client.session.state = account, BOUND_STATES[pdu.command]
+            self._bind_throttle.record_success(client.host)
             client.session.name = f"{pdu.text('system_id')}@{client.session.name}"
         else:
             client.refused_binds += 1
@@ -231,28 +237,28 @@
                 "smpp-bind-refused", peer=client.session.name, system_id=pdu.text("system_id"), status=status.name
             )
             if status is not Status.ESME_RBINDFAIL or self.courier.closing is None:
-                wait = self._bind_throttle.refused(client.host, self.loop.now)
+                wait = self._bind_throttle.record_refusal(client.host, self.loop.now)
                 if wait:
                     logs.warn("smpp-address-waits", address=client.host, wait_ms=wait // MS)
-        answer = pdu.reply(status, system_id=self.told.system_id)
+        answer = pdu.reply(status, system_id=self.config.system_id)
         answer.tlvs.append((p.SC_INTERFACE_VERSION, b"\x34"))
-        if client.session.post(answer) and client.session.state in RECEIVER_STATES:
+        if client.session.send(answer) and client.session.state in RECEIVER_STATES:
             for waiting in self._waiting_for_bind:
                 waiting.resume()
             self._waiting_for_bind.clear()
         # The client guesses passwords or retries in a loop.
-        if client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is Bound.OPEN:
+        if client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is SessionState.OPEN:
             client.session.close()
 
     def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
         """Handle an outbind; the connection of a configured gateway is handed over to the gateway client."""
         adopt = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
-        if adopt is not None and client.session.hand_over():
+        if adopt is not None and client.session.detach_connection():
             adopt(client.session.stream)
             return
         logs.warn("smpp-outbind-refused", peer=client.session.name, system_id=pdu.text("system_id"))
         client.refused_binds += 1
-        client.session.post(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
+        client.session.send(Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
         if client.refused_binds >= MAX_REFUSED_BINDS:
             client.session.close()
 
@@ -260,14 +266,14 @@
         """The least loaded receiver session of the account with room in its window, and whether one is bound at all."""
         bound = [
             c.session
-            for c in self._guests
+            for c in self._connections
             if c.account is not None
             and c.session.state in RECEIVER_STATES
             and c.account.system_id == account.system_id
-            and not (c.session.closed or c.session.retired)
+            and not (c.session.closed or c.session.draining)
         ]
-        free = [session for session in bound if session.outstanding < account.window]
-        return min(free, key=lambda session: session.outstanding, default=None), bool(bound)
+        free = [session for session in bound if session.in_flight < account.window]
+        return min(free, key=lambda session: session.in_flight, default=None), bool(bound)
 
     def _request_bind(self, account: Account) -> None:
         """Send an outbind to an account that has something to receive and has not bound."""
@@ -278,9 +284,9 @@
 
     def _send_outbind(self, account: Account) -> None:
         assert account.outbind is not None
-        if len(self._guests) >= self.told.most_sessions:
+        if len(self._connections) >= self.config.max_sessions:
             return
-        sock = connect(self.loop, account.outbind, self.loop.now + self.told.response)
+        sock = connect(self.loop, account.outbind, self.loop.now + self.config.response_timeout)
         logs.event("smpp-outbind-sent", account=account.system_id, connected=sock is not None)
         if sock is None:
             return
@@ -288,20 +294,20 @@
         try:
             stream.write(
                 p.encode(
-                    Pdu(Command.OUTBIND, 1, fields={"system_id": self.told.system_id, "password": account.password})
+                    Pdu(Command.OUTBIND, 1, fields={"system_id": self.config.system_id, "password": account.password})
                 ),
-                self.loop.now + self.told.response,
+                self.loop.now + self.config.response_timeout,
             )
         except (Closed, Late):
             stream.close()
             return
         self._run_session(stream, f"{account.outbind[0]}:{account.outbind[1]}")
 
-    def alert(self, gateway: str, pdu: Pdu) -> None:
+    def forward_alert(self, gateway: str, pdu: Pdu) -> None:
         """Forward an alert_notification to all receiver sessions of accounts that have a destination."""
         receivers = [
             c.session
-            for c in self._guests
+            for c in self._connections
             if c.account is not None
             and c.account.dest is not None
             and c.session.state in RECEIVER_STATES
@@ -309,8 +315,10 @@
         ]
         logs.event("smpp-alert", peer=gateway, source_addr=pdu.text("source_addr"), sessions=len(receivers))
         for session in receivers:
-            alert = Pdu(Command.ALERT_NOTIFICATION, session.next(), fields=dict(pdu.fields), tlvs=list(pdu.tlvs))
-            self.loop.spawn(lambda session=session, alert=alert: session.post(alert))
+            alert = Pdu(
+                Command.ALERT_NOTIFICATION, session.next_sequence(), fields=dict(pdu.fields), tlvs=list(pdu.tlvs)
+            )
+            self.loop.spawn(lambda session=session, alert=alert: session.send(alert))
 
     def _submit(self, client: ClientConnection, account: Account, pdu: Pdu) -> None:
         """Process a submit_sm or data_sm in the task of its message."""
@@ -319,34 +327,34 @@
         except _SubmitRefusedError as error:
             client.pending_submits -= 1
             logs.event("smpp-submit-refused", peer=client.session.name, sequence=pdu.sequence, status=error.status.name)
-            client.session.post(pdu.reply(error.status))
+            client.session.send(pdu.reply(error.status))
             return
 
         def answer(result: Answer) -> bool:
             client.pending_submits -= 1
-            if not result.taken:
+            if not result.accepted:
                 logs.event(
                     "deferred" if result.defer else "rejected", trace=message.trace, why=result.reason, front="smpp"
                 )
-                client.session.post(pdu.reply(errors.status(result)))
+                client.session.send(pdu.reply(status_codes.status_of(result)))
                 return False
             # A client that has disconnected does not know that its message was accepted, and will submit it again.
-            connected = not client.session.stream.ended()
+            connected = not client.session.stream.peer_closed()
             return self._confirm_acceptance(
-                message, connected and client.session.post(pdu.reply(message_id=message.trace))
+                message, connected and client.session.send(pdu.reply(message_id=message.trace))
             )
 
         if "part" not in message.extra:
-            self.courier.carry(message, answer)
+            self.courier.submit(message, answer)
             return
         part, key = parts.Part(**message.extra["part"]), _reassembly_key(message)
         disposition, original = self._reassembler.classify(key, part, len(message.body))
         if disposition is PartDisposition.REPEATED and original in self._held_parts:  # the first response was lost
             client.pending_submits -= 1
-            client.session.post(pdu.reply(message_id=self._held_parts[original].trace))
+            client.session.send(pdu.reply(message_id=self._held_parts[original].trace))
         elif disposition is PartDisposition.NO_ROOM:
-            answer(Answer(False, True, Reason.FULL))
-        elif self.courier.keep(message, answer):
+            answer(Answer(False, True, RefusalReason.FULL))
+        elif self.courier.accept(message, answer):
             self._hold_part(message)
 
     def _hold_part(self, message: Message) -> None:
@@ -371,7 +379,7 @@
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
         due = self._reassembler.next_expiry
-        self._expiry_timer = None if due is None else self.loop.at(due, self._expire_parts)
+        self._expiry_timer = None if due is None else self.loop.call_at(due, self._expire_parts)
 
     def _expire_parts(self) -> None:
         """End the parts of all expired incomplete messages, each with its own final state."""
@@ -382,7 +390,7 @@
 
     def _fail_part(self, message: Message) -> None:
         self._held_parts.pop(message.number, None)
-        self.loop.spawn(self.courier.end_kept, message, FAILED)
+        self.loop.spawn(self.courier.end_accepted, message, FAILED)
 
     def _reassemble(self, held: list[Message]) -> None:
         """Replace the parts by one message, which owes a receipt for each of them."""
@@ -411,7 +419,7 @@
                 for part in held:
                     self._fail_part(part)
                 return
-            self.loop.at(
+            self.loop.call_at(
                 self.loop.now + SECOND, lambda: self._reassemble(held)
             )  # retry: the journal may have room by then
             return
@@ -432,7 +440,7 @@
         The single response is sent when every message has been accepted or refused.
         """
         sender_id, unsuccessful = os.urandom(8).hex(), []
-        messages: list[tuple[p.Dest, Message]] = []
+        messages: list[tuple[p.Destination, Message]] = []
         for index, dest in enumerate(pdu.dests):
             single = Pdu(
                 Command.SUBMIT_SM,
@@ -453,20 +461,20 @@
                 messages.append((dest, self._build_message(account, single, f"{sender_id}-{index}", sender_id)))
             except _SubmitRefusedError as error:
                 unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, error.status))
-        accepted: list[tuple[Message, Parking]] = []
+        accepted: list[tuple[Message, Suspension]] = []
         undecided = [len(messages)]
-        all_decided = Parking(self.loop)
+        all_decided = Suspension(self.loop)
 
         def respond() -> None:
             """Send the response; accepted messages are kept only if it was sent."""
             client.pending_submits -= 1
-            connected = not client.session.stream.ended()
+            connected = not client.session.stream.peer_closed()
             if accepted:
                 response = pdu.reply(message_id=sender_id)
                 response.unsuccess = unsuccessful
             else:
                 response = pdu.reply(unsuccessful[0].status if unsuccessful else Status.ESME_RSUBMITFAIL)
-            response_sent = connected and client.session.post(response)
+            response_sent = connected and client.session.send(response)
             for message, confirmation in accepted:
                 confirmation.resume(self._confirm_acceptance(message, response_sent))
 
@@ -475,24 +483,24 @@
             if not undecided[0]:
                 all_decided.resume()
 
-        def submit(dest: p.Dest, message: Message) -> None:
+        def submit(dest: p.Destination, message: Message) -> None:
             decision: list[bool] = []
 
             def answer(result: Answer) -> bool:
                 decision.append(True)
                 count_decision()
-                if not result.taken:
+                if not result.accepted:
                     logs.event(
                         "deferred" if result.defer else "rejected", trace=message.trace, why=result.reason, front="smpp"
                     )
-                    unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, errors.status(result)))
+                    unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, status_codes.status_of(result)))
                     return False
-                confirmation = Parking(self.loop)
+                confirmation = Suspension(self.loop)
                 accepted.append((message, confirmation))
                 return bool(self.loop.park(confirmation))
 
             try:
-                self.courier.carry(message, answer)
+                self.courier.submit(message, answer)
             finally:
                 if not decision:  # after an internal error: the response to the others must not wait for this one
                     unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, Status.ESME_RSYSERR))
@@ -509,37 +517,37 @@
         settings = self.courier.settings
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
-        if payload is not None and pdu.message or len(body) > p.MOST_BODY:
+        if payload is not None and pdu.message or len(body) > p.MAX_BODY_BYTES:
             raise _SubmitRefusedError(Status.ESME_RINVMSGLEN)
         tlvs = [(tag, value.hex()) for tag, value in pdu.tlvs if tag != p.MESSAGE_PAYLOAD]
         part = None
-        if self.told.parts_within:
+        if self.config.parts_timeout:
             try:
                 part, body = parts.identify_part(pdu, body)
             except parts.InvalidPartError as error:
                 raise _SubmitRefusedError(error.status) from None
             tlvs = [(tag, value) for tag, value in tlvs if part is None or tag not in parts.SAR]
-        if sum(len(value) for _, value in tlvs) > 2 * p.MOST_TLVS:
+        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:
             raise _SubmitRefusedError(Status.ESME_ROPTPARNOTALLWD)
         start = self._parse_schedule(pdu.text("schedule_delivery_time"))
         service = pdu.text("service_type")
-        cls = self.told.service_types.get(service, account.cls if not service else None)
+        cls = self.config.service_types.get(service, account.cls if not service else None)
         if cls is None:
             raise _SubmitRefusedError(Status.ESME_RINVSERTYP)
         try:
-            remaining = validity(pdu.text("validity_period"), datetime.now(UTC))
+            remaining = parse_time(pdu.text("validity_period"), datetime.now(UTC))
         except (ValueError, OverflowError):
             raise _SubmitRefusedError(Status.ESME_RINVEXPIRY) from None
         max_lifetime = settings.classes[cls].deadline_ns // 1000
         if remaining is not None and remaining <= 0:
             raise _SubmitRefusedError(Status.ESME_RINVEXPIRY)
         address = pdu.text("destination_addr")
-        prefix = max((known for known in self.told.destinations if address.startswith(known)), key=len, default=None)
+        prefix = max((known for known in self.config.destinations if address.startswith(known)), key=len, default=None)
         if prefix is None:
             raise _SubmitRefusedError(Status.ESME_RINVDSTADR)
         trace = trace or os.urandom(8).hex()
         extra = {
-            "smpp": p.kept(pdu),
+            "smpp": p.stored_fields(pdu),
             "tlvs": tlvs,
             "account": account.system_id,
             "payload": payload is not None,
@@ -554,13 +562,22 @@
         if deadline <= earliest:
             raise _SubmitRefusedError(Status.ESME_RINVEXPIRY)
         return Message(
-            trace, cls, account.tenant, self.told.destinations[prefix], deadline, body, self, trace, extra, start=start
+            trace,
+            cls,
+            account.tenant,
+            self.config.destinations[prefix],
+            deadline,
+            body,
+            self,
+            trace,
+            extra,
+            start=start,
         )
 
     def _parse_schedule(self, text: str) -> int:
         """The earliest time of the first delivery attempt; 0 means at once."""
         try:
-            delay = validity(text, datetime.now(UTC))
+            delay = parse_time(text, datetime.now(UTC))
         except (ValueError, OverflowError):
             raise _SubmitRefusedError(Status.ESME_RINVSCHED) from None
         if delay is None:
@@ -576,7 +593,7 @@
         for sender_id in _sender_ids(message):
             self._open_by_id.setdefault(sender_id, {})[message.number] = message
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         """Register a message recovered after a restart.
 
         Returns true for a part that has no final state yet: it is held here until its message is complete.
@@ -633,7 +650,7 @@
                 if m.extra["account"] == account.system_id
                 and all(m.extra["smpp"][name] == value for name, value in criteria.items())
             ]
-        cancellable = [m for m in found if self.courier.untried(m)]
+        cancellable = [m for m in found if self.courier.never_attempted(m)]
         withdrawn = [self.courier.withdraw(m) for m in cancellable]
         # By id, all of the messages have to be cancelled; by addresses, only those that still can be.
         succeeded = (
@@ -660,22 +677,22 @@
                 return pdu.reply(Status.ESME_RREPLACEFAIL)
         return pdu.reply()
 
-    def settle(self, message: Message, end: End) -> None:
+    def report_end(self, message: Message, end: End) -> None:
         """Record the final state for query_sm, and send the receipts until they are acknowledged or timed out."""
         self._unregister_open(message)
         late = self.loop.now >= message.deadline - 100 * MS or "part" in message.extra
-        if self.told.keep_ended:
-            number, _ = errors.state(end, late)
+        if self.config.keep_ended:
+            number, _ = status_codes.receipt_state(end, late)
             record = {"state": number, "at": int(time.time()), "source": message.extra["smpp"]["source_addr"]}
             for sender_id in _sender_ids(message):
-                self.courier.journal.keep_ended(
-                    f"{message.extra['account']} {sender_id}", ujson.dumps(record), self.told.keep_ended
+                self.courier.journal.retain_ended(
+                    f"{message.extra['account']} {sender_id}", ujson.dumps(record), self.config.keep_ended
                 )
         receipts_owed = message.extra.get("parts")
         if receipts_owed is None:
             self._send_receipt(message, end, late)
             return
-        remaining, all_done = [len(receipts_owed)], Parking(self.loop)
+        remaining, all_done = [len(receipts_owed)], Suspension(self.loop)
 
         def send_for_part(part: Message) -> None:
             try:
@@ -697,38 +714,38 @@
         if not requested or requested == 2 and end.state == DELIVERED:
             return
         account = message.extra["account"]
-        give_up_at, delay = self.loop.now + self.told.receipt_hold, INITIAL_RETRY_DELAY
+        give_up_at, delay = self.loop.now + self.config.receipt_hold, INITIAL_RETRY_DELAY
         while self.loop.now < give_up_at:
             candidates = [
                 c
-                for c in self._guests
+                for c in self._connections
                 if c.session.state in RECEIVER_STATES
                 and c.account is not None
                 and c.account.system_id == account
-                and not (c.session.closed or c.session.retired)
-                and c.session.outstanding < c.account.window
+                and not (c.session.closed or c.session.draining)
+                and c.session.in_flight < c.account.window
             ]
             # A session that does not answer must not attract all receipts.
             client = min(candidates, key=lambda c: c.unacknowledged_receipts, default=None)
             if client is None:
-                for known in self.told.accounts:
+                for known in self.config.accounts:
                     if known.system_id == account and not self._find_receiver(known)[1]:
                         self._request_bind(known)
-                bind = Parking(self.loop)
+                bind = Suspension(self.loop)
                 self._waiting_for_bind.append(bind)
-                if self.loop.park(bind, min(give_up_at, self.loop.now + MAX_RETRY_DELAY)) is LATE:
+                if self.loop.park(bind, min(give_up_at, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
                     self._waiting_for_bind = [other for other in self._waiting_for_bind if other is not bind]
                 continue
             try:
                 receipt = self._build_receipt(message, end, late)
-                answer = client.session.ask(receipt, self.loop.now + self.told.response)
+                answer = client.session.request(receipt, self.loop.now + self.config.response_timeout)
                 client.unacknowledged_receipts = 0
                 if answer.status == 0:
                     return
                 logs.event(
                     "smpp-receipt-refused", trace=message.trace, peer=client.session.name, status=f"{answer.status:#x}"
                 )
-            except (NotSent, Lost, Late):
+            except (NotSentError, SessionLostError, Late):
                 client.unacknowledged_receipts += 1
                 logs.event("smpp-receipt-unheard", trace=message.trace, peer=client.session.name)
             self.loop.sleep(delay)
@@ -738,7 +755,7 @@
     def _build_receipt(self, message: Message, end: End, late: bool) -> Pdu:
         """The deliver_sm that reports the final state of a message."""
         submitted_fields = message.extra["smpp"]
-        number, stat = errors.state(end, late)
+        number, stat = status_codes.receipt_state(end, late)
         submitted = datetime.fromtimestamp(message.extra.get("submitted", 0), UTC)
         text = (
             f"id:{_sender_id(message)} sub:001 dlvrd:{int(end.state == DELIVERED):03d} "
@@ -760,9 +777,9 @@
         }
         return Pdu(Command.DELIVER_SM, fields=fields, message=text.encode(), tlvs=tlvs)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Unbind all sessions."""
-        for client in list(self._guests):
+        for client in list(self._connections):
             self.loop.spawn(client.session.unbind)
 
 
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -6,17 +6,17 @@
 
 from kestrelspar.runtime import logs
 from kestrelspar.runtime.buffers import Closed, Late, Stream
-from kestrelspar.runtime.loop import LATE, Loop, Parking
+from kestrelspar.runtime.loop import TIMED_OUT, Loop, Suspension
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu, Status
-from kestrelspar.smpp.table import BINDS, Bound
+from kestrelspar.smpp.table import BOUND_STATES, SessionState
 
 
-class NotSent(Exception):
+class NotSentError(Exception):
     """The session ended, or the deadline passed, before the last byte of the request was written."""
 
 
-class Lost(Exception):
+class SessionLostError(Exception):
     """The session ended after the request was written and before its response arrived."""
 
 
@@ -27,17 +27,17 @@
         self.loop, self.stream, self.name = loop, stream, name
         self._enquire_interval, self._response_timeout = enquire_interval, response_timeout
         self.closed = False
-        self.state = Bound.OPEN
-        self.outstanding = 0  # requests that wait for their response
+        self.state = SessionState.OPEN
+        self.in_flight = 0  # requests that wait for their response
         self.last_received_at = loop.now
         self._sequence = 0
         self._received = bytearray()  # bytes not decoded yet, as a PDU may be longer than a buffer
-        self._pending: dict[int, Parking] = {}
+        self._pending: dict[int, Suspension] = {}
         self._late_handlers: dict[int, Callable[[Pdu | None], None]] = {}  # by sequence number of a timed-out request
         self._unbind_request: Pdu | None = None  # received from the peer and not answered yet
-        self.retired = False  # sends no new requests, and ends when none is in flight
+        self.draining = False  # sends no new requests, and ends when none is in flight
         self._writing = False
-        self._write_queue: list[Parking] = []  # tasks that wait for another one to finish writing
+        self._write_queue: list[Suspension] = []  # tasks that wait for another one to finish writing
 
     def run(self, handle: Callable[[Pdu], None]) -> None:
         """Read until the session ends; ``handle`` is called with each request and must not block."""
@@ -45,7 +45,7 @@
         received = self._received
         try:
             while not self.closed:
-                if not (size := p.whole(received)):
+                if not (size := p.complete_length(received)):
                     self.stream.fill(None)
                     received += self.stream.unread
                     self.stream.consume(len(self.stream.unread))
@@ -55,11 +55,11 @@
                 self.last_received_at = self.loop.now
                 try:
                     self._dispatch(p.decode(data), handle)
-                except p.BadPdu as error:
+                except p.MalformedPduError as error:
                     self._reject(error)
-        except p.BadLength as error:
+        except p.FramingError as error:
             logs.warn("smpp-bad-pdu", peer=self.name, why=str(error), closed=True)
-            self.post(Pdu(Command.GENERIC_NACK, 0, Status.ESME_RINVCMDLEN))
+            self.send(Pdu(Command.GENERIC_NACK, 0, Status.ESME_RINVCMDLEN))
         except (Closed, Late):
             pass
         finally:
@@ -70,7 +70,9 @@
             waiting = self._pending.pop(pdu.sequence, None)
             if waiting is not None:
                 new_state = (
-                    BINDS.get(Command(pdu.command & ~p.RESPONSE)) if pdu.command != Command.GENERIC_NACK else None
+                    BOUND_STATES.get(Command(pdu.command & ~p.RESPONSE))
+                    if pdu.command != Command.GENERIC_NACK
+                    else None
                 )
                 if new_state is not None and not pdu.status:
                     self.state = new_state  # set here, as a receipt may follow in the bytes already read
@@ -81,16 +83,16 @@
                 if on_late is not None:
                     on_late(pdu)
         elif pdu.command is Command.ENQUIRE_LINK:
-            self.post(pdu.reply())
+            self.send(pdu.reply())
         elif pdu.command is Command.UNBIND:
             self._unbind_request = pdu
-            self.retire()
+            self.drain()
             if not self.closed:  # wait for its responses to requests in flight, which would count as lost otherwise
-                self.loop.at(self.loop.now + self._response_timeout, lambda: self.loop.spawn(self._finish))
+                self.loop.call_at(self.loop.now + self._response_timeout, lambda: self.loop.spawn(self._finish))
         else:
             handle(pdu)
 
-    def _reject(self, error: p.BadPdu) -> None:
+    def _reject(self, error: p.MalformedPduError) -> None:
         """Answer a malformed request: with its own response type, or with a generic_nack if the command is unknown."""
         logs.warn("smpp-bad-pdu", peer=self.name, why=str(error))
         if error.command & p.RESPONSE:
@@ -100,14 +102,14 @@
             return
         answerable = error.status is not Status.ESME_RINVCMDID and error.command != Command.OUTBIND
         command = Command(error.command | p.RESPONSE) if answerable else Command.GENERIC_NACK
-        self.post(Pdu(command, error.sequence, error.status))
+        self.send(Pdu(command, error.sequence, error.status))
 
-    def next(self) -> int:
+    def next_sequence(self) -> int:
         """The sequence number of the next request to send."""
         self._sequence = self._sequence % 0x7FFFFFFF + 1
         return self._sequence
 
-    def hand_over(self) -> bool:
+    def detach_connection(self) -> bool:
         """Stop reading and leave the connection open for another session; false where that is impossible.
 
         Called from ``handle``, in the reading task. Impossible if bytes beyond the PDU have been read, if requests are
@@ -118,69 +120,69 @@
         self.closed = True  # so that this session no longer closes the connection
         return True
 
-    def post(self, pdu: Pdu) -> bool:
+    def send(self, pdu: Pdu) -> bool:
         """Write a response, or a request that has none; returns whether it was written."""
         try:
             self._write(p.encode(pdu), self.loop.now + self._response_timeout)
-        except NotSent:
+        except NotSentError:
             return False
         return True
 
-    def ask(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
-        """Write a request and return its response; raises ``NotSent``, ``Lost`` or ``Late`` if there is none.
+    def request(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
+        """Write a request and return its response, or raise ``NotSentError``, ``SessionLostError`` or ``Late``.
 
-        After ``Late`` the request is still in flight: ``on_late`` is called with its response, or with none when the
-        session ends.
+        After ``Late`` the request is still in flight: ``on_late`` is called with its response, or with none when
+        the session ends.
         """
-        pdu.sequence = self.next()
-        waiting = Parking(self.loop)
+        pdu.sequence = self.next_sequence()
+        waiting = Suspension(self.loop)
         self._pending[pdu.sequence] = waiting
-        self.outstanding += 1
+        self.in_flight += 1
         try:
             self._write(p.encode(pdu), deadline)
             response = self.loop.park(waiting, deadline)
         finally:
             self._pending.pop(pdu.sequence, None)
-            self.outstanding -= 1
-        if response is LATE:
+            self.in_flight -= 1
+        if response is TIMED_OUT:
             if on_late is not None:
                 self._late_handlers[pdu.sequence] = on_late
             raise Late
-        if self.retired:
-            self.retire()
+        if self.draining:
+            self.drain()
         if response is None:
-            raise Lost
+            raise SessionLostError
         assert isinstance(response, Pdu)
         return response
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         """Send no new requests; the session ends when the last one in flight has its response or has timed out."""
-        self.retired = True
-        if not self.outstanding:
+        self.draining = True
+        if not self.in_flight:
             self._finish()
 
     def _finish(self) -> None:
         """End the session; an unbind request of the peer is answered first."""
         if self._unbind_request is not None and not self.closed:
             request, self._unbind_request = self._unbind_request, None
-            self.post(request.reply())
+            self.send(request.reply())
         self.close()
 
     def _write(self, data: bytes, deadline: int) -> None:
         """Write one PDU at a time, whichever task calls; a partial write ends the session."""
         while self._writing and not self.closed:
-            parking = Parking(self.loop)
+            parking = Suspension(self.loop)
             self._write_queue.append(parking)
-            if self.loop.park(parking, deadline) is LATE:
-                raise NotSent
+            if self.loop.park(parking, deadline) is TIMED_OUT:
+                raise NotSentError
         if self.closed:
-            raise NotSent
+            raise NotSentError
         self._writing = True
         try:
             self.stream.write(data, deadline)
         except (Closed, Late):
             self.close()
-            raise NotSent from None
+            raise NotSentError from None
         finally:
             self._writing = False
             if self._write_queue:
@@ -193,8 +195,8 @@
             if self.closed or self.loop.now - self.last_received_at < self._enquire_interval:
                 continue
             try:
-                self.ask(Pdu(Command.ENQUIRE_LINK), self.loop.now + self._response_timeout)
-            except (NotSent, Lost, Late):
+                self.request(Pdu(Command.ENQUIRE_LINK), self.loop.now + self._response_timeout)
+            except (NotSentError, SessionLostError, Late):
                 if not self.closed:
                     logs.warn("smpp-link-dead", peer=self.name)
                     self.close()
@@ -203,8 +205,8 @@
         """Send unbind, wait for its response, and close the connection."""
         try:
             if not self.closed:
-                self.ask(Pdu(Command.UNBIND), self.loop.now + self._response_timeout)
-        except (NotSent, Lost, Late):
+                self.request(Pdu(Command.UNBIND), self.loop.now + self._response_timeout)
+        except (NotSentError, SessionLostError, Late):
             pass
         self.close()
 
--- a/kestrelspar/smpp/errors.py
+++ b/kestrelspar/smpp/status_codes.py
@@ -4,7 +4,7 @@
 
 import hmac
 
-from kestrelspar.core.courier import DELIVERED, RETURNED, WITHDRAWN, Answer, End, Reason, Result
+from kestrelspar.core.courier import DELIVERED, RETURNED, WITHDRAWN, Answer, End, RefusalReason, Result
 from kestrelspar.smpp.pdu import Status
 from snowlock.interface import Outcome
 
@@ -47,14 +47,14 @@
 
 # The status for a client whose message was deferred, by reason.
 DEFERRALS = {
-    Reason.CLOSING: Status.ESME_RTHROTTLED,
-    Reason.FULL: Status.ESME_RMSGQFUL,
-    Reason.DISK: Status.ESME_RMSGQFUL,
-    Reason.PLUGIN: Status.ESME_RTHROTTLED,
-    Reason.UNKNOWN_DEST: Status.ESME_RTHROTTLED,
-    Reason.STALE: Status.ESME_RTHROTTLED,
+    RefusalReason.CLOSING: Status.ESME_RTHROTTLED,
+    RefusalReason.FULL: Status.ESME_RMSGQFUL,
+    RefusalReason.DISK: Status.ESME_RMSGQFUL,
+    RefusalReason.PLUGIN: Status.ESME_RTHROTTLED,
+    RefusalReason.UNKNOWN_DEST: Status.ESME_RTHROTTLED,
+    RefusalReason.STALE: Status.ESME_RTHROTTLED,
 }
-REJECTIONS = {Reason.UNKNOWN_DEST: Status.ESME_RINVDSTADR}
+REJECTIONS = {RefusalReason.UNKNOWN_DEST: Status.ESME_RINVDSTADR}
 
 # message_state and text of a receipt.
 DELIVRD, EXPIRED, UNDELIV, REJECTD = (2, "DELIVRD"), (3, "EXPIRED"), (5, "UNDELIV"), (8, "REJECTD")
@@ -66,7 +66,7 @@
     return hmac.compare_digest(secret.encode(), other.encode())
 
 
-def result(status: int, throttle_wait: int) -> Result:
+def result_of(status: int, throttle_wait: int) -> Result:
     """The outcome for a command_status; the retry-after delay is the configured one, as SMPP carries none."""
     default = Outcome.REJECTED if status in REJECTED else Outcome.ERROR
     outcome = OUTCOMES.get(status, default)  # type: ignore[call-overload]
@@ -74,14 +74,14 @@
     return Result(outcome, wait, note=f"status {status:#x}" if status else "")
 
 
-def status(answer: Answer) -> Status:
+def status_of(answer: Answer) -> Status:
     """The command_status for a message that was not accepted."""
     if answer.defer:
         return DEFERRALS[answer.why]
     return REJECTIONS.get(answer.why, Status.ESME_RSUBMITFAIL)
 
 
-def state(end: End, expired: bool) -> tuple[int, str]:
+def receipt_state(end: End, expired: bool) -> tuple[int, str]:
     """The message_state of a receipt and its text; with REJECTD it is safe to submit the message again."""
     if end.state == DELIVERED:
         return DELIVRD
--- a/kestrelspar/smpp/table.py
+++ b/kestrelspar/smpp/table.py
@@ -11,7 +11,7 @@
 from kestrelspar.smpp.pdu import RESPONSE, Command, Pdu, Status
 
 
-class Bound(Enum):
+class SessionState(Enum):
     """The state of a session: open, or bound in one of three ways."""
 
     OPEN = "open"
@@ -27,18 +27,25 @@
     ESME = "ESME"
 
 
-BINDS = {Command.BIND_TRANSMITTER: Bound.TX, Command.BIND_RECEIVER: Bound.RX, Command.BIND_TRANSCEIVER: Bound.TRX}
-_ALL_STATES = frozenset(Bound)
-_NO_STATE: frozenset[Bound] = frozenset()
-_TRANSMITTING, _RECEIVING = frozenset({Bound.TX, Bound.TRX}), frozenset({Bound.RX, Bound.TRX})
+BOUND_STATES = {
+    Command.BIND_TRANSMITTER: SessionState.TX,
+    Command.BIND_RECEIVER: SessionState.RX,
+    Command.BIND_TRANSCEIVER: SessionState.TRX,
+}
+_ALL_STATES = frozenset(SessionState)
+_NO_STATE: frozenset[SessionState] = frozenset()
+_TRANSMITTING, _RECEIVING = (
+    frozenset({SessionState.TX, SessionState.TRX}),
+    frozenset({SessionState.RX, SessionState.TRX}),
+)
 
 # By side and request: the states in which it is served, and the status of its response in other states. None stands
 # for a generic_nack with ESME_RINVCMDID, as the request is meant for the other side or has no response.
-_ROWS: dict[Side, dict[Command, tuple[frozenset[Bound], Status | None]]] = {
+_ROWS: dict[Side, dict[Command, tuple[frozenset[SessionState], Status | None]]] = {
     Side.CENTRE: {
-        Command.BIND_TRANSMITTER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
-        Command.BIND_RECEIVER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
-        Command.BIND_TRANSCEIVER: (frozenset({Bound.OPEN}), Status.ESME_RALYBND),
+        Command.BIND_TRANSMITTER: (frozenset({SessionState.OPEN}), Status.ESME_RALYBND),
+        Command.BIND_RECEIVER: (frozenset({SessionState.OPEN}), Status.ESME_RALYBND),
+        Command.BIND_TRANSCEIVER: (frozenset({SessionState.OPEN}), Status.ESME_RALYBND),
         Command.UNBIND: (_ALL_STATES, None),
         Command.ENQUIRE_LINK: (_ALL_STATES, None),
         Command.SUBMIT_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
@@ -48,11 +55,11 @@
         Command.CANCEL_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
         Command.REPLACE_SM: (_TRANSMITTING, Status.ESME_RINVBNDSTS),
         Command.DELIVER_SM: (_NO_STATE, None),
-        Command.OUTBIND: (frozenset({Bound.OPEN}), None),  # a gateway has connected, and requests a bind
+        Command.OUTBIND: (frozenset({SessionState.OPEN}), None),  # a gateway has connected, and requests a bind
         Command.ALERT_NOTIFICATION: (_NO_STATE, None),
     },
     Side.ESME: {
-        Command.OUTBIND: (frozenset({Bound.OPEN}), None),
+        Command.OUTBIND: (frozenset({SessionState.OPEN}), None),
         Command.UNBIND: (_ALL_STATES, None),
         Command.ENQUIRE_LINK: (_ALL_STATES, None),
         Command.DELIVER_SM: (_RECEIVING, Status.ESME_RINVBNDSTS),
@@ -70,7 +77,7 @@
 }
 
 
-def refusal(side: Side, state: Bound, pdu: Pdu) -> Pdu | None:
+def refusal(side: Side, state: SessionState, pdu: Pdu) -> Pdu | None:
     """The response to a request that is not served in this state; none if it is served."""
     served, status = _ROWS[side][pdu.command]
     if state in served:
--- a/kestrelspar/standins/gateway.py
+++ b/kestrelspar/standins/gateway.py
@@ -13,7 +13,7 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import table
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
-from kestrelspar.smpp.table import BINDS, Bound, Side
+from kestrelspar.smpp.table import BOUND_STATES, SessionState, Side
 from kestrelspar.standins.server import accept
 
 RECEIPT_STATES = {
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Manners:
+class Behaviour:
     """Limits, delays and faults of a stand-in gateway; times in microseconds, shares from 0 to 1."""
 
     limit: int = 0  # maximum submits within any second, over all sessions; 0: no limit
@@ -43,17 +43,17 @@
     """State of one connection."""
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.bound, self.in_flight, self.sequence = stream, Bound.OPEN, 0, 0
+        self.stream, self.bound, self.in_flight, self.sequence = stream, SessionState.OPEN, 0, 0
 
 
 class Gateway:
-    """Serves any number of sessions; ``took`` counts effective submits by text, ``answers`` the responses by status."""
+    """Serves any number of sessions; counts effective submits by text (``accepted``), responses by status."""
 
     def __init__(
         self,
         loop: Loop,
         listener: socket.socket,
-        behaviour: Manners,
+        behaviour: Behaviour,
         seed: int = 1,
         on_submit: Callable[[str, Pdu], None] = lambda outcome, pdu: None,
     ) -> None:
@@ -63,9 +63,9 @@
         self._sessions: list[Session] = []
         self._accepted_at: deque[int] = deque()  # times of the submits accepted within the last second
         self._states: dict[str, State] = {}  # by message_id, for query_sm
-        self.took: Counter[bytes] = Counter()
+        self.accepted: Counter[bytes] = Counter()
         self.answers: Counter[str] = Counter()
-        self.first = self.last = 0  # time of the first and last submit that took effect
+        self.first_accepted_at = self.last_accepted_at = 0  # time of the first and last submit that took effect
         loop.spawn(accept, loop, listener, BufferPool(1024), self._serve)
 
     def _serve(self, stream: Stream) -> None:
@@ -73,7 +73,7 @@
         self._sessions.append(session)
         try:
             while True:
-                size = p.whole(buffer)
+                size = p.complete_length(buffer)
                 if not size:
                     stream.fill(None)
                     buffer += stream.unread
@@ -83,9 +83,9 @@
                 del buffer[:size]
                 try:
                     self._handle(session, p.decode(data))
-                except p.BadPdu as error:
+                except p.MalformedPduError as error:
                     self._post(session, Pdu(Command.GENERIC_NACK, error.sequence, error.status))
-        except (Closed, Late, p.BadLength):
+        except (Closed, Late, p.FramingError):
             pass
         finally:
             self._sessions.remove(session)
@@ -97,8 +97,8 @@
         refusal = table.refusal(Side.CENTRE, session.bound, pdu)
         if refusal is not None or pdu.command is Command.OUTBIND:
             self._post(session, refusal or Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
-        elif pdu.command in BINDS:
-            session.bound = BINDS[pdu.command]
+        elif pdu.command in BOUND_STATES:
+            session.bound = BOUND_STATES[pdu.command]
             self._post(session, pdu.reply(system_id="stand-in"))
         elif pdu.command is Command.SUBMIT_SM or pdu.command is Command.DATA_SM:
             self.loop.spawn(self._handle_submit, session, pdu)
@@ -130,8 +130,8 @@
             status = Status.ESME_RSYSERR
         else:
             self._accepted_at.append(now)
-            self.took[pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""] += 1
-            self.first, self.last = self.first or now, now
+            self.accepted[pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""] += 1
+            self.first_accepted_at, self.last_accepted_at = self.first_accepted_at or now, now
         session.in_flight += 1
         self.loop.sleep(behaviour.latency)
         session.in_flight -= 1
@@ -149,7 +149,7 @@
         self._post(session, pdu.reply(status, message_id=message_id))
         if not status and pdu.number("registered_delivery") & 3 and behaviour.receipts >= 0:
             self._states[message_id] = State.ENROUTE
-            self.loop.at(
+            self.loop.call_at(
                 self.loop.now + behaviour.receipts, lambda: self.loop.spawn(self._send_receipt, message_id, pdu)
             )
 
@@ -158,9 +158,9 @@
         self._states[message_id] = state
         if self._random.random() < self.behaviour.lost:
             return
-        receivers = [s for s in self._sessions if s.bound in (Bound.RX, Bound.TRX)]
+        receivers = [s for s in self._sessions if s.bound in (SessionState.RX, SessionState.TRX)]
         if not receivers:
-            self.loop.at(self.loop.now + SECOND, lambda: self.loop.spawn(self._send_receipt, message_id, pdu))
+            self.loop.call_at(self.loop.now + SECOND, lambda: self.loop.spawn(self._send_receipt, message_id, pdu))
             return
         session = self._random.choice(receivers)
         session.sequence += 1
--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -19,7 +19,7 @@
 NS = 1_000  # nanoseconds in a microsecond, the unit of the loop
 
 
-def settings(slots: int = 16, most_open: int = 400) -> dict[str, Any]:
+def settings(slots: int = 16, max_open: int = 400) -> dict[str, Any]:
     """Settings of a small installation: three classes, one zone, and one kind, with ``routes_apart`` set."""
 
     def message_class(name: str, objective: int, deadline: int, semantics: str, **more: Any) -> dict[str, Any]:
@@ -42,7 +42,7 @@
         "family_info": {"workers": slots, "routes_apart": [True]},
         "limits": {
             "max_attempts": 8,
-            "max_open": most_open,
+            "max_open": max_open,
             "connect_timeout_ns": SECOND * NS,
             "conn_idle_ns": 10 * SECOND * NS,
             "max_retry_after_ns": 2 * SECOND * NS,
@@ -87,7 +87,7 @@
                 if response is None:
                     return
                 stream.write(response, self.loop.now + 5 * SECOND)
-        except (Closed, Late, parser.BadMessage):
+        except (Closed, Late, parser.MalformedMessageError):
             pass
         finally:
             stream.close()
@@ -104,7 +104,7 @@
         super().__init__(loop)
         self.rows, self.index = rows, 1
         self.notices: list[dict[str, Any]] = []
-        self.heard: Callable[[dict[str, Any]], None] = self.notices.append
+        self.on_notice: Callable[[dict[str, Any]], None] = self.notices.append
 
     def _list(self) -> bytes:
         snapshot = {"index": self.index, "snapshot": True, "endpoints": self.rows}
@@ -112,16 +112,16 @@
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        method, target, _ = head.first
+        method, target, _ = head.start_line
         if method == "POST":
             for line in body.splitlines():
-                self.heard(ujson.loads(line))
+                self.on_notice(ujson.loads(line))
             return parser.response(204)
         if "watch=1" not in target:
             return parser.response(200, self._list())
         stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", self.loop.now + SECOND)
         sent_index = 0
-        while not stream.ended():
+        while not stream.peer_closed():
             line = self._list() + b"\n" if sent_index != self.index else b"\n"
             sent_index = self.index
             stream.write(b"%x\r\n%s\r\n" % (len(line), line), self.loop.now + SECOND)
@@ -130,7 +130,7 @@
 
 
 @dataclass
-class Manners:
+class Behaviour:
     """Latency and faults of a next hop: times in microseconds, shares of calls from 0 to 1."""
 
     min_latency: int = 20 * MS
@@ -141,11 +141,11 @@
 
 
 @dataclass
-class Seen:
+class CallRecord:
     """Calls recorded by all next hops together."""
 
     effects: Counter[str] = field(default_factory=Counter)  # by message id: number of calls executed
-    answered: dict[str, int] = field(
+    first_answered_at: dict[str, int] = field(
         default_factory=dict
     )  # by message id: time of the first 200, in microseconds of the loop
     calls: int = 0
@@ -154,13 +154,13 @@
 class NextHop(Server):
     """An endpoint of a member system; the random numbers behind its behaviour come from a seed."""
 
-    def __init__(self, loop: Loop, seen: Seen, seed: int, manners: Manners) -> None:
+    def __init__(self, loop: Loop, seen: CallRecord, seed: int, behaviour: Behaviour) -> None:
         super().__init__(loop)
-        self.seen, self.manners, self._random = seen, manners, random.Random(seed)
+        self.seen, self.behaviour, self._random = seen, behaviour, random.Random(seed)
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        manners, trace, chance = self.manners, head.headers.get("x-trace-id", ""), self._random.random()
+        manners, trace, chance = self.behaviour, head.headers.get("x-trace-id", ""), self._random.random()
         self.seen.calls += 1
         if chance < manners.refused:
             return parser.response(429, headers={"Retry-After": "0.2"})
@@ -171,6 +171,6 @@
         if chance < manners.refused + manners.error + manners.silent:
             self.loop.sleep(30 * SECOND)
             return None
-        if not stream.ended():
-            self.seen.answered.setdefault(trace, self.loop.now)
+        if not stream.peer_closed():
+            self.seen.first_answered_at.setdefault(trace, self.loop.now)
         return parser.response(200)
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -20,7 +20,7 @@
 
 from kestrelspar.http import parser
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
-from kestrelspar.runtime.loop import LATE, MS, SECOND, Loop, Parking
+from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension
 from kestrelspar.standins.server import accept
 
 IO_TIMEOUT = 3_600 * SECOND  # long enough never to expire in a test
@@ -59,7 +59,7 @@
     ttls: dict[int, int] = field(default_factory=dict)  # by lease id: seconds granted
     accounts: dict[str, str] = field(default_factory=dict)  # password (etcd) or token (Consul) by name; empty: no login
     tokens: set[str] = field(default_factory=set)  # valid tokens of etcd
-    change_waiters: list[Parking] = field(default_factory=list)  # tasks to resume at the next change
+    change_waiters: list[Suspension] = field(default_factory=list)  # tasks to resume at the next change
 
     def version_at(self, key: bytes, revision: int) -> Version | None:
         """The key's version at a revision; None if it did not exist then."""
@@ -148,7 +148,7 @@
         self.leases[number], self.ttls[number] = now + ttl * SECOND, ttl
         return number
 
-    def lapse(self, now: int) -> None:
+    def expire_leases(self, now: int) -> None:
         """Remove expired leases and delete their keys."""
         expired = [number for number, until in self.leases.items() if until <= now]
         for number in expired:
@@ -185,17 +185,19 @@
 class Member:
     """One server of the store, with both APIs."""
 
-    def __init__(self, loop: Loop, store: Store, listener: socket.socket, limit_fragment: int = 0) -> None:
+    def __init__(self, loop: Loop, store: Store, listener: socket.socket, max_fragment_events: int = 0) -> None:
         self.loop, self.store, self.listener = loop, store, listener
         self.address: tuple[str, int] = listener.getsockname()
         self.faults = Faults()
-        self.max_fragment_events = limit_fragment  # maximum events per watch response, if the client requests fragments
+        self.max_fragment_events = (
+            max_fragment_events  # maximum events per watch response, if the client requests fragments
+        )
         self.buffers = BufferPool(4096)
         self.recent_requests: list[tuple[str, dict[str, Any]]] = []  # path and parameters of the last requests
         self.streams: set[Stream] = set()
         loop.spawn(accept, loop, listener, self.buffers, self._serve, lambda: self.faults.refuse)
 
-    def drop_all(self) -> None:
+    def close_connections(self) -> None:
         """Close every connection."""
         for stream in list(self.streams):
             stream.close()
@@ -211,11 +213,11 @@
         try:
             while True:
                 head = parser.read_head(stream, None)
-                body = parser.read_body(stream, head, self.loop.now + IO_TIMEOUT, most=MAX_BODY_BYTES)
+                body = parser.read_body(stream, head, self.loop.now + IO_TIMEOUT, max_bytes=MAX_BODY_BYTES)
                 self._wait_while_silent()
                 if self.faults.refuse or not self._respond(stream, head, body):
                     return
-        except (Closed, Late, parser.BadMessage):
+        except (Closed, Late, parser.MalformedMessageError):
             pass
         finally:
             self.streams.discard(stream)
@@ -233,7 +235,7 @@
 
     def _respond(self, stream: Stream, head: parser.Head, body: bytes) -> bool:
         """Respond to one request; True if the connection stays open."""
-        method, target, _ = head.first
+        method, target, _ = head.start_line
         path, _, query = target.partition("?")
         garbage, self.faults.garbage = self.faults.garbage, None
         if garbage is not None:
@@ -314,7 +316,7 @@
             return {"header": self._header(), "ID": str(lease_id), "TTL": str(request["TTL"])}
         if path in ("/v3/lease/revoke", "/v3/kv/lease/revoke"):
             store.leases[int(request["ID"])] = 0
-            store.lapse(self.loop.now)
+            store.expire_leases(self.loop.now)
             return {"header": self._header()}
         if path == "/v3/lease/keepalive":
             lease_id = int(request["ID"])
@@ -447,11 +449,11 @@
                 next_revision = max(next_revision, self.revision + 1)
                 if not send({}):
                     return False
-            if stream.ended():
+            if stream.peer_closed():
                 return False
-            change = Parking(self.loop)
+            change = Suspension(self.loop)
             self.store.change_waiters.append(change)
-            if self.loop.park(change, self.loop.now + 200 * MS) is LATE:
+            if self.loop.park(change, self.loop.now + 200 * MS) is TIMED_OUT:
                 self.store.change_waiters = [other for other in self.store.change_waiters if other is not change]
 
     # Consul
@@ -487,11 +489,11 @@
         index, wait = int(parameters.get("index", 0)), _parse_wait(parameters.get("wait", "5m"))
         deadline = self.loop.now + min(wait, 600 * SECOND)
         while index and store.last_revision(key, end, self.revision) <= index and self.loop.now < deadline:
-            if stream.ended():
+            if stream.peer_closed():
                 return False
-            change = Parking(self.loop)
+            change = Suspension(self.loop)
             store.change_waiters.append(change)
-            if self.loop.park(change, min(deadline, self.loop.now + 200 * MS)) is LATE:
+            if self.loop.park(change, min(deadline, self.loop.now + 200 * MS)) is TIMED_OUT:
                 store.change_waiters = [other for other in store.change_waiters if other is not change]
         self._wait_while_silent()
         revision = self.store.revision if "consistent" in parameters else self.revision
@@ -563,26 +565,26 @@
         if fault == "compact" and store.revision > store.compacted + 1:
             store.compact(store.revision - random_source.randrange(2))
         elif fault == "drop":
-            member.drop_all()
+            member.close_connections()
         elif fault == "cut":
             member.faults.cut = random_source.randrange(1, 400)
             if random_source.random() < 0.5:
-                member.drop_all()
+                member.close_connections()
         elif fault == "silent":
             member.faults.silent_until = loop.now + random_source.randrange(2 * interval)
         elif fault == "lag":
             member.faults.lag = max(1, store.revision - random_source.randrange(5))
-            member.drop_all()
+            member.close_connections()
         elif fault == "lapse" and store.leases:
             store.leases[random_source.choice(sorted(store.leases))] = 0
         elif fault == "tokens":
             store.tokens.clear()
         elif fault == "refuse":
             member.faults.refuse = True
-            member.drop_all()
+            member.close_connections()
         elif fault == "garbage":
             member.faults.garbage = random_source.randbytes(random_source.randrange(60))
         else:
             for recovered in members:
                 recovered.faults = Faults()
-        store.lapse(loop.now)
+        store.expire_leases(loop.now)
