--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -64,7 +64,7 @@
 BURST_TOLERANCE = 500 * MS  # calls worth this long at the limit's rate may go at once
 INTERVAL_GROWTH, INTERVAL_DECREASE = 2.0, 0.1  # of the call interval: factor per refusal, share per answer
 MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2  # cap in equal-share intervals, and the least cap
-FEW = 4  # forwarders; a fleet this small calls often enough to find its intervals in small steps
+SMALL_FLEET_SIZE = 4  # forwarders; a fleet this small calls often enough to find its intervals in small steps
 # Share of the allowance that is left: below the first an answer lengthens the interval; above the second
 # large fleets shorten it fast.
 SCARCE_ALLOWANCE, AMPLE_ALLOWANCE = 0.5, 0.3
@@ -180,12 +180,12 @@
         self.clock_offset = ahead
         self.decision_lag = 2 * settings.tick_ns + 10 * MS  # bound on the time from a decision to its effect
         # 0 in a small fleet, near 1 in a large one.
-        self.fleet_factor = max(0.0, 1 - FEW / settings.forwarders)
+        self.fleet_factor = max(0.0, 1 - SMALL_FLEET_SIZE / settings.forwarders)
         self.random = random.Random(seed)
         self.now = self.sweep_at = 0  # the latter: when removed routes are next swept
         self.messages: dict[int, Message] = {}
         self.routes: dict[api.EndpointId, Route] = {}
-        self.dests: dict[int, Destination] = {}
+        self.destinations: dict[int, Destination] = {}
         self.key_queues: dict[int, deque[Message]] = {}  # by ordering key: unfinished messages in order
         self.key_available_at: dict[int, int] = {}
         self.waiting: dict[int, Destination] = {}
@@ -319,13 +319,13 @@
                 if known is not None:
                     self._remove_route(known)
                 continue
-            dest = self.dests.setdefault(entry.destination, Destination(entry.destination))
+            dest = self.destinations.setdefault(entry.destination, Destination(entry.destination))
             dest.kind, kinds = entry.kind, self.settings.routes_apart
-            dest.apart = kinds[entry.kind] if entry.kind < len(kinds) else False
+            dest.separate_limits = kinds[entry.kind] if entry.kind < len(kinds) else False
             if known is None or known.dest is not dest:
                 if known is not None:
                     self._remove_route(known)
-                dest.limit = limit = Limit() if dest.apart or dest.limit is None else dest.limit
+                dest.limit = limit = Limit() if dest.separate_limits or dest.limit is None else dest.limit
                 known = self.routes[entry.id] = Route(entry, dest, self.random.expovariate(1.0), limit)
                 added.append((known, entry.limit if DEFAULT_RATE <= entry.limit < 1e6 else 0.0))
                 if entry.down_ns:
@@ -339,7 +339,11 @@
         # Sweeping at intervals keeps the cost of a change independent of the number of listed routes.
         if len(self.routes) < EAGER_SWEEP_MAX_ROUTES or self.now >= self.sweep_at:
             since, self.sweep_at = self.now - self.settings.ramp_ns, self.now + self.settings.ramp_ns
-            kept = [r for r in self.routes.values() if r.ready or max(r.heard, r.wait_until) > since]
+            kept = [
+                r
+                for r in self.routes.values()
+                if r.ready or max(r.last_outcome_at, r.retry_after_until) > since
+            ]
             self.routes = {route.id: route for route in kept}
         for route, known_rate in added:
             rate = known_rate or min(
@@ -356,7 +360,7 @@
                     * (RESTART_INTERVAL_SHARE if known_rate else 1)
                 )
             # Where routes share outages, a replacement listed during one is no healthier than the others.
-            if not route.dest.apart and route.dest.last_trouble_at > since:
+            if not route.dest.separate_limits and route.dest.last_trouble_at > since:
                 self._mark_down(route, "joins a destination in trouble")
 
     def _restore_outage(self, route: Route, entry: api.Endpoint) -> None:
@@ -368,7 +372,7 @@
         recovering_since = self.now - entry.back_ns
         if entry.back_ns and recovering_since + self.settings.ramp_ns <= self.now:
             return
-        route.down, route.failing_since, route.back = (
+        route.down, route.failing_since, route.recovering_since = (
             True,
             self.now - entry.down_ns,
             recovering_since if entry.back_ns else None,
@@ -384,7 +388,8 @@
         route = self.routes.get(endpoint)
         routes = route.dest.routes if route is not None else ()
         return {
-            sibling.id: (sibling.failing_since, sibling.back) if sibling.down else None for sibling in routes
+            sibling.id: (sibling.failing_since, sibling.recovering_since) if sibling.down else None
+            for sibling in routes
         }
 
     def _on_shares(self, event: api.Parts) -> None:
@@ -419,14 +424,14 @@
 
         Without the draw many forwarders would call the same route first and have most calls refused there.
         """
-        tolls = self.settings.tolls if route.dest.apart else ()
+        tolls = self.settings.tolls if route.dest.separate_limits else ()
         cost = tolls[route.zone] if route.zone < len(tolls) else 0.0
         cost += self.settings.cross_zone_fee if route.zone != self.settings.zone else 0.0
         return (route.rank, cost, route.order_draw / route.rate)
 
     def _on_arrival(self, event: api.Arrival) -> Destination:
         """Accept a message."""
-        dest = self.dests.setdefault(event.destination, Destination(event.destination))
+        dest = self.destinations.setdefault(event.destination, Destination(event.destination))
         message = Message(
             event.message,
             self.settings.classes[event.message_class],
@@ -465,7 +470,7 @@
     def _on_timer(self, token: int) -> Destination | None:
         """Handle a destination's wake-up (odd token) or a waiting message's latest answer time (even)."""
         if token & 1:
-            if (dest := self.dests.get(token >> 1)) is not None and dest.wake_at <= self.now:
+            if (dest := self.destinations.get(token >> 1)) is not None and dest.wake_at <= self.now:
                 dest.wake_at = NEVER
             return dest
         message = self.messages.get(token >> 1)
@@ -474,7 +479,7 @@
         self._abandon(message)
         return message.dest
 
-    def may_still_go(self, now: int, endpoint: api.EndpointId, number: int) -> bool:
+    def may_still_send(self, now: int, endpoint: api.EndpointId, number: int) -> bool:
         """Return whether a call decided earlier may still be sent.
 
         It may not once the route is draining or has a retry-after, or near the end of the message's repeat
@@ -483,7 +488,7 @@
         route, message = self.routes.get(endpoint), self.messages.get(number)
         if route is None or message is None or now + self.decision_lag >= message.window_end:
             return False
-        return route.ready and max(route.wait_until, route.dest.wait_until) <= now
+        return route.ready and max(route.retry_after_until, route.dest.retry_after_until) <= now
 
     def _may_refuse(self, message: Message) -> bool:
         """Return whether the message may be refused, which promises that it may safely be submitted again."""
@@ -560,7 +565,7 @@
 
     def _next_call_at(self, route: Route) -> int:
         """Return when the route may take its next call: retry-after, pacing, suspension and fail-back."""
-        at = max(route.wait_until, route.dest.wait_until)
+        at = max(route.retry_after_until, route.dest.retry_after_until)
         at = max(at, self._rotation_turn(route, route.limit.theoretical_arrival - BURST_TOLERANCE))
         if route.suspended_until > self.now and (route.inflight or not route.one_at_a_time):
             at = max(
@@ -574,12 +579,12 @@
         # A route that has not answered yet may hang, as those that it replaces may.
         if not route.successes and route.inflight >= MAX_CALLS_UNPROVEN:
             return max(at, self.now + RECHECK_INTERVAL)
-        if route.down or route.failures or self.silent(route):
+        if route.down or route.failures or self.is_silent(route):
             at = max(at, self._failback_call_at(route))
             if at <= self.now and self._is_suspect(route):
                 # When many routes hang at once, calls to them must not hold all slots until their time-outs.
                 stuck = sum(r.inflight for r in self.routes.values() if r.inflight and self._is_suspect(r))
-                if self.silent(route) or stuck >= max(1.0, SUSPECT_SLOT_SHARE * self.settings.slots):
+                if self.is_silent(route) or stuck >= max(1.0, SUSPECT_SLOT_SHARE * self.settings.slots):
                     at = self.now + RECHECK_INTERVAL
         return at
 
@@ -607,10 +612,14 @@
         One quick failure does not count, as some routes lose a call now and then.
         """
         return (
-            route.down or route.failures > 1 or route.failures > 0 and route.timed_out or self.silent(route)
+            route.down
+            or route.failures > 1
+            or route.failures > 0
+            and route.timed_out
+            or self.is_silent(route)
         )
 
-    def silent(self, route: Route) -> bool:
+    def is_silent(self, route: Route) -> bool:
         """Return whether the route seems to hang: calls are in flight and no outcome has come for long.
 
         Lets new messages avoid the route before the first time-out. The cost is that one very long call makes
@@ -619,7 +628,7 @@
         return (
             route.successes > 0
             and route.inflight >= 2
-            and self.now - route.heard > self._latency_bound(route)
+            and self.now - route.last_outcome_at > self._latency_bound(route)
         )
 
     def _latency_bound(self, route: Route) -> float:
@@ -640,13 +649,15 @@
         down.
         """
         bearable = self.settings.cold_from
-        if route.back is not None:
-            bearable += (1 - bearable) * min(1.0, max(0, self.now - route.back) / self.settings.ramp_ns)
+        if route.recovering_since is not None:
+            bearable += (1 - bearable) * min(
+                1.0, max(0, self.now - route.recovering_since) / self.settings.ramp_ns
+            )
         rate, window = self._fleet_rate(route), self.settings.fall_ns
         aware = 2.0  # estimated forwarders that hold messages for the route
         # A forwarder that calls seldom notices late: the outage began windows before its own first failure.
         if route.down:
-            known = max(route.last_call_at, route.wait_until) - route.failing_since
+            known = max(route.last_call_at, route.retry_after_until) - route.failing_since
             aware += rate * (max(0, known) + LATE_DETECTION_WINDOWS * window) / SECOND
         if self.settings.rate_hint is api.RateHint.ROUGH and not route.limit.rate:
             rate *= ROUGH_RATE_FACTOR
@@ -681,7 +692,7 @@
             // 2
             * min(1.0, LONG_CALL_FACTOR * self._usual_latency() / max(dest.mean_latency, 1.0))
         )
-        return max(1, half // 2 if any(self.silent(route) for route in dest.routes) else half)
+        return max(1, half // 2 if any(self.is_silent(route) for route in dest.routes) else half)
 
     def _dispatch(self, dest: Destination) -> None:
         """Send what may go now, the most valuable messages first, and set the next wake-up."""
@@ -805,7 +816,7 @@
                 idle = NEVER
             call = Call(route, self.now, idle if idle <= self.settings.idle_ns else NEVER)
             if not route.inflight:
-                route.heard = self.now
+                route.last_outcome_at = self.now
             route.inflight += 1
             route.dest.inflight += 1
             self.inflight += 1
@@ -872,11 +883,11 @@
             route.inflight -= 1
             dest.inflight -= 1
             self.inflight -= 1
-        route.heard = self.now
+        route.last_outcome_at = self.now
         # A retry-after is respected with any outcome: a damaged answer may carry a genuine one.
         if event.wait_ns:
-            barred = dest if not dest.apart else route
-            barred.wait_until = max(barred.wait_until, self.now + event.wait_ns)
+            barred = dest if not dest.separate_limits else route
+            barred.retry_after_until = max(barred.retry_after_until, self.now + event.wait_ns)
         if outcome is Outcome.REJECTED:  # the fault is the message's, not the route's: it is not tried again
             if not message.done and not event.closed:
                 self.actions.append(api.Fail(message.id))
@@ -1000,12 +1011,12 @@
             # A retry-after of three times closed_after is longer than a limit's time window.
             if closed and (remaining >= UNUSED_ALLOWANCE or retry_after >= 3 * self.closed_after):
                 route.dest.last_trouble_at = self.now
-                for sibling in [route] if route.dest.apart else [route, *route.dest.routes]:
+                for sibling in [route] if route.dest.separate_limits else [route, *route.dest.routes]:
                     sibling.failing_since = sibling.failing_since or limit.refused_since
                     self._mark_down(sibling, "refuses all")
                     if retry_after:
                         # It recovers then, as all forwarders that got the retry-after know.
-                        sibling.back = self.now + retry_after
+                        sibling.recovering_since = self.now + retry_after
             return
         failed = outcome is not Outcome.OK
         route.loss_share += LATENCY_GAIN * (
@@ -1019,7 +1030,7 @@
                     (failed and index is lost) - self.failure_shares[index]
                 )
         if not failed:
-            if route.down and route.back is None:
+            if route.down and route.recovering_since is None:
                 # It was closed, not limited: from here on the ramp paces the calls.
                 limit.interval, limit.theoretical_arrival = 0.0, self.now
             limit.update(
@@ -1035,11 +1046,11 @@
             route.limit.answers = [*route.limit.answers, self.now]
             self._learn_latency(route, event.latency_ns)
             if route.down:
-                if route.back is None:
-                    route.back = self.now
-                elif self.now - route.back >= self.settings.ramp_ns:
+                if route.recovering_since is None:
+                    route.recovering_since = self.now
+                elif self.now - route.recovering_since >= self.settings.ramp_ns:
                     route.down = False
-                    route.back, route.failing_since = None, 0
+                    route.recovering_since, route.failing_since = None, 0
                     self._log(route, "serves again")
             return
         # A failed connect beside calls that are answered means capped connections, not an outage.
@@ -1066,7 +1077,7 @@
         # A forwarder that calls the route seldom must act on one failure, unless chance explains it.
         seldom_called = route.last_success_at < sent - self.settings.fall_ns
         # Routes of one destination mostly fail together.
-        shared = route.dest.failures > route.failures and (seldom_called or not route.dest.apart)
+        shared = route.dest.failures > route.failures and (seldom_called or not route.dest.separate_limits)
         usual = self.failure_shares[lost] if lost else min(self.failure_shares[lost], MAX_USUAL_FAILURE_SHARE)
         probability = usual ** (route.dest.failures if shared else route.failures)
         threshold = CHANCE_THRESHOLD / 5 if route.timed_out else QUICK_FAILURE_THRESHOLD
@@ -1119,7 +1130,7 @@
         """Mark the route as down and not yet recovering."""
         if not route.down:
             self._log(route, reason)
-        route.down, route.back = True, None
+        route.down, route.recovering_since = True, None
 
     def _log(self, route: Route, text: str) -> None:
         """Log a change of a route's state, up to ``MAX_LOG_LINES``."""
--- a/snowlock/settings.py
+++ b/snowlock/settings.py
@@ -15,61 +15,61 @@
 
 
 class SettingsError(ValueError):
-    """Keys are missing or have invalid values; each of the ``faults`` names one."""
+    """Keys are missing or have invalid values; each of the ``errors`` names one."""
 
     def __init__(self, *faults: str) -> None:
         super().__init__("; ".join(faults))
-        self.faults = faults
+        self.errors = faults
 
 
 class Section:
     """A parsed JSON object with its path, which errors name.
 
-    Errors are collected, so that all can be reported at once: call ``raise_faults`` after the last key. An
+    Errors are collected, so that all can be reported at once: call ``raise_errors`` after the last key. An
     invalid key reads as its default, or as None or an empty section.
     """
 
-    def __init__(self, raw: Any, path: str, faults: list[str] | None = None) -> None:
-        self.path, self.faults = path, [] if faults is None else faults
+    def __init__(self, raw: Any, path: str, errors: list[str] | None = None) -> None:
+        self.path, self.errors = path, [] if errors is None else errors
         self.is_object = isinstance(raw, dict)  # otherwise its keys are not reported as missing
         self.raw: dict[str, Any] = raw if isinstance(raw, dict) else {}
         if not self.is_object:
-            self.faults.append(f"{path}: must be an object")
+            self.errors.append(f"{path}: must be an object")
 
-    def raise_faults(self) -> None:
+    def raise_errors(self) -> None:
         """Raise ``SettingsError`` if any errors have been collected."""
-        if self.faults:
-            raise SettingsError(*self.faults)
+        if self.errors:
+            raise SettingsError(*self.errors)
 
     def get(self, key: str, kind: Callable[[Any], T], default: Any = _REQUIRED) -> T:
         """Return the key's value converted by ``kind``, or the default if the key is absent."""
         value: Any = None if default is _REQUIRED else default
         if key not in self.raw:
             if default is _REQUIRED and self.is_object:
-                self.faults.append(f"{self.path}.{key}: missing")
+                self.errors.append(f"{self.path}.{key}: missing")
             return value  # type: ignore[no-any-return]
         try:
             return kind(self.raw[key])
         except SettingsError as error:
-            self.faults += error.faults
+            self.errors += error.errors
         except (ValueError, TypeError, KeyError, OverflowError):
-            self.faults.append(f"{self.path}.{key}: {self.raw[key]!r:.60} is not valid")
+            self.errors.append(f"{self.path}.{key}: {self.raw[key]!r:.60} is not valid")
         return value  # type: ignore[no-any-return]
 
     def section(self, key: str, optional: bool = False) -> Section:
         """Return the object at the key, or an empty one if it is optional and absent."""
         if key not in self.raw:
             if self.is_object and not optional:
-                self.faults.append(f"{self.path}.{key}: missing")
-            absent = Section({}, f"{self.path}.{key}", self.faults)
+                self.errors.append(f"{self.path}.{key}: missing")
+            absent = Section({}, f"{self.path}.{key}", self.errors)
             absent.is_object = optional
             return absent
-        return Section(self.raw[key], f"{self.path}.{key}", self.faults)
+        return Section(self.raw[key], f"{self.path}.{key}", self.errors)
 
     def sections(self, key: str, optional: bool = True) -> list[Section]:
         """Return the objects of the list at the key."""
         rows = self.get(key, _as_list, [] if optional else _REQUIRED) or []
-        return [Section(row, f"{self.path}.{key}[{index}]", self.faults) for index, row in enumerate(rows)]
+        return [Section(row, f"{self.path}.{key}[{index}]", self.errors) for index, row in enumerate(rows)]
 
 
 def _as_list(value: Any) -> list[Any]:
@@ -139,5 +139,5 @@
         zones=top.get("dcs", _tuple_of(str), ()),
         kinds=top.get("kinds", _tuple_of(str), ()),
     )
-    top.raise_faults()
+    top.raise_errors()
     return api.Settings(**values)
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -61,8 +61,8 @@
         "last_trouble_at",
         "wake_at",
         "max_attempts",
-        "wait_until",
-        "apart",
+        "retry_after_until",
+        "separate_limits",
         "limit",
         "mean_latency",
     )
@@ -76,8 +76,8 @@
         self.last_trouble_at = -NEVER  # last failure, or refusal as closed, with no answer since
         self.wake_at = self.max_attempts = NEVER
         # End of a retry-after, where routes share a limit; applies to routes listed later too.
-        self.wait_until = 0
-        self.apart, self.mean_latency = False, 0.0  # apart: each route has a limit of its own
+        self.retry_after_until = 0
+        self.separate_limits, self.mean_latency = False, 0.0  # apart: each route has a limit of its own
         self.limit: Limit | None = None  # shared by its routes unless apart; created with the first of them
 
 
@@ -97,14 +97,14 @@
         "max_failures",
         "limit",
         "inflight",
-        "wait_until",
+        "retry_after_until",
         "failures",
         "successes",
         "last_call_at",
         "previous_call_at",
         "last_success_at",
         "failing_since",
-        "heard",
+        "last_outcome_at",
         "idle_since",
         "mean_latency",
         "latency_deviation",
@@ -112,7 +112,7 @@
         "down",
         "timed_out",
         "failed_classes",
-        "back",
+        "recovering_since",
         "suspended_until",
         "one_at_a_time",
     )
@@ -123,10 +123,10 @@
         self.rate, self.ready, self.rank = entry.rate, True, entry.rank
         self.max_timeout = self.max_failures = NEVER  # bounds set by operators, if any
         self.limit = limit
-        self.inflight = self.wait_until = self.failures = self.successes = 0
+        self.inflight = self.retry_after_until = self.failures = self.successes = 0
         self.last_call_at = self.previous_call_at = self.last_success_at = -NEVER
         self.failing_since = 0  # first failure, or refusal as closed, since the last answer; 0: none
-        self.heard = 0  # last outcome, or the first call in flight after it
+        self.last_outcome_at = 0  # last outcome, or the first call in flight after it
         self.idle_since = -NEVER  # when its last call ended and left its connection open
         self.mean_latency = self.latency_deviation = 0.0
         self.loss_share = 0.0  # share of its calls that may have run but brought no answer
@@ -135,7 +135,9 @@
         # By class that has failed since it was last served: when, and whether other classes were served in
         # between.
         self.failed_classes = NO_FAILED_CLASSES
-        self.back: int | None = None  # recovering since then, or from then on; None: not recovering
+        self.recovering_since: int | None = (
+            None  # recovering since then, or from then on; None: not recovering
+        )
         # By other forwarders' reports: until then no calls, or one call at a time.
         self.suspended_until, self.one_at_a_time = 0, False
         self.rotation_offset = zlib.crc32(entry.id) / 2**32  # shifts the turns; the same at all forwarders
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -41,19 +41,19 @@
     return api.Settings(**(values | more))  # type: ignore[arg-type]
 
 
-class Ends:
+class RecordingSender:
     """A sender side that records the final states reported to it."""
 
     name = "ends"
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, str]] = []
+        self.ends: list[tuple[str, str]] = []
 
-    def took(self, message: Message) -> bool:
+    def recover(self, message: Message) -> bool:
         return False
 
-    def settle(self, message: Message, end: End) -> None:
-        self.told.append((message.trace, end.state))
+    def report_end(self, message: Message, end: End) -> None:
+        self.ends.append((message.trace, end.state))
 
 
 class SkipClock:
@@ -78,28 +78,28 @@
         super().turn()
 
 
-class Scene:
+class CourierTestbed:
     """A courier on an event loop of its own, with its journal in a directory; the test runs in the main greenlet."""
 
     def __init__(self, folder: Path, **more: object) -> None:
         self.loop, self.buffers = SkippingLoop(CLOCK), BufferPool()
         self.journal = Journal(str(folder), LIMIT)
         self.courier = Courier(self.loop, settings(**more), 7, self.journal)
-        self.ends = Ends()
-        self.courier.senders["ends"] = self.ends
+        self.sender = RecordingSender()
+        self.courier.senders["ends"] = self.sender
 
-    def until(self, done: Callable[[], object], within: int = 60 * SECOND) -> None:
+    def run_until(self, done: Callable[[], object], within: int = 60 * SECOND) -> None:
         """Run the loop until the condition holds; the time limit only keeps a broken test from hanging."""
         deadline = self.loop.now + within
         while not done():
             assert self.loop.now < deadline, "the loop waits for something that does not happen"
             self.loop.turn()
 
-    def wait(self, span: int) -> None:
+    def run_for(self, span: int) -> None:
         """Let exactly this much time pass; a timer ends the skipping there."""
         fired: list[int] = []
-        self.loop.at(self.loop.now + span, lambda: fired.append(1))
-        self.until(lambda: fired)
+        self.loop.call_at(self.loop.now + span, lambda: fired.append(1))
+        self.run_until(lambda: fired)
 
 
 def listener() -> tuple[socket.socket, tuple[str, int]]:
--- a/tests/cli/test_smpp.py
+++ b/tests/cli/test_smpp.py
@@ -13,7 +13,7 @@
 
 from kestrelspar import passwords
 from tests.bench import listener
-from tests.test_program import FAR, ROOT, Program, free_port, smpp_conf, until, world
+from tests.test_program import ROOT, TEST_TIMEOUT, Program, free_port, smpp_conf, wait_until, world
 
 __all__ = ["world"]
 
@@ -25,7 +25,7 @@
         input=stdin,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
 
@@ -48,7 +48,7 @@
     conf = Path(smpp_conf(tmp_path, port))
     (tmp_path / "hash").write_text(run_command("smpp", "passwd", "--from-file", str(tmp_path / "pw")).stdout)
     (tmp_path / "hash").chmod(0o600)
-    assert passwords.usable((tmp_path / "hash").read_text().strip())
+    assert passwords.is_supported_hash((tmp_path / "hash").read_text().strip())
     conf.write_text(
         conf.read_text()
         .replace("enabled on", "enabled on\n  tls main")
@@ -68,7 +68,7 @@
     program.process.send_signal(signal.SIGHUP)
     refused = run_command("smpp", "send", f"127.0.0.1:{port}", *secrets, "--to", "3721", "x", "--within", "500ms")
     assert refused.returncode == 1 and "Error: bind_transmitter" in refused.stderr, "plain SMPP on a port with TLS"
-    until(lambda: program.ask("GET", "/health/ready") == 200)
+    wait_until(lambda: program.request_status("GET", "/health/ready") == 200)
     code, out = program.end(signal.SIGTERM)
     assert code == 0 and "event=fault" not in out
     assert "may be read by others, mode 644" in out and "event=tls-handshake-failed" in out
@@ -105,7 +105,7 @@
         assert sent.returncode == 0 and "stat:DELIVRD" in sent.stdout
     finally:
         centre.send_signal(signal.SIGINT)
-        out, _ = centre.communicate(timeout=FAR)
+        out, _ = centre.communicate(timeout=TEST_TIMEOUT)
     assert "accepted" in out and "ESME_ROK" in out
 
 
--- a/tests/cli/test_verbs.py
+++ b/tests/cli/test_verbs.py
@@ -15,9 +15,9 @@
 from kestrelspar.cli import map as map_verbs
 from kestrelspar.cli.main import cli
 from kestrelspar.standins.registry import Member
-from tests.registry.alone import Alone
-from tests.registry.test_follower import value
-from tests.test_program import FAR, ROOT, Program, World, until, world
+from tests.registry.registry_thread import RegistryThread
+from tests.registry.test_follower import entry_json
+from tests.test_program import ROOT, TEST_TIMEOUT, Program, StandInPlatform, wait_until, world
 
 NGINX = """events {}
 http {
@@ -30,7 +30,7 @@
 
 @pytest.fixture(params=["etcd", "consul"])
 def registry(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[tuple[Member, str]]:
-    with Alone() as member:
+    with RegistryThread() as member:
         conf = tmp_path / "k.conf"
         conf.write_text(
             f"registry main\n  type {request.param}\n  servers 127.0.0.1:1 127.0.0.1:{member.address[1]}\n"
@@ -80,13 +80,13 @@
     registry: tuple[Member, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     member, conf = registry
-    member.store.put("hops/s", value("s"))
+    member.store.put("hops/s", entry_json("s"))
     read_rows = map_verbs.Client.rows
 
     def rows_before_another_change(self: map_verbs.Client) -> list[map_verbs.Row]:
         rows = read_rows(self)
-        member.store.put("hops/s", value("s", address="127.0.0.1:7"))
-        member.store.put("hops/new", value("new"))
+        member.store.put("hops/s", entry_json("s", address="127.0.0.1:7"))
+        member.store.put("hops/new", entry_json("new"))
         return rows
 
     monkeypatch.setattr(map_verbs.Client, "rows", rows_before_another_change)
@@ -99,14 +99,14 @@
         assert "changed by another client since it was read" in run_map(conf, *arguments, code=1)
         member.store.delete("hops/new")
     version = member.store.version_at(b"hops/s", member.store.revision)
-    assert version is not None and version.value == value("s", address="127.0.0.1:7")
+    assert version is not None and version.value == entry_json("s", address="127.0.0.1:7")
 
 
 def test_an_import_is_compared_and_written_and_removes_what_its_file_no_longer_has(
     registry: tuple[Member, str], tmp_path: Path
 ) -> None:
     member, conf = registry
-    member.store.put("hops/other", value("other"))
+    member.store.put("hops/other", entry_json("other"))
     file = tmp_path / "member.conf"
     file.write_text(NGINX.replace("weight=3", "weight=3 resolve"))
     assert "member.conf:3" in run_map(conf, "import", str(file), code=1) and member.store.revision == 2
@@ -119,7 +119,7 @@
     assert "weight: registry 3.0, file 4.0" in run_map(conf, "diff", str(file), code=1)
     assert "remove hops/pay-1-1" in run_map(conf, "import", str(file))
     assert {row["name"] for row in json.loads(run_map(conf, "list", "--json"))} == {"other", "pay-1-0"}
-    member.store.put("hops/pay-1-0", value("pay-1-0"))
+    member.store.put("hops/pay-1-0", entry_json("pay-1-0"))
     assert "added manually" in run_map(conf, "import", str(file), code=1)
 
 
@@ -131,9 +131,9 @@
 
 
 def test_the_courier_follows_a_registry_and_restarts_without_it(tmp_path: Path, world: str) -> None:
-    with Alone() as member:
+    with RegistryThread() as member:
         member.store.put(
-            "hops/far", value("far", address=world, group=9).replace(b"contractor", b"m").replace(b"room-a", b"a")
+            "hops/far", entry_json("far", address=world, group=9).replace(b"contractor", b"m").replace(b"room-a", b"a")
         )
         conf = tmp_path / "k.conf"
         conf.write_text(
@@ -142,31 +142,34 @@
         program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
 
         def submit(trace: str, dest: int = 9) -> int | None:
-            return program.ask(
+            return program.request_status(
                 "POST",
                 "/reading",
                 **{"X-Trace-Id": trace, "X-Qos": "reading", "X-Expires-In": "15000m", "X-Route-To": f"dest={dest}"},
             )
 
-        until(lambda: submit("first") in (202, 409))
-        until((tmp_path / "registry-main.list").exists)
+        wait_until(lambda: submit("first") in (202, 409))
+        wait_until((tmp_path / "registry-main.list").exists)
         assert program.end(signal.SIGTERM)[0] == 0
     program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
     assert submit("second") == 202  # its destination is known only from the saved list
-    until(lambda: "second" in World.calls)
-    with Alone() as other:  # SIGHUP switches to the registry in the settings; its list lacks "far", which is removed
+    wait_until(lambda: "second" in StandInPlatform.calls)
+    with (
+        RegistryThread() as other
+    ):  # SIGHUP switches to the registry in the settings; its list lacks "far", which is removed
         other.store.put(
-            "new/near", value("near", address=world, group=11).replace(b"contractor", b"m").replace(b"room-a", b"a")
+            "new/near",
+            entry_json("near", address=world, group=11).replace(b"contractor", b"m").replace(b"room-a", b"a"),
         )
         conf.write_text(
             f"registry main\n  type consul\n  servers 127.0.0.1:{other.address[1]}\n  prefix new/\n  keep 64KB\n"
         )
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: submit("third", 11) == 202)
-        until(lambda: "third" in World.calls)
+        wait_until(lambda: submit("third", 11) == 202)
+        wait_until(lambda: "third" in StandInPlatform.calls)
         conf.write_text("")  # removing the section removes its entries, too
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: not (tmp_path / "registry-main.list").exists())
+        wait_until(lambda: not (tmp_path / "registry-main.list").exists())
     conf.write_text("registry main\n  typ etcd\n")
     program.process.send_signal(signal.SIGHUP)
     assert any("event=configuration-not-taken" in line for line in iter(program.process.stdout or ()))
@@ -180,7 +183,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert done.returncode == 0, done.stdout + done.stderr
--- a/tests/core/test_transport_map.py
+++ b/tests/core/test_transport_map.py
@@ -7,7 +7,7 @@
 import pytest
 
 from kestrelspar.core import entries
-from kestrelspar.core.transport_map import FOREVER, NextHop, TransportMap
+from kestrelspar.core.transport_map import NO_BOUND, NextHop, TransportMap
 from snowlock.interface import Endpoint, EndpointState
 from tests.bench import settings
 
@@ -19,8 +19,8 @@
         pass
 
 
-def hop(name: str, port: int = 1, state: EndpointState = READY, within: int = FOREVER) -> NextHop:
-    return NextHop(Endpoint(name.encode(), 7, state=state), ("127.0.0.1", port), FakeCarrier(), within=within)  # type: ignore[arg-type]
+def hop(name: str, port: int = 1, state: EndpointState = READY, within: int = NO_BOUND) -> NextHop:
+    return NextHop(Endpoint(name.encode(), 7, state=state), ("127.0.0.1", port), FakeCarrier(), delivery_timeout=within)  # type: ignore[arg-type]
 
 
 # Each step: source, entries (name and port, ! means draining), whole, removed ids; then the expected map
@@ -45,22 +45,24 @@
     for source, listed, whole, removed, expected, events in STEPS:
         update = [hop(text[0], int(text[1]), DRAINING if "!" in text else READY) for text in listed.split()]
         before = set(found.hops)
-        change = found.take(source, update, whole, [name.encode() for name in removed.split()])
+        change = found.apply(source, update, whole, [name.encode() for name in removed.split()])
         actual = {name.decode(): f"{found.owner(name)}:{held.address[1]}" for name, held in found.hops.items()}
         assert actual == dict(item.split("=") for item in expected.split()), (source, listed)
         assert [name for name, _ in change.events] == events.split()
-        reported = {row.id: row.state for row in change.rows}  # the last row for each id
+        reported = {row.id: row.state for row in change.endpoints}  # the last row for each id
         assert all(reported[name] is GONE for name in before - set(found.hops))
         assert all(reported.get(name, READY) is READY for name in found.hops)
-    assert found.dests == {7}
+    assert found.destinations == {7}
 
 
 def test_idle_connections_are_closed_when_an_entry_drains_moves_or_is_removed() -> None:
     found = TransportMap()
-    found.take("d", [hop("a", 1, within=500)])
-    assert found.within(7) == 500 and found.within(8) == FOREVER
-    assert [held.address[1] for held in found.take("d", [hop("a", 2)]).idle] == [1] and found.within(7) == FOREVER
-    assert found.take("d", [hop("a", 2, DRAINING)]).idle and found.take("d", [], left=[b"a"]).idle
+    found.apply("d", [hop("a", 1, within=500)])
+    assert found.delivery_timeout(7) == 500 and found.delivery_timeout(8) == NO_BOUND
+    assert [held.address[1] for held in found.apply("d", [hop("a", 2)]).close_idle] == [1] and found.delivery_timeout(
+        7
+    ) == NO_BOUND
+    assert found.apply("d", [hop("a", 2, DRAINING)]).close_idle and found.apply("d", [], removed=[b"a"]).close_idle
 
 
 @pytest.mark.parametrize(
@@ -79,7 +81,7 @@
 )
 def test_the_error_for_an_invalid_entry_names_the_field(text: str, expected: str) -> None:
     with pytest.raises(ValueError, match=expected.replace("$", r"\$")):
-        entries.hop(entries.decode(text.encode("latin-1")), settings(), FakeCarrier())  # type: ignore[arg-type]
+        entries.to_next_hop(entries.decode(text.encode("latin-1")), settings(), FakeCarrier())  # type: ignore[arg-type]
 
 
 def test_the_error_for_an_invalid_map_file_names_the_fault(tmp_path: Path) -> None:
--- a/tests/cold.py
+++ b/tests/fleet_recovery.py
@@ -131,7 +131,7 @@
                 f = self.couriers[index]
                 if sent >= self.start + s.begins * SECOND and outcome is not Outcome.OK:
                     self.aware.add(index)
-                if (message, f.attempts.get(message, 0) - 1) in f.out:
+                if (message, f.attempts.get(message, 0) - 1) in f.in_flight:
                     self._record_sends(index, f.outcome(message, outcome, wait, at - sent, report=report))
             while arrival <= at:
                 arrival += int(self.random.expovariate(s.load * s.rate) * SECOND)
--- a/tests/forwarder.py
+++ b/tests/forwarder.py
@@ -63,14 +63,14 @@
     """
 
     def __init__(self, given: Settings | None = None, seed: int = 7) -> None:
-        self.given = given or settings()
-        self.controller = Controller(self.given, seed)
+        self.settings = given or settings()
+        self.controller = Controller(self.settings, seed)
         self.now = 1_000 * SECOND
         self.timers: list[tuple[int, int]] = []
         self.sends: list[tuple[int, Send]] = []
         self.attempts: dict[int, int] = {}
-        self.out: dict[tuple[int, int], bytes] = {}
-        self.ended: dict[int, tuple[int, object]] = {}
+        self.in_flight: dict[tuple[int, int], bytes] = {}
+        self.answers: dict[int, tuple[int, object]] = {}
         self.logs: list[str] = []
         self.closed: list[bytes] = []
         self.subscribed = 0
@@ -80,15 +80,15 @@
         sends = []
         for action in self.controller.handle(self.now, events):
             if isinstance(action, Send):
-                assert action.message not in self.ended, "a send after the final answer"
+                assert action.message not in self.answers, "a send after the final answer"
                 number = self.attempts.get(action.message, 0)
                 self.attempts[action.message] = number + 1
-                self.out[action.message, number] = action.endpoint
+                self.in_flight[action.message, number] = action.endpoint
                 self.sends.append((self.now, action))
                 sends.append(action)
             elif isinstance(action, (Refuse, Fail)):
-                assert action.message not in self.ended, "a second final answer"
-                self.ended[action.message] = (self.now, action)
+                assert action.message not in self.answers, "a second final answer"
+                self.answers[action.message] = (self.now, action)
             elif isinstance(action, SetTimer):
                 self.timers.append((max(action.at_ns, self.now + 1), action.token))
             elif isinstance(action, Log):
@@ -127,7 +127,7 @@
         return self.feed(EndpointList(list_kind, entries))
 
     def arrive(self, number: int, cls: int = 0, destination: int = 1, key: int = 0) -> list[Send]:
-        time_left = self.given.classes[cls].deadline_ns
+        time_left = self.settings.classes[cls].deadline_ns
         return self.feed(Arrival(number, cls, destination, time_left, 0, key))
 
     def outcome(
@@ -140,10 +140,10 @@
         report: tuple[float, ...] = (),
     ) -> list[Send]:
         attempt_number = self.attempts[number] - 1 if attempt is None else attempt
-        endpoint = self.out.pop((number, attempt_number))
-        closed = outcome is Outcome.OK or number in self.ended
-        if outcome is Outcome.OK and number not in self.ended:
-            self.ended[number] = (self.now, outcome)
+        endpoint = self.in_flight.pop((number, attempt_number))
+        closed = outcome is Outcome.OK or number in self.answers
+        if outcome is Outcome.OK and number not in self.answers:
+            self.answers[number] = (self.now, outcome)
         return self.feed(
             AttemptEnded(number, attempt_number, endpoint, outcome, latency, closed, wait_ns, report=report)
         )
--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -17,7 +17,7 @@
 from snowlock.interface import Outcome
 from tests.bench import PAYMENT
 from tests.http.test_endings import END, Caller
-from tests.test_http import Peer, Stage, attempt, hand_in, ok
+from tests.test_http import HttpTestbed, Peer, attempt, ok, submit_request
 
 ABORTIVE_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which close() sends a reset
 
@@ -25,7 +25,7 @@
 class Hop(Peer):
     """A passive next hop: the test controls its sockets."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: HttpTestbed) -> None:
         super().__init__(stage, ok)
         stage.peer = self
 
@@ -37,9 +37,9 @@
         return [stream.sock for stream in self.streams]
 
 
-def start_attempt(stage: Stage, timeout: int = 2 * SECOND) -> list[Outcome]:
+def start_attempt(stage: HttpTestbed, timeout: int = 2 * SECOND) -> list[Outcome]:
     got: list[Outcome] = []
-    message = Message("t", PAYMENT, 0, 7, stage.loop.now + 9 * SECOND, b"x" * 40, stage.ends, "key")
+    message = Message("t", PAYMENT, 0, 7, stage.loop.now + 9 * SECOND, b"x" * 40, stage.sender, "key")
     stage.loop.spawn(
         lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + timeout, lambda: True).outcome)
     )
@@ -52,20 +52,20 @@
     tmp_path: Path, read: int, answered: int
 ) -> None:
     # Guards against a payment that is sent again although its last byte had been written.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     hop = Hop(stage)
     got = start_attempt(stage)
-    stage.until(lambda: hop.socks)
-    stage.wait(5 * MS)
+    stage.run_until(lambda: hop.socks)
+    stage.run_for(5 * MS)
     (sock,) = hop.socks
     if read:
         sock.recv(read)
     if answered:
         sock.send(b"HTTP/1.1 503 X\r\n"[:answered])
-        stage.wait(2 * MS)
+        stage.run_for(2 * MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_CLOSE)
     sock.close()
-    stage.until(lambda: got)
+    stage.run_until(lambda: got)
     assert got[0] in (Outcome.RESET, Outcome.ERROR)
 
 
@@ -74,11 +74,11 @@
 )
 @pytest.mark.parametrize("start", [b"", b"HTTP/1.1 503 X\r\n", b"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n"])
 def test_an_endless_response_is_bounded_in_time_and_memory(tmp_path: Path, start: bytes, fragment: bytes) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     hop = Hop(stage)
     got = start_attempt(stage, 20 * SECOND)
-    stage.until(lambda: hop.socks)
-    stage.wait(5 * MS)
+    stage.run_until(lambda: hop.socks)
+    stage.run_for(5 * MS)
     (sock,), started_at = hop.socks, stage.loop.now
     flooded: list[int] = []
 
@@ -95,45 +95,45 @@
         flooded.append(1)
 
     stage.loop.spawn(flood)
-    stage.until(lambda: got and flooded)
+    stage.run_until(lambda: got and flooded)
     assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - started_at < BODY_TIMEOUT + SECOND
     assert stage.buffers._made <= 4
 
 
 def test_the_number_of_responses_being_drained_is_limited(tmp_path: Path) -> None:
     # Guards against descriptors held by responses that are slow after their status line, as no slot limits these.
-    stage = Stage(tmp_path, ok, slots=3)
+    stage = HttpTestbed(tmp_path, ok, slots=3)
     hop = Hop(stage)
     for number in range(8):
         got = start_attempt(stage)
-        stage.until(lambda number=number: len(hop.socks) > number)
-        stage.wait(2 * MS)
+        stage.run_until(lambda number=number: len(hop.socks) > number)
+        stage.run_for(2 * MS)
         hop.socks[number].send(b"HTTP/1.1 200 OK\r\nContent-Le")
-        stage.until(lambda got=got: got)
+        stage.run_until(lambda got=got: got)
         assert got == [Outcome.OK]
     assert stage.pool._draining_responses <= 3
-    stage.wait(BODY_TIMEOUT + SECOND)
+    stage.run_for(BODY_TIMEOUT + SECOND)
     assert stage.pool._draining_responses == 0
 
 
 def test_noise_on_an_idle_connection_is_no_response(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     assert attempt(stage) is Outcome.OK
     stage.peer.streams[0].sock.send(b"HTTP/1.1 2")  # half a status line while the connection is idle
-    stage.wait(2 * MS)
+    stage.run_for(2 * MS)
     assert attempt(stage) is Outcome.OK and stage.peer.connections == 2
 
 
 def test_a_slow_request_that_is_closed_to_make_room_gets_a_response(tmp_path: Path) -> None:
     # Guards against resetting an incomplete request when descriptors run short.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     slow = [Caller(stage) for _ in range(20)]
     for caller in slow:
         caller.send(b"POST /reading HTTP/1.1\r\nX-")
-    stage.until(lambda: len(stage.server._clients[State.ASKING]) == 20)
-    stage.wait(400 * MS)
+    stage.run_until(lambda: len(stage.server._clients[State.ASKING]) == 20)
+    stage.run_for(400 * MS)
     started_at = stage.loop.now
-    assert b" 202 " in stage.talk(hand_in()) and stage.loop.now - started_at < 400 * MS
+    assert b" 202 " in stage.talk(submit_request()) and stage.loop.now - started_at < 400 * MS
     slow[0].until(lambda: slow[0].ending)
     assert slow[0].ending == END and slow[0].got.startswith(b"HTTP/1.1 408 ")
 
@@ -141,14 +141,14 @@
 def test_a_200_after_the_deadline_does_not_count_as_delivered(tmp_path: Path) -> None:
     # Guards against a message without a final state: the next hop does not count its late response, so without a notice
     # nobody would report the message.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     hop = Hop(stage)
     timeout = 100 * MS
     got, deadline = start_attempt(stage, timeout), stage.loop.now + timeout
-    stage.until(lambda: hop.socks)
-    stage.wait(2 * MS)
+    stage.run_until(lambda: hop.socks)
+    stage.run_for(2 * MS)
     # The response arrives in a turn after the deadline.
     real, stage.loop.clock = stage.loop.clock, lambda: max(real(), deadline + 50 * MS)
     hop.socks[0].send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    stage.until(lambda: got)
+    stage.run_until(lambda: got)
     assert got == [Outcome.TIMEOUT]
--- a/tests/http/test_descriptors.py
+++ b/tests/http/test_descriptors.py
@@ -13,13 +13,13 @@
 import pytest
 
 from kestrelspar.serve import split_descriptors
-from tests.test_program import FAR, Program, World, free_port, row, until, world
+from tests.test_program import TEST_TIMEOUT, Program, StandInPlatform, free_port, row, wait_until, world
 
 __all__ = ["world"]
 SOCKETS = 96
 
 
-class RecoveredDiscovery(World):
+class RecoveredDiscovery(StandInPlatform):
     """Discovery that starts to listen on a port where connections were refused at first."""
 
     notices: list[dict[str, Any]] = []
@@ -46,22 +46,24 @@
     program = start_limited(tmp_path, world, f"127.0.0.1:{port}").ready()
     idle = []
     for _ in range(2 * SOCKETS):
-        sock = socket.create_connection(("127.0.0.1", program.port), timeout=FAR)
+        sock = socket.create_connection(("127.0.0.1", program.port), timeout=TEST_TIMEOUT)
         idle.append(sock)
-    World.silent = True
+    StandInPlatform.silent = True
     # A client that is slow to send, as on a busy machine, may be closed like the silent ones, and retries.
-    until(lambda: program.hand_in("late", "payment", left="900m") == 202)  # its attempt times out: a notice is pending
-    RecoveredDiscovery.news = json.dumps(
+    wait_until(
+        lambda: program.submit("late", "payment", expires_in="900m") == 202
+    )  # its attempt times out: a notice is pending
+    RecoveredDiscovery.first_watch_line = json.dumps(
         {"index": 5, "snapshot": True, "endpoints": [row("s-1", world), row("s-2", world)]}
     )
     server = ThreadingHTTPServer(("127.0.0.1", port), RecoveredDiscovery)
     server.daemon_threads, server.block_on_close = True, False
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    until(lambda: RecoveredDiscovery.notices)
+    wait_until(lambda: RecoveredDiscovery.notices)
     assert RecoveredDiscovery.notices[0]["id"] == "late"
-    World.silent = False
-    until(lambda: program.hand_in("next") == 202)
-    until(lambda: "next" in World.calls)
+    StandInPlatform.silent = False
+    wait_until(lambda: program.submit("next") == 202)
+    wait_until(lambda: "next" in StandInPlatform.calls)
     for sock in idle:
         sock.close()
     code, out = program.end(signal.SIGTERM)
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from kestrelspar.core.courier import LEAVE_AT, End, Message
+from kestrelspar.core.courier import EXIT_TIMEOUT, End, Message
 from kestrelspar.http import parser
 from kestrelspar.http.sender import IDLE_TIMEOUT, State
 from kestrelspar.runtime.loop import MS, SECOND
-from tests.test_http import Stage, hand_in, ok
+from tests.test_http import HttpTestbed, ok, submit_request
 
 END = "end"  # an orderly close
 RESET = "reset"
@@ -21,7 +21,7 @@
 class Caller:
     """A client's socket that the test controls step by step."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: HttpTestbed) -> None:
         self.stage, self.sock = stage, socket.create_connection(stage.address)
         self.sock.setblocking(False)
         self.got, self.ending = b"", ""
@@ -45,7 +45,7 @@
             self.read()
             return done()
 
-        self.stage.until(read_and_check)
+        self.stage.run_until(read_and_check)
 
     def answered(self, data: bytes, status: bytes) -> None:
         self.got = b""
@@ -56,19 +56,19 @@
 
 @pytest.mark.parametrize("closing", [False, True])
 def test_a_request_after_the_half_close_is_neither_accepted_nor_reset(tmp_path: Path, closing: bool) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
-    caller.answered(hand_in("first"), b"202")
+    caller.answered(submit_request("first"), b"202")
     if closing:
         stage.courier.close()
     caller.until(lambda: caller.ending)
     assert caller.ending == END and stage.server._clients[State.LEAVING]
-    caller.send(hand_in("second"))
-    stage.wait(100 * MS)
+    caller.send(submit_request("second"))
+    stage.run_for(100 * MS)
     caller.read()
     assert caller.ending == END and not stage.courier.find("second")
     caller.sock.close()
-    stage.until(lambda: stage.server.count == 0)
+    stage.run_until(lambda: stage.server.count == 0)
     assert [head.headers["x-trace-id"] for head, _ in stage.peer.seen] == ["first"]
 
 
@@ -77,50 +77,50 @@
     [
         # An incomplete request, which continues after the response.
         (b"POST /reading HTTP/1.1\r\nX-", b"HTTP/1.1 408 "),
-        (hand_in(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
+        (submit_request(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
         (b"BREW /tea HTTP/1.1\r\n\r\n", b"HTTP/1.1 405 "),
     ],
 )
 def test_a_final_response_is_not_overtaken_by_a_reset(tmp_path: Path, data: bytes, answer: bytes) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
     caller.send(data)
-    stage.until(lambda: stage.server._clients[State.LEAVING])
+    stage.run_until(lambda: stage.server._clients[State.LEAVING])
     for _ in range(20):
         caller.send(b"x" * 1000)
-        stage.wait(20 * MS)
+        stage.run_for(20 * MS)
     caller.until(lambda: caller.ending)
     assert caller.ending == END and caller.got.startswith(answer)
 
 
 def test_a_final_response_arrives_although_the_client_has_sent_another_request(tmp_path: Path) -> None:
     # Guards against close() directly after a response with `Connection: close` while another request is in transit.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
-    caller.send(hand_in("one", Connection="close") + hand_in("two"))
+    caller.send(submit_request("one", Connection="close") + submit_request("two"))
     caller.until(lambda: caller.ending)
     assert caller.ending == END and caller.got.count(b"HTTP/1.1 202") == 1 and not stage.courier.find("two")
 
 
 def test_a_request_that_arrives_as_the_idle_time_ends_is_served(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
-    caller.answered(hand_in("one"), b"202")
-    stage.until(lambda: stage.server._clients[State.IDLE])
+    caller.answered(submit_request("one"), b"202")
+    stage.run_until(lambda: stage.server._clients[State.IDLE])
     (client,) = stage.server._clients[State.IDLE]
-    caller.send(hand_in("two"))
-    client.stream.expire()  # expires in the turn in which the bytes have already arrived
+    caller.send(submit_request("two"))
+    client.stream.expire_read()  # expires in the turn in which the bytes have already arrived
     caller.got = b""
     caller.until(lambda: b"\r\n\r\n" in caller.got)
     assert caller.got.startswith(b"HTTP/1.1 202")
-    stage.wait(IDLE_TIMEOUT + SECOND)
+    stage.run_for(IDLE_TIMEOUT + SECOND)
     assert stage.server.count == 0
 
 
 # Shutdown
 
 
-def watch_stop(stage: Stage) -> Callable[[], bool]:
+def watch_stop(stage: HttpTestbed) -> Callable[[], bool]:
     stopped_at: list[int] = []
     stage.loop.stop = lambda: stopped_at.append(stage.loop.now)  # type: ignore[method-assign]
     return lambda: bool(stopped_at)
@@ -128,59 +128,59 @@
 
 def test_idle_connections_are_closed_early_and_orderly(tmp_path: Path) -> None:
     # Guards against idle clients that send a request on a connection which is still open when the process exits.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     callers = [Caller(stage) for _ in range(5)]
     for number, caller in enumerate(callers):
-        caller.answered(hand_in(f"t{number}"), b"202")
+        caller.answered(submit_request(f"t{number}"), b"202")
     stopped, started_at = watch_stop(stage), stage.loop.now
     stage.courier.close()
     for caller in callers:
         caller.until(lambda caller=caller: caller.ending)
         assert caller.ending == END and stage.loop.now < started_at + 100 * MS
         caller.sock.close()
-    stage.until(stopped)
+    stage.run_until(stopped)
     assert stage.loop.now < started_at + SECOND
 
 
 def test_new_connections_after_sigterm_are_refused_and_none_is_reset(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     stopped, started_at = watch_stop(stage), stage.loop.now
     stage.courier.close()
     for number in range(4):
         caller = Caller(stage)
-        caller.answered(hand_in(f"t{number}"), b"503")
+        caller.answered(submit_request(f"t{number}"), b"503")
         assert b"Connection: close" in caller.got
         caller.until(lambda caller=caller: caller.ending)
         assert caller.ending == END
         caller.sock.close()
-        stage.wait(100 * MS)
+        stage.run_for(100 * MS)
     silent = Caller(stage)
-    stage.wait(300 * MS)
-    silent.answered(hand_in("late"), b"503")  # it connected before the listener was closed
+    stage.run_for(300 * MS)
+    silent.answered(submit_request("late"), b"503")  # it connected before the listener was closed
     silent.sock.close()
-    stage.until(stopped)
+    stage.run_until(stopped)
     assert stage.loop.now < started_at + 2 * SECOND
 
 
 def test_the_process_does_not_exit_while_a_request_is_being_read(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     stopped, started_at = watch_stop(stage), stage.loop.now
-    caller, data = Caller(stage), hand_in("slow")
+    caller, data = Caller(stage), submit_request("slow")
     caller.send(data[:40])
-    stage.wait(10 * MS)
+    stage.run_for(10 * MS)
     stage.courier.close()
-    stage.wait(1500 * MS)
+    stage.run_for(1500 * MS)
     assert not stopped()
     caller.answered(data[40:], b"503")
     caller.sock.close()
-    stage.until(stopped)
-    assert stage.loop.now < started_at + LEAVE_AT
+    stage.run_until(stopped)
+    assert stage.loop.now < started_at + EXIT_TIMEOUT
 
 
 def test_a_client_that_never_closes_its_side_does_not_delay_the_exit(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     callers = [Caller(stage) for _ in range(3)]
-    callers[0].answered(hand_in("t0"), b"202")
+    callers[0].answered(submit_request("t0"), b"202")
     callers[1].send(b"POST /rea")
     stopped, started_at = watch_stop(stage), stage.loop.now
     stage.courier.close()
@@ -188,24 +188,24 @@
         callers[0].read()
         if callers[0].ending != RESET:
             callers[0].send(b"x")  # continues to send slowly after the half-close
-        stage.wait(50 * MS)
-    assert stage.loop.now <= started_at + LEAVE_AT + 200 * MS
+        stage.run_for(50 * MS)
+    assert stage.loop.now <= started_at + EXIT_TIMEOUT + 200 * MS
     for caller in callers:
         caller.sock.close()
 
 
 def test_a_pending_notice_is_sent_before_the_exit(tmp_path: Path) -> None:
     answers: list[bytes | None] = [None, parser.response(204)]
-    stage = Stage(
+    stage = HttpTestbed(
         tmp_path, lambda *_: parser.response(500), lambda *_: answers.pop(0) if answers else parser.response(204)
     )
-    stage.courier.unfinished.append(stage.notices.has_pending)
+    stage.courier.busy_checks.append(stage.notices.has_pending)
     caller = Caller(stage)
     # The payment may have been processed, so its final state is reported by a notice.
-    caller.answered(hand_in("pay", "payment", X_Expires_In="700m"), b"202")
+    caller.answered(submit_request("pay", "payment", X_Expires_In="700m"), b"202")
     stopped = watch_stop(stage)
     stage.courier.close()
-    stage.until(stopped)
+    stage.run_until(stopped)
     assert not stage.journal.entries and stage.notices_seen()[-1]["state"] == "failed"
 
 
@@ -214,7 +214,7 @@
 
 def test_an_unresponsive_persistent_connection_does_not_delay_a_notice(tmp_path: Path) -> None:
     # Guards against waiting 2 s for a response on it, as a final state may be late by 300 ms at most.
-    stage = Stage(tmp_path, lambda *_: None, lambda *_: parser.response(204))
+    stage = HttpTestbed(tmp_path, lambda *_: None, lambda *_: parser.response(204))
     times: list[int] = []
 
     def platform(_: parser.Head, body: bytes) -> bytes | None:
@@ -225,24 +225,24 @@
 
     stage.platform.script = platform
     for trace in ("a", "b"):
-        stage.talk(hand_in(trace, "payment", X_Expires_In="600m"))
+        stage.talk(submit_request(trace, "payment", X_Expires_In="600m"))
         deadline = stage.loop.now + 600 * MS
-        stage.until(lambda: not stage.journal.entries)
+        stage.run_until(lambda: not stage.journal.entries)
         assert times[-1] < deadline + 300 * MS
     assert stage.platform.connections == 2
 
 
 def test_rejected_notices_delay_no_others(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     stage.platform.script = lambda _, body: parser.response(400 if b'"bad' in body else 204)
     acknowledged: list[str] = []
 
     def settle(trace: str) -> None:
-        stage.notices.settle(Message(trace, 0, 0, 7, 0, b"", stage.notices), End("failed"))
+        stage.notices.report_end(Message(trace, 0, 0, 7, 0, b"", stage.notices), End("failed"))
         acknowledged.append(trace)
 
     traces = [f"{'bad' if n % 40 == 39 else 'good'}{n}" for n in range(200)]
     for trace in traces:
         stage.loop.spawn(settle, trace)
-    stage.until(lambda: len(acknowledged) == 200)
+    stage.run_until(lambda: len(acknowledged) == 200)
     assert len(stage.platform.seen) < 150 and sorted(acknowledged) == sorted(traces)
--- a/tests/http/test_told.py
+++ b/tests/http/test_staleness.py
@@ -10,16 +10,16 @@
 import pytest
 
 from kestrelspar.http import parser
-from kestrelspar.http.asking import (
+from kestrelspar.http.backoff import (
     CONNECT_TIMEOUT,
     MAX_STALENESS,
     RESPONSE_TIMEOUT,
     WATCH_SILENCE_TIMEOUT,
     DiscoveryBackoff,
 )
-from kestrelspar.http.watch import CATCH_UP_TIME, JsonObjects, Lines, Watch
+from kestrelspar.http.watch import CATCH_UP_TIME, JsonObjects, LineSplitter, Watch
 from kestrelspar.runtime.loop import MS, SECOND
-from tests.test_http import ROW, Peer, Stage, hand_in, make_watch, ok
+from tests.test_http import ROW, HttpTestbed, Peer, make_watch, ok, submit_request
 
 ROUND_TRIP = 50 * MS
 HEARTBEAT = 2 * SECOND
@@ -113,8 +113,8 @@
     return {"index": index, "snapshot": False, "endpoints": [{**ROW, "status": status}], **more}
 
 
-def start_watch(directory: Path, script: object, **more: object) -> tuple[Stage, Watch]:
-    stage = Stage(directory, ok, script, **more)  # type: ignore[arg-type]
+def start_watch(directory: Path, script: object, **more: object) -> tuple[HttpTestbed, Watch]:
+    stage = HttpTestbed(directory, ok, script, **more)  # type: ignore[arg-type]
     watch = make_watch(stage.courier, stage)
     watch.apply({"index": 1, "snapshot": True, "endpoints": [ROW]})
     stage.loop.spawn(watch.run)
@@ -125,7 +125,7 @@
 def test_incomplete_lines_do_not_count_as_activity_of_a_watch(tmp_path: Path, fragment: bytes) -> None:
     # Guards against a watch kept open by single bytes that never complete a line, so that no change is received.
     request_times: list[int] = []
-    stage: Stage
+    stage: HttpTestbed
 
     def discovery(head: parser.Head, _: bytes) -> bytes:
         request_times.append(stage.loop.now)
@@ -134,26 +134,26 @@
         return HEAD + chunk(b"\n")
 
     stage, watch = start_watch(tmp_path, discovery)
-    stage.until(lambda: request_times)
+    stage.run_until(lambda: request_times)
     for _ in range(80):
         if fragment and len(request_times) < 2 and stage.platform.streams:
             with contextlib.suppress(OSError):  # the courier has closed the watch meanwhile
                 stage.platform.streams[0].sock.send(chunk(fragment))
-        stage.wait(100 * MS)
-    stage.until(lambda: watch.index == 2)
+        stage.run_for(100 * MS)
+    stage.run_until(lambda: watch.index == 2)
     assert request_times[1] - request_times[0] < WATCH_SILENCE_TIMEOUT + SECOND
 
 
 def test_a_discovery_that_is_slow_to_send_headers_is_waited_for(tmp_path: Path) -> None:
     # Guards against retrying a busy discovery forever, each request timing out before its response headers.
-    stage: Stage
+    stage: HttpTestbed
 
     def discovery(head: parser.Head, _: bytes) -> bytes:
         stage.loop.sleep(RESPONSE_TIMEOUT + 600 * MS)
         return HEAD + chunk(json.dumps(list_update(2, "leaving")).encode() + b"\n")
 
     stage, watch = start_watch(tmp_path, discovery, must_subscribe=True, ask_within_ns=10 * SECOND)
-    stage.until(lambda: watch.index == 2)
+    stage.run_until(lambda: watch.index == 2)
     assert 2 <= len(stage.platform.seen) <= 3
 
 
@@ -162,10 +162,10 @@
     texts = [json.dumps(list_update(n, **{"note": 'a "}" in {text'}), indent=indent) for n in range(3)]
     data = b"".join(text.encode() + b"\n\n" for text in texts)
     for step in (1, 7, 64, 5_000):
-        lines, objects, found = Lines(), JsonObjects(), []
+        lines, objects, found = LineSplitter(), JsonObjects(), []
         for at in range(0, len(data), step):
-            for line in lines.take(data[at : at + step]):
-                found += [json.loads(text) for text in objects.take(line) if text]
+            for line in lines.feed(data[at : at + step]):
+                found += [json.loads(text) for text in objects.feed(line) if text]
         assert found == [json.loads(text) for text in texts]
 
 
@@ -173,7 +173,7 @@
     two_lines = json.dumps(list_update(3, "leaving")).replace('"endpoints": [', '"endpoints": [\n  ')
     answers = [HEAD + chunk(json.dumps(list_update(2), indent=2).encode() + b"\n") + chunk(two_lines.encode() + b"\n")]
     stage, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
-    stage.until(lambda: watch.index == 3)
+    stage.run_until(lambda: watch.index == 3)
     assert stage.courier.map.hops[b"s-9"].endpoint.state.name == "DRAINING" and len(stage.platform.seen) == 1
 
 
@@ -186,8 +186,8 @@
     # Guards against losing a drain that was sent in a malformed object.
     answers = [HEAD + chunk(json.dumps(list_update(3, "leaving")).encode() + b"\n"), HEAD + chunk(bad) + chunk(b"\n")]
     stage, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
-    stage.until(lambda: watch.index == 3)
-    assert [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["1", "1"]
+    stage.run_until(lambda: watch.index == 3)
+    assert [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["1", "1"]
     assert capsys.readouterr().out.count("event=map-unreadable") == 1
 
 
@@ -210,16 +210,16 @@
     stage, watch = start_watch(
         tmp_path, lambda *_: HEAD + chunk(b"\n") if reachable else parser.response(503, keep=False)
     )
-    stage.until(lambda: watch._attempts > 1)
-    unknown = hand_in("u", X_Route_To="dest=99")
+    stage.run_until(lambda: watch._attempts > 1)
+    unknown = submit_request("u", X_Route_To="dest=99")
     assert b" 503 " in stage.talk(unknown)
     reachable.append(b"")
-    stage.until(lambda: watch._disconnected_at is None)
+    stage.run_until(lambda: watch._disconnected_at is None)
     assert b" 503 " in stage.talk(unknown)
     peer: Peer = stage.platform
     finished: list[int] = []
-    stage.loop.at(stage.loop.now + CATCH_UP_TIME + SECOND, lambda: finished.append(1))
+    stage.loop.call_at(stage.loop.now + CATCH_UP_TIME + SECOND, lambda: finished.append(1))
     while not finished:  # empty lines keep the watch open
         peer.streams[-1].sock.send(chunk(b"\n"))
-        stage.wait(SECOND)
+        stage.run_for(SECOND)
     assert b" 422 " in stage.talk(unknown)
--- a/tests/journal/test_read.py
+++ b/tests/journal/test_read.py
@@ -14,7 +14,7 @@
 
 from kestrelspar.journal import Journal, records
 from kestrelspar.journal.read import KINDS, read
-from tests.test_program import FAR, ROOT
+from tests.test_program import ROOT, TEST_TIMEOUT
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=80)
 
@@ -24,15 +24,15 @@
     journal, now = Journal(str(directory), 3_000_000), time.monotonic_ns() // 1000
     for number, name in enumerate(("open", "may", "accepted", "ended", "told", "never"), 1):
         text = json.dumps({"trace": name, "class": "payment" if number % 2 else "reading", "dest": 7, "sender": "http"})
-        assert journal.taken(number, now + 10_000_000, text, b"body-" + name.encode())
+        assert journal.record_accepted(number, now + 10_000_000, text, b"body-" + name.encode())
     for number in (2, 3, 4, 6):
-        assert journal.attempt(number, 0, now)
-    journal.not_run(6, 0)
-    journal.awaits(3, '{"by":"smpp","gate":"g","ids":["1"]}')
+        assert journal.record_attempt(number, 0, now)
+    journal.record_not_run(6, 0)
+    journal.record_awaited(3, '{"by":"smpp","gate":"g","ids":["1"]}')
     for number in (4, 5):
-        journal.verdict(number, "delivered" if number == 4 else "returned", 0 if number == 4 else 500)
-    journal.done(4)
-    journal.keep_ended("acme 1", "{}", 60_000_000)
+        journal.record_end(number, "delivered" if number == 4 else "returned", 0 if number == 4 else 500)
+    journal.record_done(4)
+    journal.retain_ended("acme 1", "{}", 60_000_000)
     return directory / "journal"
 
 
@@ -42,14 +42,14 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
 
 
 def test_each_message_is_shown_with_its_state(tmp_path: Path) -> None:
     found = read(write_journal(tmp_path).read_bytes())
-    assert {h.trace: (h.state, h.over) for h in found.histories.values()} == {
+    assert {h.trace: (h.state, h.done) for h in found.histories.values()} == {
         "open": ("open", False),
         "may": ("may-have-run", False),
         "accepted": ("accepted", False),
@@ -65,8 +65,8 @@
 
 def test_replacements_of_a_message_are_counted(tmp_path: Path) -> None:
     journal = Journal(str(tmp_path), 3_000_000)
-    journal.taken(1, 5, '{"trace":"t"}', b"old")
-    journal.replaced(1, '{"trace":"t"}', b"new")
+    journal.record_accepted(1, 5, '{"trace":"t"}', b"old")
+    journal.record_replacement(1, '{"trace":"t"}', b"new")
     history = read((tmp_path / "journal").read_bytes()).histories[1]
     assert (history.body, history.replaced) == (b"new", 1)
 
@@ -81,10 +81,10 @@
     damaged = whole[:at] + bytes([whole[at] ^ 1 << bit]) + whole[at + 1 :]
     good, found = read(whole), read(damaged)
     assert found.faults or found.torn and at >= last_record_start(whole), "damage before the last record is no torn end"
-    hidden = {fault.at for fault in found.faults if "is invalid" not in fault.what}
+    hidden = {fault.at for fault in found.faults if "is invalid" not in fault.description}
     assert len(hidden) + bool(found.torn) == 1
     # Records whose TAKEN record is the damaged one are reported as invalid, too.
-    assert good.kinds.total() - found.kinds.total() == 1 + sum("is invalid" in f.what for f in found.faults)
+    assert good.kinds.total() - found.kinds.total() == 1 + sum("is invalid" in f.description for f in found.faults)
 
 
 def last_record_start(whole: bytes) -> int:
@@ -100,7 +100,7 @@
         path.write_bytes(whole[:second] + length + whole[second + 4 :])
         journal = Journal(str(tmp_path), 3_000_000)
         # The TAKEN record of message 1 is lost; the attempt of message 2 that may have run is still known.
-        assert set(journal.entries) == {2, 3, 5, 6} and journal.entries[2].maybe_since is not None
+        assert set(journal.entries) == {2, 3, 5, 6} and journal.entries[2].may_have_run_since is not None
         path.write_bytes(whole)
 
 
@@ -120,7 +120,7 @@
 
 def test_a_record_of_an_unknown_kind_is_a_fault() -> None:
     found = read(records.record(records.TAKEN, 1, records.taken_payload(1, "{}", b"")) + records.record(77, 1, b"x"))
-    assert [fault.what for fault in found.faults] == [
+    assert [fault.description for fault in found.faults] == [
         "unknown kind 77 of number 1 is invalid: ValueError('unknown kind')"
     ]
     assert 77 not in KINDS
--- a/tests/journal/test_left.py
+++ b/tests/journal/test_removal_log.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from kestrelspar.journal import left as left_module
-from kestrelspar.journal.left import Left
+from kestrelspar.journal import removal_log as left_module
+from kestrelspar.journal.removal_log import RemovalLog
 from snowlock.interface import EndpointState
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
@@ -28,15 +28,15 @@
 
 @pytest.mark.parametrize(("steps", "found"), STEPS)
 def test_recorded_states_are_there_in_the_next_process(tmp_path: Path, steps: str, found: str) -> None:
-    log = Left(tmp_path / "x.left", 10_000)
+    log = RemovalLog(tmp_path / "x.left", 10_000)
     for step in steps.split(";"):
         number, *names = step.split()
         if number == "cut":
-            log.cut(int(names[0]))
+            log.drop_through(int(names[0]))
         else:
-            assert log.note({name[1:]: STATES[name[0]] for name in names}, int(number))
+            assert log.record({name[1:]: STATES[name[0]] for name in names}, int(number))
     signs = {state: sign for sign, state in STATES.items()}
-    reopened = Left(tmp_path / "x.left", 10_000)
+    reopened = RemovalLog(tmp_path / "x.left", 10_000)
     assert " ".join(sorted(name + signs[state] for name, state in reopened.since(0).items())) == found
     assert reopened.since(0) == log.since(0) and not reopened.since(9)
 
@@ -46,24 +46,26 @@
 ) -> None:
     names = [f"s-{n * 2654435761 % 2**32:08x}" for n in range(1_500)]
     for forget in (False, True):
-        log = Left(tmp_path / f"{forget}.left", 8_192, forget)
-        held = [log.note({name: GONE}, n) for n, name in enumerate(names)]
+        log = RemovalLog(tmp_path / f"{forget}.left", 8_192, forget)
+        held = [log.record({name: GONE}, n) for n, name in enumerate(names)]
         assert (tmp_path / f"{forget}.left").stat().st_size <= 8_192 and all(held) is forget
-        found = Left(tmp_path / f"{forget}.left", 8_192).since(-1)
+        found = RemovalLog(tmp_path / f"{forget}.left", 8_192).since(-1)
         if forget:
             assert list(found)[-300:] == names[-300:] and list(found) == list(log.rows_by_key)
         else:
-            assert log.behind and set(log.rows_by_key) == set(names), "the process itself still has all rows"
-            log.cut(len(names))
-            assert not log.behind and log.note({"a": GONE}) and Left(log.file, 8_192).since(0) == {"a": GONE}
+            assert log.incomplete and set(log.rows_by_key) == set(names), "the process itself still has all rows"
+            log.drop_through(len(names))
+            assert (
+                not log.incomplete and log.record({"a": GONE}) and RemovalLog(log.file, 8_192).since(0) == {"a": GONE}
+            )
     assert capsys.readouterr().out.count("map-left-not-kept") == 1
 
 
 def test_a_full_disk_is_logged_once_and_retried_and_damage_loses_only_its_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    log = Left(tmp_path / "x.left", 10_000)
-    log.note({"a": GONE})
+    log = RemovalLog(tmp_path / "x.left", 10_000)
+    log.record({"a": GONE})
 
     def full(*_: object) -> int:
         raise OSError(28, "No space left on device")
@@ -71,18 +73,18 @@
     with monkeypatch.context() as patch:
         patch.setattr(left_module.os, "pwrite", full)
         patch.setattr(left_module.os, "rename", full)
-        assert not log.note({"b": GONE}) and not log.note({"c": DRAINING})
-        log.mend()
+        assert not log.record({"b": GONE}) and not log.record({"c": DRAINING})
+        log.retry_write()
     assert capsys.readouterr().out.count("map-left-not-kept") == 1 and not list(tmp_path.glob("*.new"))
-    assert Left(log.file, 10_000).since(0) == {"a": GONE}
-    log.mend()
-    log.note({"d": GONE})
-    log.note({"e": GONE})
+    assert RemovalLog(log.file, 10_000).since(0) == {"a": GONE}
+    log.retry_write()
+    log.record({"d": GONE})
+    log.record({"e": GONE})
     data = log.file.read_bytes()
-    assert Left(log.file, 10_000).since(0) == {"a": GONE, "b": GONE, "c": DRAINING, "d": GONE, "e": GONE}
+    assert RemovalLog(log.file, 10_000).since(0) == {"a": GONE, "b": GONE, "c": DRAINING, "d": GONE, "e": GONE}
     # A flipped bit in the first record, and a torn end.
     log.file.write_bytes(data[:30] + bytes([data[30] ^ 1]) + data[31:-1])
-    damaged = Left(log.file, 10_000)
+    damaged = RemovalLog(log.file, 10_000)
     assert damaged.since(0) == {"d": GONE} and "map-left-bad-record" in capsys.readouterr().out
-    damaged.note({"f": GONE})
-    assert Left(log.file, 10_000).since(0) == {"d": GONE, "f": GONE}
+    damaged.record({"f": GONE})
+    assert RemovalLog(log.file, 10_000).since(0) == {"d": GONE, "f": GONE}
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_plays.py
@@ -20,8 +20,8 @@
 from kestrelspar.lab import judge
 from kestrelspar.lab.liar import LyingBroker, LyingCourier
 from kestrelspar.lab.zones import ZonedRig
-from kestrelspar.peers.brokers import TERM
-from kestrelspar.peers.door import ask
+from kestrelspar.peers.brokers import LEASE_TERM
+from kestrelspar.peers.status_socket import query_status
 from kestrelspar.runtime.loop import MS, SECOND
 
 LIMITS = {"m1": 60, "m2": 60, "m3": 14}
@@ -67,10 +67,10 @@
         )
         rig.members[other].shut, settled = True, rig.loop.now + SECOND
         rig.run(2 * SECOND)
-        rig.until(lambda: min(self.callers(failing, settled).values()) >= 2, TIMEOUT)
+        rig.run_until(lambda: min(self.callers(failing, settled).values()) >= 2, TIMEOUT)
         log_text = f"event=peers-hold endpoint={failing} "
         names = [name for name, node in rig.nodes.items() if node.process is not None]
-        before = {name: rig.logs(name).count(log_text) for name in names}
+        before = {name: rig.read_log(name).count(log_text) for name in names}
         zones = {zone for _, zone in rig.zones.values()}
         rig.members[other].up()
         rig.members[failing].shut, since = True, rig.loop.now
@@ -78,7 +78,7 @@
         not_suspended, not_relayed, deadline = zones, zones if across else set(), rig.loop.now + TIMEOUT
         while self.with_brokers and rig.loop.now < deadline:
             not_suspended = zones - {
-                rig.zones[name][1] for name in names if rig.logs(name).count(log_text) > before[name]
+                rig.zones[name][1] for name in names if rig.read_log(name).count(log_text) > before[name]
             }
             not_relayed = zones - rig.zones_with_foreign_witnesses(failing, since) if across else set()
             if not not_suspended and not not_relayed:
@@ -97,7 +97,7 @@
 
     def broker(self, name: str) -> dict[str, Any]:
         """Return the status of a broker."""
-        return ask(str(self.rig.brokers[name].folder / "state"))
+        return query_status(str(self.rig.brokers[name].directory / "state"))
 
     def kill(self, *names: str) -> None:
         """Kill brokers, if the scenario runs with them."""
@@ -118,9 +118,9 @@
         wanted = {name: sum(region == name.partition("/")[0] for region, _ in rig.zones.values()) for name in names}
         for name, couriers in wanted.items():
             try:
-                rig.until(
+                rig.run_until(
                     lambda name=name, couriers=couriers: self._subscribed(name) >= couriers,  # type: ignore[misc]
-                    4 * TERM,
+                    4 * LEASE_TERM,
                 )
             except TimeoutError:
                 self.missing.append(
@@ -159,7 +159,7 @@
     """
     rig = run.rig
     start_all(run)
-    pause = TERM + 2 * SECOND
+    pause = LEASE_TERM + 2 * SECOND
     resumed_at = rig.loop.now + pause
     if run.with_brokers:
         rig.pause("eu/b2", pause)
@@ -220,7 +220,7 @@
         run.with_brokers and run.broker("us/b1")["forwarded"] + run.broker("us/b2")["forwarded"],
         "nothing was forwarded from us to eu",
     )
-    status = ask(str(rig.nodes["n4"].folder / "state")) if run.with_brokers else {}
+    status = query_status(str(rig.nodes["n4"].directory / "state")) if run.with_brokers else {}
     run.require(
         status and max(each["witnesses"] for each in status["endpoints"].values()) > 2,
         f"n4 knows only witnesses of its own region: {status.get('endpoints')}",
@@ -271,7 +271,7 @@
     rig.ready()
     rig.traffic({name: RATES for name in names}, 600 * SECOND)
     rig.run(3 * SECOND)
-    rig.loop.longest = 0
+    rig.loop.longest_turn = 0
 
 
 def run_scenario(name: str, with_brokers: bool, directory: Path) -> dict[str, Any]:
@@ -281,34 +281,42 @@
     with ZonedRig(directory, 11, LIMITS, zones, brokers, groups=GROUPS) as rig:
         run = Run(rig, with_brokers)
         scenario(run)
-        rig.settled()
+        rig.drain()
         calls = [call for member in rig.members.values() for call in member.calls]
-        window = max(MS, SECOND - rig.loop.longest)
-        most = {name: judge.most_in_a_second(member.calls, window) for name, member in rig.members.items()}
+        window = max(MS, SECOND - rig.loop.longest_turn)
+        most = {name: judge.max_calls_per_second(member.calls, window) for name, member in rig.members.items()}
         running = {node.name: node for node in (*rig.nodes.values(), *rig.brokers.values()) if node.process is not None}
-        status = {name: ask(str(node.folder / "state")) for name, node in running.items()}
+        status = {name: query_status(str(node.directory / "state")) for name, node in running.items()}
         status_command = subprocess.Popen(
-            [sys.executable, "-m", "kestrelspar", "peers", "status", "--state", str(rig.nodes["n0"].folder / "state")],
+            [
+                sys.executable,
+                "-m",
+                "kestrelspar",
+                "peers",
+                "status",
+                "--state",
+                str(rig.nodes["n0"].directory / "state"),
+            ],
             stdout=subprocess.PIPE,
             text=True,
         )
         # Run the event loop meanwhile: the relays are in this process.
-        rig.until(lambda: status_command.poll() is not None, TIMEOUT)
+        rig.run_until(lambda: status_command.poll() is not None, TIMEOUT)
         shown, _ = status_command.communicate()
         rig.terminate_all()
         # Clients get no answer while their courier starts, for as long as that takes: unrelated to brokers.
-        answered = {trace: sent for trace, sent in rig.sent.items() if sent.status}
+        answered = {trace: sent for trace, sent in rig.submissions.items() if sent.status}
         return {
-            "wrong_ends": judge.wrong_ends(rig.sent, calls),
+            "wrong_ends": judge.delivery_violations(rig.submissions, calls),
             "most_in_a_second": most,
-            "longest_us": rig.loop.longest,
-            "handed_in": len(rig.sent),
+            "longest_us": rig.loop.longest_turn,
+            "handed_in": len(rig.submissions),
             "calls": len(calls),
-            "served": judge.served(answered, calls),
+            "served": judge.served_share(answered, calls),
             "ends": dict(
                 Counter(
                     f"{sent.message_class} {sent.status} {' '.join(sorted(set(sent.notices)))}"
-                    for sent in rig.sent.values()
+                    for sent in rig.submissions.values()
                 )
             ),
             "seconds": round(time.monotonic() - began, 1),
@@ -318,7 +326,7 @@
                 f"{name}: {line[:500]}"
                 for name in (*rig.nodes, *rig.brokers)
                 if rig.node(name).log.is_file()
-                for line in rig.logs(name).splitlines()
+                for line in rig.read_log(name).splitlines()
                 if "event=fault" in line
             ],
             "brokers": {name: view for name, view in status.items() if name in rig.brokers},
--- a/tests/lab/test_brokers.py
+++ b/tests/lab/test_brokers.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from kestrelspar.peers.shares import LEND
+from kestrelspar.peers.shares import MAX_LENT_PART
 from tests.lab.broker_plays import LIMITS, ONE_REGION, SCENARIOS
-from tests.test_program import FAR, ROOT
+from tests.test_program import ROOT, TEST_TIMEOUT
 
 SERVED_TOLERANCE = 0.15  # share of messages: runs of one scenario differ by up to 0.09, as outages hit other messages
 START_CPU_S = 3.0  # CPU seconds that the start of a run takes
@@ -35,7 +35,7 @@
     def collect() -> None:
         key = next(iter(running))
         run = running.pop(key)
-        out, err = run.communicate(timeout=5 * FAR)
+        out, err = run.communicate(timeout=5 * TEST_TIMEOUT)
         results[key] = json.loads(out) if run.returncode == 0 else {"broken": err[-3_000:]}
 
     try:
@@ -68,7 +68,7 @@
     assert set(report["codes"].values()) == {0}, report["codes"]
     assert report["handed_in"] > 200 and report["calls"] > 200
     # A lying courier can raise the sum by what others borrow from it (docs/design/peers.md, "A liar").
-    lent = LEND * (len(ONE_REGION) - 1) / len(ONE_REGION) if name == "liars" else 0.0
+    lent = MAX_LENT_PART * (len(ONE_REGION) - 1) / len(ONE_REGION) if name == "liars" else 0.0
     for member, limit in LIMITS.items():
         assert report["most_in_a_second"][member] <= limit * (1 + lent), report["most_in_a_second"]
 
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -17,7 +17,7 @@
 import pytest
 
 from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
-from kestrelspar.peers.judgements import Outcome
+from kestrelspar.peers.judgements import CallOutcome
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_program import ROOT
 
@@ -99,8 +99,8 @@
 def test_failed_and_refused_outcomes_have_the_configured_share() -> None:
     workload = Workload(HollowConfig(10, 3, 1.0, failing=0.1, limits={"a": 1.0}), 1)
     outcomes = [workload.outcome() for _ in range(10_000)]
-    assert 850 < outcomes.count((Outcome.FAILED, 0)) < 1_150
-    assert 850 < sum(outcome is Outcome.REFUSED and retry_after > 0 for outcome, retry_after in outcomes) < 1_150
+    assert 850 < outcomes.count((CallOutcome.FAILED, 0)) < 1_150
+    assert 850 < sum(outcome is CallOutcome.REFUSED and retry_after > 0 for outcome, retry_after in outcomes) < 1_150
 
 
 def test_budgets_are_derived_from_a_limit_as_by_real_couriers() -> None:
--- a/tests/lab/test_relays.py
+++ b/tests/lab/test_relays.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from kestrelspar.lab.relays import FaultyNetwork, Path, Relay, dropped, read_routing_header
-from kestrelspar.lab.rig import Beyond, Rig
-from kestrelspar.peers.seal import HEAD, MARK, MOST, Sealer, decode
-from kestrelspar.peers.words import Ping, Said
+from kestrelspar.lab.relays import FaultyNetwork, PathFaults, Relay, dropped_datagrams, read_routing_header
+from kestrelspar.lab.rig import ExternalFleet, Rig
+from kestrelspar.peers.seal import HEADER_BYTES, MAGIC, MAX_DATAGRAM_BYTES, Sealer, decode
+from kestrelspar.peers.words import MemberUpdate, Ping
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 
 KEY = b"a key of thirty-two bytes length"
@@ -27,11 +27,11 @@
         (seal_ping("a1", "b1"), ("a1", "b1")),
         (seal_ping("n" * 60, "ü" * 20), ("n" * 60, "ü" * 20)),
         (b"", None),
-        (MARK, None),
+        (MAGIC, None),
         (b"XX" + seal_ping("a1", "b1"), None),
         (seal_ping("a1", "b1")[:24], None),
-        (MARK + b"\xff" * 200, None),
-        (MARK + bytes(17) + b"\x93\xa1a\xa1b\x07", None),
+        (MAGIC + b"\xff" * 200, None),
+        (MAGIC + bytes(17) + b"\x93\xa1a\xa1b\x07", None),
     ],
 )
 def test_the_way_of_a_datagram_is_read_without_its_key(data: bytes, expected: tuple[str, str] | None) -> None:
@@ -46,20 +46,20 @@
         ({}, "a1", "a2", [0]),
         ({}, "x9", "b1", None),
         ({}, "a1", "x9", None),
-        ({("a", "b"): Path(cut=True)}, "a1", "b1", []),
-        ({("a", "b"): Path(cut=True)}, "a2", "b1", []),
-        ({("a", "b"): Path(cut=True)}, "b1", "a1", [0]),
-        ({("a", "b"): Path(cut=True)}, "a1", "c1", [0]),
-        ({("a", "a"): Path(cut=True)}, "a1", "a2", []),
-        ({("a", "b"): Path(loss=1.0)}, "a1", "b1", []),
-        ({("a", "b"): Path(double=1.0)}, "a1", "b1", [0, 0]),
-        ({("a", "b"): Path(delay=(7 * MS, 7 * MS))}, "a1", "b1", [7 * MS]),
-        ({("a", "b"): Path(double=1.0, delay=(7 * MS, 7 * MS))}, "a1", "b1", [7 * MS, 7 * MS]),
-        ({("a", "b"): Path(double=1.0, loss=1.0)}, "a1", "b1", []),
+        ({("a", "b"): PathFaults(cut=True)}, "a1", "b1", []),
+        ({("a", "b"): PathFaults(cut=True)}, "a2", "b1", []),
+        ({("a", "b"): PathFaults(cut=True)}, "b1", "a1", [0]),
+        ({("a", "b"): PathFaults(cut=True)}, "a1", "c1", [0]),
+        ({("a", "a"): PathFaults(cut=True)}, "a1", "a2", []),
+        ({("a", "b"): PathFaults(loss=1.0)}, "a1", "b1", []),
+        ({("a", "b"): PathFaults(double=1.0)}, "a1", "b1", [0, 0]),
+        ({("a", "b"): PathFaults(delay=(7 * MS, 7 * MS))}, "a1", "b1", [7 * MS]),
+        ({("a", "b"): PathFaults(double=1.0, delay=(7 * MS, 7 * MS))}, "a1", "b1", [7 * MS, 7 * MS]),
+        ({("a", "b"): PathFaults(double=1.0, loss=1.0)}, "a1", "b1", []),
     ],
 )
 def test_faults_are_those_of_the_ordered_pair(
-    faults: dict[tuple[str, str], Path], sender: str, to: str, delays: list[int] | None
+    faults: dict[tuple[str, str], PathFaults], sender: str, to: str, delays: list[int] | None
 ) -> None:
     network = FaultyNetwork(3)
     network.groups, network.faults = GROUPS, faults
@@ -73,7 +73,7 @@
     outcomes = []
     for _ in range(2):
         network = FaultyNetwork(5)
-        network.groups, network.faults = GROUPS, {("a", "b"): Path(loss=0.25)}
+        network.groups, network.faults = GROUPS, {("a", "b"): PathFaults(loss=0.25)}
         outcomes.append([len(network.copy_delays("a1", "b1") or []) for _ in range(4_000)])
     assert outcomes[0] == outcomes[1]
     assert 2_850 <= sum(outcomes[0]) <= 3_150
@@ -96,13 +96,13 @@
         def listen() -> None:
             while True:
                 loop.readable(courier, None)
-                received.append(courier.recv(MOST + 1))
+                received.append(courier.recv(MAX_DATAGRAM_BYTES + 1))
 
         def wait_for(datagrams: int) -> None:
             deadline = loop.now + 20 * SECOND
             while len(received) + sum(relay.lost.values()) < datagrams:
                 assert loop.now < deadline
-                loop.at(loop.now + 10 * MS, lambda: None)
+                loop.call_at(loop.now + 10 * MS, lambda: None)
                 loop.turn()
 
         loop.spawn(listen)
@@ -111,15 +111,15 @@
             sender.sendto(data, relay.address)
         wait_for(4)
         assert received == [first] and relay.lost == {"unreadable": 1, "unknown": 2}
-        network.faults[("a", "b")] = Path(cut=True)
-        network.faults[("c", "b")] = Path(double=1.0, delay=(5 * MS, 5 * MS))
+        network.faults[("a", "b")] = PathFaults(cut=True)
+        network.faults[("c", "b")] = PathFaults(double=1.0, delay=(5 * MS, 5 * MS))
         delayed = seal_ping("c1", "b1")
         for data in (first, delayed):
             sender.sendto(data, relay.address)
         wait_for(7)
         assert received == [first, delayed, delayed] and relay.lost["fault"] == 1
         assert relay.forwarded == 3 and relay.forwarded_bytes == len(first) + 2 * len(delayed)
-        assert dropped([relay.socket]) == 0
+        assert dropped_datagrams([relay.socket]) == 0
     relay.close()
 
 
@@ -127,21 +127,21 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
         other.setblocking(False)
-        beyond = Beyond(2, {"n0": ("10.0.0.7", 1_234)}, {"n0": {"x": other.getsockname()}})
-        with Rig(tmp_path, 1, 1, {"m1": 40}, beyond=beyond) as rig:
-            updates: list[Said] = []
+        beyond = ExternalFleet(2, {"n0": ("10.0.0.7", 1_234)}, {"n0": {"x": other.getsockname()}})
+        with Rig(tmp_path, 1, 1, {"m1": 40}, external_fleet=beyond) as rig:
+            updates: list[MemberUpdate] = []
 
             def listen() -> None:
                 while True:
                     rig.loop.readable(other, None)
-                    messages = decode(other.recv(MOST + 1)[HEAD:]).words
+                    messages = decode(other.recv(MAX_DATAGRAM_BYTES + 1)[HEADER_BYTES:]).messages
                     updates.extend(
-                        message for message in messages if isinstance(message, Said) and message.name == "n0"
+                        message for message in messages if isinstance(message, MemberUpdate) and message.name == "n0"
                     )
 
             rig.loop.spawn(listen)
             rig.start("n0")
-            rig.until(lambda: updates, 30 * SECOND)
+            rig.run_until(lambda: updates, 30 * SECOND)
             assert (updates[0].host, updates[0].port) == ("10.0.0.7", 1_234)
             # The courier is still bound to its own address.
-            assert "listen={}:{}".format(*rig.nodes["n0"].peers) in rig.logs("n0")
+            assert "listen={}:{}".format(*rig.nodes["n0"].peers) in rig.read_log("n0")
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -16,9 +16,9 @@
 
 from kestrelspar.lab import judge
 from kestrelspar.lab.rig import KEY, Rig
-from kestrelspar.peers.door import ask
+from kestrelspar.peers.status_socket import query_status
 from kestrelspar.runtime.loop import MS, SECOND
-from tests.test_program import FAR, ROOT
+from tests.test_program import ROOT, TEST_TIMEOUT
 
 LIMITS = {"m1": 40}
 COURIERS = 5
@@ -76,7 +76,7 @@
             rig.reload(name, keys)
             rig.run(100 * MS)
         rig.run(500 * MS)
-    assert "peers-dropped" not in "".join(rig.logs(name) for name in rig.nodes)
+    assert "peers-dropped" not in "".join(rig.read_log(name) for name in rig.nodes)
     rig.reload("n3", [other], peers=False)  # most likely a lender
     rig.run(6 * SECOND)
 
@@ -109,14 +109,14 @@
     counts_seen: list[int] = []
 
     def query() -> None:  # in a thread, as the rig's event loop has to run its proxies
-        counts = ask(str(rig.nodes["n2"].folder / "state"), fleet=True)["counts"]
+        counts = query_status(str(rig.nodes["n2"].directory / "state"), fleet=True)["counts"]
         counts_seen.append(sum(each["sum"] for key, each in counts.items() if key.startswith("taken/")))
 
     for _ in range(5):  # a reply that exceeds the bandwidth comes with a later one
         thread = threading.Thread(target=query)
         thread.start()
         rig.run(1_500 * MS)
-        thread.join(FAR)
+        thread.join(TEST_TIMEOUT)
     return counts_seen[-1]
 
 
@@ -134,19 +134,23 @@
         member = rig.members["m1"]
         rig.traffic({node: {"m1": 20.0 if node == "n0" else 4.0} for node in rig.nodes}, 120 * SECOND)
         rig.wait_for_log("n0", "event=peers-borrowed", 30 * SECOND)  # then limits are known, and loans are in use
-        status = {node: ask(str(rig.nodes[node].folder / "state")) for node in ("n0", "n1")} if log_text else {}
+        status = (
+            {node: query_status(str(rig.nodes[node].directory / "state")) for node in ("n0", "n1")} if log_text else {}
+        )
         assert all(len(each["members"]) == COURIERS - 1 and each["budgets"]["e:m1"]["part"] for each in status.values())
-        begin, rig.loop.longest = len(member.calls), 0
+        begin, rig.loop.longest_turn = len(member.calls), 0
         inject(rig)
-        rig.settled()
+        rig.drain()
         calls = [call for call in member.calls[begin:] if not call.trace.startswith(NOT_SHARING.get(name, "none"))]
-        assert judge.most_in_a_second(calls, max(MS, SECOND - rig.loop.longest)) <= member.limit, rig.loop.longest
-        assert len(calls) > 100 and not judge.wrong_ends(rig.sent, member.calls)
-        assert log_text in "".join(rig.logs(node) for node in rig.nodes)
-        assert "event=fault" not in "".join(rig.logs(node) for node in rig.nodes)
+        assert judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) <= member.limit, (
+            rig.loop.longest_turn
+        )
+        assert len(calls) > 100 and not judge.delivery_violations(rig.submissions, member.calls)
+        assert log_text in "".join(rig.read_log(node) for node in rig.nodes)
+        assert "event=fault" not in "".join(rig.read_log(node) for node in rig.nodes)
         if name not in WITHOUT_COMPLETE_COUNTERS:
-            accepted = sum(sent.status == 202 for sent in rig.sent.values())
-            assert accepted <= fleet_accepted(rig) <= len(rig.sent), (
+            accepted = sum(sent.status == 202 for sent in rig.submissions.values())
+            assert accepted <= fleet_accepted(rig) <= len(rig.submissions), (
                 "all accepted messages count, also those whose answer the client missed"
             )
         rig.terminate_all()
@@ -181,7 +185,7 @@
             text=True,
         )
     for name, process in processes.items():
-        out, _ = process.communicate(timeout=2 * FAR)
+        out, _ = process.communicate(timeout=2 * TEST_TIMEOUT)
         assert process.returncode == 0, f"{name}: {out[-2_000:]}"
         report = json.loads((tmp_path / f"{name}.json").read_text())
         assert report["faults"] == [] and sum(member["calls"] for member in report["members"].values()) > 100
@@ -194,10 +198,10 @@
 import runpy, sys
 from kestrelspar.core.courier import Courier
 from kestrelspar.peers.shares import Shares
-Shares.may = Shares.spend = lambda *_: True  # ignore budgets
+Shares.may_call = Shares.try_call = lambda *_: True  # ignore budgets
 Shares.allowed = lambda *_: 1000
-report_end = Courier._tell
-Courier._tell = lambda self, message, end: None if end.state != "delivered" else report_end(self, message, end)
+report_end = Courier._report_end
+Courier._report_end = lambda self, message, end: None if end.state != "delivered" else report_end(self, message, end)
 sys.argv = ["kestrelspar"]
 runpy.run_module("kestrelspar", run_name="__main__")
 """
@@ -211,7 +215,7 @@
         rig.ready()
         rig.traffic({node: {"m1": 30.0} for node in rig.nodes}, 5 * SECOND)
         rig.run(5 * SECOND)
-        rig.settled()
+        rig.drain()
         calls = rig.members["m1"].calls
-        assert judge.most_in_a_second(calls, max(MS, SECOND - rig.loop.longest)) > 15
-        assert any("no end" in fault for fault in judge.wrong_ends(rig.sent, calls))
+        assert judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) > 15
+        assert any("no end" in fault for fault in judge.delivery_violations(rig.submissions, calls))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -18,8 +18,8 @@
 from click.testing import CliRunner
 
 from kestrelspar.cli.main import cli
-from kestrelspar.lab import modelled, scale
-from kestrelspar.lab.plan import MB, MOST_MEMBERS, Asked, Bounds, TooMuch, plan, plan_model
+from kestrelspar.lab import scale, simulated_scale
+from kestrelspar.lab.plan import MAX_MEMBERS, MB, ResourceLimits, RunParameters, RunTooLargeError, plan_model, plan_run
 from kestrelspar.runtime.loop import SECOND
 from tests.lab.test_hollow import is_running
 from tests.test_program import ROOT
@@ -31,47 +31,67 @@
     ("asked", "bounds", "wrong"),
     [
         (
-            Asked(2, 1_000, 2),
-            Bounds(memory=500 * MB),
+            RunParameters(2, 1_000, 2),
+            ResourceLimits(memory=500 * MB),
             [r"about 1,\d\d\d MB of memory .*1002 members at 1100 bytes.*wanted: 500 MB"],
         ),
         (
-            Asked(100, 10, 2),
-            Bounds(processes=50, descriptors=4_000),
+            RunParameters(100, 10, 2),
+            ResourceLimits(processes=50, descriptors=4_000),
             [r"10[0-9] processes: .*100 real ones \(wanted: 50"],
         ),
         (
-            Asked(0, 400, 1),
-            Bounds(descriptors=200),
+            RunParameters(0, 400, 1),
+            ResourceLimits(descriptors=200),
             [r"hollow couriers needs 263 descriptors, and a process may have 200"],
         ),
         (
-            Asked(60, 0, 1),
-            Bounds(),
+            RunParameters(60, 0, 1),
+            ResourceLimits(),
             [r"the play needs 15\d\d descriptors, and a process may have 1024 \(wanted: less, or"],
         ),
-        (Asked(2, 5, 8), Bounds(), [r"--zones: 8 for 7 couriers \(wanted: one courier in each"]),
-        (Asked(2, 5, 0), Bounds(), [r"--zones: 0"]),
-        (Asked(2, 5, 2, fault="flood"), Bounds(), [r"--fault: 'flood' is unknown \(wanted: none, loss, .*restarts\)"]),
-        (Asked(1, 0), Bounds(), [r"1 couriers \(wanted: 2 or more"]),
-        (Asked(101, 5, 2), Bounds(), [r"--real: 101 \(wanted: 100"]),
-        (Asked(2, 5, 1, fault="cut"), Bounds(), [r"--fault cut: there is one zone \(wanted: --zones 2"]),
-        (Asked(2, 5, 1, fault="one-way"), Bounds(), [r"--fault one-way: there is one zone"]),
-        (Asked(2, 0, 2, fault="kill"), Bounds(), [r"--fault kill: no hollow courier \(wanted: --hollow 1"]),
-        (Asked(2, MOST_MEMBERS, 2), Bounds(), [r"1026 couriers know each other, and one holds 1024 .*--grouped"]),
-        (Asked(101, 0, 200, fault="flood"), Bounds(), [r"--fault: 'flood'", r"--zones: 200 for 101", r"--real: 101"]),
+        (RunParameters(2, 5, 8), ResourceLimits(), [r"--zones: 8 for 7 couriers \(wanted: one courier in each"]),
+        (RunParameters(2, 5, 0), ResourceLimits(), [r"--zones: 0"]),
         (
-            Asked(30, 1_100, 2),
-            Bounds(memory=100 * MB, processes=20, descriptors=100),
+            RunParameters(2, 5, 2, fault="flood"),
+            ResourceLimits(),
+            [r"--fault: 'flood' is unknown \(wanted: none, loss, .*restarts\)"],
+        ),
+        (RunParameters(1, 0), ResourceLimits(), [r"1 couriers \(wanted: 2 or more"]),
+        (RunParameters(101, 5, 2), ResourceLimits(), [r"--real: 101 \(wanted: 100"]),
+        (
+            RunParameters(2, 5, 1, fault="cut"),
+            ResourceLimits(),
+            [r"--fault cut: there is one zone \(wanted: --zones 2"],
+        ),
+        (RunParameters(2, 5, 1, fault="one-way"), ResourceLimits(), [r"--fault one-way: there is one zone"]),
+        (
+            RunParameters(2, 0, 2, fault="kill"),
+            ResourceLimits(),
+            [r"--fault kill: no hollow courier \(wanted: --hollow 1"],
+        ),
+        (
+            RunParameters(2, MAX_MEMBERS, 2),
+            ResourceLimits(),
+            [r"1026 couriers know each other, and one holds 1024 .*--grouped"],
+        ),
+        (
+            RunParameters(101, 0, 200, fault="flood"),
+            ResourceLimits(),
+            [r"--fault: 'flood'", r"--zones: 200 for 101", r"--real: 101"],
+        ),
+        (
+            RunParameters(30, 1_100, 2),
+            ResourceLimits(memory=100 * MB, processes=20, descriptors=100),
             [r"1130 couriers know", r"MB of memory", r"processes: ", r"hollow couriers needs", r"the play needs"],
         ),
     ],
 )
 def test_impossible_run_is_refused_naming_each_fault_and_the_accepted_values(
-    asked: Asked, bounds: Bounds, wrong: list[str]
+    asked: RunParameters, bounds: ResourceLimits, wrong: list[str]
 ) -> None:
-    with pytest.raises(TooMuch) as refused:
-        plan(asked, bounds)
+    with pytest.raises(RunTooLargeError) as refused:
+        plan_run(asked, bounds)
     lines = str(refused.value).splitlines()
     assert len(lines) == len(wrong)
     for line, pattern in zip(lines, wrong, strict=True):
@@ -82,16 +102,16 @@
 @pytest.mark.parametrize(
     ("asked", "hosts", "relays"),
     [
-        (Asked(0, 10, 1), [10], 1),
-        (Asked(2, 10, 2), [5, 5], 1),
-        (Asked(3, 500, 1), [249, 249, 1, 1, 0], 1),
-        (Asked(10, 1_000, 2), [250, 249, 250, 249, 1, 1, 0], 2),
-        (Asked(5, 0, 5), [], 1),
-        (Asked(0, 2_000, 8, grouped=True), [125, 124, 125, 124, *[125] * 12, 1, 1, 0], 2),
+        (RunParameters(0, 10, 1), [10], 1),
+        (RunParameters(2, 10, 2), [5, 5], 1),
+        (RunParameters(3, 500, 1), [249, 249, 1, 1, 0], 1),
+        (RunParameters(10, 1_000, 2), [250, 249, 250, 249, 1, 1, 0], 2),
+        (RunParameters(5, 0, 5), [], 1),
+        (RunParameters(0, 2_000, 8, grouped=True), [125, 124, 125, 124, *[125] * 12, 1, 1, 0], 2),
     ],
 )
-def test_couriers_are_distributed_evenly_and_each_once(asked: Asked, hosts: list[int], relays: int) -> None:
-    found = plan(asked, Bounds())
+def test_couriers_are_distributed_evenly_and_each_once(asked: RunParameters, hosts: list[int], relays: int) -> None:
+    found = plan_run(asked, ResourceLimits())
     assert [len(names) for _, names in found.hosts] == hosts and len(found.relays) == relays
     assert sorted(found.numbers.values()) == list(range(asked.couriers))
     assert sorted(name for _, names in found.hosts for name in names) == sorted(f"h{n}" for n in range(asked.hollow))
@@ -116,15 +136,15 @@
     couriers: int, zones: int, grouped: bool, refused: str
 ) -> None:
     if not refused:
-        assert plan_model(Asked(0, couriers, zones, grouped=grouped), Bounds()) < 12_000 * MB
+        assert plan_model(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits()) < 12_000 * MB
         return
-    with pytest.raises(TooMuch, match=refused):
-        plan_model(Asked(0, couriers, zones, grouped=grouped), Bounds())
+    with pytest.raises(RunTooLargeError, match=refused):
+        plan_model(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits())
 
 
 def test_simulated_run_is_deterministic_for_a_seed() -> None:
-    asked = Asked(0, 24, 2, 4 * SECOND, 5, "kill", period=300_000)
-    first, second = modelled.play(asked, Bounds()), modelled.play(asked, Bounds())
+    asked = RunParameters(0, 24, 2, 4 * SECOND, 5, "kill", period=300_000)
+    first, second = simulated_scale.run(asked, ResourceLimits()), simulated_scale.run(asked, ResourceLimits())
     assert first["findings"] == [] and first["from"] == "modelled network"
     assert first["known_s"] is not None and first["settled_s"] is not None and first["settled_s"] > 0
     assert all(0 < busiest <= allowed for busiest, allowed in first["busiest_span"].values())
@@ -134,7 +154,7 @@
 
 @pytest.mark.parametrize("fault", ["loss", "delay", "cut", "one-way", "stop", "restarts", "none"])
 def test_simulated_run_supports_all_faults(fault: str) -> None:
-    report = modelled.play(Asked(0, 8, 2, 4 * SECOND, 2, fault, period=300_000), Bounds())
+    report = simulated_scale.run(RunParameters(0, 8, 2, 4 * SECOND, 2, fault, period=300_000), ResourceLimits())
     assert report["hit"] == {"cut": 4, "one-way": 4, "stop": 4, "restarts": 4, "none": 0}.get(fault, 8)
     assert report["findings"] == [] and (report["settled_s"] is None) is (fault == "none")
 
@@ -142,7 +162,7 @@
 @pytest.mark.parametrize(("fault", "affected"), [("kill", 124), ("stop", 124)])
 def test_fault_hits_the_largest_host_of_the_last_zone(tmp_path: Path, fault: str, affected: int) -> None:
     """Some hosts of a zone have a single courier, to measure what one costs alone; the fault must not choose these."""
-    with scale.ScaleRun(Asked(2, 500, 4, fault=fault), tmp_path, Bounds(), lambda text: None) as run:
+    with scale.ScaleRun(RunParameters(2, 500, 4, fault=fault), tmp_path, ResourceLimits(), lambda text: None) as run:
         recorded: list[object] = []
         for index in range(len(run.plan.hosts)):
             run.hosts[str(index)] = RecordingHost(recorded)  # type: ignore[assignment]
@@ -163,7 +183,7 @@
     def kill(self) -> None:
         self.recorded.append("killed")
 
-    def tell(self, command: dict[str, Any]) -> None:
+    def send_command(self, command: dict[str, Any]) -> None:
         self.recorded.append(command)
 
 
@@ -225,7 +245,7 @@
         "memory_a_member_hollow": 900,
         "memory_a_member_real": 0,
     }
-    assert scale.factors(report) == {
+    assert scale.cost_ratios(report) == {
         "processor time, in a process of its own": 1.0,
         "bytes sent": 0.5,
         "processor time, many in a process": 0.5,
@@ -277,12 +297,12 @@
 
 
 def test_memory_above_the_bound_ends_the_run_and_its_processes(tmp_path: Path) -> None:
-    asked, started = Asked(1, 4, 2), []
+    asked, started = RunParameters(1, 4, 2), []
     with (
-        pytest.raises(TooMuch, match="all processes of the run were ended"),
-        scale.ScaleRun(asked, tmp_path, Bounds(), lambda text: None) as run,
+        pytest.raises(RunTooLargeError, match="all processes of the run were ended"),
+        scale.ScaleRun(asked, tmp_path, ResourceLimits(), lambda text: None) as run,
     ):
-        run.bounds = Bounds(memory=MB)  # after planning, so that only the check at run time finds it
+        run.bounds = ResourceLimits(memory=MB)  # after planning, so that only the check at run time finds it
         try:
             run.run()
         finally:
@@ -328,5 +348,5 @@
 
 
 def test_run_without_a_fault_ends_by_itself(tmp_path: Path) -> None:
-    report = scale.play(Asked(0, 4, 2, 3 * SECOND), tmp_path, Bounds())
+    report = scale.run(RunParameters(0, 4, 2, 3 * SECOND), tmp_path, ResourceLimits())
     assert report["findings"] == [] and "fault" not in report and report["known_s"] is not None
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -8,9 +8,9 @@
 import pytest
 
 from kestrelspar.lab import judge, scenario
-from kestrelspar.lab.rig import Call, Member, Noted, Submission
+from kestrelspar.lab.rig import Call, Member, Submission, TimedLoop
 from kestrelspar.runtime.loop import MS, SECOND
-from kestrelspar.settings.lines import ConfFaults
+from kestrelspar.settings.lines import ConfErrors
 from tests.test_program import ROOT
 
 VALID = (
@@ -59,9 +59,9 @@
         .replace(" m1 2\n", "" if "missing section" in message else " m1 2\n")
         .replace(" m1 0\n", "" if "missing section" in message else " m1 0\n")
     )
-    with pytest.raises(ConfFaults) as raised:
+    with pytest.raises(ConfErrors) as raised:
         scenario.load(str(file))
-    assert any(str(fault).startswith(f"{file}:{line}: ") and message in str(fault) for fault in raised.value.faults)
+    assert any(str(fault).startswith(f"{file}:{line}: ") and message in str(fault) for fault in raised.value.errors)
 
 
 def test_the_judges_catch_what_they_are_for() -> None:
@@ -79,18 +79,18 @@
     sent["state lost"] = Submission("reading", "n1", 0, 202, [], state_lost=True)
     sent["refused"] = Submission("reading", "n1", 0, 503)
     calls = [Call(n, name, "", True) for n, name in enumerate(("fine", "twice", "twice", "again", "again"))]
-    assert judge.wrong_ends(sent, calls) == [
+    assert judge.delivery_violations(sent, calls) == [
         "reading lost: no end",
         "reading two: failed and returned",
         "payment twice: ran 2 times",
     ]
     assert [call.trace for call in judge.repeats(calls)] == ["twice", "again"]
     times = [0, 1, SECOND - 1, SECOND, SECOND + 1, 3 * SECOND]
-    assert judge.most_in_a_second([Call(time, "x", "", False) for time in reversed(times)]) == 3
+    assert judge.max_calls_per_second([Call(time, "x", "", False) for time in reversed(times)]) == 3
 
 
 def test_a_member_that_comes_back_cold_falls_when_it_is_pushed_and_bears_more_with_time() -> None:
-    loop = Noted()
+    loop = TimedLoop()
     member = Member(loop, 10, 0, Random(1), {})
     assert not any(member._is_overloaded() for _ in range(50)), "it is not recovering"
     member.down = True
--- a/tests/peers/test_any_story.py
+++ b/tests/peers/test_any_story.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from kestrelspar.lab.model import MS, SECOND, Faults, Net, Traffic
+from kestrelspar.lab.simulated_network import MS, SECOND, Faults, SimulatedNetwork, Traffic
 
 COURIERS, CALLS = 4, 24
 WHO = st.sampled_from([f"n{n}" for n in range(COURIERS)])
@@ -17,7 +17,7 @@
 
     @initialize(seed=st.integers(0, 999), loss=st.sampled_from([0.0, 0.3]), late=st.sampled_from([5 * MS, SECOND]))
     def begin(self, seed: int, loss: float, late: int) -> None:
-        self.net = Net(COURIERS, seed, Faults(loss, loss, (MS, late)), drift=0.009)
+        self.net = SimulatedNetwork(COURIERS, seed, Faults(loss, loss, (MS, late)), drift=0.009)
         self.net.budget("e:x", CALLS)
         for name in self.net.nodes:
             self.net.start(name)
@@ -29,7 +29,7 @@
         """Lenders need their calls back while these are lent."""
         for name in self.net.nodes:
             self.traffic.rates[name] = 60.0 if name in busy else 0.5
-            self.traffic._next(name)
+            self.traffic._schedule_arrival(name)
         self.net.run(self.net.now + duration * MS)
 
     @rule(who=WHO, keep_state=st.booleans(), after=st.integers(1, 1_500))
@@ -40,7 +40,7 @@
 
     @rule(who=WHO, duration=st.integers(20, 9_000))
     def pause(self, who: str, duration: int) -> None:
-        self.net.stop(who, duration * MS)
+        self.net.pause(who, duration * MS)
         self.net.run(self.net.now + min(duration, 700) * MS)
 
     @rule(receivers=st.sets(WHO), both=st.booleans())
@@ -54,7 +54,7 @@
 
     @invariant()
     def budget_is_kept(self) -> None:
-        assert not hasattr(self, "net") or not self.net.judge.faults
+        assert not hasattr(self, "net") or not self.net.budget_checker.violations
 
 
 TestCourierHistory = CourierHistory.TestCase
--- a/tests/peers/test_broker_process.py
+++ b/tests/peers/test_broker_process.py
@@ -19,12 +19,12 @@
 import ujson
 
 from kestrelspar.peers.broker_link import BrokerLink
-from kestrelspar.peers.brokers import BrokerAbout
-from kestrelspar.peers.door import ask
-from kestrelspar.peers.seal import MOST, DatagramRejectedError, Sealer, keys
-from kestrelspar.peers.words import Lease, Ping, Renew, Subscribe
+from kestrelspar.peers.brokers import BrokerConfig
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, keys
+from kestrelspar.peers.status_socket import query_status
+from kestrelspar.peers.words import LeaseRenewal, LeaseReply, Ping, Subscribe
 from kestrelspar.runtime.loop import Loop
-from tests.test_program import FAR, ROOT, until
+from tests.test_program import ROOT, TEST_TIMEOUT, wait_until
 
 KEY, OTHER = "a key that all couriers here have", "another key that all will have"
 RUN = [sys.executable, "-m", "kestrelspar"]
@@ -79,16 +79,16 @@
         return self.log.read_text()
 
     def wait_until_ready(self) -> BrokerProcess:
-        until(lambda: "event=broker-serves" in self.log_text() or self.process.poll() is not None)
+        wait_until(lambda: "event=broker-serves" in self.log_text() or self.process.poll() is not None)
         assert "event=broker-serves" in self.log_text(), self.log_text()
         return self
 
     def status(self) -> dict[str, Any]:
-        return ask(str(self.state))
+        return query_status(str(self.state))
 
     def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
         self.process.send_signal(number)
-        return self.process.wait(FAR)
+        return self.process.wait(TEST_TIMEOUT)
 
 
 @pytest.fixture
@@ -112,20 +112,20 @@
         self.host, self.port = self.socket.getsockname()
         self.n = 0
 
-    def renewal(self, known: int = 0) -> Renew:
+    def renewal(self, known: int = 0) -> LeaseRenewal:
         self.n += 1
-        return Renew(self.n, self.host, self.port, self.number, known, 1, 0, 0)
+        return LeaseRenewal(self.n, self.host, self.port, self.number, known, 1, 0, 0)
 
     def renew(self, to: BrokerProcess, known: int = 0, listen: tuple[str, int] | None = None) -> int:
         """The epoch of the broker that answered; 0 if none did in time."""
         for _ in range(20):
             self.socket.sendto(self.sealer.seal("eu/b1", [self.renewal(known)]), listen or to.address)
             try:
-                datagram = self.sealer.open(self.socket.recv(MOST + 1))
+                datagram = self.sealer.open(self.socket.recv(MAX_DATAGRAM_BYTES + 1))
             except (TimeoutError, DatagramRejectedError):  # a courier rejects datagrams of an older epoch
                 continue
-            if any(isinstance(message, Lease) for message in datagram.words):
-                return datagram.life
+            if any(isinstance(message, LeaseReply) for message in datagram.messages):
+                return datagram.epoch
         return 0
 
 
@@ -141,7 +141,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert as_text.returncode == 0 and "broker: eu/b1" in as_text.stdout and f"life: {first['life']}" in as_text.stdout
@@ -150,7 +150,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert ujson.loads(as_json.stdout)["life"] == first["life"]
@@ -159,7 +159,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FAR,
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert budgets.returncode == 1 and "is the folder of a broker" in budgets.stderr
@@ -198,7 +198,7 @@
     for data in bad:
         courier.socket.sendto(data, broker.address)
     expected = {"foreign": 4, "forged": 3, "oversized": 2, "replayed": 1, "misdirected": 1}
-    until(lambda: sum(broker.status()["dropped"].values()) >= sum(expected.values()))
+    wait_until(lambda: sum(broker.status()["dropped"].values()) >= sum(expected.values()))
     assert broker.status()["dropped"] == expected
     for _ in range(5_000):  # more than one turn of the loop reads; the socket buffer overflows and drops the rest
         courier.socket.sendto(pick.randbytes(200), broker.address)
@@ -225,7 +225,7 @@
         def sendto(self, data: bytes, address: tuple[str, int]) -> int:
             raise OSError(errno.ENOBUFS if address[1] == 1 else errno.EAGAIN, "not now")
 
-    config = BrokerAbout("eu/b1", "eu", ("127.0.0.1", 9), 1, keys([KEY]), {"eu/b1": ("127.0.0.1", 9)}, 10)
+    config = BrokerConfig("eu/b1", "eu", ("127.0.0.1", 9), 1, keys([KEY]), {"eu/b1": ("127.0.0.1", 9)}, 10)
     link = BrokerLink(Loop(), config, FullSocket(), "")  # type: ignore[arg-type]
     link._send([(("127.0.0.1", 1), b"x"), (("127.0.0.1", 2), b"y"), (("127.0.0.1", 1), b"z")])
     assert link.status()["unsent"] == {"ENOBUFS": 2, "EAGAIN": 1}
@@ -235,11 +235,11 @@
     started.append(broker := BrokerProcess(tmp_path).wait_until_ready())
     broker.configure([])
     broker.process.send_signal(signal.SIGHUP)
-    until(lambda: "event=configuration-not-taken" in broker.log_text())
+    wait_until(lambda: "event=configuration-not-taken" in broker.log_text())
     assert "peers.key-file: has no value" in broker.log_text() and FakeCourier().renew(broker)
     broker.configure([OTHER, KEY], more="  broker eu/b3 127.0.0.1:10\n")
     broker.process.send_signal(signal.SIGHUP)
-    until(lambda: "event=configuration-read at_next_start=broker" in broker.log_text())
+    wait_until(lambda: "event=configuration-read at_next_start=broker" in broker.log_text())
     other = FakeCourier("n2", secret=OTHER)
     assert other.renew(broker) == broker.status()["life"]
     assert broker.stop() == 0
@@ -260,8 +260,8 @@
     assert "broker-name-twice" not in older.log_text(), "a single courier could be lying to remove it"
     assert second.renew(younger, listen=second_address) == epoch
     second.socket.sendto(second.sealer.seal("eu/b1", [second.renewal(known=epoch)]), older.address)
-    until(lambda: "event=broker-name-twice" in older.log_text())
-    until(lambda: older.status()["stepped_back"])
+    wait_until(lambda: "event=broker-name-twice" in older.log_text())
+    wait_until(lambda: older.status()["stepped_back"])
     assert "event=broker-name-twice" not in younger.log_text() and first.renew(younger, epoch, second_address) == epoch
     assert older.stop() == 0 and younger.stop() == 0
 
@@ -279,7 +279,7 @@
     tmp_path: Path, started: list[BrokerProcess], name: str, more: str, secrets: list[str], expected: list[str]
 ) -> None:
     started.append(broker := BrokerProcess(tmp_path, name, more))
-    assert broker.process.wait(FAR) == 2
+    assert broker.process.wait(TEST_TIMEOUT) == 2
     assert [text for text in expected if text not in broker.log_text()] == [] and "Traceback" not in broker.log_text()
 
 
@@ -300,7 +300,7 @@
         (["--conf", str(tmp_path / "none"), "--name", "eu/b1"], "does not exist"),
     ):
         done = subprocess.run(
-            [*RUN, "broker", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=FAR, check=False
+            [*RUN, "broker", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=TEST_TIMEOUT, check=False
         )
         assert done.returncode == 2 and expected in done.stdout + done.stderr, done.stdout + done.stderr
         assert "Traceback" not in done.stdout + done.stderr
--- a/tests/peers/test_brokers.py
+++ b/tests/peers/test_brokers.py
@@ -13,29 +13,29 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from kestrelspar.lab.model import Faults, Net
+from kestrelspar.lab.simulated_network import Faults, SimulatedNetwork
 from kestrelspar.peers import brokers
-from kestrelspar.peers.brokers import MS, SECOND, Broker, BrokerAbout, Subscriber, mark, rendezvous_order
-from kestrelspar.peers.judgements import Kind, Outcome
-from kestrelspar.peers.peer import About, Peer
-from kestrelspar.peers.seal import MOST, DatagramRejectedError, Sealer
-from kestrelspar.peers.shares import Terms
+from kestrelspar.peers.brokers import MS, SECOND, Broker, BrokerConfig, Subscriber, destination_digest, rendezvous_order
+from kestrelspar.peers.judgements import CallOutcome, ObservationKind
+from kestrelspar.peers.peer import Peer, PeerConfig
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer
+from kestrelspar.peers.shares import LoanTerms
 from kestrelspar.peers.words import (
     Ack,
-    Ask,
+    CounterRequest,
     Datagram,
-    Forward,
-    Lease,
+    ForwardedObservation,
+    LeaseRenewal,
+    LeaseReply,
+    LoanRequest,
+    MemberUpdate,
+    Observation,
+    PeerMessage,
     Ping,
-    Publish,
-    Relayed,
-    Renew,
-    Said,
-    Seen,
+    PublishObservation,
+    RelayedObservation,
     Subscribe,
     Unsubscribe,
-    Want,
-    Word,
 )
 
 KEY = b"a key of the brokers' tests....."
@@ -51,7 +51,7 @@
     def __init__(self, **about: Any) -> None:
         self.name = OWNERS["x"][0]
         config: dict[str, Any] = {"keys": [KEY], "brokers": NAMES, "couriers": COURIERS} | about
-        self.broker = Broker(BrokerAbout(self.name, "x", NAMES[self.name], EPOCH, **config), START, 1)
+        self.broker = Broker(BrokerConfig(self.name, "x", NAMES[self.name], EPOCH, **config), START, 1)
         self.now = START
         self.sealers: dict[tuple[str, int], Sealer] = {}
         self.sent: list[bytes] = []  # to the broker
@@ -60,27 +60,27 @@
     def sealer(self, name: str, epoch: int = 1) -> Sealer:
         return self.sealers.setdefault((name, epoch), Sealer(name, epoch, [KEY]))
 
-    def decode(self, datagrams: brokers.Datagrams) -> list[tuple[str, Word]]:
+    def decode(self, datagrams: brokers.Datagrams) -> list[tuple[str, PeerMessage]]:
         """The broker's messages by receiver. Pings of other brokers are only recorded."""
-        found: list[tuple[str, Word]] = []
+        found: list[tuple[str, PeerMessage]] = []
         for _, data in datagrams:
-            assert len(data) <= MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
             datagram = msgspec.msgpack.decode(data[20:], type=Datagram)
             assert datagram.sender == self.name
-            self.pinged += [datagram.to for message in datagram.words if isinstance(message, Ping)]
-            found += [(datagram.to, message) for message in datagram.words if not isinstance(message, Ping)]
+            self.pinged += [datagram.to for message in datagram.messages if isinstance(message, Ping)]
+            found += [(datagram.to, message) for message in datagram.messages if not isinstance(message, Ping)]
         return found
 
-    def send(self, name: str, *messages: Word, epoch: int = 1) -> list[tuple[str, Word]]:
+    def send(self, name: str, *messages: PeerMessage, epoch: int = 1) -> list[tuple[str, PeerMessage]]:
         data = self.sealer(name, epoch).seal(self.name, [*messages])
         self.sent.append(data)
-        return self.decode(self.broker.hear(data, self.now))
+        return self.decode(self.broker.receive(data, self.now))
 
-    def tick(self, elapsed: int = 50 * MS) -> list[tuple[str, Word]]:
+    def tick(self, elapsed: int = 50 * MS) -> list[tuple[str, PeerMessage]]:
         self.now += elapsed
         return self.decode(self.broker.tick(self.now))
 
-    def wait(self, duration: int) -> list[tuple[str, Word]]:
+    def wait(self, duration: int) -> list[tuple[str, PeerMessage]]:
         return [each for _ in range(duration // (50 * MS)) for each in self.tick()]
 
     def renew(
@@ -92,12 +92,14 @@
         generation: int = 1,
         epoch: int = 1,
         n: int = 5,
-    ) -> list[tuple[str, Word]]:
+    ) -> list[tuple[str, PeerMessage]]:
         digest = 0
         for dest in dests:
-            digest ^= mark(dest)
+            digest ^= destination_digest(dest)
         return self.send(
-            name, Renew(n, "10.0.0.1", 1_000 + number, number, known, generation, len(dests), digest), epoch=epoch
+            name,
+            LeaseRenewal(n, "10.0.0.1", 1_000 + number, number, known, generation, len(dests), digest),
+            epoch=epoch,
         )
 
     def subscribe(self, *numbers: int, dest: int = DEST) -> None:
@@ -106,12 +108,12 @@
             self.send(f"n{number}", Subscribe(1, [dest]))
 
 
-def seen(n: int = 1, age: int = 0, kind: int = Kind.DOWN, endpoint: str = "a") -> Seen:
-    return Seen(endpoint, kind, age, 0, n)
+def seen(n: int = 1, age: int = 0, kind: int = ObservationKind.DOWN, endpoint: str = "a") -> Observation:
+    return Observation(endpoint, kind, age, 0, n)
 
 
-def relayed(found: list[tuple[str, Word]]) -> list[tuple[str, str]]:
-    return sorted((to, message.witness) for to, message in found if isinstance(message, Relayed))
+def relayed(found: list[tuple[str, PeerMessage]]) -> list[tuple[str, str]]:
+    return sorted((to, message.witness) for to, message in found if isinstance(message, RelayedObservation))
 
 
 # Placement
@@ -145,45 +147,53 @@
     harness.subscribe(1, 2, 3)
     harness.subscribe(4, dest=DEST + 1)
     harness.tick()
-    harness.send("n1", Publish(DEST, seen(age=40)))
+    harness.send("n1", PublishObservation(DEST, seen(age=40)))
     found = harness.tick(30 * MS)
     assert relayed(found) == [("n2", "n1"), ("n3", "n1")]
-    forwarded = [(to, message) for to, message in found if isinstance(message, Forward)]
+    forwarded = [(to, message) for to, message in found if isinstance(message, ForwardedObservation)]
     assert sorted(to for to, _ in forwarded) == sorted(OWNERS[region][0] for region in "yz"), (
         "first owner to first owner"
     )
-    assert all(message == Forward("n1", 1, 1, DEST, seen(age=70)) for _, message in forwarded), "the 30 ms here count"
-    assert all(message.seen == seen(age=70) for _, message in found if isinstance(message, Relayed))
+    assert all(message == ForwardedObservation("n1", 1, 1, DEST, seen(age=70)) for _, message in forwarded), (
+        "the 30 ms here count"
+    )
+    assert all(message.observation == seen(age=70) for _, message in found if isinstance(message, RelayedObservation))
     assert harness.tick() == []
 
 
 def test_a_forwarded_observation_goes_only_to_subscribers_and_is_accepted_only_from_other_regions() -> None:
     harness = BrokerHarness()
     harness.subscribe(1)
-    message = Forward("n9", 9, 3, DEST, seen(age=10))
+    message = ForwardedObservation("n9", 9, 3, DEST, seen(age=10))
     for sender in (OWNERS["x"][1], "n1", "n30"):
         harness.send(sender, message)
         assert harness.tick() == [], sender
     assert harness.broker.refused["odd"] == 2 and harness.broker.refused["unknown"] == 1
     harness.send("y/b1", message)
-    assert harness.tick() == [("n1", Relayed("n9", 9, 3, seen(age=60), "y/b1"))], "with its origin"
-    harness.send("y/b2", Forward("n9", COURIERS, 3, DEST, seen(2)))
+    assert harness.tick() == [("n1", RelayedObservation("n9", 9, 3, seen(age=60), "y/b1"))], "with its origin"
+    harness.send("y/b2", ForwardedObservation("n9", COURIERS, 3, DEST, seen(2)))
     assert harness.tick() == [] and harness.broker.refused["no-place"] == 1
 
 
 def test_repetitions_are_relayed_but_not_duplicates_of_the_network_or_old_observations() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", Publish(DEST, seen(5)))
-    harness.send("n1", Publish(DEST, seen(5)))
+    harness.send("n1", PublishObservation(DEST, seen(5)))
+    harness.send("n1", PublishObservation(DEST, seen(5)))
     assert len(relayed(harness.tick())) == 1 and harness.broker.refused["repeated"] == 1
     harness.wait(300 * MS)
-    harness.send("n1", Publish(DEST, seen(5, age=300)))
+    harness.send("n1", PublishObservation(DEST, seen(5, age=300)))
     assert len(relayed(harness.tick())) == 1
-    harness.send("n1", Publish(DEST, seen(4)))
+    harness.send("n1", PublishObservation(DEST, seen(4)))
     assert harness.tick() == [] and harness.broker.refused["repeated"] == 2, "older than the last one of this witness"
-    harness.send("n1", Publish(DEST, seen(6, age=3_001)), Publish(DEST, seen(7, age=9_000, kind=Kind.LIMIT)))
-    assert [message.seen.kind for _, message in harness.tick() if isinstance(message, Relayed)] == [Kind.LIMIT]
+    harness.send(
+        "n1",
+        PublishObservation(DEST, seen(6, age=3_001)),
+        PublishObservation(DEST, seen(7, age=9_000, kind=ObservationKind.LIMIT)),
+    )
+    assert [message.observation.kind for _, message in harness.tick() if isinstance(message, RelayedObservation)] == [
+        ObservationKind.LIMIT
+    ]
     assert harness.broker.refused["old"] == 1, "a limit has no such bound of age"
 
 
@@ -197,19 +207,22 @@
         harness.broker.tick(harness.now)
         harness.renew("n2", 2, dests=(DEST,))
         harness.renew("n1", 1, dests=(DEST,))
-        harness.send("n1", Publish(DEST, seen(n, age)))
-        ((_, message),) = [each for each in harness.tick(delay) if isinstance(each[1], Relayed)]
-        assert isinstance(message, Relayed) and age + delay / MS - 1 < message.seen.age <= age + delay / MS
+        harness.send("n1", PublishObservation(DEST, seen(n, age)))
+        ((_, message),) = [each for each in harness.tick(delay) if isinstance(each[1], RelayedObservation)]
+        assert (
+            isinstance(message, RelayedObservation)
+            and age + delay / MS - 1 < message.observation.age <= age + delay / MS
+        )
 
 
 def test_a_late_subscriber_is_sent_fresh_observations_at_once() -> None:
     harness = BrokerHarness()
     harness.subscribe(1)
-    harness.send("n1", Publish(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, seen()))
     harness.tick()
     harness.wait(SECOND)
     harness.subscribe(2)
-    assert harness.tick() == [("n2", Relayed("n1", 1, 1, seen(age=1_100)))]
+    assert harness.tick() == [("n2", RelayedObservation("n1", 1, 1, seen(age=1_100)))]
     harness.wait(3 * SECOND)
     harness.subscribe(3)
     assert harness.tick() == [] and not harness.broker._observations and harness.broker._observation_count == 0, (
@@ -221,13 +234,13 @@
     harness = BrokerHarness()
     harness.subscribe(*range(12))
     for number in range(12):
-        harness.send(f"n{number}", Publish(DEST, seen()))
+        harness.send(f"n{number}", PublishObservation(DEST, seen()))
     found = {witness for _, witness in relayed(harness.tick())}
     assert len(found) == brokers.MAX_WITNESSES and harness.broker.refused["enough"] == 12 - brokers.MAX_WITNESSES
-    harness.send("n11", Publish(DEST, seen(2, kind=Kind.BACK)))
+    harness.send("n11", PublishObservation(DEST, seen(2, kind=ObservationKind.BACK)))
     assert {witness for _, witness in relayed(harness.tick())} == {"n11"}, "another kind is counted separately"
     harness.wait(4 * SECOND)
-    harness.send("n10", Publish(DEST, seen(3)))
+    harness.send("n10", PublishObservation(DEST, seen(3)))
     assert {witness for _, witness in relayed(harness.tick())} == {"n10"}
 
 
@@ -236,25 +249,25 @@
 
 def test_a_lease_expires_by_the_brokers_clock_and_a_digest_shows_what_is_held() -> None:
     harness = BrokerHarness()
-    assert harness.renew("n1", 1) == [("n1", Lease(5, True))]
+    assert harness.renew("n1", 1) == [("n1", LeaseReply(5, True))]
     harness.send("n1", Subscribe(1, [DEST, 12, 13]))
-    assert harness.renew("n1", 1, dests=(DEST, 12, 13)) == [("n1", Lease(5, True))]
-    assert harness.renew("n1", 1, dests=(DEST, 12)) == [("n1", Lease(5, False))], "fewer destinations"
-    assert harness.renew("n1", 1, dests=(DEST, 12, 14)) == [("n1", Lease(5, False))], "as many, but different ones"
+    assert harness.renew("n1", 1, dests=(DEST, 12, 13)) == [("n1", LeaseReply(5, True))]
+    assert harness.renew("n1", 1, dests=(DEST, 12)) == [("n1", LeaseReply(5, False))], "fewer destinations"
+    assert harness.renew("n1", 1, dests=(DEST, 12, 14)) == [("n1", LeaseReply(5, False))], "as many, but different ones"
     harness.send("n1", Unsubscribe(1, [12]), Subscribe(1, [14, 14]), Unsubscribe(0, [DEST]), Subscribe(0, [77]))
-    assert harness.renew("n1", 1, dests=(DEST, 13, 14)) == [("n1", Lease(5, True))], (
+    assert harness.renew("n1", 1, dests=(DEST, 13, 14)) == [("n1", LeaseReply(5, True))], (
         "messages of an older generation are ignored"
     )
     harness.send("n1", Subscribe(2, [DEST]))
-    assert harness.renew("n1", 1, dests=(DEST,), generation=2) == [("n1", Lease(5, True))], (
+    assert harness.renew("n1", 1, dests=(DEST,), generation=2) == [("n1", LeaseReply(5, True))], (
         "a new generation starts empty"
     )
-    assert harness.renew("n1", 1, generation=3) == [("n1", Lease(5, True))]
+    assert harness.renew("n1", 1, generation=3) == [("n1", LeaseReply(5, True))]
     harness.send("n1", Subscribe(3, [DEST]))
-    harness.wait(brokers.TERM - SECOND)
-    assert harness.broker.stand(harness.now)["subscribers"] == 1
+    harness.wait(brokers.LEASE_TERM - SECOND)
+    assert harness.broker.status(harness.now)["subscribers"] == 1
     harness.wait(2 * SECOND)
-    status = harness.broker.stand(harness.now)
+    status = harness.broker.status(harness.now)
     assert (
         status["subscribers"] == status["keys"] == status["subscriptions"] == 0
         and not harness.broker._courier_by_number
@@ -265,24 +278,24 @@
     harness = BrokerHarness()
     harness.subscribe(1, 2)
     assert (
-        harness.renew("n1", 1, epoch=2) == [("n1", Lease(5, True))]
-        and harness.broker.stand(harness.now)["subscriptions"] == 1
+        harness.renew("n1", 1, epoch=2) == [("n1", LeaseReply(5, True))]
+        and harness.broker.status(harness.now)["subscriptions"] == 1
     )
-    harness.send("n1", Publish(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, seen()))
     assert harness.tick() == [] and harness.broker.sealer.dropped["old-life"] == 1
 
 
 def test_datagrams_to_an_earlier_epoch_of_the_broker_are_not_relayed_when_replayed() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", Publish(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, seen()))
     assert relayed(harness.tick())
     restarted = BrokerHarness()
     restarted.broker = Broker(
-        BrokerAbout(harness.name, "x", NAMES[harness.name], EPOCH + 1, [KEY], NAMES, COURIERS), START, 1
+        BrokerConfig(harness.name, "x", NAMES[harness.name], EPOCH + 1, [KEY], NAMES, COURIERS), START, 1
     )
     for data in harness.sent:  # all that it received before, replayed to an empty window
-        restarted.decode(restarted.broker.hear(data, restarted.now))
+        restarted.decode(restarted.broker.receive(data, restarted.now))
     assert relayed(restarted.tick()) == [] and restarted.broker.refused["unready"] == 1
 
 
@@ -294,17 +307,17 @@
 
 def answered(
     courier: Subscriber,
-    out: list[tuple[str, list[Word]]],
+    out: list[tuple[str, list[PeerMessage]]],
     now: int,
     epoch: int = EPOCH,
     ok: bool = True,
     silent: tuple[str, ...] = (),
-) -> dict[str, list[Word]]:
+) -> dict[str, list[PeerMessage]]:
     """Have each broker that is not silent reply to renewals; the messages by broker."""
     for name, messages in out:
         for message in messages:
-            if isinstance(message, Renew) and name not in silent:
-                courier.receive(name, epoch, [Lease(message.n, ok)], now)
+            if isinstance(message, LeaseRenewal) and name not in silent:
+                courier.receive(name, epoch, [LeaseReply(message.n, ok)], now)
     return dict(out)
 
 
@@ -332,11 +345,11 @@
     assert [name for name, _ in courier.events] == ["peers-broker-silent"] and not courier.status(now)[first][
         "answering"
     ]
-    run(brokers.TERM + 4 * SECOND)
+    run(brokers.LEASE_TERM + 4 * SECOND)
     assert courier.owners(DEST) == [first, second] and subscribed[first] == {DEST}
     run(brokers.UNSUBSCRIBE_DELAY)
     assert subscribed[third] == set(), "the substitute is unsubscribed after the owner has it again"
-    courier.receive(second, EPOCH, [Lease(0, False)], now)
+    courier.receive(second, EPOCH, [LeaseReply(0, False)], now)
     assert courier.owners(DEST) == [first, third], "one that shuts down is replaced at once"
     run(2 * SECOND, silent=tuple(OWNERS["x"]))
     assert courier.owners(DEST), "a few lost renewals do not count as a failure"
@@ -362,7 +375,7 @@
         answered(courier, courier.tick(now), now)
         now += SECOND // 4
     assert set(courier._interests) == {0} and set().union(
-        *(session.subscribed for session in courier.places.values())
+        *(session.subscribed for session in courier.sessions.values())
     ) == {0}
 
 
@@ -397,7 +410,7 @@
         for n in range(40):
             courier.record_interest(range(30), START + n * 50 * MS)
             for name, messages in courier.tick(START + n * 50 * MS):
-                assert isinstance(messages[0], Renew) or name in known
+                assert isinstance(messages[0], LeaseRenewal) or name in known
                 known.add(name)
         assert len(known) == 3
 
@@ -410,12 +423,14 @@
         now += 50 * MS
         for courier in fleet:
             courier.record_interest(range(40), now)
-            known = courier.places[restarted].epoch
+            known = courier.sessions[restarted].epoch
             messages = answered(courier, courier.tick(now), now, silent=(restarted,))
             for message in messages.get(restarted, []):
-                if isinstance(message, Renew):  # after the restart it holds nothing
+                if isinstance(message, LeaseRenewal):  # after the restart it holds nothing
                     epoch = EPOCH + (now >= restarted_at)
-                    courier.receive(restarted, epoch, [Lease(message.n, now < restarted_at or known == epoch)], now)
+                    courier.receive(
+                        restarted, epoch, [LeaseReply(message.n, now < restarted_at or known == epoch)], now
+                    )
                 elif isinstance(message, Subscribe) and now >= restarted_at:
                     sent[now // (500 * MS)] += len(message.dests)
     owned = sum(restarted in rendezvous_order(brokers.brokers_in_region(NAMES, "x"), dest)[:2] for dest in range(40))
@@ -431,15 +446,15 @@
         harness = BrokerHarness()
         harness.subscribe(1, 2)
         harness.tick()
-        harness.now += brokers.TERM - SECOND
+        harness.now += brokers.LEASE_TERM - SECOND
         if ticks_first:
             harness.tick(0)
-        harness.send("n1", Publish(DEST, seen()))
-        harness.send("y/b1", Forward("n9", 9, 3, DEST, seen()))
-        assert harness.renew("n2", 2, dests=(DEST,)) == [("n2", Lease(5, True))]
+        harness.send("n1", PublishObservation(DEST, seen()))
+        harness.send("y/b1", ForwardedObservation("n9", 9, 3, DEST, seen()))
+        assert harness.renew("n2", 2, dests=(DEST,)) == [("n2", LeaseReply(5, True))]
         assert harness.tick(0) == [] and harness.broker.refused["late"] == 2 and harness.broker.stalled == 1
         harness.tick()
-        harness.send("n1", Publish(DEST, seen(2)))
+        harness.send("n1", PublishObservation(DEST, seen(2)))
         assert relayed(harness.tick()) == [("n2", "n1")], "normal operation from then on"
         assert harness.broker.stalled == 1 and [name for name, _ in harness.broker.events] == ["broker-stalled"]
 
@@ -449,27 +464,27 @@
     harness.subscribe(1, 2, 3)
     for _ in range(3):
         harness.renew("n1", 1, known=EPOCH + 1)
-    assert not harness.broker.stepped_back
-    assert harness.renew("n2", 2, known=EPOCH + 1) == [] and harness.broker.stepped_back
+    assert not harness.broker.superseded
+    assert harness.renew("n2", 2, known=EPOCH + 1) == [] and harness.broker.superseded
     assert [(name, fields["younger"]) for name, fields in harness.broker.events] == [("broker-name-twice", EPOCH + 1)]
-    harness.send("n3", Publish(DEST, seen()))
+    harness.send("n3", PublishObservation(DEST, seen()))
     assert (
         harness.renew("n3", 3) == []
         and harness.tick() == []
-        and harness.decode(harness.broker.leave(harness.now)) == []
+        and harness.decode(harness.broker.shut_down(harness.now)) == []
     )
     other = BrokerHarness()
     other.send(other.name, Ping(1), epoch=EPOCH - 1)
-    assert not other.broker.stepped_back
+    assert not other.broker.superseded
     other.send(other.name, Ping(1), epoch=EPOCH + 1)
-    assert other.broker.stepped_back, "a datagram of the other process itself is enough"
+    assert other.broker.superseded, "a datagram of the other process itself is enough"
 
 
 def test_two_couriers_with_one_number_are_reported_also_across_regions() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
     harness.renew("n77", 2)
-    harness.send("y/b0", Forward("n78", 1, 1, DEST, seen()))
+    harness.send("y/b0", ForwardedObservation("n78", 1, 1, DEST, seen()))
     harness.renew("n77", 2)
     assert [(name, fields["courier"], fields["rival"]) for name, fields in harness.broker.events] == [
         ("broker-number-twice", "n77", "n2"),
@@ -479,23 +494,23 @@
 
 
 def test_a_flooding_courier_is_limited_to_its_share_and_others_are_not() -> None:
-    harness = BrokerHarness(bytes_a_second=100_000)
+    harness = BrokerHarness(bytes_per_second=100_000)
     harness.subscribe(*range(10))
     for each in range(40):
         for n in range(20):
-            harness.send("n1", Publish(DEST, seen(1 + 20 * each + n, endpoint=f"e{n}")))
+            harness.send("n1", PublishObservation(DEST, seen(1 + 20 * each + n, endpoint=f"e{n}")))
         harness.tick()
-    relayed_count = harness.broker.passed_on
+    relayed_count = harness.broker.relayed
     assert harness.broker.refused["share"] + harness.broker.refused["flood"] > 700
     assert relayed_count * brokers.RELAY_COST_BYTES <= 1.2 * brokers.COURIER_BANDWIDTH_SHARE * 100_000 * 3, (
         "its share, and the burst that is allowed"
     )
-    harness.send("n2", Publish(DEST, seen(1, endpoint="other")))
-    assert {witness for _, witness in relayed(harness.tick())} == {"n2"} and harness.broker.held_back == 0
-    fast = BrokerHarness(bytes_a_second=100_000_000)
+    harness.send("n2", PublishObservation(DEST, seen(1, endpoint="other")))
+    assert {witness for _, witness in relayed(harness.tick())} == {"n2"} and harness.broker.over_bandwidth == 0
+    fast = BrokerHarness(bytes_per_second=100_000_000)
     fast.subscribe(1, 2)
     for n in range(200):
-        fast.send("n1", Publish(DEST, seen(n + 1, endpoint=f"e{n}")))
+        fast.send("n1", PublishObservation(DEST, seen(n + 1, endpoint=f"e{n}")))
     assert fast.broker.refused["flood"] == 200 - brokers.PUBLISH_RATE
     assert [name for name, _ in fast.broker.events] == ["broker-flooded"]
 
@@ -503,33 +518,35 @@
 def test_state_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = BrokerHarness(max_subscribers=3)
     harness.subscribe(1, 2, 3, 4)
-    assert harness.broker.stand(harness.now)["subscribers"] == 3 and harness.broker.refused["subscribers"] == 1
+    assert harness.broker.status(harness.now)["subscribers"] == 3 and harness.broker.refused["subscribers"] == 1
     monkeypatch.setattr(brokers, "MAX_INTERESTS", 50)
     for at in range(0, 100, 10):
         harness.send("n1", Subscribe(1, list(range(1_000 + at, 1_010 + at))))
-    assert len(harness.broker._subscribed["n1"].dests) == 50 and harness.broker.refused["keys"] == 51
+    assert len(harness.broker._leases["n1"].dests) == 50 and harness.broker.refused["keys"] == 51
     monkeypatch.setattr(brokers, "MAX_SUBSCRIPTIONS", 60)
     harness.send("n2", Subscribe(1, list(range(2_000, 2_040))))
-    assert harness.broker.stand(harness.now)["subscriptions"] == 60
+    assert harness.broker.status(harness.now)["subscriptions"] == 60
     monkeypatch.setattr(brokers, "MAX_OBSERVATIONS", 80)
     for n in range(200):
-        harness.send("y/b0", Forward("n9", 9, 1, DEST + n % 2, seen(endpoint=f"e{n}")))
+        harness.send("y/b0", ForwardedObservation("n9", 9, 1, DEST + n % 2, seen(endpoint=f"e{n}")))
     assert harness.broker._observation_count == 80 and all(
         len(each) <= brokers.MAX_OBSERVATIONS_PER_DESTINATION for each in harness.broker._observations.values()
     )
 
 
 def test_the_bandwidth_limit_holds_and_leases_have_priority_over_observations() -> None:
-    harness = BrokerHarness(bytes_a_second=10_000)
+    harness = BrokerHarness(bytes_per_second=10_000)
     harness.subscribe(*range(20))
     harness.wait(SECOND)
     sent, began = harness.broker.sent, harness.now
     for n in range(300):
-        harness.send(f"y/b{n % 3}", Forward("n30", 30, 1, DEST, seen(n + 1, endpoint=f"e{n}")))
+        harness.send(f"y/b{n % 3}", ForwardedObservation("n30", 30, 1, DEST, seen(n + 1, endpoint=f"e{n}")))
         if n % 50 == 49:
             harness.tick()
-    assert harness.broker.held_back > 0 and harness.broker.sent - sent <= 10_000 * (1 + (harness.now - began) / SECOND)
-    assert harness.renew("n1", 1, dests=(DEST,)) == [("n1", Lease(5, True))]
+    assert harness.broker.over_bandwidth > 0 and harness.broker.sent - sent <= 10_000 * (
+        1 + (harness.now - began) / SECOND
+    )
+    assert harness.renew("n1", 1, dests=(DEST,)) == [("n1", LeaseReply(5, True))]
     assert "broker-held-back" in [name for name, _ in harness.broker.events]
 
 
@@ -538,22 +555,24 @@
     for n in (1, 2):
         harness.renew(f"{long}{n}", n)
         harness.send(f"{long}{n}", Subscribe(1, [DEST]))
-    harness.send(f"{long}1", Publish(DEST, seen(endpoint="\U0001f41f" * 195)))
-    harness.send(f"{long}1", Publish(DEST, seen(2)))
-    assert [message.seen.n for _, message in harness.tick() if isinstance(message, Relayed)] == [2]
+    harness.send(f"{long}1", PublishObservation(DEST, seen(endpoint="\U0001f41f" * 195)))
+    harness.send(f"{long}1", PublishObservation(DEST, seen(2)))
+    assert [
+        message.observation.sequence for _, message in harness.tick() if isinstance(message, RelayedObservation)
+    ] == [2]
     assert harness.broker.refused["oversized"] == 1
 
 
 def test_at_shutdown_queued_observations_are_relayed_and_subscribers_notified() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", Publish(DEST, seen()))
-    found = harness.decode(harness.broker.leave(harness.now))
-    assert relayed(found) == [("n2", "n1")] and {to for to, message in found if message == Lease(0, False)} == {
+    harness.send("n1", PublishObservation(DEST, seen()))
+    found = harness.decode(harness.broker.shut_down(harness.now))
+    assert relayed(found) == [("n2", "n1")] and {to for to, message in found if message == LeaseReply(0, False)} == {
         "n1",
         "n2",
     }
-    assert harness.tick() == [] and not harness.broker.stepped_back
+    assert harness.tick() == [] and not harness.broker.superseded
 
 
 def test_brokers_ping_each_other_and_one_that_does_not_answer_is_skipped() -> None:
@@ -567,17 +586,17 @@
             if name != failed:
                 harness.send(name, Ack(harness.broker._remote_brokers[name].n))
         harness.renew("n1", 1, dests=(DEST,))
-    assert [name for name, answers in harness.broker.stand(harness.now)["brokers"].items() if not answers] == [failed]
+    assert [name for name, answers in harness.broker.status(harness.now)["brokers"].items() if not answers] == [failed]
     assert harness.send(failed, Ping(4)) == [(failed, Ack(4))]
-    harness.send("n1", Publish(DEST, seen()))
-    receivers = {to for to, message in harness.tick() if isinstance(message, Forward)}
+    harness.send("n1", PublishObservation(DEST, seen()))
+    receivers = {to for to, message in harness.tick() if isinstance(message, ForwardedObservation)}
     assert receivers == {OWNERS["y"][1], OWNERS["z"][0]}
 
 
 # Bad input
 
 BAD: dict[str, Callable[[BrokerHarness, bytes], bytes]] = {
-    "oversized": lambda harness, data: data + b"x" * MOST,
+    "oversized": lambda harness, data: data + b"x" * MAX_DATAGRAM_BYTES,
     "foreign": lambda harness, data: b"GET / HTTP/1.1\r\n\r\n" + data,
     "forged": lambda harness, data: data[:-1] + bytes([data[-1] ^ 1]),
     "misdirected": lambda harness, data: harness.sealer("n1").seal("y/b0", []),
@@ -590,38 +609,38 @@
 def test_an_invalid_datagram_is_dropped_and_counted(name: str) -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", Publish(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, seen()))
     harness.tick()
-    bad = BAD[name](harness, harness.sealer("n1").seal(harness.name, [Publish(DEST, seen(2))]))
+    bad = BAD[name](harness, harness.sealer("n1").seal(harness.name, [PublishObservation(DEST, seen(2))]))
     for _ in range(3):
-        assert harness.decode(harness.broker.hear(bad, harness.now)) == []
-    assert harness.tick() == [] and harness.broker.stand(harness.now)["dropped"] == {name: 3}
+        assert harness.decode(harness.broker.receive(bad, harness.now)) == []
+    assert harness.tick() == [] and harness.broker.status(harness.now)["dropped"] == {name: 3}
     reported = [fields["kind"] for event, fields in harness.broker.events if event == "broker-dropped"]
     assert reported == ([] if name == "old-life" else [name]), "one event per kind and minute"
-    harness.send("n1", Publish(DEST, seen(3)))
+    harness.send("n1", PublishObservation(DEST, seen(3)))
     assert relayed(harness.tick()) == [("n2", "n1")], "a valid one that follows is accepted"
 
 
 @pytest.mark.parametrize("host", ["", "example.org", "1.2.3", "1.2.3.256", "10.0.0.1\n", "localhost.x"])
 def test_an_address_that_needs_name_resolution_is_rejected(host: str) -> None:
     harness = BrokerHarness()
-    assert harness.send("n1", Renew(1, host, 5, 1, 0, 1, 0, 0)) == [] and not harness.broker._subscribed
+    assert harness.send("n1", LeaseRenewal(1, host, 5, 1, 0, 1, 0, 0)) == [] and not harness.broker._leases
     assert harness.broker.sealer.dropped == {"unreadable": 1}
-    assert harness.send("n1", Renew(1, "localhost", 5, 1, 0, 1, 0, 0)) == [("n1", Lease(1, True))]
+    assert harness.send("n1", LeaseRenewal(1, "localhost", 5, 1, 0, 1, 0, 0)) == [("n1", LeaseReply(1, True))]
 
 
 def test_truncated_datagrams_are_rejected() -> None:
     harness = BrokerHarness()
-    whole = harness.sealer("n1").seal(harness.name, [Renew(1, "10.0.0.1", 5, 1, 0, 1, 0, 0)])
+    whole = harness.sealer("n1").seal(harness.name, [LeaseRenewal(1, "10.0.0.1", 5, 1, 0, 1, 0, 0)])
     for end in range(len(whole)):
-        assert harness.broker.hear(whole[:end], harness.now) == []
-    assert not harness.broker._subscribed and sum(harness.broker.sealer.dropped.values()) == len(whole)
+        assert harness.broker.receive(whole[:end], harness.now) == []
+    assert not harness.broker._leases and sum(harness.broker.sealer.dropped.values()) == len(whole)
 
 
 COUNT = st.sampled_from([0, 1, 5, EPOCH, EPOCH + 1, 1 << 53])
 TEXT = st.sampled_from(["n1", "n2", "x/b0", "y/b1", "é" * 60, "z" * 60, OWNERS["x"][0]])
 OBSERVATIONS = st.builds(
-    Seen,
+    Observation,
     st.sampled_from(["a", "b", "ü" * 200]),
     st.integers(0, 4),
     st.sampled_from([0, 50, 3_600_000]),
@@ -633,7 +652,7 @@
     st.builds(Subscribe, COUNT, DESTS),
     st.builds(Unsubscribe, COUNT, DESTS),
     st.builds(
-        Renew,
+        LeaseRenewal,
         COUNT,
         st.sampled_from(["", "10.0.0.1", "not a host"]),
         st.integers(1, 65_535),
@@ -643,13 +662,13 @@
         st.integers(0, 1 << 20),
         st.integers(0, (1 << 62) - 1),
     ),
-    st.builds(Lease, COUNT, st.booleans()),
-    st.builds(Publish, st.sampled_from([DEST, 0]), OBSERVATIONS),
-    st.builds(Relayed, TEXT, COUNT, COUNT, OBSERVATIONS, st.sampled_from(["", "y/b1", "nobody"])),
-    st.builds(Forward, TEXT, COUNT, COUNT, st.sampled_from([DEST, 0]), OBSERVATIONS),
+    st.builds(LeaseReply, COUNT, st.booleans()),
+    st.builds(PublishObservation, st.sampled_from([DEST, 0]), OBSERVATIONS),
+    st.builds(RelayedObservation, TEXT, COUNT, COUNT, OBSERVATIONS, st.sampled_from(["", "y/b1", "nobody"])),
+    st.builds(ForwardedObservation, TEXT, COUNT, COUNT, st.sampled_from([DEST, 0]), OBSERVATIONS),
     OBSERVATIONS,
     st.builds(
-        Said,
+        MemberUpdate,
         TEXT,
         st.just("10.0.0.1"),
         st.integers(1, 9),
@@ -661,57 +680,69 @@
     ),
     st.builds(Ping, COUNT),
     st.builds(Ack, COUNT),
-    st.just(Want()),
-    st.builds(Ask, COUNT, TEXT, st.integers(0, 9), st.just(1.0), COUNT),
+    st.just(CounterRequest()),
+    st.builds(LoanRequest, COUNT, TEXT, st.integers(0, 9), st.just(1.0), COUNT),
 )
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(st.tuples(TEXT, st.lists(MESSAGES, max_size=3), st.sampled_from([0, 50 * MS, SECOND])), max_size=25))
-def test_any_messages_sealed_with_the_key_are_handled_without_errors(sent: list[tuple[str, list[Word], int]]) -> None:
+def test_any_messages_sealed_with_the_key_are_handled_without_errors(
+    sent: list[tuple[str, list[PeerMessage], int]],
+) -> None:
     harness = BrokerHarness()
     region = {name: address for name, address in NAMES.items()}
     peer = Peer(
-        About("n0", ("10.0.0.1", 1_000), 1, [KEY], {}, Terms(COURIERS, 0), group="a", region="x", brokers=region),
+        PeerConfig(
+            "n0", ("10.0.0.1", 1_000), 1, [KEY], {}, LoanTerms(COURIERS, 0), group="a", region="x", brokers=region
+        ),
         START,
         1,
     )
-    peer.judgements.routes({"a": DEST, "b": 0})
+    peer.observations.set_routes({"a": DEST, "b": 0})
     for sender, messages, elapsed in sent:
         harness.now += elapsed
-        for to, receive in ((harness.name, harness.broker.hear), ("n0", peer.hear)):
+        for to, receive in ((harness.name, harness.broker.receive), ("n0", peer.receive)):
             sealer = harness.sealer(sender, EPOCH + 2)
             try:
                 data = sealer.seal(to, messages)
             except ValueError:  # too large to be sent at all
                 continue
             for _, answer in receive(data, harness.now):
-                assert len(answer) <= MOST
-        peer.interest([DEST, 0], harness.now)
+                assert len(answer) <= MAX_DATAGRAM_BYTES
+        peer.record_interest([DEST, 0], harness.now)
         for _, answer in harness.broker.tick(harness.now) + peer.tick(harness.now):
-            assert len(answer) <= MOST
-    harness.broker.stand(harness.now)
-    assert peer.judgements.holds(harness.now, []).keys() <= {"a", "b"} and peer.broker_status(harness.now)
+            assert len(answer) <= MAX_DATAGRAM_BYTES
+    harness.broker.status(harness.now)
+    assert peer.observations.restrictions(harness.now, []).keys() <= {"a", "b"} and peer.broker_status(harness.now)
 
 
 def test_couriers_without_brokers_are_sent_only_messages_that_they_can_decode() -> None:
     """In a fleet half of which has neither groups nor brokers, that half is sent no message on brokers."""
-    net = Net(8, 5, Faults(), brokers={"x": 3}, place=lambda n: ("x", "ab"[n % 2]))
-    net.old = {f"n{n}" for n in range(4)}
-    broker_messages = (Subscribe, Unsubscribe, Renew, Lease, Publish, Relayed, Forward)
+    net = SimulatedNetwork(8, 5, Faults(), brokers={"x": 3}, placement=lambda n: ("x", "ab"[n % 2]))
+    net.pre_broker_couriers = {f"n{n}" for n in range(4)}
+    broker_messages = (
+        Subscribe,
+        Unsubscribe,
+        LeaseRenewal,
+        LeaseReply,
+        PublishObservation,
+        RelayedObservation,
+        ForwardedObservation,
+    )
     received_by_old: set[type] = set()
     for name in [*net.brokers, *net.nodes]:
         if name in net.nodes:
-            net.concerns(name, {"a": DEST, "b": DEST})
+            net.set_endpoints(name, {"a": DEST, "b": DEST})
         net.start(name)
-    for name in net.old:
+    for name in net.pre_broker_couriers:
         peer = net.nodes[name].peer
         assert peer is not None
         original = peer.sealer.open
 
         def recording(data: bytes, original: Callable[[bytes], Datagram] = original) -> Datagram:
             datagram = original(data)
-            received_by_old.update(type(message) for message in datagram.words)
+            received_by_old.update(type(message) for message in datagram.messages)
             return datagram
 
         peer.sealer.open = recording  # type: ignore[method-assign]
@@ -719,16 +750,20 @@
     for name in ("n1", "n5"):
         node = net.nodes[name]
         assert node.peer is not None
-        node.peer.judgements.saw("a", Outcome.FAILED, node.clock(net.now), node.clock(net.now))
+        node.peer.observations.record_call("a", CallOutcome.FAILED, node.clock(net.now), node.clock(net.now))
     net.run(22 * SECOND)
-    assert Seen in received_by_old and not received_by_old & set(broker_messages)
+    assert Observation in received_by_old and not received_by_old & set(broker_messages)
     assert not any(node.broker.refused for node in net.brokers.values() if node.broker is not None), (
         "nor are brokers sent other messages"
     )
     for node in net.nodes.values():
         assert node.peer is not None and not node.peer.sealer.dropped
-        assert "a" in node.peer.judgements.holds(node.clock(net.now), node.peer.members.alive()), node.name
-    assert all(set(n.peer.members.alive()) >= net.old - {n.name} for n in net.nodes.values() if n.peer is not None)
+        assert "a" in node.peer.observations.restrictions(node.clock(net.now), node.peer.members.alive()), node.name
+    assert all(
+        set(n.peer.members.alive()) >= net.pre_broker_couriers - {n.name}
+        for n in net.nodes.values()
+        if n.peer is not None
+    )
 
 
 # Random sequences of faults
@@ -739,14 +774,16 @@
 
     @initialize(seed=st.integers(0, 999), loss=st.sampled_from([0.0, 0.3]))
     def start(self, seed: int, loss: float) -> None:
-        self.net = Net(1, seed, Faults(loss, loss, (MS, 30 * MS)), brokers={"x": 3}, place=lambda n: ("x", "g"))
+        self.net = SimulatedNetwork(
+            1, seed, Faults(loss, loss, (MS, 30 * MS)), brokers={"x": 3}, placement=lambda n: ("x", "g")
+        )
         for name in [*self.net.brokers, "n0"]:
             self.net.start(name)
         self.net.run(2 * SECOND)
 
     @rule(dests=st.sets(st.integers(0, 300), max_size=150))
     def set_interests(self, dests: set[int]) -> None:
-        self.net.concerns("n0", {f"e{dest}": dest for dest in dests})
+        self.net.set_endpoints("n0", {f"e{dest}": dest for dest in dests})
         self.net.run(self.net.now + 200 * MS)
 
     @rule(which=st.sampled_from(["x/b0", "x/b1", "x/b2"]), seconds=st.integers(0, 25))
@@ -757,7 +794,7 @@
 
     @rule(which=st.sampled_from(["x/b0", "x/b1", "x/b2", "n0"]), seconds=st.integers(0, 25))
     def stop(self, which: str, seconds: int) -> None:
-        self.net.stop(which, seconds * SECOND)
+        self.net.pause(which, seconds * SECOND)
         self.net.run(self.net.now + 300 * MS)
 
     @rule(isolated=st.sampled_from(["x/b0", "x/b1", "n0"]), seconds=st.integers(0, 30))
@@ -774,7 +811,7 @@
     def subscription_count_is_correct(self) -> None:
         for node in self.net.brokers.values() if hasattr(self, "net") else ():
             if node.broker is not None:
-                dests = [lease.dests for lease in node.broker._subscribed.values()]
+                dests = [lease.dests for lease in node.broker._leases.values()]
                 assert node.broker._subscription_count == sum(map(len, dests))
                 assert node.broker._subscribers_of.keys() == set().union(*dests)
 
@@ -782,12 +819,12 @@
         if not hasattr(self, "net"):
             return
         self.net.faults = Faults()
-        self.net.run(self.net.now + brokers.INTEREST_TTL + 3 * brokers.TERM)
-        dests = set(self.net.dests.get("n0", {}).values())
+        self.net.run(self.net.now + brokers.INTEREST_TTL + 3 * brokers.LEASE_TERM)
+        dests = set(self.net.endpoints_by_courier.get("n0", {}).values())
         for name, node in self.net.brokers.items():
-            assert node.broker is not None and node.broker._subscribed.keys() == {"n0"}
+            assert node.broker is not None and node.broker._leases.keys() == {"n0"}
             owned = {dest for dest in dests if name in rendezvous_order(self.net.brokers, dest)[:2]}
-            assert node.broker._subscribed["n0"].dests == owned
+            assert node.broker._leases["n0"].dests == owned
 
 
 TestBrokerFaults = BrokerFaults.TestCase
--- a/tests/peers/test_demand.py
+++ b/tests/peers/test_demand.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kestrelspar.peers.demand import look, slow_start_calls
+from kestrelspar.peers.demand import slow_start_calls, take_snapshot
 from kestrelspar.runtime.loop import SECOND as S
 from snowlock.interface import AttemptEnded, Outcome
 from tests.forwarder import MS, SECOND, Forwarder, route, settings
@@ -23,21 +23,21 @@
     known, other = (name.encode().ljust(6, b".").decode() for name in ("a", "b"))
     if f.sends[0][1].endpoint == route("b"):
         known, other = other, known
-    found = look(f.controller, f.given, 0.9, 1.0)
-    assert {key: (d.calls, d.span) for key, d in found.wanted.items()} == {f"e:{known}": (45, S)}
+    found = take_snapshot(f.controller, f.settings, 0.9, 1.0)
+    assert {key: (d.calls, d.window) for key, d in found.budgets.items()} == {f"e:{known}": (45, S)}
     assert found.routes == {known: 1, other: 1} and not found.down and not found.silent
-    reported = look(f.controller, f.given, 0.9, 0.2, {known: 20.0, other: 100.0}.__getitem__)
-    assert {key: d.calls * S / d.span for key, d in reported.wanted.items()} == {
+    reported = take_snapshot(f.controller, f.settings, 0.9, 0.2, {known: 20.0, other: 100.0}.__getitem__)
+    assert {key: d.calls * S / d.window for key, d in reported.budgets.items()} == {
         f"e:{known}": 18,
         f"e:{other}": 90,
         "r:1": pytest.approx(0.2 * (18 + 90), abs=1),
     }, "the lower of own and reported limit"
-    above = look(f.controller, f.given, 0.9, 1.0, {known: 90.0, other: 0.0}.__getitem__)
-    assert above.wanted[f"e:{known}"].calls == 45, "a reported limit never raises the own one"
-    recovering = look(f.controller, f.given, 0.9, 1.0, recovering={known: 0})
-    assert recovering.wanted[f"c:{known}"].whole and recovering.wanted[f"c:{known}"].calls == slow_start_calls(
-        50.0, 0, f.given
-    )
+    above = take_snapshot(f.controller, f.settings, 0.9, 1.0, {known: 90.0, other: 0.0}.__getitem__)
+    assert above.budgets[f"e:{known}"].calls == 45, "a reported limit never raises the own one"
+    recovering = take_snapshot(f.controller, f.settings, 0.9, 1.0, recovering={known: 0})
+    assert recovering.budgets[f"c:{known}"].fully_lendable and recovering.budgets[
+        f"c:{known}"
+    ].calls == slow_start_calls(50.0, 0, f.settings)
 
 
 def test_silence_and_outages_according_to_the_decision_module() -> None:
@@ -46,11 +46,11 @@
         f.arrive(number)
     f.now += 5 * SECOND
     f.feed()
-    assert look(f.controller, f.given, 0.9, 1.0).silent
-    for (number, which), at in list(f.out.items()):
+    assert take_snapshot(f.controller, f.settings, 0.9, 1.0).silent
+    for (number, which), at in list(f.in_flight.items()):
         f.feed(AttemptEnded(number, which, at, Outcome.TIMEOUT, 100 * MS, False, 0))
-    f.out.clear()
-    found = look(f.controller, f.given, 0.9, 1.0)
+    f.in_flight.clear()
+    found = take_snapshot(f.controller, f.settings, 0.9, 1.0)
     assert found.down and found.closed == found.down
 
 
--- a/tests/peers/test_groups.py
+++ b/tests/peers/test_groups.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from kestrelspar.lab.model import SECOND, Faults, Net
+from kestrelspar.lab.simulated_network import SECOND, Faults, SimulatedNetwork
 from kestrelspar.peers.members import Members
 from kestrelspar.peers.seal import encode
-from kestrelspar.peers.words import Count, Name, Ping, Said, Stand, Word
+from kestrelspar.peers.words import Count, MemberState, MemberUpdate, Name, PeerMessage, Ping
 
 T = 10 * SECOND
 
@@ -24,11 +24,11 @@
     number: Count
     life: Count
     inc: Count
-    stand: Stand
+    stand: MemberState
 
 
-def update(name: str, group: str, life: int = 1, inc: int = 0, stand: Stand = Stand.ALIVE) -> Said:
-    return Said(name, "10.0.0.1", 1 + ord(name[-1]), int(name[1:]), life, inc, stand, group)
+def update(name: str, group: str, life: int = 1, inc: int = 0, stand: MemberState = MemberState.ALIVE) -> MemberUpdate:
+    return MemberUpdate(name, "10.0.0.1", 1 + ord(name[-1]), int(name[1:]), life, inc, stand, group)
 
 
 def make_members(group: str) -> Members:
@@ -36,10 +36,10 @@
 
 
 def test_updates_without_a_group_are_the_same_bytes_as_before_groups() -> None:
-    old = UngroupedSaid("n1", "10.0.0.1", 50, 1, 1, 0, Stand.ALIVE)
+    old = UngroupedSaid("n1", "10.0.0.1", 50, 1, 1, 0, MemberState.ALIVE)
     assert encode(update("n1", "")) == msgspec.msgpack.encode(old), "without a group no byte differs"
     assert msgspec.msgpack.decode(encode(update("n1", "a")), type=UngroupedSaid) == old, "the group is ignored"
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Said) == update("n1", "")
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=MemberUpdate) == update("n1", "")
     assert len(encode(update("n1", "north-1"))) == len(encode(update("n1", ""))) + 8
 
 
@@ -56,7 +56,7 @@
             set(),
             2,
         ),
-        ("dead member of another group", [update("n1", "b", stand=Stand.DEAD)], set(), 1),
+        ("dead member of another group", [update("n1", "b", stand=MemberState.DEAD)], set(), 1),
         ("member moves to another group", [update("n1", "a"), update("n1", "b", life=2), update("n1", "a")], set(), 2),
         (
             "member moves here from another group",
@@ -67,38 +67,40 @@
         ("member moves back to no group", [update("n1", "b"), update("n1", "", life=2)], {"n1"}, 1),
     ],
 )
-def test_which_couriers_are_members(name: str, updates: list[Word], members_after: set[str], foreign: int) -> None:
+def test_which_couriers_are_members(
+    name: str, updates: list[PeerMessage], members_after: set[str], foreign: int
+) -> None:
     members = make_members("a")
     for n, received in enumerate(updates):
-        members.heard("n9", 1, [received], T + n)
+        members.receive("n9", 1, [received], T + n)
     assert set(members.members) == members_after and members.foreign == foreign
-    assert not {each.name for each in members.gossip("n9") if isinstance(each, Said)} - members_after - {"n0"}
+    assert not {each.name for each in members.gossip("n9") if isinstance(each, MemberUpdate)} - members_after - {"n0"}
 
 
 def test_without_a_group_couriers_of_all_groups_are_members() -> None:
     members = make_members("")
-    members.heard("n9", 1, [update("n1", "a"), update("n2", "b"), update("n3", "")], T)
+    members.receive("n9", 1, [update("n1", "a"), update("n2", "b"), update("n3", "")], T)
     assert set(members.members) == {"n1", "n2", "n3"} and members.foreign == 0
 
 
 def test_a_foreign_courier_is_answered_with_the_group_of_this_one() -> None:
     members = make_members("a")
-    out = members.heard("n1", 1, [update("n1", "b"), Ping(7)], T)
+    out = members.receive("n1", 1, [update("n1", "b"), Ping(7)], T)
     assert [name for name, _ in out] == ["n1"] and members.address("n1") == ("10.0.0.1", 50)
     assert members.gossip("n1")[0] == update("n0", "a"), "gossip in the answer carries the group"
     for n in range(2, 400):
-        members.heard(f"n{n}", 1, [update(f"n{n}", "b")], T)
+        members.receive(f"n{n}", 1, [update(f"n{n}", "b")], T)
     assert len(members._foreign_couriers) <= members.max_members, "foreign couriers are bounded"
 
 
 def test_a_fleet_converted_to_groups_one_by_one_has_no_false_suspicions_and_ends_in_groups() -> None:
-    net = Net(12, 3, Faults(loss=0.02), seeds=4, place=lambda n: ("r", "ab"[n % 2]))
-    net.old = set(net.nodes)
+    net = SimulatedNetwork(12, 3, Faults(loss=0.02), seeds=4, placement=lambda n: ("r", "ab"[n % 2]))
+    net.pre_broker_couriers = set(net.nodes)
     for name in net.nodes:
         net.start(name)
     net.run(10 * SECOND)
     for name in list(net.nodes):
-        net.old.discard(name)
+        net.pre_broker_couriers.discard(name)
         net.start(name)
         net.run(net.now + 3 * SECOND)
         peer = net.nodes[name].peer
