--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -10,21 +10,21 @@
 from kestrelspar.peers.judgements import (
     ANY_ORIGIN,
     BROKER_DISTRUST_SCORE,
-    FRESH,
+    MAX_PROBE_RANK,
     MAX_RELAYED_SCORES,
     MAX_WITNESSES,
+    OUTAGE_REPORT_MAX_AGE,
     PATH_DISTRUST_SCORE,
-    RANKS,
-    Held,
-    Judgements,
-    Kind,
-    Outcome,
-    Voice,
+    CallOutcome,
+    ClaimSource,
+    ObservationKind,
+    ObservationTracker,
+    RouteRestriction,
     independently_sourced,
-    rank,
+    probe_rank,
 )
 from kestrelspar.peers.members import MS, SECOND
-from kestrelspar.peers.words import Publish, Relayed, Seen
+from kestrelspar.peers.words import Observation, PublishObservation, RelayedObservation
 
 T = 100 * SECOND
 ROUTES = {"a1": 1, "a2": 1, "b1": 2, "b2": 2, "only": 3}
@@ -32,9 +32,9 @@
 MAX_WAIT, PROBE_INTERVAL = 2 * SECOND, 300 * MS
 
 
-def make_tracker(own_name: str = "n0", max_restricted_share: float = 0.5) -> Judgements:
-    created = Judgements(own_name, 1, MAX_WAIT, max_restricted_share, PROBE_INTERVAL, Random(1))
-    created.routes(dict(ROUTES))
+def make_tracker(own_name: str = "n0", max_restricted_share: float = 0.5) -> ObservationTracker:
+    created = ObservationTracker(own_name, 1, MAX_WAIT, max_restricted_share, PROBE_INTERVAL, Random(1))
+    created.set_routes(dict(ROUTES))
     return created
 
 
@@ -42,20 +42,26 @@
 # sent 10 ms before and ended with that outcome. Anybody else: an observation by that witness; value is the retry-after
 # delay or the limit, for other kinds the age in ms.
 Step = tuple[int, str, object, str, int]
-DOWN, SILENT, BACK, WAIT, LIMIT = Kind.DOWN, Kind.SILENT, Kind.BACK, Kind.WAIT, Kind.LIMIT
-OK, FAILED, REFUSED = Outcome.SERVED, Outcome.FAILED, Outcome.REFUSED
+DOWN, SILENT, BACK, WAIT, LIMIT = (
+    ObservationKind.DOWN,
+    ObservationKind.SILENT,
+    ObservationKind.BACK,
+    ObservationKind.WAIT,
+    ObservationKind.LIMIT,
+)
+OK, FAILED, REFUSED = CallOutcome.SERVED, CallOutcome.FAILED, CallOutcome.REFUSED
 
 
-def apply_steps(tracker: Judgements, steps: list[Step]) -> int:
+def apply_steps(tracker: ObservationTracker, steps: list[Step]) -> int:
     now = T
     for n, (after, who, what, endpoint, value) in enumerate(steps, 1):
         now += after * MS
-        if isinstance(what, Outcome):
-            tracker.saw(endpoint, what, now - 10 * MS, now)
+        if isinstance(what, CallOutcome):
+            tracker.record_call(endpoint, what, now - 10 * MS, now)
         else:
-            age = 0 if what in (Kind.WAIT, Kind.LIMIT) else value
-            retry_after = value if what in (Kind.WAIT, Kind.LIMIT) else 0
-            tracker.heard(who, 1, [Seen(endpoint, int(what), age, retry_after, n)], now)  # type: ignore[call-overload]
+            age = 0 if what in (ObservationKind.WAIT, ObservationKind.LIMIT) else value
+            retry_after = value if what in (ObservationKind.WAIT, ObservationKind.LIMIT) else 0
+            tracker.receive(who, 1, [Observation(endpoint, int(what), age, retry_after, n)], now)  # type: ignore[call-overload]
     return now
 
 
@@ -112,26 +118,32 @@
 )
 def test_route_restrictions(name: str, steps: list[Step], held: dict[str, str]) -> None:
     tracker = make_tracker("zz")  # not first in rank at a1, or it would probe at once
-    assert rank("a1", "zz", OTHERS) > 0
+    assert probe_rank("a1", "zz", OTHERS) > 0
     now = apply_steps(tracker, steps)
-    found = tracker.holds(now, OTHERS)
-    assert {endpoint: "one" if each.one else "closed" for endpoint, each in found.items()} == held
-    assert all(now < each.until <= now + max(MAX_WAIT, RANKS * PROBE_INTERVAL, FRESH) for each in found.values())
+    found = tracker.restrictions(now, OTHERS)
+    assert {endpoint: "one" if each.one_at_a_time else "closed" for endpoint, each in found.items()} == held
+    assert all(
+        now < each.until <= now + max(MAX_WAIT, MAX_PROBE_RANK * PROBE_INTERVAL, OUTAGE_REPORT_MAX_AGE)
+        for each in found.values()
+    )
 
 
 def test_retry_after_is_capped_and_the_restricted_share_is_that_of_the_settings() -> None:
     tracker = make_tracker()
     now = apply_steps(tracker, [(0, "n1", WAIT, "a1", 10**9)])
-    assert tracker.holds(now, OTHERS)["a1"] == Held(T + MAX_WAIT, False)
+    assert tracker.restrictions(now, OTHERS)["a1"] == RouteRestriction(T + MAX_WAIT, False)
     strict = make_tracker(max_restricted_share=0.0)
-    assert strict.holds(apply_steps(strict, [(0, "n1", WAIT, "a1", 10**9)]), OTHERS)["a1"].one
+    assert strict.restrictions(apply_steps(strict, [(0, "n1", WAIT, "a1", 10**9)]), OTHERS)["a1"].one_at_a_time
 
 
 def test_a_route_whose_only_alternative_is_closed_already_stays_open() -> None:
     tracker = make_tracker("zz")
-    tracker.routes(dict(ROUTES), ["a2"])
+    tracker.set_routes(dict(ROUTES), ["a2"])
     now = apply_steps(tracker, [(0, "n1", WAIT, "a1", 800), (0, "n1", WAIT, "b1", 800)])
-    assert {name: held.one for name, held in tracker.holds(now, OTHERS).items()} == {"a1": True, "b1": False}
+    assert {name: held.one_at_a_time for name, held in tracker.restrictions(now, OTHERS).items()} == {
+        "a1": True,
+        "b1": False,
+    }
 
 
 def test_couriers_probe_an_endpoint_in_outage_one_after_the_other() -> None:
@@ -140,26 +152,28 @@
         tracker = make_tracker(own_name)
         others = [name for name in names if name != own_name]
         apply_steps(tracker, [(0, "w1", DOWN, "a1", 0), (0, "w2", DOWN, "a1", 0)])
-        held = tracker.holds(T, others)["a1"]
-        assert held.one is (rank("a1", own_name, others) == 0)
-        probe_times.append(held.until if not held.one else T)
-        assert tracker.holds(held.until if not held.one else T, others)["a1"].one, "then it calls, one call at a time"
-    assert sorted(probe_times) == [T + PROBE_INTERVAL * min(n, RANKS) for n in range(len(names))]
+        held = tracker.restrictions(T, others)["a1"]
+        assert held.one_at_a_time is (probe_rank("a1", own_name, others) == 0)
+        probe_times.append(held.until if not held.one_at_a_time else T)
+        assert tracker.restrictions(held.until if not held.one_at_a_time else T, others)["a1"].one_at_a_time, (
+            "then it calls, one call at a time"
+        )
+    assert sorted(probe_times) == [T + PROBE_INTERVAL * min(n, MAX_PROBE_RANK) for n in range(len(names))]
 
 
 def test_a_confirmed_outage_lasts_until_a_call_is_served() -> None:
     tracker = make_tracker("zz")
     now = apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-    tracker.holds(now, OTHERS)
-    late = now + FRESH + SECOND
-    tracker.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 7)], late)
-    assert not tracker.holds(late, OTHERS)["a1"].one, "one report is enough while it lasts"
-    assert tracker.holds(late + RANKS * PROBE_INTERVAL + FRESH, OTHERS) == {}, (
+    tracker.restrictions(now, OTHERS)
+    late = now + OUTAGE_REPORT_MAX_AGE + SECOND
+    tracker.receive("n1", 1, [Observation("a1", DOWN, 0, 0, 7)], late)
+    assert not tracker.restrictions(late, OTHERS)["a1"].one_at_a_time, "one report is enough while it lasts"
+    assert tracker.restrictions(late + MAX_PROBE_RANK * PROBE_INTERVAL + OUTAGE_REPORT_MAX_AGE, OTHERS) == {}, (
         "the wait for couriers ranked before is bounded"
     )
-    tracker.heard("n3", 1, [Seen("a1", BACK, 0, 0, 8)], late + MS)
-    tracker.heard("n1", 1, [Seen("a1", DOWN, 0, 0, 9)], late + 2 * MS)
-    assert tracker.holds(late + 2 * MS, OTHERS) == {}, "a new outage takes two witnesses again"
+    tracker.receive("n3", 1, [Observation("a1", BACK, 0, 0, 8)], late + MS)
+    tracker.receive("n1", 1, [Observation("a1", DOWN, 0, 0, 9)], late + 2 * MS)
+    assert tracker.restrictions(late + 2 * MS, OTHERS) == {}, "a new outage takes two witnesses again"
 
 
 def test_a_witness_that_own_calls_contradict_is_distrusted_until_they_confirm_it() -> None:
@@ -168,22 +182,24 @@
         step for n in range(3) for step in ((50, "n1", WAIT, "a1", 900), (20, "me", OK, "a1", 0))
     ]
     now = apply_steps(tracker, contradicted)
-    assert [event for event, _ in tracker.events] == ["peers-not-believed"] and tracker.distrusted == {Voice("n1")}
-    tracker.heard("n1", 1, [Seen("b1", WAIT, 0, 900, 100)], now)
-    assert tracker.holds(now, OTHERS) == {}
-    tracker.heard("n2", 1, [Seen("b1", WAIT, 0, 900, 1)], now)
-    assert set(tracker.holds(now, OTHERS)) == {"b1"}, "other witnesses are trusted"
+    assert [event for event, _ in tracker.events] == ["peers-not-believed"] and tracker.distrusted == {
+        ClaimSource("n1")
+    }
+    tracker.receive("n1", 1, [Observation("b1", WAIT, 0, 900, 100)], now)
+    assert tracker.restrictions(now, OTHERS) == {}
+    tracker.receive("n2", 1, [Observation("b1", WAIT, 0, 900, 1)], now)
+    assert set(tracker.restrictions(now, OTHERS)) == {"b1"}, "other witnesses are trusted"
     for n in range(2):  # own calls confirm its claims
         now += SECOND
-        tracker.heard("n1", 1, [Seen("b2", DOWN, 0, 0, 200 + n)], now)
-        tracker.saw("b2", FAILED, now + MS, now + 2 * MS)
+        tracker.receive("n1", 1, [Observation("b2", DOWN, 0, 0, 200 + n)], now)
+        tracker.record_call("b2", FAILED, now + MS, now + 2 * MS)
     assert tracker.distrusted == set()
-    tracker.heard("n3", 1, [Seen("only", DOWN, 0, 0, 1)], now)
+    tracker.receive("n3", 1, [Observation("only", DOWN, 0, 0, 1)], now)
     for n in range(1, 9):
-        tracker.saw("only", OK, now + n * MS, now + n * MS)
-    assert Voice("n3") not in tracker.distrusted, "one claim is scored once"
-    tracker.members(["n2"])
-    assert tracker.scores.keys() <= {Voice("n2")}
+        tracker.record_call("only", OK, now + n * MS, now + n * MS)
+    assert ClaimSource("n3") not in tracker.distrusted, "one claim is scored once"
+    tracker.set_members(["n2"])
+    assert tracker.scores.keys() <= {ClaimSource("n2")}
 
 
 @pytest.mark.parametrize(
@@ -198,17 +214,17 @@
 def test_a_limit_needs_two_witnesses_or_one_and_an_own_refused_call(steps: list[Step], limit: float) -> None:
     tracker = make_tracker()
     now = apply_steps(tracker, steps)
-    assert tracker.limit("a1", now) == limit
-    tracker.saw("a1", OK, now, now + MS, limit=60.0)
-    assert tracker.limit("a1", now + MS) == 0.0, "an own report is newer"
+    assert tracker.reported_limit("a1", now) == limit
+    tracker.record_call("a1", OK, now, now + MS, limit=60.0)
+    assert tracker.reported_limit("a1", now + MS) == 0.0, "an own report is newer"
 
 
-def reported(tracker: Judgements, now: int) -> list[tuple[str, Seen]]:
+def reported(tracker: ObservationTracker, now: int) -> list[tuple[str, Observation]]:
     return [
         (name, observation)
         for name, words in tracker.tick(now, OTHERS, 10**6)
         for observation in words
-        if isinstance(observation, Seen)
+        if isinstance(observation, Observation)
     ]
 
 
@@ -216,49 +232,52 @@
     tracker = make_tracker()
     apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
     assert reported(tracker, T) == [], "reports of others are not passed on"
-    tracker.saw("b1", FAILED, T - 10 * MS, T)
+    tracker.record_call("b1", FAILED, T - 10 * MS, T)
     assert sorted(name for name, _ in reported(tracker, T)) == OTHERS and reported(tracker, T) == []
     repeats = [observation for at in range(1, 60) for _, observation in reported(tracker, T + at * 50 * MS)]
-    assert len(repeats) == 3 * len(OTHERS) and {observation.n for observation in repeats} == {1}
+    assert len(repeats) == 3 * len(OTHERS) and {observation.sequence for observation in repeats} == {1}
     ages = [observation.age for observation in repeats]
     assert ages == sorted(ages) and ages[0] >= 300
-    tracker.saw("b1", OK, T + 4 * SECOND, T + 4 * SECOND + MS)
-    assert {observation.kind for _, observation in reported(tracker, T + 4 * SECOND + MS)} == {Kind.BACK}
-    tracker.saw("b1", OK, T + 5 * SECOND, T + 5 * SECOND)
-    assert not [observation for _, observation in reported(tracker, T + 5 * SECOND + 10 * MS) if observation.n > 2], (
-        "a served call at a healthy endpoint is not reported"
-    )
-    tracker.saw("only", Outcome.OTHER, T, T + 6 * SECOND)
+    tracker.record_call("b1", OK, T + 4 * SECOND, T + 4 * SECOND + MS)
+    assert {observation.kind for _, observation in reported(tracker, T + 4 * SECOND + MS)} == {ObservationKind.BACK}
+    tracker.record_call("b1", OK, T + 5 * SECOND, T + 5 * SECOND)
+    assert not [
+        observation for _, observation in reported(tracker, T + 5 * SECOND + 10 * MS) if observation.sequence > 2
+    ], "a served call at a healthy endpoint is not reported"
+    tracker.record_call("only", CallOutcome.OTHER, T, T + 6 * SECOND)
     assert not [observation for _, observation in reported(tracker, T + 6 * SECOND) if observation.endpoint == "only"]
 
 
 def test_old_and_duplicated_observations_and_those_of_former_epochs_change_nothing_and_state_is_bounded() -> None:
     tracker = make_tracker("zz")
-    tracker.heard("n1", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
-    tracker.heard("n2", 2, [Seen("a1", DOWN, 0, 0, 5)], T)
+    tracker.receive("n1", 2, [Observation("a1", DOWN, 0, 0, 5)], T)
+    tracker.receive("n2", 2, [Observation("a1", DOWN, 0, 0, 5)], T)
     for epoch, n in ((1, 9), (2, 4), (2, 5)):
-        assert not tracker.heard("n2", epoch, [Seen("a1", BACK, 0, 0, n)], T + MS)
-    assert set(tracker.holds(T + MS, OTHERS)) == {"a1"}
-    assert tracker.heard("n2", 3, [Seen("a1", BACK, 0, 0, 1)], T + MS) and tracker.holds(T + MS, OTHERS) == {}
+        assert not tracker.receive("n2", epoch, [Observation("a1", BACK, 0, 0, n)], T + MS)
+    assert set(tracker.restrictions(T + MS, OTHERS)) == {"a1"}
+    assert (
+        tracker.receive("n2", 3, [Observation("a1", BACK, 0, 0, 1)], T + MS)
+        and tracker.restrictions(T + MS, OTHERS) == {}
+    )
     for n in range(100):
-        tracker.heard(f"m{n}", 1, [Seen("a1", DOWN, 0, 0, 1), Seen("other", DOWN, 0, 0, 2)], T + 2 * MS)
-    assert len(tracker._heard["a1"]) == MAX_WITNESSES and "other" not in tracker._heard
-    tracker.routes({"b1": 2})
-    assert not tracker._heard and not tracker.holds(T + 3 * MS, OTHERS)
+        tracker.receive(f"m{n}", 1, [Observation("a1", DOWN, 0, 0, 1), Observation("other", DOWN, 0, 0, 2)], T + 2 * MS)
+    assert len(tracker._records["a1"]) == MAX_WITNESSES and "other" not in tracker._records
+    tracker.set_routes({"b1": 2})
+    assert not tracker._records and not tracker.restrictions(T + 3 * MS, OTHERS)
 
 
 def test_slow_start_follows_an_outage_and_ends_after_the_ramp() -> None:
     tracker, ramp = make_tracker("zz"), 10 * SECOND
     now = apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-    tracker.holds(now, OTHERS)
-    assert tracker.cold(now + 60 * SECOND, ramp) == {"a1": 0}, "in outage until a call is served"
+    tracker.restrictions(now, OTHERS)
+    assert tracker.recovering(now + 60 * SECOND, ramp) == {"a1": 0}, "in outage until a call is served"
     back = now + 60 * SECOND
-    tracker.heard("n3", 1, [Seen("a1", BACK, 100, 0, 1)], back)
-    assert tracker.cold(back, ramp) == {"a1": 100 * MS} and tracker.cold(back + ramp, ramp) == {}
+    tracker.receive("n3", 1, [Observation("a1", BACK, 100, 0, 1)], back)
+    assert tracker.recovering(back, ramp) == {"a1": 100 * MS} and tracker.recovering(back + ramp, ramp) == {}
     now = apply_steps(tracker, [(0, "n1", DOWN, "b1", 0), (0, "n2", DOWN, "b1", 0)])
-    tracker.holds(now, OTHERS)
-    tracker.saw("b1", OK, now + 100 * MS, now + 200 * MS)
-    assert not tracker.cold(now + 2 * SECOND, ramp).get("b1", 0), "too short for an outage"
+    tracker.restrictions(now, OTHERS)
+    tracker.record_call("b1", OK, now + 100 * MS, now + 200 * MS)
+    assert not tracker.recovering(now + 2 * SECOND, ramp).get("b1", 0), "too short for an outage"
 
 
 def test_the_wait_for_couriers_ranked_before_is_bounded_in_a_group_of_any_size() -> None:
@@ -266,8 +285,12 @@
     for own_name in ("zz", "yy", "xx"):
         tracker = make_tracker(own_name)
         apply_steps(tracker, [(0, "n1", DOWN, "a1", 0), (0, "n2", DOWN, "a1", 0)])
-        held = tracker.holds(T, others)["a1"]
-        assert not held.one and held.until == T + RANKS * PROBE_INTERVAL and tracker.holds(held.until, others)["a1"].one
+        held = tracker.restrictions(T, others)["a1"]
+        assert (
+            not held.one_at_a_time
+            and held.until == T + MAX_PROBE_RANK * PROBE_INTERVAL
+            and tracker.restrictions(held.until, others)["a1"].one_at_a_time
+        )
 
 
 # Relayed observations: brokers x/b0 and x/b1 are in the own region, y/b0 and y/b1 in another.
@@ -277,27 +300,29 @@
 COURIERS = 40
 
 
-def make_brokered_tracker(own_name: str = "zz", number: int = 39, **more: Any) -> Judgements:
-    created = Judgements(own_name, 1, MAX_WAIT, 0.5, PROBE_INTERVAL, Random(1), COURIERS, number, ORIGINS, **more)
-    created.routes(dict(ROUTES))
+def make_brokered_tracker(own_name: str = "zz", number: int = 39, **more: Any) -> ObservationTracker:
+    created = ObservationTracker(
+        own_name, 1, MAX_WAIT, 0.5, PROBE_INTERVAL, Random(1), COURIERS, number, ORIGINS, **more
+    )
+    created.set_routes(dict(ROUTES))
     return created
 
 
 def deliver(
-    tracker: Judgements,
+    tracker: ObservationTracker,
     now: int,
     source: tuple[str, ...],
-    kind: Kind = DOWN,
+    kind: ObservationKind = DOWN,
     endpoint: str = "a1",
     n: int = 1,
     value: int = 0,
     age: int = 0,
 ) -> bool:
     witness, by, origin = (*source, "", "")[:3]
-    observation = Seen(endpoint, kind, age, value, n)
+    observation = Observation(endpoint, kind, age, value, n)
     if not by:
-        return tracker.heard(witness, 1, [observation], now)
-    return tracker.relayed(by, [Relayed(witness, int(witness[1:]), 1, observation, origin)], now)
+        return tracker.receive(witness, 1, [observation], now)
+    return tracker.receive_relayed(by, [RelayedObservation(witness, int(witness[1:]), 1, observation, origin)], now)
 
 
 W1B0, W1B1, W2B0, W2B1 = ("n1", "x/b0"), ("n1", "x/b1"), ("n2", "x/b0"), ("n2", "x/b1")
@@ -340,19 +365,19 @@
 
 @pytest.mark.parametrize(("name", "sources", "held"), SOURCES, ids=[name for name, *_ in SOURCES])
 def test_no_single_liar_is_two_witnesses(name: str, sources: list[tuple[str, ...]], held: bool) -> None:
-    assert independently_sourced([Voice(*source) for source in sources]) is held
+    assert independently_sourced([ClaimSource(*source) for source in sources]) is held
     tracker, limits = make_brokered_tracker(), make_brokered_tracker()
     for source in sources:
         deliver(tracker, T, source)
         deliver(limits, T, source, LIMIT, value=20_000)
-    assert bool(tracker.holds(T, OTHERS)) is held
-    pairs = any(independently_sourced((Voice(*a), Voice(*b))) for a in sources for b in sources)
-    assert limits.limit("a1", T) == (20.0 if pairs else 0.0) and pairs is held
+    assert bool(tracker.restrictions(T, OTHERS)) is held
+    pairs = any(independently_sourced((ClaimSource(*a), ClaimSource(*b))) for a in sources for b in sources)
+    assert limits.reported_limit("a1", T) == (20.0 if pairs else 0.0) and pairs is held
     if len({witness for witness, *_ in sources}) == 1:  # one witness, and an own call that was refused or failed
-        limits.saw("a1", REFUSED, T + 9 * MS, T + 10 * MS)
-        assert limits.limit("a1", T + 10 * MS) == 20.0
-    tracker.saw("a1", FAILED, T + 9 * MS, T + 10 * MS)
-    assert set(tracker.holds(T + 10 * MS, OTHERS)) == {"a1"}
+        limits.record_call("a1", REFUSED, T + 9 * MS, T + 10 * MS)
+        assert limits.reported_limit("a1", T + 10 * MS) == 20.0
+    tracker.record_call("a1", FAILED, T + 9 * MS, T + 10 * MS)
+    assert set(tracker.restrictions(T + 10 * MS, OTHERS)) == {"a1"}
 
 
 def test_a_broker_can_neither_overwrite_nor_evict_claims_that_came_another_way() -> None:
@@ -363,11 +388,11 @@
     for n in range(2, 39):
         deliver(tracker, T + n, (f"n{n}", "x/b0"), BACK)
         deliver(tracker, T + n, (f"n{n}", "x/b0", "y/b0"), BACK)
-    known = tracker._heard["a1"]
-    assert {Voice("n1", "x/b1"), Voice("n1")} <= known.keys() and len(known) == 2 + MAX_WITNESSES
+    known = tracker._records["a1"]
+    assert {ClaimSource("n1", "x/b1"), ClaimSource("n1")} <= known.keys() and len(known) == 2 + MAX_WITNESSES
     for n in range(100):
         deliver(tracker, T + 100 + n, (f"n{n % 38}", "x/b0", "y/b1"), BACK, n=n)
-    by_origin = [source.origin for source in known if source.by == "x/b0"]
+    by_origin = [source.origin for source in known if source.relay == "x/b0"]
     assert sorted(by_origin.count(origin) for origin in ("", *ORIGINS)) == [4, 4, 4], (
         "nor does one origin evict those of another"
     )
@@ -379,19 +404,21 @@
     assert (
         not deliver(tracker, T, ("n7", "x/b0"))
         and not deliver(tracker, T, W1B0, endpoint="zz")
-        and tracker._heard == {}
+        and tracker._records == {}
     )
     assert deliver(tracker, T, W1B0) and not deliver(tracker, T, W1B0) and not tracker.events
     for n in range(3):
-        tracker.relayed("x/b0", [Relayed("rival", 7, 1, Seen("a1", DOWN, 0, 0, n), "")], T)
+        tracker.receive_relayed("x/b0", [RelayedObservation("rival", 7, 1, Observation("a1", DOWN, 0, 0, n), "")], T)
     assert [(event, fields["peer"]) for event, fields in tracker.events] == [("peers-number-twice", "rival")]
 
 
-def deliver_contradicted(tracker: Judgements, now: int, n: int, *sources: tuple[str, ...], endpoint: str = "a1") -> int:
+def deliver_contradicted(
+    tracker: ObservationTracker, now: int, n: int, *sources: tuple[str, ...], endpoint: str = "a1"
+) -> int:
     """Every source reports a retry-after delay; then an own call is served there."""
     for source in sources:
         deliver(tracker, now, source, WAIT, n=n, value=900, endpoint=endpoint)
-    tracker.saw(endpoint, OK, now + MS, now + 2 * MS)
+    tracker.record_call(endpoint, OK, now + MS, now + 2 * MS)
     return now + 10 * MS
 
 
@@ -399,35 +426,35 @@
     tracker, now = make_brokered_tracker(), T
     for n in range(1, 60):
         now = deliver_contradicted(tracker, now, n, W1B0, W1B1)
-    assert tracker.distrusted == {Voice("n1", "x/b0"), Voice("n1", "x/b1")}
-    assert tracker.scores[Voice("", "x/b0", "")] == 3 and not tracker.unheard("x/b0")
+    assert tracker.distrusted == {ClaimSource("n1", "x/b0"), ClaimSource("n1", "x/b1")}
+    assert tracker.scores[ClaimSource("", "x/b0", "")] == 3 and not tracker.broker_distrusted("x/b0")
     deliver(tracker, now, W2B0)
     deliver(tracker, now, ("n3", "x/b1"))
-    assert set(tracker.holds(now, OTHERS)) == {"a1"}, "other witnesses are trusted by the same brokers"
+    assert set(tracker.restrictions(now, OTHERS)) == {"a1"}, "other witnesses are trusted by the same brokers"
 
 
 def test_a_broker_that_invents_witnesses_is_distrusted_after_twelve_calls_until_own_calls_confirm_it() -> None:
     tracker, now, calls = make_brokered_tracker(), T, 0
-    while not tracker.unheard("x/b0"):
+    while not tracker.broker_distrusted("x/b0"):
         calls += 1
         now = deliver_contradicted(tracker, now, calls, *((f"n{(3 * calls + k) % 38}", "x/b0") for k in range(3)))
     assert calls == PATH_DISTRUST_SCORE and ("peers-not-believed", "by x/b0") in [
         (e, f["peer"]) for e, f in tracker.events
     ]
     deliver(tracker, now, ("n30", "x/b0"), WAIT, "b1", n=99, value=900)
-    assert tracker.holds(now, OTHERS) == {} and "by x/b0" in tracker.not_believed()
+    assert tracker.restrictions(now, OTHERS) == {} and "by x/b0" in tracker.distrusted_sources()
     deliver(tracker, now, ("n30", "x/b1"), WAIT, "b1", n=99, value=900)
-    assert set(tracker.holds(now, OTHERS)) == {"b1"}, "the other broker is trusted"
+    assert set(tracker.restrictions(now, OTHERS)) == {"b1"}, "the other broker is trusted"
     for n in range(40):
         now += SECOND
         deliver(tracker, now, ("n31", "x/b0"), DOWN, "b2", n=200 + n)
-        tracker.saw("b2", FAILED, now + MS, now + 2 * MS)
-    assert not tracker.unheard("x/b0")
+        tracker.record_call("b2", FAILED, now + MS, now + 2 * MS)
+    assert not tracker.broker_distrusted("x/b0")
 
 
 def test_honest_claims_that_a_broker_relays_do_not_make_up_for_its_false_ones() -> None:
     tracker, now, calls = make_brokered_tracker(), T, 0
-    while not tracker.unheard("x/b0") and calls < 100:
+    while not tracker.broker_distrusted("x/b0") and calls < 100:
         calls += 1
         deliver(tracker, now, ("n38", "x/b0"), BACK, n=calls)  # true of a healthy endpoint, so free to claim
         now = deliver_contradicted(tracker, now, calls, (f"n{calls % 38}", "x/b0"))
@@ -440,8 +467,8 @@
         deliver(tracker, now, ("n38", "x/b0"), BACK, n=n)
         now = deliver_contradicted(tracker, now, n, (f"n{n % 38}", "x/b0", "y/b0"))
     assert (
-        tracker.scores[Voice("", "x/b0", ANY_ORIGIN)] == PATH_DISTRUST_SCORE
-        and Voice("", "x/b0", "y/b0") in tracker.distrusted
+        tracker.scores[ClaimSource("", "x/b0", ANY_ORIGIN)] == PATH_DISTRUST_SCORE
+        and ClaimSource("", "x/b0", "y/b0") in tracker.distrusted
     )
 
 
@@ -449,39 +476,42 @@
     tracker, now = make_brokered_tracker(), T
     for n in range(1, 40):
         now = deliver_contradicted(tracker, now, n, *((f"n{n}", by, "y/b0") for by in ("x/b0", "x/b1")))
-    assert {Voice("", "x/b0", "y/b0"), Voice("", "x/b1", "y/b0")} <= tracker.distrusted and not tracker.unheard("x/b0")
+    assert {
+        ClaimSource("", "x/b0", "y/b0"),
+        ClaimSource("", "x/b1", "y/b0"),
+    } <= tracker.distrusted and not tracker.broker_distrusted("x/b0")
     deliver(tracker, now, ("n1", "x/b0", "y/b1"))
     deliver(tracker, now, W2B1)
-    assert set(tracker.holds(now, OTHERS)) == {"a1"}
+    assert set(tracker.restrictions(now, OTHERS)) == {"a1"}
     tracker, now, calls = make_brokered_tracker(), T, 0
-    while not tracker.unheard("x/b0"):
+    while not tracker.broker_distrusted("x/b0"):
         calls += 1
         now = deliver_contradicted(tracker, now, calls, (f"n{calls % 38}", "x/b0", ORIGINS[calls % 2]))
-    assert calls == BROKER_DISTRUST_SCORE and Voice("", "x/b0", ANY_ORIGIN) in tracker.distrusted
+    assert calls == BROKER_DISTRUST_SCORE and ClaimSource("", "x/b0", ANY_ORIGIN) in tracker.distrusted
 
 
 def test_one_call_scores_a_path_once_however_many_claims_came_by_it() -> None:
     tracker = make_brokered_tracker()
     deliver_contradicted(tracker, T, 1, *((f"n{n}", "x/b0") for n in range(MAX_WITNESSES)))
-    assert tracker.scores[Voice("", "x/b0", "")] == 1.0 and not tracker.unheard("x/b0")
+    assert tracker.scores[ClaimSource("", "x/b0", "")] == 1.0 and not tracker.broker_distrusted("x/b0")
 
 
 def test_scores_of_invented_witnesses_are_bounded_and_those_of_paths_are_kept() -> None:
     tracker = make_brokered_tracker()
     for n in range(MAX_RELAYED_SCORES + 500):
-        tracker.scores[Voice(f"w{n}", "x/b0")] = 1.0
-    tracker.scores[Voice("", "x/b0")] = 0.5
-    tracker.scores[Voice("liar", "x/b1")] = 6.0
-    tracker.members(["n1"])
+        tracker.scores[ClaimSource(f"w{n}", "x/b0")] = 1.0
+    tracker.scores[ClaimSource("", "x/b0")] = 0.5
+    tracker.scores[ClaimSource("liar", "x/b1")] = 6.0
+    tracker.set_members(["n1"])
     assert (
         len(tracker.scores) <= MAX_RELAYED_SCORES + 1
-        and {Voice("", "x/b0"), Voice("liar", "x/b1")} <= tracker.scores.keys()
+        and {ClaimSource("", "x/b0"), ClaimSource("liar", "x/b1")} <= tracker.scores.keys()
     )
 
 
 def test_own_observations_go_to_brokers_and_to_members_without_brokers_in_several_rounds() -> None:
     tracker = make_brokered_tracker()
-    tracker.saw("b1", FAILED, T - 10 * MS, T)
+    tracker.record_call("b1", FAILED, T - 10 * MS, T)
     found: dict[str, list[object]] = {}
     for at in range(60):
         for name, words in tracker.tick(
@@ -489,8 +519,10 @@
         ):
             found.setdefault(name, []).extend(words)
     assert {name: len(words) for name, words in found.items()} == {"x/b0": 4, "x/b1": 4, "old": 4}
-    assert found["x/b0"][0] == Publish(2, Seen("b1", DOWN, 0, 0, 1)) and found["old"][0] == Seen("b1", DOWN, 0, 0, 1)
-    tracker.saw("only", FAILED, T + 4 * SECOND, T + 4 * SECOND + MS)
+    assert found["x/b0"][0] == PublishObservation(2, Observation("b1", DOWN, 0, 0, 1)) and found["old"][
+        0
+    ] == Observation("b1", DOWN, 0, 0, 1)
+    tracker.record_call("only", FAILED, T + 4 * SECOND, T + 4 * SECOND + MS)
     assert tracker.tick(T + 4 * SECOND + MS, [], 10**6, lambda dest: []) == [], (
         "without an answering broker nothing is sent"
     )
@@ -502,7 +534,7 @@
         for n in range(1, 5):
             for by in brokers:
                 deliver(tracker, T, (f"n{n}", by), endpoint="b1")
-        tracker.saw("b1", FAILED, T, T + MS)
+        tracker.record_call("b1", FAILED, T, T + MS)
         sent_rounds = [
             words
             for at in range(60)
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -6,27 +6,29 @@
 
 import pytest
 
-from kestrelspar.lab.model import MS, SECOND, Faults, Net, Node, Traffic
-from kestrelspar.peers.words import Ask, Grant, Said, Stand
+from kestrelspar.lab.simulated_network import MS, SECOND, Faults, Node, SimulatedNetwork, Traffic
+from kestrelspar.peers.words import LoanGrant, LoanRequest, MemberState, MemberUpdate
 
 BUSY = {"n0": 25.0, "n1": 12.0, **{f"n{i}": 2.0 for i in range(2, 10)}}
 RATE = 50  # calls per second of the budget
 
 
-def fleet(seed: int, faults: Faults | None = None, drift: float = 0.005, **more: object) -> tuple[Net, Traffic]:
+def fleet(
+    seed: int, faults: Faults | None = None, drift: float = 0.005, **more: object
+) -> tuple[SimulatedNetwork, Traffic]:
     """Ten couriers with one budget and uneven traffic."""
-    net = Net(10, seed, faults, drift, **more)  # type: ignore[arg-type]
+    net = SimulatedNetwork(10, seed, faults, drift, **more)  # type: ignore[arg-type]
     net.budget("e:x", RATE)
     for name in net.nodes:
         net.start(name)
     return net, Traffic(net, "e:x", BUSY)
 
 
-def notified(net: Net) -> set[str]:
+def notified(net: SimulatedNetwork) -> set[str]:
     return {name for name in net.nodes if net.nodes[name].number % 3}
 
 
-def third_cut_then_all_restarted(net: Net) -> None:
+def third_cut_then_all_restarted(net: SimulatedNetwork) -> None:
     cut_off = {"n0", "n3", "n6"}
     net.at(8 * SECOND, lambda: setattr(net, "cut", lambda a, b: (a in cut_off) != (b in cut_off)))
     net.at(14 * SECOND, lambda: setattr(net, "cut", lambda a, b: False))
@@ -34,21 +36,21 @@
         net.at(14 * SECOND, lambda name=name: net.start(name))  # type: ignore[misc]
 
 
-def half_receive_nothing(net: Net) -> None:
+def half_receive_nothing(net: SimulatedNetwork) -> None:
     unreachable = {f"n{i}" for i in range(0, 10, 2)}
     net.at(6 * SECOND, lambda: setattr(net, "cut", lambda a, b: b in unreachable))
 
 
-def lenders_paused_beyond_the_term(net: Net) -> None:
+def lenders_paused_beyond_the_term(net: SimulatedNetwork) -> None:
     for i in range(2, 10):
-        net.at((6 + i) * SECOND + i * 37 * MS, lambda i=i: net.stop(f"n{i}", 4 * SECOND + i * 91 * MS))  # type: ignore[misc]
-    net.at(9 * SECOND, lambda: net.stop("n0", 5 * SECOND))  # and the borrower
+        net.at((6 + i) * SECOND + i * 37 * MS, lambda i=i: net.pause(f"n{i}", 4 * SECOND + i * 91 * MS))  # type: ignore[misc]
+    net.at(9 * SECOND, lambda: net.pause("n0", 5 * SECOND))  # and the borrower
 
 
-def killed(keep_state: bool, restart_after: int) -> Callable[[Net], None]:
+def killed(keep_state: bool, restart_after: int) -> Callable[[SimulatedNetwork], None]:
     """Lenders are killed while their loans run, and restarted; some of them twice in a row."""
 
-    def faults(net: Net) -> None:
+    def faults(net: SimulatedNetwork) -> None:
         for i in range(10):
             when = (7 + i) * SECOND + i * 53 * MS
             for delay in (0, 1_300 * MS) if i % 2 else (0,):
@@ -58,26 +60,31 @@
     return faults
 
 
-def limit_halved_for_two_thirds(net: Net) -> None:
+def limit_halved_for_two_thirds(net: SimulatedNetwork) -> None:
     """A third of the couriers isn't notified: only their shares and earlier loans may exceed the new limit."""
     net.at(
         8 * SECOND,
         lambda: [
-            n.peer.shares.budget("e:x", RATE // 2, SECOND)
+            n.peer.shares.set_budget("e:x", RATE // 2, SECOND)
             for n in net.nodes.values()  # type: ignore[func-returns-value]
             if n.peer is not None and n.number % 3
         ],
     )
 
 
-CASES: dict[str, tuple[Callable[[Net], None], Faults, float, dict[str, float]]] = {
+CASES: dict[str, tuple[Callable[[SimulatedNetwork], None], Faults, float, dict[str, float]]] = {
     "no faults": (lambda net: None, Faults(), 0.005, {}),
     "a third cut off for 6 s, then all restarted": (third_cut_then_all_restarted, Faults(), 0.005, {}),
     "half can send but receive nothing": (half_receive_nothing, Faults(), 0.005, {}),
     "paused beyond the term": (lenders_paused_beyond_the_term, Faults(), 0.005, {}),
     "killed, state kept": (killed(True, 200 * MS), Faults(), 0.005, {}),
     "killed, state lost": (killed(False, 200 * MS), Faults(), 0.005, {}),
-    "all duplicated, late and out of order": (lambda net: None, Faults(double=1.0, delay=(0, 2 * SECOND)), 0.005, {}),
+    "all duplicated, late and out of order": (
+        lambda net: None,
+        Faults(duplicate=1.0, delay=(0, 2 * SECOND)),
+        0.005,
+        {},
+    ),
     "30 % lost": (lambda net: None, Faults(loss=0.3), 0.005, {}),
     "clocks 5 % off": (killed(True, 10 * MS), Faults(delay=(0, SECOND)), 0.05, {"drift": 0.06}),
     "everything at once": (
@@ -93,13 +100,13 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_calls_of_all_couriers_never_exceed_the_budget(name: str, seed: int) -> None:
     apply_faults, network_faults, drift, terms = CASES[name]
-    net, traffic = fleet(seed, network_faults, drift, terms=terms)
+    net, traffic = fleet(seed, network_faults, drift, loan_terms=terms)
     apply_faults(net)
     for wave in range(1, 12):  # lenders need their calls back while these are lent
         rates = {f"n{i}": 30.0 if wave % 2 or i in (wave % 10, 0) else 0.5 for i in range(10)}
         net.at(wave * 2_500 * MS, lambda rates=rates: traffic.rates.update(rates))  # type: ignore[misc]
     net.run(30 * SECOND)
-    assert not net.judge.faults, net.judge.faults[:3]
+    assert not net.budget_checker.violations, net.budget_checker.violations[:3]
     lent = sum(n.peer.shares._loan_number for n in net.nodes.values() if n.peer is not None)
     assert traffic.served > 300 and lent, "nothing was lent, so nothing was tried"
 
@@ -108,11 +115,14 @@
     net, traffic = fleet(3)
     limit_halved_for_two_thirds(net)
     net.run(13 * SECOND)  # a term and a window later
-    counted = net.judge.by.copy()
+    counted = net.budget_checker.calls_by_courier.copy()
     net.run(23 * SECOND)
-    calls_notified = sum(net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in notified(net))
+    calls_notified = sum(
+        net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")] for name in notified(net)
+    )
     calls_others = sum(
-        net.judge.by[(name, "e:x")] - counted[(name, "e:x")] for name in net.nodes.keys() - notified(net)
+        net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")]
+        for name in net.nodes.keys() - notified(net)
     )
     assert calls_notified <= 10 * 6 * 3 + 10 * 4 * 3 and calls_others <= 10 * RATE, (calls_notified, calls_others)
     assert traffic.served
@@ -124,11 +134,11 @@
         if cut:
             net.cut = lambda a, b: True
         net.run(8 * SECOND)
-        came, served, by = traffic.came, traffic.served, net.judge.by.copy()
+        came, served, by = traffic.arrived, traffic.served, net.budget_checker.calls_by_courier.copy()
         net.run(28 * SECOND)
-        share = (traffic.served - served) / (traffic.came - came)
+        share = (traffic.served - served) / (traffic.arrived - came)
         assert least < share <= most, share
-        assert all(net.judge.by[(name, "e:x")] > by[(name, "e:x")] + 20 for name in net.nodes)
+        assert all(net.budget_checker.calls_by_courier[(name, "e:x")] > by[(name, "e:x")] + 20 for name in net.nodes)
 
 
 def test_a_lying_lender_adds_at_most_what_its_share_could_lend_to_each(capsys: pytest.CaptureFixture[str]) -> None:
@@ -143,18 +153,20 @@
             for calls in (1_000, 3, 3, 3):
                 address = peer.members.address(who)
                 assert address is not None
-                net._out(node, [(address, peer.sealer.seal(who, [Grant(ask.n, now + n, calls)]))])
+                net._send_all(node, [(address, peer.sealer.seal(who, [LoanGrant(ask.n, now + n, calls)]))])
 
-    net.nodes["n5"].lies = lend_too_much
+    net.nodes["n5"].byzantine_behavior = lend_too_much
     net.run(30 * SECOND)
-    assert max(net.judge.most.values()) <= RATE + 9 * 3 and any(e[2] == "peers-lends-too-much" for e in net.events)
+    assert max(net.budget_checker.max_calls.values()) <= RATE + 9 * 3 and any(
+        e[2] == "peers-lends-too-much" for e in net.events
+    )
 
 
 # Membership
 
 
 def test_loss_of_half_of_two_hundred_couriers_is_detected_without_false_suspicions() -> None:
-    net = Net(200, 5, Faults(loss=0.02), seeds=5)
+    net = SimulatedNetwork(200, 5, Faults(loss=0.02), seeds=5)
     for name in net.nodes:
         net.start(name)
     net.run(20 * SECOND)
@@ -171,20 +183,20 @@
     assert all(n.peer.sent < 60 * 50_000 for n in remaining if n.peer is not None)
 
 
-def states(net: Net, by: str) -> dict[str, Stand]:
+def states(net: SimulatedNetwork, by: str) -> dict[str, MemberState]:
     peer = net.nodes[by].peer
     assert peer is not None
-    return {name: m.said.stand for name, m in peer.members.members.items()}
+    return {name: m.update.state for name, m in peer.members.members.items()}
 
 
 def test_a_paused_courier_suspects_nobody_and_rejoins() -> None:
     net, _ = fleet(4)
     net.run(10 * SECOND)
-    net.stop("n3", 40 * SECOND)
+    net.pause("n3", 40 * SECOND)
     net.run(45 * SECOND)
-    assert states(net, "n0")["n3"] is Stand.DEAD
+    assert states(net, "n0")["n3"] is MemberState.DEAD
     net.run(75 * SECOND)
-    assert all(set(states(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
+    assert all(set(states(net, name).values()) == {MemberState.ALIVE} for name in net.nodes)
     suspected = {fields["peer"] for _, _, event, fields in net.events if event in ("peers-suspect", "peers-dead")}
     assert suspected == {"n3"} and any(event == "peers-stalled" and who == "n3" for _, who, event, _ in net.events)
 
@@ -194,16 +206,16 @@
     net.run(5 * SECOND)
     net.cut = lambda a, b: (int(a[1:]) < 5) != (int(b[1:]) < 5)
     net.run(60 * SECOND)
-    assert states(net, "n0")["n7"] is Stand.DEAD and states(net, "n7")["n0"] is Stand.DEAD
+    assert states(net, "n0")["n7"] is MemberState.DEAD and states(net, "n7")["n0"] is MemberState.DEAD
     net.cut = lambda a, b: False
     net.run(100 * SECOND)
-    assert all(set(states(net, name).values()) == {Stand.ALIVE} for name in net.nodes)
+    assert all(set(states(net, name).values()) == {MemberState.ALIVE} for name in net.nodes)
     leaver = net.nodes["n9"].peer
     assert leaver is not None
-    net._out(net.nodes["n9"], leaver.leave(net.nodes["n9"].clock(net.now)))
+    net._send_all(net.nodes["n9"], leaver.shut_down(net.nodes["n9"].clock(net.now)))
     net.kill("n9")
     net.run(130 * SECOND)
-    assert all(states(net, f"n{i}")["n9"] is Stand.LEFT for i in range(9))
+    assert all(states(net, f"n{i}")["n9"] is MemberState.LEFT for i in range(9))
 
 
 def test_of_two_couriers_with_one_name_the_older_epoch_stops_and_a_number_beyond_the_fleet_has_no_share() -> None:
@@ -217,12 +229,12 @@
     newer = net.nodes["n4"].peer
     assert newer is not None
     net.run(20 * SECOND)
-    update = Said("n4", *net.nodes["n4"].address, 4, newer.about.life, 0, Stand.ALIVE)
+    update = MemberUpdate("n4", *net.nodes["n4"].address, 4, newer.config.epoch, 0, MemberState.ALIVE)
     sealed = newer.sealer.seal("n4", [update])
-    older.hear(sealed, 0)
-    assert older.shares.gone and older.shares.allowed("e:x", 10**12) == 0 and not newer.shares.gone
+    older.receive(sealed, 0)
+    assert older.shares.stopped and older.shares.allowed("e:x", 10**12) == 0 and not newer.shares.stopped
     assert any(event == "peers-name-twice" for event, _ in older.events)
-    assert newer.shares.heard("n77", 1, [Ask(1, "e:x", 5, 1.0)], 0, 77) == []
+    assert newer.shares.receive("n77", 1, [LoanRequest(1, "e:x", 5, 1.0)], 0, 77) == []
     newer.shares.terms = type(newer.shares.terms)(10, 10)
-    newer.shares.budget("e:x", RATE, SECOND)
+    newer.shares.set_budget("e:x", RATE, SECOND)
     assert newer.shares.allowed("e:x", 10**12) == 0
--- a/tests/peers/test_seal.py
+++ b/tests/peers/test_seal.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kestrelspar.peers.seal import MOST, REPLAY_WINDOW, DatagramRejectedError, Sealer
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, REPLAY_WINDOW, DatagramRejectedError, Sealer
 from kestrelspar.peers.words import Ping
 
 OLD, NEW, WRONG = b"o" * 16, b"n" * 16, b"w" * 16
@@ -27,7 +27,7 @@
 
 
 BAD: dict[str, Callable[[Sealer, bytes], bytes]] = {
-    "oversized": lambda sealer, data: data + b"x" * MOST,
+    "oversized": lambda sealer, data: data + b"x" * MAX_DATAGRAM_BYTES,
     "foreign": lambda sealer, data: b"GET / HTTP/1.1\r\n\r\n" + data,
     "forged": lambda sealer, data: data[:-1] + bytes([data[-1] ^ 1]),
     "misdirected": lambda sealer, data: sealer.seal("c", [Ping(1)]),
@@ -40,7 +40,7 @@
 def test_invalid_datagrams_are_rejected(name: str) -> None:
     a, b = pair()
     good = a.seal("b", [Ping(7)])
-    assert b.open(good).words == [Ping(7)]
+    assert b.open(good).messages == [Ping(7)]
     assert result(b, BAD[name](a, good)) == name and b.dropped == {name: 1}
     assert result(b, a.seal("b", [Ping(8)])) == "accepted", "a valid one that follows is accepted"
 
--- a/tests/registry/alone.py
+++ b/tests/registry/registry_thread.py
@@ -10,7 +10,7 @@
 from tests.bench import listener
 
 
-class Alone:
+class RegistryThread:
     """Context manager that runs the stand-in registry on an event loop in another thread."""
 
     def __enter__(self) -> Member:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -10,22 +10,22 @@
 
 import pytest
 
-from kestrelspar.registry import keep
+from kestrelspar.registry import saved_list
 from kestrelspar.registry.follower import Follower
 from kestrelspar.runtime.loop import SECOND
 from kestrelspar.settings import schema
 from kestrelspar.settings.resolve import Registry
 from kestrelspar.standins.registry import Faults, Member, Store
 from snowlock import interface as api
-from tests.bench import LIMIT, Scene, listener
-from tests.registry.alone import Alone
-from tests.test_http import Stage, hand_in, ok
+from tests.bench import LIMIT, CourierTestbed, listener
+from tests.registry.registry_thread import RegistryThread
+from tests.test_http import HttpTestbed, ok, submit_request
 
 PREFIX = "hops/"
 PROTOCOLS = ["etcd", "consul"]
 
 
-def value(name: str, status: str = "active", address: str = "127.0.0.1:9", group: int = 7) -> bytes:
+def entry_json(name: str, status: str = "active", address: str = "127.0.0.1:9", group: int = 7) -> bytes:
     return json.dumps(
         {
             "name": name,
@@ -47,14 +47,14 @@
         self,
         state_directory: Path,
         protocol: str,
-        testbed: Scene | None = None,
+        testbed: CourierTestbed | None = None,
         store: Store | None = None,
         **overrides: Any,
     ) -> None:
-        self.testbed = testbed or Scene(state_directory)
+        self.testbed = testbed or CourierTestbed(state_directory)
         self.state_directory, self.protocol, self.overrides = state_directory, protocol, overrides
         self.store = store or Store()
-        self.members = [Member(self.testbed.loop, self.store, listener()[0], limit_fragment=3) for _ in range(2)]
+        self.members = [Member(self.testbed.loop, self.store, listener()[0], max_fragment_events=3) for _ in range(2)]
         self.follower = Follower(
             self.testbed.loop,
             self.testbed.buffers,
@@ -82,7 +82,7 @@
         return Registry("main", schema.Registry(**(values | self.overrides | overrides)), password, password)
 
     def put(self, *names: str, status: str = "active") -> None:
-        self.store.commit([((PREFIX + name).encode(), value(name, status), 0) for name in names])
+        self.store.commit([((PREFIX + name).encode(), entry_json(name, status), 0) for name in names])
 
     def remove(self, *names: str) -> None:
         self.store.delete(*(PREFIX + name for name in names))
@@ -98,7 +98,7 @@
         )
 
     def until(self, names: str, within: int = 30 * SECOND) -> None:
-        self.testbed.until(lambda: self.ready_names == names, within)
+        self.testbed.run_until(lambda: self.ready_names == names, within)
 
     def fault(self, **faults: Any) -> None:
         for member in self.members:
@@ -136,17 +136,20 @@
 
 
 FAULTS: dict[str, Callable[[FollowerHarness], object]] = {
-    "drop": lambda harness: [m.drop_all() for m in harness.members],
+    "drop": lambda harness: [m.close_connections() for m in harness.members],
     "cut in a line": lambda harness: harness.fault(cut=150),
     "cut in a head": lambda harness: harness.fault(cut=5),
-    "garbage": lambda harness: (harness.fault(garbage=b'{"result":[1'), [m.drop_all() for m in harness.members]),
+    "garbage": lambda harness: (
+        harness.fault(garbage=b'{"result":[1'),
+        [m.close_connections() for m in harness.members],
+    ),
     "garbage that is JSON": lambda harness: (
         harness.fault(garbage=b'[{"a":1}]'),
-        [m.drop_all() for m in harness.members],
+        [m.close_connections() for m in harness.members],
     ),
-    "status 500": lambda harness: (harness.fault(status=500), [m.drop_all() for m in harness.members]),
-    "status 429": lambda harness: (harness.fault(status=429), [m.drop_all() for m in harness.members]),
-    "refuse": lambda harness: (harness.fault(refuse=True), [m.drop_all() for m in harness.members]),
+    "status 500": lambda harness: (harness.fault(status=500), [m.close_connections() for m in harness.members]),
+    "status 429": lambda harness: (harness.fault(status=429), [m.close_connections() for m in harness.members]),
+    "refuse": lambda harness: (harness.fault(refuse=True), [m.close_connections() for m in harness.members]),
     "silent": lambda harness: harness.fault(silent_until=harness.testbed.loop.now + 3 * SECOND),
     "deaf": lambda harness: harness.fault(deaf=True),
     "twice": lambda harness: harness.fault(twice=True),
@@ -155,9 +158,12 @@
     "unpinned": lambda harness: harness.fault(unpinned=True),
     "another cluster": lambda harness: (
         harness.fault(cluster=77) if harness.protocol == "etcd" else None,
-        [m.drop_all() for m in harness.members],
+        [m.close_connections() for m in harness.members],
+    ),
+    "behind": lambda harness: (
+        harness.fault(lag=harness.store.revision - 2),
+        [m.close_connections() for m in harness.members],
     ),
-    "behind": lambda harness: (harness.fault(lag=harness.store.revision - 2), [m.drop_all() for m in harness.members]),
 }
 
 
@@ -170,8 +176,8 @@
     harness.remove("c")
     seen_names: set[str] = set()
     finished: list[int] = []
-    harness.testbed.loop.at(harness.testbed.loop.now + 4 * SECOND, lambda: finished.append(1))
-    harness.testbed.until(lambda: seen_names.add(harness.ready_names) or finished)
+    harness.testbed.loop.call_at(harness.testbed.loop.now + 4 * SECOND, lambda: finished.append(1))
+    harness.testbed.run_until(lambda: seen_names.add(harness.ready_names) or finished)
     assert not any(set(names) & {"a", "b"} for names in seen_names)
     harness.fault()
     harness.until("defghx")
@@ -180,7 +186,7 @@
 def test_compaction_during_a_disconnection_loses_no_removal(harness: FollowerHarness) -> None:
     harness.fault(refuse=True)
     for member in harness.members:
-        member.drop_all()
+        member.close_connections()
     harness.remove("a", "h")
     harness.put("b", status="leaving")
     harness.put("new")
@@ -193,9 +199,9 @@
 def test_an_expired_lease_removes_its_keys(harness: FollowerHarness) -> None:
     store, loop = harness.store, harness.testbed.loop
     lease = store.grant(loop.now, 5)
-    store.commit([((PREFIX + "l").encode(), value("l"), lease)])
+    store.commit([((PREFIX + "l").encode(), entry_json("l"), lease)])
     harness.until("abcdefghl")
-    loop.at(loop.now + 5 * SECOND, lambda: store.lapse(loop.now))
+    loop.call_at(loop.now + 5 * SECOND, lambda: store.expire_leases(loop.now))
     harness.until("abcdefgh")
 
 
@@ -207,36 +213,36 @@
     harness.follower.config = harness.config("wrong")
     harness.follower._create_connections()
     harness.follower.start()
-    harness.testbed.wait(2 * SECOND)
+    harness.testbed.run_for(2 * SECOND)
     assert harness.ready_names == ""
-    harness.follower.move(harness.config("secret"))
+    harness.follower.apply_settings(harness.config("secret"))
     harness.until("ab")
     harness.store.tokens.clear()  # as if etcd's tokens had expired
     for member in harness.members:
-        member.drop_all()
+        member.close_connections()
     harness.remove("a")
     harness.store.compact(harness.store.revision)  # so that the list is also requested with the old token
     harness.until("b")
-    harness.testbed.wait(5 * SECOND)  # long enough for a check of the list
+    harness.testbed.run_for(5 * SECOND)  # long enough for a check of the list
     harness.store.tokens.clear()
     harness.put("c")
     harness.until("bc")
     harness.remove("c")
     harness.until("b")
     harness.store.accounts["courier"] = "other"
-    harness.follower.move(harness.config("other"))
-    harness.testbed.wait(SECOND)
+    harness.follower.apply_settings(harness.config("other"))
+    harness.testbed.run_for(SECOND)
     assert harness.ready_names == "b"
     harness.put("c")
     harness.until("bc")
 
 
 def test_a_change_of_prefix_or_protocol_compares_lists_and_a_stop_removes_everything(harness: FollowerHarness) -> None:
-    harness.store.commit([(f"new/{n}".encode(), value(n), 0) for n in "ax"])
+    harness.store.commit([(f"new/{n}".encode(), entry_json(n), 0) for n in "ax"])
     other_protocol = "consul" if harness.protocol == "etcd" else "etcd"
     seen_names: set[str] = set()
-    harness.follower.move(harness.config(prefix="new/", type=other_protocol))
-    harness.testbed.until(lambda: seen_names.add(harness.ready_names) or harness.ready_names == "ax")
+    harness.follower.apply_settings(harness.config(prefix="new/", type=other_protocol))
+    harness.testbed.run_until(lambda: seen_names.add(harness.ready_names) or harness.ready_names == "ax")
     assert all("a" in names for names in seen_names), "an entry that both lists contain was missing"
     harness.follower.stop()
     assert harness.ready_names == "" and not (harness.state_directory / "registry-main.list").exists()
@@ -250,11 +256,11 @@
     first.put(*"abc")
     first.follower.start()
     file = tmp_path / "registry-main.list"
-    first.testbed.until(file.exists)
+    first.testbed.run_until(file.exists)
     first.remove("a")
     first.until("bc")
-    first.testbed.wait(12 * SECOND)  # long enough to save the list again
-    second = FollowerHarness(tmp_path, protocol, Scene(tmp_path), Store())
+    first.testbed.run_for(12 * SECOND)  # long enough to save the list again
+    second = FollowerHarness(tmp_path, protocol, CourierTestbed(tmp_path), Store())
     second.fault(refuse=True)
     second.follower.start()
     assert second.ready_names == "bc" and "event=registry-kept" in capsys.readouterr().out
@@ -270,9 +276,9 @@
     harness.put(*"abc")
     harness.follower.start()
     file = tmp_path / "registry-main.list"
-    harness.testbed.until(file.exists)
+    harness.testbed.run_until(file.exists)
     intact = file.read_bytes()
-    saved = keep.read(file, LIMIT)
+    saved = saved_list.read(file, LIMIT)
     assert saved is not None and [row.entry.name for row in saved.rows] == list("abc")
     random = Random(3)
     for _ in range(200):
@@ -280,13 +286,13 @@
         damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)
         file.write_bytes(bytes(damaged)[: random.choice([len(damaged), random.randrange(len(damaged))])])
         try:
-            found = keep.read(file, LIMIT)
+            found = saved_list.read(file, LIMIT)
         except ValueError:
             continue
         assert found is not None and found.rows == saved.rows  # the flipped bit is in a text of the header
     with pytest.raises(ValueError, match="larger"):
-        keep.read(file, 10)
-    assert keep.clear(str(tmp_path), ["other"]) == ["registry-main.list"]
+        saved_list.read(file, 10)
+    assert saved_list.remove_unused(str(tmp_path), ["other"]) == ["registry-main.list"]
 
 
 def test_a_full_disk_leaves_the_old_list_and_an_oversized_one_is_not_saved(
@@ -296,72 +302,74 @@
     harness.put(*"abc")
     harness.follower.start()
     file = tmp_path / "registry-main.list"
-    harness.testbed.until(file.exists)
+    harness.testbed.run_until(file.exists)
     intact = file.read_bytes()
 
     def fail(*_: object) -> int:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(keep.os, "rename", fail)
+        patch.setattr(saved_list.os, "rename", fail)
         harness.put("d")
-        harness.testbed.wait(12 * SECOND)
+        harness.testbed.run_for(12 * SECOND)
     assert file.read_bytes() == intact and not list(tmp_path.glob("*.new"))
-    harness.store.commit([(f"{PREFIX}{n}".encode(), value(f"{Random(n).random()}"), 0) for n in range(300)])
-    harness.testbed.wait(12 * SECOND)
+    harness.store.commit([(f"{PREFIX}{n}".encode(), entry_json(f"{Random(n).random()}"), 0) for n in range(300)])
+    harness.testbed.run_for(12 * SECOND)
     output = capsys.readouterr().out
     assert file.read_bytes() == intact and "No space left" in output and "takes more than 2000 bytes" in output
 
 
 @pytest.mark.parametrize(("on_stale", "ready"), [("serve", True), ("defer", False)])
 def test_a_stale_list_stays_in_use_or_new_messages_are_deferred(tmp_path: Path, on_stale: str, ready: bool) -> None:
-    testbed = Stage(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     harness = FollowerHarness(tmp_path, "etcd", testbed, on_stale=on_stale)
     address = f"127.0.0.1:{testbed.peer.address[1]}"
-    harness.store.put(PREFIX + "far", value("far", address=address, group=8))
+    harness.store.put(PREFIX + "far", entry_json("far", address=address, group=8))
     harness.follower.carrier = testbed.pool
     harness.follower.start()
-    testbed.until(lambda: b"far" in testbed.courier.map.hops)
+    testbed.run_until(lambda: b"far" in testbed.courier.map.hops)
     assert testbed.courier.serving
     harness.fault(refuse=True)
     for member in harness.members:
-        member.drop_all()
-    testbed.wait(15 * SECOND)
-    response = testbed.talk(hand_in(X_Route_To="dest=8"))
+        member.close_connections()
+    testbed.run_for(15 * SECOND)
+    response = testbed.talk(submit_request(X_Route_To="dest=8"))
     assert (b" 202 " in response) is ready and (b"Retry-After: 10" in response) is not ready
     assert testbed.courier.serving is ready and b"far" in testbed.courier.map.hops
     harness.fault()
-    testbed.until(lambda: testbed.courier.serving and harness.follower.sync.confirmed_at > testbed.loop.now - SECOND)
-    assert b" 202 " in testbed.talk(hand_in("t2", X_Route_To="dest=8"))
+    testbed.run_until(
+        lambda: testbed.courier.serving and harness.follower.sync.confirmed_at > testbed.loop.now - SECOND
+    )
+    assert b" 202 " in testbed.talk(submit_request("t2", X_Route_To="dest=8"))
 
 
 def test_a_drain_takes_effect_at_once_and_waiting_messages_go_to_the_other_hop(tmp_path: Path) -> None:
-    testbed = Stage(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     harness = FollowerHarness(tmp_path, "etcd", testbed)
     harness.follower.carrier = testbed.pool
     address = f"127.0.0.1:{testbed.peer.address[1]}"
     for name in ("one", "two"):
-        harness.store.put(PREFIX + name, value(name, address=address, group=8))
+        harness.store.put(PREFIX + name, entry_json(name, address=address, group=8))
     harness.follower.start()
-    testbed.until(lambda: len(testbed.courier.map.hops) == 3)
+    testbed.run_until(lambda: len(testbed.courier.map.hops) == 3)
     calls: list[tuple[int, str]] = []
     attempt = testbed.pool.attempt
 
-    def record_attempt(message: Any, hop: Any, deadline: int, leave: Callable[[], bool]) -> Any:
+    def record_attempt(message: Any, hop: Any, deadline: int, guard: Callable[[], bool]) -> Any:
         calls.append((testbed.loop.now, hop.name))
-        return attempt(message, hop, deadline, leave)
+        return attempt(message, hop, deadline, guard)
 
     testbed.pool.attempt = record_attempt  # type: ignore[method-assign]
-    testbed.talk(hand_in("first", X_Route_To="dest=8"))
-    testbed.until(lambda: not testbed.journal.entries)
+    testbed.talk(submit_request("first", X_Route_To="dest=8"))
+    testbed.run_until(lambda: not testbed.journal.entries)
     first_hop = calls[0][1]
     other_hop = "two" if first_hop == "one" else "one"
-    harness.store.put(PREFIX + first_hop, value(first_hop, "leaving", address, 8))
-    testbed.until(lambda: testbed.courier.map.hops[first_hop.encode()].endpoint.state is api.EndpointState.DRAINING)
+    harness.store.put(PREFIX + first_hop, entry_json(first_hop, "leaving", address, 8))
+    testbed.run_until(lambda: testbed.courier.map.hops[first_hop.encode()].endpoint.state is api.EndpointState.DRAINING)
     drained_at = testbed.loop.now
     for n in range(5):
-        testbed.talk(hand_in(f"t{n}", X_Route_To="dest=8"))
-    testbed.until(lambda: not testbed.journal.entries)
+        testbed.talk(submit_request(f"t{n}", X_Route_To="dest=8"))
+    testbed.run_until(lambda: not testbed.journal.entries)
     assert {name for at, name in calls if at > drained_at} == {other_hop} and len(calls) == 6
 
 
@@ -371,7 +379,7 @@
 def test_a_third_party_etcd_library_works_with_the_stand_in() -> None:
     from etcd3gw.client import Etcd3Client
 
-    with Alone() as member:
+    with RegistryThread() as member:
         client = Etcd3Client(host="127.0.0.1", port=member.address[1], api_path="/v3/")
         events, cancel = client.watch_prefix("k")
         assert client.put("k1", "one") and client.put("k2", "two")
@@ -389,7 +397,7 @@
 def test_a_third_party_consul_library_works_with_the_stand_in() -> None:
     import consul
 
-    with Alone() as member:
+    with RegistryThread() as member:
         client = consul.Consul(host="127.0.0.1", port=member.address[1])
         assert client.kv.put("k/1", "one") and client.kv.put("k/2", "two")
         index, found = client.kv.get("k/", recurse=True)
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -115,8 +115,8 @@
         handshake_both(pair, one, other)
         other.write(b"last", None)
         pair.theirs.close() if broken else other.close()
-        assert not one.ended(), "its last data is not read yet"
-        assert read(one, 4) == b"last" and one.ended()
+        assert not one.peer_closed(), "its last data is not read yet"
+        assert read(one, 4) == b"last" and one.peer_closed()
         pair.run_tasks(lambda: one.fill(None))  # noqa: B023
         assert isinstance(pair.errors[0], Closed)
 
@@ -126,9 +126,9 @@
     one, other = pair.tls()
     handshake_both(pair, one, other)
     assert len(pair.theirs.recv(1, socket.MSG_PEEK)) == 1, "the server's session tickets have arrived"
-    assert other.quiet() and not other.ended()
+    assert other.is_reusable() and not other.peer_closed()
     one.write(b"x", None)
-    assert not other.quiet() and bytes(other.unread) == b"x"
+    assert not other.is_reusable() and bytes(other.unread) == b"x"
 
 
 @pytest.mark.parametrize(
--- a/tests/settings/test_conf.py
+++ b/tests/settings/test_conf.py
@@ -11,7 +11,7 @@
 
 from kestrelspar.cli.main import cli
 from kestrelspar.settings import conf, kinds, lines, pages, resolve, schema
-from kestrelspar.settings.lines import ConfFaults
+from kestrelspar.settings.lines import ConfErrors
 from tests.bench import WORK_ORDER
 from tests.bench import settings as platform_settings
 
@@ -28,9 +28,9 @@
 
 
 def errors_of(directory: Path, text: str) -> list[str]:
-    with pytest.raises(ConfFaults) as caught:
+    with pytest.raises(ConfErrors) as caught:
         resolve.registries(conf.load(write_conf(directory, text)))
-    return [str(error).removeprefix(f"{directory}/") for error in caught.value.faults]
+    return [str(error).removeprefix(f"{directory}/") for error in caught.value.errors]
 
 
 def test_values_are_read_with_units_and_defaults(tmp_path: Path) -> None:
@@ -40,12 +40,17 @@
     )
     loaded = conf.load(write_conf(tmp_path, 'include conf.d/*.conf\nlog\n\tformat "json"\n\n  # nothing\n'))
     (found,) = resolve.registries(loaded)
-    assert (found.label, found.told.patience, found.told.keep, found.told.page) == ("main", 60_500_000, 64_000, 500)
-    assert found.told.servers == (("127.0.0.1", 2379), ("127.0.0.1", 2381), ("127.0.0.1", 1))
-    assert loaded.one(schema.Log).format == "json" and not loaded.one(schema.Plugins).enabled
+    assert (found.label, found.section.patience, found.section.keep, found.section.page) == (
+        "main",
+        60_500_000,
+        64_000,
+        500,
+    )
+    assert found.section.servers == (("127.0.0.1", 2379), ("127.0.0.1", 2381), ("127.0.0.1", 1))
+    assert loaded.values_of(schema.Log).format == "json" and not loaded.values_of(schema.Plugins).enabled
     # The shown text can be read, with the same values.
     reloaded = conf.load(write_conf(tmp_path, pages.conf_text(loaded)))
-    assert reloaded.one(schema.Log) == loaded.one(schema.Log) and resolve.registries(reloaded) == [found]
+    assert reloaded.values_of(schema.Log) == loaded.values_of(schema.Log) and resolve.registries(reloaded) == [found]
 
 
 @pytest.mark.parametrize(
@@ -123,11 +128,11 @@
 def test_groups_regions_and_brokers_are_read_and_shown_unchanged(tmp_path: Path) -> None:
     text = "peers\n  region eu\n  group z1\n  broker eu/a 10.0.0.1:2771\n  broker us/b 10.0.0.2:2771\n"
     found = conf.load(write_conf(tmp_path, text))
-    loaded = found.one(schema.Peers)
+    loaded = found.values_of(schema.Peers)
     assert (loaded.region, loaded.group, loaded.enabled) == ("eu", "z1", False)
     assert loaded.broker == {"eu/a": ("10.0.0.1", 2771), "us/b": ("10.0.0.2", 2771)}
-    assert conf.load(write_conf(tmp_path, pages.conf_text(found))).one(schema.Peers) == loaded
-    without_brokers = conf.load(write_conf(tmp_path, "peers\n  region eu\n  group z1\n")).one(schema.Peers)
+    assert conf.load(write_conf(tmp_path, pages.conf_text(found))).values_of(schema.Peers) == loaded
+    without_brokers = conf.load(write_conf(tmp_path, "peers\n  region eu\n  group z1\n")).values_of(schema.Peers)
     assert without_brokers.group == "z1" and not without_brokers.broker, "groups need no brokers"
 
 
@@ -143,23 +148,23 @@
     )
     loaded = resolve.smpp(conf.load(write_conf(tmp_path, account_template.format("reading"))), platform_settings())
     assert loaded is not None and loaded.accounts[0].cls == WORK_ORDER and loaded.accounts[0].password == "secret"
-    with pytest.raises(ConfFaults, match=r"k.conf:3: smpp.service-type: unknown class 'raeding'.* mean reading\?"):
+    with pytest.raises(ConfErrors, match=r"k.conf:3: smpp.service-type: unknown class 'raeding'.* mean reading\?"):
         resolve.smpp(conf.load(write_conf(tmp_path, account_template.format("raeding"))), platform_settings())
 
 
 def test_the_address_given_to_others_is_listen_or_advertise(tmp_path: Path) -> None:
     base = "peers\n  enabled on\n  key-file pw\n  listen 127.0.0.1:9001\n"
-    assert conf.load(write_conf(tmp_path, base)).one(schema.Peers).told() == ("127.0.0.1", 9001)
-    loaded = conf.load(write_conf(tmp_path, base + "  advertise 10.0.0.7:9002\n")).one(schema.Peers)
-    assert loaded.told() == ("10.0.0.7", 9002) and loaded.listen == ("127.0.0.1", 9001)
-    with pytest.raises(ConfFaults, match=r"k.conf:\d: peers.advertise: names more than one address"):
+    assert conf.load(write_conf(tmp_path, base)).values_of(schema.Peers).advertised_address() == ("127.0.0.1", 9001)
+    loaded = conf.load(write_conf(tmp_path, base + "  advertise 10.0.0.7:9002\n")).values_of(schema.Peers)
+    assert loaded.advertised_address() == ("10.0.0.7", 9002) and loaded.listen == ("127.0.0.1", 9001)
+    with pytest.raises(ConfErrors, match=r"k.conf:\d: peers.advertise: names more than one address"):
         conf.load(write_conf(tmp_path, base + "  advertise 10.0.0.7:9002 10.0.0.7:9003\n"))
 
 
 def test_the_deployed_file_enables_nothing() -> None:
     loaded = conf.load(str(ROOT / "deploy" / "kestrelspar.conf"))
     assert resolve.smpp(loaded, platform_settings()) is None and not resolve.registries(loaded)
-    assert not loaded.one(schema.Plugins).enabled and not loaded.many(schema.Map)
+    assert not loaded.values_of(schema.Plugins).enabled and not loaded.sections_of(schema.Map)
 
 
 def test_the_generated_page_of_keys_is_up_to_date() -> None:
@@ -178,13 +183,13 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("builtins.open", lambda *_, **__: __import__("io").StringIO(text))
         blocks, errors = lines.read("x.conf")
-    assert all(error.place.path == "x.conf" for error in errors) and all(block.kind for block in blocks)
+    assert all(error.location.path == "x.conf" for error in errors) and all(block.kind for block in blocks)
     for meta in (kinds.duration("", 0, 10**9), kinds.size("", 0, 10**9), kinds.address(""), kinds.switch("")):
         try:
-            value = kinds.value(text, meta, "")
+            value = kinds.parse_value(text, meta, "")
         except ValueError:
             continue
-        assert kinds.value(kinds.shown(value, meta), meta, "") == value
+        assert kinds.parse_value(kinds.format_value(value, meta), meta, "") == value
 
 
 @pytest.mark.parametrize(
--- a/tests/smpp/test_conform.py
+++ b/tests/smpp/test_conform.py
@@ -9,31 +9,31 @@
 
 from kestrelspar.runtime.loop import SECOND, connect
 from kestrelspar.smpp import conform, pdu, probe, server, session, table
-from kestrelspar.smpp.conform import Account
+from kestrelspar.smpp.conform import Credentials
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.probe import Verdict
 from tests.smpp_standins import StandInGateway, gateway
-from tests.test_smpp import Stage
+from tests.test_smpp import SmppTestbed
 
-ACCOUNT = Account("acme", "secret")
+ACCOUNT = Credentials("acme", "secret")
 
 
 def run_cases(folder: Path, *groups: str) -> list[Verdict]:
-    stage = Stage(folder, max_open=400)
+    stage = SmppTestbed(folder, max_open=400)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     verdicts: list[Verdict] = []
     chosen = [case for case in conform.cases(ACCOUNT) if not groups or case.group in groups]
-    dial = probe.plain(stage.loop, stage.buffers, stage.address)
-    stage.loop.spawn(lambda: probe.Examiner(stage.loop, dial, ACCOUNT, 2 * SECOND).run(chosen, verdicts.append))
-    stage.until(lambda: len(verdicts) == len(chosen), 3_600 * SECOND)
+    dial = probe.tcp_dialer(stage.loop, stage.buffers, stage.address)
+    stage.loop.spawn(lambda: probe.CaseRunner(stage.loop, dial, ACCOUNT, 2 * SECOND).run(chosen, verdicts.append))
+    stage.run_until(lambda: len(verdicts) == len(chosen), 3_600 * SECOND)
     return verdicts
 
 
 def test_our_message_centre_conforms(tmp_path: Path) -> None:
     verdicts = run_cases(tmp_path)
     assert len(verdicts) >= 150 and len({(v.case.group, v.case.name) for v in verdicts}) == len(verdicts)
-    assert [(v.case.name, str(v.case.wanted), v.fault) for v in verdicts if v.fault] == []
+    assert [(v.case.name, str(v.case.expected), v.fault) for v in verdicts if v.fault] == []
     assert set(Counter(v.case.group for v in verdicts)) == {
         "states",
         "binds",
@@ -47,23 +47,23 @@
 
 def inject_defect(monkeypatch: pytest.MonkeyPatch, defect: str) -> None:
     if defect == "any password":
-        monkeypatch.setattr(server.Verifier, "same", lambda *arguments: True)
+        monkeypatch.setattr(server.Verifier, "matches", lambda *arguments: True)
     elif defect == "sequence":
-        real = session.Session.post
+        real = session.Session.send
         monkeypatch.setattr(
             session.Session,
-            "post",
+            "send",
             lambda self, sent: real(self, Pdu(sent.command, 1, sent.status, sent.fields, sent.message, sent.tlvs)),
         )
     elif defect == "states":
-        monkeypatch.setattr(server, "BINDS", dict.fromkeys(table.BINDS, table.Bound.TRX))
+        monkeypatch.setattr(server, "BOUND_STATES", dict.fromkeys(table.BOUND_STATES, table.SessionState.TRX))
     elif defect == "parameters":
         real_decode = pdu.decode
 
         def lenient(data: bytes) -> Pdu:
             try:
                 return real_decode(data)
-            except pdu.BadPdu:
+            except pdu.MalformedPduError:
                 return Pdu(Command.SUBMIT_SM, int.from_bytes(data[12:16], "big"))
 
         monkeypatch.setattr(session.p, "decode", lenient)
@@ -89,14 +89,14 @@
 
 
 def test_every_case_fails_without_a_connection(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     verdicts: list[Verdict] = []
     dial = lambda deadline: None if connect(stage.loop, ("127.0.0.1", 9), deadline) is None else None  # noqa: E731
     chosen = [case for case in conform.cases(ACCOUNT) if case.group == "unasked"]
-    stage.loop.spawn(lambda: probe.Examiner(stage.loop, dial, ACCOUNT, SECOND).run(chosen, verdicts.append))
-    stage.until(lambda: len(verdicts) == len(chosen))
+    stage.loop.spawn(lambda: probe.CaseRunner(stage.loop, dial, ACCOUNT, SECOND).run(chosen, verdicts.append))
+    stage.run_until(lambda: len(verdicts) == len(chosen))
     assert {v.fault for v in verdicts} == {"no connection"}
 
 
 def test_names_of_statuses() -> None:
-    assert conform.shown(Status.ESME_RTHROTTLED) == "ESME_RTHROTTLED" and conform.shown(0x401) == "0x401"
+    assert conform.status_name(Status.ESME_RTHROTTLED) == "ESME_RTHROTTLED" and conform.status_name(0x401) == "0x401"
--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -15,21 +15,21 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from snowlock.interface import Outcome
-from tests.smpp.test_operations import asked, submitted
-from tests.smpp.test_pace import sliding_window
+from tests.smpp.test_flow_control import sliding_window
+from tests.smpp.test_operations import exchange, submit
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
-from tests.test_smpp import Stage, submit_all
+from tests.test_smpp import SmppTestbed, submit_all
 
 DELIVRD, UNDELIV, REJECTD = 2, 5, 8
 SERVICES = ("RD", "WO", "PAY")
 
 
 def await_final_states(
-    stage: Stage, gate: StandInGateway, contractor: StandInContractor, count: int, payments: bool
+    stage: SmppTestbed, gate: StandInGateway, contractor: StandInContractor, count: int, payments: bool
 ) -> Counter[int]:
     """Wait for the final states, one for each message; a payment takes effect at most once, and if delivered, once."""
-    stage.until(lambda: len(contractor.ends()) == count and not stage.journal.entries, 300 * SECOND)
-    ends = contractor.ends()
+    stage.run_until(lambda: len(contractor.final_states()) == count and not stage.journal.entries, 300 * SECOND)
+    ends = contractor.final_states()
     assert all(len(states) == 1 for states in ends.values())
     states = Counter(next(iter(s)) for s in ends.values())
     if payments:
@@ -66,7 +66,7 @@
     "fault", ["unknown sequence", "twice", "other type", "nack", "nack without a status", "malformed body", "no PDU"]
 )
 def test_a_gateway_that_sends_malformed_responses(tmp_path: Path, fault: str, service: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     replacements, real, replaced = malformed_responses(fault), gate.write_bytes, []
 
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("service", SERVICES)
 def test_a_gateway_that_unbinds_with_submits_in_flight(tmp_path: Path, service: str) -> None:
-    stage = Stage(tmp_path, slots=20)
+    stage = SmppTestbed(tmp_path, slots=20)
     gate = StandInGateway(stage, pause=lambda _: 40 * MS)
     stage.open(gateway(gate.address, window=10))
     contractor = stage.contractor()
@@ -103,7 +103,7 @@
     def unbind() -> None:
         while gate.in_flight < 3:
             stage.loop.sleep(MS)
-        stream = gate.bound()
+        stream = gate.receiving_stream()
         gate.write(stream, Pdu(Command.UNBIND, 77))
 
     stage.loop.spawn(unbind)
@@ -123,7 +123,7 @@
         return sock
 
     monkeypatch.setattr(link, "connect", connect)
-    stage = Stage(tmp_path, slots=20)
+    stage = SmppTestbed(tmp_path, slots=20)
     gate = StandInGateway(stage)
     real, stalled = gate.serve, []
 
@@ -143,11 +143,11 @@
 
     gate.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     gate.serve = serve  # type: ignore[method-assign, assignment]
-    stage.open(gateway(gate.address, enquire=300 * MS, response=300 * MS, window=4))
+    stage.open(gateway(gate.address, enquire_link_interval=300 * MS, response_timeout=300 * MS, window=4))
     contractor = stage.contractor()
     stage.loop.spawn(
         lambda: [
-            contractor.ask(
+            contractor.send_request(
                 Command.SUBMIT_SM,
                 b"",
                 [(p.MESSAGE_PAYLOAD, bytes([65 + n]) * 12_000)],
@@ -159,14 +159,14 @@
             for n in range(8)
         ]
     )
-    stage.until(lambda: len(contractor.accepted()) == 8)
+    stage.run_until(lambda: len(contractor.accepted()) == 8)
     states = await_final_states(stage, gate, contractor, 8, service == "PAY")
     assert stalled and states[UNDELIV] <= 2, "a partially written submit did not run"
 
 
 @pytest.mark.parametrize("service", SERVICES)
 def test_a_session_that_stops_responding_with_fifty_in_flight(tmp_path: Path, service: str) -> None:
-    stage = Stage(tmp_path, slots=120, max_open=200)
+    stage = SmppTestbed(tmp_path, slots=120, max_open=200)
     unanswered: list[bytes] = []
 
     def script(pdu: Pdu) -> int | None:
@@ -176,11 +176,11 @@
         return 0
 
     gate = StandInGateway(stage, script=script)
-    stage.open(gateway(gate.address, window=50, enquire=300 * MS, response=300 * MS))
+    stage.open(gateway(gate.address, window=50, enquire_link_interval=300 * MS, response_timeout=300 * MS))
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
     stage.loop.spawn(lambda: [contractor.submit(f"{service}{n}".encode(), service) for n in range(60)])
-    stage.until(lambda: len(contractor.answers) == 62)
+    stage.run_until(lambda: len(contractor.answers) == 62)
     # The contractor's window is 50: submits beyond it that arrive in one turn of the loop are refused.
     states = await_final_states(stage, gate, contractor, len(contractor.accepted()), service == "PAY")
     assert len(unanswered) > 1 and states.total() > 50 and (service == "PAY") == (states[UNDELIV] > 0)
@@ -188,16 +188,16 @@
 
 @pytest.mark.parametrize("outcome", ["response", "receipt"])
 def test_a_thousand_messages_through_a_throttling_gateway(tmp_path: Path, outcome: str) -> None:
-    stage = Stage(tmp_path, slots=40, max_open=1_200)
+    stage = SmppTestbed(tmp_path, slots=40, max_open=1_200)
     limit = sliding_window(200)
 
     def script(pdu: Pdu) -> int:
         return 0 if limit(stage.loop.now) else Status.ESME_RTHROTTLED
 
     gate = StandInGateway(stage, script=script, pause=lambda _: 2 * MS)
-    gate.name = lambda pdu: pdu.message.decode()
+    gate.message_id_for = lambda pdu: pdu.message.decode()
     if outcome == "receipt":
-        gate.before = lambda pdu, stream: stage.loop.at(
+        gate.before_response = lambda pdu, stream: stage.loop.call_at(
             stage.loop.now + 50 * MS, lambda: gate.receipt(pdu.message.decode(), "DELIVRD", stream)
         )
     stage.open(gateway(gate.address, window=20, throttle_wait=20 * MS, outcome=outcome))
@@ -210,7 +210,7 @@
                 stage.loop.sleep(5 * MS)
 
     stage.loop.spawn(submit_in_bursts)
-    stage.until(lambda: len(contractor.answers) == 1_001, 300 * SECOND)
+    stage.run_until(lambda: len(contractor.answers) == 1_001, 300 * SECOND)
     accepted = len(contractor.accepted())
     states = await_final_states(stage, gate, contractor, accepted, False)
     payments = [b"%d" % number for number in range(1_000) if SERVICES[number % 3] == "PAY"]
@@ -219,19 +219,19 @@
 
 
 def test_queueing_time_does_not_count_towards_the_time_out(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, slots=40)
+    stage = SmppTestbed(tmp_path, slots=40)
     gate = StandInGateway(stage, pause=lambda _: 30 * MS)
     stage.open(gateway(gate.address, rate=8, window=20))
     contractor = stage.contractor()
     found: list[Result] = []
-    real = stage.gates._attempt
-    stage.gates._attempt = lambda *args: found.append(real(*args)) or found[-1]  # type: ignore[method-assign]
+    real = stage.gateways._attempt
+    stage.gateways._attempt = lambda *args: found.append(real(*args)) or found[-1]  # type: ignore[method-assign]
     for text in (b"a", b"b", b"c", b"d"):  # the decision module learns its latency
-        submitted(stage, contractor, text, "RD")
-        stage.until(lambda text=text: text in gate.effects)  # type: ignore[misc]
+        submit(stage, contractor, text, "RD")
+        stage.run_until(lambda text=text: text in gate.effects)  # type: ignore[misc]
     stage.loop.spawn(lambda: [contractor.submit(b"%d" % n, "RD") for n in range(10)])
     await_final_states(stage, gate, contractor, 14, False)
-    assert Counter(result.outcome for result in found) == {Outcome.OK: 14} and max(r.waited for r in found) > 400 * MS
+    assert Counter(result.outcome for result in found) == {Outcome.OK: 14} and max(r.queued for r in found) > 400 * MS
 
 
 @pytest.mark.parametrize("service", SERVICES)
@@ -239,31 +239,31 @@
 def test_a_kill_at_every_step(tmp_path: Path, step: str, service: str) -> None:
     """The first process stops, as after SIGKILL, and another one starts on its directory."""
     outcome = "receipt" if step in ("accepted", "receipt") else "response"
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     silent = step == "submit"
     gate = StandInGateway(stage, script=lambda _: None if silent else 0)
-    gate.name = lambda pdu: pdu.message.decode()
+    gate.message_id_for = lambda pdu: pdu.message.decode()
     stage.open(gateway(gate.address, outcome=outcome) if step != "bind" else gateway(("127.0.0.1", 9)))
     contractor = stage.contractor()
-    message_id = submitted(stage, contractor, b"one", service)
+    message_id = submit(stage, contractor, b"one", service)
     if step == "bind":
-        stage.until(lambda: stage.courier.open)
+        stage.run_until(lambda: stage.courier.open)
     elif step in ("submit", "answered"):
-        stage.until(lambda: gate.submits)
+        stage.run_until(lambda: gate.submits)
     else:
-        stage.until(lambda: stage.courier._awaiting)
+        stage.run_until(lambda: stage.courier._awaiting)
     if step == "receipt":  # sent by the gateway and not read
         gate.receipt("one", "DELIVRD")
-    successor = Stage(tmp_path)
+    successor = SmppTestbed(tmp_path)
     new_gate = StandInGateway(successor)
     successor.open(gateway(new_gate.address, outcome=outcome))
     new_contractor = successor.contractor()
     if outcome == "receipt":
-        successor.until(lambda: Command.BIND_TRANSCEIVER in new_gate.streams)
+        successor.run_until(lambda: Command.BIND_TRANSCEIVER in new_gate.streams)
         new_gate.receipt("one", "DELIVRD")  # sent again, as it was not acknowledged
-    successor.until(lambda: new_contractor.receipts and not successor.journal.entries)
-    assert len(new_contractor.receipts) == 1 and set(new_contractor.ends()) == {message_id}
-    state = next(iter(new_contractor.ends()[message_id]))
+    successor.run_until(lambda: new_contractor.receipts and not successor.journal.entries)
+    assert len(new_contractor.receipts) == 1 and set(new_contractor.final_states()) == {message_id}
+    state = next(iter(new_contractor.final_states()[message_id]))
     ran = step != "bind"
     if outcome == "receipt":
         assert state == DELIVRD and not new_gate.submits
@@ -275,15 +275,17 @@
 
 @pytest.mark.parametrize("step", ["waiting", "in flight", "awaiting"])
 def test_sigterm_at_every_step_ends_in_time_and_loses_nothing(tmp_path: Path, step: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, pause=lambda _: 3 * SECOND if step == "in flight" else MS)
-    gate.name = lambda pdu: pdu.message.decode()
+    gate.message_id_for = lambda pdu: pdu.message.decode()
     stage.open(
-        gateway(gate.address if step != "waiting" else ("127.0.0.1", 9), outcome="receipt", response=10 * SECOND)
+        gateway(
+            gate.address if step != "waiting" else ("127.0.0.1", 9), outcome="receipt", response_timeout=10 * SECOND
+        )
     )
     contractor = stage.contractor()
-    message_id = submitted(stage, contractor, b"one", "PAY")
-    stage.until(
+    message_id = submit(stage, contractor, b"one", "PAY")
+    stage.run_until(
         {
             "waiting": lambda: stage.courier.open,
             "in flight": lambda: gate.submits,
@@ -293,20 +295,20 @@
     started_at = stage.loop.now
     stage.courier.close()
     assert (
-        asked(
+        exchange(
             stage, contractor, Command.SUBMIT_SM, b"x", service_type="RD", source_addr="1", destination_addr="3725550"
         ).status
         == Status.ESME_RTHROTTLED
     )
-    stage.until(lambda: stage.loop._stopped)
-    assert stage.loop.now - started_at < 3_700 * MS and message_id not in contractor.ends()
-    successor = Stage(tmp_path)
+    stage.run_until(lambda: stage.loop._stopped)
+    assert stage.loop.now - started_at < 3_700 * MS and message_id not in contractor.final_states()
+    successor = SmppTestbed(tmp_path)
     new_gate = StandInGateway(successor)
     successor.open(gateway(new_gate.address))
     new_contractor = successor.contractor()
-    successor.until(lambda: new_contractor.receipts and not successor.journal.entries)
+    successor.run_until(lambda: new_contractor.receipts and not successor.journal.entries)
     states = {"waiting": {DELIVRD}, "in flight": {UNDELIV}, "awaiting": {UNDELIV}}
-    assert new_contractor.ends()[message_id] == states[step] or new_contractor.ends()[message_id] == {3}
+    assert new_contractor.final_states()[message_id] == states[step] or new_contractor.final_states()[message_id] == {3}
     assert len(new_gate.submits) == (step == "waiting")
 
 
@@ -314,22 +316,22 @@
     "fault", ["half a PDU", "receipt unacknowledged", "unbind with a receipt in flight", "no responses"]
 )
 def test_a_contractor_that_failed_gets_its_receipt_on_another_session(tmp_path: Path, fault: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, pause=lambda _: 20 * MS)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     if fault == "receipt unacknowledged":
         contractor.drop_receipts = 1
     elif fault != "half a PDU":
-        contractor.replies = None
-    message_id = submitted(stage, contractor, b"one", "PAY")
+        contractor.response_status = None
+    message_id = submit(stage, contractor, b"one", "PAY")
     if fault == "half a PDU":
         contractor.stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 5))[:9], None)
         contractor.stream.close()
     else:
-        stage.until(lambda: contractor.receipts)
+        stage.run_until(lambda: contractor.receipts)
         if fault == "unbind with a receipt in flight":
-            contractor.ask(Command.UNBIND)
+            contractor.send_request(Command.UNBIND)
     second = stage.contractor()
-    stage.until(lambda: second.receipts and not stage.journal.entries)
-    assert second.ends() == {message_id: {DELIVRD}} and gate.effects == {b"one": 1}
+    stage.run_until(lambda: second.receipts and not stage.journal.entries)
+    assert second.final_states() == {message_id: {DELIVRD}} and gate.effects == {b"one": 1}
--- a/tests/smpp/test_inbound.py
+++ b/tests/smpp/test_inbound.py
@@ -13,48 +13,48 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from tests.bench import listener
-from tests.smpp_standins import StandInContractor, StandInGateway, gateway, read
-from tests.test_smpp import Stage
+from tests.smpp_standins import StandInContractor, StandInGateway, gateway, read_pdu
+from tests.test_smpp import SmppTestbed
 
 INBOUND = {"37255": 901, "999": 950}
 
 
-def give_account_a_destination(stage: Stage, **more: object) -> None:
+def give_account_a_destination(stage: SmppTestbed, **more: object) -> None:
     import dataclasses
 
-    config = stage.server.told
+    config = stage.server.config
     accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in config.accounts)  # type: ignore[arg-type]
-    stage.server.told = dataclasses.replace(config, accounts=accounts)
+    stage.server.config = dataclasses.replace(config, accounts=accounts)
     stage.server.receivers.__init__(  # type: ignore[misc]
-        stage.loop, accounts, config.response, stage.server._find_receiver, stage.server._request_bind
+        stage.loop, accounts, config.response_timeout, stage.server._find_receiver, stage.server._request_bind
     )
 
 
-def staged(folder: Path, **more: object) -> tuple[Stage, StandInGateway]:
-    stage = Stage(folder)
+def staged(folder: Path, **more: object) -> tuple[SmppTestbed, StandInGateway]:
+    stage = SmppTestbed(folder)
     give_account_a_destination(stage, **more)
     gate = StandInGateway(stage)
     other = StandInGateway(stage)
     stage.open(gateway(gate.address, inbound=INBOUND, stay_bound=True), gateway(other.address, "far", dest=901))
-    stage.until(lambda: Command.BIND_TRANSCEIVER in gate.streams)
+    stage.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)
     stage.far = other  # type: ignore[attr-defined]
     return stage, gate
 
 
 def send_from_gateway(
-    stage: Stage,
+    stage: SmppTestbed,
     gate: StandInGateway,
     to: str,
     text: bytes = b"hello",
     command: Command = Command.DELIVER_SM,
 ) -> Pdu:
-    before = len(gate.heard)
+    before = len(gate.responses)
     request = Pdu(command, 70 + before, fields={"source_addr": "55", "destination_addr": to}, message=text)
     if command is Command.DATA_SM:
         request = Pdu(command, 70 + before, fields=request.fields, tlvs=[(p.MESSAGE_PAYLOAD, text)])
-    gate.write(gate.bound(), request)
-    stage.until(lambda: len(gate.heard) > before)
-    return gate.heard[-1]
+    gate.write(gate.receiving_stream(), request)
+    stage.run_until(lambda: len(gate.responses) > before)
+    return gate.responses[-1]
 
 
 @pytest.mark.parametrize("command", [Command.DELIVER_SM, Command.DATA_SM])
@@ -62,7 +62,7 @@
     stage, gate = staged(tmp_path)
     answer = send_from_gateway(stage, gate, "372551", b"to a next hop", command)
     assert answer.command == command | p.RESPONSE and answer.status == 0
-    stage.until(lambda: stage.far.submits and not stage.journal.entries)  # type: ignore[attr-defined]
+    stage.run_until(lambda: stage.far.submits and not stage.journal.entries)  # type: ignore[attr-defined]
     sent = stage.far.submits[0]  # type: ignore[attr-defined]
     assert (sent.message or sent.tlv(p.MESSAGE_PAYLOAD)) == b"to a next hop" and sent.text("source_addr") == "55"
     assert send_from_gateway(stage, gate, "1234").status == Status.ESME_RINVDSTADR
@@ -71,10 +71,10 @@
 def test_a_mobile_originated_message_waits_for_a_receiver_to_bind(tmp_path: Path) -> None:
     stage, gate = staged(tmp_path)
     assert send_from_gateway(stage, gate, "9991", b"hi").status == 0
-    stage.wait(SECOND)
+    stage.run_for(SECOND)
     assert len(stage.journal.entries) == 1
     contractor = stage.contractor(Command.BIND_RECEIVER)
-    stage.until(lambda: contractor.receipts and not stage.journal.entries)
+    stage.run_until(lambda: contractor.receipts and not stage.journal.entries)
     assert [(m.message, m.text("destination_addr")) for m in contractor.receipts] == [(b"hi", "9991")]
 
 
@@ -94,30 +94,32 @@
 def test_the_response_of_the_receiver_is_the_outcome(tmp_path: Path, status: Status | None, end: str) -> None:
     stage, gate = staged(tmp_path)
     ends: list[str] = []
-    stage.arrivals.settle = lambda message, reported: ends.append(reported.state)  # type: ignore[method-assign]
+    stage.arrivals.report_end = lambda message, reported: ends.append(reported.state)  # type: ignore[method-assign]
     contractor = stage.contractor(Command.BIND_RECEIVER)
-    contractor.replies = status
+    contractor.response_status = status
     send_from_gateway(stage, gate, "9991", b"x")
-    stage.until(lambda: contractor.receipts)
+    stage.run_until(lambda: contractor.receipts)
     if status is None:  # no response: its session is closed before the message goes to another one
-        stage.until(lambda: not stage.server._find_receiver(stage.server.told.accounts[0])[1])
+        stage.run_until(lambda: not stage.server._find_receiver(stage.server.config.accounts[0])[1])
         again = stage.contractor(Command.BIND_RECEIVER)
-        stage.until(lambda: again.receipts)
-    stage.until(lambda: ends)
+        stage.run_until(lambda: again.receipts)
+    stage.run_until(lambda: ends)
     assert ends == [end] and len(contractor.receipts) == 1
 
 
 def test_an_alert_notification_is_forwarded(tmp_path: Path) -> None:
     stage, gate = staged(tmp_path)
     contractor = stage.contractor()
-    gate.write(gate.bound(), Pdu(Command.ALERT_NOTIFICATION, 5, fields={"source_addr": "55", "esme_addr": "9"}))
-    stage.until(lambda: contractor.answers[-1].command is Command.ALERT_NOTIFICATION)
+    gate.write(
+        gate.receiving_stream(), Pdu(Command.ALERT_NOTIFICATION, 5, fields={"source_addr": "55", "esme_addr": "9"})
+    )
+    stage.run_until(lambda: contractor.answers[-1].command is Command.ALERT_NOTIFICATION)
     assert contractor.answers[-1].text("source_addr") == "55"
 
 
 @pytest.mark.parametrize(("password", "bound"), [("come", True), ("wrong", False)])
 def test_outbind_of_a_gateway(tmp_path: Path, password: str, bound: bool) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(("127.0.0.1", 9), outbind_system_id="gw", outbind_password="come", inbound=INBOUND))
     received: list[Pdu] = []
     streams: list[Stream] = []
@@ -128,18 +130,18 @@
         stream = Stream(stage.loop, sock, stage.buffers)
         streams.append(stream)
         stream.write(p.encode(Pdu(Command.OUTBIND, 1, fields={"system_id": "gw", "password": password})), None)
-        received.append(read(stream))
+        received.append(read_pdu(stream))
         stream.write(p.encode(received[0].reply(system_id="gw")), None)
         stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 9)), None)
-        received.append(read(stream))
+        received.append(read_pdu(stream))
 
     stage.loop.spawn(dial)
-    stage.until(lambda: len(received) == 2 if bound else received)
+    stage.run_until(lambda: len(received) == 2 if bound else received)
     if bound:
         assert [pdu.command for pdu in received] == [Command.BIND_TRANSCEIVER, Command.ENQUIRE_LINK_RESP]
         assert received[0].text("system_id") == "us"
-        stage.wait(6 * SECOND)  # past the time within which an incoming connection has to bind
-        assert next(iter(stage.gates._links.values())).hears()
+        stage.run_for(6 * SECOND)  # past the time within which an incoming connection has to bind
+        assert next(iter(stage.gateways._links.values())).is_receiving()
     else:
         assert received[0].command is Command.GENERIC_NACK
 
@@ -155,10 +157,10 @@
         conn, _ = sock.accept()
         conn.setblocking(False)
         stream = Stream(stage.loop, conn, stage.buffers)
-        requests.append(read(stream))
+        requests.append(read_pdu(stream))
         contractors.append(StandInContractor(stage.loop, stage, address, Command.BIND_RECEIVER, stream=stream))
 
     stage.loop.spawn(host)
     send_from_gateway(stage, gate, "9991", b"hi")
-    stage.until(lambda: contractors and contractors[0].receipts and not stage.journal.entries)
+    stage.run_until(lambda: contractors and contractors[0].receipts and not stage.journal.entries)
     assert requests[0].command is Command.OUTBIND and contractors[0].receipts[0].message == b"hi"
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -13,22 +13,26 @@
 from kestrelspar.runtime.loop import SECOND
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import table
-from kestrelspar.smpp.pdu import Command, Dest, Pdu, State, Status, Unsuccess
-from kestrelspar.smpp.table import Bound, Side
+from kestrelspar.smpp.pdu import Command, Destination, Pdu, State, Status, Unsuccess
+from kestrelspar.smpp.table import SessionState, Side
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
-from tests.test_smpp import Stage
+from tests.test_smpp import SmppTestbed
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
-BINDS = {Bound.TX: Command.BIND_TRANSMITTER, Bound.RX: Command.BIND_RECEIVER, Bound.TRX: Command.BIND_TRANSCEIVER}
+BINDS = {
+    SessionState.TX: Command.BIND_TRANSMITTER,
+    SessionState.RX: Command.BIND_RECEIVER,
+    SessionState.TRX: Command.BIND_TRANSCEIVER,
+}
 
 
-def asked(
-    stage: Stage,
+def exchange(
+    stage: SmppTestbed,
     contractor: StandInContractor,
     command: Command,
     message: bytes = b"",
     tlvs: list[tuple[int, bytes]] | None = None,
-    dests: list[Dest] | None = None,
+    dests: list[Destination] | None = None,
     **fields: Any,
 ) -> Pdu:
     """Send one request and return its response."""
@@ -36,14 +40,14 @@
     contractor.sequence += 1
     request = Pdu(command, contractor.sequence, 0, fields, message, tlvs or [], dests or [])
     stage.loop.spawn(lambda: contractor.stream.write(p.encode(request), None))
-    stage.until(lambda: len(contractor.answers) > before)
+    stage.run_until(lambda: len(contractor.answers) > before)
     return contractor.answers[-1]
 
 
-def submitted(
-    stage: Stage, contractor: StandInContractor, text: bytes = b"x", service: str = "WO", **fields: Any
+def submit(
+    stage: SmppTestbed, contractor: StandInContractor, text: bytes = b"x", service: str = "WO", **fields: Any
 ) -> str:
-    answer = asked(
+    answer = exchange(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -59,32 +63,37 @@
 
 
 def request_by_id(
-    stage: Stage, contractor: StandInContractor, command: Command, name: str, message: bytes = b"", source: str = "100"
+    stage: SmppTestbed,
+    contractor: StandInContractor,
+    command: Command,
+    name: str,
+    message: bytes = b"",
+    source: str = "100",
 ) -> Pdu:
-    return asked(stage, contractor, command, message, message_id=name, source_addr=source)
+    return exchange(stage, contractor, command, message, message_id=name, source_addr=source)
 
 
-def state(stage: Stage, contractor: StandInContractor, name: str) -> int:
+def query_state(stage: SmppTestbed, contractor: StandInContractor, name: str) -> int:
     answer = request_by_id(stage, contractor, Command.QUERY_SM, name)
     return answer.number("message_state") if answer.status == 0 else -answer.status
 
 
-def keeps(stage: Stage, retention: int = 60 * SECOND) -> Stage:
-    stage.server.told = dataclasses.replace(stage.server.told, keep_ended=retention)
+def retain_ended(stage: SmppTestbed, retention: int = 60 * SECOND) -> SmppTestbed:
+    stage.server.config = dataclasses.replace(stage.server.config, keep_ended=retention)
     return stage
 
 
-@pytest.mark.parametrize("bound", list(Bound))
+@pytest.mark.parametrize("bound", list(SessionState))
 @pytest.mark.parametrize("command", table.requests(), ids=lambda c: c.name.lower())
-def test_every_request_in_every_state_gets_its_response(tmp_path: Path, command: Command, bound: Bound) -> None:
-    stage = Stage(tmp_path)
+def test_every_request_in_every_state_gets_its_response(tmp_path: Path, command: Command, bound: SessionState) -> None:
+    stage = SmppTestbed(tmp_path)
     stage.open()
     contractor = stage.contractor(
-        BINDS.get(bound, Command.BIND_TRANSCEIVER), "secret" if bound is not Bound.OPEN else "wrong"
+        BINDS.get(bound, Command.BIND_TRANSCEIVER), "secret" if bound is not SessionState.OPEN else "wrong"
     )
-    request = Pdu(command, 7, 0, {"message_id": "none"}, dests=[Dest("1")])
+    request = Pdu(command, 7, 0, {"message_id": "none"}, dests=[Destination("1")])
     expected = table.refusal(Side.CENTRE, bound, request)
-    answer = asked(stage, contractor, command, dests=[Dest("1")], message_id="none")
+    answer = exchange(stage, contractor, command, dests=[Destination("1")], message_id="none")
     if command is Command.OUTBIND:
         assert (answer.command, answer.status) == (
             Command.GENERIC_NACK,
@@ -104,7 +113,7 @@
 def test_the_state_table_matches_the_specification() -> None:
     # SMPP 3.4, table 2-1: the requests that each side may send in each state.
     def served(side: Side, command: Command) -> set[str]:
-        return {bound.name for bound in Bound if table.refusal(side, bound, Pdu(command)) is None}
+        return {bound.name for bound in SessionState if table.refusal(side, bound, Pdu(command)) is None}
 
     for command in (
         Command.SUBMIT_SM,
@@ -122,11 +131,11 @@
 
 
 def test_data_sm_is_a_message_like_any_other(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    answer = asked(
+    answer = exchange(
         stage,
         contractor,
         Command.DATA_SM,
@@ -137,18 +146,23 @@
         registered_delivery=1,
     )
     assert answer.command is Command.DATA_SM_RESP and answer.status == 0
-    stage.until(lambda: len(contractor.ends()) == 1)
-    assert contractor.ends() == {answer.text("message_id"): {State.DELIVERED}}
+    stage.run_until(lambda: len(contractor.final_states()) == 1)
+    assert contractor.final_states() == {answer.text("message_id"): {State.DELIVERED}}
     assert gate.submits[0].tlv(p.MESSAGE_PAYLOAD) == b"long" * 100 and gate.submits[0].tlv(0x0204) == b"\0\7"
 
 
 def test_submit_multi_lists_rejected_destinations_and_each_other_one_ends_once(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    dests = [Dest("3725551"), Dest("999"), Dest("friends", is_list=True), Dest("3725552", 1, 1)]
-    answer = asked(
+    dests = [
+        Destination("3725551"),
+        Destination("999"),
+        Destination("friends", is_list=True),
+        Destination("3725552", 1, 1),
+    ]
+    answer = exchange(
         stage,
         contractor,
         Command.SUBMIT_MULTI,
@@ -162,44 +176,52 @@
         ("999", Status.ESME_RINVDSTADR),
         ("friends", Status.ESME_RINVDLNAME),
     }
-    stage.until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
+    stage.run_until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
     assert sorted(r.text("source_addr") for r in contractor.receipts) == ["3725551", "3725552"]
-    assert contractor.ends() == {answer.text("message_id"): {State.DELIVERED}} and gate.effects[b"all"] == 2
-    refused = asked(stage, contractor, Command.SUBMIT_MULTI, b"none", dests=[Dest("999")], service_type="WO")
+    assert contractor.final_states() == {answer.text("message_id"): {State.DELIVERED}} and gate.effects[b"all"] == 2
+    refused = exchange(stage, contractor, Command.SUBMIT_MULTI, b"none", dests=[Destination("999")], service_type="WO")
     assert refused.status == Status.ESME_RINVDSTADR and not stage.courier.open
 
 
 def test_a_submit_multi_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
-    request = Pdu(Command.SUBMIT_MULTI, 9, 0, {"service_type": "WO"}, b"x", dests=[Dest("3725551"), Dest("3725552")])
+    request = Pdu(
+        Command.SUBMIT_MULTI, 9, 0, {"service_type": "WO"}, b"x", dests=[Destination("3725551"), Destination("3725552")]
+    )
 
     def send_and_disconnect() -> None:
         contractor.stream.write(p.encode(request), None)
         contractor.stream.close()
 
     stage.loop.spawn(send_and_disconnect)
-    stage.wait(SECOND)
+    stage.run_for(SECOND)
     assert not gate.submits and not stage.journal.entries and not stage.courier.open
 
 
 def test_query_returns_the_state_of_open_and_ended_messages_also_after_a_restart(tmp_path: Path) -> None:
-    stage = keeps(Stage(tmp_path))
+    stage = retain_ended(SmppTestbed(tmp_path))
     gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"slow" else 0)
-    stage.open(gateway(gate.address, response=20 * SECOND))
+    stage.open(gateway(gate.address, response_timeout=20 * SECOND))
     contractor = stage.contractor()
-    done, slow = submitted(stage, contractor, b"quick"), submitted(stage, contractor, b"slow")
-    stage.until(lambda: done in contractor.ends())
-    assert state(stage, contractor, done) == State.DELIVERED and state(stage, contractor, slow) == State.ENROUTE
-    assert state(stage, contractor, "unknown") == -Status.ESME_RINVMSGID
+    done, slow = submit(stage, contractor, b"quick"), submit(stage, contractor, b"slow")
+    stage.run_until(lambda: done in contractor.final_states())
+    assert (
+        query_state(stage, contractor, done) == State.DELIVERED
+        and query_state(stage, contractor, slow) == State.ENROUTE
+    )
+    assert query_state(stage, contractor, "unknown") == -Status.ESME_RINVMSGID
     assert request_by_id(stage, contractor, Command.QUERY_SM, done, source="101").status == Status.ESME_RQUERYFAIL
     stage.courier.journal._compact()
-    successor = keeps(Stage(tmp_path))
+    successor = retain_ended(SmppTestbed(tmp_path))
     successor.open(gateway(gate.address))
     contractor = successor.contractor()
-    assert state(successor, contractor, done) == State.DELIVERED and state(successor, contractor, slow) == State.ENROUTE
+    assert (
+        query_state(successor, contractor, done) == State.DELIVERED
+        and query_state(successor, contractor, slow) == State.ENROUTE
+    )
     answer = request_by_id(successor, contractor, Command.QUERY_SM, done)
     assert len(answer.text("final_date")) == 16 and answer.text("final_date").endswith("000+")
 
@@ -207,70 +229,72 @@
 def test_retained_states_of_ended_messages_are_bounded_and_expire(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    journal = Stage(tmp_path).journal
+    journal = SmppTestbed(tmp_path).journal
     for n in range(20_000):
-        journal.keep_ended(f"acme {n}", "x" * 40, 60 * SECOND)
+        journal.retain_ended(f"acme {n}", "x" * 40, 60 * SECOND)
     assert journal.ended("acme 19999") and not journal.ended("acme 0")
     assert journal._size <= journal._limit and journal._ended_live <= journal._limit // 4
-    assert journal.taken(1, 5, "{}", b"x" * 60_000), "ended messages leave no room for a new one"
-    journal.keep_ended("brief", "y", 1)
+    assert journal.record_accepted(1, 5, "{}", b"x" * 60_000), "ended messages leave no room for a new one"
+    journal.retain_ended("brief", "y", 1)
     assert journal.ended("brief") is None
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_cancel_withdraws_only_messages_that_never_ran(tmp_path: Path, service: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
-    stage.open(gateway(gate.address, window=1, response=20 * SECOND))
+    stage.open(gateway(gate.address, window=1, response_timeout=20 * SECOND))
     contractor = stage.contractor()
-    later = submitted(stage, contractor, b"later", service, schedule_delivery_time="000000000100000R")
-    in_flight = submitted(stage, contractor, b"in flight", service)
-    stage.until(lambda: gate.submits)
+    later = submit(stage, contractor, b"later", service, schedule_delivery_time="000000000100000R")
+    in_flight = submit(stage, contractor, b"in flight", service)
+    stage.run_until(lambda: gate.submits)
     assert request_by_id(stage, contractor, Command.CANCEL_SM, in_flight).status == Status.ESME_RCANCELFAIL
     assert request_by_id(stage, contractor, Command.CANCEL_SM, later, source="1").status == Status.ESME_RINVMSGID
     assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == 0
-    stage.until(lambda: later in contractor.ends())
-    assert contractor.ends()[later] == {State.DELETED}
-    stage.until(lambda: len(stage.journal.entries) == 1)
+    stage.run_until(lambda: later in contractor.final_states())
+    assert contractor.final_states()[later] == {State.DELETED}
+    stage.run_until(lambda: len(stage.journal.entries) == 1)
     assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == Status.ESME_RINVMSGID
-    stage.wait(90 * SECOND)
+    stage.run_for(90 * SECOND)
     assert [s.message for s in gate.submits].count(b"later") == 0
-    assert all(len(states) == 1 for states in contractor.ends().values())
+    assert all(len(states) == 1 for states in contractor.final_states().values())
 
 
 def test_cancel_by_addresses_withdraws_all_that_can_be_withdrawn(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(StandInGateway(stage).address))
     contractor = stage.contractor()
-    first = [submitted(stage, contractor, schedule_delivery_time="000000000100000R") for _ in range(3)]
-    other = submitted(stage, contractor, destination_addr="3725559", schedule_delivery_time="000000000100000R")
+    first = [submit(stage, contractor, schedule_delivery_time="000000000100000R") for _ in range(3)]
+    other = submit(stage, contractor, destination_addr="3725559", schedule_delivery_time="000000000100000R")
     addresses = {"source_addr": "100", "destination_addr": "3725550"}
-    assert asked(stage, contractor, Command.CANCEL_SM, service_type="RD", **addresses).status == Status.ESME_RCANCELFAIL
-    assert asked(stage, contractor, Command.CANCEL_SM, **addresses).status == 0
-    stage.until(lambda: len(contractor.ends()) == 3)
-    assert set(contractor.ends()) == set(first) and state(stage, contractor, other) == State.ENROUTE
+    assert (
+        exchange(stage, contractor, Command.CANCEL_SM, service_type="RD", **addresses).status == Status.ESME_RCANCELFAIL
+    )
+    assert exchange(stage, contractor, Command.CANCEL_SM, **addresses).status == 0
+    stage.run_until(lambda: len(contractor.final_states()) == 3)
+    assert set(contractor.final_states()) == set(first) and query_state(stage, contractor, other) == State.ENROUTE
 
 
 def test_replace_changes_only_messages_without_an_attempt_and_survives_a_restart(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
-    stage.open(gateway(gate.address, response=20 * SECOND))
+    stage.open(gateway(gate.address, response_timeout=20 * SECOND))
     contractor = stage.contractor()
-    in_flight = submitted(stage, contractor, b"in flight")
-    later = submitted(stage, contractor, b"old", schedule_delivery_time="000000000003000R")
-    stage.until(lambda: gate.submits)
+    in_flight = submit(stage, contractor, b"in flight")
+    later = submit(stage, contractor, b"old", schedule_delivery_time="000000000003000R")
+    stage.run_until(lambda: gate.submits)
     assert request_by_id(stage, contractor, Command.REPLACE_SM, in_flight, b"new").status == Status.ESME_RREPLACEFAIL
     assert request_by_id(stage, contractor, Command.REPLACE_SM, "none", b"new").status == Status.ESME_RINVMSGID
     assert request_by_id(stage, contractor, Command.REPLACE_SM, later, b"new").status == 0
-    successor = Stage(tmp_path)
+    successor = SmppTestbed(tmp_path)
     gate = StandInGateway(successor)
     successor.open(gateway(gate.address))
-    successor.until(lambda: gate.effects[b"new"], within=60 * SECOND)
+    successor.run_until(lambda: gate.effects[b"new"], within=60 * SECOND)
     assert not gate.effects[b"old"] and gate.effects[b"new"] == 1
 
 
 def test_a_scheduled_message_waits_through_a_restart_and_its_deadline_counts_from_the_schedule(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
@@ -280,7 +304,7 @@
         ("x", Status.ESME_RINVSCHED),
     ):
         assert (
-            asked(
+            exchange(
                 stage,
                 contractor,
                 Command.SUBMIT_SM,
@@ -290,7 +314,7 @@
             ).status
             == status
         )
-    expires_early = asked(
+    expires_early = exchange(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -301,13 +325,13 @@
     )
     assert expires_early.status == Status.ESME_RINVEXPIRY
     started_at = stage.loop.now
-    submitted(stage, contractor, b"later", schedule_delivery_time="000000000100000R")
-    stage.wait(40 * SECOND)
+    submit(stage, contractor, b"later", schedule_delivery_time="000000000100000R")
+    stage.run_for(40 * SECOND)
     assert not gate.submits
-    successor = Stage(tmp_path)
+    successor = SmppTestbed(tmp_path)
     gate = StandInGateway(successor)
     successor.open(gateway(gate.address))
-    successor.until(lambda: gate.effects[b"later"], within=120 * SECOND)
+    successor.run_until(lambda: gate.effects[b"later"], within=120 * SECOND)
     assert gate.first_effect_at[b"later"] - started_at >= 60 * SECOND and gate.effects[b"later"] == 1
 
 
@@ -326,32 +350,32 @@
     fields = {name: text if max_length else number for name, max_length in p.FIELDS.get(command, ()) if max_length >= 0}
     pdu = Pdu(command, 5, 0, fields, message if command in p._WITH_SHORT_MESSAGE else b"", [(tag, message)])
     if command is Command.SUBMIT_MULTI:
-        pdu.dests = [Dest(text, 0 if n % 2 else number, 0 if n % 2 else 1, bool(n % 2)) for n in range(count)]
+        pdu.dests = [Destination(text, 0 if n % 2 else number, 0 if n % 2 else 1, bool(n % 2)) for n in range(count)]
     if command is Command.SUBMIT_MULTI_RESP:
         pdu.unsuccess = [Unsuccess(text, number, 1, number) for _ in range(count)]
     data = p.encode(pdu)
-    assert p.whole(bytearray(data)) == len(data) and p.decode(data) == pdu
+    assert p.complete_length(bytearray(data)) == len(data) and p.decode(data) == pdu
     for length in range(17, len(data), max(1, len(data) // 20)):
         truncated = length.to_bytes(4, "big") + data[4:length]
         try:
             assert p.decode(truncated) != pdu
-        except p.BadPdu as error:
+        except p.MalformedPduError as error:
             assert error.sequence == 5
 
 
 def test_requests_of_a_gateway_are_answered_by_the_state_table(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
-    submitted(stage, stage.contractor())
-    stage.until(lambda: gate.submits)
-    link = next(iter(stage.gates._links.values()))
+    submit(stage, stage.contractor())
+    stage.run_until(lambda: gate.submits)
+    link = next(iter(stage.gateways._links.values()))
     session = link.sessions[0].session
-    assert session.state is Bound.TRX
+    assert session.state is SessionState.TRX
     posted: list[Pdu] = []
-    session.post = lambda pdu: posted.append(pdu) or True  # type: ignore[method-assign, func-returns-value]
+    session.send = lambda pdu: posted.append(pdu) or True  # type: ignore[method-assign, func-returns-value]
     for command in table.requests():
-        stage.gates._handle(link, link.sessions[0], Pdu(command, 3))
+        stage.gateways._handle(link, link.sessions[0], Pdu(command, 3))
     assert {pdu.command.name: pdu.status for pdu in posted if pdu.status == 0} == {
         "DELIVER_SM_RESP": 0,
         "DATA_SM_RESP": 0,
@@ -360,46 +384,46 @@
 
 
 def test_a_message_between_attempts_is_withdrawn_only_if_none_may_have_run(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, slots=1)
+    stage = SmppTestbed(tmp_path, slots=1)
     answers = {b"may have run": Status.ESME_RSYSERR, b"full": Status.ESME_RTHROTTLED}
     gate = StandInGateway(stage, script=lambda pdu: answers.get(pdu.message, 0))
     stage.open(gateway(gate.address, throttle_wait=5 * SECOND))
     contractor = stage.contractor()
-    may_have_run = submitted(stage, contractor, b"may have run", "RD")
-    stage.until(lambda: gate.submits and not stage.courier.out)
+    may_have_run = submit(stage, contractor, b"may have run", "RD")
+    stage.run_until(lambda: gate.submits and not stage.courier.attempts_in_flight)
     assert request_by_id(stage, contractor, Command.CANCEL_SM, may_have_run).status == Status.ESME_RCANCELFAIL
     del answers[b"may have run"]
-    stage.until(lambda: may_have_run in contractor.ends())
-    full = submitted(stage, contractor, b"full", "PAY")
-    stage.until(lambda: gate.submits[-1].message == b"full" and not stage.courier.out)
+    stage.run_until(lambda: may_have_run in contractor.final_states())
+    full = submit(stage, contractor, b"full", "PAY")
+    stage.run_until(lambda: gate.submits[-1].message == b"full" and not stage.courier.attempts_in_flight)
     assert request_by_id(stage, contractor, Command.REPLACE_SM, full, b"new").status == Status.ESME_RREPLACEFAIL
     assert request_by_id(stage, contractor, Command.CANCEL_SM, full).status == 0
-    number = stage.courier._last
-    stage.until(lambda: full in contractor.ends())
-    assert contractor.ends()[full] == {State.DELETED} and number not in stage.courier._controller.messages
-    after = submitted(stage, contractor, b"after", "PAY")  # the only slot is free again
-    stage.until(lambda: after in contractor.ends())
+    number = stage.courier._last_number
+    stage.run_until(lambda: full in contractor.final_states())
+    assert contractor.final_states()[full] == {State.DELETED} and number not in stage.courier._controller.messages
+    after = submit(stage, contractor, b"after", "PAY")  # the only slot is free again
+    stage.run_until(lambda: after in contractor.final_states())
     assert [s.message for s in gate.submits].count(b"full") == 1
 
 
 def test_a_message_that_waits_for_the_window_is_not_withdrawn(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, pause=lambda _: 300_000)
     stage.open(gateway(gate.address, window=1))
     contractor = stage.contractor()
-    submitted(stage, contractor, b"first", "PAY")
-    second = submitted(stage, contractor, b"second", "PAY")  # sent by the decision module, and waiting for the window
-    stage.until(lambda: stage.courier.out == 2)
+    submit(stage, contractor, b"first", "PAY")
+    second = submit(stage, contractor, b"second", "PAY")  # sent by the decision module, and waiting for the window
+    stage.run_until(lambda: stage.courier.attempts_in_flight == 2)
     assert request_by_id(stage, contractor, Command.CANCEL_SM, second).status == Status.ESME_RCANCELFAIL
-    stage.until(lambda: second in contractor.ends())
-    assert contractor.ends()[second] == {State.DELIVERED}
+    stage.run_until(lambda: second in contractor.final_states())
+    assert contractor.final_states()[second] == {State.DELIVERED}
 
 
 def test_a_replaced_message_counts_once_in_the_journal(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
-    later = submitted(stage, contractor, b"old", schedule_delivery_time="000000000100000R")
+    later = submit(stage, contractor, b"old", schedule_delivery_time="000000000100000R")
     for text in (b"x" * 200, b"y" * 100):
         assert request_by_id(stage, contractor, Command.REPLACE_SM, later, text).status == 0
     journal = stage.journal
--- a/tests/smpp/test_parts.py
+++ b/tests/smpp/test_parts.py
@@ -13,13 +13,13 @@
 from kestrelspar.runtime.loop import SECOND
 from kestrelspar.smpp import parts
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.client import Doubt
+from kestrelspar.smpp.alphabets import encode_text
+from kestrelspar.smpp.client import TimedOutSubmits
 from kestrelspar.smpp.parts import InvalidPartError, Part, PartDisposition, Reassembler
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
-from kestrelspar.smpp.text import coded
-from tests.smpp.test_operations import asked, keeps, state
+from tests.smpp.test_operations import exchange, query_state, retain_ended
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
-from tests.test_smpp import Stage
+from tests.test_smpp import SmppTestbed
 
 PART_TEXTS = [b"one ", b"two ", b"three"]
 UDH, SAR = "udh", "sar"
@@ -98,7 +98,7 @@
 
 
 def submit_part(
-    stage: Stage,
+    stage: SmppTestbed,
     contractor: StandInContractor,
     how: str,
     ref: int,
@@ -110,45 +110,45 @@
     text = PART_TEXTS[place - 1] if text is None else text
     if how == UDH:
         header = bytes([5, 0, 3, ref, 3, place])
-        return asked(stage, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **fields)
-    return asked(stage, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **fields)
+        return exchange(stage, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **fields)
+    return exchange(stage, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **fields)
 
 
 @pytest.mark.parametrize("how", [UDH, SAR])
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_parts_in_any_order_become_one_call_with_a_receipt_for_each(tmp_path: Path, how: str, service: str) -> None:
-    stage = keeps(Stage(tmp_path))
+    stage = retain_ended(SmppTestbed(tmp_path))
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     names = [submit_part(stage, contractor, how, 9, place, service).text("message_id") for place in (3, 1, 1, 2)]
     assert names[1] == names[2], "a duplicate part has to get the same response again"
-    stage.until(lambda: len(contractor.receipts) == 3 and not stage.journal.entries)
-    assert contractor.ends() == {name: {State.DELIVERED} for name in names}
+    stage.run_until(lambda: len(contractor.receipts) == 3 and not stage.journal.entries)
+    assert contractor.final_states() == {name: {State.DELIVERED} for name in names}
     (sent,) = gate.submits
     assert sent.tlv(p.MESSAGE_PAYLOAD) == b"one two three" and not sent.number("esm_class") & 0x40
     assert all(sent.tlv(tag) is None for tag in parts.SAR)
-    assert [state(stage, contractor, name) for name in names] == [State.DELIVERED] * 4
+    assert [query_state(stage, contractor, name) for name in names] == [State.DELIVERED] * 4
 
 
 def test_a_missing_part_expires_the_others_once(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     names = [submit_part(stage, contractor, SAR, 9, place).text("message_id") for place in (1, 3)]
-    stage.until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
-    assert contractor.ends() == {name: {State.EXPIRED} for name in names} and not gate.submits
+    stage.run_until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
+    assert contractor.final_states() == {name: {State.EXPIRED} for name in names} and not gate.submits
     assert submit_part(stage, contractor, SAR, 9, 2).status == 0  # begins a new message
 
 
 def test_parts_end_by_their_own_deadline_even_if_a_later_message_expires_first(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
     begin = stage.loop.now
     submit_part(stage, contractor, SAR, 1, 1)
-    short_lived = asked(
+    short_lived = exchange(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -160,14 +160,15 @@
         registered_delivery=1,
         validity_period="000000000003000R",
     )
-    stage.until(lambda: contractor.receipts)
+    stage.run_until(lambda: contractor.receipts)
     assert (
-        contractor.ends() == {short_lived.text("message_id"): {State.EXPIRED}} and stage.loop.now - begin <= 3 * SECOND
+        contractor.final_states() == {short_lived.text("message_id"): {State.EXPIRED}}
+        and stage.loop.now - begin <= 3 * SECOND
     )
 
 
 def test_the_id_of_one_part_cannot_replace_the_whole_message(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))
     contractor = stage.contractor()
     fields = {
@@ -178,13 +179,13 @@
         "schedule_delivery_time": "000000000100000R",
     }
     names = [
-        asked(stage, contractor, Command.SUBMIT_SM, PART_TEXTS[n - 1], sar(7, 3, n), **fields).text("message_id")
+        exchange(stage, contractor, Command.SUBMIT_SM, PART_TEXTS[n - 1], sar(7, 3, n), **fields).text("message_id")
         for n in (1, 2, 3)
     ]
-    stage.until(lambda: len(stage.journal.entries) == 1)
+    stage.run_until(lambda: len(stage.journal.entries) == 1)
     for command, status in ((Command.REPLACE_SM, Status.ESME_RREPLACEFAIL), (Command.CANCEL_SM, 0)):
         assert (
-            asked(
+            exchange(
                 stage,
                 contractor,
                 command,
@@ -194,43 +195,43 @@
             ).status
             == status
         )
-    stage.until(lambda: len(contractor.receipts) == 3)
-    assert contractor.ends() == {name: {State.DELETED} for name in names}
+    stage.run_until(lambda: len(contractor.receipts) == 3)
+    assert contractor.final_states() == {name: {State.DELETED} for name in names}
 
 
 def test_parts_survive_a_restart_and_a_crash_during_reassembly(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open(gateway(("127.0.0.1", 1)))  # no gateway listens there
     contractor = stage.contractor()
     names = [submit_part(stage, contractor, UDH, 4, place).text("message_id") for place in (2, 1)]
-    second = Stage(tmp_path)
+    second = SmppTestbed(tmp_path)
     second.open(gateway(("127.0.0.1", 1)))
     contractor = second.contractor()
-    second.journal.done = lambda number: None  # type: ignore[method-assign, assignment]
+    second.journal.record_done = lambda number: None  # type: ignore[method-assign, assignment]
     names.append(submit_part(second, contractor, UDH, 4, 3).text("message_id"))
-    second.until(lambda: len(second.journal.entries) == 4)
-    third = Stage(tmp_path)
+    second.run_until(lambda: len(second.journal.entries) == 4)
+    third = SmppTestbed(tmp_path)
     gate = StandInGateway(third)
     third.open(gateway(gate.address))
     contractor = third.contractor()
-    third.until(lambda: len(contractor.receipts) == 3 and not third.journal.entries)
-    assert contractor.ends() == {name: {State.DELIVERED} for name in names}
+    third.run_until(lambda: len(contractor.receipts) == 3 and not third.journal.entries)
+    assert contractor.final_states() == {name: {State.DELIVERED} for name in names}
     assert [s.tlv(p.MESSAGE_PAYLOAD) for s in gate.submits] == [b"one two three"]
 
 
 def test_malformed_parts_are_refused_and_reassembly_can_be_disabled(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     fields = {"service_type": "WO", "source_addr": "100", "destination_addr": "3725550"}
     assert (
-        asked(stage, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **fields).status
+        exchange(stage, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **fields).status
         == Status.ESME_RINVESMCLASS
     )
-    stage.server.told = dataclasses.replace(stage.server.told, parts_within=0)
+    stage.server.config = dataclasses.replace(stage.server.config, parts_timeout=0)
     assert submit_part(stage, contractor, SAR, 1, 1).status == 0
-    stage.until(lambda: gate.submits)
+    stage.run_until(lambda: gate.submits)
     assert gate.submits[0].message == PART_TEXTS[0] and gate.submits[0].tlv(p.SAR_TOTAL_SEGMENTS) == b"\3"
 
 
@@ -265,13 +266,13 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.text(st.sampled_from("aé€[😀\x1b"), min_size=1, max_size=700), st.sampled_from(["udh", "sar"]))
 def test_split_texts_can_be_reassembled(text: str, how: str) -> None:
-    coding, body = coded(text.encode())
+    coding, body = encode_text(text.encode())
     pieces = parts.split(body, coding, how)
     if coding == parts.UCS_2:
         assert all(part.decode("utf-16-be") for part in pieces)
     rejoined = []
     for place, piece in enumerate(pieces, 1):
-        data, tlvs = parts.marked(piece, how, 300, len(pieces), place)
+        data, tlvs = parts.mark_part(piece, how, 300, len(pieces), place)
         assert len(data) <= (160 if coding == parts.GSM else 140)
         pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": parts.UDHI if how == "udh" else 0}, data, tlvs)
         part, rest = parts.identify_part(pdu, data)
@@ -292,14 +293,14 @@
     ],
 )
 def test_the_smallest_alphabet_with_all_characters_is_chosen(text: str | bytes, coding: int, octets: bytes) -> None:
-    assert coded(text.encode() if isinstance(text, str) else text) == (coding, octets)
+    assert encode_text(text.encode() if isinstance(text, str) else text) == (coding, octets)
 
 
 LONG_TEXT = b"a" * 400  # three parts
 
 
-def submit_long(stage: Stage, contractor: StandInContractor, service: str) -> str:
-    answer = asked(
+def submit_long(stage: SmppTestbed, contractor: StandInContractor, service: str) -> str:
+    answer = exchange(
         stage,
         contractor,
         Command.SUBMIT_SM,
@@ -315,20 +316,20 @@
 
 @pytest.mark.parametrize("how", [UDH, SAR])
 def test_a_long_text_is_sent_in_parts_and_delivered_when_all_are(tmp_path: Path, how: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address, split=how, window=2))
     contractor = stage.contractor()
     names = [submit_long(stage, contractor, "PAY") for _ in range(2)]
-    stage.until(lambda: len(contractor.receipts) == 2)
-    assert contractor.ends() == {name: {State.DELIVERED} for name in names} and len(gate.submits) == 6
+    stage.run_until(lambda: len(contractor.receipts) == 2)
+    assert contractor.final_states() == {name: {State.DELIVERED} for name in names} and len(gate.submits) == 6
     found: dict[int, dict[int, bytes]] = {}
     for pdu in gate.submits:
         part, text = parts.identify_part(pdu, pdu.message)
         assert part is not None and part.total == 3
         found.setdefault(part.ref, {})[part.place] = text
     assert [b"".join(pieces[n] for n in (1, 2, 3)) for pieces in found.values()] == [LONG_TEXT, LONG_TEXT]
-    assert gate.most_out <= 2
+    assert gate.max_in_flight <= 2
 
 
 # The status of each submit_sm in turn (None: no response), the class, the final state, and the number of attempts.
@@ -348,39 +349,39 @@
 def test_class_rules_apply_to_the_whole_message(
     tmp_path: Path, statuses: list[int | None], service: str, end: State, times: int
 ) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     left = list(statuses)
     gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0)
     stage.open(gateway(gate.address, split="sar", window=8))
     contractor = stage.contractor()
     name = submit_long(stage, contractor, service)
-    stage.until(lambda: contractor.receipts and not stage.journal.entries)
-    states = contractor.ends()[name]
+    stage.run_until(lambda: contractor.receipts and not stage.journal.entries)
+    states = contractor.final_states()[name]
     assert len(states) == 1 and (states == {end} or end is State.REJECTED and states <= {5, 8})
     first = [pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1"]
     assert len(first) == times and len({pdu.tlv(p.SAR_MSG_REF_NUM) for pdu in first}) == times
 
 
 def test_no_part_is_sent_after_a_failed_one_and_the_window_begins_with_the_first(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     left = [0, 0, Status.ESME_RSYSERR]
     gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0, pause=lambda _: 200_000)
     stage.open(gateway(gate.address, split="sar", window=1))
     contractor = stage.contractor()
     stage.loop.spawn(submit_long, stage, contractor, "WO")
-    stage.until(lambda: len(gate.submits) == 2)
+    stage.run_until(lambda: len(gate.submits) == 2)
     (entry,) = stage.journal.entries.values()
-    assert entry.maybe_since is not None and entry.maybe_since <= gate.calls[0], (
+    assert entry.may_have_run_since is not None and entry.may_have_run_since <= gate.submitted_at[0], (
         "the execution window has to begin with the first part"
     )
     left[:] = [Status.ESME_RSYSERR]
-    stage.until(lambda: len(gate.submits) == 3)
-    again = Stage(tmp_path / "..")
+    stage.run_until(lambda: len(gate.submits) == 3)
+    again = SmppTestbed(tmp_path / "..")
     gate = StandInGateway(again, script=lambda pdu: 0 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1" else 8)
     again.open(gateway(gate.address, split="sar", window=1))
     contractor = again.contractor()
     submit_long(again, contractor, "PAY")
-    again.until(lambda: contractor.receipts)
+    again.run_until(lambda: contractor.receipts)
     assert len(gate.submits) == 2
 
 
@@ -388,7 +389,7 @@
     def pause(pdu: Pdu) -> int:
         return 450_000 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\2" else 390_000 if pdu.message == b"other" else 5_000
 
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     bad = [1]
     gate = StandInGateway(
         stage,
@@ -398,16 +399,16 @@
     stage.open(gateway(gate.address, "one", split="sar", window=9))
     contractor = stage.contractor()
     name = submit_long(stage, contractor, "RD")
-    stage.wait(200_000)
-    asked(stage, contractor, Command.SUBMIT_SM, b"other", service_type="PAY", destination_addr="3725550")
-    stage.until(lambda: name in contractor.ends())
+    stage.run_for(200_000)
+    exchange(stage, contractor, Command.SUBMIT_SM, b"other", service_type="PAY", destination_addr="3725550")
+    stage.run_until(lambda: name in contractor.final_states())
     assert len([pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\3"]) >= 2
 
 
 def test_an_attempt_in_parts_ends_with_its_last_late_response() -> None:
-    doubt = Doubt(SECOND, 3)
-    doubt.out = 2
-    doubt.settle(Pdu(Command.SUBMIT_SM_RESP))
-    assert not doubt.over
-    doubt.settle(None)
-    assert doubt.over and doubt.answer is None
+    doubt = TimedOutSubmits(SECOND, 3)
+    doubt.in_flight = 2
+    doubt.record_late_response(Pdu(Command.SUBMIT_SM_RESP))
+    assert not doubt.all_ended
+    doubt.record_late_response(None)
+    assert doubt.all_ended and doubt.late_response is None
--- a/tests/smpp/test_receipts.py
+++ b/tests/smpp/test_receipts.py
@@ -10,24 +10,24 @@
 from kestrelspar.runtime.loop import MS
 from kestrelspar.smpp import receipts
 from kestrelspar.smpp.pdu import Command, Pdu, State, Status
-from kestrelspar.smpp.receipts import Ledger, normalized_id, read
-from tests.smpp.test_operations import submitted
+from kestrelspar.smpp.receipts import ReceiptTracker, normalized_id, parse
+from tests.smpp.test_operations import submit
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
-from tests.test_smpp import Stage
+from tests.test_smpp import SmppTestbed
 
 DELIVRD, EXPIRED, UNDELIV, REJECTD = 2, 3, 5, 8
 
 
-def staged(folder: Path, **more: object) -> tuple[Stage, StandInGateway, StandInContractor]:
-    stage = Stage(folder)
+def staged(folder: Path, **more: object) -> tuple[SmppTestbed, StandInGateway, StandInContractor]:
+    stage = SmppTestbed(folder)
     gate = StandInGateway(stage)
-    gate.name = lambda pdu: f"id-{pdu.message.decode()}"
+    gate.message_id_for = lambda pdu: f"id-{pdu.message.decode()}"
     stage.open(gateway(gate.address, outcome="receipt", **more))
     return stage, gate, stage.contractor()
 
 
-def wait_for_acceptance(stage: Stage, gate: StandInGateway, count: int = 1) -> None:
-    stage.until(lambda: len(stage.courier._awaiting) == count)
+def wait_for_acceptance(stage: SmppTestbed, gate: StandInGateway, count: int = 1) -> None:
+    stage.run_until(lambda: len(stage.courier._awaiting) == count)
 
 
 @pytest.mark.parametrize(
@@ -46,57 +46,61 @@
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_the_receipt_decides_the_final_state(tmp_path: Path, service: str, stat: str, state: int) -> None:
     stage, gate, contractor = staged(tmp_path)
-    name = submitted(stage, contractor, b"a", service)
+    name = submit(stage, contractor, b"a", service)
     wait_for_acceptance(stage, gate)
-    assert not contractor.receipts and not stage.courier.out and gate.submits[0].number("registered_delivery") == 1
+    assert (
+        not contractor.receipts
+        and not stage.courier.attempts_in_flight
+        and gate.submits[0].number("registered_delivery") == 1
+    )
     gate.receipt("id-a", "ENROUTE")
     gate.receipt("id-other", stat)
     gate.receipt("id-a", stat)
     gate.receipt("id-a", "DELIVRD")  # a second receipt changes nothing
-    stage.until(lambda: contractor.receipts and len(gate.heard) == 4 and not stage.journal.entries)
-    assert contractor.ends() == {name: {state}} and len(contractor.receipts) == 1
-    assert len(gate.submits) == 1 and {pdu.status for pdu in gate.heard} == {0}
+    stage.run_until(lambda: contractor.receipts and len(gate.responses) == 4 and not stage.journal.entries)
+    assert contractor.final_states() == {name: {state}} and len(contractor.receipts) == 1
+    assert len(gate.submits) == 1 and {pdu.status for pdu in gate.responses} == {0}
 
 
 def test_a_receipt_may_arrive_before_its_response_and_on_another_session(tmp_path: Path) -> None:
     stage, gate, contractor = staged(tmp_path, bind="pair")
-    first = submitted(stage, contractor, b"a")
+    first = submit(stage, contractor, b"a")
     wait_for_acceptance(stage, gate)
-    stage.until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound to receive the receipt
+    stage.run_until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound to receive the receipt
     gate.receipt("id-a", "UNDELIV")
-    stage.until(lambda: first in contractor.ends())
-    gate.before = lambda pdu, stream: gate.receipt("id-b", "DELIVRD") or stage.loop.sleep(20 * MS)
-    second = submitted(stage, contractor, b"b")
-    stage.until(lambda: second in contractor.ends())
-    assert contractor.ends() == {first: {UNDELIV}, second: {DELIVRD}}
-    assert [pdu.status for pdu in gate.heard] == [0, 0] and len(gate.submits) == 2
+    stage.run_until(lambda: first in contractor.final_states())
+    gate.before_response = lambda pdu, stream: gate.receipt("id-b", "DELIVRD") or stage.loop.sleep(20 * MS)
+    second = submit(stage, contractor, b"b")
+    stage.run_until(lambda: second in contractor.final_states())
+    assert contractor.final_states() == {first: {UNDELIV}, second: {DELIVRD}}
+    assert [pdu.status for pdu in gate.responses] == [0, 0] and len(gate.submits) == 2
 
 
 def test_receipts_are_received_after_a_reconnect(tmp_path: Path) -> None:
     stage, gate, contractor = staged(tmp_path)
-    name = submitted(stage, contractor, b"a")
+    name = submit(stage, contractor, b"a")
     wait_for_acceptance(stage, gate)
     old = gate.streams.pop(Command.BIND_TRANSCEIVER)
     old.close()
-    stage.until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # rebound only to receive
+    stage.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # rebound only to receive
     gate.receipt("id-a", "DELIVRD")
-    stage.until(lambda: name in contractor.ends())
-    assert contractor.ends() == {name: {DELIVRD}} and len(gate.submits) == 1
+    stage.run_until(lambda: name in contractor.final_states())
+    assert contractor.final_states() == {name: {DELIVRD}} and len(gate.submits) == 1
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_receipts_are_received_after_a_restart(tmp_path: Path, service: str) -> None:
     stage, gate, contractor = staged(tmp_path)
-    name = submitted(stage, contractor, b"a", service)
+    name = submit(stage, contractor, b"a", service)
     wait_for_acceptance(stage, gate)
-    again = Stage(tmp_path)  # as after SIGKILL: the first process's loop never runs again
+    again = SmppTestbed(tmp_path)  # as after SIGKILL: the first process's loop never runs again
     other = StandInGateway(again)
     again.open(gateway(other.address, outcome="receipt"))
     successor = again.contractor()
-    again.until(lambda: Command.BIND_TRANSCEIVER in other.streams)
+    again.run_until(lambda: Command.BIND_TRANSCEIVER in other.streams)
     other.receipt("id-a", "DELIVRD")
-    again.until(lambda: successor.receipts and not again.journal.entries)
-    assert successor.ends() == {name: {DELIVRD}} and not other.submits, (
+    again.run_until(lambda: successor.receipts and not again.journal.entries)
+    assert successor.final_states() == {name: {DELIVRD}} and not other.submits, (
         "must not be sent again while the gateway has it"
     )
 
@@ -121,41 +125,41 @@
             return pdu.reply(cancel)
         return pdu.reply(Status.ESME_RQUERYFAIL) if query is None else pdu.reply(message_state=query)
 
-    gate.tells = reply
+    gate.answer_query = reply
     begun = stage.loop.now
-    name = submitted(stage, contractor, b"a", "PAY")
-    stage.until(lambda: name in contractor.ends())
-    states = contractor.ends()[name]
+    name = submit(stage, contractor, b"a", "PAY")
+    stage.run_until(lambda: name in contractor.final_states())
+    states = contractor.final_states()[name]
     assert states == {state} or state == UNDELIV and states == {EXPIRED}
     assert stage.loop.now - begun < stage.courier.settings.classes[2].deadline_ns // 1000
-    assert gate.asked[0].text("message_id") == "id-a" and len(gate.submits) == 1
+    assert gate.queries[0].text("message_id") == "id-a" and len(gate.submits) == 1
     gate.receipt("id-a", "DELIVRD")
-    stage.until(lambda: gate.heard)
+    stage.run_until(lambda: gate.responses)
     assert len(contractor.receipts) == 1
 
 
 def test_a_receipt_is_acknowledged_only_after_it_is_journalled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     stage, gate, contractor = staged(tmp_path)
-    name = submitted(stage, contractor, b"a", "PAY")
+    name = submit(stage, contractor, b"a", "PAY")
     wait_for_acceptance(stage, gate)
     with monkeypatch.context() as full:
         full.setattr(Journal, "_append", lambda self, record: False)
         gate.receipt("id-a", "DELIVRD")
-        stage.until(lambda: gate.heard)
-        assert gate.heard[0].status == Status.ESME_RX_T_APPN and name not in contractor.ends()
+        stage.run_until(lambda: gate.responses)
+        assert gate.responses[0].status == Status.ESME_RX_T_APPN and name not in contractor.final_states()
     gate.receipt("id-a", "DELIVRD")
-    stage.until(lambda: name in contractor.ends())
-    assert contractor.ends() == {name: {DELIVRD}} and gate.heard[1].status == 0
+    stage.run_until(lambda: name in contractor.final_states())
+    assert contractor.final_states() == {name: {DELIVRD}} and gate.responses[1].status == 0
 
 
 def test_ids_in_another_number_base_are_matched(tmp_path: Path) -> None:
     stage, gate, contractor = staged(tmp_path, response_id="hex", receipt_id="decimal")
-    gate.name = lambda pdu: "00002A"
-    name = submitted(stage, contractor)
+    gate.message_id_for = lambda pdu: "00002A"
+    name = submit(stage, contractor)
     wait_for_acceptance(stage, gate)
     gate.receipt("0000000042", "DELIVRD")
-    stage.until(lambda: name in contractor.ends())
-    assert contractor.ends() == {name: {DELIVRD}}
+    stage.run_until(lambda: name in contractor.final_states())
+    assert contractor.final_states() == {name: {DELIVRD}}
 
 
 @pytest.mark.parametrize(
@@ -164,46 +168,46 @@
 )
 def test_a_long_message_is_delivered_when_all_its_parts_are(tmp_path: Path, stats: list[str], state: int) -> None:
     stage, gate, contractor = staged(tmp_path, split="sar")
-    gate.name = lambda pdu: str(len(gate.submits))
-    name = submitted(stage, contractor, b"x" * 254)
+    gate.message_id_for = lambda pdu: str(len(gate.submits))
+    name = submit(stage, contractor, b"x" * 254)
     # 254 characters make two parts; no message waits for the third id.
     wait_for_acceptance(stage, gate)
     for place, stat in enumerate(stats, 1):
-        assert name not in contractor.ends()
+        assert name not in contractor.final_states()
         gate.receipt(str(place), stat)
-        stage.until(lambda place=place: len(gate.heard) == place)  # type: ignore[misc]
-    stage.until(lambda: name in contractor.ends())
-    assert contractor.ends() == {name: {state}} and len(gate.submits) == 2
+        stage.run_until(lambda place=place: len(gate.responses) == place)  # type: ignore[misc]
+    stage.run_until(lambda: name in contractor.final_states())
+    assert contractor.final_states() == {name: {state}} and len(gate.submits) == 2
 
 
 def test_messages_awaiting_a_receipt_are_not_cancelled_and_take_no_slot(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, slots=1)
+    stage = SmppTestbed(tmp_path, slots=1)
     gate = StandInGateway(stage)
-    gate.name = lambda pdu: pdu.message.decode()
+    gate.message_id_for = lambda pdu: pdu.message.decode()
     stage.open(gateway(gate.address, outcome="receipt"))
     contractor = stage.contractor()
-    names = [submitted(stage, contractor, text) for text in (b"a", b"b", b"c")]
+    names = [submit(stage, contractor, text) for text in (b"a", b"b", b"c")]
     wait_for_acceptance(stage, gate, 3)
     assert not any(stage.courier.withdraw(message) for message, _, _ in stage.courier._awaiting.values())
     for text in "cab":
         gate.receipt(text, "DELIVRD")
-    stage.until(lambda: len(contractor.ends()) == 3)
-    assert contractor.ends() == {name: {DELIVRD} for name in names}
-    stage.wait(30_000 * MS)  # past every deadline: nothing is reported twice
-    assert len(contractor.receipts) == 3 and not gate.asked
+    stage.run_until(lambda: len(contractor.final_states()) == 3)
+    assert contractor.final_states() == {name: {DELIVRD} for name in names}
+    stage.run_for(30_000 * MS)  # past every deadline: nothing is reported twice
+    assert len(contractor.receipts) == 3 and not gate.queries
 
 
 def test_receipts_are_parsed_from_parameters_or_text() -> None:
     text = Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"ID:7 sub:1 Stat:delivrd err:0")
-    assert read(text) == receipts.Receipt("7", State.DELIVERED)
+    assert parse(text) == receipts.Receipt("7", State.DELIVERED)
     text.tlvs = [(0x001E, b"8\0"), (0x0427, b"\5")]
-    assert read(text) == receipts.Receipt("8", State.UNDELIVERABLE)
+    assert parse(text) == receipts.Receipt("8", State.UNDELIVERABLE)
     text.tlvs = [(0x0427, b"\x63")]
-    assert read(text) == receipts.Receipt("7", State.UNKNOWN)
-    assert read(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"stat:DELIVRD")) is None
-    assert read(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"id:7")) is None
+    assert parse(text) == receipts.Receipt("7", State.UNKNOWN)
+    assert parse(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"stat:DELIVRD")) is None
+    assert parse(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"id:7")) is None
     intermediate = Pdu(Command.DELIVER_SM, fields={"esm_class": 0x20}, message=b"id:7 stat:UNDELIV")
-    assert read(intermediate) == receipts.Receipt("7", State.ENROUTE), "an intermediate notification is no final state"
+    assert parse(intermediate) == receipts.Receipt("7", State.ENROUTE), "an intermediate notification is no final state"
 
 
 @pytest.mark.parametrize(
@@ -224,12 +228,12 @@
 
 
 def test_an_id_that_a_gateway_reuses_belongs_to_the_later_message() -> None:
-    ledger = Ledger()
+    ledger = ReceiptTracker()
     ledger.expect(1, "g", ["a"], "text")
     ledger.expect(2, "g", ["a", "b"], "text")
-    assert ledger.owner("g", "a", "text") == 2 and ledger.owner("h", "a", "text") is None
+    assert ledger.message_number("g", "a", "text") == 2 and ledger.message_number("h", "a", "text") is None
     ledger.drop(1)
-    assert ledger.owner("g", "a", "text") == 2 and ledger.waiting("g") == 1
-    assert ledger.left(2, "a", "text") == ["b"]
+    assert ledger.message_number("g", "a", "text") == 2 and ledger.pending_count("g") == 1
+    assert ledger.remaining_ids(2, "a", "text") == ["b"]
     ledger.drop(2)
-    assert ledger.waiting("g") == 0 and ledger.owner("g", "b", "text") is None
+    assert ledger.pending_count("g") == 0 and ledger.message_number("g", "b", "text") is None
--- a/tests/smpp/test_others.py
+++ b/tests/smpp/test_third_party_client.py
@@ -9,7 +9,7 @@
 import smpplib.consts
 import smpplib.gsm
 
-from tests.test_program import FAR, Program, World, free_port, smpp_conf, until, world
+from tests.test_program import TEST_TIMEOUT, Program, StandInPlatform, free_port, smpp_conf, wait_until, world
 
 __all__ = ["world"]
 
@@ -17,7 +17,7 @@
 def test_a_third_party_client_binds_submits_in_parts_and_queries(tmp_path: Path, world: str) -> None:
     port = free_port()
     program = Program(tmp_path, world, KESTRELSPAR_CONF=smpp_conf(tmp_path, port)).ready()
-    client = smpplib.client.Client("127.0.0.1", port, timeout=FAR, allow_unknown_opt_params=True)
+    client = smpplib.client.Client("127.0.0.1", port, timeout=TEST_TIMEOUT, allow_unknown_opt_params=True)
     answers: dict[int, object] = {}
     receipts: list[bytes] = []
     client.set_message_sent_handler(lambda pdu: answers.__setitem__(pdu.sequence, pdu.message_id.decode()))
@@ -37,7 +37,9 @@
     assert len(message_ids) == 3
     while len(receipts) < 3:
         client.read_once()
-    assert {receipt.rstrip(b"\0").decode() for receipt in receipts} == set(message_ids) and len(World.calls) == 1
+    assert {receipt.rstrip(b"\0").decode() for receipt in receipts} == set(message_ids) and len(
+        StandInPlatform.calls
+    ) == 1
     scheduled = submit(short_message=b"x", schedule_delivery_time="000000000100000R")
     for submitted_id, state in ((message_ids[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (scheduled, 1)):
         query = client.query_message(message_id=submitted_id, source_addr_ton=0, source_addr_npi=0, source_addr="100")
@@ -46,6 +48,6 @@
         assert answers[query.sequence] == state
     client.unbind()
     client.disconnect()
-    until(lambda: program.ask("GET", "/health/ready") == 200)
+    wait_until(lambda: program.request_status("GET", "/health/ready") == 200)
     code, out = program.end(signal.SIGTERM)
     assert code == 0 and "event=fault" not in out
--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -11,14 +11,14 @@
 from kestrelspar.settings.resolve import Account, Gateway, Smpp
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu, Status
-from tests.bench import PAYMENT, READING, WORK_ORDER, Scene, listener
+from tests.bench import PAYMENT, READING, WORK_ORDER, CourierTestbed, listener
 
 # Steps at which the stand-in gateway can close the connection.
 CLOSE_STEPS = ("accept", "bind", "bound", "partial submit", "submit", "partial response", "response")
 
 
-def read(stream: Stream) -> Pdu:
-    while not (size := p.whole(stream.unread)):
+def read_pdu(stream: Stream) -> Pdu:
+    while not (size := p.complete_length(stream.unread)):
         stream.fill(None)
     data = bytes(stream.unread[:size])
     stream.consume(size)
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        scene: CourierTestbed,
         close_at: str = "",
         closes: int = 1,
         script: Callable[[Pdu], int | None] = lambda _: 0,
@@ -46,14 +46,16 @@
         self.first_effect_at: dict[bytes, int] = {}
         self.last_effect_at: dict[bytes, int] = {}
         self.submits: list[Pdu] = []
-        self.heard: list[Pdu] = []  # responses to the requests of this gateway
-        self.asked: list[Pdu] = []  # query_sm and cancel_sm requests
-        self.tells: Callable[[Pdu], Pdu] = lambda pdu: pdu.reply(Status.ESME_RINVMSGID)
+        self.responses: list[Pdu] = []  # responses to the requests of this gateway
+        self.queries: list[Pdu] = []  # query_sm and cancel_sm requests
+        self.answer_query: Callable[[Pdu], Pdu] = lambda pdu: pdu.reply(Status.ESME_RINVMSGID)
         self.streams: dict[Command, Stream] = {}  # by the last request of each command
-        self.name: Callable[[Pdu], str] = lambda pdu: "g1"
-        self.before: Callable[[Pdu, Stream], None] = lambda pdu, stream: None  # right before a submit_sm is answered
-        self.calls: list[int] = []  # times of submits
-        self.in_flight = self.most_out = self.concurrent_copies = 0
+        self.message_id_for: Callable[[Pdu], str] = lambda pdu: "g1"
+        self.before_response: Callable[[Pdu, Stream], None] = lambda pdu, stream: (
+            None
+        )  # right before a submit_sm is answered
+        self.submitted_at: list[int] = []  # times of submits
+        self.in_flight = self.max_in_flight = self.concurrent_copies = 0
         self.pending: dict[bytes, Stream] = {}  # streams of submits without a response, by text
         self.loop.spawn(self.accept)
 
@@ -80,13 +82,13 @@
         while True:
             if self.close_at == "partial submit" and self.next_is_submit(stream) and self.closes_at("partial submit"):
                 return  # a part of a submit_sm has arrived
-            pdu = read(stream)
+            pdu = read_pdu(stream)
             if pdu.command & p.RESPONSE:
-                self.heard.append(pdu)
+                self.responses.append(pdu)
                 continue
             if pdu.command in (Command.QUERY_SM, Command.CANCEL_SM):
-                self.asked.append(pdu)
-                self.write(stream, self.tells(pdu))
+                self.queries.append(pdu)
+                self.write(stream, self.answer_query(pdu))
                 continue
             if pdu.command is not Command.SUBMIT_SM:
                 self.streams[pdu.command] = stream
@@ -106,31 +108,31 @@
     def handle_submit(self, stream: Stream, pdu: Pdu) -> None:
         text = pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""
         status = self.script(pdu)
-        self.calls.append(self.loop.now)
+        self.submitted_at.append(self.loop.now)
         self.submits.append(pdu)
         earlier = self.pending.get(text)
-        self.concurrent_copies += earlier is not None and earlier.sock.fileno() >= 0 and not earlier.ended()
+        self.concurrent_copies += earlier is not None and earlier.sock.fileno() >= 0 and not earlier.peer_closed()
         self.pending[text] = stream
         if not status:
             self.effects[text] += 1
             self.first_effect_at.setdefault(text, self.loop.now)
             self.last_effect_at[text] = self.loop.now
         self.in_flight += 1
-        self.most_out = max(self.most_out, self.in_flight)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         self.loop.sleep(self.pause(pdu))
         self.in_flight -= 1
         if self.closes_at("submit"):
             stream.close()
         elif status is not None:
             self.pending.pop(text, None)  # two destinations may get the same text
-            self.before(pdu, stream)
-            response = p.encode(pdu.reply(status, message_id=self.name(pdu)))
+            self.before_response(pdu, stream)
+            response = p.encode(pdu.reply(status, message_id=self.message_id_for(pdu)))
             partial = self.closes_at("partial response")
             self.write_bytes(stream, response[:9] if partial else response)
             if partial or self.closes_at("response"):
                 stream.close()
 
-    def bound(self) -> Stream:
+    def receiving_stream(self) -> Stream:
         """The stream of the session that is bound to receive."""
         return next(
             self.streams[command]
@@ -141,8 +143,10 @@
     def receipt(self, name: str, stat: str, stream: Stream | None = None, **fields: object) -> None:
         """Send a delivery receipt."""
         text = f"id:{name} sub:001 dlvrd:001 submit date:2612010900 done date:2612010900 stat:{stat} err:000 text:"
-        pdu = Pdu(Command.DELIVER_SM, 900 + len(self.heard), fields={"esm_class": 4, **fields}, message=text.encode())
-        self.write(stream or self.bound(), pdu)
+        pdu = Pdu(
+            Command.DELIVER_SM, 900 + len(self.responses), fields={"esm_class": 4, **fields}, message=text.encode()
+        )
+        self.write(stream or self.receiving_stream(), pdu)
 
     def write(self, stream: Stream, pdu: Pdu) -> None:
         self.write_bytes(stream, p.encode(pdu))
@@ -160,14 +164,14 @@
     def __init__(
         self,
         loop: Loop,
-        scene: Scene,
+        scene: CourierTestbed,
         address: tuple[str, int],
         bind: Command,
         password: str = "secret",
         stream: Stream | None = None,
     ) -> None:
         self.loop, self.sequence = loop, 0
-        self.replies: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; none: no response
+        self.response_status: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; none: no response
         self.answers: list[Pdu] = []
         self.receipts: list[Pdu] = []
         self.drop_receipts = 0  # number of receipts to leave without a response, closing the connection
@@ -176,17 +180,17 @@
             assert sock is not None
             stream = Stream(loop, sock, scene.buffers)
         self.stream = stream
-        self.ask(bind, system_id="acme", password=password)
+        self.send_request(bind, system_id="acme", password=password)
         loop.spawn(self.run)
 
-    def ask(
+    def send_request(
         self, command: Command, message: bytes = b"", tlvs: list[tuple[int, bytes]] | None = None, **fields: object
     ) -> None:
         self.sequence += 1
         self.stream.write(p.encode(Pdu(command, self.sequence, 0, fields, message, tlvs or [])), None)
 
     def submit(self, text: bytes, service: str, **fields: object) -> None:
-        self.ask(
+        self.send_request(
             Command.SUBMIT_SM,
             text,
             [(0x0204, b"\0\x07")],
@@ -200,21 +204,21 @@
     def run(self) -> None:
         try:
             while True:
-                pdu = read(self.stream)
+                pdu = read_pdu(self.stream)
                 if pdu.command is Command.DELIVER_SM:
                     self.receipts.append(pdu)
                     if self.drop_receipts:
                         self.drop_receipts -= 1
                         self.stream.close()
                         return
-                    if self.replies is not None:
-                        self.stream.write(p.encode(pdu.reply(self.replies)), None)
+                    if self.response_status is not None:
+                        self.stream.write(p.encode(pdu.reply(self.response_status)), None)
                 else:
                     self.answers.append(pdu)
         except (Closed, Late):
             self.stream.close()
 
-    def ends(self) -> dict[str, set[int]]:
+    def final_states(self) -> dict[str, set[int]]:
         """The message_state values in the receipts, by message id."""
         states: dict[str, set[int]] = {}
         for receipt in self.receipts:
@@ -241,8 +245,8 @@
         "password": "pw",
         "bind": "transceiver",
         "window": 4,
-        "response": 400 * MS,
-        "enquire": 30 * SECOND,
+        "response_timeout": 400 * MS,
+        "enquire_link_interval": 30 * SECOND,
         "throttle_wait": 300 * MS,
         "source_addr": "1",
         "destination_addr": "2",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,14 +12,14 @@
 import pytest
 
 from benchmarks import capacity
-from benchmarks.capacity import FILE, PAGE, CapacityError, Row, read_rows, slopes, write_rows
+from benchmarks.capacity import FILE, PAGE, CapacityError, MeasuredRun, read_rows, slopes, write_rows
 from benchmarks.capacity_fit import fit
 from benchmarks.capacity_page import amount, number, render
 from benchmarks.capacity_roles import MECHANISM_STATUS, ROWS, Mechanism, Reading, ranked, results
 from benchmarks.slope import MIN_SIZES, RUNS, SETTINGS, Slope
 from benchmarks.target import ASSUMED, TARGET
 
-ROW = Row("grows", 10, 1, "pure module", "2026-12-02T00:00:00Z", "abc", "a machine", {"cost": 1.5})
+ROW = MeasuredRun("grows", 10, 1, "pure module", "2026-12-02T00:00:00Z", "abc", "a machine", {"cost": 1.5})
 
 
 # Committed page and data file
@@ -259,7 +259,7 @@
 
 def measure_slopes(
     monkeypatch: pytest.MonkeyPatch, file: Path, *available: Slope, only: str | None = None
-) -> list[Row]:
+) -> list[MeasuredRun]:
     monkeypatch.setattr(capacity, "slopes", lambda: {slope.name: slope for slope in available})
     with ThreadPoolExecutor(1) as pool:
         capacity.measure([slope for slope in available if only in (None, slope.name)], file, pool)
--- a/tests/test_defences.py
+++ b/tests/test_controller_regressions.py
@@ -33,7 +33,7 @@
     f.outcome(1, Outcome.FULL, wait_ns=5 * SECOND)  # waits for the retry-after, and could use no slot
     for number in range(10, 20):
         f.arrive(number, destination=1)
-    assert len(f.out) == 5
+    assert len(f.in_flight) == 5
     f.endpoints("c", destination=3)
     assert [s.message for s in f.arrive(30, destination=3)] == [30]
 
@@ -56,7 +56,7 @@
     f = Forwarder(settings(slots=2, max_open=20, max_retry_after_ns=3 * SECOND))
     for number in range(30):
         f.arrive(number)
-    answers = [answer for _, answer in f.ended.values()]
+    answers = [answer for _, answer in f.answers.values()]
     assert len(answers) == 12
     assert all(isinstance(answer, Refuse) and 0 < answer.retry_after_ns <= 3 * SECOND for answer in answers)
 
@@ -83,17 +83,17 @@
     def advance() -> None:
         f.wait(8 * MS)
         due = {send.message: at + send.timeout_ns for at, send in f.sends}
-        for message, _ in [call for call in f.out if due[call[0]] <= f.now]:
+        for message, _ in [call for call in f.in_flight if due[call[0]] <= f.now]:
             f.outcome(message, Outcome.TIMEOUT)
 
     for number in range(1000, 1400):
         f.arrive(number, cls=number % 2, destination=1 + number % 5)
         if number % 5 == 4:  # the only destination that answers
             start = f.now
-            while (number, 0) not in f.out and f.now < start + 2 * SECOND:
+            while (number, 0) not in f.in_flight and f.now < start + 2 * SECOND:
                 advance()
             waits.append(f.now - start)
-            if (number, 0) in f.out:
+            if (number, 0) in f.in_flight:
                 f.outcome(number, Outcome.OK, latency=40 * MS)
         advance()
     assert sum(waits) / len(waits) < 20 * MS
@@ -105,10 +105,10 @@
     f.endpoints("a")
     for number in range(1, 9):
         f.arrive(number)
-    assert len(f.out) == 2
+    assert len(f.in_flight) == 2
     f.outcome(1, Outcome.OK)
     f.wait(100 * MS)
-    assert len(f.out) == 7
+    assert len(f.in_flight) == 7
 
 
 def test_unsafe_calls_have_a_long_time_out_only_while_they_are_few() -> None:
@@ -129,10 +129,10 @@
     for number in range(100, 400):
         f.arrive(number)
         f.wait(10 * MS)
-        while number not in f.ended and (number, f.attempts[number] - 1) in f.out:
-            lost = number % 3 == 0 and f.out[number, f.attempts[number] - 1] == route("a")
+        while number not in f.answers and (number, f.attempts[number] - 1) in f.in_flight:
+            lost = number % 3 == 0 and f.in_flight[number, f.attempts[number] - 1] == route("a")
             f.outcome(number, Outcome.RESET if lost else Outcome.OK, latency=40 * MS)
-        for message in [message for message, _ in f.out]:
+        for message in [message for message, _ in f.in_flight]:
             f.outcome(message, Outcome.OK, latency=40 * MS)
     assert not f.logs
     for number, cls, name in ((1000, 0, "a"), (1001, 1, "b")):
@@ -165,7 +165,7 @@
     f.controller._worth = lambda *_: float(len(evaluations) or not evaluations.append(1))  # type: ignore
     for number in range(500, 600):
         f.arrive(number)
-    assert not evaluations and len(f.out) == 1
+    assert not evaluations and len(f.in_flight) == 1
 
 
 def test_a_single_call_probes_a_route_after_a_refusal() -> None:
@@ -183,14 +183,14 @@
     f.endpoints("a")
     f.arrive(1)
     f.feed(AttemptEnded(1, 0, route("a"), Outcome.OK, 100 * MS, True, report=(4.0,)))
-    del f.out[1, 0]
-    f.ended[1] = (f.now, Outcome.OK)
+    del f.in_flight[1, 0]
+    f.answers[1] = (f.now, Outcome.OK)
     f.feed(*(Arrival(n, 0, 1, 10 * SECOND) for n in range(2, 40)))
     for _ in range(30):
         f.wait(100 * MS)
-        for message, number in list(f.out):
-            target = f.out.pop((message, number))
-            f.ended[message] = (f.now, Outcome.OK)
+        for message, number in list(f.in_flight):
+            target = f.in_flight.pop((message, number))
+            f.answers[message] = (f.now, Outcome.OK)
             f.feed(AttemptEnded(message, number, target, Outcome.OK, 100 * MS, True, report=(4.0,)))
     assert 10 <= len(f.sends) - 1 <= 4 * 3 + 4
 
@@ -215,7 +215,7 @@
     for _ in range(4):
         ended = f.now
         f.outcome(1, Outcome.RESET)
-        while (1, f.attempts[1] - 1) not in f.out:
+        while (1, f.attempts[1] - 1) not in f.in_flight:
             f.wait(MS)
         backoffs.append(f.now - ended)
     assert all(later > 1.5 * sooner for sooner, later in zip(backoffs, backoffs[1:], strict=False))
@@ -255,8 +255,8 @@
         for number in range(1, 6):
             f.arrive(number)
         for number in range(1, 6):
-            if (number, 0) in f.out:
-                target = f.out.pop((number, 0))
+            if (number, 0) in f.in_flight:
+                target = f.in_flight.pop((number, 0))
                 f.feed(AttemptEnded(number, 0, target, Outcome.FULL, 1, False, 0, report=(8.0, remaining)))
                 f.wait(SECOND)
         assert bool(f.logs) is down
@@ -277,9 +277,9 @@
     f.arrive(1)
     start = f.now
     while f.now < start + 60 * SECOND:
-        if (1, f.attempts[1] - 1) in f.out:
+        if (1, f.attempts[1] - 1) in f.in_flight:
             number = f.attempts[1] - 1
-            target = f.out.pop((1, number))
+            target = f.in_flight.pop((1, number))
             f.feed(AttemptEnded(1, number, target, Outcome.FULL, 1, False, 0, report=(10.0, 0.0)))
         f.wait(100 * MS)
     assert len(f.sends) <= 12
@@ -294,8 +294,8 @@
         for cls in (0, 1):
             number += 1
             f.arrive(number, cls=cls)
-            while number not in f.ended:
-                target = f.out.get((number, f.attempts[number] - 1))
+            while number not in f.answers:
+                target = f.in_flight.get((number, f.attempts[number] - 1))
                 if target is not None:
                     f.outcome(number, Outcome.ERROR if cls and target == route("a") else Outcome.OK)
                 f.wait(500 * MS)
@@ -323,15 +323,15 @@
         f.feed(*(Arrival(n, 0, n % len(absurd), 20 * SECOND) for n in range(1, 60)))
         outcomes = [Outcome.FULL, Outcome.OK, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OK]
         for step in range(400):
-            for message, attempt in sorted(f.out):
+            for message, attempt in sorted(f.in_flight):
                 end = outcomes[step % 5]
-                target = f.out.pop((message, attempt))
+                target = f.in_flight.pop((message, attempt))
                 report = (absurd[step % 7], absurd[step % 3])
                 f.feed(AttemptEnded(message, attempt, target, end, step, end is Outcome.OK, 0, report=report))
                 if end is Outcome.OK:
-                    f.ended[message] = (f.now, end)
+                    f.answers[message] = (f.now, end)
             f.wait(100 * MS)
-        assert len(f.ended) == 59 and all(0 <= at < 1 << 63 for at, _ in f.timers)
+        assert len(f.answers) == 59 and all(0 <= at < 1 << 63 for at, _ in f.timers)
 
 
 def test_removed_routes_and_finished_messages_are_forgotten() -> None:
@@ -411,7 +411,7 @@
     f.outcome(1, Outcome.ERROR)
     f.endpoints("a", state=EndpointState.GONE)
     f.wait(15 * SECOND)
-    assert 1 in f.ended and f.ended[1][0] <= start + 4 * SECOND
+    assert 1 in f.answers and f.answers[1][0] <= start + 4 * SECOND
 
 
 def test_a_failed_list_request_is_repeated_by_a_timer_with_growing_backoff() -> None:
--- a/tests/test_asking.py
+++ b/tests/test_discovery_backoff.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kestrelspar.http.asking import (
+from kestrelspar.http.backoff import (
     CONNECT_TIMEOUT,
     MAX_RESPONSE_TIMEOUT,
     MAX_STALENESS,
--- a/tests/test_listed.py
+++ b/tests/test_endpoint_memory.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from kestrelspar.http.nexthop import NextHops
+from kestrelspar.http.nexthop import HttpCarrier
 from kestrelspar.http.watch import Watch
-from tests.bench import Scene
+from tests.bench import CourierTestbed
 
 LISTED, MAX_BYTES_PER_ENDPOINT = 5_000, 2_048
 
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize("kind", ["utility", "contractor"])  # routes that share a limit, and independent ones
 def test_an_unused_endpoint_takes_two_kilobytes_at_most(tmp_path: Path, kind: str) -> None:
     # Guards against allocating what is needed only once a route is used, and against retaining the decoded list.
-    scene = Scene(tmp_path)
-    carrier = NextHops(scene.loop, scene.buffers, scene.courier.settings, 9)
+    scene = CourierTestbed(tmp_path)
+    carrier = HttpCarrier(scene.loop, scene.buffers, scene.courier.settings, 9)
     watch = Watch(scene.loop, scene.buffers, scene.courier, carrier, ("127.0.0.1", 9), state_directory=str(tmp_path))
     gc.collect()
     tracemalloc.start()
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -19,7 +19,7 @@
 from kestrelspar.settings import platform as config
 from snowlock import interface as api
 from snowlock.settings import SettingsError
-from tests.bench import PAYMENT, READING, Scene
+from tests.bench import PAYMENT, READING, CourierTestbed
 from tests.forwarder import Forwarder, message_class, route
 from tests.forwarder import settings as controller_settings
 from tests.test_wire import SETTINGS
@@ -38,7 +38,7 @@
     assert loaded.settings.classes and loaded.known["endpoints"]
 
 
-def written(directory: Path, overrides: dict[str, Any] | None = None) -> dict[str, str]:
+def write_config(directory: Path, overrides: dict[str, Any] | None = None) -> dict[str, str]:
     raw: dict[str, Any] = {
         "name": "n3",
         "listen": "127.0.0.1:8443",
@@ -53,10 +53,10 @@
 
 
 def test_configuration_is_read_with_defaults_and_variables(tmp_path: Path) -> None:
-    loaded = config.read(written(tmp_path) | {"RELAY_NAME": "n9"})
+    loaded = config.read(write_config(tmp_path) | {"RELAY_NAME": "n9"})
     assert (loaded.name, loaded.listen, loaded.seed, loaded.sockets) == ("n9", ("127.0.0.1", 8443), 0x8C1F, 512)
     assert loaded.disk_bytes == 3_000_000 and loaded.settings.classes[0].safety is api.Safety.UNSAFE
-    assert config.read(written(tmp_path, {"limits": {}})).sockets == 1024
+    assert config.read(write_config(tmp_path, {"limits": {}})).sockets == 1024
 
 
 def test_all_errors_of_a_configuration_are_reported_at_once(tmp_path: Path) -> None:
@@ -68,8 +68,8 @@
         "limits": {"sockets": 0},
     }
     with pytest.raises(SettingsError) as caught:
-        config.read(written(tmp_path, invalid))
-    assert sorted(fault.partition(": ")[0] for fault in caught.value.faults) == [
+        config.read(write_config(tmp_path, invalid))
+    assert sorted(fault.partition(": ")[0] for fault in caught.value.errors) == [
         "config.known",
         "config.limits.sockets",
         "config.listen",
@@ -99,7 +99,7 @@
 )
 def test_errors_of_configuration_name_the_key(tmp_path: Path, overrides: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=r"^" + key.replace("[", r"\[").replace("]", r"\]") + ":"):
-        config.read(written(tmp_path, overrides))
+        config.read(write_config(tmp_path, overrides))
 
 
 # Plug-ins
@@ -110,9 +110,9 @@
     return plugins.read(directory / "s.rules")
 
 
-def make_scene_with_rules(directory: Path, text: str) -> tuple[Scene, plugins.Plugins, Message]:
-    scene = Scene(directory)
-    message = Message("t1", READING, 0, 7, scene.loop.now + SECOND, b"urgent: 5", scene.ends, "k")
+def make_scene_with_rules(directory: Path, text: str) -> tuple[CourierTestbed, plugins.Plugins, Message]:
+    scene = CourierTestbed(directory)
+    message = Message("t1", READING, 0, 7, scene.loop.now + SECOND, b"urgent: 5", scene.sender, "k")
     return scene, plugins.Plugins(scene.loop, scene.courier.settings, read_rules(directory, text)), message
 
 
@@ -130,7 +130,7 @@
     )
     answer = plugin_host.arrival(message)
     assert (message.cls, message.dest) == (PAYMENT, 8)
-    assert answer is not None and answer.defer and answer.come_back == 500 * MS
+    assert answer is not None and answer.defer and answer.retry_after == 500 * MS
     message.key, message.dest = "other", 7
     assert (answer := plugin_host.arrival(message)) is not None and not answer.defer and "never" in answer.reason
 
@@ -188,8 +188,8 @@
 def test_garbage_is_rejected_or_evaluated(text: str) -> None:
     try:
         rule = plugins.Rule(f"on arrival when {text}: defer {text}", "x:1")
-        rule.condition.work_out(dict.fromkeys(plugins.ARRIVAL, 1))
-    except (plugins.ScriptError, plugins.Failed):
+        rule.condition.evaluate(dict.fromkeys(plugins.ARRIVAL_FIELDS, 1))
+    except (plugins.ScriptError, plugins.EvaluationError):
         pass
 
 
@@ -197,8 +197,8 @@
     scene, plugin_host, message = make_scene_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
     scene.courier.hooks.append(plugin_host)
     accepted: list[bool] = []
-    scene.loop.spawn(scene.courier.carry, message, lambda a: accepted.append(a.taken) or True)
-    scene.until(lambda: accepted)
+    scene.loop.spawn(scene.courier.submit, message, lambda a: accepted.append(a.accepted) or True)
+    scene.run_until(lambda: accepted)
     assert accepted == [False] and not scene.journal.entries
 
 
@@ -239,16 +239,16 @@
     target.write_text(output)
     lines = sorted(int(line.split(":")[1]) for line in unsupported.splitlines())
     assert lines == [4, 6, 7, 10, 17, 18, 19, 19, 20] and all(str(source) in x for x in unsupported.splitlines())
-    scene = Scene(tmp_path)
+    scene = CourierTestbed(tmp_path)
     hops = [
-        entries.hop(row, scene.courier.settings, object())  # type: ignore[arg-type]
+        entries.to_next_hop(row, scene.courier.settings, object())  # type: ignore[arg-type]
         for row in entries.read_map(str(target))
     ]
     first, second, down, other = hops
     assert first.endpoint == api.Endpoint(b"pay-1-0", 1, 1, 1, api.EndpointState.READY, 3.0, 0, 2, 1_500_000_000, 2)
-    assert (first.address, first.target, first.connect_within) == (("10.0.0.1", 81), "/api/", 300 * MS)
+    assert (first.address, first.target, first.connect_timeout) == (("10.0.0.1", 81), "/api/", 300 * MS)
     assert second.endpoint.rank == 1 and down.endpoint.state is api.EndpointState.DRAINING
-    assert (other.target, other.within, other.endpoint.patience_ns) == ("/read", 4 * SECOND, 120 * 10**9)
+    assert (other.target, other.delivery_timeout, other.endpoint.patience_ns) == ("/read", 4 * SECOND, 120 * 10**9)
 
 
 @pytest.mark.parametrize(("text", "value"), [("5", 5000), ("250ms", 250), ("1m30s", 90_000)])
@@ -276,6 +276,6 @@
     assert any("main" in bytes.fromhex(line.split(" ")[3][:-1]).decode() for line in forwarder.logs)
     forwarder.wait(5 * SECOND * 1000)
     forwarder.outcome(1, api.Outcome.ERROR)
-    assert 1 in forwarder.ended and len(forwarder.sends) == 2
+    assert 1 in forwarder.answers and len(forwarder.sends) == 2
     forwarder.arrive(2)
     assert forwarder.sends[-1][1].endpoint == route("spare")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -136,7 +136,9 @@
 ) -> None:
     limit, equal_interval = control.Limit(), couriers * SECOND // 25
     limit.rate, limit.interval = 25.0, float(equal_interval)
-    limit.update(equal_interval, False, equal_interval, 0.0, max(0.0, 1 - control.FEW / couriers), remaining)
+    limit.update(
+        equal_interval, False, equal_interval, 0.0, max(0.0, 1 - control.SMALL_FLEET_SIZE / couriers), remaining
+    )
     assert bounds[0] < limit.interval / equal_interval < bounds[1]
 
 
--- a/tests/test_cold.py
+++ b/tests/test_fleet_recovery.py
@@ -15,8 +15,8 @@
 from kestrelspar.runtime.loop import SECOND as S
 from snowlock import interface as api
 from snowlock.interface import EndpointList, ListKind, Outcome
-from tests.bench import LIMIT, Scene, settings
-from tests.cold import Scenario, Simulation
+from tests.bench import LIMIT, CourierTestbed, settings
+from tests.fleet_recovery import Scenario, Simulation
 from tests.forwarder import MS, SECOND, Forwarder, route
 
 # Share of the couriers that restart, when, the load, and the duration of the outage, which ends at 14 s.
@@ -58,11 +58,11 @@
 
 def test_a_restarted_courier_knows_of_outages_and_recoveries(tmp_path: Path) -> None:
     # Guards against a restarted courier that knows nothing of an outage and sends its backlog at once.
-    scene = Scene(tmp_path, routes_apart=(True, True))
+    scene = CourierTestbed(tmp_path, routes_apart=(True, True))
     entries = (api.Endpoint(b"a", 7), api.Endpoint(b"b", 7))
     scene.courier._events.append(EndpointList(ListKind.DELTA, entries))
     scene.courier._decide()
-    controller = scene.courier.module
+    controller = scene.courier.controller
     controller._mark_down(controller.routes[b"a"], "test")
     controller.routes[b"a"].failing_since = (scene.loop.now - 3 * S) * 1000
     scene.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.TIMEOUT, 0, False))
@@ -72,20 +72,20 @@
         copy = Path(shutil.copytree(tmp_path, tmp_path.parent / "copy", dirs_exist_ok=True))
         return Courier(scene.loop, settings(routes_apart=(True, True)), 1, Journal(str(copy), LIMIT))
 
-    entry = restarted()._recalled(entries[0])
+    entry = restarted()._with_journalled_state(entries[0])
     assert (
         abs(entry.down_ns - 3 * SECOND) < 100 * MS
         and entry.back_ns == 0
-        and restarted()._recalled(entries[1]) == entries[1]
+        and restarted()._with_journalled_state(entries[1]) == entries[1]
     )
-    controller.routes[b"a"].back = (scene.loop.now - S) * 1000
+    controller.routes[b"a"].recovering_since = (scene.loop.now - S) * 1000
     scene.courier._events.append(api.AttemptEnded(99, 0, b"b", Outcome.OK, 0, True))
     scene.courier._decide()
-    assert abs(restarted()._recalled(entries[0]).back_ns - SECOND) < 100 * MS
+    assert abs(restarted()._with_journalled_state(entries[0]).back_ns - SECOND) < 100 * MS
     controller.routes[b"a"].down = False
     scene.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.OK, 0, True))
     scene.courier._decide()
-    assert restarted()._recalled(entries[0]) == entries[0]
+    assert restarted()._with_journalled_state(entries[0]) == entries[0]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -14,12 +14,12 @@
 
 from kestrelspar.http import parser
 from kestrelspar.http.sender import expires
-from kestrelspar.http.watch import Lines, Watch
+from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.nginx import importer as nginx
 from kestrelspar.settings import platform as config
-from kestrelspar.smpp.server import validity
+from kestrelspar.smpp.server import parse_time
 from snowlock import settings as platform_settings
-from tests.test_http import ROW, Stage, ok
+from tests.test_http import ROW, HttpTestbed, ok
 from tests.test_wire import SETTINGS
 
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
@@ -48,27 +48,27 @@
 
 
 @pytest.fixture(scope="module")
-def testbed(tmp_path_factory: pytest.TempPathFactory) -> Stage:
-    return Stage(tmp_path_factory.mktemp("garbage"), ok)
+def testbed(tmp_path_factory: pytest.TempPathFactory) -> HttpTestbed:
+    return HttpTestbed(tmp_path_factory.mktemp("garbage"), ok)
 
 
 @DETERMINISTIC
 @given(json_values, st.sampled_from(sorted(ROW)), st.binary(max_size=30))
-def test_the_transport_map_survives_any_line(testbed: Stage, value: Any, key: str, random_bytes: bytes) -> None:
+def test_the_transport_map_survives_any_line(testbed: HttpTestbed, value: Any, key: str, random_bytes: bytes) -> None:
     watch = Watch(testbed.loop, testbed.buffers, testbed.courier, testbed.pool, testbed.platform.address)
     valid_line = {"index": 3, "snapshot": False, "endpoints": [{**ROW, key: value}, value, ROW]}
     for line in (json.dumps(value), json.dumps({"endpoints": [value]}), json.dumps(valid_line)):
-        watch._line(line.encode())
-    watch._line(random_bytes)
+        watch._handle_line(line.encode())
+    watch._handle_line(random_bytes)
     assert b"s-9" in testbed.courier.map.hops and watch.index in (0, 3)
 
 
 @DETERMINISTIC
 @given(st.lists(st.binary(max_size=12).map(lambda x: x.replace(b"\n", b"")), max_size=6), st.integers(1, 9))
 def test_lines_are_reassembled_from_any_chunks(parts: list[bytes], chunk_size: int) -> None:
-    splitter, data, found = Lines(), b"".join(part + b"\n" for part in parts), []
+    splitter, data, found = LineSplitter(), b"".join(part + b"\n" for part in parts), []
     for at in range(0, len(data), chunk_size):
-        found += splitter.take(data[at : at + chunk_size])
+        found += splitter.feed(data[at : at + chunk_size])
     assert found == parts
 
 
@@ -83,11 +83,11 @@
         nginx.milliseconds,
         nginx.host_port,
         config.address,
-        lambda value: validity(value, datetime(2026, 12, 1, tzinfo=UTC)),
+        lambda value: parse_time(value, datetime(2026, 12, 1, tzinfo=UTC)),
     ):
         try:
             parse(text)
         except ValueError:
             continue
-    with contextlib.suppress(parser.BadMessage):
+    with contextlib.suppress(parser.MalformedMessageError):
         assert expires(text) >= 0
