--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,16 +16,16 @@
 from kestrelspar import serve
 from kestrelspar.core.courier import FAILED, Courier, End, Message, NextHop
 from kestrelspar.http import parser
-from kestrelspar.http.nexthop import NextHops, load_report, meaning, seconds
+from kestrelspar.http.nexthop import HttpCarrier, load_report, meaning, parse_retry_after
 from kestrelspar.http.notices import Notices
 from kestrelspar.http.sender import SenderServer, State, expires
-from kestrelspar.http.watch import Lines, Watch
+from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.journal import records as j
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, bind, connect
 from snowlock import interface as api
 from snowlock.interface import Outcome
-from tests.bench import CLOCK, READING, Scene, SkippingLoop, listener
+from tests.bench import CLOCK, READING, CourierTestbed, SkippingLoop, listener
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=120)
 names = st.sampled_from(["X-Trace-Id", "Host", "x-qos", "A"])
@@ -38,7 +38,7 @@
 class Peer:
     """A test server whose script decides on each complete request: a response, no response (None), or a close (b"")."""
 
-    def __init__(self, scene: Scene, script: Script) -> None:
+    def __init__(self, scene: CourierTestbed, script: Script) -> None:
         self.scene, self.script = scene, script
         self.listener, self.address = listener()
         self.connections = 0
@@ -72,21 +72,21 @@
         stream.close()
 
 
-class Stage(Scene):
+class HttpTestbed(CourierTestbed):
     """A courier with its HTTP sender side, a fake next hop (``peer``) and a fake platform (``platform``)."""
 
     def __init__(self, directory: Path, script: Script, discovery: Script | None = None, **more: object) -> None:
         super().__init__(directory, **more)
         self.peer = Peer(self, script)
         self.platform = Peer(self, discovery or (lambda *_: parser.response(204)))
-        self.pool = NextHops(self.loop, self.buffers, self.courier.settings, 50)
+        self.pool = HttpCarrier(self.loop, self.buffers, self.courier.settings, 50)
         self.notices = Notices(self.loop, self.buffers, self.platform.address)
         self.courier.senders["http"] = self.notices
         self.server = SenderServer(self.loop, self.buffers, self.courier, self.notices, 20)
         listening, self.address = listener()
         self.loop.spawn(self.server.accept, listening)
         self.courier.ready = True
-        self.courier.listed("discovery", [self.hop()], whole=True)
+        self.courier.apply_map_update("discovery", [self.hop()], complete=True)
 
     def hop(self, state: api.EndpointState = api.EndpointState.READY) -> NextHop:
         return NextHop(api.Endpoint(b"s-1", 7, 0, 0, state), self.peer.address, self.pool)
@@ -114,7 +114,7 @@
             finished.append(1)
 
         self.loop.spawn(client)
-        self.until(lambda: finished)
+        self.run_until(lambda: finished)
         return b"".join(got)
 
     def notices_seen(self) -> list[dict[str, object]]:
@@ -122,7 +122,7 @@
         return [json.loads(line) for line in lines]
 
 
-def hand_in(trace: str = "t1", cls: str = "reading", body: bytes = b"hello", **headers: str) -> bytes:
+def submit_request(trace: str = "t1", cls: str = "reading", body: bytes = b"hello", **headers: str) -> bytes:
     fields = {
         "X-Trace-Id": trace,
         "X-Qos": cls,
@@ -188,13 +188,13 @@
             head = parser.head(memoryview(text), response)
             if head is not None:
                 parser.body_length(head)
-        except parser.BadMessage as error:
+        except parser.MalformedMessageError as error:
             assert 400 <= error.status < 500
-    with contextlib.suppress(parser.BadMessage):
-        parser.Chunks().take(data)
-    Lines().take(data)
+    with contextlib.suppress(parser.MalformedMessageError):
+        parser.ChunkedDecoder().feed(data)
+    LineSplitter().feed(data)
     assert load_report(data.decode("latin-1"), ("x0", "x1")) == () or b"=" in data
-    assert seconds(data.decode("latin-1")) >= 0
+    assert parse_retry_after(data.decode("latin-1")) >= 0
 
 
 @pytest.mark.parametrize(
@@ -211,7 +211,7 @@
     ],
 )
 def test_heads_that_two_parsers_could_read_differently_are_rejected(text: bytes) -> None:
-    with pytest.raises(parser.BadMessage):
+    with pytest.raises(parser.MalformedMessageError):
         head = parser.head(memoryview(text))
         assert head is not None
         parser.body_length(head)
@@ -220,9 +220,15 @@
 def test_header_values_are_parsed_or_rejected() -> None:
     assert expires("480m") == 480_000 and expires("1500u") == 1500 and expires("0.5m") == 500
     for text in ("", "5", "5s", "-1m", "1e3m", "m"):
-        with pytest.raises(parser.BadMessage):
+        with pytest.raises(parser.MalformedMessageError):
             expires(text)
-    assert (seconds("0.4504"), seconds("2"), seconds("nan"), seconds("-1"), seconds("x")) == (
+    assert (
+        parse_retry_after("0.4504"),
+        parse_retry_after("2"),
+        parse_retry_after("nan"),
+        parse_retry_after("-1"),
+        parse_retry_after("x"),
+    ) == (
         450_400,
         2 * SECOND,
         0,
@@ -251,7 +257,7 @@
     status: int, headers: dict[str, str], outcome: Outcome, wait: int, closed: bool
 ) -> None:
     result = meaning(status, headers, ())
-    assert (result.outcome, result.told_wait, result.closed) == (outcome, wait, closed)
+    assert (result.outcome, result.retry_after, result.already_answered) == (outcome, wait, closed)
     assert result.no_slot == ("x-egress-full" in headers)
 
 
@@ -264,16 +270,16 @@
         (b"nonsense\r\n\r\n", 400),
         (b"GET /" + b"x" * 9000, 431),
         (b"PUT /reading HTTP/1.1\r\n\r\n", 405),
-        (hand_in(cls="telegram"), 404),
-        (hand_in(X_Customer="nobody"), 422),
-        (hand_in(X_Route_To="dest=x"), 400),
-        (hand_in(X_Route_To="dest=99"), 422),
-        (hand_in(X_Expires_In="soon"), 400),
-        (hand_in(X_Trace_Id=""), 400),
+        (submit_request(cls="telegram"), 404),
+        (submit_request(X_Customer="nobody"), 422),
+        (submit_request(X_Route_To="dest=x"), 400),
+        (submit_request(X_Route_To="dest=99"), 422),
+        (submit_request(X_Expires_In="soon"), 400),
+        (submit_request(X_Trace_Id=""), 400),
         (b"POST /reading HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
         (b"POST /reading HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
-        (hand_in() + b"and more", 400),
-        (hand_in(Content_Length="3"), 400),
+        (submit_request() + b"and more", 400),
+        (submit_request(Content_Length="3"), 400),
         (b"GET /health/ready HTTP/1.1\r\n\r\n", 200),
         (b"GET /nowhere HTTP/1.1\r\n\r\n", 404),
     ],
@@ -281,27 +287,27 @@
 def test_bad_requests_get_an_error_status_and_nothing_is_journalled(
     tmp_path: Path, request_: bytes, status: int
 ) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     assert stage.talk(request_).startswith(b"HTTP/1.1 %d " % status)
     assert not stage.journal.entries and not stage.peer.seen
-    assert stage.talk(hand_in()).startswith(b"HTTP/1.1 202 ")
+    assert stage.talk(submit_request()).startswith(b"HTTP/1.1 202 ")
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
-    data = b"".join(hand_in(f"t{i}") for i in range(5))
+    stage = HttpTestbed(tmp_path, ok)
+    data = b"".join(submit_request(f"t{i}") for i in range(5))
     got = stage.talk(data[:100], data[100:101], data[101:], until=lambda text: text.count(b" 202 ") == 5)
     assert got.count(b"\r\n\r\n") == 5
-    stage.until(lambda: len(stage.peer.seen) == 5 and not stage.journal.entries)
+    stage.run_until(lambda: len(stage.peer.seen) == 5 and not stage.journal.entries)
     assert stage.platform.seen == []  # a delivered message needs no notice
 
 
 def test_a_message_is_journalled_and_acknowledged_before_its_first_attempt(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     order: list[str] = []
-    taken, attempt, write = stage.journal.taken, stage.journal.attempt, Stream.write
-    stage.journal.taken = lambda *a: (order.append("journal"), taken(*a))[1]  # type: ignore[method-assign]
-    stage.journal.attempt = lambda *a: (order.append("attempt"), attempt(*a))[1]  # type: ignore[method-assign]
+    taken, attempt, write = stage.journal.record_accepted, stage.journal.record_attempt, Stream.write
+    stage.journal.record_accepted = lambda *a: (order.append("journal"), taken(*a))[1]  # type: ignore[method-assign]
+    stage.journal.record_attempt = lambda *a: (order.append("attempt"), attempt(*a))[1]  # type: ignore[method-assign]
 
     def spy(self: Stream, data: bytes, deadline: int | None) -> None:
         order.append(data.split(b"\r\n")[0].decode("latin-1"))
@@ -309,19 +315,19 @@
 
     Stream.write = spy  # type: ignore[method-assign]
     try:
-        stage.talk(hand_in())
-        stage.until(lambda: not stage.journal.entries)
+        stage.talk(submit_request())
+        stage.run_until(lambda: not stage.journal.entries)
     finally:
         Stream.write = write  # type: ignore[method-assign]
     assert order[:4] == ["journal", "HTTP/1.1 202 Accepted", "attempt", "POST /v1/messages HTTP/1.1"]
 
 
 def test_a_message_is_not_accepted_if_its_client_has_disconnected(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     sock = socket.create_connection(stage.address)
-    sock.sendall(hand_in())
+    sock.sendall(submit_request())
     sock.close()
-    stage.until(lambda: stage.server.count == 0 and stage.courier._last == 1)
+    stage.run_until(lambda: stage.server.count == 0 and stage.courier._last_number == 1)
     assert not stage.journal.entries and not stage.courier.open and not stage.peer.seen
 
 
@@ -330,22 +336,22 @@
     [
         (b"", b""),
         (b"POST /reading HTTP/1.1\r\nX-", b"HTTP/1.1 408 "),
-        (hand_in(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
+        (submit_request(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
     ],
 )
 def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
     # Guards against connections that hold descriptors and buffers forever.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     started_at = CLOCK.ahead
     assert stage.talk(data, until=lambda _: False).startswith(answer)
-    stage.until(lambda: stage.server.count == 0)  # half-closed, and closed once the client has closed its side, too
+    stage.run_until(lambda: stage.server.count == 0)  # half-closed, and closed once the client has closed its side, too
     assert not stage.journal.entries
     assert CLOCK.ahead - started_at < 3 * SECOND
 
 
 def test_a_rejection_reaches_a_client_that_still_sends_a_huge_body(tmp_path: Path) -> None:
     # Guards against a reset that overtakes the response, and against reading the body into memory.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     head = b"POST /reading HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
     got = stage.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
     assert got.startswith(b"HTTP/1.1 413 ") and stage.buffers._made <= 2
@@ -354,40 +360,42 @@
 def test_an_id_of_an_open_or_recently_finished_message_is_not_accepted_again(tmp_path: Path) -> None:
     # Guards against a second delivery when a faulty client reuses the id of another message, and against rejecting a
     # client that repeats its request because the connection was closed before the response arrived.
-    stage = Stage(tmp_path, lambda *_: None)
-    assert b" 202 " in stage.talk(hand_in("a", "payment"))
-    assert b" 202 " in stage.talk(hand_in("a", "payment")) and len(stage.journal.entries) == 1
-    assert b" 409 " in stage.talk(hand_in("a", "payment", b"other")) and b" 409 " in stage.talk(hand_in("a"))
-    stage.until(lambda: not stage.journal.entries)
+    stage = HttpTestbed(tmp_path, lambda *_: None)
+    assert b" 202 " in stage.talk(submit_request("a", "payment"))
+    assert b" 202 " in stage.talk(submit_request("a", "payment")) and len(stage.journal.entries) == 1
+    assert b" 409 " in stage.talk(submit_request("a", "payment", b"other")) and b" 409 " in stage.talk(
+        submit_request("a")
+    )
+    stage.run_until(lambda: not stage.journal.entries)
     assert [notice["id"] for notice in stage.notices_seen()] == ["a"]
-    assert b" 409 " in stage.talk(hand_in("a", "payment")) and len(stage.peer.seen) == 1  # its failure is final
-    stage.wait(29 * SECOND)  # longer than any message's lifetime
-    assert b" 202 " in stage.talk(hand_in("a")) and len(stage.courier._known) == 1
+    assert b" 409 " in stage.talk(submit_request("a", "payment")) and len(stage.peer.seen) == 1  # its failure is final
+    stage.run_for(29 * SECOND)  # longer than any message's lifetime
+    assert b" 202 " in stage.talk(submit_request("a")) and len(stage.courier._known) == 1
 
 
 def test_a_delivered_message_is_acknowledged_again_and_a_returned_one_is_accepted_again(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     for _ in range(3):
-        assert b" 202 " in stage.talk(hand_in("paid", "payment"))
-        stage.until(lambda: not stage.journal.entries)
+        assert b" 202 " in stage.talk(submit_request("paid", "payment"))
+        stage.run_until(lambda: not stage.journal.entries)
     assert len(stage.peer.seen) == 1 and not stage.notices_seen()
     stage.peer.script = lambda *_: parser.response(503, headers={"Retry-After": "9"})
-    assert b" 202 " in stage.talk(hand_in("back", X_Expires_In="300m"))
-    stage.until(lambda: stage.notices_seen())
-    stage.until(lambda: not stage.journal.entries)
+    assert b" 202 " in stage.talk(submit_request("back", X_Expires_In="300m"))
+    stage.run_until(lambda: stage.notices_seen())
+    stage.run_until(lambda: not stage.journal.entries)
     assert stage.notices_seen()[0]["state"] == "returned"
-    stage.wait(10 * SECOND)
+    stage.run_for(10 * SECOND)
     stage.peer.script = ok
-    assert b" 202 " in stage.talk(hand_in("back"))
-    stage.until(lambda: not stage.journal.entries)
+    assert b" 202 " in stage.talk(submit_request("back"))
+    stage.run_until(lambda: not stage.journal.entries)
     assert len(stage.notices_seen()) == 1 and len(stage.peer.seen) >= 2
 
 
 def test_silent_connections_are_closed_to_make_room_for_active_clients(tmp_path: Path) -> None:
     # Guards against hundreds of silent connections that leave no descriptor for active clients.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     silent = [socket.create_connection(stage.address) for _ in range(60)]
-    assert b" 202 " in stage.talk(hand_in()) and stage.server.count <= 20
+    assert b" 202 " in stage.talk(submit_request()) and stage.server.count <= 20
     assert sum(sock.recv(1) == b"" for sock in silent[:30]) == 30  # the oldest were closed
     for sock in silent:
         sock.close()
@@ -395,18 +403,18 @@
 
 def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
     # Guards against idle connections that leave no room for new ones, although the connection limit is far.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     idle, closed = [socket.create_connection(stage.address) for _ in range(9)], []
     for number, sock in enumerate(idle):
-        sock.sendall(hand_in(f"t{number}"))
-        stage.until(lambda number=number: stage.courier._last == number + 1)
-        stage.until(lambda: not stage.server._clients[State.SERVED])
+        sock.sendall(submit_request(f"t{number}"))
+        stage.run_until(lambda number=number: stage.courier._last_number == number + 1)
+        stage.run_until(lambda: not stage.server._clients[State.SERVED])
         answer = sock.recv(1000)
         assert b" 202 " in answer
         closed.append(b"Connection: close" in answer)
     assert closed == [False] * 5 + [True] * 4
     # Half-closed connections are closed soon, although their clients stay connected.
-    stage.until(lambda: stage.server.count <= 5)
+    stage.run_until(lambda: stage.server.count <= 5)
     assert stage.server.count == 5
     for sock in idle:
         sock.close()
@@ -414,17 +422,17 @@
 
 def test_the_last_buffers_are_reserved_for_responses_to_own_requests() -> None:
     # Guards against incomplete requests that hold all buffers, so that responses count as time-outs.
-    pool, loop = BufferPool(3, kept=1), SkippingLoop(CLOCK)
+    pool, loop = BufferPool(3, reserved=1), SkippingLoop(CLOCK)
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
     ours.send(b"answer")
-    assert [bool(pool.take(guest=True)) for _ in range(3)] == [True, True, False]
-    last, stream, got = pool.take(), Stream(loop, theirs, pool), []
+    assert [bool(pool.acquire(incoming=True)) for _ in range(3)] == [True, True, False]
+    last, stream, got = pool.acquire(), Stream(loop, theirs, pool), []
     loop.spawn(lambda: (stream.fill(None), got.append(bytes(stream.unread))))
     loop.turn()
     loop.turn()
     assert last is not None and not got  # no buffer is left: the reader waits, without a time-out
-    pool.give(last)
+    pool.release(last)
     for _ in range(9):
         loop.turn()
     assert got == [b"answer"]
@@ -433,8 +441,8 @@
 
 
 def test_messages_beyond_the_limit_of_open_ones_are_deferred(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, lambda *_: None, max_open=3)
-    got = [stage.talk(hand_in(f"t{i}", "payment")) for i in range(4)]
+    stage = HttpTestbed(tmp_path, lambda *_: None, max_open=3)
+    got = [stage.talk(submit_request(f"t{i}", "payment")) for i in range(4)]
     assert [text[9:12] for text in got] == [b"202", b"202", b"202", b"503"] and b"Retry-After: 1" in got[3]
     assert len(stage.journal.entries) == 3
 
@@ -442,7 +450,7 @@
 # Next hops
 
 
-def reset_at_once(scene: Scene) -> tuple[str, int]:
+def reset_at_once(scene: CourierTestbed) -> tuple[str, int]:
     sock, address = listener()
 
     def serve() -> None:
@@ -454,18 +462,18 @@
     return address
 
 
-def attempt(stage: Stage, cls: int = READING, timeout: int = 200 * MS, leave: bool = True) -> Outcome:
+def attempt(stage: HttpTestbed, cls: int = READING, timeout: int = 200 * MS, leave: bool = True) -> Outcome:
     got: list[Outcome] = []
-    message = Message("t", cls, 0, 7, stage.loop.now + SECOND, b"x" * 300, stage.ends, "key")
+    message = Message("t", cls, 0, 7, stage.loop.now + SECOND, b"x" * 300, stage.sender, "key")
     stage.loop.spawn(
         lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + timeout, lambda: leave).outcome)
     )
-    stage.until(lambda: got)
+    stage.run_until(lambda: got)
     return got[0]
 
 
 def test_outcomes_of_connections(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     assert attempt(stage) is Outcome.OK
     assert attempt(stage, leave=False) is Outcome.MOOT and len(stage.peer.seen) == 1
     # The connection is reused, also after the attempt that was not allowed to leave.
@@ -516,26 +524,28 @@
     tmp_path: Path, answer: bytes, outcome: Outcome
 ) -> None:
     # Guards against a payment that is processed twice, and against noise that is read as the next response.
-    stage = Stage(tmp_path, lambda *_: answer)
+    stage = HttpTestbed(tmp_path, lambda *_: answer)
     assert attempt(stage, timeout=5 * SECOND) is outcome
     stage.peer.script = lambda *_: parser.response(500)
-    stage.wait(1_100 * MS)
+    stage.run_for(1_100 * MS)
     assert attempt(stage) is Outcome.ERROR
     whole = answer in (raw(503, "Content-Length: 2", body=b"ok"),) or b"102" in answer
     assert stage.peer.connections == (1 if whole else 2)
 
 
 def test_a_payment_with_a_malformed_refusal_fails_and_its_retry_after_is_honoured(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, lambda *_: raw(429, "Retry-After: 0.8", "Content-Length: 1"))
-    stage.talk(hand_in("p", "payment"))
-    stage.until(lambda: not stage.journal.entries)
+    stage = HttpTestbed(tmp_path, lambda *_: raw(429, "Retry-After: 0.8", "Content-Length: 1"))
+    stage.talk(submit_request("p", "payment"))
+    stage.run_until(lambda: not stage.journal.entries)
     assert stage.notices_seen() == [{"id": "p", "state": "failed"}] and len(stage.peer.seen) == 1
-    assert 700 * MS < stage.courier._controller.routes[b"s-1"].dest.wait_until // 1000 - stage.loop.now <= 800 * MS
+    assert (
+        700 * MS < stage.courier._controller.routes[b"s-1"].dest.retry_after_until // 1000 - stage.loop.now <= 800 * MS
+    )
 
 
 def test_input_on_an_idle_connection_closes_it(tmp_path: Path) -> None:
     # Guards against a duplicate of a response that is read as the next response.
-    stage = Stage(tmp_path, lambda *_: parser.response(200))
+    stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
     assert attempt(stage) is Outcome.OK
     stage.peer.streams[-1].sock.send(parser.response(200))
     stage.peer.script = lambda *_: parser.response(500)
@@ -543,9 +553,9 @@
 
 
 def test_idle_connections_expire_and_closed_ones_are_not_reused(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, lambda *_: parser.response(200))
+    stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
     for span, connections in ((0, 1), (4_000 * MS, 1), (4_500 * MS, 2)):
-        stage.wait(span)
+        stage.run_for(span)
         assert attempt(stage) is Outcome.OK and stage.peer.connections == connections
     stage.peer.streams[-1].close()  # without notice: a request on it now would end with a reset
     assert attempt(stage) is Outcome.OK and stage.peer.connections == 3
@@ -554,28 +564,28 @@
 
 
 def test_a_draining_next_hop_gets_no_attempts_even_if_already_decided(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     real = stage.pool.attempt
 
     def drained_meanwhile(*given: object) -> object:
-        stage.courier.listed("discovery", [stage.hop(api.EndpointState.DRAINING)], whole=False)
+        stage.courier.apply_map_update("discovery", [stage.hop(api.EndpointState.DRAINING)], complete=False)
         return real(*given)  # type: ignore[arg-type]
 
     stage.pool.attempt = drained_meanwhile  # type: ignore[method-assign, assignment]
-    stage.talk(hand_in(X_Expires_In="900m"))
-    stage.until(lambda: not stage.journal.entries)
+    stage.talk(submit_request(X_Expires_In="900m"))
+    stage.run_until(lambda: not stage.journal.entries)
     (notice,) = stage.notices_seen()
     assert not stage.peer.seen and notice == {"id": "t1", "state": "returned", "after_ms": 2000}
 
 
 def test_a_retry_after_blocks_attempts_already_decided(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, lambda *_: parser.response(429, headers={"Retry-After": "0.5"}))
-    stage.talk(hand_in("a", X_Expires_In="4000m"))
-    stage.until(lambda: stage.peer.seen)
-    stage.until(lambda: not stage.courier.out)
+    stage = HttpTestbed(tmp_path, lambda *_: parser.response(429, headers={"Retry-After": "0.5"}))
+    stage.talk(submit_request("a", X_Expires_In="4000m"))
+    stage.run_until(lambda: stage.peer.seen)
+    stage.run_until(lambda: not stage.courier.attempts_in_flight)
     now = stage.loop.now * 1000
-    assert not stage.courier._controller.may_still_go(now + 300 * MS * 1000, b"s-1", 1)
-    assert stage.courier._controller.may_still_go(now + 600 * MS * 1000, b"s-1", 1)
+    assert not stage.courier._controller.may_still_send(now + 300 * MS * 1000, b"s-1", 1)
+    assert stage.courier._controller.may_still_send(now + 600 * MS * 1000, b"s-1", 1)
 
 
 # Notices, the watch, shutdown and restart
@@ -583,15 +593,15 @@
 
 def test_notices_are_repeated_until_acknowledged_and_a_rejected_one_delays_no_others(tmp_path: Path) -> None:
     answers = [parser.response(503), b"", parser.response(400), parser.response(400)]
-    stage = Stage(tmp_path, ok, lambda *_: answers.pop(0) if answers else parser.response(204))
+    stage = HttpTestbed(tmp_path, ok, lambda *_: answers.pop(0) if answers else parser.response(204))
     for name in ("a", "b", "c"):
         message = Message(name, READING, 0, 7, 0, b"", stage.notices)
-        stage.loop.spawn(stage.notices.settle, message, End(FAILED))
-    stage.until(lambda: not answers and not stage.notices._sending)
+        stage.loop.spawn(stage.notices.report_end, message, End(FAILED))
+    stage.run_until(lambda: not answers and not stage.notices._sending)
     assert [line["id"] for line in stage.notices_seen()[-2:]] == ["b", "c"]
 
 
-def make_watch(courier: Courier, stage: Stage) -> Watch:
+def make_watch(courier: Courier, stage: HttpTestbed) -> Watch:
     return Watch(stage.loop, stage.buffers, courier, stage.pool, stage.platform.address)
 
 
@@ -608,9 +618,9 @@
 
 
 def test_the_transport_map_follows_changes_and_skips_invalid_entries(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     watch = make_watch(stage.courier, stage)
-    watch._line(
+    watch._handle_line(
         json.dumps(
             {
                 "index": 5,
@@ -622,24 +632,24 @@
     assert list(stage.courier.map.hops) == [b"s-9"] and watch.index == 5  # s-1 was missing from a complete list
     assert stage.courier.map.hops[b"s-9"].endpoint == api.Endpoint(b"s-9", 3, 1, 1)
     for line in (b"{", b"[]", b"{}", b"", b'{"endpoints": 3}', b"\xff"):
-        watch._line(line)
+        watch._handle_line(line)
     gone = {"index": 6, "snapshot": False, "endpoints": [{**ROW, "status": "left"}]}
-    watch._line(json.dumps(gone).encode())
+    watch._handle_line(json.dumps(gone).encode())
     assert not stage.courier.map.hops and watch.index == 6
 
 
 def test_a_watch_resumes_from_its_last_index(tmp_path: Path) -> None:
     def discovery(head: parser.Head, _: bytes) -> bytes:
         line = json.dumps({"index": 8, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
-        if "after=8" in head.first[1]:
+        if "after=8" in head.start_line[1]:
             return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n"
         start = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         return start + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line)
 
-    stage = Stage(tmp_path, ok, discovery)
+    stage = HttpTestbed(tmp_path, ok, discovery)
     stage.loop.spawn(make_watch(stage.courier, stage).run)
-    stage.until(lambda: len(stage.platform.seen) >= 3)
-    positions = [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
+    stage.run_until(lambda: len(stage.platform.seen) >= 3)
+    positions = [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
     assert positions == ["/registry/instances", "8", "8"]  # the complete list first, as nothing is known yet
     assert b"s-9" in stage.courier.map.hops
 
@@ -651,12 +661,12 @@
     line = json.dumps({"index": 1, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
     refusals = [parser.response(503, keep=False)] * 4
     update = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
-    stage = Stage(tmp_path, ok, lambda *_: refusals.pop() if refusals else update)
+    stage = HttpTestbed(tmp_path, ok, lambda *_: refusals.pop() if refusals else update)
     watch = make_watch(stage.courier, stage)
     watch.apply({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
     stage.loop.spawn(watch.run)
-    stage.until(lambda: b"s-9" in stage.courier.map.hops)
-    assert [h.first[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["0"] * 5
+    stage.run_until(lambda: b"s-9" in stage.courier.map.hops)
+    assert [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["0"] * 5
     assert b"s-8" in stage.courier.map.hops
     out = capsys.readouterr().out
     assert out.count("event=map-break") == 1 and "status=503" in out and out.count("event=map-heard") == 1
@@ -664,50 +674,50 @@
 
 def test_an_address_change_of_discovery_is_followed_at_once_and_pending_notices_are_sent_there(tmp_path: Path) -> None:
     # Guards against a courier that continues to use an address which no longer responds.
-    stage = Stage(tmp_path, ok, lambda *_: None)
+    stage = HttpTestbed(tmp_path, ok, lambda *_: None)
     watch = make_watch(stage.courier, stage)
     stage.loop.spawn(watch.run)
-    stage.loop.spawn(stage.notices.settle, Message("a", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
-    stage.until(lambda: len(stage.platform.seen) == 2)  # both wait for a response that never arrives
+    stage.loop.spawn(stage.notices.report_end, Message("a", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
+    stage.run_until(lambda: len(stage.platform.seen) == 2)  # both wait for a response that never arrives
     row = json.dumps({"index": 3, "snapshot": True, "endpoints": [ROW]}).encode()
     new = Peer(
         stage,
         lambda head, _: (
             parser.response(204)
-            if head.first[0] == "POST"
+            if head.start_line[0] == "POST"
             else parser.response(200, row)
-            if "watch" not in head.first[1]
+            if "watch" not in head.start_line[1]
             else None
         ),
     )
     started_at = CLOCK.ahead
     watch.move(new.address)
     stage.notices.move(new.address)
-    stage.until(lambda: not stage.notices._sending and watch.index == 3 and len(new.seen) == 3)
+    stage.run_until(lambda: not stage.notices._sending and watch.index == 3 and len(new.seen) == 3)
     # Neither waits for a time-out.
     assert CLOCK.ahead - started_at < SECOND and list(stage.courier.map.hops) == [b"s-9"]
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
-    assert new.seen[-1][0].first[1].endswith("watch=1&after=3")
-    stage.loop.spawn(stage.notices.settle, Message("b", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
-    stage.until(lambda: len(new.seen) == 4)
+    assert new.seen[-1][0].start_line[1].endswith("watch=1&after=3")
+    stage.loop.spawn(stage.notices.report_end, Message("b", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
+    stage.run_until(lambda: len(new.seen) == 4)
     assert len(stage.platform.seen) == 2
 
 
 @pytest.mark.parametrize("responds", [True, False])
 def test_a_start_respects_a_drain_that_began_while_it_was_down(tmp_path: Path, responds: bool) -> None:
     # Guards against sending a recovered message by an outdated list; but a silent discovery must not delay a start.
-    old = Stage(tmp_path, lambda *_: None)
-    old.talk(hand_in("held"))
-    old.until(lambda: old.peer.seen)
+    old = HttpTestbed(tmp_path, lambda *_: None)
+    old.talk(submit_request("held"))
+    old.run_until(lambda: old.peer.seen)
     drains = json.dumps({"index": 2, "snapshot": True, "endpoints": [{**ROW, "name": "s-1", "status": "leaving"}]})
 
     def discovery(head: parser.Head, _: bytes) -> bytes | None:
-        if head.first[0] == "POST":
+        if head.start_line[0] == "POST":
             return parser.response(204)
         chunk = f"{len(drains) + 1:x}\r\n{drains}\n\r\n"
         return f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode() if responds else None
 
-    new = Stage(tmp_path, ok, discovery)
+    new = HttpTestbed(tmp_path, ok, discovery)
     new.courier.ready, recovered = False, []
     watch = make_watch(new.courier, new)
     watch.apply(
@@ -723,10 +733,10 @@
     )
     new.loop.spawn(watch.run)
     new.loop.spawn(serve._open_front_ends, new.courier, [lambda: recovered.append(new.courier.find("held"))], config)
-    new.until(lambda: new.courier.ready)
+    new.run_until(lambda: new.courier.ready)
     assert new.loop.now - started_at <= 250 * MS
     assert recovered[0] is not None, "a front end opened before the journal was recovered"
-    new.until(lambda: not new.journal.entries)
+    new.run_until(lambda: not new.journal.entries)
     assert len(new.peer.seen) == (0 if responds else 1)
 
 
@@ -734,7 +744,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     # Guards against requests that wait unread while a courier starts, whose final states would be late by that time.
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     config = SimpleNamespace(settings=stage.courier.settings, name="n", listen=("", 0), sockets=9, memory=9)
     ours = bind(("127.0.0.1", 0))
     address = ours.getsockname()
@@ -757,7 +767,7 @@
         [lambda: serve._open_front_end(stage.loop, late, stage.server.accept)],
         config,
     )
-    stage.until(lambda: stage.loop._stopped)
+    stage.run_until(lambda: stage.loop._stopped)
     assert "can't-start" in capsys.readouterr().out
 
 
@@ -767,23 +777,23 @@
 ) -> None:
     report = {"Endpoint-Load-Metrics": "TEXT x0=0.9, x1=25"}
     settings_ = {"forwarders": couriers, "columns": ("x0", "x1"), "share_left_column": 0, "limit_column": 1}
-    old = Stage(tmp_path, lambda *_: parser.response(200, headers=report), **settings_)
-    old.talk(hand_in())
-    old.until(lambda: not old.journal.entries)
-    new = Stage(tmp_path, ok, **settings_)
+    old = HttpTestbed(tmp_path, lambda *_: parser.response(200, headers=report), **settings_)
+    old.talk(submit_request())
+    old.run_until(lambda: not old.journal.entries)
+    new = HttpTestbed(tmp_path, ok, **settings_)
     assert new.courier._controller.routes[b"s-1"].limit.rate == new.journal.limit(b"s-1") == known
 
 
 def test_closing_accepts_nothing_finishes_attempts_in_flight_and_leaves_the_rest(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, lambda *_: None)
-    stage.talk(hand_in("held", "payment"))
-    stage.until(lambda: stage.courier.out)
+    stage = HttpTestbed(tmp_path, lambda *_: None)
+    stage.talk(submit_request("held", "payment"))
+    stage.run_until(lambda: stage.courier.attempts_in_flight)
     start = stage.loop.now
     stage.courier.close()
     assert b"503" in stage.talk(b"GET /health/ready HTTP/1.1\r\n\r\n")
-    late = stage.talk(hand_in("late"))
+    late = stage.talk(submit_request("late"))
     assert late.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1" in late
-    stage.until(lambda: stage.loop._stopped)
+    stage.run_until(lambda: stage.loop._stopped)
     assert stage.loop.now - start < 3_700 * MS and list(stage.journal.entries) == [1]
 
 
@@ -792,61 +802,61 @@
     [("payment", True, "failed"), ("payment", False, None), ("work-order", True, None), ("reading", True, None)],
 )
 def test_each_recovered_message_gets_its_final_state(tmp_path: Path, cls: str, sent: bool, state: str | None) -> None:
-    old = Stage(tmp_path, lambda *_: None)
+    old = HttpTestbed(tmp_path, lambda *_: None)
     if not sent:
-        old.courier.listed("discovery", [], whole=True)
-    old.talk(hand_in("held", cls))
-    old.until(lambda: old.peer.seen if sent else old.courier.open)
-    new = Stage(tmp_path, ok)
+        old.courier.apply_map_update("discovery", [], complete=True)
+    old.talk(submit_request("held", cls))
+    old.run_until(lambda: old.peer.seen if sent else old.courier.open)
+    new = HttpTestbed(tmp_path, ok)
     new.courier.resume()
-    new.until(lambda: not new.journal.entries)
+    new.run_until(lambda: not new.journal.entries)
     assert new.notices_seen() == ([{"id": "held", "state": state}] if state else [])
     assert len(new.peer.seen) == (0 if state else 1)
 
 
 def test_a_payment_refused_before_a_restart_is_retried_after_it(tmp_path: Path) -> None:
-    old = Stage(tmp_path, lambda *_: parser.response(503))
-    old.talk(hand_in("held", "payment"))
-    old.until(lambda: old.peer.seen and not old.courier.out)
-    new = Stage(tmp_path, ok)
+    old = HttpTestbed(tmp_path, lambda *_: parser.response(503))
+    old.talk(submit_request("held", "payment"))
+    old.run_until(lambda: old.peer.seen and not old.courier.attempts_in_flight)
+    new = HttpTestbed(tmp_path, ok)
     new.courier.resume()
-    new.until(lambda: not new.journal.entries)
+    new.run_until(lambda: not new.journal.entries)
     assert len(new.peer.seen) == 1 and not new.notices_seen()
 
 
 def test_an_exception_of_the_decision_module_is_logged_and_fails_only_its_message(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    stage = Stage(tmp_path, ok)
+    stage = HttpTestbed(tmp_path, ok)
     with monkeypatch.context() as broken:
         broken.setattr(stage.courier._controller, "handle", lambda *_: 1 // 0)
-        assert b" 202 " in stage.talk(hand_in("a"))
-        stage.until(lambda: stage.notices_seen() == [{"id": "a", "state": "failed"}])
+        assert b" 202 " in stage.talk(submit_request("a"))
+        stage.run_until(lambda: stage.notices_seen() == [{"id": "a", "state": "failed"}])
     assert "event=fault task=module" in capsys.readouterr().out
-    stage.talk(hand_in("b"))
-    stage.until(lambda: not stage.journal.entries)
+    stage.talk(submit_request("b"))
+    stage.run_until(lambda: not stage.journal.entries)
     assert len(stage.peer.seen) == 1
 
 
 def test_a_work_order_is_not_retried_after_its_window(tmp_path: Path) -> None:
-    old = Stage(tmp_path, lambda *_: None)
-    old.talk(hand_in("held", "work-order", X_Expires_In="20000m"))
-    old.until(lambda: old.peer.seen)
-    new = Stage(tmp_path, ok)
-    new.wait(7_500 * MS)
+    old = HttpTestbed(tmp_path, lambda *_: None)
+    old.talk(submit_request("held", "work-order", X_Expires_In="20000m"))
+    old.run_until(lambda: old.peer.seen)
+    new = HttpTestbed(tmp_path, ok)
+    new.run_for(7_500 * MS)
     new.courier.resume()
-    new.until(lambda: not new.journal.entries)
+    new.run_until(lambda: not new.journal.entries)
     assert not new.peer.seen and [n["state"] for n in new.notices_seen()] == ["returned"]
 
 
 def test_a_final_state_decided_before_a_restart_is_reported_after_it(tmp_path: Path) -> None:
-    old = Stage(tmp_path, ok, lambda *_: parser.response(503))
-    old.courier.listed("discovery", [], whole=True)
-    old.talk(hand_in("held", "payment", X_Expires_In="100m"))
-    old.until(lambda: old.platform.seen)
-    new = Stage(tmp_path, ok)
+    old = HttpTestbed(tmp_path, ok, lambda *_: parser.response(503))
+    old.courier.apply_map_update("discovery", [], complete=True)
+    old.talk(submit_request("held", "payment", X_Expires_In="100m"))
+    old.run_until(lambda: old.platform.seen)
+    new = HttpTestbed(tmp_path, ok)
     new.courier.resume()
-    new.until(lambda: not new.journal.entries)
+    new.run_until(lambda: not new.journal.entries)
     assert [(n["id"], n["state"]) for n in new.notices_seen()] == [("held", "returned")]
     assert not new.peer.seen
 
@@ -861,10 +871,10 @@
         return parser.response(503 if first else 500 if trace.startswith("bad") else 200)
 
     (tmp_path / "old").mkdir()
-    old = Stage(tmp_path / "old", full_at_first)
+    old = HttpTestbed(tmp_path / "old", full_at_first)
     for trace, cls in (("r", "reading"), ("w", "work-order"), ("p", "payment"), ("bad", "payment")):
-        old.talk(hand_in(trace, cls))
-    old.until(lambda: not old.journal.entries)
+        old.talk(submit_request(trace, cls))
+    old.run_until(lambda: not old.journal.entries)
     data = (tmp_path / "old" / "journal").read_bytes()
     decided: set[int] = set()
     open_messages: dict[int, str] = {}
@@ -882,9 +892,9 @@
         directory = tmp_path / str(last)
         directory.mkdir()
         (directory / "journal").write_bytes(data[: piece.end])
-        new = Stage(directory, ok)
+        new = HttpTestbed(directory, ok)
         new.courier.resume()
-        new.until(lambda new=new: not new.journal.entries)
+        new.run_until(lambda new=new: not new.journal.entries)
         seen = [head.headers["x-trace-id"] for head, _ in new.peer.seen]
         notified = [str(notice["id"]) for notice in new.notices_seen()]
         for number, trace in open_messages.items():
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -27,29 +27,31 @@
 def test_open_messages_are_recovered_with_their_history(tmp_path: Path) -> None:
     journal = open_journal(tmp_path)
     for number in (1, 2, 3):
-        assert journal.taken(number, 9_000_000 + number, '{"trace":"t"}', b"body")
-    assert journal.attempt(1, 0, 111) and journal.attempt(1, 1, 222)
-    journal.not_run(1, 0)
-    journal.verdict(2, "returned", 500)
-    assert journal.awaits(1, '{"by":"smpp","ids":["a","b"]}') and journal.awaits(1, '{"by":"smpp","ids":["b"]}')
-    journal.done(3)
+        assert journal.record_accepted(number, 9_000_000 + number, '{"trace":"t"}', b"body")
+    assert journal.record_attempt(1, 0, 111) and journal.record_attempt(1, 1, 222)
+    journal.record_not_run(1, 0)
+    journal.record_end(2, "returned", 500)
+    assert journal.record_awaited(1, '{"by":"smpp","ids":["a","b"]}') and journal.record_awaited(
+        1, '{"by":"smpp","ids":["b"]}'
+    )
+    journal.record_done(3)
     for _ in range(2):  # the second time from the compacted file
         journal = open_journal(tmp_path)
         assert set(journal.entries) == {1, 2}
         one, two = journal.entries[1], journal.entries[2]
         assert one.awaits == '{"by":"smpp","ids":["b"]}' and not two.awaits
-        assert (one.attempts, one.maybe_since, one.body, one.deadline) == (2, 222, b"body", 9_000_001)
-        assert (two.verdict, two.after_ms, two.maybe_since) == ("returned", 500, None)
+        assert (one.attempts, one.may_have_run_since, one.body, one.deadline) == (2, 222, b"body", 9_000_001)
+        assert (two.verdict, two.after_ms, two.may_have_run_since) == ("returned", 500, None)
 
 
 def test_attempts_that_never_ran_still_count_after_a_restart(tmp_path: Path) -> None:
     journal = open_journal(tmp_path)
-    journal.taken(1, 5, "{}", b"")
-    journal.attempt(1, 0, 10)
-    journal.not_run(1, 0)
+    journal.record_accepted(1, 5, "{}", b"")
+    journal.record_attempt(1, 0, 10)
+    journal.record_not_run(1, 0)
     for _ in range(3):
         journal = open_journal(tmp_path)
-        assert (journal.entries[1].attempts, journal.entries[1].maybe_since) == (1, None)
+        assert (journal.entries[1].attempts, journal.entries[1].may_have_run_since) == (1, None)
 
 
 @FIXED
@@ -60,21 +62,21 @@
     directory = tmp_path_factory.mktemp("torn")
     journal = open_journal(directory)
     for number in range(1, 6):
-        journal.taken(number, 100, "{}", b"x" * number)
+        journal.record_accepted(number, 100, "{}", b"x" * number)
     path = directory / "journal"
     whole = path.read_bytes()
     path.write_bytes(whole[: min(cut, len(whole))] + garbage)
     recovered = open_journal(directory)
     assert set(recovered.entries) <= set(range(1, 6)) and list(recovered.entries) == sorted(recovered.entries)
     assert all(entry.body == b"x" * number for number, entry in recovered.entries.items())
-    assert recovered.taken(9, 1, "{}", b"after")
+    assert recovered.record_accepted(9, 1, "{}", b"after")
     assert open_journal(directory).entries[9].body == b"after"
 
 
 def test_a_damaged_record_is_skipped_and_logged(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     journal = open_journal(tmp_path)
     for number in (1, 2):
-        journal.taken(number, 100, "{}", b"body%d" % number)
+        journal.record_accepted(number, 100, "{}", b"body%d" % number)
     data = bytearray((tmp_path / "journal").read_bytes())
     data[data.index(b"body1")] ^= 255
     (tmp_path / "journal").write_bytes(data)
@@ -86,13 +88,13 @@
     limit = 200_000
     journal, accepted = open_journal(tmp_path, limit), []
     for number in range(1, 400):
-        if journal.taken(number, 100, "{}", bytes(3000)):
+        if journal.record_accepted(number, 100, "{}", bytes(3000)):
             accepted.append(number)
-            assert journal.attempt(number, 0, 5)
+            assert journal.record_attempt(number, 0, 5)
         assert disk_usage(tmp_path) <= limit
         if number % 3 == 0 and accepted:
-            journal.verdict(accepted[0], "failed", 0)
-            journal.done(accepted.pop(0))
+            journal.record_end(accepted[0], "failed", 0)
+            journal.record_done(accepted.pop(0))
     assert 0 < len(accepted) < 100 and set(open_journal(tmp_path, limit).entries) == set(accepted)
 
 
@@ -100,19 +102,19 @@
     limit, accepted = 60_000, []
     journal = open_journal(tmp_path, limit, 40)
     for number in range(1, 200):
-        if journal.taken(number, 100, "{}", bytes(40)):
+        if journal.record_accepted(number, 100, "{}", bytes(40)):
             accepted.append(number)
     for index in range(40):  # all records that can follow, in an order that leaves little to compact
         for number in accepted:
-            assert journal.attempt(number, index, 5)
+            assert journal.record_attempt(number, index, 5)
             if index < 39:
-                journal.not_run(number, index)
+                journal.record_not_run(number, index)
             assert disk_usage(tmp_path) <= limit
     for number in accepted:
-        journal.verdict(number, "delivered", 0)
+        journal.record_end(number, "delivered", 0)
         assert journal.entries[number].verdict == open_copy(tmp_path).entries[number].verdict
     for number in accepted:
-        journal.done(number)
+        journal.record_done(number)
         assert disk_usage(tmp_path) <= limit
     assert len(accepted) > 5 and not open_journal(tmp_path, limit).entries
 
@@ -128,7 +130,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = open_journal(tmp_path)
-    journal.taken(1, 100, "{}", b"kept")
+    journal.record_accepted(1, 100, "{}", b"kept")
     real = os.write
 
     def cut_short(file: int, data: bytes) -> int:
@@ -136,9 +138,9 @@
         raise OSError(28, "no space left")
 
     monkeypatch.setattr(store.os, "write", cut_short)
-    assert not journal.taken(2, 100, "{}", b"lost") and not journal.attempt(1, 0, 5)
+    assert not journal.record_accepted(2, 100, "{}", b"lost") and not journal.record_attempt(1, 0, 5)
     monkeypatch.undo()
-    assert journal.taken(3, 100, "{}", b"later")
+    assert journal.record_accepted(3, 100, "{}", b"later")
     assert set(open_journal(tmp_path).entries) == {1, 3}
 
 
@@ -147,18 +149,18 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int, shift: int
 ) -> None:
     journal, real = open_journal(tmp_path), time.time_ns
-    journal.taken(1, 9_000_000, "{}", b"")
-    journal.attempt(1, 0, 8_000_000)
+    journal.record_accepted(1, 9_000_000, "{}", b"")
+    journal.record_attempt(1, 0, 8_000_000)
     monkeypatch.setattr(store.time, "time_ns", lambda: real() + step * 10**9)
     entry = open_journal(tmp_path).entries[1]
-    assert entry.maybe_since is not None
+    assert entry.may_have_run_since is not None
     assert abs(entry.deadline - 9_000_000 - shift * 1_000_000) < 100_000
-    assert abs(entry.maybe_since - 8_000_000 - shift * 1_000_000) < 100_000
+    assert abs(entry.may_have_run_since - 8_000_000 - shift * 1_000_000) < 100_000
 
 
 def test_times_are_converted_after_a_restart_of_the_machine(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     journal = open_journal(tmp_path)
-    journal.taken(1, 50_000_000, "{}", b"")
+    journal.record_accepted(1, 50_000_000, "{}", b"")
     real = store.time.monotonic_ns
     monkeypatch.setattr(store.time, "monotonic_ns", lambda: real() - 30_000_000_000)  # as after a restart
     deadline = open_journal(tmp_path).entries[1].deadline
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -13,19 +13,19 @@
 
 from kestrelspar import keys as keys_module
 from kestrelspar import passwords
-from kestrelspar.keys import Keys
-from kestrelspar.passwords import Verifier, hashed
+from kestrelspar.keys import TlsStore
+from kestrelspar.passwords import Verifier, hash_password
 from kestrelspar.runtime import tls
 from kestrelspar.runtime.loop import SECOND, connect
 from kestrelspar.settings import conf as conf_file
 from kestrelspar.settings import resolve
-from kestrelspar.settings.lines import ConfFaults
-from kestrelspar.smpp import door
-from kestrelspar.smpp.client import Gateways
+from kestrelspar.settings.lines import ConfErrors
+from kestrelspar.smpp import access
+from kestrelspar.smpp.client import SmppCarrier
 from kestrelspar.smpp.pdu import Command, Status
-from tests.smpp.test_operations import submitted
+from tests.smpp.test_operations import submit
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
-from tests.test_smpp import Stage
+from tests.test_smpp import SmppTestbed
 
 CA = trustme.CA()
 
@@ -53,17 +53,17 @@
     return context
 
 
-def secure(stage: Stage, directory: Path, **account: object) -> Keys:
+def secure(stage: SmppTestbed, directory: Path, **account: object) -> TlsStore:
     write_files(directory)
-    keys = Keys(conf(directory))
-    config = stage.server.told
+    keys = TlsStore(conf(directory))
+    config = stage.server.config
     accounts = tuple(dataclasses.replace(a, **account) for a in config.accounts)  # type: ignore[arg-type]
-    stage.server.told = dataclasses.replace(config, tls="main", accounts=accounts)
+    stage.server.config = dataclasses.replace(config, tls="main", accounts=accounts)
     stage.server._keys = keys
     return keys
 
 
-def connect_contractor(stage: Stage, context: ssl.SSLContext) -> StandInContractor | None:
+def connect_contractor(stage: SmppTestbed, context: ssl.SSLContext) -> StandInContractor | None:
     connected: list[StandInContractor | None] = []
 
     def dial() -> None:
@@ -75,14 +75,14 @@
         )
 
     stage.loop.spawn(dial)
-    stage.until(
+    stage.run_until(
         lambda: connected and (connected[0] is None or connected[0].answers or connected[0].stream.sock.fileno() < 0)
     )
     return connected[0]
 
 
 def test_contractors_bind_and_submit_over_tls_and_other_connections_are_closed(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     secure(stage, tmp_path)
@@ -92,11 +92,11 @@
     assert contractor is not None and contractor.answers[0].status == 0
     plain: list[StandInContractor] = []
     stage.loop.spawn(lambda: plain.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.until(lambda: plain and plain[0].stream.sock.fileno() < 0)
-    name = submitted(stage, contractor)
-    stage.until(lambda: name in contractor.ends())
-    stage.wait(6 * SECOND)
-    assert len(stage.server._guests) == 1, "the connection that stalled in its handshake was not closed"
+    stage.run_until(lambda: plain and plain[0].stream.sock.fileno() < 0)
+    name = submit(stage, contractor)
+    stage.run_until(lambda: name in contractor.final_states())
+    stage.run_for(6 * SECOND)
+    assert len(stage.server._connections) == 1, "the connection that stalled in its handshake was not closed"
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
     [("acme.example", Status.ESME_ROK), ("other.example", Status.ESME_RBINDFAIL), (None, Status.ESME_RBINDFAIL)],
 )
 def test_an_account_may_require_a_client_certificate(tmp_path: Path, presented: str | None, status: Status) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open()
     secure(stage, tmp_path, certificate="acme.example")
     contractor = connect_contractor(stage, client(CA.issue_cert(presented) if presented else None))
@@ -112,14 +112,14 @@
 
 
 def test_a_gateway_is_connected_over_tls_and_its_name_is_verified(tmp_path: Path) -> None:
-    hub = Stage(tmp_path / "hub") if (tmp_path / "hub").mkdir() is None else None
+    hub = SmppTestbed(tmp_path / "hub") if (tmp_path / "hub").mkdir() is None else None
     assert hub is not None
     hub.open()
     secure(hub, tmp_path)
     # Another courier's listener acts as the gateway: it rejects the destination, as a gateway may do.
     hub_keys = hub.server._keys
     for name, bound in (("hub.example", True), ("other.example", False)):
-        gates = Gateways(
+        gates = SmppCarrier(
             hub.loop,
             hub.buffers,
             hub.courier.settings,
@@ -127,13 +127,13 @@
             keys=hub_keys,
         )
         gates.start()
-        hub.wait(SECOND)
-        assert next(iter(gates._links.values())).hears() is bound
-        gates.leave()
+        hub.run_for(SECOND)
+        assert next(iter(gates._links.values())).is_receiving() is bound
+        gates.shut_down()
 
 
 def test_reloaded_files_apply_to_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open()
     keys = secure(stage, tmp_path)
     old = connect_contractor(stage, client())
@@ -142,7 +142,7 @@
     keys.reload_files(conf(tmp_path))
     assert connect_contractor(stage, client()) is None, "the certificate of the other authority is not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
-    with pytest.raises(ConfFaults, match=r"conf:2: tls main.certificate.*holds no certificate"):
+    with pytest.raises(ConfErrors, match=r"conf:2: tls main.certificate.*holds no certificate"):
         keys.reload_files(conf(tmp_path))
     write_files(tmp_path)
     keys.reload_files(conf(tmp_path))
@@ -167,8 +167,8 @@
 def test_unusable_files_are_named(tmp_path: Path, damage: object, message: str) -> None:
     write_files(tmp_path)
     damage(tmp_path)  # type: ignore[operator]
-    with pytest.raises(ConfFaults, match=message):
-        Keys(conf(tmp_path))
+    with pytest.raises(ConfErrors, match=message):
+        TlsStore(conf(tmp_path))
 
 
 def test_references_to_missing_tls_sections_are_faults(tmp_path: Path) -> None:
@@ -179,9 +179,9 @@
         "smpp\n    tls none\nsmpp-gateway g\n    address 127.0.0.1:1\n    destination 1\n    system-id us\n"
         "    password-file pw\n    tls other\n"
     )
-    with pytest.raises(ConfFaults) as faults:
+    with pytest.raises(ConfErrors) as faults:
         resolve.keys(conf(tmp_path, "", rest))
-    assert [str(fault).partition(": ")[2] for fault in faults.value.faults] == [
+    assert [str(fault).partition(": ")[2] for fault in faults.value.errors] == [
         "smpp.tls: there is no section tls none",
         "smpp-gateway g.tls: there is no section tls other",
     ]
@@ -196,51 +196,55 @@
     tmp_path: Path, days: int, event: str | None, capsys: pytest.CaptureFixture[str]
 ) -> None:
     write_files(tmp_path, days=days)
-    Keys(conf(tmp_path)).log_expiry()
+    TlsStore(conf(tmp_path)).log_expiry()
     output = capsys.readouterr().out
     assert (f"event={event} section=main" in output) if event else not output
     assert keys_module.EXPIRY_WARNING_DAYS == 30
 
 
 def test_passwords_are_checked_against_hashes(monkeypatch: pytest.MonkeyPatch) -> None:
-    stored, verifier = hashed("secret"), Verifier()
-    assert hashed("secret") != stored and passwords.usable(stored) and passwords.is_hash(stored)
-    assert verifier.same(stored, "secret") and not verifier.same(stored, "secreT") and not verifier.same(stored, stored)
-    assert verifier.same("plain", "plain") and not verifier.same("plain", "plait")
+    stored, verifier = hash_password("secret"), Verifier()
+    assert hash_password("secret") != stored and passwords.is_supported_hash(stored) and passwords.is_hash(stored)
+    assert (
+        verifier.matches(stored, "secret")
+        and not verifier.matches(stored, "secreT")
+        and not verifier.matches(stored, stored)
+    )
+    assert verifier.matches("plain", "plain") and not verifier.matches("plain", "plait")
     computed: list[int] = []
     real = passwords._scrypt
     monkeypatch.setattr(passwords, "_scrypt", lambda *given: computed.append(1) or real(*given))  # type: ignore[func-returns-value]
-    assert verifier.same(stored, "secret") and not computed, "a cached match was computed again"
-    assert not verifier.same(stored, "other") and computed
+    assert verifier.matches(stored, "secret") and not computed, "a cached match was computed again"
+    assert not verifier.matches(stored, "other") and computed
     for bad in ("$scrypt$", "$scrypt$ln=30,r=8,p=1$c2FsdHNhbHQ$" + "A" * 43, stored.replace("ln=12", "ln=99")):
-        assert not passwords.usable(bad) and not verifier.same(bad, "secret")
+        assert not passwords.is_supported_hash(bad) and not verifier.matches(bad, "secret")
 
 
 def test_an_account_is_limited_to_its_networks_and_failed_binds_delay_an_address(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open()
-    config = stage.server.told
+    config = stage.server.config
     away = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
-    stage.server.told = dataclasses.replace(config, accounts=away)
+    stage.server.config = dataclasses.replace(config, accounts=away)
     assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
-    stage.server.told = config
+    stage.server.config = config
     assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
         assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
     cut: list[StandInContractor] = []
     stage.loop.spawn(lambda: cut.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.until(lambda: cut and cut[0].stream.sock.fileno() < 0)
+    stage.run_until(lambda: cut and cut[0].stream.sock.fileno() < 0)
     assert not cut[0].answers
-    stage.wait(2 * SECOND)
+    stage.run_for(2 * SECOND)
     assert stage.contractor().answers[0].status == 0
 
 
 def test_delays_grow_and_are_forgotten() -> None:
-    limiter = door.Door()
-    delays = [limiter.refused("1.1.1.1", 0) // SECOND for _ in range(12)]
-    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.waits("1.1.1.1", 59 * SECOND)
-    assert not limiter.waits("1.1.1.1", 60 * SECOND) and not limiter.waits("1.1.1.2", 0)
-    assert limiter.refused("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
+    limiter = access.BindThrottle()
+    delays = [limiter.record_refusal("1.1.1.1", 0) // SECOND for _ in range(12)]
+    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.is_throttled("1.1.1.1", 59 * SECOND)
+    assert not limiter.is_throttled("1.1.1.1", 60 * SECOND) and not limiter.is_throttled("1.1.1.2", 0)
+    assert limiter.record_refusal("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
     for place in range(3_000):
-        limiter.refused(f"2.0.{place // 256}.{place % 256}", 0)
-    assert len(limiter._refused) == door.MOST_KNOWN
+        limiter.record_refusal(f"2.0.{place // 256}.{place % 256}", 0)
+    assert len(limiter._refused) == access.MAX_ADDRESSES
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,43 +21,45 @@
 
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu
-from tests.registry.alone import Alone
-from tests.test_extras import written
+from tests.registry.registry_thread import RegistryThread
+from tests.test_extras import write_config
 from tests.test_wire import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-FAR = 60  # timeout in seconds that only a failing test reaches
+TEST_TIMEOUT = 60  # timeout in seconds that only a failing test reaches
 
 
-class World(BaseHTTPRequestHandler):
+class StandInPlatform(BaseHTTPRequestHandler):
     """Next hop and discovery in one server; class attributes control it and record its calls and notices."""
 
     protocol_version = "HTTP/1.1"
     calls: list[str] = []
     notices: list[dict[str, Any]] = []
     silent = False  # calls get no response
-    news = ""  # the first line that discovery sends to a watch
-    down = False  # discovery sends no response
+    first_watch_line = ""  # the first line that discovery sends to a watch
+    discovery_down = False  # discovery sends no response
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers["Content-Length"]))
         if self.path == "/reports":
-            World.notices += [json.loads(line) for line in body.splitlines()]
+            StandInPlatform.notices += [json.loads(line) for line in body.splitlines()]
             self.answer(204)
             return
         type(self).calls.append(self.headers["X-Trace-Id"])
-        if World.silent:
-            time.sleep(FAR)
+        if StandInPlatform.silent:
+            time.sleep(TEST_TIMEOUT)
         self.answer(200)
 
     def do_GET(self) -> None:
-        if World.down:
-            time.sleep(FAR)
+        if StandInPlatform.discovery_down:
+            time.sleep(TEST_TIMEOUT)
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        self.wfile.write(f"{len(World.news) + 1:x}\r\n{World.news}\n\r\n".encode())
-        time.sleep(FAR)
+        self.wfile.write(
+            f"{len(StandInPlatform.first_watch_line) + 1:x}\r\n{StandInPlatform.first_watch_line}\n\r\n".encode()
+        )
+        time.sleep(TEST_TIMEOUT)
 
     def answer(self, status: int) -> None:
         self.send_response(status)
@@ -76,8 +78,14 @@
 
 @pytest.fixture
 def world() -> Iterator[str]:
-    World.calls, World.notices, World.silent, World.news, World.down = [], [], False, "", False
-    server = ThreadingHTTPServer(("127.0.0.1", 0), World)
+    (
+        StandInPlatform.calls,
+        StandInPlatform.notices,
+        StandInPlatform.silent,
+        StandInPlatform.first_watch_line,
+        StandInPlatform.discovery_down,
+    ) = [], [], False, "", False
+    server = ThreadingHTTPServer(("127.0.0.1", 0), StandInPlatform)
     server.daemon_threads = True
     server.block_on_close = False
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -86,8 +94,8 @@
     server.server_close()
 
 
-def until(done: Any) -> None:
-    deadline = time.monotonic() + FAR
+def wait_until(done: Any) -> None:
+    deadline = time.monotonic() + TEST_TIMEOUT
     while not done():
         assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.02)
@@ -122,7 +130,7 @@
             "known": {"index": 1, "snapshot": True, "endpoints": [row("s-1", world)] if rows is None else rows},
         }
         self.config |= change or {}
-        variables = written(folder, self.config)
+        variables = write_config(folder, self.config)
         command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         command = command.replace(".venv/bin/python", sys.executable)
         self.process = subprocess.Popen(
@@ -133,47 +141,47 @@
             text=True,
         )
 
-    def ask(self, method: str, path: str, **headers: str) -> int | None:
+    def request_status(self, method: str, path: str, **headers: str) -> int | None:
         try:
-            connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=FAR)
+            connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TEST_TIMEOUT)
             connection.request(method, path, b"hello" if method == "POST" else None, headers)
             return connection.getresponse().status
         except OSError:
             return None
 
     def ready(self) -> Program:
-        until(lambda: self.ask("GET", "/health/ready") == 200)
+        wait_until(lambda: self.request_status("GET", "/health/ready") == 200)
         return self
 
-    def hand_in(self, trace: str, cls: str = "reading", left: str = "15000m") -> int | None:
-        return self.ask(
-            "POST", f"/{cls}", **{"X-Trace-Id": trace, "X-Qos": cls, "X-Expires-In": left, "X-Route-To": "dest=7"}
+    def submit(self, trace: str, cls: str = "reading", expires_in: str = "15000m") -> int | None:
+        return self.request_status(
+            "POST", f"/{cls}", **{"X-Trace-Id": trace, "X-Qos": cls, "X-Expires-In": expires_in, "X-Route-To": "dest=7"}
         )
 
     def end(self, number: signal.Signals) -> tuple[int, str]:
         self.process.send_signal(number)
-        out, _ = self.process.communicate(timeout=FAR)
+        out, _ = self.process.communicate(timeout=TEST_TIMEOUT)
         return self.process.returncode, out
 
 
 def test_it_delivers_messages_and_shuts_down_on_sigterm(tmp_path: Path, world: str) -> None:
     program = Program(tmp_path, world).ready()
-    assert [program.hand_in(f"t{i}") for i in range(5)] == [202] * 5
-    until(lambda: len(World.calls) == 5)
+    assert [program.submit(f"t{i}") for i in range(5)] == [202] * 5
+    wait_until(lambda: len(StandInPlatform.calls) == 5)
     code, out = program.end(signal.SIGTERM)
-    assert code == 0 and "event=closed kept=0" in out and "event=fault" not in out and not World.notices
+    assert code == 0 and "event=closed kept=0" in out and "event=fault" not in out and not StandInPlatform.notices
 
 
 def test_after_sigkill_with_calls_in_flight_a_restart_reports_their_outcomes(tmp_path: Path, world: str) -> None:
-    World.silent = True
+    StandInPlatform.silent = True
     program = Program(tmp_path, world).ready()
-    assert program.hand_in("pay", "payment") == 202 and program.hand_in("read") == 202
-    until(lambda: len(World.calls) == 2)
+    assert program.submit("pay", "payment") == 202 and program.submit("read") == 202
+    wait_until(lambda: len(StandInPlatform.calls) == 2)
     program.end(signal.SIGKILL)
-    World.silent = False
+    StandInPlatform.silent = False
     program = Program(tmp_path, world).ready()
-    until(lambda: World.notices and World.calls.count("read") == 2)
-    assert World.notices == [{"id": "pay", "state": "failed"}] and World.calls.count("pay") == 1
+    wait_until(lambda: StandInPlatform.notices and StandInPlatform.calls.count("read") == 2)
+    assert StandInPlatform.notices == [{"id": "pay", "state": "failed"}] and StandInPlatform.calls.count("pay") == 1
     assert program.end(signal.SIGTERM)[0] == 0
 
 
@@ -192,7 +200,7 @@
 def test_the_same_process_serves_the_smpp_front_end(tmp_path: Path, world: str) -> None:
     port = free_port()
     program = Program(tmp_path, world, KESTRELSPAR_CONF=smpp_conf(tmp_path, port)).ready()
-    with socket.create_connection(("127.0.0.1", port), timeout=FAR) as sock:
+    with socket.create_connection(("127.0.0.1", port), timeout=TEST_TIMEOUT) as sock:
         buffer = b""
 
         def ask(pdu: Pdu) -> Pdu:
@@ -202,7 +210,7 @@
 
         def read() -> Pdu:
             nonlocal buffer
-            while not (size := p.whole(memoryview(buffer))):
+            while not (size := p.complete_length(memoryview(buffer))):
                 buffer += sock.recv(4096)
             pdu, buffer = p.decode(buffer[:size]), buffer[size:]
             return pdu
@@ -212,14 +220,14 @@
         submitted = ask(Pdu(Command.SUBMIT_SM, 2, 0, fields, b"hi"))
         receipt = read()
         assert (bound.status, submitted.status, receipt.command) == (0, 0, Command.DELIVER_SM)
-        assert World.calls == [submitted.text("message_id")] and receipt.tlv(p.MESSAGE_STATE) == b"\x02"
+        assert StandInPlatform.calls == [submitted.text("message_id")] and receipt.tlv(p.MESSAGE_STATE) == b"\x02"
         sock.sendall(p.encode(receipt.reply()))
     assert program.end(signal.SIGTERM)[0] == 0
 
 
 def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(tmp_path: Path, world: str) -> None:
     # SIGHUP must not end the process, and the address in the environment must not override a new one in the file.
-    class NewDiscovery(World):
+    class NewDiscovery(StandInPlatform):
         notices: list[dict[str, Any]] = []
 
         def do_POST(self) -> None:
@@ -230,23 +238,23 @@
     server = ThreadingHTTPServer(("127.0.0.1", 0), NewDiscovery)
     server.daemon_threads, server.block_on_close = True, False
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    World.silent = True
+    StandInPlatform.silent = True
     program = Program(tmp_path, world, RELAY_DISCOVERY=world).ready()
-    assert program.hand_in("read") == 202
-    until(lambda: World.calls)
+    assert program.submit("read") == 202
+    wait_until(lambda: StandInPlatform.calls)
     config, lines = program.config, iter(program.process.stdout or ())
     for discovery, text in (("nowhere", "config.discovery"), (f"127.0.0.1:{server.server_port}", "=discovery-moves")):
-        written(tmp_path, config | {"discovery": discovery})
+        write_config(tmp_path, config | {"discovery": discovery})
         program.process.send_signal(signal.SIGHUP)
         assert any(text in line for line in lines)
-    assert program.hand_in("late", left="300m") == 202  # its notice goes to the new address
-    until(lambda: NewDiscovery.notices)
-    assert not World.notices and program.end(signal.SIGTERM)[0] == 0
+    assert program.submit("late", expires_in="300m") == 202  # its notice goes to the new address
+    wait_until(lambda: NewDiscovery.notices)
+    assert not StandInPlatform.notices and program.end(signal.SIGTERM)[0] == 0
     server.shutdown()
     server.server_close()
 
 
-class RemovedHop(World):
+class RemovedHop(StandInPlatform):
     calls: list[str] = []
 
 
@@ -268,7 +276,7 @@
     threading.Thread(target=server.serve_forever, daemon=True).start()
     rows = [row("r-0", f"127.0.0.1:{server.server_port}"), row("r-1", world)]
     (tmp_path / "k.conf").write_text("")
-    with Alone() as member:
+    with RegistryThread() as member:
         store = member.store
         if source == "registry":
             (tmp_path / "k.conf").write_text(
@@ -278,20 +286,22 @@
         environment = {"KESTRELSPAR_CONF": str(tmp_path / "k.conf")}
         known = rows if source == "discovery" else []
         if source == "discovery":
-            World.news = json.dumps({"index": 5, "snapshot": False, "endpoints": [rows[0] | {"status": state}]})
+            StandInPlatform.first_watch_line = json.dumps(
+                {"index": 5, "snapshot": False, "endpoints": [rows[0] | {"status": state}]}
+            )
         program = Program(tmp_path, world, known, **environment).ready()
         if source == "registry":
-            until((tmp_path / "registry-main.list").exists)
+            wait_until((tmp_path / "registry-main.list").exists)
             if state == "left":
                 store.delete("r/r-0")
             else:
                 store.commit([(b"r/r-0", json.dumps(rows[0] | {"status": state}).encode(), 0)])
         assert any("event=map-leaves" in line and "hop=r-0" in line for line in program.process.stdout or ())
         program.end(ended)
-    World.down, World.news = True, ""
+    StandInPlatform.discovery_down, StandInPlatform.first_watch_line = True, ""
     program = Program(tmp_path, world, known, **environment).ready()
-    assert [program.hand_in(f"t{n}") for n in range(6)] == [202] * 6
-    until(lambda: len(World.calls) + len(RemovedHop.calls) == 6)
+    assert [program.submit(f"t{n}") for n in range(6)] == [202] * 6
+    wait_until(lambda: len(StandInPlatform.calls) + len(RemovedHop.calls) == 6)
     assert not RemovedHop.calls and program.end(signal.SIGTERM)[0] == 0
     server.shutdown()
     server.server_close()
@@ -303,8 +313,8 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        env=os.environ | written(tmp_path) | {"RELAY_LISTEN": world},
-        timeout=FAR,
+        env=os.environ | write_config(tmp_path) | {"RELAY_LISTEN": world},
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert done.returncode == 2 and "event=can't-start" in done.stdout
@@ -334,8 +344,8 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        env=os.environ | written(tmp_path) | {variable: value},
-        timeout=FAR,
+        env=os.environ | write_config(tmp_path) | {variable: value},
+        timeout=TEST_TIMEOUT,
         check=False,
     )
     assert done.returncode == 2 and all(message in done.stdout for message in messages)
--- a/tests/test_past.py
+++ b/tests/test_recovered_messages.py
@@ -35,7 +35,7 @@
 
 def test_an_unsafe_message_that_may_have_run_is_failed_at_once_and_never_sent() -> None:
     forwarder = recovered(Safety.UNSAFE, 1, 100 * MS)
-    assert isinstance(forwarder.ended[1][1], Fail) and not forwarder.sends
+    assert isinstance(forwarder.answers[1][1], Fail) and not forwarder.sends
 
 
 def test_a_message_that_surely_did_not_run_is_sent_again_whatever_its_class() -> None:
@@ -46,36 +46,36 @@
 def test_a_keyed_message_is_sent_again_only_within_the_window_of_its_first_attempt() -> None:
     assert len(recovered(Safety.KEYED, 1, 4 * SECOND).sends) == 1
     late = recovered(Safety.KEYED, 1, 5 * SECOND)
-    assert not late.sends and isinstance(late.ended[1][1], Refuse)
+    assert not late.sends and isinstance(late.answers[1][1], Refuse)
     slow = recovered(Safety.KEYED, 1, 4 * SECOND)
     slow.wait(2 * SECOND)  # the window ends while the call is in flight
     slow.outcome(1, Outcome.ERROR)
     slow.wait(8 * SECOND)
-    assert len(slow.sends) == 1 and 1 in slow.ended
+    assert len(slow.sends) == 1 and 1 in slow.answers
 
 
 def test_earlier_attempts_count_and_an_expired_message_is_answered_at_once() -> None:
     exhausted = recovered(Safety.SAFE, 3)
-    assert not exhausted.sends and 1 in exhausted.ended
+    assert not exhausted.sends and 1 in exhausted.answers
     last = recovered(Safety.SAFE, 2)
     last.outcome(1, Outcome.ERROR)
-    assert 1 in last.ended and len(last.sends) == 1
+    assert 1 in last.answers and len(last.sends) == 1
     expired = recovered(Safety.SAFE, 0, time_left=0)
-    assert not expired.sends and 1 in expired.ended
+    assert not expired.sends and 1 in expired.answers
 
 
 def test_a_refusal_has_a_retry_after() -> None:
     forwarder = Forwarder(settings(message_class(Safety.SAFE), max_retry_after_ns=2 * SECOND))
     forwarder.arrive(1)
     forwarder.wait(10 * SECOND)
-    answer = forwarder.ended[1][1]
+    answer = forwarder.answers[1][1]
     assert isinstance(answer, Refuse) and 0 < answer.retry_after_ns <= 2 * SECOND
 
 
 def test_a_call_decided_before_a_drain_or_a_retry_after_may_not_be_sent_after_it() -> None:
     forwarder = Forwarder()
     forwarder.endpoints("a")
-    may_go = forwarder.controller.may_still_go
+    may_go = forwarder.controller.may_still_send
     forwarder.arrive(1)
     assert may_go(forwarder.now, route("a"), 1) and not may_go(forwarder.now, route("x"), 1)
     assert not may_go(forwarder.now, route("a"), 2), "an unknown message"
@@ -103,7 +103,7 @@
     f.wait(SECOND)
     f.outcome(1, Outcome.TIMEOUT)
     f.wait(SECOND)
-    assert f.attempts[1] == 2 and f.controller.may_still_go(started + delay, route("a"), 1) is allowed
+    assert f.attempts[1] == 2 and f.controller.may_still_send(started + delay, route("a"), 1) is allowed
 
 
 def test_untried_recovered_messages_are_not_shed_for_new_ones() -> None:
@@ -114,10 +114,10 @@
     for number in range(100, 130):
         f.arrive(number)
     f.wait(6 * SECOND)
-    assert not [number for number in f.ended if number < 25] and len(f.ended) >= 20
+    assert not [number for number in f.answers if number < 25] and len(f.answers) >= 20
     f.wait(2 * SECOND)
     f.arrive(500)
-    assert [number for number in f.ended if number < 25]  # in the last part of their time they may be shed
+    assert [number for number in f.answers if number < 25]  # in the last part of their time they may be shed
 
 
 def test_untried_recovered_messages_are_not_refused_on_an_estimate() -> None:
@@ -127,9 +127,9 @@
         f.feed(EndpointList(ListKind.DELTA, (Endpoint(route("a"), 1, limit=2.0),)))  # an equal share: a call in 100 s
         f.feed(*(Arrival(number, 0, 1, 10 * SECOND, kept=kept) for number in range(8)))
         f.wait(5 * SECOND)
-        assert len(f.ended) == (0 if kept else 8)
+        assert len(f.answers) == (0 if kept else 8)
         f.wait(6 * SECOND)
-        assert len(f.ended) == 8
+        assert len(f.answers) == 8
 
 
 def test_a_call_times_out_before_its_messages_deadline() -> None:
@@ -138,4 +138,4 @@
     f = Forwarder(settings(message_class(Safety.UNSAFE, aim_ns=9 * SECOND)))
     f.endpoints("a")
     (send,) = f.arrive(1)
-    assert send.timeout_ns <= 10 * SECOND - 2 * f.given.tick_ns
+    assert send.timeout_ns <= 10 * SECOND - 2 * f.settings.tick_ns
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
     start = f.now
     f.arrive(1)  # no route at all
     f.run_to(start + 10 * SECOND)
-    at, answer = f.ended[1]
+    at, answer = f.answers[1]
     assert isinstance(answer, Refuse) and at < start + 10 * SECOND
 
 
@@ -21,7 +21,7 @@
     (send,) = f.arrive(1)
     f.wait(send.timeout_ns)
     f.outcome(1, Outcome.TIMEOUT)
-    assert isinstance(f.ended[1][1], Fail)
+    assert isinstance(f.answers[1][1], Fail)
 
 
 def test_an_unsafe_message_is_not_sent_again_after_it_may_have_run() -> None:
@@ -31,7 +31,7 @@
         assert f.arrive(1)
         f.outcome(1, outcome)
         f.wait(9 * SECOND)
-        assert len(f.sends) == 1 and isinstance(f.ended[1][1], Fail)
+        assert len(f.sends) == 1 and isinstance(f.answers[1][1], Fail)
 
 
 def test_an_unsafe_message_is_sent_again_when_it_surely_did_not_run() -> None:
@@ -51,12 +51,12 @@
     f.endpoints("b", zone=1)
     assert f.arrive(1)[0].endpoint == route("a")
     first = f.now
-    while 1 not in f.ended and f.now < first + 9 * SECOND:
-        if (1, f.attempts[1] - 1) in f.out:
+    while 1 not in f.answers and f.now < first + 9 * SECOND:
+        if (1, f.attempts[1] - 1) in f.in_flight:
             f.outcome(1, Outcome.TIMEOUT)
         f.wait(100 * MS)
     assert len(f.sends) > 1 and {s.endpoint for _, s in f.sends} == {route("a")}
-    assert max(at for at, _ in f.sends) < first + 3 * SECOND and isinstance(f.ended[1][1], Fail)
+    assert max(at for at, _ in f.sends) < first + 3 * SECOND and isinstance(f.answers[1][1], Fail)
 
 
 def test_nothing_new_goes_to_a_draining_or_gone_endpoint() -> None:
@@ -114,7 +114,7 @@
     f.arrive(1, key=9)
     f.arrive(2, key=9)
     assert f.feed(Withdrawn(1)) == [] and f.wait(SECOND) == []
-    f.ended[1] = (f.now, "withdrawn")
+    f.answers[1] = (f.now, "withdrawn")
     assert [s.message for s in f.outcome(1, Outcome.OK)] == [2]
 
 
@@ -129,7 +129,7 @@
             number += 1
             f.arrive(number)
             f.wait(50 * MS)
-            for message, attempt in list(f.out):
+            for message, attempt in list(f.in_flight):
                 f.outcome(message, Outcome.CONNECT_FAILED if second < 8 else Outcome.OK, attempt=attempt)
         counts.append(len(f.sends) - before)
     bound = 2.0 * 0.2 * 10.0
@@ -142,7 +142,7 @@
     for number in range(1, 6):
         f.arrive(number)
     for number in range(1, 6):
-        if (number, 0) in f.out:
+        if (number, 0) in f.in_flight:
             f.outcome(number, Outcome.CONNECT_FAILED)
     f.endpoints("b", kind=1, rate=10.0)
     f.endpoints("a", kind=1, state=EndpointState.GONE)
@@ -163,7 +163,7 @@
     f.outcome(100, Outcome.CONNECT_FAILED)
     f.wait(SECOND)
     f.outcome(100, Outcome.CONNECT_FAILED)
-    second_endpoint = f.out.get((100, 1)) or f.sends[-1][1].endpoint
+    second_endpoint = f.in_flight.get((100, 1)) or f.sends[-1][1].endpoint
     if second_endpoint == f.sends[-2][1].endpoint:
         f.wait(5 * SECOND)
         f.outcome(100, Outcome.CONNECT_FAILED)
--- a/tests/test_smpp.py
+++ b/tests/test_smpp.py
@@ -15,11 +15,11 @@
 from kestrelspar.runtime.loop import MS, SECOND, connect
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
-from kestrelspar.smpp.client import Gateways
-from kestrelspar.smpp.inbound import Arrivals
+from kestrelspar.smpp.client import SmppCarrier
+from kestrelspar.smpp.inbound import InboundMessages
 from kestrelspar.smpp.pdu import Command, Pdu, Status
-from kestrelspar.smpp.server import SmppServer, validity
-from tests.bench import READING, Scene, listener
+from kestrelspar.smpp.server import SmppServer, parse_time
+from tests.bench import READING, CourierTestbed, listener
 from tests.smpp_standins import CLOSE_STEPS, StandInContractor, StandInGateway, front, gateway
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=80)
@@ -29,7 +29,7 @@
 byte_values = st.integers(0, 255)
 
 
-class Stage(Scene):
+class SmppTestbed(CourierTestbed):
     """A courier with the SMPP front end; a second one on the same directory acts as the process after a restart."""
 
     def __init__(self, directory: Path, *gateways: Gateway, **more: object) -> None:
@@ -41,33 +41,35 @@
             self.buffers,
             self.courier,
             front(gateways),
-            lambda name, password: self.gates.outbound(name, password),
+            lambda name, password: self.gateways.outbind_handler(name, password),
         )
         self.courier.senders["smpp"] = self.server
-        self.arrivals = Arrivals(self.courier, self.server.alert)
+        self.arrivals = InboundMessages(self.courier, self.server.forward_alert)
         self.courier.senders["smpp-inbound"] = self.arrivals
         if gateways:
             self.open(*gateways)
 
     def open(self, *gateways: Gateway) -> None:
-        self.gates = Gateways(self.loop, self.buffers, self.courier.settings, gateways, self.courier, self.arrivals)
-        self.courier.later["smpp"] = self.gates
-        self.courier.listed("smpp", [*self.gates.hops(), *self.server.receivers.hops()], whole=True)
-        self.gates.start()
+        self.gateways = SmppCarrier(
+            self.loop, self.buffers, self.courier.settings, gateways, self.courier, self.arrivals
+        )
+        self.courier.outcome_sources["smpp"] = self.gateways
+        self.courier.apply_map_update("smpp", [*self.gateways.hops(), *self.server.receivers.hops()], complete=True)
+        self.gateways.start()
         self.courier.resume()
         self.loop.spawn(self.server.accept, self.listener)
 
     def contractor(self, bind: Command = Command.BIND_TRANSCEIVER, password: str = "secret") -> StandInContractor:
         made: list[StandInContractor] = []
         self.loop.spawn(lambda: made.append(StandInContractor(self.loop, self, self.address, bind, password)))
-        self.until(lambda: made and made[0].answers)
+        self.run_until(lambda: made and made[0].answers)
         return made[0]
 
 
-def submit_all(stage: Stage, contractor: StandInContractor, service: str, count: int) -> list[bytes]:
+def submit_all(stage: SmppTestbed, contractor: StandInContractor, service: str, count: int) -> list[bytes]:
     texts = [f"{service}-{i}".encode() for i in range(count)]
     stage.loop.spawn(lambda: [contractor.submit(text, service) for text in texts])
-    stage.until(lambda: len(contractor.answers) == 1 + count)
+    stage.run_until(lambda: len(contractor.answers) == 1 + count)
     return texts
 
 
@@ -76,14 +78,14 @@
 def test_a_lost_connection_at_any_step_leaves_one_final_state_and_no_second_payment(
     tmp_path: Path, step: str, service: str
 ) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, step)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     texts = submit_all(stage, contractor, service, 3)
-    stage.until(lambda: len(contractor.ends()) == 3 and not stage.journal.entries)
+    stage.run_until(lambda: len(contractor.final_states()) == 3 and not stage.journal.entries)
     assert gate.closes == 0, "the connection was not closed"
-    ends = contractor.ends()
+    ends = contractor.final_states()
     assert len(contractor.receipts) == 3 and set(ends) == set(contractor.accepted())
     assert all(len(states) == 1 for states in ends.values())
     states = sorted(next(iter(s)) for s in ends.values())
@@ -104,23 +106,23 @@
     throttled_at: list[int] = []
 
     def script(_: Pdu) -> int:
-        if len(gate.calls) == 2:
+        if len(gate.submitted_at) == 2:
             throttled_at.append(stage.loop.now)
             return Status.ESME_RTHROTTLED
         return 0
 
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, script=script)
     stage.open(gateway(gate.address, window=1))
     contractor = stage.contractor()
     texts = submit_all(stage, contractor, "PAY", 6)
-    stage.until(lambda: len(contractor.ends()) == 6)
-    assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
+    stage.run_until(lambda: len(contractor.final_states()) == 6)
+    assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert all(gate.effects[text] == 1 for text in texts)
-    assert not [at for at in gate.calls if throttled_at[0] < at < throttled_at[0] + 300 * MS], (
+    assert not [at for at in gate.submitted_at if throttled_at[0] < at < throttled_at[0] + 300 * MS], (
         "submitted during the retry-after delay"
     )
-    assert gate.most_out == 1, "more in flight than the window allows"
+    assert gate.max_in_flight == 1, "more in flight than the window allows"
 
 
 def test_only_messages_that_may_be_retried_are_retried_after_a_time_out(tmp_path: Path) -> None:
@@ -131,89 +133,89 @@
         silent.add(pdu.message)
         return None if first else 0
 
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, script=script)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
     submit_one(stage, contractor, b"PAY-9", "PAY")
-    stage.until(lambda: len(contractor.ends()) == 2)
+    stage.run_until(lambda: len(contractor.final_states()) == 2)
     assert gate.effects[b"RD-0"] == 2 and gate.effects[b"PAY-9"] == 1
-    assert sorted(next(iter(s)) for s in contractor.ends().values()) == [DELIVRD, UNDELIV]
+    assert sorted(next(iter(s)) for s in contractor.final_states().values()) == [DELIVRD, UNDELIV]
 
 
 def test_no_second_attempt_while_the_first_is_in_flight_on_an_open_session(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(
         stage,
-        script=lambda pdu: 0 if pdu.message != b"RD-0" or gate.calls else None,
+        script=lambda pdu: 0 if pdu.message != b"RD-0" or gate.submitted_at else None,
         pause=lambda pdu: 390 * MS if pdu.message.startswith(b"PAY") else 5 * MS,
     )
     stage.open(gateway(gate.address, "one"), gateway(gate.address, "two"))  # the second one could take a retry
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
     for i in range(4):  # responses in time keep the session open past the time-out of the reading
-        stage.wait(130 * MS)
+        stage.run_for(130 * MS)
         submit_one(stage, contractor, b"PAY-%d" % i, "PAY")
-    stage.until(lambda: len(contractor.ends()) == 5)
-    assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
+    stage.run_until(lambda: len(contractor.final_states()) == 5)
+    assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert gate.concurrent_copies == 0 and gate.effects[b"RD-0"] == 2 and len(gate.submits) == 6
 
 
 def test_a_late_response_makes_the_next_attempt_unnecessary(tmp_path: Path) -> None:
     pauses = {b"RD-0": 500 * MS, b"PAY-0": 350 * MS}
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, pause=lambda pdu: pauses[pdu.message])
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     submit_all(stage, contractor, "RD", 1)
-    stage.wait(200 * MS)
+    stage.run_for(200 * MS)
     submit_one(stage, contractor, b"PAY-0", "PAY")
-    stage.until(lambda: len(contractor.ends()) == 2)
-    assert set(map(frozenset, contractor.ends().values())) == {frozenset({DELIVRD})}
+    stage.run_until(lambda: len(contractor.final_states()) == 2)
+    assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert gate.effects == {b"RD-0": 1, b"PAY-0": 1} and gate.concurrent_copies == 0
 
 
 @pytest.mark.parametrize("service", ["RD", "PAY"])
 def test_a_permanent_rejection_is_not_retried(tmp_path: Path, service: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage, script=lambda _: Status.ESME_RINVDSTADR)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     submit_all(stage, contractor, service, 2)
-    stage.until(lambda: len(contractor.ends()) == 2)
-    assert set(map(frozenset, contractor.ends().values())) == {frozenset({UNDELIV})}
+    stage.run_until(lambda: len(contractor.final_states()) == 2)
+    assert set(map(frozenset, contractor.final_states().values())) == {frozenset({UNDELIV})}
     assert len(gate.submits) == 2
 
 
-def submit_one(stage: Stage, contractor: StandInContractor, text: bytes, service: str) -> None:
+def submit_one(stage: SmppTestbed, contractor: StandInContractor, text: bytes, service: str) -> None:
     before = len(contractor.answers)
     stage.loop.spawn(lambda: contractor.submit(text, service))
-    stage.until(lambda: len(contractor.answers) > before)
+    stage.run_until(lambda: len(contractor.answers) > before)
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_a_restart_with_submits_in_flight_gives_each_message_its_final_state(tmp_path: Path, service: str) -> None:
-    old = Stage(tmp_path)
+    old = SmppTestbed(tmp_path)
     silent_gate = StandInGateway(old, script=lambda _: None)
-    old.open(gateway(silent_gate.address, response=10 * SECOND))
+    old.open(gateway(silent_gate.address, response_timeout=10 * SECOND))
     contractor = old.contractor()
     texts = submit_all(old, contractor, service, 2)
-    old.until(lambda: len(silent_gate.calls) == 2)
+    old.run_until(lambda: len(silent_gate.submitted_at) == 2)
     accepted = contractor.accepted()  # this process does not run any more, as if killed
-    new = Stage(tmp_path)
+    new = SmppTestbed(tmp_path)
     gate = StandInGateway(new)
     new.open(gateway(gate.address))
     receiver = new.contractor(Command.BIND_RECEIVER)
-    new.until(lambda: len(receiver.ends()) == 2)
-    assert set(receiver.ends()) == set(accepted) and len(receiver.receipts) == 2
+    new.run_until(lambda: len(receiver.final_states()) == 2)
+    assert set(receiver.final_states()) == set(accepted) and len(receiver.receipts) == 2
     expected = {UNDELIV} if service == "PAY" else {DELIVRD}
-    assert all(states == expected for states in receiver.ends().values())
+    assert all(states == expected for states in receiver.final_states().values())
     assert all(gate.effects[text] == (0 if service == "PAY" else 1) for text in texts)
 
 
 def test_a_message_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor(Command.BIND_TRANSMITTER)
@@ -223,27 +225,27 @@
         contractor.stream.close()
 
     stage.loop.spawn(submit_and_disconnect)
-    stage.until(lambda: stage.courier._last == 1 and not stage.server._guests)
+    stage.run_until(lambda: stage.courier._last_number == 1 and not stage.server._connections)
     assert not stage.journal.entries and not stage.courier.open and not gate.submits
 
 
 def test_an_unacknowledged_receipt_is_sent_again_with_the_same_state(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     first = stage.contractor()
     first.drop_receipts = 1
     submit_all(stage, first, "PAY", 1)
-    stage.until(lambda: first.receipts)
+    stage.run_until(lambda: first.receipts)
     second = stage.contractor(Command.BIND_RECEIVER)
-    stage.until(lambda: second.receipts and not stage.journal.entries)
-    assert second.ends() == first.ends() and gate.effects[b"PAY-0"] == 1
+    stage.run_until(lambda: second.receipts and not stage.journal.entries)
+    assert second.final_states() == first.final_states() and gate.effects[b"PAY-0"] == 1
 
 
 def test_a_full_courier_refuses_with_a_status_and_journals_nothing(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, max_open=2)
+    stage = SmppTestbed(tmp_path, max_open=2)
     silent_gate = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(silent_gate.address, response=10 * SECOND))
+    stage.open(gateway(silent_gate.address, response_timeout=10 * SECOND))
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 3)
     assert [a.status for a in contractor.answers[1:]].count(Status.ESME_RMSGQFUL) == 1
@@ -254,7 +256,7 @@
 
 
 def test_refused_binds_and_invalid_submits_get_their_status(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
+    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
     assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
     receiver = stage.contractor(Command.BIND_RECEIVER)
     submit_one(stage, receiver, b"x", "RD")
@@ -268,8 +270,10 @@
         ({"schedule_delivery_time": "261231000000000R"}, Status.ESME_RINVSCHED),
     ):
         before, submit_fields = len(sender.answers), {"destination_addr": "372"} | fields
-        stage.loop.spawn(lambda submit_fields=submit_fields: sender.ask(Command.SUBMIT_SM, b"x", **submit_fields))
-        stage.until(lambda before=before: len(sender.answers) > before)
+        stage.loop.spawn(
+            lambda submit_fields=submit_fields: sender.send_request(Command.SUBMIT_SM, b"x", **submit_fields)
+        )
+        stage.run_until(lambda before=before: len(sender.answers) > before)
         assert sender.answers[-1].status == status
     for command, answer in (
         (Command.ENQUIRE_LINK, Command.ENQUIRE_LINK_RESP),
@@ -278,19 +282,19 @@
         (Command.UNBIND, Command.UNBIND_RESP),
     ):
         before = len(sender.answers)
-        stage.loop.spawn(lambda command=command: sender.ask(command))
-        stage.until(lambda before=before: len(sender.answers) > before)
+        stage.loop.spawn(lambda command=command: sender.send_request(command))
+        stage.run_until(lambda before=before: len(sender.answers) > before)
         assert sender.answers[-1].command is answer
     assert not stage.journal.entries
 
 
 def test_fields_and_tlvs_of_a_submit_reach_the_gateway(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
     contractor = stage.contractor()
     stage.loop.spawn(
-        lambda: contractor.ask(
+        lambda: contractor.send_request(
             Command.SUBMIT_SM,
             tlvs=[(0x0204, b"\1\2"), (p.MESSAGE_PAYLOAD, b"L" * 900)],
             data_coding=8,
@@ -300,7 +304,7 @@
             source_addr_ton=5,
         )
     )
-    stage.until(lambda: gate.submits)
+    stage.run_until(lambda: gate.submits)
     got = gate.submits[0]
     assert got.tlvs == [(0x0204, b"\1\2"), (p.MESSAGE_PAYLOAD, b"L" * 900)] and got.message == b""
     assert (got.text("source_addr"), got.number("source_addr_ton"), got.number("data_coding")) == ("55", 5, 8)
@@ -308,14 +312,14 @@
 
 @pytest.mark.parametrize("bind", ["transmitter", "transceiver"])
 def test_a_message_of_any_sender_side_is_delivered_to_a_gateway(tmp_path: Path, bind: str) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address, bind=bind))
     for trace, body in (("short", b"\0\xff text"), ("long", b"L" * 300)):
-        message = Message(trace, READING, 0, 900, stage.loop.now + 9 * SECOND, body, stage.ends)
-        stage.loop.spawn(stage.courier.carry, message, lambda given: given.taken)
-    stage.until(lambda: len(stage.ends.told) == 2 and not stage.journal.entries)
-    assert sorted(stage.ends.told) == [("long", DELIVERED), ("short", DELIVERED)]
+        message = Message(trace, READING, 0, 900, stage.loop.now + 9 * SECOND, body, stage.sender)
+        stage.loop.spawn(stage.courier.submit, message, lambda given: given.accepted)
+    stage.run_until(lambda: len(stage.sender.ends) == 2 and not stage.journal.entries)
+    assert sorted(stage.sender.ends) == [("long", DELIVERED), ("short", DELIVERED)]
     assert sorted((pdu.message, pdu.tlv(p.MESSAGE_PAYLOAD)) for pdu in gate.submits) == [
         (b"", b"L" * 300),
         (b"\0\xff text", None),
@@ -324,40 +328,40 @@
 
 
 def test_closing_defers_new_messages_unbinds_and_leaves_the_rest_in_the_journal(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     silent_gate = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(silent_gate.address, response=20 * SECOND))
-    stage.courier.at_leave += [stage.server.leave, stage.gates.leave]
+    stage.open(gateway(silent_gate.address, response_timeout=20 * SECOND))
+    stage.courier.exit_calls += [stage.server.shut_down, stage.gateways.shut_down]
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 1)
-    stage.until(lambda: silent_gate.calls)
+    stage.run_until(lambda: silent_gate.submitted_at)
     stage.courier.close()
     submit_one(stage, contractor, b"RD-1", "RD")
     assert contractor.answers[-1].status == Status.ESME_RTHROTTLED
-    stage.until(lambda: stage.loop._stopped)
+    stage.run_until(lambda: stage.loop._stopped)
     assert contractor.answers[-1].command is Command.UNBIND and len(stage.journal.entries) == 1
 
 
 def test_a_session_without_responses_is_closed(tmp_path: Path) -> None:
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     sock, address = listener()
-    stage.open(gateway(address, enquire=50 * MS, response=50 * MS))
+    stage.open(gateway(address, enquire_link_interval=50 * MS, response_timeout=50 * MS))
     contractor = stage.contractor()
     submit_all(stage, contractor, "PAY", 1)
-    stage.until(lambda: contractor.ends() or not stage.courier.open)
-    assert list(map(set, contractor.ends().values())) in ([], [{REJECTD}])  # certainly not run
+    stage.run_until(lambda: contractor.final_states() or not stage.courier.open)
+    assert list(map(set, contractor.final_states().values())) in ([], [{REJECTD}])  # certainly not run
     sock.close()
 
 
 def test_validity_periods() -> None:
     wall = datetime(2026, 12, 1, 12, 0, 0, tzinfo=UTC)
-    assert validity("", wall) is None
-    assert validity("000000000130000R", wall) == 90 * SECOND
-    assert validity("261201120010000+", wall) == 10 * SECOND
-    assert validity("261201140010008+", wall) == 10 * SECOND  # two hours ahead of UTC
+    assert parse_time("", wall) is None
+    assert parse_time("000000000130000R", wall) == 90 * SECOND
+    assert parse_time("261201120010000+", wall) == 10 * SECOND
+    assert parse_time("261201140010008+", wall) == 10 * SECOND  # two hours ahead of UTC
     for text in ("261301000000000+", "abc", "2612011200100000"):
         with pytest.raises(ValueError):
-            validity(text, wall)
+            parse_time(text, wall)
 
 
 @FIXED
@@ -380,7 +384,7 @@
     found = []
     for at in range(0, len(data), step):
         received += data[at : at + step]
-        while size := p.whole(memoryview(received)):
+        while size := p.complete_length(memoryview(received)):
             found.append(p.decode(received[:size]))
             received = received[size:]
     assert len(found) == 2 and received == b"" and p.encode(found[0]) == data[: len(data) // 2]
@@ -393,13 +397,13 @@
     data = struct.pack(">IIII", 16 + len(body), command, 0, 1) + body
     try:
         assert p.decode(data).sequence == 1
-    except p.BadPdu as error:
+    except p.MalformedPduError as error:
         assert error.sequence == 1 and error.status
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\x05hello", bytes(40), b"\xff" * 64])
 def test_a_stream_that_is_not_smpp_is_answered_and_closed(tmp_path: Path, data: bytes) -> None:
-    stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
+    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
     got: list[bytes] = []
 
     def exchange() -> None:
@@ -415,25 +419,25 @@
         sock.close()
 
     stage.loop.spawn(exchange)
-    stage.until(lambda: got and got[-1] == b"")
+    stage.run_until(lambda: got and got[-1] == b"")
     assert got[0][:12] == struct.pack(">III", 16, Command.GENERIC_NACK, Status.ESME_RINVCMDLEN)
     stage.contractor()  # other clients are still served
 
 
 def test_unbound_connections_are_closed_to_make_room_and_three_refused_binds_end_a_connection(tmp_path: Path) -> None:
     # Silent connections, and clients that guess passwords, must not use up the limit of sessions.
-    stage = Stage(tmp_path)
+    stage = SmppTestbed(tmp_path)
     stage.open()
-    max_sessions = stage.server.told.most_sessions
+    max_sessions = stage.server.config.max_sessions
     silent = []
     for _ in range(max_sessions):
         sock = socket.create_connection(stage.address)
         sock.setblocking(False)
         silent.append(sock)
-        stage.until(lambda: len(stage.server._guests) == len(silent))
-    stage.wait(60 * MS)
+        stage.run_until(lambda: len(stage.server._connections) == len(silent))
+    stage.run_for(60 * MS)
     contractor = stage.contractor()
-    assert contractor.answers[0].status == 0 and len(stage.server._guests) <= max_sessions
+    assert contractor.answers[0].status == 0 and len(stage.server._connections) <= max_sessions
     bad_bind = p.encode(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "nobody", "password": "x"}))
     got, sock = b"", silent[-1]
     sock.send(bad_bind * 5)
@@ -454,13 +458,13 @@
 
 
 def test_a_pdu_longer_than_a_buffer_is_decoded(tmp_path: Path) -> None:
-    stage = Stage(tmp_path, gateway(("127.0.0.1", 9)))
+    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
     contractor = stage.contractor()
     body = bytes(range(256)) * 200
-    stage.loop.spawn(contractor.ask, Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)])
-    stage.until(lambda: len(contractor.answers) == 2)
+    stage.loop.spawn(contractor.send_request, Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)])
+    stage.run_until(lambda: len(contractor.answers) == 2)
     assert contractor.answers[1].status == Status.ESME_RINVDSTADR
     fields = {"destination_addr": "3725550", "service_type": "RD"}
-    stage.loop.spawn(lambda: contractor.ask(Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)], **fields))
-    stage.until(lambda: len(contractor.answers) == 3)
+    stage.loop.spawn(lambda: contractor.send_request(Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)], **fields))
+    stage.run_until(lambda: len(contractor.answers) == 3)
     assert [message.body for message in stage.courier.open.values()] == [body]
