--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -1,4 +1,4 @@
-"""Slopes with members in groups and observations relayed by brokers, measured by the functions of the slopes without.
+"""Slopes with members in groups and observations relayed by brokers, measured like those without.
 
 Members and observations are measured on the modelled network, in groups of 50 and two regions with three brokers each;
 the load of one broker is measured as a pure module, with simulated couriers.
@@ -49,7 +49,7 @@
         MODELLED_SIZES,
         figures,
         lambda size, seed: function(size, seed, GROUP),  # type: ignore[operator]
-        f"The same as {name}, in groups of {GROUP} with brokers: {doc} of its group; the modelled network",
+        f"The same as {name}, in groups of {GROUP} with brokers: {doc}; the modelled network",
         setting=MODELLED,
     )
 
@@ -57,23 +57,23 @@
 GROUPED_SLOPES = {
     "members": (
         {"sent": "bytes", "processor": "ms", "least-known": "count", "held-back": "count", "all-known": "s"},
-        f"what a courier knows ({MAX_CONVERGENCE_TIME // SECOND} s at most)",
+        f"what a courier knows of its group ({MAX_CONVERGENCE_TIME // SECOND} s at most)",
         measure_members,
     ),
     "members-churn": (
         {"sent": "bytes", "processor": "ms", "loss-known": "s", "wrongly-dead": "count"},
-        "until 99 % consider the lost one dead",
+        "time until 99 % of its group consider the lost courier dead",
         measure_churn,
     ),
     "members-wave": (
         {"known": "s", "joined": "s", "sent": "bytes", "held-back": "count"},
-        "until a restarted wave is known, and knows all",
+        "time until a restarted wave is known in its groups, and knows all of their members",
         measure_wave,
     ),
 }
 
 
-def measure_observation(size: int, seed: int) -> dict[str, float]:
+def measure_brokered_observation(size: int, seed: int) -> dict[str, float]:
     """Measure one courier's observation of an endpoint in whose destination only a few couriers are interested."""
     result = measure_propagation(seed, size, GROUP, ASSUMED.placed)
     return {
@@ -86,14 +86,14 @@
 
 
 def measure_broker(size: int, seed: int) -> dict[str, float]:
-    """Measure one broker with ``size`` subscribers, each with its share of the destinations placed on a courier."""
+    """Measure one broker with ``size`` subscribers, each subscribed to this broker's part of its destinations."""
     regions = {
         f"r{region}/b{n}": ("10.9.0.1", 2_771 + 100 * region + n)
         for region in range(TARGET.regions)
         for n in range(TARGET.control_machines_per_region)
     }
     name = "r0/b0"
-    share = round(
+    destinations_per_courier = round(
         TARGET.destinations * ASSUMED.placed / TARGET.couriers * OWNERS_PER_REGION / TARGET.control_machines_per_region
     )
     sealers = [Sealer(f"c-{n % 20:02}-{n:05}", 1, [KEY]) for n in range(size)]
@@ -103,17 +103,19 @@
     now = TICK
     broker.tick(now)
 
-    def receive(n: int, *messages: PeerMessage) -> None:
+    def send_from(n: int, *messages: PeerMessage) -> None:
         broker.receive(sealers[n].seal(name, list(messages)), now)
 
     digests = []
     for n in range(size):
-        # As many couriers subscribe to each destination as are placed on it.
-        destinations = [(n * share // ASSUMED.placed + offset) for offset in range(share)]
+        # Each destination is placed on ASSUMED.placed couriers, so as many subscribe to it.
+        destinations = [
+            (n * destinations_per_courier // ASSUMED.placed + offset) for offset in range(destinations_per_courier)
+        ]
         digest = 0
-        receive(n, LeaseRenewal(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
-        for start in range(0, share, MAX_DESTINATIONS_PER_MESSAGE):
-            receive(n, Subscribe(1, destinations[start : start + MAX_DESTINATIONS_PER_MESSAGE]))
+        send_from(n, LeaseRenewal(1, "10.0.0.1", 2_770, n, 7, 1, 0, 0))
+        for start in range(0, destinations_per_courier, MAX_DESTINATIONS_PER_MESSAGE):
+            send_from(n, Subscribe(1, destinations[start : start + MAX_DESTINATIONS_PER_MESSAGE]))
         for destination in destinations:
             digest ^= destination_digest(destination)
         digests.append(digest)
@@ -126,7 +128,8 @@
     now += TICK
     broker.tick(now)
     renewals = [
-        sealers[n].seal(name, [LeaseRenewal(2, "10.0.0.1", 2_770, n, 7, 1, share, digests[n])]) for n in range(size)
+        sealers[n].seal(name, [LeaseRenewal(2, "10.0.0.1", 2_770, n, 7, 1, destinations_per_courier, digests[n])])
+        for n in range(size)
     ]
     cpu_started_at, sent_before = time.process_time(), broker.sent
     for renewal in renewals:
@@ -135,7 +138,7 @@
     cpu = bytes_sent = 0.0
     for n in range(OBSERVATIONS):
         witness = n * size // OBSERVATIONS
-        destination = witness * share // ASSUMED.placed + share // 2
+        destination = witness * destinations_per_courier // ASSUMED.placed + destinations_per_courier // 2
         datagram = sealers[witness].seal(
             name,
             [PublishObservation(destination, Observation(f"e-{destination:07}", ObservationKind.DOWN, 0, 0, n + 1))],
@@ -166,7 +169,7 @@
         "members",
         MODELLED_SIZES,
         {"sent": "bytes", "known": "s", "told": "count", "by-brokers": "bytes", "told-beside": "count"},
-        measure_observation,
+        measure_brokered_observation,
         f"One courier reports a failed call at a destination in which {ASSUMED.placed} couriers are interested, by "
         f"brokers, in groups of {GROUP}: bytes that it sends for it, time until 99 % of the other interested couriers "
         "know, how many of them know, bytes of all brokers in 5 s including leases, and uninterested couriers that "
@@ -179,8 +182,8 @@
         (200, 400, 800, 1_667),
         {"memory": "MB", "renewal": "us", "renewal-sent": "bytes", "word": "us", "word-sent": "bytes", "told": "count"},
         measure_broker,
-        "One broker with this many couriers of its region, each subscribed to its share of the destinations placed "
-        "on a courier: memory, processor time and bytes of a renewal, and of relaying an observation to the interested "
+        "One broker with this many couriers of its region, each subscribed to this broker's part of its "
+        "destinations: memory, processor time and bytes of a renewal, and of relaying an observation to the interested "
         "couriers and to the other regions, including an empty tick",
         setting=PURE,
     ),
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -13,7 +13,6 @@
 from benchmarks.capacity_roles import (
     BUILT_FIRST,
     BYTES,
-    CONTROL,
     COURIERS,
     DESTINATION_LIMIT,
     FAILED_CALLS,
@@ -22,6 +21,7 @@
     MEMORY,
     MIN_SHARE_FOR_LOANS,
     PLACED_DESTINATIONS,
+    PROCESSOR_TIME,
     Mechanism,
     NotMeasured,
     Reading,
@@ -45,7 +45,7 @@
 from kestrelspar.peers import counts, judgements, members, seal, shares
 from kestrelspar.peers.shares import budget_for_rate
 
-CONTROL_PLANE_BOUNDS = (CONTROL, MEMORY, BYTES)
+CONTROL_PLANE_BOUNDS = (PROCESSOR_TIME, MEMORY, BYTES)
 MEMBER_DATAGRAMS = 2  # membership datagrams that a courier sends per period: its probe, and an answer to another's
 CONFIRMATION_FACTOR = 1.5  # an earlier figure within this factor counts as confirmed
 PAIRS = (
@@ -379,7 +379,7 @@
     lines = [
         "## Load on each role at the target",
         "",
-        "'Ratio' is need over bound, with events spread evenly over couriers, as they are now: above 1 the bound is "
+        "'Ratio' is load over bound, with events spread evenly over couriers, as they are now: above 1 the bound is "
         "exceeded. 'With it' is the ratio that the row's mechanism leaves by the same slopes, with a destination's "
         f"events placed on {ASSUMED.placed} couriers if the mechanism depends on that, and members in groups of "
         f"{TARGET.zone}; the cost of the mechanism itself is not included. Empty: not known.",
@@ -391,7 +391,7 @@
                 f"{each.row.kind}: {each.row.what}"
                 + (f" (if {each.row.hypothetical})" if each.row.hypothetical else ""),
                 each.row.formula_text,
-                amount(each.need, each.row.unit),
+                amount(each.load, each.row.unit),
                 extrapolation(each.used),
                 f"{amount(each.bound, each.row.unit)} ({each.row.bound_name})",
                 times(each.ratio),
@@ -417,7 +417,7 @@
 
 
 def _remaining(result: Result) -> str:
-    return "" if result.remaining is None else times(result.remaining)
+    return "" if result.remaining_ratio is None else times(result.remaining_ratio)
 
 
 def _control_plane_totals(evaluated: list[Result]) -> list[str]:
@@ -425,11 +425,14 @@
     table_rows = []
     for bound, unit, maximum in (
         (MEMORY, "MB", TARGET.memory_mb),
-        (CONTROL, "ms", TARGET.processor_ms),
+        (PROCESSOR_TIME, "ms", TARGET.processor_ms),
         (BYTES, "bytes", float(TARGET.bytes_a_second)),
     ):
         rows = [each for each in evaluated if each.row.bound_name == bound and not each.row.hypothetical]
-        need, remaining = sum(each.need for each in rows), sum((each.remaining or 0.0) * each.bound for each in rows)
+        need, remaining = (
+            sum(each.load for each in rows),
+            sum((each.remaining_ratio or 0.0) * each.bound for each in rows),
+        )
         table_rows.append(
             [
                 bound,
@@ -756,7 +759,9 @@
         ]
         exceeded = [one for one in same_mechanism if one.ratio > 1]
         control_exceeded = [one for one in exceeded if one.row.bound_name in CONTROL_PLANE_BOUNDS]
-        remaining = max((one.remaining for one in same_mechanism if one.remaining is not None), default=None)
+        remaining = max(
+            (one.remaining_ratio for one in same_mechanism if one.remaining_ratio is not None), default=None
+        )
         rows.append(
             [
                 str(place),
@@ -770,7 +775,7 @@
             ]
         )
     lines = [
-        "## Ranking: need over bound, the worst first",
+        "## Ranking: load over bound, the worst first",
         "",
         "Hypothetical rows are left out. Rows above the control plane's bounds (processor time, memory, bytes of a "
         "courier) are counted separately.",
@@ -802,7 +807,7 @@
         [
             (
                 f"{each.row.role}, {each.row.kind}: {each.row.what}",
-                amount(each.need, each.row.unit),
+                amount(each.load, each.row.unit),
                 f"{amount(each.bound, each.row.unit)}, {each.row.bound_name}",
                 times(each.ratio),
                 _remaining(each),
@@ -865,14 +870,16 @@
         else f"The control plane's bounds exclude that, too: {load.row.kind}, {times(load.ratio)} times its bound. "
     )
     if slowest is not None:
-        findings += f"Time does: {slowest.row.what} it takes {amount(slowest.need, slowest.row.unit)}"
-        if slowest.remaining is not None and not callable(slowest.row.bound):
-            findings += f", in a group of {TARGET.zone} {amount(slowest.remaining * slowest.bound, slowest.row.unit)}"
+        findings += f"Time does: {slowest.row.what} it takes {amount(slowest.load, slowest.row.unit)}"
+        if slowest.remaining_ratio is not None and not callable(slowest.row.bound):
+            findings += (
+                f", in a group of {TARGET.zone} {amount(slowest.remaining_ratio * slowest.bound, slowest.row.unit)}"
+            )
         findings += "."
-        if slowest.remaining is not None and slowest.remaining > 1:
+        if slowest.remaining_ratio is not None and slowest.remaining_ratio > 1:
             findings += (
-                f" That is still {times(slowest.remaining)} times its bound: groups alone are not enough; at a start, "
-                "a courier must get the members at once from one that knows them, and not piggybacked on probes."
+                f" That is still {times(slowest.remaining_ratio)} times its bound: groups alone are not enough; at a "
+                "start, a courier must get the members at once from one that knows them, and not piggybacked on probes."
             )
     lines += [
         f"1. Members come before all else. Beyond {MAX_MEMBERS:,} of {COURIERS:,} the code refuses more, and beyond "
@@ -883,8 +890,8 @@
         "2. "
         + (
             f"Observations are the worst user of a courier's bytes: {times(sent.ratio)} times the bound when sent to "
-            f"all, {times(sent.remaining or 0)} times when sent only to the {ASSUMED.placed} couriers interested in a "
-            f"destination. "
+            f"all, {times(sent.remaining_ratio or 0)} times when sent only to the {ASSUMED.placed} couriers interested "
+            f"in a destination. "
             if sent is not None
             else ""
         )
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -36,6 +36,7 @@
 GOSSIP_EXHAUSTED = 1 << 20  # a number of transmissions after which gossip no longer passes an update on
 COUNTERS_PER_COURIER = 20
 COUNTS_DURATION = 5 * SECOND
+# CALLS is the limit in calls per second, LOAD the offered load as a fraction of it.
 CALLS, LOAD, MESSAGE_TIMEOUT, WARM_UP, LOAD_DURATION = 50, 0.8, 4 * SECOND, 8 * SECOND, 20 * SECOND
 KNOWN_SHARE = 0.99
 
@@ -60,7 +61,7 @@
 
 
 def _start_informed(net: SimulatedNetwork) -> list[Peer]:
-    """Start all couriers, each knowing its whole group, with no update left to be gossiped, as long after a start."""
+    """Start all couriers, each knowing its group, with no update left to be gossiped (as it is long after a start)."""
     for name in net.nodes:
         net.start(name)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
@@ -71,7 +72,7 @@
 
 
 def as_received(update: MemberUpdate) -> MemberUpdate:
-    """Return the update as it is received: a separate object, with an enum member as its state."""
+    """Return the update as it is received: a separate object, so that memory figures count it, with an enum state."""
     message = seal.decode(seal.encode(Datagram(update.name, 1, "x", 1, [update]))).messages[0]
     assert isinstance(message, MemberUpdate)
     return message
@@ -85,21 +86,21 @@
 
 
 def measure_members(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """Measure starts spread over 20 s: a check 60 s after the first one, then 20 s of idling."""
-    net, all_known = _net(size, seed, group), (group or size) - 1
+    """Measure starts spread over 20 s: a check 60 s after the first start, then 20 s of idling."""
+    net, full_count = _net(size, seed, group), (group or size) - 1
     for n, name in enumerate(net.nodes):
         net.at(n * START_SPREAD // size, lambda name=name: net.start(name))  # type: ignore[misc]
     net.run(START_SPREAD)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
-    known, checking_time = 0, 0.0
+    known_at, checking_time = 0, 0.0
 
     def run_until(end: int) -> None:
-        nonlocal known, checking_time
+        nonlocal known_at, checking_time
         while net.now < end:
             net.run(net.now + SECOND)
             check_started_at = time.process_time()
-            if not known and min(len(peer.members.alive()) for peer in peers) >= int(KNOWN_SHARE * all_known):
-                known = net.now
+            if not known_at and min(len(peer.members.alive()) for peer in peers) >= int(KNOWN_SHARE * full_count):
+                known_at = net.now
             checking_time += time.process_time() - check_started_at
 
     run_until(CHECK_AT)
@@ -115,9 +116,9 @@
         "sent": (sum(peer.sent for peer in peers) - sent_before) / seconds,
         "processor": (time.process_time() - cpu_before - checking_time) * 1e3 / seconds,
     }
-    while not known and net.now < MAX_CONVERGENCE_TIME:
+    while not known_at and net.now < MAX_CONVERGENCE_TIME:
         run_until(net.now + SECOND)
-    return figures | {"all-known": (known or MAX_CONVERGENCE_TIME) / SECOND}
+    return figures | {"all-known": (known_at or MAX_CONVERGENCE_TIME) / SECOND}
 
 
 def measure_churn(size: int, seed: int, group: int = 0) -> dict[str, float]:
@@ -131,15 +132,15 @@
         net.at(started_at + n * RESTART_INTERVAL, lambda n=n: net.start(f"n{size // 2 + n}"))  # type: ignore[misc]
     gc.collect()
     sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
-    epochs, cpu, known = {name: node.epoch for name, node in net.nodes.items()}, time.process_time(), 0
+    epochs, cpu_started_at, known_at = {name: node.epoch for name, node in net.nodes.items()}, time.process_time(), 0
     checking_time = 0.0
     while net.now < started_at + CHURN_DURATION:
         net.run(net.now + 100 * MS)
         check_started_at = time.process_time()
-        if not known and _count_informed_of_loss(net, stopped) >= int(KNOWN_SHARE * ((group or size) - 1)):
-            known = net.now
+        if not known_at and _count_informed_of_loss(net, stopped) >= int(KNOWN_SHARE * ((group or size) - 1)):
+            known_at = net.now
         checking_time += time.process_time() - check_started_at
-    cpu = time.process_time() - cpu - checking_time
+    cpu = time.process_time() - cpu_started_at - checking_time
     sent = sum(
         node.peer.sent - (sent_before[name] if epochs[name] == node.epoch else 0)
         for name, node in net.nodes.items()
@@ -155,13 +156,13 @@
     return {
         "sent": sent / seconds,
         "processor": cpu * 1e3 / seconds,
-        "loss-known": ((known or net.now) - started_at) / SECOND,
+        "loss-known": ((known_at or net.now) - started_at) / SECOND,
         "wrongly-dead": float(wrongly_dead),
     }
 
 
 def measure_wave(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """Let all know their group, stop the target's share of couriers at once, and start them a second later."""
+    """Let all know their group, stop ``TARGET.wave / TARGET.couriers`` of all at once, and start them 1 s later."""
     net = _net(size, seed, group)
     _start_informed(net)
     net.run(SETTLING_TIME)
@@ -180,13 +181,13 @@
     started_at = net.now
     sent_before = {name: node.peer.sent for name, node in net.nodes.items() if node.peer is not None}
     over_bandwidth_before = sum(node.peer.over_bandwidth for node in net.nodes.values() if node.peer is not None)
-    known = joined = sent = over_bandwidth = 0
-    while net.now < started_at + WAVE_DURATION or not known * joined and net.now < started_at + MAX_CONVERGENCE_TIME:
+    known_at = joined = sent = over_bandwidth = 0
+    while net.now < started_at + WAVE_DURATION or not known_at * joined and net.now < started_at + MAX_CONVERGENCE_TIME:
         net.run(net.now + 200 * MS)
         peers = {name: node.peer for name, node in net.nodes.items() if node.peer is not None}
-        if not known and len(peers) == size:
+        if not known_at and len(peers) == size:
             informed = sum(_knows_epoch(peers[observer], name, net.nodes[name].epoch) for name, observer in pairs)
-            known = net.now if informed >= KNOWN_SHARE * len(pairs) else 0
+            known_at = net.now if informed >= KNOWN_SHARE * len(pairs) else 0
         if not joined and len(peers) == size:
             known_members = sum(len(peers[name].members.alive()) for name in stopped)
             joined = net.now if known_members >= KNOWN_SHARE * len(stopped) * ((group or size) - 1) else 0
@@ -194,7 +195,7 @@
             sent = sum(peer.sent - (0 if name in stopped else sent_before[name]) for name, peer in peers.items())
             over_bandwidth = sum(peer.over_bandwidth for peer in peers.values()) - over_bandwidth_before
     return {
-        "known": ((known or net.now) - started_at) / SECOND,
+        "known": ((known_at or net.now) - started_at) / SECOND,
         "joined": ((joined or net.now) - started_at) / SECOND,
         "sent": sent / (size * WAVE_DURATION / SECOND),
         "held-back": float(over_bandwidth),
@@ -216,7 +217,7 @@
 
 
 class SimulatedFleet:
-    """One real courier's modules among others of which only the datagrams to it are simulated."""
+    """One real courier's modules; the other couriers exist only as the datagrams that they send to it."""
 
     def __init__(self, others: int, seed: int) -> None:
         self.random = Random(seed)
@@ -256,20 +257,20 @@
         return self._sealers[name]
 
     def datagram_from(self, update: MemberUpdate, *messages: Any) -> bytes:
-        """Return a datagram from this courier, with piggybacked member updates as real ones have."""
+        """Return a datagram from the simulated courier of ``update``, with piggybacked member updates as usual."""
         all_messages = [*messages, *self.random.sample(self.others, min(20, len(self.others)))]
         while Sealer.size(all_messages, 20) > seal.MAX_DATAGRAM_BYTES:
             all_messages.pop()
         return self.sealer(update.name, update.epoch).seal("c-01-0000", all_messages)
 
     def open_datagram(self, address: tuple[str, int], data: bytes) -> tuple[MemberUpdate, Datagram]:
-        """Return the receiver and the content of a datagram that the courier sent."""
+        """Return the receiver and the content of a datagram that the real courier sent."""
         update = self.by_address[address]
         return update, self.sealer(update.name, update.epoch).open(data)
 
 
 def measure_single_courier(size: int, seed: int) -> dict[str, float]:
-    """Measure one courier that knows ``size`` members: memory, and 60 s of probes, answers and target restarts."""
+    """Measure a courier with ``size`` members: memory, 60 s of probes, answers and restarts at the target's rate."""
     seal.MAX_SENDERS = max(seal.MAX_SENDERS, size + 1)  # raised like the bound on members, in this process only
     tracemalloc.start()
     fleet = SimulatedFleet(size, seed)
@@ -329,7 +330,7 @@
 
 
 def measure_observation(size: int, seed: int) -> dict[str, float]:
-    """Let all know all; one courier sees a failed call and reports it."""
+    """Let every courier know all others; one sees a failed call and reports it."""
     net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     net.run(SETTLING_TIME)
@@ -338,17 +339,17 @@
     witness, started_at = peers[0], net.now
     seen_at = net.nodes["n0"].clock(started_at)
     witness.observations.record_call("x", CallOutcome.FAILED, seen_at, seen_at)
-    sent_before, known = witness.sent, 0
+    sent_before, known_at = witness.sent, 0
     while net.now < started_at + OBSERVATION_DURATION:
         net.run(net.now + 5 * MS)
-        if not known and sum("n0" in each.observations._records.get("x", {}) for each in peers) >= int(
+        if not known_at and sum("n0" in each.observations._records.get("x", {}) for each in peers) >= int(
             KNOWN_SHARE * (size - 1)
         ):
-            known = net.now
+            known_at = net.now
     informed = sum("n0" in each.observations._records.get("x", {}) for each in peers)
     return {
         "sent": float(witness.sent - sent_before),
-        "known": ((known or net.now) - started_at) / SECOND,
+        "known": ((known_at or net.now) - started_at) / SECOND,
         "told": float(informed),
     }
 
@@ -386,7 +387,7 @@
 
 
 def measure_budgets(size: int, seed: int) -> dict[str, float]:
-    """Measure one limit of 50 calls a second at a load of 0.8, half of it at one courier; all know all."""
+    """Measure one limit of 50 calls a second at a load of 0.8, half of it at one courier; each knows all others."""
     net = SimulatedNetwork(size, seed, Faults(), bytes_per_second=TARGET.bytes_a_second)
     calls, window = budget_for_rate(float(CALLS), size)
     net.budget("d", calls, window)
@@ -416,7 +417,7 @@
 
 
 def measure_budgets_held(size: int, seed: int) -> dict[str, float]:
-    """Measure memory and a tick of ``size`` limits, each of twice the target's events per second for a destination."""
+    """Measure memory and one tick with ``size`` limits, each twice a destination's events per second at the target."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
     shares = _shares(size, seed)
@@ -440,7 +441,7 @@
 
 
 def measure_counts(size: int, seed: int) -> dict[str, float]:
-    """Let all know all, each with 20 counters; one courier requests those of all others."""
+    """Let every courier know all others, each with 20 counters; one requests those of all others."""
     net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     for each in peers:
@@ -450,13 +451,13 @@
     started_at, requester = net.now, peers[0]
     received_before = requester.received
     requester.counters.request_all()
-    known = 0
+    known_at = 0
     while net.now < started_at + COUNTS_DURATION:
         net.run(net.now + 50 * MS)
-        if not known and _complete_reports(requester.counters) >= int(KNOWN_SHARE * size):
-            known = net.now
+        if not known_at and _complete_reports(requester.counters) >= int(KNOWN_SHARE * size):
+            known_at = net.now
     return {
-        "known": ((known or net.now) - started_at) / SECOND,
+        "known": ((known_at or net.now) - started_at) / SECOND,
         "whole": float(_complete_reports(requester.counters)),
         "heard": float(requester.received - received_before),
     }
@@ -491,7 +492,7 @@
 
 
 def measure_counters(size: int, seed: int) -> dict[str, float]:
-    """Measure one courier that counts calls by ``size`` destinations: separate counters, and bytes to report all."""
+    """Measure a courier that counts calls by ``size`` destinations: counters up to the maximum, bytes to report all."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
     own = FleetCounters("c-01-0000", 1, 0, {}, Random(seed))
@@ -514,8 +515,9 @@
     return {"processor": (time.process_time() - cpu_started_at) * 1e6 / repetitions}
 
 
-# A failure is reported for FRESH. Until then a courier may send its bandwidth and what it saved up (DEBT), except for
-# the reserve for probes (URGENT). From 95 % of that on, the bound determines the bytes sent: the run counts as cut off.
+# A failure is reported for OUTAGE_REPORT_MAX_AGE. Until then a courier may send its bandwidth and the unused bandwidth
+# of BURST_WINDOW, except for URGENT_RESERVE, the reserve for probes. From 95 % of that on, the bound determines the
+# bytes sent: the run counts as cut off.
 MAX_OBSERVATION_BYTES = (
     0.95 * TARGET.bytes_a_second * ((OUTAGE_REPORT_MAX_AGE + BURST_WINDOW) / SECOND - URGENT_RESERVE)
 )
@@ -544,9 +546,9 @@
         MODELLED_SIZES,
         {"sent": "bytes", "processor": "ms", "loss-known": "s", "wrongly-dead": "count"},
         measure_churn,
-        f"All know all; one stops for good, and one is restarted every {RESTART_INTERVAL // SECOND} s, for "
-        f"{CHURN_DURATION // SECOND} s: bytes and processor time per second by each, and the time until 99 % consider "
-        "the lost one dead; the modelled network",
+        "Every courier knows all others; one stops for good, and one is restarted every "
+        f"{RESTART_INTERVAL // SECOND} s, for {CHURN_DURATION // SECOND} s: bytes and processor time per "
+        "second by each, and the time until 99 % consider the lost one dead; the modelled network",
         setting=MODELLED,
         cut_off_at={"loss-known": ("loss-known", CHURN_DURATION / SECOND)},
     ),
@@ -556,10 +558,10 @@
         MODELLED_SIZES,
         {"known": "s", "joined": "s", "sent": "bytes", "held-back": "count"},
         measure_wave,
-        f"All know all; {TARGET.wave / TARGET.couriers:.0%} of them stop at once and start a second later: time until "
-        f"{KNOWN_SHARE:.0%} of the others' entries for them are up to date, time until they know {KNOWN_SHARE:.0%} of "
-        f"all ({MAX_CONVERGENCE_TIME // SECOND} s at most), and in the first {WAVE_DURATION // SECOND} s bytes per "
-        "second by each and datagrams over the bandwidth limit; the modelled network",
+        f"Every courier knows all others; {TARGET.wave / TARGET.couriers:.0%} of them stop at once and start a second "
+        f"later: time until {KNOWN_SHARE:.0%} of the others' entries for them are up to date, time until they "
+        f"know {KNOWN_SHARE:.0%} of all ({MAX_CONVERGENCE_TIME // SECOND} s at most), and in the first "
+        f"{WAVE_DURATION // SECOND} s bytes per second by each and datagrams over the bandwidth limit; the modelled network",
         setting=MODELLED,
         cut_off_at={
             "known": ("known", MAX_CONVERGENCE_TIME / SECOND),
@@ -583,8 +585,9 @@
         MODELLED_SIZES,
         {"sent": "bytes", "known": "s", "told": "count"},
         measure_observation,
-        f"All know all; one reports a failed call: bytes it sends in {OBSERVATION_DURATION // SECOND} s, time until "
-        f"{KNOWN_SHARE:.0%} know, how many know after {OBSERVATION_DURATION // SECOND} s; the modelled network",
+        "Every courier knows all others; one reports a failed call: bytes it sends in "
+        f"{OBSERVATION_DURATION // SECOND} s, time until {KNOWN_SHARE:.0%} know, how many know after "
+        f"{OBSERVATION_DURATION // SECOND} s; the modelled network",
         setting=MODELLED,
         cut_off_at={"sent": ("sent", MAX_OBSERVATION_BYTES), "known": ("known", OBSERVATION_DURATION / SECOND)},
     ),
@@ -605,7 +608,7 @@
         {"served": "share", "span": "s", "sent": "bytes", "above": "count"},
         measure_budgets,
         f"One limit of {CALLS} calls a second shared by this many, half of a load of {LOAD} at one of them: share of "
-        "the messages served, the window over which the limit is enforced, bytes per second by each, instants above "
+        "the messages served, the window over which the limit is enforced, bytes per second by each, calls above "
         "the limit; the modelled network",
         setting=MODELLED,
     ),
@@ -625,9 +628,10 @@
         MODELLED_SIZES,
         {"known": "s", "whole": "count", "heard": "bytes"},
         measure_counts,
-        f"All know all, each with {COUNTERS_PER_COURIER} counters; one requests all: time until it has the complete "
-        f"counters of {KNOWN_SHARE:.0%} of them ({COUNTS_DURATION // SECOND} s: not within that time), of how many it "
-        f"has them after {COUNTS_DURATION // SECOND} s, bytes that it receives; the modelled network",
+        f"Every courier knows all others, each with {COUNTERS_PER_COURIER} counters; one requests all: time until it "
+        f"has the complete counters of {KNOWN_SHARE:.0%} of them ({COUNTS_DURATION // SECOND} s if that takes longer), "
+        f"the number of couriers whose complete counters it has after {COUNTS_DURATION // SECOND} s, bytes that it "
+        "receives; the modelled network",
         setting=MODELLED,
         cut_off_at={each: ("known", COUNTS_DURATION / SECOND) for each in ("known", "whole", "heard")},
     ),
@@ -647,7 +651,8 @@
         (100, 500, 1_000, 5_000),
         {"memory": "MB", "apart": "count", "told": "bytes"},
         measure_counters,
-        "One courier that counts calls by destination: memory, separate counters, bytes to report all of them",
+        "One courier that counts calls by destination: memory, counters (beyond the maximum, calls share one), "
+        "bytes to report all of them",
         setting=PURE,
     ),
     Slope(
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -89,7 +89,7 @@
 
     slopes: dict[str, Slope]
     rows: list[Measured]
-    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)  # by slope: largest size, factor, setting
+    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)  # largest size, extrapolation factor, setting
     _fits: dict[tuple[str, str], Fit] = field(default_factory=dict)
 
     def reset_used(self) -> None:
@@ -145,22 +145,22 @@
     kind: str  # state, messages, processor time, memory, time
     what: str
     formula_text: str
-    need: Formula
+    load: Formula
     unit: str
     bound: float | Formula
     bound_name: str
     mechanism: Mechanism
-    remaining: Formula | None = None  # the need with the mechanism in place
-    hypothetical: str = ""  # the condition under which the row applies, which is not met today; it is not ranked then
+    remaining: Formula | None = None  # the load with the mechanism in place
+    hypothetical: str = ""  # not ranked if set: the row applies under this condition, not met today
 
 
 COURIERS = TARGET.couriers
 PLACED_DESTINATIONS = TARGET.destinations * ASSUMED.placed / COURIERS  # destinations per courier, with placement
 FAILED_CALLS = (
     TARGET.events_per_courier * TARGET.down
-)  # per second and courier, to destinations that are down, if it does not know
+)  # per second and courier, to destinations that are down, if the courier does not know that they are
 DESTINATION_LIMIT = ASSUMED.headroom * TARGET.events_per_destination
-CONTROL, MEMORY, BYTES = (
+PROCESSOR_TIME, MEMORY, BYTES = (
     "processor time for the control plane",
     "memory for the control plane",
     "bytes a second for the control plane",
@@ -180,7 +180,11 @@
 
 
 def _observations_at_broker(r: Reading, figure: str) -> float:
-    """Return one broker's load of observations: each down destination is probed once per step, and the failure sent."""
+    """Return one broker's load of observations.
+
+    Each destination that is down is probed once a second, and each failure is sent in ``REPORT_ROUNDS`` rounds to the
+    owners of the destination in a region.
+    """
     observations = TARGET.destinations_down * OWNERS_PER_REGION * REPORT_ROUNDS / TARGET.control_machines
     return observations * r.at("broker", figure, TARGET.region)
 
@@ -200,7 +204,7 @@
         lambda r: COURIERS,
         "count",
         MAX_MEMBERS,
-        f"{CODE}: more are refused (`About.most`)",
+        f"{CODE}: more are refused (`PeerConfig.max_members`)",
         Mechanism.GROUPS,
         lambda r: TARGET.zone,
     ),
@@ -212,7 +216,7 @@
         lambda r: COURIERS,
         "count",
         seal.MAX_SENDERS,
-        f"{CODE}: datagrams of more are dropped (`seal.SENDERS`)",
+        f"{CODE}: datagrams of more are dropped (`seal.MAX_SENDERS`)",
         Mechanism.GROUPS,
         lambda r: TARGET.zone,
     ),
@@ -236,7 +240,7 @@
         lambda r: r.at("member-alone", "processor", COURIERS),
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.GROUPS,
         lambda r: r.at("member-alone", "processor", TARGET.zone),
     ),
@@ -255,7 +259,7 @@
     Row(
         Role.COURIER,
         "time",
-        "until all are known after starts of all",
+        "until every courier knows all others, after all have started",
         "members.all-known at all couriers",
         lambda r: r.at("members", "all-known", COURIERS),
         "s",
@@ -291,7 +295,7 @@
     Row(
         Role.COURIER,
         "time",
-        "until those of a wave know all",
+        "until the restarted couriers of a wave know all members",
         "members-wave.joined at all couriers",
         lambda r: r.at("members-wave", "joined", COURIERS),
         "s",
@@ -316,7 +320,7 @@
     Row(
         Role.COURIER,
         "state",
-        "members that receive one observation before it expires",
+        "couriers, against those that one observation reaches before it expires",
         "couriers, over word-alone.told at all couriers",
         lambda r: COURIERS,
         "count",
@@ -333,7 +337,7 @@
         lambda r: TARGET.destinations_down * r.at("order", "processor", COURIERS) / 1e3 * TICKS_PER_SECOND,
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.WORDS,
         lambda r: (
             PLACED_DESTINATIONS
@@ -348,7 +352,7 @@
     Row(
         Role.COURIER,
         "state",
-        "one courier's share of a limit per second: at least one call needed",
+        "couriers per call a second of a limit: above one, a courier's share is less than one call",
         "couriers that share it, over the limit's calls a second",
         lambda r: COURIERS / DESTINATION_LIMIT,
         "count",
@@ -389,7 +393,7 @@
         lambda r: r.at("budgets-held", "tick", TARGET.destinations) * TICKS_PER_SECOND,
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.SHARES,
         lambda r: r.at("budgets-held", "tick", PLACED_DESTINATIONS) * TICKS_PER_SECOND,
     ),
@@ -401,7 +405,7 @@
         lambda r: COURIERS,
         "count",
         counts.MAX_COURIERS,
-        f"{CODE}: nothing is held of more (`counts.HELD`)",
+        f"{CODE}: nothing is held of more (`counts.MAX_COURIERS`)",
         Mechanism.COUNTS,
         lambda r: TARGET.zone,
     ),
@@ -413,7 +417,7 @@
         lambda r: TARGET.destinations * COUNTERS_PER_DESTINATION,
         "count",
         counts.MAX_COUNTERS,
-        f"{CODE}: further ones share one counter (`counts.MOST`)",
+        f"{CODE}: further ones share one counter (`counts.MAX_COUNTERS`)",
         Mechanism.COUNTS,
         lambda r: PLACED_DESTINATIONS * COUNTERS_PER_DESTINATION,
     ),
@@ -474,7 +478,7 @@
         lambda r: list_bytes(r, TARGET.destinations),
         "bytes",
         MAX_LINE_BYTES,
-        f"{CODE}: a longer line closes the watch (`watch.MOST_LINE`)",
+        f"{CODE}: a longer line closes the watch (`watch.MAX_LINE_BYTES`)",
         Mechanism.LISTS,
         lambda r: list_bytes(r, PLACED_DESTINATIONS),
     ),
@@ -486,7 +490,7 @@
         lambda r: TARGET.changes_per_second * r.at("list-again", "hearer", TARGET.destinations) / 1e3,
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.LISTS,
         lambda r: (
             TARGET.changes_per_second
@@ -505,7 +509,7 @@
         lambda r: TARGET.changes_per_second * r.at("list-change", "hearer", TARGET.destinations) / 1e3,
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.LISTS,
         lambda r: (
             TARGET.changes_per_second
@@ -523,7 +527,7 @@
         lambda r: TARGET.changes_per_second * r.at("config-change", "hearer", TARGET.destinations),
         "ms",
         TARGET.processor_ms,
-        CONTROL,
+        PROCESSOR_TIME,
         Mechanism.CONFIG,
         lambda r: TARGET.changes_per_second * r.at("config-change", "hearer", PLACED_DESTINATIONS),
     ),
@@ -822,12 +826,12 @@
     Row(
         Role.MEMBER,
         "messages",
-        "calls a second that reach it while it is down: at most one per step wanted",
+        "calls a second that reach it while it is down: at most one a second is wanted",
         "events a second for one destination, as no courier knows of another's failed call",
         lambda r: TARGET.events_per_destination,
         "count",
         1.0,
-        "one probe per step",
+        "one probe a second",
         Mechanism.WORDS,
         lambda r: 1.0,
     ),
@@ -839,10 +843,10 @@
     """A row evaluated at the target."""
 
     row: Row
-    need: float
+    load: float
     bound: float
     ratio: float
-    remaining: float | None  # the ratio with the mechanism in place
+    remaining_ratio: float | None  # the ratio with the mechanism in place
     used: dict[str, tuple[int, float, str]]
 
 
@@ -853,14 +857,14 @@
         reading.reset_used()
         try:
             bound = row.bound(reading) if callable(row.bound) else row.bound
-            need = row.need(reading)
+            load = row.load(reading)
             used = reading.used
             reading.reset_used()
-            remaining = row.remaining(reading) / bound if row.remaining is not None else None
+            remaining_ratio = row.remaining(reading) / bound if row.remaining is not None else None
         except NotMeasured as error:
             not_worked_out.append((row, str(error)))
             continue
-        worked_out.append(Result(row, need, bound, need / bound, remaining, used))
+        worked_out.append(Result(row, load, bound, load / bound, remaining_ratio, used))
     return worked_out, not_worked_out
 
 
