--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -561,7 +561,8 @@
         f"Every courier knows all others; {TARGET.wave / TARGET.couriers:.0%} of them stop at once and start a second "
         f"later: time until {KNOWN_SHARE:.0%} of the others' entries for them are up to date, time until they "
         f"know {KNOWN_SHARE:.0%} of all ({MAX_CONVERGENCE_TIME // SECOND} s at most), and in the first "
-        f"{WAVE_DURATION // SECOND} s bytes per second by each and datagrams over the bandwidth limit; the modelled network",
+        f"{WAVE_DURATION // SECOND} s bytes per second by each and datagrams over the bandwidth limit; "
+        "the modelled network",
         setting=MODELLED,
         cut_off_at={
             "known": ("known", MAX_CONVERGENCE_TIME / SECOND),
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -89,7 +89,8 @@
 
     slopes: dict[str, Slope]
     rows: list[Measured]
-    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)  # largest size, extrapolation factor, setting
+    # By slope: largest measured size, extrapolation factor, setting.
+    used: dict[str, tuple[int, float, str]] = field(default_factory=dict)
     _fits: dict[tuple[str, str], Fit] = field(default_factory=dict)
 
     def reset_used(self) -> None:
@@ -151,14 +152,14 @@
     bound_name: str
     mechanism: Mechanism
     remaining: Formula | None = None  # the load with the mechanism in place
-    hypothetical: str = ""  # not ranked if set: the row applies under this condition, not met today
+    # If set, the row applies only under this condition, which is not met today, and is not ranked.
+    hypothetical: str = ""
 
 
 COURIERS = TARGET.couriers
 PLACED_DESTINATIONS = TARGET.destinations * ASSUMED.placed / COURIERS  # destinations per courier, with placement
-FAILED_CALLS = (
-    TARGET.events_per_courier * TARGET.down
-)  # per second and courier, to destinations that are down, if the courier does not know that they are
+# Per second and courier, to destinations that are down, if the courier does not know that they are.
+FAILED_CALLS = TARGET.events_per_courier * TARGET.down
 DESTINATION_LIMIT = ASSUMED.headroom * TARGET.events_per_destination
 PROCESSOR_TIME, MEMORY, BYTES = (
     "processor time for the control plane",
