--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -1,5 +1,6 @@
-"""Slopes with members in groups and observations relayed by brokers, measured like those without.
+"""Slopes with members in groups and observations relayed by brokers.
 
+The membership slopes use the same functions as the slopes without groups and brokers (capacity_peers).
 Members and observations are measured on the modelled network, in groups of 50 and two regions with three brokers each;
 the load of one broker is measured as a pure module, with simulated couriers.
 """
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -61,7 +61,7 @@
 
 
 def _start_informed(net: SimulatedNetwork) -> list[Peer]:
-    """Start all couriers, each knowing its group, with no update left to be gossiped (as it is long after a start)."""
+    """Start all couriers in the state long after a start: each knows its whole group, no update is left to gossip."""
     for name in net.nodes:
         net.start(name)
     peers = [node.peer for node in net.nodes.values() if node.peer is not None]
@@ -257,7 +257,7 @@
         return self._sealers[name]
 
     def datagram_from(self, update: MemberUpdate, *messages: Any) -> bytes:
-        """Return a datagram from the simulated courier of ``update``, with piggybacked member updates as usual."""
+        """Return a datagram from the simulated courier of ``update``, with piggybacked member updates as real ones."""
         all_messages = [*messages, *self.random.sample(self.others, min(20, len(self.others)))]
         while Sealer.size(all_messages, 20) > seal.MAX_DATAGRAM_BYTES:
             all_messages.pop()
