--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -38,6 +38,7 @@
 BUDGET_WAIT_TIMEOUT = 500 * MS  # maximum wait of a call for room in the budget, before an endpoint is chosen anew
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.REJECTED)
 
+# Final states. A returned message may be submitted again under its id; a failed one may not.
 DELIVERED, FAILED, RETURNED = "delivered", "failed", "returned"
 WITHDRAWN = "withdrawn"  # cancelled by the sender side before it was ever sent
 _WITHDRAW = object()  # resumes the parked task of a withdrawn message
@@ -57,7 +58,7 @@
     key: str = ""  # idempotency key
     extra: dict[str, Any] = field(default_factory=dict)  # data of the front end, JSON-serializable
     number: int = 0  # number in the journal
-    start: int = 0  # earliest time of the first attempt; the delivery time is counted from it
+    start: int = 0  # earliest time of the first attempt; the delivery timeout starts then
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,9 +107,9 @@
 
     outcome: Outcome
     retry_after: int = 0  # retry-after delay in microseconds
-    no_slot: bool = False
-    already_answered: bool = False  # the message is answered already: no further attempt and no report
-    report: tuple[float, ...] = ()
+    no_slot: bool = False  # with MOOT: the call was not forwarded, as no slot was free
+    already_answered: bool = False  # the message is answered already: no further attempt, and its end is not reported
+    report: tuple[float, ...] = ()  # figures that the endpoint reported, by column of the settings
     note: str = ""
     queued: int = 0  # queueing time before the first byte, excluded from the latency of the call
     # With OK: the next hop has only accepted the message, and the outcome follows. Name of the outcome source in
@@ -121,7 +122,7 @@
     """The final state of a message, as reported to its sender side."""
 
     state: str
-    after_ms: int = 0
+    after_ms: int = 0  # retry-after delay of a returned message, in milliseconds
 
 
 class SenderSide(Protocol):
@@ -137,7 +138,10 @@
 
 
 class OutcomeSource(Protocol):
-    """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts."""
+    """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts.
+
+    ``awaits``: the data by which the source recognizes the outcome of the message.
+    """
 
     def expect(self, message: Message, awaits: dict[str, Any]) -> None:
         """Wait for the outcome of a message accepted by this process or before; report it by ``outcome_received``."""
@@ -166,7 +170,10 @@
 
 
 class Peers(Protocol):
-    """Budgets shared with other couriers; optional. ``is_retry``: the call is not the first attempt of its message."""
+    """Optional: budgets shared with other couriers; it is also notified of accepted and ended messages.
+
+    ``is_retry``: the call is not the first attempt of its message.
+    """
 
     def spend_budget(self, endpoint: api.EndpointId, is_retry: bool) -> bool:
         """Take one call from this courier's share of the budget of the endpoint; false if none is left now."""
@@ -175,7 +182,7 @@
         """Wait until the budget has room for a call, at most until the given time."""
 
     def attempt_ended(self, endpoint: api.EndpointId, result: Result, sent: int) -> None:
-        """A call has ended that began at ``sent``."""
+        """A call has ended; ``sent`` is the time at which its wait for the budget was over."""
 
     def message_accepted(self, message: Message) -> None:
         """A message was accepted."""
@@ -200,7 +207,7 @@
 
 
 class Courier:
-    """Owns the open messages, the transport map, the journal and the decision module."""
+    """Owns the open messages, the transport map, the journal and the controller."""
 
     def __init__(self, loop: Loop, settings: api.Settings, seed: int, journal: Journal) -> None:
         self.loop, self.settings, self.journal = loop, settings, journal
@@ -242,9 +249,9 @@
 
     def accept(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
         """Accept or refuse a message, journalled before the answer; true if this courier now owns it."""
-        refusal = self._check_admission(message)
-        if refusal is not None:
-            answer(refusal)
+        early_answer = self._check_admission(message)
+        if early_answer is not None:
+            answer(early_answer)
             return False
         earliest = max(self.loop.now, message.start)
         message.deadline = min(message.deadline, earliest + self.map.delivery_timeout(message.dest))
@@ -299,7 +306,10 @@
     def _deliver(
         self, message: Message, attempts: int = 0, maybe_since_ns: int | None = None, recovered: bool = False
     ) -> None:
-        """Run a message's attempts as the controller decides, until its final state."""
+        """Run a message's attempts as the controller decides, until its final state.
+
+        ``maybe_since_ns``: when the first earlier attempt that may have run was sent.
+        """
         attempt_index = attempts
         if message.start > self.loop.now:
             parking = self._parked[message.number] = Suspension(self.loop)
@@ -351,7 +361,7 @@
 
     def _attempt(self, message: Message, action: api.Send, attempt_index: int) -> tuple[Result, int]:
         """Make one delivery attempt, journalled before its first byte is sent; returns its result and latency."""
-        hop, sent = self.map.hops.get(action.endpoint), self.loop.now
+        hop, started = self.map.hops.get(action.endpoint), self.loop.now
         if hop is None:
             return Result(Outcome.MOOT), 0
 
@@ -367,19 +377,21 @@
         )
         if self.peers is not None:
             self.peers.wait_for_budget(
-                action.endpoint, attempt_index > 0, min(sent + action.timeout_ns // NS, sent + BUDGET_WAIT_TIMEOUT)
+                action.endpoint,
+                attempt_index > 0,
+                min(started + action.timeout_ns // NS, started + BUDGET_WAIT_TIMEOUT),
             )
-        began = self.loop.now
+        budget_wait_end = self.loop.now
         self.attempts_in_flight += 1
         try:
-            result = hop.carrier.attempt(message, hop, sent + action.timeout_ns // NS, guard)
+            result = hop.carrier.attempt(message, hop, started + action.timeout_ns // NS, guard)
         finally:
             self.attempts_in_flight -= 1
         if result.outcome in NEVER_RAN:
             self.journal.record_not_run(message.number, attempt_index)
         self._save_limit(hop, result)
         if self.peers is not None:
-            self.peers.attempt_ended(action.endpoint, result, began)
+            self.peers.attempt_ended(action.endpoint, result, budget_wait_end)
         if result.outcome is not Outcome.OK or logs.is_enabled(logs.DEBUG):
             logs.event(
                 "attempt",
@@ -391,16 +403,16 @@
                 note=result.note or None,
                 dest=message.dest,
                 report=",".join(f"{x:g}" for x in result.report) or None,
-                after_ms=(self.loop.now - sent) // MS,
+                after_ms=(self.loop.now - started) // MS,
             )
-        return result, max(0, self.loop.now - sent - result.queued)
+        return result, max(0, self.loop.now - started - result.queued)
 
     def _spend(self, endpoint: api.EndpointId, attempt_index: int) -> bool:
         """Take a call that is about to be sent from the shared budget, where there is one."""
         return self.peers is None or self.peers.spend_budget(endpoint, attempt_index > 0)
 
     def update_shares(self, event: api.Parts | api.Judged) -> None:
-        """Queue a result of sharing with other couriers for the controller."""
+        """Queue new shares, or a judgement of endpoints made with other couriers, for the controller."""
         self._events.append(event)
 
     @property
@@ -525,7 +537,10 @@
         return None if before.state == RETURNED else Answer(False, False, RefusalReason.DUPLICATE)
 
     def _check_admission(self, message: Message) -> Answer | None:
-        """The answer without processing: a refusal, or that to a duplicate; none if the message can be accepted."""
+        """The answer to a submission that is not processed; none if the message can be accepted.
+
+        It is a refusal, or the answer to a duplicate, which may be ``ACCEPTED``.
+        """
         if self.closing is not None:
             return Answer(False, True, RefusalReason.CLOSING)
         while self._ended and self._ended[0][0] < self.loop.now:
@@ -675,10 +690,10 @@
         message.body, message.extra = body, extra
         return True
 
-    # The decision module
+    # The controller
 
     def _next_action(self, number: int, event: api.Event, final: bool = False) -> Any:
-        """Queue an event for the controller, and wait for its next action on this message unless it is the last."""
+        """Queue an event for the controller; unless the event is final, wait for the next action on this message."""
         self._events.append(event)
         if final:
             return None
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -46,12 +46,12 @@
     NEW = "has asked nothing yet"
     ASKING = "in the middle of a request"
     IDLE = "between requests"
-    SERVED = "waits for our answer"
+    SERVED = "waits for our answer"  # its request is received and being processed
 
 
-# How long a connection stays in a state before it may be closed to make room. One with unread bytes is not closed at
-# once, as that would be a reset: a request that has begun gets a 408 response and a half-close, and a half-closed
-# connection had its time to be read to the end.
+# How long a connection stays in a state before it may be closed to make room. Closing one with unread bytes would reset
+# it. So a request that has begun gets a 408 response and a half-close first. A half-closed connection may be closed, as
+# it has been read for the time given here.
 MIN_STATE_AGE = {State.LEAVING: 100 * MS, State.NEW: 50 * MS, State.ASKING: 300 * MS, State.IDLE: 0}
 
 
@@ -120,7 +120,11 @@
         self._clients[state][client] = self.loop.now
 
     def _make_room(self) -> bool:
-        """Closes the connection whose loss does least harm, but none with a request received or in progress."""
+        """Closes the connection whose loss does least harm; false if none was closed at once.
+
+        None is closed once its request is received. A request that is still arriving gets a 408 response after its
+        ``MIN_STATE_AGE``, and its connection closes after that.
+        """
         for state, min_age in MIN_STATE_AGE.items():
             for client, since in self._clients[state].items():
                 if since > self.loop.now - min_age:
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -1,7 +1,7 @@
 """The journal in the state directory: accepted messages, their delivery attempts and their final states.
 
-Append-only records, each with its length and checksum, by plain writes. Compaction writes the open messages to a second
-file and renames it over the first; both together stay within the size limit of the directory.
+Append-only records, each with its length and checksum, written without fsync. Compaction writes the open messages to a
+second file and renames it over the first; both together stay within the size limit of the directory.
 """
 
 from __future__ import annotations
@@ -35,8 +35,9 @@
 # Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again.
 RETENTION, LIMIT_REWRITE_INTERVAL = 60_000_000, 5_000_000
 MAX_ENDPOINTS = 256  # endpoints whose limit, or outage, is retained: the most recently reported ones
-# Microseconds: if the clock offsets of two processes differ by less, it is a correction of the wall clock, and recorded
-# times stay. A restart of the machine moves them back, as its monotonic clock begins anew.
+# Microseconds: recorded times are shifted if the clock offset of the process that wrote them differs by at least this
+# from ours; less is a correction of the wall clock. After a restart of the machine the monotonic clock begins anew, so
+# recorded times are shifted back.
 MIN_SHIFT_BACK = 2_000_000
 MIN_SHIFT_FORWARD = 3_600_000_000
 
@@ -48,14 +49,14 @@
 class Journal:
     """The open messages, and the file that preserves them over restarts."""
 
-    def __init__(self, state_directory: str, limit: int, attempts: int = 8) -> None:
-        self._path, self._limit = Path(state_directory) / "journal", limit
+    def __init__(self, state_directory: str, max_bytes: int, attempts: int = 8) -> None:
+        self._path, self._max_bytes = Path(state_directory) / "journal", max_bytes
         self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * attempts
         self._new_path = Path(state_directory) / "journal.new"
         self.entries: dict[int, Entry] = {}
         self._live = 0  # bytes of a compacted file, plus the room reserved for later records
         self._weights: dict[int, int] = {}  # by message number: bytes of its records, and the room reserved
-        self._ended: dict[str, tuple[int, str]] = {}  # by name: expiry (Unix time, microseconds), text
+        self._ended: dict[str, tuple[int, str]] = {}  # by message id: expiry (Unix time, microseconds), text
         self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (as above), calls per second
         self._outages: dict[bytes, tuple[int, int, int]] = {}  # by endpoint: expiry, start, start of recovery
         self._ended_live = 0  # bytes of the ended messages in a compacted file
@@ -107,7 +108,8 @@
             return shift
         if kind == CLOCK:
             step = int(struct.unpack("<q", payload)[0]) - self._offset
-            # A wall clock that was set back must not extend deadlines and windows.
+            # A positive step means that the wall clock was set back, which must not extend deadlines and windows. A
+            # negative one means a restart of the machine, or a wall clock set forward.
             return 0 if -MIN_SHIFT_BACK < step < MIN_SHIFT_FORWARD else step
         if kind == TAKEN:
             deadline, size = struct.unpack_from("<qI", payload)
@@ -118,7 +120,7 @@
         else:
             entry = self.entries[number]
             if kind == AWAITS:
-                self._awaits(entry, payload.decode())
+                self._set_awaited(entry, payload.decode())
             elif kind == VERDICT:
                 entry.after_ms, entry.verdict = struct.unpack_from("<I", payload)[0], payload[4:].decode()
             else:
@@ -150,7 +152,8 @@
         now = time.time_ns() // 1000
         record = records.ended_record(name, now + retention, text)
         while self._ended and (
-            next(iter(self._ended.values()))[0] <= now or self._ended_live + len(record) > MAX_ENDED_SHARE * self._limit
+            next(iter(self._ended.values()))[0] <= now
+            or self._ended_live + len(record) > MAX_ENDED_SHARE * self._max_bytes
         ):
             self._drop_ended(next(iter(self._ended)))
         if len(record) <= records.MAX_PAYLOAD and self._fits(len(record)) and self._append(record):
@@ -203,8 +206,8 @@
         else:
             since, recovering_since = outage[0] + self._offset, 0 if outage[1] is None else outage[1] + self._offset
             values = (max(since, recovering_since, now) + RETENTION, since, recovering_since)
-        still_retained = outage is None or known is not None and known[0] > now + RETENTION // 2
-        if still_retained and values[1:] == (known or (0, 0, 0))[1:]:
+        renewal_not_due = outage is None or known is not None and known[0] > now + RETENTION // 2
+        if renewal_not_due and values[1:] == (known or (0, 0, 0))[1:]:
             return
         record = records.outage_record(endpoint, *values)
         if len(record) < BLOCK and self._fits(len(record)) and self._append(record):
@@ -240,7 +243,7 @@
         and no record of a final state would fit any more.
         """
         grown = max(self._size, self._live) + more
-        return _blocks(grown) + _blocks(self._live + more + BLOCK) + BLOCK <= self._limit
+        return _blocks(grown) + _blocks(self._live + more + BLOCK) + BLOCK <= self._max_bytes
 
     def _compact(self) -> bool:
         """Write the live data to a new file and rename it over the old one; false if there is no room or it failed."""
@@ -255,7 +258,7 @@
         data += b"".join(records.ended_record(name, until, text) for name, (until, text) in self._ended.items())
         data += b"".join(records.limit_record(endpoint, *values) for endpoint, values in self._limits.items())
         data += b"".join(records.outage_record(endpoint, *values) for endpoint, values in self._outages.items())
-        if _blocks(self._size) + _blocks(len(data)) > self._limit:
+        if _blocks(self._size) + _blocks(len(data)) > self._max_bytes:
             return False
         file = -1
         try:
@@ -275,10 +278,10 @@
 
     def _append(self, record: bytes) -> bool:
         """Append a record; a partial write is truncated, so that no record follows a torn one."""
-        near_limit = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._limit
-        if near_limit or self._size > self._limit // 4 and self._size > 3 * self._live:
+        near_limit = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._max_bytes
+        if near_limit or self._size > self._max_bytes // 4 and self._size > 3 * self._live:
             self._compact()
-        if _blocks(self._size + len(record)) > self._limit:
+        if _blocks(self._size + len(record)) > self._max_bytes:
             return False
         try:
             if os.write(self._file, record) == len(record):
@@ -331,10 +334,10 @@
         record = records.record(AWAITS, number, text.encode())
         if entry is None or len(record) > records.MAX_PAYLOAD or not self._append(record):
             return False
-        self._awaits(entry, text)
+        self._set_awaited(entry, text)
         return True
 
-    def _awaits(self, entry: Entry, text: str) -> None:
+    def _set_awaited(self, entry: Entry, text: str) -> None:
         more = len(text.encode()) - len(entry.awaits.encode())
         entry.awaits = text
         self._live += more
--- a/kestrelspar/lab/simulated_network.py
+++ b/kestrelspar/lab/simulated_network.py
@@ -1,9 +1,9 @@
 """Discrete-event simulation of a network of couriers and brokers, deterministic for one seed, in one process.
 
-It runs the I/O-free peer modules of many couriers. Real time is simulated time; each node reads it through a local
-clock with an offset and a drift. Datagrams are lost, delayed, duplicated and reordered as configured, and cut off by
-direction. Nodes can be paused, killed and restarted, with or without their saved state. The budget checker is
-independent of the couriers: it counts their calls in real time.
+It runs the I/O-free peer modules of many couriers. The clock of the simulation is called real time here; each node
+reads it through a local clock with an offset and a drift. Datagrams are lost, delayed, duplicated and reordered as
+configured, and cut off by direction. Nodes can be paused, killed and restarted, with or without their saved state. The
+budget checker is independent of the couriers: it counts their calls in real time.
 
 Brokers are nodes beside the couriers and belong to regions. Where there are brokers, each courier is configured with
 all of them, its region and its group, except for the couriers in ``SimulatedNetwork.pre_broker_couriers``, which run
@@ -114,15 +114,15 @@
     ) -> None:
         """``brokers``: number of brokers by region; ``placement``: returns region and group for a courier's number.
 
-        ``probe_interval``: interval between the couriers' probes of an endpoint that is down. ``seeds``: number of seed
-        members of each group; without groups, of the whole fleet.
+        ``probe_interval``: interval between the couriers' probes of an endpoint that is down. ``period``: interval of
+        the membership probes. ``seeds``: number of seed members of each group; without groups, of the whole fleet.
         """
         self.random = Random(seed)
         self.now = 0
         self.faults = faults or Faults()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False  # whether datagrams are cut off, by direction
         self.budget_checker = BudgetChecker()
-        self.terms, self.bytes_a_second, self.step, self.period = (
+        self.loan_terms, self.bytes_per_second, self.probe_interval, self.period = (
             loan_terms or {},
             bytes_per_second,
             probe_interval,
@@ -186,7 +186,10 @@
                 node.peer.shares.set_budget(key, calls, window)
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
-        """Addresses of the seed members that a courier may be configured with."""
+        """Addresses of the seed members of all groups, of which ``start`` uses those of the courier's group.
+
+        ``name``: the courier, for subclasses that return the seed members of its group alone.
+        """
         return self._seeds
 
     def start(self, name: str, keep_state: bool = True) -> None:
@@ -216,10 +219,10 @@
             node.epoch,
             [KEY],
             seeds,
-            LoanTerms(len(self.nodes), node.number, **self.terms),  # type: ignore[arg-type]
-            self.bytes_a_second,
+            LoanTerms(len(self.nodes), node.number, **self.loan_terms),  # type: ignore[arg-type]
+            self.bytes_per_second,
             self.period,
-            retry_step=self.step,
+            retry_step=self.probe_interval,
             **(
                 {}
                 if name in self.pre_broker_couriers
--- a/kestrelspar/smpp/flow_control.py
+++ b/kestrelspar/smpp/flow_control.py
@@ -4,13 +4,14 @@
 flight on each session and when the next one may be sent, and computes the delay before the next bind.
 
 Theory of operation. A window bounds the submits in flight on one session. It halves on ESME_RMSGQFUL and shrinks by a
-fifth when congestion_state or response times indicate a queue, at most once for all submits sent before the last
-reduction, and grows by one for each window of responses (additive increase, multiplicative decrease: Chiu and Jain
-1989). The rate applies to the gateway, over all its sessions, as gateways limit by account. It is unbounded until the
-first ESME_RTHROTTLED; the ceiling is then the number of submits served within a second under excess demand. After a
-reduction the rate follows the curve of CUBIC (RFC 9438, section 4.2): fast to near the ceiling, level about it, and
-ever faster beyond it, so that it reaches a limit with little overshoot and finds a raised one. A burst alone does not
-show the rate: then the rate doubles every ``DOUBLING_TIME`` until the next refusal gives a better estimate.
+fifth when congestion_state or response times indicate a queue. Responses to submits that were sent before a reduction
+cause no further one. The window grows by one for each window of responses (additive increase, multiplicative decrease:
+Chiu and Jain 1989). The rate applies to the gateway, over all its sessions, as gateways limit by account. It is
+unbounded until the first ESME_RTHROTTLED; the ceiling is then the number of submits served within a second under excess
+demand. After a reduction the rate follows the curve of CUBIC (RFC 9438, section 4.2): fast to near the ceiling, level
+about it, and ever faster beyond it, so that it reaches a limit with little overshoot and finds a raised one. A burst
+alone does not show the limit of the gateway: then our rate doubles every ``DOUBLING_TIME`` until the next refusal gives
+a better estimate.
 """
 
 from __future__ import annotations
@@ -21,15 +22,17 @@
 
 SECOND = 1_000_000
 RATE_WINDOW = SECOND  # limits are mostly defined per second, so served submits are counted over one
-QUEUE_FULL_FACTOR, CONGESTION_FACTOR = 0.5, 0.8  # by which a window is multiplied
+QUEUE_FULL_FACTOR, CONGESTION_FACTOR = 0.5, 0.8  # by which a window, or a rate, is multiplied
 RESUME_FACTOR = 0.95  # of the ceiling: the rate after a refusal
-RECOVERY_TIME = 3 * SECOND  # until the rate is at the ceiling; after twice that it is as far above as it began below
+# Until the rate is at the ceiling. After twice this time it exceeds the ceiling by as much as it began below it, as the
+# curve is a cubic about that point.
+RECOVERY_TIME = 3 * SECOND
 DOUBLING_TIME = 700_000  # of the rate, while the ceiling is uncertain
-MIN_RATE = 0.5  # submits per second; with less, the end of a limit would go unnoticed
+MIN_RATE = 0.5  # submits per second; with less, it would go unnoticed that a limit no longer applies
 CONGESTED, OPTIMUM_LOAD = 90, 80  # congestion_state: 80 to 89 is optimum load, above is congestion (SMPP 5.0, 4.8.4.18)
 # A response indicates a queue if its latency exceeds the minimum by both the factor and the margin.
 SLOW_FACTOR, SLOW_MARGIN = 4.0, 200_000
-MIN_LATENCY_GAIN = 0.02  # weight of a slower response in the minimum latency, which follows a changed route this way
+MIN_LATENCY_WEIGHT = 0.02  # weight of a slower response in the minimum latency, which follows a changed route this way
 
 
 class Window:
@@ -67,7 +70,7 @@
         self.min_latency = (
             latency
             if not self.min_latency or latency < self.min_latency
-            else self.min_latency + MIN_LATENCY_GAIN * (latency - self.min_latency)
+            else self.min_latency + MIN_LATENCY_WEIGHT * (latency - self.min_latency)
         )
         if congestion is not None and congestion >= CONGESTED or congestion is None and slow:
             if is_new:
@@ -94,11 +97,11 @@
         self.refusals = 0
         self._ceiling_uncertain = False  # measured over less than half of the rate window, as in a burst
         self._theoretical_arrival = 0.0  # of the next submit (GCRA)
-        self._active_since = 0  # sending time of the first submit served after a rate window with none
+        self._active_since = 0  # when the first submit was sent that was served after a rate window without served ones
         self._reduced_at = -1
         self._recovery_start = 0  # when the rate starts to recover to the ceiling
         self._recovery_rate = 0.0  # the rate at that time
-        self._consecutive_refusals = 0  # without a submit served in between, one at most for each reduction
+        self._consecutive_refusals = 0  # refusals with no submit served in between; each reduction counts one at most
         self._refused_since = 0  # the first of them
         self._served_at: deque[int] = deque()  # sending times of the submits served, over the rate window
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
 """Known test failures: KNOWN-RED.txt lists tests that fail for a real fault which can't be fixed yet.
 
-Each line names one test, its cause and its issue, between bars. A last field ``intermittent: 2 of 5`` (failures of
-runs) lets the test pass or fail; a test without it has to fail. CI tolerates these tests alone and prints each of them.
-Anything else fails the run: a listed test that passes though it isn't intermittent, one that is not found, a malformed
-line, more than three tests. `.ci/run` loads this module as a pytest plug-in.
+Each line names one test, its cause and its issue, separated by ``|``. A last field ``intermittent: 2 of 5`` (2 failures
+in 5 runs) lets the test pass or fail; a test without it has to fail. CI tolerates these tests alone and prints each of
+them. Anything else fails the run: a listed test that passes though it isn't intermittent, one that is not found, a
+malformed line, more than three tests. `.ci/run` loads this module as a pytest plug-in.
 """
 
 from __future__ import annotations
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -1,4 +1,4 @@
-"""Many couriers on a modelled network: budgets are kept and membership converges under any faults."""
+"""Many couriers in ``lab.simulated_network``: budgets are kept and membership converges under any faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return net, Traffic(net, "e:x", BUSY)
 
 
-def notified(net: SimulatedNetwork) -> set[str]:
+def notified_of_new_limit(net: SimulatedNetwork) -> set[str]:
     return {name for name in net.nodes if net.nodes[name].number % 3}
 
 
@@ -61,7 +61,7 @@
 
 
 def limit_halved_for_two_thirds(net: SimulatedNetwork) -> None:
-    """A third of the couriers isn't notified: only their shares and earlier loans may exceed the new limit."""
+    """A third isn't notified: just its shares of the old limit, and loans granted before, may exceed the new one."""
     net.at(
         8 * SECOND,
         lambda: [
@@ -108,7 +108,7 @@
     net.run(30 * SECOND)
     assert not net.budget_checker.violations, net.budget_checker.violations[:3]
     lent = sum(n.peer.shares._loan_number for n in net.nodes.values() if n.peer is not None)
-    assert traffic.served > 300 and lent, "nothing was lent, so nothing was tried"
+    assert traffic.served > 300 and lent, "too few messages served, or nothing lent, so the budget was not tested"
 
 
 def test_a_lowered_limit_is_kept_after_a_term_by_all_that_were_notified() -> None:
@@ -118,11 +118,12 @@
     counted = net.budget_checker.calls_by_courier.copy()
     net.run(23 * SECOND)
     calls_notified = sum(
-        net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")] for name in notified(net)
+        net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")]
+        for name in notified_of_new_limit(net)
     )
     calls_others = sum(
         net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")]
-        for name in net.nodes.keys() - notified(net)
+        for name in net.nodes.keys() - notified_of_new_limit(net)
     )
     assert calls_notified <= 10 * 6 * 3 + 10 * 4 * 3 and calls_others <= 10 * RATE, (calls_notified, calls_others)
     assert traffic.served
@@ -134,14 +135,22 @@
         if cut:
             net.cut = lambda a, b: True
         net.run(8 * SECOND)
-        came, served, by = traffic.arrived, traffic.served, net.budget_checker.calls_by_courier.copy()
+        arrived_before, served_before, calls_before = (
+            traffic.arrived,
+            traffic.served,
+            net.budget_checker.calls_by_courier.copy(),
+        )
         net.run(28 * SECOND)
-        share = (traffic.served - served) / (traffic.arrived - came)
+        share = (traffic.served - served_before) / (traffic.arrived - arrived_before)
         assert least < share <= most, share
-        assert all(net.budget_checker.calls_by_courier[(name, "e:x")] > by[(name, "e:x")] + 20 for name in net.nodes)
+        assert all(
+            net.budget_checker.calls_by_courier[(name, "e:x")] > calls_before[(name, "e:x")] + 20 for name in net.nodes
+        )
 
 
-def test_a_lying_lender_adds_at_most_what_its_share_could_lend_to_each(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_lying_lender_adds_at_most_what_its_share_could_lend_to_each_other_courier(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     net, _ = fleet(2)
 
     def lend_too_much(node: Node, now: int) -> None:
@@ -165,7 +174,7 @@
 # Membership
 
 
-def test_loss_of_half_of_two_hundred_couriers_is_detected_without_false_suspicions() -> None:
+def test_loss_of_half_of_two_hundred_couriers_is_detected_and_no_other_is_removed() -> None:
     net = SimulatedNetwork(200, 5, Faults(loss=0.02), seeds=5)
     for name in net.nodes:
         net.start(name)
@@ -183,8 +192,8 @@
     assert all(n.peer.sent < 60 * 50_000 for n in remaining if n.peer is not None)
 
 
-def states(net: SimulatedNetwork, by: str) -> dict[str, MemberState]:
-    peer = net.nodes[by].peer
+def states(net: SimulatedNetwork, observer: str) -> dict[str, MemberState]:
+    peer = net.nodes[observer].peer
     assert peer is not None
     return {name: m.update.state for name, m in peer.members.members.items()}
 
@@ -218,7 +227,9 @@
     assert all(states(net, f"n{i}")["n9"] is MemberState.LEFT for i in range(9))
 
 
-def test_of_two_couriers_with_one_name_the_older_epoch_stops_and_a_number_beyond_the_fleet_has_no_share() -> None:
+def test_of_two_couriers_with_one_name_the_older_epoch_stops_and_a_courier_number_beyond_the_fleet_has_no_share() -> (
+    None
+):
     net, _ = fleet(7)
     net.run(5 * SECOND)
     older = net.nodes["n4"].peer
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -233,7 +233,7 @@
     for n in range(20_000):
         journal.retain_ended(f"acme {n}", "x" * 40, 60 * SECOND)
     assert journal.ended("acme 19999") and not journal.ended("acme 0")
-    assert journal._size <= journal._limit and journal._ended_live <= journal._limit // 4
+    assert journal._size <= journal._max_bytes and journal._ended_live <= journal._max_bytes // 4
     assert journal.record_accepted(1, 5, "{}", b"x" * 60_000), "ended messages leave no room for a new one"
     journal.retain_ended("brief", "y", 1)
     assert journal.ended("brief") is None
