--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -441,8 +441,17 @@
 
 
 def test_messages_beyond_the_limit_of_open_ones_are_deferred(tmp_path: Path) -> None:
+    # All three accepted messages are in flight. One that waits for an unproven next hop is shed some ms later,
+    # as the courier is full, and makes room for the fourth.
     stage = HttpTestbed(tmp_path, lambda *_: None, max_open=3)
-    got = [stage.talk(submit_request(f"t{i}", "payment")) for i in range(4)]
+    other = NextHop(api.Endpoint(b"s-2", 8, 0, 0, api.EndpointState.READY), stage.peer.address, stage.pool)
+    stage.courier.apply_map_update("discovery", [other])
+    routes = ("dest=7", "dest=7", "dest=8", "dest=7")
+    requests = [submit_request(f"t{i}", "payment", X_Route_To=route) for i, route in enumerate(routes)]
+    got = [stage.talk(request) for request in requests[:3]]
+    stage.run_until(lambda: len(stage.peer.seen) == 3)
+    stage.run_for(100 * MS)
+    got.append(stage.talk(requests[3]))
     assert [text[9:12] for text in got] == [b"202", b"202", b"202", b"503"] and b"Retry-After: 1" in got[3]
     assert len(stage.journal.entries) == 3
 
