--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -337,8 +337,9 @@
             dest.routes = sorted([r for r in dest.routes if r is not known] + [known], key=self._preference)
         # Removed routes are dropped once their retry-after has passed: they may be listed again before.
         # Sweeping at intervals keeps the cost of a change independent of the number of listed routes.
+        since = self.now - self.settings.ramp_ns
         if len(self.routes) < EAGER_SWEEP_MAX_ROUTES or self.now >= self.sweep_at:
-            since, self.sweep_at = self.now - self.settings.ramp_ns, self.now + self.settings.ramp_ns
+            self.sweep_at = self.now + self.settings.ramp_ns
             kept = [
                 r
                 for r in self.routes.values()
--- a/tests/test_controller_regressions.py
+++ b/tests/test_controller_regressions.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from snowlock.control import EAGER_SWEEP_MAX_ROUTES
 from snowlock.interface import (
     Arrival,
     AttemptEnded,
@@ -436,3 +437,27 @@
         f.arrive(1)
         f.feed(AttemptEnded(1, 0, route("a"), Outcome.FULL, 50 * MS, False, 1500 * MS, report=(remaining, 4.0)))
         assert any("refuses all" in line for line in f.logs) is logged
+
+
+def test_a_route_is_added_to_a_large_list_right_after_a_sweep_of_removed_routes() -> None:
+    # With EAGER_SWEEP_MAX_ROUTES or more, removed routes are not swept at each change of the list. A route that was
+    # added in between to a destination whose routes share a limit ended the handling of the list by an exception.
+    f = Forwarder()
+    f.endpoints(*(f"{number:04}" for number in range(EAGER_SWEEP_MAX_ROUTES)), kind=1)
+    f.wait(MS)
+    f.endpoints("added", destination=2, kind=1)
+    assert len(f.controller.routes) == EAGER_SWEEP_MAX_ROUTES + 1
+    assert [send.endpoint for send in f.arrive(1, destination=2)] == [route("added")]
+
+
+def test_a_route_added_to_a_large_list_shares_the_outage_of_its_destination() -> None:
+    f = Forwarder()
+    f.endpoints(*(f"{number:04}" for number in range(EAGER_SWEEP_MAX_ROUTES)), kind=1)
+    f.endpoints("a", destination=2, kind=1)
+    for number in range(1, 6):
+        f.arrive(number, destination=2)
+    for number in [number for number, _ in f.in_flight if number < 6]:
+        f.outcome(number, Outcome.CONNECT_FAILED)
+    f.wait(MS)
+    f.endpoints("b", destination=2, kind=1)
+    assert f.controller.routes[route("b")].down
