--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -17,7 +17,7 @@
 
 from kestrelspar.lab.broker_simulation import CASES, measure_propagation, run_case, running_brokers, start_fleet
 from kestrelspar.lab.simulated_network import SECOND, SimulatedNetwork
-from kestrelspar.peers.judgements import CallOutcome
+from kestrelspar.peers.observations import CallOutcome
 
 POLL_INTERVAL = SECOND // 4
 
--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -31,9 +31,9 @@
     BrokerConfig,
     destination_digest,
 )
-from kestrelspar.peers.judgements import ObservationKind
+from kestrelspar.peers.messages import LeaseRenewal, Observation, PeerMessage, PublishObservation, Subscribe
+from kestrelspar.peers.observations import ObservationKind
 from kestrelspar.peers.seal import Sealer
-from kestrelspar.peers.words import LeaseRenewal, Observation, PeerMessage, PublishObservation, Subscribe
 
 GROUP = 50
 MS, SECOND = 1_000, 1_000_000
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -42,7 +42,7 @@
     TARGET,
 )
 from kestrelspar.lab.simulated_network import TICK_INTERVAL, Faults
-from kestrelspar.peers import counts, judgements, members, seal, shares
+from kestrelspar.peers import counts, members, observations, seal, shares
 from kestrelspar.peers.shares import budget_for_rate
 
 CONTROL_PLANE_BOUNDS = (PROCESSOR_TIME, MEMORY, BYTES)
@@ -349,7 +349,7 @@
         f"- *One observation takes its witness minutes at {COURIERS:,}*: {minutes}. Each member costs it "
         f"{number(each)} bytes, so all would take {amount(each * COURIERS / TARGET.bytes_a_second, 's')} of its "
         f"{amount(TARGET.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
-        f"{amount(judgements.OUTAGE_REPORT_MAX_AGE / 1e6, 's')} only, then it expires. At {COURIERS:,} members "
+        f"{amount(observations.OUTAGE_REPORT_MAX_AGE / 1e6, 's')} only, then it expires. At {COURIERS:,} members "
         f"{number(informed)} "
         f"receive it, the last after {amount(last, 's')}, and the others never.",
         f"- *Idle membership costs more and more processor time*: {largest:,} members are not idle by then, as starts "
@@ -828,7 +828,7 @@
     """Explain the choice of what is built first, as far as the ranking supports it."""
     places = {each.row.mechanism: n for n, each in enumerate(order, 1)}
     top = order[0]
-    observations = next(each for each in order if each.row.mechanism is Mechanism.WORDS)
+    observations_place = next(each for each in order if each.row.mechanism is Mechanism.WORDS)
     groups = next(each for each in order if each.row.mechanism is Mechanism.GROUPS)
     exceeded = [
         each
@@ -848,7 +848,7 @@
     else:
         lines += [
             f"The ranking alone does not support it: by ratio the worst is {top.row.mechanism} ({times(top.ratio)}), "
-            f"observations have rank {places[Mechanism.WORDS]} ({times(observations.ratio)}), members have rank "
+            f"observations have rank {places[Mechanism.WORDS]} ({times(observations_place.ratio)}), members have rank "
             f"{places[Mechanism.GROUPS]} ({times(groups.ratio)}). Of what the control plane may use of a courier, the "
             f"worst is {control.row.what} ({times(control.ratio)} times its {control.row.bound_name}; "
             f"{control.row.mechanism}). It is built first all the same, for three reasons:",
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -18,12 +18,12 @@
 from kestrelspar.lab.simulated_network import MS, SECOND, TICK_INTERVAL, Faults, SimulatedNetwork, Traffic
 from kestrelspar.peers import seal
 from kestrelspar.peers.counts import FleetCounters
-from kestrelspar.peers.judgements import OUTAGE_REPORT_MAX_AGE, CallOutcome, probe_rank
 from kestrelspar.peers.members import MemberState
+from kestrelspar.peers.messages import Ack, CounterReport, Datagram, MemberUpdate, Observation, Ping
+from kestrelspar.peers.observations import OUTAGE_REPORT_MAX_AGE, CallOutcome, probe_rank
 from kestrelspar.peers.peer import BURST_WINDOW, URGENT_RESERVE, Datagrams, Peer, PeerConfig
 from kestrelspar.peers.seal import Sealer
 from kestrelspar.peers.shares import LoanTerms, Shares, budget_for_rate
-from kestrelspar.peers.words import Ack, CounterReport, Datagram, MemberUpdate, Observation, Ping
 
 MODELLED, PURE = "modelled network", "pure module"
 KEY = b"a key for the couriers played ..."[:32]
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -20,8 +20,8 @@
 from kestrelspar.http.watch import MAX_LINE_BYTES
 from kestrelspar.peers import counts, seal, shares
 from kestrelspar.peers.brokers import LEASE_TERM, OWNERS_PER_REGION, SECOND
-from kestrelspar.peers.judgements import REPORT_ROUNDS
 from kestrelspar.peers.link import MAX_TICK_INTERVAL
+from kestrelspar.peers.observations import REPORT_ROUNDS
 from kestrelspar.peers.peer import PeerConfig
 
 MAX_MEMBERS: int = next(each.default for each in dataclasses.fields(PeerConfig) if each.name == "max_members")
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -19,10 +19,10 @@
 from random import Random
 from typing import Any
 
-from kestrelspar.lab import play as lab
+from kestrelspar.lab import run as lab
 from kestrelspar.lab.scenario import load
 from kestrelspar.lab.simulated_network import MS, SECOND, Faults, SimulatedNetwork, Traffic
-from kestrelspar.peers.judgements import CallOutcome, ClaimSource
+from kestrelspar.peers.observations import CallOutcome, ClaimSource
 
 COURIERS, CALLS, WARM_UP, LOAD_DURATION, MESSAGE_TIMEOUT = 10, 50, 8 * SECOND, 30 * SECOND, 4 * SECOND
 
--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -16,7 +16,7 @@
 
 from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.cli.units import DURATION
-from kestrelspar.lab import play as scenario_run
+from kestrelspar.lab import run as scenario_run
 from kestrelspar.lab import scale, scenario
 from kestrelspar.lab.plan import FAULTS, RunParameters, plan_model, plan_run
 from kestrelspar.lab.simulated_scale import run as run_modelled
--- a/kestrelspar/lab/broker_simulation.py
+++ b/kestrelspar/lab/broker_simulation.py
@@ -19,7 +19,14 @@
 
 from kestrelspar.lab.simulated_network import MS, SECOND, Faults, Node, SimulatedNetwork, Traffic
 from kestrelspar.peers.brokers import Broker
-from kestrelspar.peers.judgements import (
+from kestrelspar.peers.messages import (
+    ForwardedObservation,
+    Observation,
+    PeerMessage,
+    PublishObservation,
+    RelayedObservation,
+)
+from kestrelspar.peers.observations import (
     MAX_PROBE_RANK,
     OUTAGE_REPORT_MAX_AGE,
     CallOutcome,
@@ -27,13 +34,6 @@
     RouteRestriction,
 )
 from kestrelspar.peers.peer import Peer
-from kestrelspar.peers.words import (
-    ForwardedObservation,
-    Observation,
-    PeerMessage,
-    PublishObservation,
-    RelayedObservation,
-)
 
 PROBE_INTERVAL = 200 * MS  # between the couriers' probes of an endpoint that is down
 MAX_WAIT = 2 * SECOND
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -1,7 +1,7 @@
 """Hollow couriers: hundreds in a process, each with the full peer protocol and without the message path.
 
 A hollow courier is a real ``Peer`` behind a UDP socket of its own, driven as ``peers/link.py`` drives it: membership,
-peer messages, budgets, judgements and counters; its state is saved to memory. Messages and calls come from a random
+peer messages, budgets, observations and counters; its state is saved to memory. Messages and calls come from a random
 workload: they wait for their budget, are charged to it, and their outcomes are observed and counted. Member systems
 are not called.
 
@@ -27,12 +27,12 @@
 from kestrelspar.lab.relays import Address, dropped_datagrams
 from kestrelspar.lab.rig import TimedLoop
 from kestrelspar.peers import state_file
-from kestrelspar.peers.judgements import CallOutcome
 from kestrelspar.peers.link import MAX_DATAGRAMS_PER_TURN, MIN_TICK_INTERVAL, SAVE_INTERVAL, keys
+from kestrelspar.peers.messages import MemberState
+from kestrelspar.peers.observations import CallOutcome
 from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
 from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES
 from kestrelspar.peers.shares import LoanTerms, budget_for_rate
-from kestrelspar.peers.words import MemberState
 from kestrelspar.runtime.loop import MS, SECOND
 
 RECEIVE_BUFFER_BYTES = 1_000_000  # of a courier's socket: hundreds of other couriers are served between two reads
--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -15,11 +15,7 @@
 from kestrelspar.lab.rig import KEY, Rig
 from kestrelspar.lab.zones import ZonedRig
 from kestrelspar.peers.brokers import Broker, BrokerConfig
-from kestrelspar.peers.judgements import ObservationKind
-from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
-from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, decode, keys
-from kestrelspar.peers.shares import LoanTerms
-from kestrelspar.peers.words import (
+from kestrelspar.peers.messages import (
     ForwardedObservation,
     LeaseRenewal,
     LoanGrant,
@@ -29,6 +25,10 @@
     PublishObservation,
     RelayedObservation,
 )
+from kestrelspar.peers.observations import ObservationKind
+from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
+from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, decode, keys
+from kestrelspar.peers.shares import LoanTerms
 from kestrelspar.runtime.loop import MS
 
 LIE_INTERVAL = 200 * MS  # between false observations to each member
--- a/kestrelspar/lab/page.py
+++ b/kestrelspar/lab/page.py
@@ -42,7 +42,7 @@
 
 
 def page(report: dict[str, Any], title: str) -> str:
-    """Render the page of a scenario run; ``report`` as ``play.run_scenario`` returns it."""
+    """Render the page of a scenario run; ``report`` as ``run.run_scenario`` returns it."""
     members, couriers = report["members"], report["couriers"]
     calls = pygal.Line(show_dots=False, x_title="second", y_title="calls received", **_options("Calls by second"))
     longest = max((len(m["by_second"]) for m in members.values()), default=0)
--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -30,7 +30,7 @@
 
 
 class RoutingHeader(msgspec.Struct, array_like=True, frozen=True):
-    """The fields of a datagram that a relay reads: the first ones of ``words.Datagram``."""
+    """The fields of a datagram that a relay reads: the first ones of ``messages.Datagram``."""
 
     sender: str
     epoch: int
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -5,7 +5,7 @@
 then they are overloaded if the calls of all couriers exceed a growing share of the limit. Datagrams between couriers
 pass one proxy for each ordered pair, which drops, delays, duplicates or blocks them as configured. Calls and answers of
 single couriers can be lost or delayed. Clients submit messages at each courier at the configured rates. The rig records
-what member systems and clients received, and the checkers (judge.py) see nothing else of the couriers.
+what member systems and clients received, and the checkers (checkers.py) see nothing else of the couriers.
 """
 
 from __future__ import annotations
--- a/kestrelspar/lab/play.py
+++ b/kestrelspar/lab/run.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from kestrelspar.lab import judge
+from kestrelspar.lab import checkers
 from kestrelspar.lab.liar import LyingCourier
 from kestrelspar.lab.rig import CallFaults, Rig
 from kestrelspar.lab.scenario import Action, Scenario
@@ -104,17 +104,17 @@
     rig: Rig, scenario: Scenario, seed: int, begin: int, earlier_calls: dict[str, int], cpu_seconds: dict[str, float]
 ) -> dict[str, Any]:
     calls_of_all = [call for member in rig.members.values() for call in member.calls]
-    members, findings = {}, judge.delivery_violations(rig.submissions, calls_of_all)
+    members, findings = {}, checkers.delivery_violations(rig.submissions, calls_of_all)
     for name, member in rig.members.items():
         calls = member.calls[earlier_calls[name] :]
-        most = judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn))
+        most = checkers.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn))
         limit_changes = [
             action.at for action in scenario.actions if action.name == "limit" and action.arguments[0] == name
         ]
         settled_calls = [
             call for call in calls if not limit_changes or call.at >= begin + max(limit_changes) + LIMIT_CHANGE_GRACE
         ]
-        most_settled = judge.max_calls_per_second(settled_calls, max(MS, SECOND - rig.loop.longest_turn))
+        most_settled = checkers.max_calls_per_second(settled_calls, max(MS, SECOND - rig.loop.longest_turn))
         if scenario.peers and most_settled > member.limit:
             findings.append(f"{name}: {most_settled} calls in a second, its limit is {member.limit}")
         findings += [
@@ -153,7 +153,7 @@
         "peers": scenario.peers,
         "members": members,
         "most_second_attempts": {group: most for group, (most, _) in repeats.items()},
-        "served": judge.served_share(rig.submissions, calls_of_all),
+        "served": checkers.served_share(rig.submissions, calls_of_all),
         "couriers": {
             name: {
                 "handed_in": len(sent),
@@ -177,8 +177,8 @@
     found = {}
     for group in sorted(set(scenario.groups.values())):
         names = [name for name, each in scenario.groups.items() if each == group]
-        repeats = judge.repeats(call for name in names for call in rig.members[name].calls if call.at >= begin)
-        most = judge.max_calls_per_second(repeats, max(MS, SECOND - rig.loop.longest_turn))
+        repeats = checkers.repeats(call for name in names for call in rig.members[name].calls if call.at >= begin)
+        most = checkers.max_calls_per_second(repeats, max(MS, SECOND - rig.loop.longest_turn))
         budget = sum(scenario.limits[name] for name in names) * SHARED_PERCENT / 100 * scenario.again / 100
         # A budget of less than one call for each courier has a longer window.
         found[str(group)] = most, max(budget, scenario.couriers)
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from kestrelspar.lab import judge
+from kestrelspar.lab import checkers
 from kestrelspar.lab.child import HelperProcess
 from kestrelspar.lab.hollow import HollowConfig, endpoint_budgets
 from kestrelspar.lab.plan import MB, Plan, ResourceLimits, RunParameters, RunTooLargeError, plan_run
@@ -598,7 +598,7 @@
             "settled_s": _seconds(settled),
             **figures,
             "messages": len(self.rig.submissions),
-            "served": round(judge.served_share(self.rig.submissions, self._member_calls()), 4),
+            "served": round(checkers.served_share(self.rig.submissions, self._member_calls()), 4),
             "busiest_span": self.busiest(),
             **memory_growth,
             "saturated": [
@@ -660,7 +660,7 @@
 
     def findings(self, known: int | None, settled: int | None) -> list[str]:
         """Violated guarantees, and phases that did not converge."""
-        asked, found = self.asked, judge.delivery_violations(self.rig.submissions, self._member_calls())
+        asked, found = self.asked, checkers.delivery_violations(self.rig.submissions, self._member_calls())
         if known is None:
             found.append(
                 f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
@@ -678,7 +678,7 @@
             if count > calls
         ]
         for name, member in self.rig.members.items():
-            count = judge.max_calls_per_second(member.calls, max(MS, SECOND - self.loop.longest_turn))
+            count = checkers.max_calls_per_second(member.calls, max(MS, SECOND - self.loop.longest_turn))
             if count > member.limit:
                 found.append(f"{name}: {count} calls in a second, its limit is {member.limit}")
         for name in self.real:
--- a/kestrelspar/lab/simulated_scale.py
+++ b/kestrelspar/lab/simulated_scale.py
@@ -1,6 +1,6 @@
 """The scale run on the simulated network, for sizes that no machine runs in real time. See scale.py.
 
-Membership, peer messages, budgets, judgements and counters are the production modules, with the random workload of
+Membership, peer messages, budgets, observations and counters are the production modules, with the random workload of
 hollow couriers; datagrams and time are simulated. So bytes, convergence and its duration are figures of the protocol;
 processor time is that of the modules and the simulation together, in one process without sockets.
 """
@@ -35,8 +35,8 @@
     StoppedBySignalError,
 )
 from kestrelspar.lab.simulated_network import Faults, Node, SimulatedNetwork
+from kestrelspar.peers.messages import MemberState
 from kestrelspar.peers.peer import Peer
-from kestrelspar.peers.words import MemberState
 from kestrelspar.runtime.loop import MS, SECOND
 
 SIGNAL_CHECK_INTERVAL = 100 * MS  # of simulated time
--- a/kestrelspar/lab/zones.py
+++ b/kestrelspar/lab/zones.py
@@ -14,8 +14,8 @@
 from kestrelspar.lab.relays import FaultyNetwork, Relay
 from kestrelspar.lab.relays import PathFaults as Faults
 from kestrelspar.lab.rig import KEY, READY_TIMEOUT, CourierProcess, Rig, UdpProxy
+from kestrelspar.peers.messages import RelayedObservation
 from kestrelspar.peers.seal import HEADER_BYTES, decode
-from kestrelspar.peers.words import RelayedObservation
 from kestrelspar.runtime.loop import Loop
 
 
--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -51,8 +51,7 @@
 import xxhash
 
 from kestrelspar.peers.members import Events, Outgoing
-from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
-from kestrelspar.peers.words import (
+from kestrelspar.peers.messages import (
     Ack,
     Datagram,
     ForwardedObservation,
@@ -66,6 +65,7 @@
     Subscribe,
     Unsubscribe,
 )
+from kestrelspar.peers.seal import HEADER_BYTES, MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 OWNERS_PER_REGION = 2  # owners of a destination in each region
@@ -92,7 +92,7 @@
 SWEEP_INTERVAL = SECOND  # between two removals of expired leases and observations
 URGENT_RESERVE = 0.25  # of the bytes per second: reserved for leases and for pings between brokers
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
-LIMIT_KIND = 4  # of ``judgements.ObservationKind``
+LIMIT_KIND = 4  # of ``observations.ObservationKind``
 
 Address = tuple[str, int]
 Datagrams = list[tuple[Address, bytes]]
--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -25,7 +25,7 @@
 from random import Random
 
 from kestrelspar.peers.members import Outgoing
-from kestrelspar.peers.words import CounterReport, CounterRequest, PeerMessage
+from kestrelspar.peers.messages import CounterReport, CounterRequest, PeerMessage
 
 MS, SECOND = 1_000, 1_000_000
 REPORT_INTERVAL = 2 * SECOND  # between unrequested reports
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -12,7 +12,7 @@
 from kestrelspar.core.courier import NS, Courier, End, Message, Result
 from kestrelspar.peers import demand, state_file
 from kestrelspar.peers.event_log import ERROR_INTERVAL, EventLog
-from kestrelspar.peers.judgements import CallOutcome, RouteRestriction
+from kestrelspar.peers.observations import CallOutcome, RouteRestriction
 from kestrelspar.peers.peer import Datagrams, Peer, PeerConfig
 from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES
 from kestrelspar.peers.seal import keys as keys
@@ -257,8 +257,8 @@
     def _update_suspensions(self) -> None:
         """Notify the decision module of changes in which endpoints are suspended on reports of other couriers."""
         self.peer.has_new_observations = False
-        judgements, now = self.peer.observations, self.loop.clock()
-        suspended = judgements.restrictions(now, self.peer.members.alive())
+        observations, now = self.peer.observations, self.loop.clock()
+        suspended = observations.restrictions(now, self.peer.members.alive())
         ids = self._snapshot.ids
         changed = [
             (ids[name], suspension.until * NS, suspension.one_at_a_time)
@@ -295,10 +295,10 @@
 
     def _update_budgets(self, now: int) -> None:
         """Update budgets and observations from the state of the decision module: limits, queues and routes."""
-        shares, judgements, settings = self.peer.shares, self.peer.observations, self.courier.settings
+        shares, observations, settings = self.peer.shares, self.peer.observations, self.courier.settings
         enabled = not self._disabled  # if disabled, reports of other couriers have no effect
         recovering = (
-            judgements.recovering(now, settings.ramp_ns // NS)
+            observations.recovering(now, settings.ramp_ns // NS)
             if enabled and settings.fall_ns and settings.ramp_ns
             else {}
         )
@@ -307,14 +307,14 @@
             settings,
             self.config.spend / 100,
             self.config.again / 100,
-            lambda endpoint: judgements.reported_limit(endpoint, now) if enabled else 0.0,
+            lambda endpoint: observations.reported_limit(endpoint, now) if enabled else 0.0,
             recovering,
         )
-        judgements.set_routes(snapshot.routes, snapshot.closed)
+        observations.set_routes(snapshot.routes, snapshot.closed)
         for name in snapshot.silent:
-            judgements.record_silence(name, now)
+            observations.record_silence(name, now)
         for name in snapshot.down:
-            judgements.start_outage(name, now)
+            observations.start_outage(name, now)
         for number, tenant in enumerate(settings.tenants):
             if tenant.rate > 0:
                 calls, window = budget_for_rate(tenant.rate, settings.forwarders, TENANT_WINDOW)
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -37,7 +37,7 @@
 from random import Random
 from typing import Any
 
-from kestrelspar.peers.words import Ack, MemberState, MemberUpdate, Nack, PeerMessage, Ping, Probe
+from kestrelspar.peers.messages import Ack, MemberState, MemberUpdate, Nack, PeerMessage, Ping, Probe
 
 MS, SECOND = 1_000, 1_000_000
 INDIRECT_PROBES = 3  # helpers asked to probe a member that doesn't answer, and seeds pinged at once
--- a/kestrelspar/peers/words.py
+++ b/kestrelspar/peers/messages.py
@@ -120,7 +120,7 @@
     """
 
     endpoint: Key
-    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``judgements.ObservationKind``
+    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``observations.ObservationKind``
     age: Annotated[int, Meta(ge=0, le=3_600_000)]
     value: Annotated[int, Meta(ge=0, le=1 << 40)]
     sequence: Count
--- a/kestrelspar/peers/judgements.py
+++ b/kestrelspar/peers/observations.py
@@ -53,7 +53,7 @@
 import xxhash
 
 from kestrelspar.peers.members import Events, Outgoing
-from kestrelspar.peers.words import Observation, PeerMessage, PublishObservation, RelayedObservation
+from kestrelspar.peers.messages import Observation, PeerMessage, PublishObservation, RelayedObservation
 
 MS, SECOND = 1_000, 1_000_000
 MAX_WITNESSES = 12  # per endpoint: direct ones, and as many again by each broker
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -14,11 +14,8 @@
 
 from kestrelspar.peers.brokers import Subscriber, brokers_in_region
 from kestrelspar.peers.counts import FleetCounters
-from kestrelspar.peers.judgements import ObservationTracker
 from kestrelspar.peers.members import Events, Members, Outgoing
-from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
-from kestrelspar.peers.shares import LoanTerms, Shares
-from kestrelspar.peers.words import (
+from kestrelspar.peers.messages import (
     Ack,
     CounterReport,
     CounterRequest,
@@ -31,6 +28,9 @@
     Ping,
     Probe,
 )
+from kestrelspar.peers.observations import ObservationTracker
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, encode
+from kestrelspar.peers.shares import LoanTerms, Shares
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from kestrelspar.peers.words import Datagram, MemberUpdate, PeerMessage, UngroupedMemberUpdate
+from kestrelspar.peers.messages import Datagram, MemberUpdate, PeerMessage, UngroupedMemberUpdate
 
 MAGIC = b"KP1"
 MAX_DATAGRAM_BYTES = 1_200  # maximum size of a datagram in bytes: needs no fragmentation on any path
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -37,7 +37,7 @@
 from random import Random
 
 from kestrelspar.peers.members import Events, Outgoing
-from kestrelspar.peers.words import LoanGrant, LoanRequest, LoanReturn, PeerMessage
+from kestrelspar.peers.messages import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 
 MS, SECOND = 1_000, 1_000_000
 MAX_LENT_PART = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
--- a/tests/lab/broker_plays.py
+++ b/tests/lab/broker_scenarios.py
@@ -1,6 +1,6 @@
 """Fault scenarios of couriers in two zones, each run with and without brokers, for test_brokers.py.
 
-    python -m tests.lab.broker_plays SCENARIO on|off DIRECTORY
+    python -m tests.lab.broker_scenarios SCENARIO on|off DIRECTORY
 
 runs one and prints a report: what the checkers found, the share served, and what the brokers failed to do.
 """
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from kestrelspar.lab import judge
+from kestrelspar.lab import checkers
 from kestrelspar.lab.liar import LyingBroker, LyingCourier
 from kestrelspar.lab.zones import ZonedRig
 from kestrelspar.peers.brokers import LEASE_TERM
@@ -284,7 +284,7 @@
         rig.drain()
         calls = [call for member in rig.members.values() for call in member.calls]
         window = max(MS, SECOND - rig.loop.longest_turn)
-        most = {name: judge.max_calls_per_second(member.calls, window) for name, member in rig.members.items()}
+        most = {name: checkers.max_calls_per_second(member.calls, window) for name, member in rig.members.items()}
         running = {node.name: node for node in (*rig.nodes.values(), *rig.brokers.values()) if node.process is not None}
         status = {name: query_status(str(node.directory / "state")) for name, node in running.items()}
         status_command = subprocess.Popen(
@@ -307,12 +307,12 @@
         # Clients get no answer while their courier starts, for as long as that takes: unrelated to brokers.
         answered = {trace: sent for trace, sent in rig.submissions.items() if sent.status}
         return {
-            "wrong_ends": judge.delivery_violations(rig.submissions, calls),
+            "wrong_ends": checkers.delivery_violations(rig.submissions, calls),
             "most_in_a_second": most,
             "longest_us": rig.loop.longest_turn,
             "handed_in": len(rig.submissions),
             "calls": len(calls),
-            "served": judge.served_share(answered, calls),
+            "served": checkers.served_share(answered, calls),
             "ends": dict(
                 Counter(
                     f"{sent.message_class} {sent.status} {' '.join(sorted(set(sent.notices)))}"
--- a/tests/lab/test_brokers.py
+++ b/tests/lab/test_brokers.py
@@ -17,7 +17,7 @@
 import pytest
 
 from kestrelspar.peers.shares import MAX_LENT_PART
-from tests.lab.broker_plays import LIMITS, ONE_REGION, SCENARIOS
+from tests.lab.broker_scenarios import LIMITS, ONE_REGION, SCENARIOS
 from tests.test_program import ROOT, TEST_TIMEOUT
 
 SERVED_TOLERANCE = 0.15  # share of messages: runs of one scenario differ by up to 0.09, as outages hit other messages
@@ -44,7 +44,7 @@
                 if len(running) >= cores:
                     collect()
                 directory = tmp_path_factory.mktemp(f"{name}-{mode}")
-                command = [sys.executable, "-m", "tests.lab.broker_plays", name, mode, str(directory)]
+                command = [sys.executable, "-m", "tests.lab.broker_scenarios", name, mode, str(directory)]
                 running[name, mode] = subprocess.Popen(
                     command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
                 )
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -17,7 +17,7 @@
 import pytest
 
 from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
-from kestrelspar.peers.judgements import CallOutcome
+from kestrelspar.peers.observations import CallOutcome
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_program import ROOT
 
--- a/tests/lab/test_relays.py
+++ b/tests/lab/test_relays.py
@@ -9,8 +9,8 @@
 
 from kestrelspar.lab.relays import FaultyNetwork, PathFaults, Relay, dropped_datagrams, read_routing_header
 from kestrelspar.lab.rig import ExternalFleet, Rig
+from kestrelspar.peers.messages import MemberUpdate, Ping
 from kestrelspar.peers.seal import HEADER_BYTES, MAGIC, MAX_DATAGRAM_BYTES, Sealer, decode
-from kestrelspar.peers.words import MemberUpdate, Ping
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 
 KEY = b"a key of thirty-two bytes length"
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from kestrelspar.lab import judge
+from kestrelspar.lab import checkers
 from kestrelspar.lab.rig import KEY, Rig
 from kestrelspar.peers.status_socket import query_status
 from kestrelspar.runtime.loop import MS, SECOND
@@ -142,10 +142,10 @@
         inject(rig)
         rig.drain()
         calls = [call for call in member.calls[begin:] if not call.trace.startswith(NOT_SHARING.get(name, "none"))]
-        assert judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) <= member.limit, (
+        assert checkers.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) <= member.limit, (
             rig.loop.longest_turn
         )
-        assert len(calls) > 100 and not judge.delivery_violations(rig.submissions, member.calls)
+        assert len(calls) > 100 and not checkers.delivery_violations(rig.submissions, member.calls)
         assert log_text in "".join(rig.read_log(node) for node in rig.nodes)
         assert "event=fault" not in "".join(rig.read_log(node) for node in rig.nodes)
         if name not in WITHOUT_COMPLETE_COUNTERS:
@@ -217,5 +217,5 @@
         rig.run(5 * SECOND)
         rig.drain()
         calls = rig.members["m1"].calls
-        assert judge.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) > 15
-        assert any("no end" in fault for fault in judge.delivery_violations(rig.submissions, calls))
+        assert checkers.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) > 15
+        assert any("no end" in fault for fault in checkers.delivery_violations(rig.submissions, calls))
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kestrelspar.lab import judge, scenario
+from kestrelspar.lab import checkers, scenario
 from kestrelspar.lab.rig import Call, Member, Submission, TimedLoop
 from kestrelspar.runtime.loop import MS, SECOND
 from kestrelspar.settings.lines import ConfErrors
@@ -79,14 +79,14 @@
     sent["state lost"] = Submission("reading", "n1", 0, 202, [], state_lost=True)
     sent["refused"] = Submission("reading", "n1", 0, 503)
     calls = [Call(n, name, "", True) for n, name in enumerate(("fine", "twice", "twice", "again", "again"))]
-    assert judge.delivery_violations(sent, calls) == [
+    assert checkers.delivery_violations(sent, calls) == [
         "reading lost: no end",
         "reading two: failed and returned",
         "payment twice: ran 2 times",
     ]
-    assert [call.trace for call in judge.repeats(calls)] == ["twice", "again"]
+    assert [call.trace for call in checkers.repeats(calls)] == ["twice", "again"]
     times = [0, 1, SECOND - 1, SECOND, SECOND + 1, 3 * SECOND]
-    assert judge.max_calls_per_second([Call(time, "x", "", False) for time in reversed(times)]) == 3
+    assert checkers.max_calls_per_second([Call(time, "x", "", False) for time in reversed(times)]) == 3
 
 
 def test_a_member_that_comes_back_cold_falls_when_it_is_pushed_and_bears_more_with_time() -> None:
--- a/tests/peers/test_broker_model.py
+++ b/tests/peers/test_broker_model.py
@@ -7,7 +7,7 @@
 from kestrelspar.lab.broker_simulation import CASES, measure_propagation, run_case, running_brokers, start_fleet
 from kestrelspar.lab.simulated_network import SECOND
 from kestrelspar.peers.brokers import LEASE_TERM, RESUBSCRIBE_JITTER
-from kestrelspar.peers.judgements import CallOutcome
+from kestrelspar.peers.observations import CallOutcome
 
 
 @pytest.mark.parametrize("case", CASES)
--- a/tests/peers/test_broker_process.py
+++ b/tests/peers/test_broker_process.py
@@ -20,9 +20,9 @@
 
 from kestrelspar.peers.broker_link import BrokerLink
 from kestrelspar.peers.brokers import BrokerConfig
+from kestrelspar.peers.messages import LeaseRenewal, LeaseReply, Ping, Subscribe
 from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer, keys
 from kestrelspar.peers.status_socket import query_status
-from kestrelspar.peers.words import LeaseRenewal, LeaseReply, Ping, Subscribe
 from kestrelspar.runtime.loop import Loop
 from tests.test_program import ROOT, TEST_TIMEOUT, wait_until
 
--- a/tests/peers/test_brokers.py
+++ b/tests/peers/test_brokers.py
@@ -16,11 +16,7 @@
 from kestrelspar.lab.simulated_network import Faults, SimulatedNetwork
 from kestrelspar.peers import brokers
 from kestrelspar.peers.brokers import MS, SECOND, Broker, BrokerConfig, Subscriber, destination_digest, rendezvous_order
-from kestrelspar.peers.judgements import CallOutcome, ObservationKind
-from kestrelspar.peers.peer import Peer, PeerConfig
-from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer
-from kestrelspar.peers.shares import LoanTerms
-from kestrelspar.peers.words import (
+from kestrelspar.peers.messages import (
     Ack,
     CounterRequest,
     Datagram,
@@ -37,6 +33,10 @@
     Subscribe,
     Unsubscribe,
 )
+from kestrelspar.peers.observations import CallOutcome, ObservationKind
+from kestrelspar.peers.peer import Peer, PeerConfig
+from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, DatagramRejectedError, Sealer
+from kestrelspar.peers.shares import LoanTerms
 
 KEY = b"a key of the brokers' tests....."
 START, EPOCH, DEST = 100 * SECOND, 7, 11
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from kestrelspar.peers.counts import MAX_COUNTERS, SECOND, FleetCounters
-from kestrelspar.peers.words import CounterReport, CounterRequest
+from kestrelspar.peers.messages import CounterReport, CounterRequest
 
 KEYS = ["calls/1/ok", "taken/reading", "ended/payment/failed"]
 
--- a/tests/peers/test_groups.py
+++ b/tests/peers/test_groups.py
@@ -9,8 +9,8 @@
 
 from kestrelspar.lab.simulated_network import SECOND, Faults, SimulatedNetwork
 from kestrelspar.peers.members import Members
+from kestrelspar.peers.messages import Count, MemberState, MemberUpdate, Name, PeerMessage, Ping
 from kestrelspar.peers.seal import encode
-from kestrelspar.peers.words import Count, MemberState, MemberUpdate, Name, PeerMessage, Ping
 
 T = 10 * SECOND
 
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from kestrelspar.lab.simulated_network import MS, SECOND, Faults, Node, SimulatedNetwork, Traffic
-from kestrelspar.peers.words import LoanGrant, LoanRequest, MemberState, MemberUpdate
+from kestrelspar.peers.messages import LoanGrant, LoanRequest, MemberState, MemberUpdate
 
 BUSY = {"n0": 25.0, "n1": 12.0, **{f"n{i}": 2.0 for i in range(2, 10)}}
 RATE = 50  # calls per second of the budget
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_observations.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from kestrelspar.peers.judgements import (
+from kestrelspar.peers.members import MS, SECOND
+from kestrelspar.peers.messages import Observation, PublishObservation, RelayedObservation
+from kestrelspar.peers.observations import (
     ANY_ORIGIN,
     BROKER_DISTRUST_SCORE,
     MAX_PROBE_RANK,
@@ -23,8 +25,6 @@
     independently_sourced,
     probe_rank,
 )
-from kestrelspar.peers.members import MS, SECOND
-from kestrelspar.peers.words import Observation, PublishObservation, RelayedObservation
 
 T = 100 * SECOND
 ROUTES = {"a1": 1, "a2": 1, "b1": 2, "b2": 2, "only": 3}
--- a/tests/peers/test_peer.py
+++ b/tests/peers/test_peer.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from kestrelspar.lab.simulated_network import KEY, SECOND, SimulatedNetwork
-from kestrelspar.peers.judgements import CallOutcome, ClaimSource, ObservationKind
+from kestrelspar.peers.messages import MemberState, MemberUpdate, Observation, Ping, RelayedObservation
+from kestrelspar.peers.observations import CallOutcome, ClaimSource, ObservationKind
 from kestrelspar.peers.peer import Peer, PeerConfig
 from kestrelspar.peers.seal import Sealer
 from kestrelspar.peers.shares import LoanTerms
-from kestrelspar.peers.words import MemberState, MemberUpdate, Observation, Ping, RelayedObservation
 
 
 def peers(net: SimulatedNetwork) -> list[Peer]:
--- a/tests/peers/test_seal.py
+++ b/tests/peers/test_seal.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from kestrelspar.peers.messages import Ping
 from kestrelspar.peers.seal import MAX_DATAGRAM_BYTES, REPLAY_WINDOW, DatagramRejectedError, Sealer
-from kestrelspar.peers.words import Ping
 
 OLD, NEW, WRONG = b"o" * 16, b"n" * 16, b"w" * 16
 
--- a/tests/peers/test_shares.py
+++ b/tests/peers/test_shares.py
@@ -9,8 +9,8 @@
 
 from kestrelspar.peers import state_file
 from kestrelspar.peers.members import Outgoing
+from kestrelspar.peers.messages import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 from kestrelspar.peers.shares import MS, SECOND, UNKNOWN_LOANS, LoanTerms, Shares, budget_for_rate, equal_share
-from kestrelspar.peers.words import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 
 STARTED = 10 * SECOND  # loans of an earlier process epoch have ended by then
 
