--- a/snowlock/interface.py
+++ b/snowlock/interface.py
@@ -16,7 +16,8 @@
 class Safety(Enum):
     """Whether a message may be sent again after an attempt that may have run.
 
-    SAFE: always. KEYED: within the repeat window, in which endpoints drop repeats by key. UNSAFE: never.
+    SAFE: always. KEYED: within the repeat window (``window_ns``), in which endpoints drop repeats by key.
+    UNSAFE: never.
     """
 
     SAFE = "safe"
@@ -25,24 +26,30 @@
 
 
 class Decay(Enum):
-    """How a message loses worth after its aim_ns: linearly, or by half in each further aim_ns."""
+    """How a message loses worth between its aim_ns and its deadline_ns.
+
+    EVEN: linearly, down to late_worth. HALVES: by half in each further aim_ns, but not below late_worth.
+    """
 
     EVEN = "even"
     HALVES = "halves"
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    After ERROR, TIMEOUT, RESET and CANCELLED the message may have run; after ERROR it no longer runs.
+    """
 
     OK = 0
     ERROR = 1
-    FULL = 2
+    FULL = 2  # refused without running: the endpoint is closed or over its limit
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
-    REJECTED = 8  # did not run, and would be rejected again; never sent on the simulator's wire
+    MOOT = 7  # did not run, for a reason that says nothing about the endpoint
+    REJECTED = 8  # did not run, and would be rejected again; the simulator never reports it
 
 
 class EndpointState(IntEnum):
@@ -71,14 +78,19 @@
 
 
 class MessageClass(Struct, frozen=True):
-    """A message class: timing, safety of repeats, and worth."""
+    """A message class: timing, safety of repeats, and worth.
+
+    ``aim_ns``: age up to which a delivery has its full worth. ``deadline_ns``: age at which a message ends.
+    ``worth``: value of a delivery relative to other classes. ``late_worth``: share of it that is left at the
+    deadline.
+    """
 
     aim_ns: int
     deadline_ns: int
     safety: Safety = Safety.SAFE
     zone_bound: bool = False  # KEYED: repeats are dropped only by endpoints of the zone of the first attempt
-    window_ns: int = 0
-    ordered: bool = False
+    window_ns: int = 0  # KEYED: repeat window, from the start of the first attempt that may have run
+    ordered: bool = False  # messages with the same key are sent one at a time, in order of arrival
     worth: float = 1.0
     late_worth: float = 0.0
     name: str = ""
@@ -95,33 +107,35 @@
     """Configuration of a controller."""
 
     classes: tuple[MessageClass, ...]
-    slots: int
-    routes_apart: tuple[bool, ...] = ()  # by kind of destination: each route has its own limit and outages
-    bundles: tuple[int, ...] = ()  # by kind: most messages of one reply to one endpoint that share a call
-    tolls: tuple[float, ...] = ()  # cost of a call by zone, where routes are apart
-    cross_zone_fee: float = 0.0
+    slots: int  # maximum number of calls in flight
+    # By kind of destination: whether each route has its own limit and outages.
+    routes_apart: tuple[bool, ...] = ()
+    bundles: tuple[int, ...] = ()  # by kind: maximum number of messages of one reply that share a call
+    tolls: tuple[float, ...] = ()  # cost of a call, by zone of the route; applies to kinds with routes_apart
+    cross_zone_fee: float = 0.0  # added to the cost of a call to another zone
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0  # factor on the worth of messages beyond their tenant's share
     decay: Decay = Decay.EVEN
     max_attempts: int = 6
-    max_open: int = 1000
+    max_open: int = 1000  # maximum number of messages without a final answer
     max_retry_after_ns: int = 0
     tick_ns: int = 1_000_000
     forwarders: int = 1
-    number: int = 0  # index of this forwarder among them
+    number: int = 0  # index of this forwarder in the fleet
     zone: int = 0
     connect_timeout_ns: int = 1_000_000_000
     idle_ns: int = 1 << 62  # idle connections are closed after this time
     rate_hint: RateHint = RateHint.NONE
     share_left_column: int | None = None  # index in load reports of the share of the limit that is left
     limit_column: int | None = None  # index in load reports of the limit in calls a second
-    must_subscribe: bool = False
-    ask_within_ns: int = 10_000_000_000  # must_subscribe: a drain counts as known this long after a request
+    must_subscribe: bool = False  # the endpoint list is sent only on request
+    # With must_subscribe: a drain counts as known this long after the list was requested.
+    ask_within_ns: int = 10_000_000_000
     cold_from: float = 0.2  # slow start: share of its rate that a recovering route can bear at first
-    ramp_ns: int = 10_000_000_000  # and the time until it bears all of it
-    tip_multiple: float = 2.0  # multiple of what a recovering route can bear that overloads it
-    fall_ns: int = 2_000_000_000  # length of the window over which those calls are counted
-    settle_ns: int = 0  # time after which an attempt without an answer no longer runs
+    ramp_ns: int = 10_000_000_000  # slow start: time until the route can bear its full rate
+    tip_multiple: float = 2.0  # calls, as a multiple of what a recovering route can bear, that overload it
+    fall_ns: int = 2_000_000_000  # length of the window in which the calls for tip_multiple are counted
+    settle_ns: int = 0  # time after which an attempt that ended without an answer no longer runs
     columns: tuple[str, ...] = ()  # names of the values in load reports
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()  # names of the kinds of destination
@@ -156,8 +170,8 @@
     rank: int = 0  # routes of a lower rank are preferred
     tries: int = 0  # bound on a message's attempts at the destination; here and below 0 means no bound
     patience_ns: int = 0  # bound on an attempt's time-out
-    fails: int = 0  # consecutive failures that count as an outage
-    limit: float = 0.0  # limit in calls a second that it reported before this forwarder restarted; 0: unknown
+    fails: int = 0  # number of consecutive failures that counts as an outage
+    limit: float = 0.0  # calls a second: the limit it reported before this forwarder restarted; 0: unknown
     down_ns: int = 0  # age of an outage that this forwarder knew of before a restart; 0: none
     back_ns: int = 0  # time since recovery from it began; 0: not yet; negative: time until it begins
 
@@ -178,16 +192,16 @@
     message: int
     message_class: int
     destination: int
-    time_left_ns: int
+    time_left_ns: int  # until its deadline
     tenant: int = 0
-    key: int = 0
+    key: int = 0  # ordering key; 0: none
     attempts: int = 0  # number of attempts so far
     maybe_since_ns: int | None = None  # when the first attempt that may have run was sent
-    kept: bool = False  # it was accepted before a restart
+    kept: bool = False  # true for a message that was accepted before a restart
 
 
 class AttemptEnded(Struct, frozen=True):
-    """An attempt has ended; ``closed``: the message has been answered."""
+    """An attempt has ended; ``closed``: the message has its final answer, so that no attempt follows."""
 
     message: int
     attempt: int
@@ -197,7 +211,7 @@
     closed: bool
     wait_ns: int = 0  # retry-after, mostly with FULL; 0: none
     no_slot: bool = False  # with MOOT: the call was not forwarded, as no slot was free
-    report: tuple[float, ...] = ()
+    report: tuple[float, ...] = ()  # load report: values in the order of Settings.columns
 
 
 class Withdrawn(Struct, frozen=True):
@@ -207,7 +221,7 @@
 
 
 class Parts(Struct, frozen=True):
-    """This forwarder's shares of limits that forwarders share.
+    """This forwarder's shares of the limits and tenants' rates that all forwarders share.
 
     ``parts``: by endpoint, in calls a second; 0 means that the limit is no longer shared. ``tenants``: by the
     tenant's index, in messages a second.
@@ -220,8 +234,8 @@
 class Judged(Struct, frozen=True):
     """Suspensions of endpoints that follow from other forwarders' reports.
 
-    For each endpoint: until when it is suspended (0: no longer), and whether one call at a time is allowed
-    instead of none.
+    For each endpoint: the end of its suspension (0: it is lifted now), and whether one call at a time is
+    allowed until then, instead of none.
     """
 
     routes: tuple[tuple[EndpointId, int, bool], ...]
--- a/snowlock/settings.py
+++ b/snowlock/settings.py
@@ -15,23 +15,23 @@
 
 
 class SettingsError(ValueError):
-    """Keys are missing or have invalid values; each of the ``errors`` names one."""
+    """Keys are missing or have invalid values; ``errors`` has one text for each."""
 
-    def __init__(self, *faults: str) -> None:
-        super().__init__("; ".join(faults))
-        self.errors = faults
+    def __init__(self, *errors: str) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
 
 
 class Section:
-    """A parsed JSON object with its path, which errors name.
+    """A parsed JSON object, with the path that error messages give for it.
 
-    Errors are collected, so that all can be reported at once: call ``raise_errors`` after the last key. An
-    invalid key reads as its default, or as None or an empty section.
+    Errors are collected, so that all can be reported at once: call ``raise_errors`` after the last key. Until
+    then a missing or invalid value reads as its default, as None, or as an empty section.
     """
 
     def __init__(self, raw: Any, path: str, errors: list[str] | None = None) -> None:
         self.path, self.errors = path, [] if errors is None else errors
-        self.is_object = isinstance(raw, dict)  # otherwise its keys are not reported as missing
+        self.is_object = isinstance(raw, dict)  # if false, absent keys are not reported as missing
         self.raw: dict[str, Any] = raw if isinstance(raw, dict) else {}
         if not self.is_object:
             self.errors.append(f"{path}: must be an object")
@@ -41,15 +41,15 @@
         if self.errors:
             raise SettingsError(*self.errors)
 
-    def get(self, key: str, kind: Callable[[Any], T], default: Any = _REQUIRED) -> T:
-        """Return the key's value converted by ``kind``, or the default if the key is absent."""
+    def get(self, key: str, convert: Callable[[Any], T], default: Any = _REQUIRED) -> T:
+        """Return the key's value converted by ``convert``, or the default if the key is absent or invalid."""
         value: Any = None if default is _REQUIRED else default
         if key not in self.raw:
             if default is _REQUIRED and self.is_object:
                 self.errors.append(f"{self.path}.{key}: missing")
             return value  # type: ignore[no-any-return]
         try:
-            return kind(self.raw[key])
+            return convert(self.raw[key])
         except SettingsError as error:
             self.errors += error.errors
         except (ValueError, TypeError, KeyError, OverflowError):
@@ -67,7 +67,7 @@
         return Section(self.raw[key], f"{self.path}.{key}", self.errors)
 
     def sections(self, key: str, optional: bool = True) -> list[Section]:
-        """Return the objects of the list at the key."""
+        """Return the objects of the list at the key; an empty list if it is absent or invalid."""
         rows = self.get(key, _as_list, [] if optional else _REQUIRED) or []
         return [Section(row, f"{self.path}.{key}[{index}]", self.errors) for index, row in enumerate(rows)]
 
@@ -78,12 +78,15 @@
     return value
 
 
-def _tuple_of(kind: Callable[[Any], T]) -> Callable[[Any], tuple[T, ...]]:
-    return lambda value: tuple(kind(item) for item in _as_list(value))
+def _tuple_of(convert: Callable[[Any], T]) -> Callable[[Any], tuple[T, ...]]:
+    return lambda value: tuple(convert(item) for item in _as_list(value))
 
 
 def read(raw: Any) -> api.Settings:
-    """Return the settings of an instance from its JSON object; unknown keys are ignored."""
+    """Return the settings of an instance from its JSON object; unknown keys are ignored.
+
+    Raises ``SettingsError`` for missing or invalid keys, and ``ValueError`` for values out of range.
+    """
     top = Section(raw, "settings")
     family_info, limits, rules = top.section("family_info"), top.section("limits"), top.section("rules")
     classes = tuple(
--- a/snowlock/wire.py
+++ b/snowlock/wire.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """An instance was started."""
+    """An instance was started with these settings and this random seed."""
 
     seed: int
     settings: api.Settings
@@ -51,7 +51,7 @@
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """Parse the settings JSON of an opening record; unknown keys are ignored."""
+    """Parse the settings JSON of an opening record; ``WireError`` if invalid. Unknown keys are ignored."""
     try:
         return settings.read(json.loads(text))
     except ValueError as error:
@@ -59,13 +59,13 @@
 
 
 class Decoder:
-    """Decodes frame bodies; keeps the numbered endpoint lists, which all instances share."""
+    """Decodes frame bodies. Endpoint lists are sent once, and all instances refer to them by number."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Item]]:
-        """Yield (instance, item) for each record of a frame body, in order."""
+        """Yield (instance, item) for each record of a frame body, in order; ``WireError`` if invalid."""
         at = 0
         try:
             for _ in range(count):
@@ -94,7 +94,7 @@
         return at
 
     def _record(self, code: int, body: bytes, at: int) -> tuple[int, Item | None, int]:
-        """Decode a record other than a list into its instance, its item or None, and the next position."""
+        """Decode a record other than a list; returns instance, item (None: ignored) and next position."""
         if code == 8:
             fields = _ATTEMPT_ENDED.unpack_from(body, at)
             instance, message, attempt, endpoint, outcome_code, latency, closed, note, columns = fields
--- a/snowlock/wirehost.py
+++ b/snowlock/wirehost.py
@@ -30,7 +30,7 @@
         self._controllers: dict[int, Controller] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
-        """Process one frame and return the reply."""
+        """Process one frame and return the reply; an exception of a controller becomes a fatal record."""
         pending: dict[int, list[Event]] = {}
         for instance, item in self._decoder.decode(body, count):
             if isinstance(item, wire.Opened):
@@ -53,7 +53,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends."""
+    """Answer frames until the input ends; ``WireError`` for a truncated or invalid frame."""
     host = Host()
     while header := _read(source, wire.HEADER.size):
         if len(header) < wire.HEADER.size:
