--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -19,87 +19,98 @@
 MS = 1_000_000
 SECOND = 1_000 * MS
 
-EAGER_SWEEP_MAX_ROUTES = 1_000  # above this, removed routes are swept once per ramp, not at each list change
-MAX_TRIES_PER_ROUTE = 2  # before the next route; a few are enough, as route health is remembered too
-FIRST_BACKOFF_AIM_SHARE = 0.08  # first retry backoff, as a share of the class's aim_ns; doubles per try
+EAGER_SWEEP_MAX_ROUTES = 1_000  # from here on, removed routes are swept once per ramp_ns, not at each change
+# Attempts of a message on a route before the next route; a few are enough, as route health is remembered.
+MAX_TRIES_PER_ROUTE = 2
+FIRST_BACKOFF_AIM_SHARE = 0.08  # first backoff of a retry, as a share of the class's aim_ns; it doubles
 MAX_BACKOFF = 10 * SECOND
 LATENCY_GAIN = 0.15  # weight of a new sample in a route's latency and loss averages
 SLOW_FACTOR = 3.0  # new messages skip a route that is this many times slower than a later one
-# Time-out of a repeatable call in (mean + 3 deviations) of latency: usually, and while many calls are lost.
+# Time-out of a repeatable call as a multiple of the latency bound (mean + 3 deviations, see _latency_bound):
+# usually, and while many calls are lost.
 TIMEOUT_FACTOR_REPEATABLE, TIMEOUT_FACTOR_LOSSY = 3.0, 1.0
-# Share of lost calls that is usual with heavy messages; at twice this time-outs are shortest.
+# Share of lost calls that is usual with heavy messages; at twice this share, time-outs are shortest.
 USUAL_LOST_SHARE = 0.06
-# Minimum time-out of a repeatable and of a keyed call, in the same unit.
+# Minimum time-out of a repeatable call, and of a keyed one, as a multiple of the latency bound.
 MIN_TIMEOUT_FACTOR, MIN_TIMEOUT_FACTOR_KEYED = 5.0, 8.0
-TIMEOUT_FACTOR_UNSAFE = 10.0  # a time-out loses an unsafe message, so its call may take much longer
-# Share of the slots that unsafe calls may hold with the long time-out; beyond it the factor bounds the
-# time-out, in latency bounds.
+# The same for an unsafe call, which may take much longer, as a time-out loses its message.
+TIMEOUT_FACTOR_UNSAFE = 10.0
+# Share of the slots that unsafe calls may hold with the long time-out. Beyond it, the time-out of an unsafe
+# call is at most SHORT_TIMEOUT_FACTOR latency bounds.
 LONG_TIMEOUT_SLOT_SHARE, SHORT_TIMEOUT_FACTOR = 0.1, 8.0
 SUSPECT_SLOT_SHARE = 0.2  # share of the slots for calls to silent, failing or recovering routes
 RECHECK_INTERVAL = 20 * MS  # for a route that is blocked until a call to some other route ends
 # Assumed latency before any call has been answered, as a share of the smallest aim_ns.
 UNKNOWN_LATENCY_AIM_SHARE = 1 / 16
-# Assumed mean + 3 deviations of a route with fewer than 3 answers, in usual latencies.
+# Assumed latency bound of a route with fewer than 3 answers, as a multiple of the usual latency.
 UNKNOWN_LATENCY_FACTOR = 5.0
 MAX_CALLS_UNPROVEN = 2  # calls in flight to a route that has not answered yet
-CHANCE_THRESHOLD = 0.1  # a run of failures at least this likely at the usual failure share is no outage
+CHANCE_THRESHOLD = 0.1  # consecutive failures that are at least this likely by chance are no outage
 QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures of a busy route, which cost little
-MAX_USUAL_FAILURE_SHARE = 0.45  # a wide outage raises the usual share; three failed connects are never chance
+# A wide outage raises the usual share of failures. With this maximum, three failed connects in a row to a
+# route that is called seldom never count as chance.
+MAX_USUAL_FAILURE_SHARE = 0.45
 FAILURE_GAIN = 0.05  # weight of one call in the failure and refusal averages
-# Share of fall_ns: a route that only refuses for this long, or sends a retry-after this long, is closed.
-# Shorter refusals mean that it is limited.
+# Share of fall_ns: a route is closed if it refuses all calls for this long, or sends a retry-after this long.
+# Shorter refusals mean that it is over its limit.
 CLOSED_FALL_SHARE = 0.5
-# A refusal with this share of the allowance left means closed; with less, over the limit.
+# A refusal with at least this share of the allowance left means that the route is closed; with less, that it
+# is over its limit.
 UNUSED_ALLOWANCE = 0.85
 MIN_REFUSAL_PAUSE = 200 * MS  # minimum interval before the next call after a refusal
 # Share of the fail-back budget that is used: other forwarders estimate theirs too.
 FAILBACK_SAFETY_FACTOR = 0.7
 LATE_DETECTION_WINDOWS = 2  # windows of fall_ns by which others may have noticed an outage earlier
-# Growth of this forwarder's fail-back share where the route serves it. Others may see the same and grow too,
-# and the sum must stay bearable.
+# Maximum growth of this forwarder's share of the fail-back budget where the route has served its calls. Other
+# forwarders' shares may grow at the same time, and the route must be able to bear the sum.
 FAILBACK_GROWTH = 1.5
-# Calls a second where no rate is known: low, as small routes are the first to be overloaded.
+# Assumed calls a second where no rate is known; low, as small routes are the first to be overloaded.
 DEFAULT_RATE = 1.0
-ROUGH_RATE_FACTOR = 0.67  # a rate listed as rough may be half too high
-BURST_TOLERANCE = 500 * MS  # calls worth this long at the limit's rate may go at once
+ROUGH_RATE_FACTOR = 0.67  # a rate listed as rough may be 1.5 times the actual one
+BURST_TOLERANCE = 500 * MS  # a burst may have as many calls as the limit allows in this time
 INTERVAL_GROWTH, INTERVAL_DECREASE = 2.0, 0.1  # of the call interval: factor per refusal, share per answer
-MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2  # cap in equal-share intervals, and the least cap
+# Cap of the call interval: a multiple of the equal-share interval, and the least cap in ns.
+MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2
 SMALL_FLEET_SIZE = 4  # forwarders; a fleet this small calls often enough to find its intervals in small steps
-# Share of the allowance that is left: below the first an answer lengthens the interval; above the second
-# large fleets shorten it fast.
+# Share of the allowance that is left: in a large fleet an answer lengthens the interval below
+# SCARCE_ALLOWANCE, and shortens it faster than in a small fleet above AMPLE_ALLOWANCE.
 SCARCE_ALLOWANCE, AMPLE_ALLOWANCE = 0.5, 0.3
-# In equal-share intervals: a large fleet takes turns from the first value on; the second is the first
-# interval after a restart.
+# Multiples of the equal-share interval: with a call interval of at least the first, the forwarders of a large
+# fleet take turns; the second is the initial call interval after a restart.
 TURN_INTERVAL_SHARE, RESTART_INTERVAL_SHARE = 0.25, 0.5
-# A reported rate that differs from the last by less than this share is noise, and is averaged with this
-# weight.
+# A reported rate that differs from the known one by less than this share is noise, and enters an average with
+# weight RATE_GAIN.
 RATE_NOISE_BAND, RATE_GAIN = 0.3, 0.3
-INTERVAL_HALF_LIFE = 10 * SECOND  # the interval halves in this time, or in twice itself, without outcomes
-TENANT_BURST = 2 * SECOND  # how far ahead a tenant may use its share
-# Messages that a tenant may always be ahead in a large fleet, where TENANT_BURST may be less than one
-# message.
+# Without outcomes, the call interval halves in this time, or in twice the interval if that is longer.
+INTERVAL_HALF_LIFE = 10 * SECOND
+TENANT_BURST = 2 * SECOND  # a tenant may be ahead of its share by the messages of this time
+# In a large fleet a tenant may always be ahead by this many messages, as its share of TENANT_BURST may be
+# less than one message.
 TENANT_MIN_BURST = 4
-MAX_HELD_SHARE = 0.9  # share of max_open that may be held; the rest is room for new messages
-CAPPED_CONNECT_SHARE = 0.02  # share of failed connects at a kind from which idle connections are closed early
+MAX_HELD_SHARE = 0.9  # share of max_open above which messages are shed, so that new ones have room
+# Idle connections are closed early above this share of failed connects at a kind of destination.
+CAPPED_CONNECT_SHARE = 0.02
 # Calls that take this many usual latencies or more reduce a destination's share of the slots.
 LONG_CALL_FACTOR = 3.0
-# Share of lost calls from which unsafe messages prefer a route that loses half as many.
+# Above this share of lost calls at a route, unsafe messages prefer one that loses less than half as many.
 LOSSY_ROUTE_SHARE = 0.1
-# Share of calls lost on idle connections from which these are closed before use.
+# Idle connections are closed before use above this share of calls lost on them: for repeatable, and for
+# unsafe messages.
 STALE_SHARE, STALE_SHARE_UNSAFE = 0.4, 0.2
-# Weight of one call on an idle connection; decay of the average.
+# Average of the calls lost on idle connections: weight of one call, and half-life.
 STALE_GAIN, STALE_HALF_LIFE = 0.3, 15 * SECOND
 STALE_MIN_IDLE = 250 * MS  # no peer drops a connection that has been idle for less
-FIRST_RESUBSCRIBE_SHARE = 0.1  # of ask_within_ns: backoff after a failed list request; doubles each time
+# First backoff after a failed list request, as a share of ask_within_ns; it doubles with each failure.
+FIRST_RESUBSCRIBE_SHARE = 0.1
 MAX_LOG_LINES = 200  # per controller
-NO_TIMESTAMPS = list[int]()  # shared by limits that have seen no call, to save memory; never mutated
+NO_TIMESTAMPS = list[int]()  # shared by limits without calls, to save memory; never mutated
 
 
 class Limit:
     """Paces this forwarder's calls under a rate limit.
 
-    The limit is a route's own, or one that all routes of a destination share. Works as GCRA does: each call
-    advances the theoretical arrival time by the call interval.
+    The limit is that of one route, or one that all routes of a destination share. Uses the generic cell rate
+    algorithm (GCRA): each call advances the theoretical arrival time by the call interval.
     """
 
     __slots__ = (
@@ -118,12 +129,12 @@
 
     def __init__(self) -> None:
         self.rate = 0.0  # reported limit in calls a second over all forwarders; 0: unknown
-        # This forwarder's share of it in calls a second where forwarders share it; 0: they don't.
+        # This forwarder's agreed share of the limit in calls a second; 0: no share was agreed.
         self.share = 0.0
-        # ns between calls; estimated from refusals and answers, as others' calls are not seen.
+        # ns between calls; estimated from refusals and answers, as other forwarders' calls are not seen.
         self.interval = 0.0
         self.jitter = 1.0  # random factor on the next interval during fail-back
-        # Theoretical arrival time: the calls made so far are paid for by then.
+        # theoretical_arrival: time at which the calls made so far conform to the interval (GCRA).
         self.theoretical_arrival = self.updated_at = self.last_call_at = 0
         self.refusals = self.refused_since = 0  # refusals since the last answer, and the time of the first
         self.calls = self.answers = NO_TIMESTAMPS  # times of calls and of answers within the last fall_ns
@@ -139,9 +150,10 @@
     ) -> None:
         """Adjust the interval: refusals lengthen it, answers shorten it, and it decays with time.
 
-        Answers shorten it the more, the more of the allowance is left. A large fleet starts at the equal
-        share: where each forwarder calls seldom, small steps from zero would have all of them refused over
-        and over before they found the interval.
+        The more of the allowance is left (``remaining``), the more an answer shortens it. A large fleet
+        starts at the equal share: where each forwarder calls seldom, small steps from zero would have all of
+        them refused over and over before they found the interval. ``equal_interval``: the call interval in ns
+        if all forwarders had equal shares. ``refusal_share``: share of refused calls.
         """
         if self.share:  # a share agreed among the forwarders is neither estimated nor decayed
             self.interval, self.updated_at = SECOND / self.share, now
@@ -172,42 +184,41 @@
 class Controller:
     """Decides for one forwarder; see ``handle``.
 
-    ``ahead``: nanoseconds from the caller's monotonic clock to the wall clock that all forwarders share.
+    ``clock_offset``: nanoseconds from the caller's monotonic clock to the wall clock, which forwarders share.
     """
 
-    def __init__(self, settings: api.Settings, seed: int, ahead: int = 0):
+    def __init__(self, settings: api.Settings, seed: int, clock_offset: int = 0):
         self.settings = settings
-        self.clock_offset = ahead
-        self.decision_lag = 2 * settings.tick_ns + 10 * MS  # bound on the time from a decision to its effect
+        self.clock_offset = clock_offset
+        self.decision_lag = 2 * settings.tick_ns + 10 * MS  # maximum time from a decision to its effect
         # 0 in a small fleet, near 1 in a large one.
         self.fleet_factor = max(0.0, 1 - SMALL_FLEET_SIZE / settings.forwarders)
         self.random = random.Random(seed)
-        self.now = self.sweep_at = 0  # the latter: when removed routes are next swept
+        self.now = self.sweep_at = 0  # sweep_at: time of the next sweep of removed routes
         self.messages: dict[int, Message] = {}
         self.routes: dict[api.EndpointId, Route] = {}
         self.destinations: dict[int, Destination] = {}
         self.key_queues: dict[int, deque[Message]] = {}  # by ordering key: unfinished messages in order
         self.key_available_at: dict[int, int] = {}
         self.waiting: dict[int, Destination] = {}
-        self.inflight = self.unsafe_inflight = 0  # calls, and attempts of unsafe messages
-        # By tenant: this forwarder's agreed share in messages a second, where forwarders share a tenant's
-        # rate.
+        self.inflight = self.unsafe_inflight = 0  # calls in flight; attempts of unsafe messages in flight
+        # By tenant: this forwarder's agreed share of the tenant's rate, in messages a second.
         self.tenant_rates: dict[int, float] = {}
         self.tenant_arrivals: dict[int, int] = {}  # theoretical arrival time (GCRA) of a tenant's messages
         # Number of log lines; moving mean of the logarithms of all latencies.
         self.log_count, self.log_latency = 0, 0.0
         self.default_latency = UNKNOWN_LATENCY_AIM_SHARE * min(cls.aim_ns for cls in settings.classes)
         self.connect_failure_shares: dict[int, float] = {}  # by kind of destination
-        # By kind of destination: share of all calls refused as full, and of those whose predecessor was
-        # answered.
+        # By kind of destination: share of refused calls among all calls, and among calls that don't follow a
+        # refusal.
         self.refusal_shares: dict[int, list[float]] = {}
         # Usual share of calls that fail, and of calls that are never answered.
         self.failure_shares = [0.0, 0.0]
         self.idle_loss = self.new_loss = 0.0  # share of calls lost on idle connections, and on new ones
-        # When idle_loss was updated; the shortest idle time after which a call was lost.
+        # Time of the last update of idle_loss; shortest idle time after which a call was lost.
         self.idle_loss_updated_at, self.shortest_lost_idle = 0, NEVER
         self.closed_after = int(CLOSED_FALL_SHARE * settings.fall_ns)
-        # When to request the endpoint list (again), and how often that has failed in a row.
+        # Time of the next request of the endpoint list; number of consecutive failed requests.
         self.subscribe_at, self.failed_subscribes = 0 if settings.must_subscribe else NEVER, 0
         self.actions: list[api.Action] = []
 
@@ -250,7 +261,7 @@
                 self.waiting[dest.id], dest.wake_at = dest, self.now
         else:
             for dest in sorted(ready, key=self._slot_cost) if len(ready) > 1 else ready:
-                self._dispatch(dest)  # in the order of most worth per slot time
+                self._dispatch(dest)  # most worth per slot time first
         return self.actions
 
     def _slot_cost(self, dest: Destination) -> float:
@@ -274,9 +285,9 @@
         return math.exp(self.log_latency) if self.log_latency else self.default_latency
 
     def _shed_load(self) -> None:
-        """Refuse the least valuable messages of the longest backlog while nearly full.
+        """Refuse the least valuable messages of the longest backlog while nearly max_open are held.
 
-        Otherwise max_open would have new messages refused whatever their worth.
+        Otherwise new messages would be refused at max_open, whatever their worth.
         """
         for _ in range(len(self.messages)):
             if len(self.messages) <= MAX_HELD_SHARE * self.settings.max_open or not self.waiting:
@@ -303,7 +314,7 @@
                     self.now + int(self.settings.ask_within_ns * share),
                     self.failed_subscribes + 1,
                 )
-                # The token is that of no message or destination.
+                # NEVER is the token of no message or destination.
                 self.actions.append(api.SetTimer(NEVER, self.subscribe_at))
             return
         self.failed_subscribes = 0
@@ -330,13 +341,13 @@
                 added.append((known, entry.limit if DEFAULT_RATE <= entry.limit < 1e6 else 0.0))
                 if entry.down_ns:
                     self._restore_outage(known, entry)
-            known.rate = min(max(0.1, entry.rate), 1e6)  # a missing, absurd or NaN rate: few calls are sent
+            known.rate = min(max(0.1, entry.rate), 1e6)  # few calls at a missing, absurd or NaN rate
             known.ready, known.zone, known.rank = True, entry.zone, entry.rank
             known.max_timeout, known.max_failures = entry.patience_ns or NEVER, entry.fails or NEVER
             dest.max_attempts = min(entry.tries or self.settings.max_attempts, self.settings.max_attempts)
             dest.routes = sorted([r for r in dest.routes if r is not known] + [known], key=self._preference)
-        # Removed routes are dropped once their retry-after has passed: they may be listed again before.
-        # Sweeping at intervals keeps the cost of a change independent of the number of listed routes.
+        # A removed route is kept for ramp_ns after its last outcome and its retry-after, as it may be listed
+        # again. Sweeping at intervals keeps the cost of a change independent of the number of listed routes.
         since = self.now - self.settings.ramp_ns
         if len(self.routes) < EAGER_SWEEP_MAX_ROUTES or self.now >= self.sweep_at:
             self.sweep_at = self.now + self.settings.ramp_ns
@@ -350,7 +361,7 @@
             rate = known_rate or min(
                 (sibling.limit.rate for sibling in route.dest.routes if sibling.limit.rate), default=0.0
             )
-            # All forwarders learn of a new route at once, and would all call it at once.
+            # All forwarders learn of a new route at the same time, and would all call it at once.
             if self.fleet_factor and rate and not route.limit.rate:
                 route.limit.rate, route.limit.updated_at = rate, self.now
                 route.limit.interval = (
@@ -360,15 +371,15 @@
                     / rate
                     * (RESTART_INTERVAL_SHARE if known_rate else 1)
                 )
-            # Where routes share outages, a replacement listed during one is no healthier than the others.
+            # Where routes share outages, a route that is listed during one is no healthier than the others.
             if not route.dest.separate_limits and route.dest.last_trouble_at > since:
                 self._mark_down(route, "joins a destination in trouble")
 
     def _restore_outage(self, route: Route, entry: api.Endpoint) -> None:
         """Restore the state of a route that was down or recovering when this forwarder stopped.
 
-        Keeps restarted forwarders, which have a backlog, from all calling a recovering route at once. Others
-        hold messages for it too.
+        Otherwise all restarted forwarders would send their backlog to a recovering route at once, in addition
+        to the calls of the others.
         """
         recovering_since = self.now - entry.back_ns
         if entry.back_ns and recovering_since + self.settings.ramp_ns <= self.now:
@@ -396,7 +407,8 @@
     def _on_shares(self, event: api.Parts) -> None:
         """Apply this forwarder's agreed shares of limits and of tenants' rates.
 
-        They replace turns and estimates.
+        A share of a limit replaces the estimated interval and the rotation of turns; a share of a tenant's
+        rate replaces the equal share.
         """
         self.tenant_rates.update(event.tenants)
         for endpoint, rate in event.parts:
@@ -421,7 +433,7 @@
         route.dest.routes = [other for other in route.dest.routes if other is not route]
 
     def _preference(self, route: Route) -> tuple[int, float, float]:
-        """Return the sort key of the fixed order: rank, then cost, then a random draw weighted by rate.
+        """Return the sort key of a destination's routes: rank, cost, then a random draw weighted by rate.
 
         Without the draw many forwarders would call the same route first and have most calls refused there.
         """
@@ -431,7 +443,7 @@
         return (route.rank, cost, route.order_draw / route.rate)
 
     def _on_arrival(self, event: api.Arrival) -> Destination:
-        """Accept a message."""
+        """Accept a message; one that can't be attempted gets its final answer at once."""
         dest = self.destinations.setdefault(event.destination, Destination(event.destination))
         message = Message(
             event.message,
@@ -450,8 +462,8 @@
         if message.cls.ordered and message.key:
             self.key_queues.setdefault(message.key, deque()).append(message)
         if event.tenant < len(self.settings.tenants) and self.settings.tenants[event.tenant].rate > 0:
-            # Messages beyond a tenant's share count less, so that a burst does not displace other tenants'
-            # messages.
+            # A message beyond its tenant's share has less weight, so that a burst does not displace other
+            # tenants' messages.
             spacing = int(SECOND * self.settings.forwarders / self.settings.tenants[event.tenant].rate)
             if event.tenant in self.tenant_rates:
                 spacing = int(SECOND / self.tenant_rates[event.tenant])
@@ -481,10 +493,10 @@
         return message.dest
 
     def may_still_send(self, now: int, endpoint: api.EndpointId, number: int) -> bool:
-        """Return whether a call decided earlier may still be sent.
+        """Return whether a call that was decided earlier may still be sent.
 
-        It may not once the route is draining or has a retry-after, or near the end of the message's repeat
-        window.
+        It may not if the route is draining or has a retry-after, or if the message's repeat window is about
+        to end.
         """
         route, message = self.routes.get(endpoint), self.messages.get(number)
         if route is None or message is None or now + self.decision_lag >= message.window_end:
@@ -501,9 +513,9 @@
         )
 
     def _is_reserved(self, message: Message) -> bool:
-        """Return whether a message recovered untried after a restart still has time reserved for an attempt.
+        """Return whether the message was recovered without attempts and has time reserved for the first.
 
-        It is then not refused in favour of others, nor because of an estimate.
+        A reserved message is refused neither in favour of others nor because of an estimate.
         """
         return message.attempts == 0 and self.now < message.reserved_until
 
@@ -525,7 +537,7 @@
         self._forget(message)
 
     def _forget(self, message: Message) -> None:
-        """Drop a finished message that has no attempt in flight, and let the next message of its key go."""
+        """Drop a finished message without attempts in flight, and wake the next one of its ordering key."""
         if not message.done or message.in_flight:
             return
         self.messages.pop(message.id, None)
@@ -557,7 +569,7 @@
         return min(self.settings.max_attempts, message.dest.max_attempts)
 
     def _key_turn_at(self, message: Message) -> int:
-        """Return when the message is next for its ordering key; NEVER while an earlier one is unfinished."""
+        """Return when the message's ordering key is available; NEVER while an earlier one is unfinished."""
         if not (message.cls.ordered and message.key):
             return 0
         return (
@@ -565,7 +577,7 @@
         )
 
     def _next_call_at(self, route: Route) -> int:
-        """Return when the route may take its next call: retry-after, pacing, suspension and fail-back."""
+        """Return the time of the route's next call by retry-after, pacing, suspension and fail-back."""
         at = max(route.retry_after_until, route.dest.retry_after_until)
         at = max(at, self._rotation_turn(route, route.limit.theoretical_arrival - BURST_TOLERANCE))
         if route.suspended_until > self.now and (route.inflight or not route.one_at_a_time):
@@ -577,7 +589,7 @@
             )
         if route.limit.refusals and route.inflight:
             return max(at, self.now + MIN_REFUSAL_PAUSE)  # after a refusal a single call probes the limit
-        # A route that has not answered yet may hang, as those that it replaces may.
+        # A route that has not answered yet may hang, as may the routes that it replaces.
         if not route.successes and route.inflight >= MAX_CALLS_UNPROVEN:
             return max(at, self.now + RECHECK_INTERVAL)
         if route.down or route.failures or self.is_silent(route):
@@ -594,21 +606,21 @@
 
         Turns apply where a large fleet shares a limit of which little is left. Without them, all forwarders
         that were delayed by the same burst or retry-after would call at the same instant, and a forwarder
-        that calls seldom acts on old information. The cost is a wait of half an equal-share interval, where
-        calls would often be refused.
+        that calls seldom would act on old information. The cost is a wait of half an equal-share interval,
+        but without it calls would often be refused.
         """
         limit = route.limit
         equal_interval = int(SECOND * self.settings.forwarders / limit.rate) if limit.rate else NEVER
         if not self.fleet_factor or limit.share or limit.interval < TURN_INTERVAL_SHARE * equal_interval:
             return at
         at = max(at, limit.last_call_at + equal_interval // 2 if limit.last_call_at else limit.updated_at)
-        # Rate estimates are noisy, so only a few turns are counted from one common instant.
+        # Rate estimates are noisy: turns are counted anew in each short frame, so that errors don't add up.
         frame = 1 << (4 * equal_interval).bit_length()
         turn = (self.settings.number / self.settings.forwarders + route.rotation_offset) % 1
         return at + int(turn * equal_interval - (at + self.clock_offset) % frame) % equal_interval
 
     def _is_suspect(self, route: Route) -> bool:
-        """Return whether calls there may well time out.
+        """Return whether calls to the route are likely to time out.
 
         One quick failure does not count, as some routes lose a call now and then.
         """
@@ -621,10 +633,10 @@
         )
 
     def is_silent(self, route: Route) -> bool:
-        """Return whether the route seems to hang: calls are in flight and no outcome has come for long.
+        """Return whether the route seems to hang: no outcome of its calls for longer than its latency bound.
 
-        Lets new messages avoid the route before the first time-out. The cost is that one very long call makes
-        them avoid it too.
+        New messages then avoid the route before the first time-out. The cost is that a single very long call
+        has the same effect.
         """
         return (
             route.successes > 0
@@ -644,10 +656,10 @@
         """Return when the fail-back budget allows the next call to a failing or recovering route.
 
         An outage ends without notice, and the route can then bear only part of its rate (slow start). In any
-        fall_ns this forwarder sends its share of what a recovering route bears, or a multiple of what the
-        route has just served it. It assumes that as many other forwarders hold messages for the route as
-        calls came since the trouble began. The cost is that a burst of calls right after a failure is slowed
-        down.
+        fall_ns this forwarder sends its share of the calls that a recovering route can bear, or a multiple of
+        the calls that the route has just served it. The number of forwarders that hold messages for the route
+        is taken to be the number of calls at its rate since the outage began. The cost is that a burst of
+        calls right after a failure is slowed down.
         """
         bearable = self.settings.cold_from
         if route.recovering_since is not None:
@@ -655,8 +667,8 @@
                 1.0, max(0, self.now - route.recovering_since) / self.settings.ramp_ns
             )
         rate, window = self._fleet_rate(route), self.settings.fall_ns
-        aware = 2.0  # estimated forwarders that hold messages for the route
-        # A forwarder that calls seldom notices late: the outage began windows before its own first failure.
+        aware = 2.0  # estimated number of forwarders that hold messages for the route
+        # A forwarder that calls seldom notices an outage late, possibly some windows after its beginning.
         if route.down:
             known = max(route.last_call_at, route.retry_after_until) - route.failing_since
             aware += rate * (max(0, known) + LATE_DETECTION_WINDOWS * window) / SECOND
@@ -666,14 +678,14 @@
         limit = route.limit
         self._prune(limit.answers)
         served = float(len(limit.answers))
-        if route.down:  # within one window the budget must not grow on its own calls
+        if route.down:  # the calls of one window must not raise the budget of the same window
             served = min(served, max(1.0, FAILBACK_GROWTH * allowed))
         allowed = max(allowed, served) * FAILBACK_SAFETY_FACTOR * self.settings.tip_multiple
         count = max(1, int(allowed))
         if len(limit.calls) < count:
             return 0
-        # Jitter: forwarders that noticed by the same burst, or restarted together, would call at the same
-        # instant.
+        # Without jitter, forwarders that noticed the outage in the same burst, or restarted together, would
+        # call at the same instant.
         return limit.calls[-count] + (window if allowed >= 1 else int(window / allowed * limit.jitter))
 
     def _fleet_rate(self, route: Route) -> float:
@@ -687,7 +699,7 @@
         del times[: bisect_right(times, self.now - self.settings.fall_ns)]
 
     def _slot_cap(self, dest: Destination) -> int:
-        """Return the bound on a destination's slots: half of them, fewer while its calls run long."""
+        """Return the maximum of a destination's slots: half; less for long calls or a silent route."""
         half = int(
             self.settings.slots
             // 2
@@ -704,7 +716,7 @@
         expired: list[Message] = []
         wake_at = NEVER
         next_calls: list[int] | None = None  # by route; computed again after each call
-        calls: list[Call] = []  # started in this reply; later messages for the same route may join them
+        calls: list[Call] = []  # calls started in this reply; later messages for the same route may join one
         bundle = self.settings.bundles[dest.kind] if dest.kind < len(self.settings.bundles) else 1
         queue, free = dest.queue, self.settings.slots - self.inflight
         scarce = contended or free <= max(1, self.settings.slots // 8)
@@ -713,7 +725,7 @@
             queue = sorted(queue, key=lambda m: -self._worth(m, self.now))
         for index, message in enumerate(queue):
             if self.now >= message.window_end:
-                expired.append(message)  # its repeat window has ended on every route
+                expired.append(message)  # no route may get a repeat any more
                 continue
             joinable = calls if message.not_before <= self.now else None
             call = None
@@ -736,8 +748,8 @@
             next_calls = next_calls or [max(self._next_call_at(route), self.now) for route in dest.routes]
             soonest = min(next_calls, default=NEVER)
             if soonest > self.now:
-                # Messages that no route can take in time are refused at once: another forwarder may deliver
-                # them.
+                # Messages that no route can take in time are refused at once, as another forwarder may be
+                # able to deliver them.
                 late = [
                     m
                     for m in queue[index:]
@@ -778,7 +790,7 @@
                 dest.wake_at = self.now
 
     def _choose_route(self, message: Message) -> Route | None:
-        """Return the first available route of usual latency, from the message's current one on."""
+        """Return the first available route from the message's current one on, or a much better later one."""
         routes = message.dest.routes
         start = routes.index(message.route) if message.route in routes else 0
         unsafe = message.cls.safety is Safety.UNSAFE
@@ -789,24 +801,24 @@
                 continue
             failed_at, class_only = route.failed_classes.get(message.class_index, (0, False))
             if class_only and self.now - failed_at < self.settings.ramp_ns:
-                fallback = fallback or route  # it fails this class only: used if no other route is available
+                fallback = fallback or route  # it fails only this class: used if no other is available
             elif choice is None:
                 choice = route
             elif (
                 route.successes and not route.down and choice.mean_latency > SLOW_FACTOR * route.mean_latency
             ):
-                choice = route  # the first is slow: new messages avoid it before they time out
+                choice = route  # the earlier choice is slow: avoided before calls time out
             elif (
                 unsafe
                 and route.successes
                 and choice.loss_share > LOSSY_ROUTE_SHARE
                 and choice.loss_share > 2 * route.loss_share
             ):
-                choice = route  # an unsafe message that the first route loses can't be sent again
+                choice = route  # an unsafe message that a call loses can't be sent again
         return choice or fallback
 
     def _start_attempt(self, message: Message, route: Route, call: Call | None) -> Call:
-        """Start an attempt, in a new call or in one that this reply has already started."""
+        """Start an attempt: in a new call, or in a call that was started earlier in this reply."""
         if message.route is not route:
             message.route, message.tries = route, 0
         if call is None:
@@ -840,21 +852,22 @@
     def _decayed_idle_loss(self) -> float:
         """Return the share of calls lost on idle connections beyond the share lost on new ones.
 
-        Servers, firewalls and NAT devices may drop idle connections without notice. The share decays, so that
-        a repeatable message eventually tests whether this still happens. The cost is that of new connections.
+        Servers, firewalls and NAT devices may drop idle connections without notice; a large share has them
+        closed before use, at the cost of new connections. The share decays, so that a repeatable message
+        eventually tests whether calls are still lost.
         """
         return self.idle_loss * float(0.5 ** ((self.now - self.idle_loss_updated_at) / STALE_HALF_LIFE))
 
     def _timeout(self, message: Message, route: Route) -> int:
         """Return the time-out of this attempt."""
         cls = message.cls
-        left = max(self.settings.tick_ns, message.answer_by - self.now)  # a later answer would not count
+        left = max(self.settings.tick_ns, message.answer_by - self.now)  # later answers would not count
         usual = min(float(cls.aim_ns), self._latency_bound(route))
-        # Outlasts the connect time-out: a failed connect proves that the message did not run, a time-out
-        # doesn't.
+        # The time-out is longer than the connect time-out, as a failed connect proves that the message did
+        # not run, and a time-out doesn't.
         floor = self.settings.connect_timeout_ns + self.settings.tick_ns
-        # Heavy messages are few. If a larger share of calls than they explain is never answered, the calls
-        # are lost, and a long time-out only ties up slots.
+        # If more calls are never answered than heavy messages can explain, the calls are lost, and a long
+        # time-out only ties up slots.
         loss = min(1.0, max(0.0, self.failure_shares[1] / USUAL_LOST_SHARE - 1))
         if cls.safety is Safety.UNSAFE:
             factor = TIMEOUT_FACTOR_UNSAFE - (TIMEOUT_FACTOR_UNSAFE - TIMEOUT_FACTOR_REPEATABLE) * loss
@@ -889,7 +902,7 @@
         if event.wait_ns:
             barred = dest if not dest.separate_limits else route
             barred.retry_after_until = max(barred.retry_after_until, self.now + event.wait_ns)
-        if outcome is Outcome.REJECTED:  # the fault is the message's, not the route's: it is not tried again
+        if outcome is Outcome.REJECTED:  # the message is at fault, not the route: it is not sent again
             if not message.done and not event.closed:
                 self.actions.append(api.Fail(message.id))
                 self._finish(message)
@@ -902,9 +915,9 @@
                 and outcome in (Outcome.TIMEOUT, Outcome.RESET)
             )
             self._learn_idle_loss(call, outcome)
-            if not stale:  # a stale connection says nothing of the route
+            if not stale:  # a loss on a stale connection says nothing about the route's health
                 self._learn_outcome(route, event, sent, message.class_index)
-            # Where the number of connections is capped, an idle one keeps another forwarder from connecting.
+            # Where an endpoint caps its connections, an idle one can keep another forwarder from connecting.
             share = self.connect_failure_shares.get(dest.kind, 0.0)
             share += FAILURE_GAIN * (capped - share)
             self.connect_failure_shares[dest.kind] = share
@@ -917,7 +930,7 @@
                 message.may_have_run, message.zone = True, route.zone
                 if message.cls.safety is Safety.KEYED:
                     message.window_end = sent + message.cls.window_ns
-            # After any of these but ERROR the attempt may still be running.
+            # After TIMEOUT, RESET and CANCELLED the attempt may still be running.
             if message.cls.ordered and message.key and outcome is not Outcome.ERROR:
                 self.key_available_at = {
                     key: at for key, at in self.key_available_at.items() if at > self.now
@@ -944,13 +957,13 @@
         message.tries += 1
         backoff, first = 0, int(cls.aim_ns * FIRST_BACKOFF_AIM_SHARE)
         if outcome is Outcome.FULL or message.tries >= MAX_TRIES_PER_ROUTE:
-            # On to the next route in the fixed order; after the last, a new pass from the first.
+            # The next route in the order of preference; after the last one, the first again.
             routes, message.tries = message.dest.routes, 0
             if route in routes:
                 message.route = routes[(routes.index(route) + 1) % len(routes)]
             if route in routes and message.route is routes[0] and outcome is Outcome.FULL:
-                # All routes are full: a call at once would be refused, hold a slot and might use up the
-                # limit.
+                # All routes are full: an immediate call would be refused, hold a slot, and possibly use up
+                # part of the limit.
                 backoff = first << min(message.full_passes, 10)
                 message.full_passes += 1
         if outcome is not Outcome.FULL:
@@ -972,14 +985,14 @@
         )
         if column is not None and column < len(event.report):
             reported = event.report[column] if 0.01 < event.report[column] < 1e6 else 0.0
-            # A small difference is noise and is averaged; a larger one is a new limit and is taken as it is.
+            # A small difference is noise and is averaged; a larger one is a new limit and replaces the old.
             gain = RATE_GAIN if abs(limit.rate - reported) < RATE_NOISE_BAND * reported else 1.0
             limit.rate += gain * (reported - limit.rate)
-        remaining = UNUSED_ALLOWANCE  # share of the allowance that is left, where it is reported
+        remaining = UNUSED_ALLOWANCE  # share of the allowance that is left; assumed where not reported
         if limit.rate and remaining_column is not None and remaining_column < len(event.report):
             remaining = event.report[remaining_column]
         equal_interval = SECOND * self.settings.forwarders / self._fleet_rate(route)
-        # Refused calls may use up a limit, so the share refused at this kind sets how long to stay away.
+        # Refused calls may count against a limit: the more are refused, the longer the call interval.
         refusal_shares, refused = (
             self.refusal_shares.setdefault(route.dest.kind, [0.0, CHANCE_THRESHOLD]),
             outcome is Outcome.FULL,
@@ -993,37 +1006,37 @@
             if limit.refusals == 1:
                 limit.refused_since = self.now
             retry_after = event.wait_ns
-            # Forwarders that get the same retry-after spread their calls over one interval after it. Without
-            # load reports calls are the only information, so each waits long enough for the next to be
-            # conclusive.
+            # Forwarders that got the same retry-after spread their next calls over one interval after it.
+            # Without load reports, calls are the only source of information: the pause is so long that the
+            # outcome of the next call is conclusive.
             min_pause = self.closed_after if remaining_column is None else MIN_REFUSAL_PAUSE
             pause = self.random.random() * limit.interval if retry_after else max(min_pause, limit.interval)
             limit.theoretical_arrival = max(
                 limit.theoretical_arrival, self.now + retry_after + BURST_TOLERANCE + int(pause)
             )
-            # A limit lets calls through now and then; a closed endpoint, or a hanging one whose queue is
-            # full, refuses all.
+            # An endpoint over its limit accepts some calls; a closed one, or a hanging one with a full queue,
+            # refuses all.
             lasting = self.now - limit.refused_since >= self.closed_after
             closed = (
                 retry_after >= self.closed_after
                 or lasting
                 and (limit.rate or refusal_shares[1] ** limit.refusals < CHANCE_THRESHOLD / 2)
             )
-            # A retry-after of three times closed_after is longer than a limit's time window.
+            # A retry-after of three times closed_after is longer than the time window of any rate limit.
             if closed and (remaining >= UNUSED_ALLOWANCE or retry_after >= 3 * self.closed_after):
                 route.dest.last_trouble_at = self.now
                 for sibling in [route] if route.dest.separate_limits else [route, *route.dest.routes]:
                     sibling.failing_since = sibling.failing_since or limit.refused_since
                     self._mark_down(sibling, "refuses all")
                     if retry_after:
-                        # It recovers then, as all forwarders that got the retry-after know.
+                        # All forwarders that got the retry-after expect the recovery to begin at its end.
                         sibling.recovering_since = self.now + retry_after
             return
         failed = outcome is not Outcome.OK
         route.loss_share += LATENCY_GAIN * (
             (failed and outcome is not Outcome.CONNECT_FAILED) - route.loss_share
         )
-        # A failure that is common everywhere says little of one route, so the usual shares are kept.
+        # Failures that are common on all routes say little about one route: their usual shares are estimated.
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
         if outcome is not Outcome.CANCELLED and not (failed and (route.down or route.failures)):
             for index in (False, True):
@@ -1032,7 +1045,7 @@
                 )
         if not failed:
             if route.down and route.recovering_since is None:
-                # It was closed, not limited: from here on the ramp paces the calls.
+                # It was closed, not over its limit: from now on the slow start paces the calls.
                 limit.interval, limit.theoretical_arrival = 0.0, self.now
             limit.update(
                 self.now, False, equal_interval, 0.0, self.fleet_factor, remaining if limit.rate else 1.0
@@ -1054,15 +1067,15 @@
                     route.recovering_since, route.failing_since = None, 0
                     self._log(route, "serves again")
             return
-        # A failed connect beside calls that are answered means capped connections, not an outage.
+        # A failed connect while other calls are answered means that connections are capped; it is no outage.
         if outcome is Outcome.CONNECT_FAILED and route.last_success_at >= sent and route.inflight:
             limit.update(self.now, True, equal_interval)
             limit.theoretical_arrival = max(
                 limit.theoretical_arrival, self.now + BURST_TOLERANCE + MIN_REFUSAL_PAUSE
             )
             return
-        # If one class fails twice with other classes served in between, only that class avoids the route. The
-        # cost is one more failure for each class.
+        # If a class fails twice and other classes were served in between, only this class avoids the route.
+        # The cost is one more failure for each class.
         class_only = (
             route.last_success_at > route.failed_classes.get(class_index, (NEVER, False))[0]
             and len(route.failed_classes) == 1
@@ -1075,7 +1088,7 @@
         route.dest.failures += 1
         route.dest.last_trouble_at = self.now
         route.failing_since = route.failing_since or self.now
-        # A forwarder that calls the route seldom must act on one failure, unless chance explains it.
+        # A forwarder that calls the route seldom has to act on one failure, unless it is likely to be chance.
         seldom_called = route.last_success_at < sent - self.settings.fall_ns
         # Routes of one destination mostly fail together.
         shared = route.dest.failures > route.failures and (seldom_called or not route.dest.separate_limits)
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -1,4 +1,4 @@
-"""State that the controller keeps of calls, messages, destinations and routes; it makes no decisions."""
+"""The controller's state: calls, messages, destinations and routes. Decisions are made in control.py."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
     from snowlock.control import Limit
 
 NEVER = 1 << 62
-RESERVED_TIME_SHARE = 0.7  # of its time left, for which a message recovered untried is reserved an attempt
-NO_FAILED_CLASSES = dict[
-    int, tuple[int, bool]
-]()  # shared by routes without failures, to save memory; never mutated
+# A message recovered without attempts is not refused in favour of others during this share of its remaining
+# time.
+RESERVED_TIME_SHARE = 0.7
+# Shared by routes without failures, to save memory; never mutated.
+NO_FAILED_CLASSES = dict[int, tuple[int, bool]]()
 
 
 class Call:
-    """One call: the messages that one reply sends to one route share it, its slot and its outcome."""
+    """One call: messages that one reply sends to one route can share it, with its slot and its outcome."""
 
     def __init__(self, route: Route, sent: int, idle: int):
         self.route, self.sent = route, sent
-        self.pending = self.size = 0  # messages without an outcome yet, and all messages
-        self.idle = idle  # for how long its connection had been idle; NEVER: a new connection
+        self.pending = self.size = 0  # number of messages without an outcome yet, and of all messages
+        self.idle = idle  # idle time of its connection before the call, in ns; NEVER: a new connection
         self.counted_outcome: Outcome | None = None  # the last outcome that the estimates were updated from
 
 
@@ -39,12 +40,14 @@
         self.full_worth_until = self.deadline - cls.deadline_ns + cls.aim_ns
         self.answer_by = self.deadline - margin  # latest time for an answer, as batches come only once a tick
         self.reserved_until = now + int(RESERVED_TIME_SHARE * event.time_left_ns) if event.kept else 0
-        self.route: Route | None = None  # current place in the destination's order of routes
-        # Tries on the current route, all attempts, backoffs, passes over routes that were all full, earliest
-        # next try.
+        self.route: Route | None = None  # current position in the destination's order of routes
+        # Number of attempts on the current route, of all attempts, of backoffs, and of passes over the routes
+        # in which all were full; earliest time of the next attempt.
         self.tries = self.attempts = self.backoffs = self.full_passes = self.not_before = 0
         self.in_flight: dict[int, Call] = {}  # by attempt number
         self.may_have_run = self.done = False
+        # zone: that of the first attempt that may have run; weight: worth of a delivery within aim_ns;
+        # window_end: end of the repeat window.
         self.zone, self.weight, self.window_end, self.class_index = -1, cls.worth, NEVER, event.message_class
 
 
@@ -72,13 +75,14 @@
         self.routes: list[Route] = []
         self.queue: list[Message] = []
         self.kind = self.inflight = 0
-        self.failures = 0  # in a row, over all its routes
-        self.last_trouble_at = -NEVER  # last failure, or refusal as closed, with no answer since
+        self.failures = 0  # consecutive failures, over all its routes
+        # Time of the last failure, or refusal by a closed route; -NEVER after an answer.
+        self.last_trouble_at = -NEVER
         self.wake_at = self.max_attempts = NEVER
         # End of a retry-after, where routes share a limit; applies to routes listed later too.
         self.retry_after_until = 0
-        self.separate_limits, self.mean_latency = False, 0.0  # apart: each route has a limit of its own
-        self.limit: Limit | None = None  # shared by its routes unless apart; created with the first of them
+        self.separate_limits, self.mean_latency = False, 0.0  # separate_limits: each route has its own limit
+        self.limit: Limit | None = None  # shared by its routes unless separate_limits; None before the first
 
 
 class Route:
@@ -119,25 +123,26 @@
 
     def __init__(self, entry: api.Endpoint, dest: Destination, draw: float, limit: Limit):
         self.id, self.dest, self.zone = entry.id, dest, entry.zone
-        self.order_draw = draw  # random; divided by the rate it orders routes of equal cost
+        self.order_draw = draw  # random; routes of equal rank and cost are ordered by order_draw / rate
         self.rate, self.ready, self.rank = entry.rate, True, entry.rank
-        self.max_timeout = self.max_failures = NEVER  # bounds set by operators, if any
+        self.max_timeout = self.max_failures = NEVER  # bounds set by operators; NEVER: none
         self.limit = limit
         self.inflight = self.retry_after_until = self.failures = self.successes = 0
         self.last_call_at = self.previous_call_at = self.last_success_at = -NEVER
-        self.failing_since = 0  # first failure, or refusal as closed, since the last answer; 0: none
-        self.last_outcome_at = 0  # last outcome, or the first call in flight after it
-        self.idle_since = -NEVER  # when its last call ended and left its connection open
+        # Time of the first failure, or refusal by a closed route, since the last answer; 0: none.
+        self.failing_since = 0
+        self.last_outcome_at = 0  # time of the last outcome, or of a later call that found none in flight
+        self.idle_since = -NEVER  # end of its last call if that left the connection open, else -NEVER
         self.mean_latency = self.latency_deviation = 0.0
-        self.loss_share = 0.0  # share of its calls that may have run but brought no answer
-        # The latter: its last failure was a time-out, which held a slot for long.
+        self.loss_share = 0.0  # moving share of its calls that failed and may have run
+        # timed_out: its last failure was a time-out, which occupies a slot for long.
         self.down = self.timed_out = False
-        # By class that has failed since it was last served: when, and whether other classes were served in
-        # between.
+        # By class that has failed since the route last served it: time of the last failure, and whether the
+        # route served other classes between failures.
         self.failed_classes = NO_FAILED_CLASSES
-        self.recovering_since: int | None = (
-            None  # recovering since then, or from then on; None: not recovering
-        )
-        # By other forwarders' reports: until then no calls, or one call at a time.
+        # Start of the recovery, possibly in the future; None: not recovering.
+        self.recovering_since: int | None = None
+        # Suspension by other forwarders' reports: until then no calls, or one call at a time.
         self.suspended_until, self.one_at_a_time = 0, False
-        self.rotation_offset = zlib.crc32(entry.id) / 2**32  # shifts the turns; the same at all forwarders
+        # Shifts the turns of the forwarders at this route; the same in all forwarders.
+        self.rotation_offset = zlib.crc32(entry.id) / 2**32
