--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -46,26 +46,29 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message, independent of the protocol that it arrived by. Times are microseconds of the event loop's clock."""
+    """One message, independent of the protocol that it arrived by.
+
+    ``deadline`` and ``start`` are microseconds of the event loop's clock.
+    """
 
     trace: str  # message id given by the sender side
     cls: int  # index of its class in the settings
     tenant: int  # index of its tenant in the settings
-    dest: int
+    dest: int  # number of its destination
     deadline: int
     body: bytes
     sender: SenderSide
     key: str = ""  # idempotency key
     extra: dict[str, Any] = field(default_factory=dict)  # data of the front end, JSON-serializable
     number: int = 0  # number in the journal
-    start: int = 0  # earliest time of the first attempt; the delivery timeout starts then
+    start: int = 0  # earliest time of the first attempt, from which the delivery timeout counts; 0: at once
 
 
 @dataclass(frozen=True, slots=True)
 class EndedMessage:
     """An ended message, remembered for a while to recognize duplicate submissions."""
 
-    until: int  # time at which it is forgotten
+    until: int  # time at which it is forgotten, in microseconds of the event loop's clock
     state: str  # final state; empty where none was reported to the sender side
     fingerprint: tuple[int, int, int]
 
@@ -90,7 +93,7 @@
     defer: bool = False
     why: RefusalReason = RefusalReason.CLOSING
     text: str = ""
-    retry_after: int = DEFAULT_RETRY_AFTER
+    retry_after: int = DEFAULT_RETRY_AFTER  # of a deferred submission, in microseconds
 
     @property
     def reason(self) -> str:
@@ -108,11 +111,11 @@
     outcome: Outcome
     retry_after: int = 0  # retry-after delay in microseconds
     no_slot: bool = False  # with MOOT: the call was not forwarded, as no slot was free
-    already_answered: bool = False  # the message is answered already: no further attempt, and its end is not reported
-    report: tuple[float, ...] = ()  # figures that the endpoint reported, by column of the settings
+    already_answered: bool = False  # the message has its final answer: no further attempt, and no report of its end
+    report: tuple[float, ...] = ()  # load report of the endpoint, in the order of ``Settings.columns``
     note: str = ""
-    queued: int = 0  # queueing time before the first byte, excluded from the latency of the call
-    # With OK: the next hop has only accepted the message, and the outcome follows. Name of the outcome source in
+    queued: int = 0  # microseconds in a queue before the first byte, excluded from the latency of the call
+    # With OK, if the next hop has only accepted the message and its outcome follows: the name of the outcome source in
     # ``Courier.outcome_sources``, and the data by which that source recognizes the outcome.
     outcome_source: tuple[str, dict[str, Any]] | None = None
 
@@ -134,27 +137,27 @@
         """Report the final state, and return once the sender side has received it."""
 
     def recover(self, message: Message) -> bool:
-        """Called for each recovered message after a restart; true if the sender side holds it back for now."""
+        """Called after a restart for each recovered message; true if the sender side delays its delivery."""
 
 
 class OutcomeSource(Protocol):
     """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts.
 
-    ``awaits``: the data by which the source recognizes the outcome of the message.
+    ``awaits``: the data by which the source recognizes the outcome of a message.
     """
 
     def expect(self, message: Message, awaits: dict[str, Any]) -> None:
-        """Wait for the outcome of a message accepted by this process or before; report it by ``outcome_received``."""
+        """Wait for the message's outcome, also after a restart; report it by ``Courier.outcome_received``."""
 
     def query_outcome(self, message: Message, awaits: dict[str, Any]) -> str:
-        """The deadline is near: query the outcome, if that is possible before it, and return the final state."""
+        """Query the outcome if there is time before the deadline, which is near; returns the final state."""
 
     def stop_waiting(self, message: Message) -> None:
-        """The message no longer waits for an outcome."""
+        """Called when the message no longer waits for an outcome."""
 
 
 class _SendGuard:
-    """See ``transport_map.SendGuard``."""
+    """The ``transport_map.SendGuard`` of one delivery attempt."""
 
     __slots__ = ("_may_send", "_record_attempt")
 
@@ -170,9 +173,9 @@
 
 
 class Peers(Protocol):
-    """Optional: budgets shared with other couriers; it is also notified of accepted and ended messages.
+    """Shares budgets with other couriers, and is notified of accepted and ended messages; optional.
 
-    ``is_retry``: the call is not the first attempt of its message.
+    ``is_retry``: true unless the call is the first attempt of its message.
     """
 
     def spend_budget(self, endpoint: api.EndpointId, is_retry: bool) -> bool:
@@ -182,27 +185,27 @@
         """Wait until the budget has room for a call, at most until the given time."""
 
     def attempt_ended(self, endpoint: api.EndpointId, result: Result, sent: int) -> None:
-        """A call has ended; ``sent`` is the time at which its wait for the budget was over."""
+        """Called when a call has ended; ``sent``: the time at which its wait for the budget ended."""
 
     def message_accepted(self, message: Message) -> None:
-        """A message was accepted."""
+        """Called when a message was accepted."""
 
     def message_ended(self, message: Message, end: End) -> None:
-        """A message has reached its final state."""
+        """Called when a message has reached its final state."""
 
 
 class Hook(Protocol):
     """A plug-in called when a message arrives and when it ends."""
 
     def arrival(self, message: Message) -> Answer | None:
-        """Return an answer to defer or reject the message, or none to admit it; the message may be changed."""
+        """Return an answer that defers or rejects the message, or None to admit it; may change the message."""
 
     def end(self, message: Message, end: End) -> None:
         """Called with the final state of the message."""
 
 
 def _fingerprint(message: Message) -> tuple[int, int, int]:
-    """What has to be equal in two submissions under one id for them to be the same message."""
+    """The values that are equal in two submissions under one id if they are the same message."""
     return message.cls, message.dest, zlib.crc32(message.body, zlib.crc32(message.key.encode()))
 
 
@@ -215,25 +218,26 @@
         self.outcome_sources: dict[str, OutcomeSource] = {}  # sources of later outcomes, by name
         # Messages accepted by a next hop whose outcome is outstanding: message, name of its source, data awaited.
         self._awaiting: dict[int, tuple[Message, str, dict[str, Any]]] = {}
-        # Graceful shutdown of the front ends: each call is started as a task at SIGTERM.
+        # For the graceful shutdown of the front ends: calls that are started as tasks at SIGTERM.
         self.shutdown_tasks: list[Callable[[], None]] = []
-        self.busy_checks: list[Callable[[], bool]] = []  # true while a front end has work that delays the exit
+        self.busy_checks: list[Callable[[], bool]] = []  # each is true while a front end has work that delays the exit
         self.exit_calls: list[Callable[[], None]] = []  # called right before the exit, to close sessions in order
         self.hooks: list[Hook] = []
         self.peers: Peers | None = None
         self.map = TransportMap()
-        self.stale: dict[str, int] = {}  # sources whose list is too old to use, with retry-after delays
+        self.stale: dict[str, int] = {}  # sources whose list is too old to use: retry-after delay in microseconds
         self.ready = False
-        self.closing: int | None = None  # time of SIGTERM
+        self.closing: int | None = None  # time of SIGTERM; None before
         self._controller = Controller(settings, seed, time.time_ns() - time.monotonic_ns())
         self._events: list[api.Event] = []
         self._parked: dict[int, Suspension] = {}  # by message number: tasks that wait for the controller's next action
         self.open: dict[int, Message] = {}
         self._known: dict[str, Message | EndedMessage] = {}  # by id: open messages, and recently ended ones
         self._ended: deque[tuple[int, str]] = deque()  # expiry times and ids of the ended ones, oldest first
-        # A duplicate of a request can arrive within the longest deadline, and be processed within the longest window.
+        # Microseconds for which an ended message is remembered: duplicates can arrive until the longest deadline, and
+        # be processed until the end of the longest repeat window.
         self._remember_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS
-        self.attempts_in_flight = 0  # delivery attempts in flight
+        self.attempts_in_flight = 0
         self._last_number = max(journal.entries, default=0)
         loop.turn_end_calls.append(self._decide)
 
@@ -242,13 +246,13 @@
     def submit(self, message: Message, answer: Callable[[Answer], bool]) -> None:
         """Process one message from submission to final answer, in the calling task.
 
-        ``answer`` reports at once whether the message is accepted; it returns false if the sender side was not reached.
+        ``answer`` tells the sender side at once whether the message is accepted; it returns false if that failed.
         """
         if self.accept(message, answer):
             self._deliver(message)
 
     def accept(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
-        """Accept or refuse a message, journalled before the answer; true if this courier now owns it."""
+        """Accept or refuse a message; true if accepted. An accepted message is journalled before the answer."""
         early_answer = self._check_admission(message)
         if early_answer is not None:
             answer(early_answer)
@@ -280,10 +284,10 @@
         return True
 
     def join(self, whole: Message, parts: list[Message]) -> bool:
-        """Replace several accepted messages by one joined message; false when the journal has no room for it yet.
+        """Replace several accepted messages by one joined message; false if the journal has no room for it now.
 
-        A crash before the parts are marked done leaves them and the joined message in the journal:
-        ``whole.extra["joined"]`` has the numbers of its parts, so that ``resume`` can drop them.
+        After a crash before the parts are marked done, the journal has the parts and the joined message.
+        ``whole.extra["joined"]`` has the numbers of the parts, so that ``resume`` can drop them.
         """
         self._last_number += 1
         whole.number = self._last_number
@@ -308,12 +312,13 @@
     ) -> None:
         """Run a message's attempts as the controller decides, until its final state.
 
-        ``maybe_since_ns``: when the first earlier attempt that may have run was sent.
+        ``attempts``, ``maybe_since_ns``: number of earlier attempts, and the time at which the first of them that may
+        have run was sent.
         """
         attempt_index = attempts
         if message.start > self.loop.now:
-            parking = self._parked[message.number] = Suspension(self.loop)
-            if self.loop.park(parking, message.start) is _WITHDRAW:
+            suspension = self._parked[message.number] = Suspension(self.loop)
+            if self.loop.park(suspension, message.start) is _WITHDRAW:
                 self._end(message, End(WITHDRAWN))
                 return
             self._parked.pop(message.number, None)
@@ -412,12 +417,12 @@
         return self.peers is None or self.peers.spend_budget(endpoint, attempt_index > 0)
 
     def update_shares(self, event: api.Parts | api.Judged) -> None:
-        """Queue new shares, or a judgement of endpoints made with other couriers, for the controller."""
+        """Queue new shares, or suspensions that follow from other couriers' reports, for the controller."""
         self._events.append(event)
 
     @property
     def controller(self) -> Controller:
-        """The controller, for read access."""
+        """The controller; callers only read from it."""
         return self._controller
 
     def _save_limit(self, hop: NextHop, result: Result) -> None:
@@ -453,11 +458,11 @@
         )
 
     def awaited_outcome(self, number: int) -> dict[str, Any]:
-        """The data by which the outcome of an accepted message will be recognized."""
+        """The data by which the outcome of a message that a next hop accepted will be recognized."""
         return self._awaiting[number][2]
 
     def update_awaited_outcome(self, number: int, awaits: dict[str, Any]) -> bool:
-        """Reduce the data of ``awaited_outcome`` after a partial outcome; false, and unchanged, if not journalled."""
+        """Replace the data of ``awaited_outcome`` after a partial outcome; false, and unchanged, if not journalled."""
         message, source, _ = self._awaiting[number]
         if not self.journal.record_awaited(number, ujson.dumps({"by": source, **awaits})):
             return False
@@ -465,9 +470,9 @@
         return True
 
     def outcome_received(self, number: int, state: str) -> bool:
-        """Handle the outcome of an accepted message; false when it can't be journalled and has to be reported again."""
+        """Handle the outcome of a message; false if it can't be journalled, and has to be reported again."""
         if number not in self._awaiting:
-            return True  # it has ended already
+            return True  # the message has ended already
         message = self._awaiting[number][0]
         if not self.journal.record_end(number, state, 0):
             return False
@@ -524,11 +529,10 @@
         self.journal.record_done(message.number)
 
     def _answer_duplicate(self, message: Message, before: Message | EndedMessage) -> Answer | None:
-        """The answer to a submission under a known id; none if it is to be processed as a new message.
+        """The answer to a submission under a known id; None if it is to be processed as a new message.
 
-        A repeated submission of the same message, as after a connection closed while it was in flight, gets its first
-        answer again if the message is open or was delivered; no second copy is sent. A message that was returned may be
-        submitted again.
+        The same message submitted again, as after the loss of the connection before the answer, is answered as accepted
+        if it is open or was delivered; no second copy is sent. A message that was returned may be submitted again.
         """
         if (before.fingerprint if isinstance(before, EndedMessage) else _fingerprint(before)) != _fingerprint(message):
             return Answer(False, False, RefusalReason.DUPLICATE)
@@ -537,16 +541,16 @@
         return None if before.state == RETURNED else Answer(False, False, RefusalReason.DUPLICATE)
 
     def _check_admission(self, message: Message) -> Answer | None:
-        """The answer to a submission that is not processed; none if the message can be accepted.
+        """The answer to a submission that is not processed; None if the message can be accepted.
 
-        It is a refusal, or the answer to a duplicate, which may be ``ACCEPTED``.
+        The answer is a refusal, or that to a duplicate, which may be ``ACCEPTED``.
         """
         if self.closing is not None:
             return Answer(False, True, RefusalReason.CLOSING)
         while self._ended and self._ended[0][0] < self.loop.now:
             until, trace = self._ended.popleft()
             known = self._known.get(trace)
-            if isinstance(known, EndedMessage) and known.until == until:  # else it was submitted again since
+            if isinstance(known, EndedMessage) and known.until == until:  # else it was submitted again meanwhile
                 del self._known[trace]
         before = self._known.get(message.trace)
         if before is not None and (answer := self._answer_duplicate(message, before)) is not None:
@@ -559,7 +563,8 @@
             source = next(iter(self.stale))
             return Answer(False, True, RefusalReason.STALE, source, self.stale[source])
         if message.dest not in self.map.destinations:
-            # A list from before the start, or of a source that is disconnected, may lack destinations that exist.
+            # While a source is disconnected, or has reported nothing since the start, its list may lack destinations
+            # that exist.
             return Answer(
                 False,
                 bool(self.map.pending_sources or self.map.disconnected_sources),
@@ -594,7 +599,7 @@
             if '"joined"' in entry.text
         ]
         for number in {number for numbers in joined for number in numbers}:
-            self.journal.record_done(number)  # part of a joined message, left by a crash: see ``join``
+            self.journal.record_done(number)  # a part of a joined message that a crash left: see ``join``
         for entry in list(self.journal.entries.values()):
             try:
                 message = self._from_journal(entry)
@@ -621,7 +626,7 @@
                 source = awaits.pop("by")
                 if source in self.outcome_sources:
                     self._register_awaiting(message, source, awaits)
-                else:  # its front end is disabled now: no outcome can arrive, and the message may have run
+                else:  # the source's front end is disabled now: no outcome can arrive, and the message may have run
                     self.loop.spawn(self._end, message, End(FAILED))
                 continue
             since = None if entry.may_have_run_since is None else entry.may_have_run_since * NS
@@ -633,6 +638,7 @@
         self._drop(message, end.state)
 
     def _from_journal(self, entry: Entry) -> Message:
+        """The message of an entry; raises ``KeyError`` or ``StopIteration`` if its sender side or class is unknown."""
         text = ujson.loads(entry.text)
         cls = next(i for i, c in enumerate(self.settings.classes) if c.name == text["class"])
         tenant = next((i for i, t in enumerate(self.settings.tenants) if t.name == text["tenant"]), 0)
@@ -648,7 +654,7 @@
             text["extra"],
             entry.number,
         )
-        if "lead" in text:  # relative to the deadline, which the journal has converted to this process's clock
+        if "lead" in text:  # time from ``start`` to the deadline, which is converted to this process's clock
             message.start = entry.deadline - int(text["lead"])
         return message
 
@@ -660,7 +666,7 @@
         return known if isinstance(known, Message) else None
 
     def never_attempted(self, message: Message) -> bool:
-        """Whether no attempt can have run, is in flight, or is about to start."""
+        """Whether no attempt can have run, none is in flight, and none is about to start."""
         entry = self.journal.entries.get(message.number)
         return (
             entry is not None
@@ -671,7 +677,7 @@
         )
 
     def withdraw(self, message: Message) -> bool:
-        """End a message of which no attempt can have run; false where one may have, or is in flight."""
+        """End a message as withdrawn; false, and unchanged, unless ``never_attempted`` holds."""
         if not self.never_attempted(message):
             return False
         if message.start <= self.loop.now:
@@ -680,7 +686,7 @@
         return True
 
     def replace(self, message: Message, body: bytes, extra: dict[str, Any]) -> bool:
-        """Change a message without attempts; false where it has some, or the journal has no room."""
+        """Change body and front-end data of a message; false if it has attempts, or the journal has no room."""
         entry = self.journal.entries.get(message.number)
         if entry is None or entry.attempts or not self.never_attempted(message):
             return False
@@ -693,12 +699,12 @@
     # The controller
 
     def _next_action(self, number: int, event: api.Event, final: bool = False) -> Any:
-        """Queue an event for the controller; unless the event is final, wait for the next action on this message."""
+        """Queue an event for the controller, and wait for its next action on the message unless the event is final."""
         self._events.append(event)
         if final:
             return None
-        parking = self._parked[number] = Suspension(self.loop)
-        return self.loop.park(parking)
+        suspension = self._parked[number] = Suspension(self.loop)
+        return self.loop.park(suspension)
 
     def _decide(self) -> None:
         """Pass queued events to the controller and carry out its actions; called once per turn."""
@@ -708,7 +714,7 @@
         try:
             actions = self._controller.handle(self.loop.now * NS, events)
         except Exception:
-            # A fault in the controller must not end the process; messages that wait for a decision fail.
+            # An exception in the controller must not end the process; messages that wait for a decision fail.
             logs.error("fault", task="module", why=traceback.format_exc())
             actions = [
                 api.Fail(event.message) for event in events if isinstance(event, (api.Arrival, api.AttemptEnded))
@@ -721,9 +727,9 @@
                 )
         for action in actions:
             if isinstance(action, (api.Send, api.Refuse, api.Fail)):
-                parking = self._parked.pop(action.message, None)
-                if parking is not None:
-                    parking.resume(action)
+                suspension = self._parked.pop(action.message, None)
+                if suspension is not None:
+                    suspension.resume(action)
             elif isinstance(action, api.SetTimer):
                 self.loop.call_at(-(-action.at_ns // NS), partial(self._timer, action.token))
             elif isinstance(action, api.CloseIdle):
@@ -740,13 +746,13 @@
 
     @property
     def serving(self) -> bool:
-        """Whether submissions are accepted: started, not shutting down, and no list too old."""
+        """Whether submissions are accepted: the start is complete, no shutdown has begun, and no list is too old."""
         return self.ready and not self.stale
 
     def apply_map_update(
         self, source: str, hops: Iterable[NextHop], complete: bool = False, removed: Iterable[api.EndpointId] = ()
     ) -> None:
-        """Apply an update from one source to the transport map; ids missing from a whole list are removed."""
+        """Apply an update from one source to the transport map; ``complete``: ids not in ``hops`` are removed."""
         change = self.map.apply(source, hops, complete, removed)
         for name, fields in change.events:
             logs.error(name, **fields)
@@ -755,17 +761,17 @@
         self._events.append(
             api.EndpointList(api.ListKind.DELTA, tuple(map(self._with_journalled_state, change.endpoints)))
         )
-        # Immediately, not at the end of the turn: a task of this turn may be about to write its first byte.
+        # Decided now, not at the end of the turn, as a task of this turn may be about to send its first byte.
         self._decide()
 
     def _with_journalled_state(self, row: api.Endpoint) -> api.Endpoint:
-        """The endpoint with the limit and outage journalled before a restart."""
+        """The endpoint with its limit and outage as journalled, which are those of before a restart."""
         limit, outage = self.journal.limit(row.id), self.journal.outage(row.id)
         if limit:
             row = replace(row, limit=limit)
         if outage is not None:
             since, recovering_since = outage
-            # Positive values only: after a step of the wall clock the outage could begin in the future.
+            # At least 1, as 0 means no outage: after a step of the wall clock, the outage may begin in the future.
             row = replace(
                 row,
                 down_ns=max(1, (self.loop.now - since) * NS),
@@ -776,7 +782,7 @@
     # Shutdown
 
     def close(self) -> None:
-        """Graceful shutdown at SIGTERM: accept nothing, finish attempts in flight, leave the rest in the journal."""
+        """Begin the graceful shutdown: accept no messages, finish attempts in flight, leave the rest in the journal."""
         if self.closing is None:
             self.closing, self.ready = self.loop.now, False
             logs.event("closing", open=len(self.open), out=self.attempts_in_flight)
@@ -797,7 +803,7 @@
         self.loop.stop()
 
     def _has_work(self) -> bool:
-        """Whether work remains: an attempt in flight or possible, or a front end with an answer or notice to send."""
+        """Whether work remains: an attempt that is in flight or may still start, or a front end with work to finish."""
         assert self.closing is not None
         may_try = bool(self.journal.entries) and self.loop.now <= self.closing + LAST_ATTEMPT_START
         return bool(self.attempts_in_flight) or may_try or any(busy() for busy in self.busy_checks)
--- a/kestrelspar/core/entries.py
+++ b/kestrelspar/core/entries.py
@@ -1,4 +1,4 @@
-"""Entries of registries and of map files: validated by a schema, and converted to next hops."""
+"""Entries of registries and of map files: a schema that validates them, and their conversion to next hops."""
 
 from __future__ import annotations
 
@@ -18,7 +18,12 @@
 
 
 class Entry(Struct, omit_defaults=True, kw_only=True):
-    """One endpoint in the format of discovery, with the fields of an nginx import. ``origin``: the imported file."""
+    """One endpoint in the format of discovery, with the fields of an nginx import.
+
+    ``group``: number of the destination. ``tries``: maximum attempts of a message at the destination. ``within_ms``:
+    maximum delivery time of a message. ``max_fails``: consecutive failures that count as an outage. Of these and of the
+    time-outs, 0 means no bound. ``origin``: the imported file.
+    """
 
     name: Name
     address: Annotated[str, Meta(max_length=60)]
@@ -64,23 +69,23 @@
 def decode(value: bytes | str) -> Entry:
     """Decode an entry from JSON; ``ValueError`` names the invalid field and the expected value."""
     try:
-        found = _decoder.decode(value)
+        entry = _decoder.decode(value)
     except UnicodeDecodeError as error:
         raise ValueError("not UTF-8") from error
-    address(found.address)
-    return found
+    address(entry.address)
+    return entry
 
 
 def encode(entry: Entry) -> bytes:
-    """Encode the entry as JSON, without fields that have their default."""
+    """Encode the entry as JSON, without fields that have their default value."""
     return msgspec.json.encode(entry)
 
 
 def to_next_hop(entry: Entry, settings: api.Settings, carrier: Carrier) -> NextHop:
     """Convert an entry to a next hop; ``ValueError`` if the settings don't have its zone or type.
 
-    Without a zone, the first zone is used; without a type, the first kind whose endpoints are separate routes, or kind
-    0 if there is none.
+    An entry without a zone is in the first zone. An entry without a type has the first kind whose routes have separate
+    limits, or kind 0 if there is none.
     """
     separate_kinds = [kind for kind, is_separate in enumerate(settings.routes_apart) if is_separate]
     zone, kind = 0, separate_kinds[0] if separate_kinds else 0
@@ -112,10 +117,10 @@
 
 def with_destination_values(raw: OwnMap) -> list[Entry]:
     """The endpoints of a map, with the values of their destinations filled in."""
-    groups = {destination.group: destination for destination in raw.destinations}
-    found = []
+    destinations = {destination.group: destination for destination in raw.destinations}
+    entries = []
     for entry in raw.endpoints:
-        destination = groups.get(entry.group)
+        destination = destinations.get(entry.group)
         if destination is not None:
             entry = msgspec.structs.replace(
                 entry,
@@ -125,23 +130,23 @@
                 connect_timeout_ms=destination.connect_timeout_ms,
                 within_ms=destination.within_ms,
             )
-        found.append(entry)
-    return found
+        entries.append(entry)
+    return entries
 
 
 def read_map(path: str) -> list[Entry]:
     """Read the entries of a map file; ``ValueError`` names the file, the field and the expected value."""
     try:
         raw = msgspec.json.decode(Path(path).read_bytes(), type=OwnMap)
-        found = with_destination_values(raw)
-        for entry in found:
+        entries = with_destination_values(raw)
+        for entry in entries:
             address(entry.address)
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from error
-    names = [entry.name for entry in found]
+    names = [entry.name for entry in entries]
     duplicate = next((name for name in names if names.count(name) > 1), None) if len(set(names)) < len(names) else None
     if duplicate is not None:
         raise ValueError(f"{path}: two endpoints have the name {duplicate!r:.60}")
-    return found
+    return entries
--- a/kestrelspar/core/transport_map.py
+++ b/kestrelspar/core/transport_map.py
@@ -2,9 +2,9 @@
 
 Several sources list next hops: the platform's discovery, registries, map files of the operators, and SMPP gateways.
 An entry is owned by the source that listed its id first. Another source that lists the same id is a rival: the
-conflict is logged once, as an error with both names, and the owner's entry stays, whatever the rival reports of it.
-When the owner removes the id, a rival that still lists it takes over. A source can remove, drain or change only the
-entries that it owns, so that a reload of one source leaves the entries of the others alone.
+conflict is logged once, as an error with the names of both sources, and the owner's entry stays, whatever the rival
+reports. When the owner removes the id, a rival that still lists it becomes the owner. A source can remove, drain or
+change only the entries that it owns, so that a reload of one source leaves the entries of the others unchanged.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 
 class SendGuard(Protocol):
-    """Called right before the first byte of a delivery attempt; if false, nothing may be sent."""
+    """Called right before the first byte of a delivery attempt is sent; if it returns false, nothing may be sent."""
 
     def __call__(self) -> bool:
         """Whether the attempt may be sent; if so, it has been journalled."""
 
     def may_continue(self) -> bool:
-        """Whether the rest of a started attempt may be sent: no drain or retry-after delay since, window still open."""
+        """Whether the rest of a started attempt may be sent: no drain or retry-after since, and the window is open."""
 
 
 class Carrier(Protocol):
     """Makes delivery attempts over one protocol."""
 
     def attempt(self, message: Any, hop: NextHop, deadline: int, guard: SendGuard) -> Any:
-        """Make one delivery attempt; ``guard`` is called right before the first byte: if false, send nothing."""
+        """Make one delivery attempt; call ``guard`` right before the first byte, and send nothing if it is false."""
 
     def close_idle(self, hop: NextHop) -> None:
         """Close idle connections to the next hop."""
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NextHop:
-    """One entry of the transport map: endpoint of the decision module, and how to reach it. Times in microseconds."""
+    """One entry of the transport map: an endpoint, and how to reach it. Times are microseconds."""
 
     endpoint: api.Endpoint
     address: tuple[str, int]
     carrier: Carrier
     target: str = "/v1/messages"  # path of HTTP calls
     connect_timeout: int = NO_BOUND  # maximum time to connect
-    delivery_timeout: int = NO_BOUND  # maximum delivery time of a message, from its submission
+    delivery_timeout: int = NO_BOUND  # maximum delivery time, from a message's submission or ``start``
 
     @property
     def name(self) -> str:
@@ -65,32 +65,31 @@
 
 
 def gone(endpoint: api.Endpoint) -> api.Endpoint:
-    """The endpoint in state GONE."""
+    """A copy of the endpoint in state GONE."""
     return api.Endpoint(
         endpoint.id, endpoint.destination, endpoint.zone, endpoint.kind, api.EndpointState.GONE, endpoint.rate
     )
 
 
 class TransportMap:
-    """All entries by id, each with its owner and the rivals that list it, too."""
+    """All entries by id, each with its owner, and with the rivals that also list it."""
 
     def __init__(self) -> None:
         self.hops: dict[api.EndpointId, NextHop] = {}
         self.destinations: set[int] = set()  # destinations that were ever listed
         self.pending_sources: set[str] = set()  # sources that have reported nothing since the start
-        self.disconnected_sources: set[str] = (
-            set()
-        )  # disconnected sources: their lists may lack entries that have existed for a while
+        # Sources whose connection is lost: their lists may lack entries that have existed for a while.
+        self.disconnected_sources: set[str] = set()
         self._owner: dict[api.EndpointId, str] = {}
         self._rivals: dict[api.EndpointId, dict[str, NextHop]] = {}
         self._bounds: dict[int, dict[api.EndpointId, int]] = {}  # by destination: finite ``delivery_timeout`` values
 
     def owner(self, name: api.EndpointId) -> str | None:
-        """The source that owns the entry."""
+        """The source that owns the entry with this id; None if there is no such entry."""
         return self._owner.get(name)
 
     def delivery_timeout(self, dest: int) -> int:
-        """The smallest maximum delivery time among the entries of a destination, in microseconds."""
+        """The smallest ``delivery_timeout`` of a destination's entries in microseconds; ``NO_BOUND`` without one."""
         bounds = self._bounds.get(dest)
         return min(bounds.values()) if bounds else NO_BOUND
 
@@ -102,10 +101,10 @@
     def apply(
         self, source: str, hops: Iterable[NextHop], complete: bool = False, removed: Iterable[api.EndpointId] = ()
     ) -> MapUpdate:
-        """Apply an update from one source: changed entries and removed ids; ``complete``: ids not in ``hops`` are
-        removed.
+        """Apply an update from one source: changed entries and removed ids.
 
-        Removals come first, so that an id that a source removes and lists again in one update is kept.
+        ``complete``: ids that the source has listed and that are not in ``hops`` are removed, too. Removals come first,
+        so that an id that is removed and listed again in one update stays.
         """
         change, hops = MapUpdate(), list(hops)
         if complete:
