--- a/kestrelspar/journal/read.py
+++ b/kestrelspar/journal/read.py
@@ -1,7 +1,8 @@
 """Read-only decoding of a journal for operators: the history of each message, and damaged records. No I/O.
 
-The store keeps only what the courier needs. This module keeps everything in the file: ended messages until compaction
-removes their records, each attempt with its time, and the offsets of damaged records. Times are Unix microseconds.
+The store keeps only what the courier needs. This module reports everything in the file, including ended messages until
+compaction removes their records, the time of each attempt, and the offsets of damaged records. Times are Unix
+microseconds.
 """
 
 from __future__ import annotations
@@ -35,13 +36,13 @@
     """One delivery attempt; ``ran`` is false if its outcome proved that it never ran."""
 
     index: int
-    at: int | None  # None if only its NOT_RUN record is there
+    at: int | None  # time; None if the journal has only its NOT_RUN record
     ran: bool = True
 
 
 @dataclass(slots=True)
 class History:
-    """All that the journal has on one message."""
+    """All records of one message."""
 
     number: int
     fields: dict[str, Any]  # JSON object of the TAKEN record
@@ -49,10 +50,10 @@
     deadline: int
     attempts: dict[int, Attempt] = field(default_factory=dict)
     awaits: dict[str, Any] | None = None
-    end: str = ""
-    after_ms: int = 0
-    done: bool = False  # DONE: no further report is needed
-    replaced: int = 0  # number of changes before its first attempt
+    end: str = ""  # final state; empty: not decided
+    after_ms: int = 0  # retry-after delay of a returned message
+    done: bool = False  # no further report is needed (DONE record)
+    replaced: int = 0  # number of times that its content was replaced before its first attempt
 
     @property
     def trace(self) -> str:
@@ -61,7 +62,7 @@
 
     @property
     def state(self) -> str:
-        """The state for reports: open, may-have-run, accepted, ended, or the final state."""
+        """The state for reports: open, may-have-run, accepted, the final state, or ended if that is unknown."""
         if self.done or self.end:
             return self.end or "ended"
         if self.awaits is not None:
@@ -73,7 +74,7 @@
 class Fault:
     """Damaged bytes, or a record with an invalid payload or kind."""
 
-    at: int
+    at: int  # offset in the file
     description: str
 
 
@@ -81,14 +82,14 @@
 class JournalContent:
     """The decoded content of a journal."""
 
-    size: int
+    size: int  # bytes of the file
     histories: dict[int, History] = field(default_factory=dict)
-    ended: dict[str, tuple[int, str]] = field(default_factory=dict)  # retained final states, by name: expiry time, text
+    ended: dict[str, tuple[int, str]] = field(default_factory=dict)  # retained on ended messages, by name: expiry, text
     limits: dict[bytes, float] = field(default_factory=dict)  # by endpoint: last reported limit, calls per second
     kinds: Counter[str] = field(default_factory=Counter)  # number of records, by kind
     bytes: Counter[str] = field(default_factory=Counter)  # bytes of records, by kind
     faults: list[Fault] = field(default_factory=list)
-    torn: int = 0  # bytes after the last record: an interrupted write, or one in progress
+    torn: int = 0  # bytes after the last record, of a write that was interrupted or is in progress
 
     @property
     def open(self) -> list[History]:
@@ -97,46 +98,48 @@
 
 
 def read(data: bytes) -> JournalContent:
-    """Decode all records. Damaged ones are listed as faults and skipped; bytes after the last one count as torn."""
-    found, at, offset = JournalContent(len(data)), 0, 0
+    """Decode all records. Damaged ones are skipped and listed as faults; bytes after the last record count as torn."""
+    content, at, offset = JournalContent(len(data)), 0, 0
     for scanned in records.scan(data):
         at = scanned.end
         if scanned.fault:
-            found.faults.append(Fault(scanned.at, scanned.fault))
+            content.faults.append(Fault(scanned.at, scanned.fault))
             continue
         try:
-            offset = _apply(found, scanned.kind, scanned.number, scanned.payload, offset)
-            found.kinds[KINDS[scanned.kind]] += 1
-            found.bytes[KINDS[scanned.kind]] += scanned.end - scanned.at
+            offset = _apply(content, scanned.kind, scanned.number, scanned.payload, offset)
+            content.kinds[KINDS[scanned.kind]] += 1
+            content.bytes[KINDS[scanned.kind]] += scanned.end - scanned.at
         except (ValueError, struct.error, KeyError) as error:
-            what = KINDS.get(scanned.kind, f"unknown kind {scanned.kind}")
-            found.faults.append(Fault(scanned.at, f"{what} of number {scanned.number} is invalid: {error!r:.80}"))
-    found.torn = len(data) - at
-    return found
+            kind_name = KINDS.get(scanned.kind, f"unknown kind {scanned.kind}")
+            content.faults.append(
+                Fault(scanned.at, f"{kind_name} of number {scanned.number} is invalid: {error!r:.80}")
+            )
+    content.torn = len(data) - at
+    return content
 
 
-def _apply(found: JournalContent, kind: int, number: int, payload: bytes, offset: int) -> int:
-    """Apply one record; returns the clock offset to add to the times of the following records."""
+def _apply(content: JournalContent, kind: int, number: int, payload: bytes, offset: int) -> int:
+    """Apply one record; returns the offset from the writer's clock to Unix time, for the records that follow."""
     if kind == CLOCK:
         return int(struct.unpack("<q", payload)[0])
     if kind == ENDED:
         until, size = struct.unpack_from("<qI", payload)
-        found.ended[payload[12 : 12 + size].decode()] = until, payload[12 + size :].decode()
+        content.ended[payload[12 : 12 + size].decode()] = until, payload[12 + size :].decode()
         return offset
     if kind == OUTAGE:
         return offset
     if kind == LIMIT:
-        found.limits[payload[records.LIMIT_FIELDS.size :]] = records.LIMIT_FIELDS.unpack_from(payload)[1]
+        content.limits[payload[records.LIMIT_FIELDS.size :]] = records.LIMIT_FIELDS.unpack_from(payload)[1]
         return offset
     if kind == TAKEN:
         deadline, size = struct.unpack_from("<qI", payload)
-        told = ujson.loads(payload[12 : 12 + size])
-        before = found.histories.get(number)
-        found.histories[number] = History(number, told, payload[12 + size :], deadline + offset)
+        fields = ujson.loads(payload[12 : 12 + size])
+        before = content.histories.get(number)
+        content.histories[number] = History(number, fields, payload[12 + size :], deadline + offset)
         if before is not None:
-            found.histories[number].replaced = before.replaced + 1
+            content.histories[number].replaced = before.replaced + 1
         return offset
-    history = found.histories[number]
+    history = content.histories[number]
     if kind == DONE:
         history.done = True
     elif kind == AWAITS:
@@ -155,16 +158,16 @@
 
 
 def row(history: History, with_body: bool = False) -> dict[str, Any]:
-    """A message as a JSON object, for audits."""
-    told = history.fields
+    """A message as a JSON object, for audits; fields without a value are omitted."""
+    fields = history.fields
     result: dict[str, Any] = {
         "number": history.number,
         "trace": history.trace,
-        "class": told.get("class"),
-        "tenant": told.get("tenant"),
-        "dest": told.get("dest"),
-        "sender": told.get("sender"),
-        "key": told.get("key") or None,
+        "class": fields.get("class"),
+        "tenant": fields.get("tenant"),
+        "dest": fields.get("dest"),
+        "sender": fields.get("sender"),
+        "key": fields.get("key") or None,
         "state": history.state,
         "over": history.done,
         "deadline": history.deadline,
--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -1,8 +1,8 @@
 """Encoding and decoding of journal records. No I/O.
 
-Layout of a record: payload size and CRC-32 of the rest (4 bytes each, little-endian), kind (1), message number (8),
-payload. Times are microseconds of the monotonic clock of the process that wrote them; a CLOCK record has the offset
-from that clock to the wall clock. The payloads are described in docs/design/journal.md.
+Layout of a record, little-endian: payload size in bytes (4 bytes), CRC-32 of all that follows it (4), kind (1), message
+number (8), payload. Times are microseconds of the monotonic clock of the process that wrote them; a CLOCK record has
+the offset from that clock to the wall clock. The payloads are described in docs/design/journal.md.
 """
 
 from __future__ import annotations
@@ -12,12 +12,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-HEAD = struct.Struct("<IIBQ")  # payload size, checksum of the rest, kind, message number
+HEAD = struct.Struct("<IIBQ")  # payload size, checksum of what follows it, kind, message number
 ATTEMPT_FIELDS = struct.Struct("<Hq")  # attempt index, time
-LIMIT_FIELDS = struct.Struct("<qd")  # expiry time, calls per second
-OUTAGE_FIELDS = struct.Struct("<qqq")  # expiry time, start of the outage, start of the recovery
+LIMIT_FIELDS = struct.Struct("<qd")  # expiry (Unix time in microseconds), calls per second
+OUTAGE_FIELDS = struct.Struct("<qqq")  # expiry, start of the outage, start of the recovery (Unix microseconds)
 MAX_PAYLOAD = 96 * 1024  # bytes
-# Kinds of records; LEFT stands only in the separate files of removal_log.py.
+# Kinds of records. TAKEN: a message was accepted; AWAITS: the next hop accepted it, and its outcome follows; VERDICT:
+# its final state is decided; DONE: it needs no further report. ENDED: text retained on an ended message. LEFT: removals
+# and drains, written only to the files of removal_log.py.
 CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(1, 11)
 OUTAGE = 11
 KNOWN_KINDS = range(CLOCK, OUTAGE + 1)
@@ -33,28 +35,28 @@
     deadline: int
     attempts: int = 0
     may_have_run_since: int | None = None  # start of the first attempt that may have run
-    verdict: str = ""  # final state that is decided, and may not have been reported to the sender side
-    after_ms: int = 0
-    awaits: str = ""  # JSON data of the outcome that an accepted message waits for
-    _unresolved: dict[int, int] = field(default_factory=dict)  # start times of attempts that may have run
+    verdict: str = ""  # decided final state, which may not have been reported to the sender side yet; empty: none
+    after_ms: int = 0  # retry-after delay of a returned message
+    awaits: str = ""  # JSON data by which the awaited outcome is recognized; empty: none is awaited
+    _unresolved: dict[int, int] = field(default_factory=dict)  # by attempt index: start, if it may have run
 
     def attempted(self, index: int, sent: int) -> None:
-        """Record that an attempt is sent."""
+        """Record that an attempt is about to be sent."""
         self.attempts = max(self.attempts, index + 1)
         self._unresolved[index] = sent
-        self._update_maybe_since()
+        self._update_may_have_run_since()
 
     def not_run(self, index: int) -> None:
         """Record that an attempt never ran, as its outcome proved."""
         self.attempts = max(self.attempts, index + 1)
         self._unresolved.pop(index, None)
-        self._update_maybe_since()
+        self._update_may_have_run_since()
 
-    def _update_maybe_since(self) -> None:
+    def _update_may_have_run_since(self) -> None:
         self.may_have_run_since = min(self._unresolved.values(), default=None)
 
     def records(self) -> bytes:
-        """All records of the entry, as compaction writes them."""
+        """The records that compaction writes for the entry."""
         parts = [record(TAKEN, self.number, taken_payload(self.deadline, self.text, self.body))]
         if self.attempts and self.attempts - 1 not in self._unresolved:
             parts.append(record(NOT_RUN, self.number, ATTEMPT_FIELDS.pack(self.attempts - 1, 0)))
@@ -68,9 +70,9 @@
 
 
 def taken_payload(deadline: int, text: str, body: bytes) -> bytes:
-    """Payload of TAKEN: deadline (8 bytes), size of the text (4), the text as JSON, the body."""
-    head = text.encode()
-    return struct.pack("<qI", deadline, len(head)) + head + body
+    """Payload of TAKEN: deadline (8 bytes), size of the text in bytes (4), the text (JSON), the body."""
+    encoded_text = text.encode()
+    return struct.pack("<qI", deadline, len(encoded_text)) + encoded_text + body
 
 
 def verdict_payload(state: str, after_ms: int) -> bytes:
@@ -79,19 +81,23 @@
 
 
 def ended_record(name: str, until: int, text: str) -> bytes:
-    """A retained ended message: expiry (Unix time, 8 bytes), size of the name (4), name, text."""
+    """Record of a text retained on an ended message.
+
+    Payload: expiry (Unix microseconds, 8 bytes), size of the name in bytes (4), name, text.
+    """
     return record(ENDED, 0, struct.pack("<qI", until, len(name.encode())) + name.encode() + text.encode())
 
 
 def limit_record(endpoint: bytes, until: int, rate: float) -> bytes:
-    """A rate limit reported by an endpoint: expiry (Unix time, 8 bytes), calls per second (8), endpoint id."""
+    """Record of an endpoint's rate limit: expiry (Unix microseconds, 8 bytes), calls per second (8), endpoint id."""
     return record(LIMIT, 0, LIMIT_FIELDS.pack(until, rate) + endpoint)
 
 
 def outage_record(endpoint: bytes, until: int, since: int, recovering_since: int) -> bytes:
-    """An outage of an endpoint, as Unix times (8 bytes each): expiry, start, and start of the recovery; endpoint id.
+    """Record of an endpoint's outage.
 
-    The start of the recovery is 0 if it has not begun; all times are 0 if the endpoint serves again.
+    Payload: expiry, start, and start of the recovery (Unix microseconds, 8 bytes each), endpoint id. The start of the
+    recovery is 0 if it has not begun; all times are 0 if the endpoint serves again.
     """
     return record(OUTAGE, 0, OUTAGE_FIELDS.pack(until, since, recovering_since) + endpoint)
 
@@ -104,10 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScannedRecord:
-    """A valid record, or, with a ``fault``, a damaged range of bytes."""
+    """A valid record, or a damaged range of bytes, which ``fault`` describes."""
 
-    at: int
-    end: int
+    at: int  # offset of its first byte
+    end: int  # offset after its last byte
     kind: int = 0
     number: int = 0
     payload: bytes = b""
@@ -118,9 +124,9 @@
     """The end offset of the valid record that begins at ``at``; 0 if there is none."""
     if at + HEAD.size > len(data):
         return 0
-    size, check, kind, _ = HEAD.unpack_from(data, at)
+    size, checksum, kind, _ = HEAD.unpack_from(data, at)
     end = int(at + HEAD.size + size)
-    if size > MAX_PAYLOAD or end > len(data) or zlib.crc32(memoryview(data)[at + 8 : end]) != check:
+    if size > MAX_PAYLOAD or end > len(data) or zlib.crc32(memoryview(data)[at + 8 : end]) != checksum:
         return 0
     return end
 
@@ -128,10 +134,10 @@
 def scan(data: bytes) -> Iterator[ScannedRecord]:
     """Yield all records in order, and the damaged ranges before and between them.
 
-    Bytes at the end without a valid record after them are a torn write and are not reported, unless their length field
-    points exactly to the end. The length field may itself be damaged, and must not hide later records: it is used to
-    skip a damaged record only if a valid record or the end of the data follows there. Otherwise the next valid record
-    is searched byte by byte.
+    Invalid bytes that no valid record follows are a torn write. They are not reported, unless their length field points
+    exactly to the end of the data. As the length field of a damaged record may be damaged, too, it is used to skip the
+    record only if a valid record or the end of the data follows there. Otherwise the next valid record is searched byte
+    by byte, so that none is hidden.
     """
     at = 0
     while at + HEAD.size <= len(data):
--- a/kestrelspar/journal/removal_log.py
+++ b/kestrelspar/journal/removal_log.py
@@ -1,11 +1,13 @@
 """Removals and drains reported by a source since its saved list was written.
 
-A start without its source uses the last saved list: a registry's state file, or ``known`` in the platform's settings.
-That list is older than the last report, so that a removal or drain in between would be undone. Each one is therefore
-written here in the turn that reported it, by a plain write, which survives a SIGKILL. The file consists of records in
-the journal's format, each with rows of key, state and number. The number is the source's revision at the time; rows up
-to the revision of a newer saved list are dropped. An entry that is ready again is written only if its removal or drain
-is still on file. The file is bounded: rows that don't fit are logged, and never stop the courier.
+If a source can't be reached at the start, its last saved list is used: a registry's state file, or ``known`` in the
+platform's settings. That list may be older than the last report, and would undo a removal or drain in between. Each
+removal or drain is therefore written here in the turn that reported it, by a plain write, which survives a SIGKILL.
+
+The file consists of records in the journal's format, each with rows of key, state and the source's revision at the
+time. When a newer list is saved, the rows up to its revision are dropped. That an entry is ready again is written only
+if its removal or drain is still on file. The size of the file is limited: rows that don't fit are logged, and never
+stop the courier.
 """
 
 from __future__ import annotations
@@ -21,30 +23,31 @@
 from kestrelspar.runtime import files, logs
 from snowlock.interface import EndpointState
 
-BATCH = 200  # rows per record
+ROWS_PER_RECORD = 200
 BLOCK = 512  # bytes per disk block
 State = EndpointState
-Row = tuple[str, State, int]  # key, state, revision at which it was reported
+Row = tuple[str, State, int]  # key, state, revision of the source at which the state was reported
 
 
 class RemovalLog:
     """Keys that a source reported as gone or draining, newest last."""
 
     def __init__(self, file: Path, max_bytes: int, forget: bool = False) -> None:
-        """``max_bytes``: maximum file size in bytes.
+        """Load the file, if there is one.
 
-        ``forget``: drop the oldest rows there, else ``record`` returns false.
+        ``max_bytes``: maximum file size in bytes. ``forget``: if the rows don't fit, drop the oldest; otherwise
+        ``record`` returns false.
         """
         self.file, self.max_bytes, self._drop_oldest = file, max_bytes, forget
-        self.rows_by_key: dict[str, tuple[int, State]] = {}  # revision and state
+        self.rows_by_key: dict[str, tuple[int, State]] = {}  # by key: revision and state
         self.revision = 0  # highest revision recorded so far
         self.incomplete = False  # the file lacks some reported rows
-        self._size = 0
+        self._size = 0  # bytes of the file, without a torn end
         self._load()
 
     @staticmethod
     def max_disk_usage(max_bytes: int) -> int:
-        """Maximum disk usage: the file and its replacement, in whole blocks."""
+        """Maximum disk usage in bytes: the file and its replacement, each in whole disk blocks."""
         return 2 * (-(-max_bytes // BLOCK) * BLOCK) if max_bytes else 0
 
     def _load(self) -> None:
@@ -61,27 +64,27 @@
                 if scanned.fault or scanned.kind != records.LEFT:
                     raise ValueError(scanned.fault or f"kind {scanned.kind}")
                 rows = msgspec.msgpack.decode(zlib.decompress(scanned.payload), type=list[tuple[str, int, int]])
-                self._apply([(key, State(state), number) for key, state, number in rows])
+                self._apply([(key, State(state), revision) for key, state, revision in rows])
             except (ValueError, zlib.error, msgspec.MsgspecError) as error:
                 logs.error("map-left-bad-record", file=self.file.name, at=scanned.at, why=f"{error!r:.100}")
             self._size = scanned.end
 
     def _apply(self, rows: list[Row]) -> None:
-        for key, state, number in rows:
+        for key, state, revision in rows:
             self.rows_by_key.pop(key, None)
             if state is not State.READY:
-                self.rows_by_key[key] = number, state
-            self.revision = max(self.revision, number)
+                self.rows_by_key[key] = revision, state
+            self.revision = max(self.revision, revision)
 
-    def since(self, number: int) -> dict[str, State]:
-        """The states reported after this revision."""
-        return {key: state for key, (at, state) in self.rows_by_key.items() if at > number}
+    def since(self, revision: int) -> dict[str, State]:
+        """By key, the removals and drains reported after this revision."""
+        return {key: state for key, (reported_at, state) in self.rows_by_key.items() if reported_at > revision}
 
-    def record(self, rows: dict[str, State], number: int | None = None) -> bool:
-        """Record reported states at the source's revision, or the next number; false if not all rows are on file."""
-        number = self.revision + 1 if number is None else number
+    def record(self, rows: dict[str, State], revision: int | None = None) -> bool:
+        """Record states, by key, reported at a revision (default: the next one); false if not all rows are on file."""
+        revision = self.revision + 1 if revision is None else revision
         changes = [
-            (key, state, number)
+            (key, state, revision)
             for key, state in rows.items()
             if self.rows_by_key.get(key, (0, State.READY))[1] is not state
         ]
@@ -93,15 +96,15 @@
             return self._write()
         return self._try_write(lambda: self._append(data))
 
-    def drop_through(self, number: int) -> None:
-        """Drop the rows up to this revision: the saved list contains them."""
-        remaining = {key: row for key, row in self.rows_by_key.items() if row[0] > number}
+    def drop_through(self, revision: int) -> None:
+        """Drop the rows up to and including this revision, as the saved list contains them."""
+        remaining = {key: row for key, row in self.rows_by_key.items() if row[0] > revision}
         if len(remaining) < len(self.rows_by_key) or self.incomplete:
             self.rows_by_key = remaining
             self._write()
 
     def clear(self) -> None:
-        """Drop all rows and the file."""
+        """Drop all rows and delete the file."""
         self.rows_by_key, self._size, self.incomplete = {}, 0, False
         self.file.unlink(missing_ok=True)
 
@@ -125,10 +128,10 @@
         return self._try_write(lambda: self._replace(data))
 
     def _encode_all(self) -> bytes:
-        return _encode([(key, state, number) for key, (number, state) in self.rows_by_key.items()])
+        return _encode([(key, state, revision) for key, (revision, state) in self.rows_by_key.items()])
 
     def _try_write(self, write: Callable[[], None]) -> bool:
-        """Run a write; a failure is logged once."""
+        """Run a write; false if it fails. Consecutive failures are logged once."""
         try:
             write()
         except OSError as error:
@@ -160,7 +163,9 @@
 
 def _encode(rows: list[Row]) -> bytes:
     parts = [
-        msgspec.msgpack.encode([(key, int(state), number) for key, state, number in rows[at : at + BATCH]])
-        for at in range(0, len(rows), BATCH)
+        msgspec.msgpack.encode(
+            [(key, int(state), revision) for key, state, revision in rows[at : at + ROWS_PER_RECORD]]
+        )
+        for at in range(0, len(rows), ROWS_PER_RECORD)
     ]
     return b"".join(records.record(records.LEFT, 0, zlib.compress(part, 1)) for part in parts)
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -1,7 +1,8 @@
 """The journal in the state directory: accepted messages, their delivery attempts and their final states.
 
-Append-only records, each with its length and checksum, written without fsync. Compaction writes the open messages to a
-second file and renames it over the first; both together stay within the size limit of the directory.
+The file is a sequence of appended records, each with its length and checksum, written without fsync. Compaction writes
+the data that is still needed to a second file and renames it over the first; both files together stay within the size
+limit.
 """
 
 from __future__ import annotations
@@ -28,16 +29,16 @@
 from kestrelspar.runtime import logs
 
 BLOCK = 512  # bytes per disk block
-MAX_ENDED_SHARE = 0.25  # share of the size limit for ended messages; the oldest are dropped first
+MAX_ENDED_SHARE = 0.25  # maximum share of the size limit for ended messages; the oldest are dropped first
 RESERVED_PER_MESSAGE = 256  # bytes reserved for the final records of each open message
 RESERVED_PER_ATTEMPT = 64  # bytes reserved for each attempt: its ATTEMPT and NOT_RUN records
 MAX_LOGGED_BAD_RECORDS = 10  # damaged records that are logged one by one; further ones are only counted
 # Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again.
 RETENTION, LIMIT_REWRITE_INTERVAL = 60_000_000, 5_000_000
-MAX_ENDPOINTS = 256  # endpoints whose limit, or outage, is retained: the most recently reported ones
-# Microseconds: recorded times are shifted if the clock offset of the process that wrote them differs by at least this
-# from ours; less is a correction of the wall clock. After a restart of the machine the monotonic clock begins anew, so
-# recorded times are shifted back.
+MAX_ENDPOINTS = 256  # number of limits, and of outages, that are retained: the most recently reported ones
+# Microseconds. Recorded times are shifted back or forward if the clock offset of the process that wrote them differs
+# from ours by at least this; a smaller difference is a correction of the wall clock. After a restart of the machine the
+# monotonic clock begins anew, so that recorded times are shifted back.
 MIN_SHIFT_BACK = 2_000_000
 MIN_SHIFT_FORWARD = 3_600_000_000
 
@@ -47,28 +48,32 @@
 
 
 class Journal:
-    """The open messages, and the file that preserves them over restarts."""
+    """The open messages, and the file that preserves them across restarts.
+
+    Also preserved: texts on ended messages, and rate limits and outages of endpoints.
+    """
 
     def __init__(self, state_directory: str, max_bytes: int, attempts: int = 8) -> None:
         self._path, self._max_bytes = Path(state_directory) / "journal", max_bytes
         self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * attempts
         self._new_path = Path(state_directory) / "journal.new"
         self.entries: dict[int, Entry] = {}
-        self._live = 0  # bytes of a compacted file, plus the room reserved for later records
-        self._weights: dict[int, int] = {}  # by message number: bytes of its records, and the room reserved
-        self._ended: dict[str, tuple[int, str]] = {}  # by message id: expiry (Unix time, microseconds), text
-        self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (as above), calls per second
-        self._outages: dict[bytes, tuple[int, int, int]] = {}  # by endpoint: expiry, start, start of recovery
-        self._ended_live = 0  # bytes of the ended messages in a compacted file
-        self._size = 0  # bytes of the file
-        self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # from monotonic to Unix time
-        self._new_path.unlink(missing_ok=True)  # left by a compaction that was interrupted before its rename
+        self._live = 0  # size of a compacted file in bytes, plus the room reserved for later records
+        self._weights: dict[int, int] = {}  # by message number: its share of ``_live`` in bytes
+        self._ended: dict[str, tuple[int, str]] = {}  # by name: expiry (Unix microseconds), text
+        self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (Unix microseconds), calls per second
+        # By endpoint, in Unix microseconds: expiry, start of the outage, start of the recovery.
+        self._outages: dict[bytes, tuple[int, int, int]] = {}
+        self._ended_live = 0  # bytes of the records of ended messages in a compacted file
+        self._size = 0  # bytes of the file, without a torn tail
+        self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000  # microseconds from monotonic to Unix time
+        self._new_path.unlink(missing_ok=True)  # left by a compaction interrupted before its rename
         self._load()
         self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT, 0o600)
         os.lseek(self._file, self._size, os.SEEK_SET)
         os.ftruncate(self._file, self._size)
         if not self._compact() and not self._size:
-            self._append(self._clock())  # else a later process could not convert the times of this one
+            self._append(self._clock())  # needed by a later process to convert the times of this one
 
     def _clock(self) -> bytes:
         return records.record(CLOCK, 0, struct.pack("<q", self._offset))
@@ -94,7 +99,7 @@
         self._size = at
 
     def _replay(self, kind: int, number: int, payload: bytes, shift: int) -> int:
-        """Apply one record; returns the clock shift to add to the times of the following records."""
+        """Apply one record; returns the shift in microseconds to add to the times of the records that follow."""
         if kind == ENDED:
             until, size = struct.unpack_from("<qI", payload)
             self._add_ended(payload[12 : 12 + size].decode(), until, payload[12 + size :].decode())
@@ -108,8 +113,9 @@
             return shift
         if kind == CLOCK:
             step = int(struct.unpack("<q", payload)[0]) - self._offset
-            # A positive step means that the wall clock was set back, which must not extend deadlines and windows. A
-            # negative one means a restart of the machine, or a wall clock set forward.
+            # A positive step below MIN_SHIFT_FORWARD means that the wall clock was set back, which must not extend
+            # deadlines and windows. A negative step means that the machine was restarted, or that the wall clock was
+            # set forward.
             return 0 if -MIN_SHIFT_BACK < step < MIN_SHIFT_FORWARD else step
         if kind == TAKEN:
             deadline, size = struct.unpack_from("<qI", payload)
@@ -129,7 +135,7 @@
         return shift
 
     def _add(self, entry: Entry) -> None:
-        self._drop_entry(entry.number)  # a replaced message has a second TAKEN record
+        self._drop_entry(entry.number)  # a message whose content was replaced has a second TAKEN record
         weight = len(entry.records()) + self._reserved
         self.entries[entry.number] = entry
         self._weights[entry.number] = weight
@@ -148,7 +154,7 @@
             self._live -= size
 
     def retain_ended(self, name: str, text: str, retention: int) -> None:
-        """Retain a text on an ended message for so many microseconds, over restarts, if there is room."""
+        """Retain a text on an ended message across restarts for ``retention`` microseconds, if there is room."""
         now = time.time_ns() // 1000
         record = records.ended_record(name, now + retention, text)
         while self._ended and (
@@ -160,14 +166,14 @@
             self._add_ended(name, now + retention, text)
 
     def ended(self, name: str) -> str | None:
-        """The retained text on an ended message; none if it has expired."""
+        """The retained text on an ended message; None if there is none, or it has expired."""
         until, text = self._ended.get(name, (0, ""))
         return text if until > time.time_ns() // 1000 else None
 
     def record_limit(self, endpoint: bytes, rate: float) -> None:
-        """Retain the rate limit reported by an endpoint, in calls per second, over restarts, if there is room.
+        """Retain the rate limit of an endpoint, in calls per second, across restarts, if there is room.
 
-        Every answer may report the limit, so it is written only if it changed by more than a tenth, or if the last
+        As every answer may report the limit, it is written only if it changed by more than a tenth, or if the last
         record is older than ``LIMIT_REWRITE_INTERVAL``.
         """
         now = time.time_ns() // 1000
@@ -180,7 +186,7 @@
 
     def _add_limit(self, endpoint: bytes, until: int, rate: float) -> None:
         if endpoint in self._limits:
-            self._drop_limit(endpoint)  # moves it to the end: the least recently reported limit is dropped first
+            self._drop_limit(endpoint)  # its new entry is the last: the least recently reported limit is dropped first
         elif len(self._limits) >= MAX_ENDPOINTS:
             self._drop_limit(next(iter(self._limits)))
         self._limits[endpoint] = until, rate
@@ -195,10 +201,10 @@
         return rate if until > time.time_ns() // 1000 else 0.0
 
     def record_outage(self, endpoint: bytes, outage: tuple[int, int | None] | None) -> None:
-        """Retain when an outage of an endpoint and its recovery began (monotonic clock); None: it serves again.
+        """Retain an endpoint's outage across restarts, if there is room; None: the endpoint serves again.
 
-        Retained over restarts, if there is room. It is written when it changed, and again before it expires while the
-        outage lasts.
+        ``outage``: start of the outage, and of the recovery or None, in microseconds of the monotonic clock. The record
+        is written when it has changed, and again before it expires while the outage lasts.
         """
         known, now = self._outages.get(endpoint), time.time_ns() // 1000
         if outage is None:
@@ -226,7 +232,7 @@
         self._live -= len(records.outage_record(endpoint, *self._outages.pop(endpoint)))
 
     def outage(self, endpoint: bytes) -> tuple[int, int | None] | None:
-        """When an endpoint's retained outage and its recovery began (monotonic clock); None if no outage is known."""
+        """The retained outage of an endpoint, as in ``record_outage``; None if there is none."""
         until, since, recovering_since = self._outages.get(endpoint, (0, 0, 0))
         if until <= time.time_ns() // 1000:
             return None
@@ -237,16 +243,16 @@
             self._live -= self._weights.pop(number)
 
     def _fits(self, more: int) -> bool:
-        """Whether the file, grown by ``more`` bytes, and a compacted copy of it stay within the limit.
+        """Whether the file with ``more`` bytes appended, and a compacted copy of it, stay within the limit.
 
-        Counts the room reserved for later records of open messages. Otherwise the file could fill up with live data,
-        and no record of a final state would fit any more.
+        The room reserved for later records of open messages counts as used. Otherwise the file could fill up with live
+        data, and no record of a final state would fit any more.
         """
         grown = max(self._size, self._live) + more
         return _blocks(grown) + _blocks(self._live + more + BLOCK) + BLOCK <= self._max_bytes
 
     def _compact(self) -> bool:
-        """Write the live data to a new file and rename it over the old one; false if there is no room or it failed."""
+        """Write the live data to a new file and rename it over the old one; false if there is no room or it fails."""
         now = time.time_ns() // 1000
         for name in [name for name, (until, _) in self._ended.items() if until <= now]:
             self._drop_ended(name)
@@ -277,7 +283,7 @@
         return True
 
     def _append(self, record: bytes) -> bool:
-        """Append a record; a partial write is truncated, so that no record follows a torn one."""
+        """Append a record; false if that fails. A partial write is truncated, so that no record follows a torn one."""
         near_limit = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._max_bytes
         if near_limit or self._size > self._max_bytes // 4 and self._size > 3 * self._live:
             self._compact()
@@ -294,7 +300,7 @@
         return False
 
     def record_accepted(self, number: int, deadline: int, text: str, body: bytes) -> bool:
-        """Record an accepted message; false when there is no room, and then it must be refused."""
+        """Record an accepted message; if false, there was no room, and the message must be refused."""
         record = records.record(TAKEN, number, records.taken_payload(deadline, text, body))
         more = len(record) + self._reserved
         if not self._fits(more) and not (self._compact() and self._fits(more)):
@@ -305,7 +311,7 @@
         return True
 
     def record_replacement(self, number: int, text: str, body: bytes) -> bool:
-        """Record new content of a message without attempts; false, and unchanged, when there is no room."""
+        """Record new content of a message without attempts; if false, there was no room, and it is unchanged."""
         entry = self.entries[number]
         record = records.record(TAKEN, number, records.taken_payload(entry.deadline, text, body))
         if len(record) > records.MAX_PAYLOAD or not self._fits(len(record)) or not self._append(record):
@@ -314,7 +320,7 @@
         return True
 
     def record_attempt(self, number: int, index: int, sent: int) -> bool:
-        """Record an attempt that is about to be sent; false when that failed, and then it must not be sent."""
+        """Record an attempt that is about to be sent; if false, that failed, and the attempt must not be sent."""
         entry = self.entries.get(number)
         if entry is None or not self._append(records.record(ATTEMPT, number, records.ATTEMPT_FIELDS.pack(index, sent))):
             return False
@@ -329,7 +335,7 @@
             self._append(records.record(NOT_RUN, number, records.ATTEMPT_FIELDS.pack(index, 0)))
 
     def record_awaited(self, number: int, text: str) -> bool:
-        """Record that an attempt was accepted and its outcome is awaited; false when that could not be written."""
+        """Record that the next hop accepted a message and its outcome is awaited; false if that can't be written."""
         entry = self.entries.get(number)
         record = records.record(AWAITS, number, text.encode())
         if entry is None or len(record) > records.MAX_PAYLOAD or not self._append(record):
@@ -344,7 +350,7 @@
         self._weights[entry.number] += more
 
     def record_end(self, number: int, state: str, after_ms: int) -> bool:
-        """Record a final state before it is reported to the sender side; false when that could not be written."""
+        """Record a final state before it is reported to the sender side; false if that can't be written."""
         entry = self.entries.get(number)
         if entry is None:
             return False
