--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -7,17 +7,16 @@
 
 from kestrelspar.runtime.loop import MS, Loop
 
-BUFFER_SIZE = (
-    16 * 1024
-)  # bytes; a head of 8 KiB always fits, and nearly every message; longer bodies are read in pieces
-BUFFER_RETRY_INTERVAL = 5 * MS  # retry interval while all buffers are in use
+# Bytes. A head of 8 KiB always fits, and so does nearly every message; longer bodies are read in pieces.
+BUFFER_SIZE = 16 * 1024
+BUFFER_RETRY_INTERVAL = 5 * MS  # between attempts to acquire a buffer while all are in use
 
-
-_DISCARD_TARGET = mmap.mmap(-1, 512 * 1024)  # target of discarded reads; never written to, as MSG_TRUNC drops the bytes
+# Target of discarded reads. It takes no memory, as MSG_TRUNC drops the bytes and nothing is written to it.
+_DISCARD_TARGET = mmap.mmap(-1, 512 * 1024)
 
 
 class Closed(Exception):
-    """The peer closed the connection, or it failed."""
+    """The connection was closed by the peer, or failed."""
 
 
 class Late(Exception):
@@ -27,41 +26,41 @@
 class BufferPool:
     """Buffers of ``BUFFER_SIZE`` bytes; at most ``max_buffers`` are allocated, so that memory stays bounded.
 
-    The last ``reserved`` are reserved for connections that this process opened, so that answers to its own calls can
-    always be read. Guests are incoming connections, whose number and behaviour it doesn't control.
+    ``reserved`` of them are only for connections that this process opened, so that answers to its own calls can always
+    be read. It controls neither the number nor the behaviour of incoming connections.
     """
 
     def __init__(self, max_buffers: int = 256, reserved: int = 0) -> None:
         self._free: list[bytearray] = []
-        self._made, self._most, self._kept = 0, max_buffers, reserved
+        self._made, self._max_buffers, self._reserved = 0, max_buffers, reserved
 
     def acquire(self, incoming: bool = False) -> bytearray | None:
-        """Take a buffer; None if none is free, or the free ones are reserved and this is a guest."""
-        if incoming and len(self._free) + self._most - self._made <= self._kept:
+        """Take a buffer; None if all are in use, or, for an incoming connection, if only reserved ones are free."""
+        if incoming and len(self._free) + self._max_buffers - self._made <= self._reserved:
             return None
         if self._free:
             return self._free.pop()
-        if self._made >= self._most:
+        if self._made >= self._max_buffers:
             return None
         self._made += 1
         return bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
-        """Return a buffer; its content is not cleared, as readers keep their own offsets."""
+        """Return a buffer; its content is not cleared, as a reader uses only the bytes that it has received."""
         self._free.append(buffer)
 
 
 class Stream:
-    """The bytes of a connection, read into one pooled buffer that is held only while it has unread bytes."""
+    """The bytes of a connection, read into a pooled buffer that the stream holds only while it has unread bytes."""
 
     def __init__(self, loop: Loop, sock: socket.socket, pool: BufferPool, incoming: bool = False) -> None:
-        self.loop, self.sock, self.pool, self._guest = loop, sock, pool, incoming
+        self.loop, self.sock, self.pool, self._is_incoming = loop, sock, pool, incoming
         self._buffer: bytearray | None = None
         self._start = self._end = 0
 
     @property
     def unread(self) -> memoryview:
-        """The received bytes that were not consumed yet."""
+        """The received bytes that have not been consumed yet."""
         return memoryview(self._buffer or b"")[self._start : self._end]
 
     def consume(self, count: int) -> None:
@@ -73,11 +72,11 @@
             self._buffer = None
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more bytes. ``Closed``: the input ended; ``Late``: the deadline passed."""
+        """Wait for more bytes; raises ``Closed`` if the input ended, and ``Late`` if the deadline passed."""
         if not self.loop.readable(self.sock, deadline):
             raise Late
         while self._buffer is None:
-            self._buffer = self.pool.acquire(self._guest)
+            self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
@@ -102,7 +101,7 @@
             self.consume(0)
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data; after ``Closed`` or ``Late`` at least the last byte was not written."""
+        """Write all data; after ``Closed`` or ``Late``, at least its last byte is unwritten."""
         view = memoryview(data)
         while view:
             try:
@@ -127,11 +126,11 @@
             raise Closed from error
 
     def expire_read(self) -> None:
-        """Expire the deadline of a pending read now, unless bytes have arrived in this turn."""
+        """Make a pending read end as if its deadline had passed, unless bytes have arrived in this turn."""
         self.loop.expire_read(self.sock)
 
     def peer_closed(self) -> bool:
-        """Whether the peer is known to have closed or reset the connection; consumes no bytes."""
+        """Whether the peer is known to have closed or reset the connection; checked without reading any bytes."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
@@ -140,9 +139,9 @@
             return True
 
     def is_reusable(self) -> bool:
-        """Whether no bytes, read or unread, and no end of the connection have arrived.
+        """Whether the connection is open, and no bytes have arrived that are not consumed.
 
-        Only then may an idle connection be reused; otherwise stray bytes would be read as the next answer.
+        Only then may an idle connection be used again; otherwise stray bytes would be read as the next answer.
         """
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/kestrelspar/runtime/files.py
+++ b/kestrelspar/runtime/files.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of files: a new file is written and renamed, so that a crash leaves the old or the new one."""
+"""Atomic replacement of files: a new file is written and renamed over the old one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def replace(file: Path, data: bytes) -> None:
-    """Replace the file, readable by its owner only; on ``OSError`` the old file stays."""
+    """Replace the file by one that only its owner can read.
+
+    A crash leaves either the old or the new file; after ``OSError`` the old file is unchanged.
+    """
     new_file = file.with_name(file.name + ".new")
     try:
         descriptor = os.open(new_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
--- a/kestrelspar/runtime/logs.py
+++ b/kestrelspar/runtime/logs.py
@@ -1,7 +1,7 @@
 """Structured logs on standard output: one line per event, as logfmt or JSON.
 
-Every line has ``at``, ``level`` and ``event``. Events of a message have its id as ``trace``, so that one grep finds its
-whole history. A failure to write the log is ignored.
+Every line has ``at``, ``level`` and ``event``. An event of a message has the message id as ``trace``, so that one grep
+finds the whole history of the message. A failure to write the log is ignored.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 DEBUG, INFO, WARNING, ERROR = logging.DEBUG, logging.INFO, logging.WARNING, logging.ERROR
 LEVELS = {"debug": DEBUG, "info": INFO, "warning": WARNING, "error": ERROR}
-MAX_FIELD_LENGTH = 2_000  # maximum characters of a field, as some lines quote input from peers
+MAX_FIELD_LENGTH = 2_000  # characters; some fields quote input from peers
 _logger = logging.getLogger("kestrelspar")
 _logger.propagate = False
 
@@ -44,7 +44,7 @@
 
 
 class _Logfmt(logfmter.Logfmter):
-    """logfmt with UTC times in milliseconds, without control characters, which could hide a line."""
+    """logfmt with UTC times to the millisecond. Control characters are removed, as they could hide a line."""
 
     converter = staticmethod(time.gmtime)
     default_time_format, default_msec_format = "%Y-%m-%dT%H:%M:%S", "%s.%03dZ"
@@ -55,7 +55,7 @@
 
 
 def set_up(log_format: str = "logfmt", level: str = "info", stream: TextIO | None = None) -> None:
-    """Configure the format and the lowest level that is written; may be called again."""
+    """Configure the format, the lowest level that is written, and the stream; may be called again."""
     handler = _Stdout(stream)
     if log_format == "json":
         from pythonjsonlogger.json import JsonFormatter  # imported only if used, as it takes 2 MB of memory
--- a/kestrelspar/runtime/loop.py
+++ b/kestrelspar/runtime/loop.py
@@ -19,11 +19,11 @@
 
 from kestrelspar.runtime import logs
 
-MS = 1_000  # microseconds
+MS = 1_000  # a millisecond in microseconds
 SECOND = 1_000 * MS
 READ = select.POLLIN
 WRITE = select.POLLOUT
-BACKLOG = 512  # listen queue, in connections
+BACKLOG = 512  # length of the listen queue, in connections
 TIMED_OUT = object()  # result of ``Loop.park`` after its deadline
 
 
@@ -46,7 +46,7 @@
 
 
 class Suspension:
-    """One suspension of the current task; only the first ``resume`` takes effect."""
+    """A suspension of the task that creates it; only the first ``resume`` has an effect."""
 
     __slots__ = ("_loop", "_task", "resumed")
 
@@ -54,7 +54,7 @@
         self._loop, self._task, self.resumed = loop, getcurrent(), False
 
     def resume(self, value: Any = None) -> None:
-        """Resume the task with this value."""
+        """Resume the task; its ``Loop.park`` returns this value."""
         if not self.resumed:
             self.resumed = True
             self._loop.schedule(self._task, value)
@@ -67,38 +67,38 @@
         self.clock = clock
         self.now = clock()
         self._poll = select.poll()
-        self._waits: dict[int, dict[int, Suspension]] = {}  # by descriptor and READ or WRITE
-        self._timers: list[tuple[int, int, Timer]] = []
-        self._sequence = itertools.count()
+        self._waits: dict[int, dict[int, Suspension]] = {}  # by descriptor, and by READ or WRITE
+        self._timers: list[tuple[int, int, Timer]] = []  # heap of time, sequence number, timer
+        self._sequence = itertools.count()  # orders timers of the same time
         self._ready: deque[tuple[greenlet, Any]] = deque()
         self._scheduler: greenlet = getcurrent()
         self._stopped = False
         self.turn_end_calls: list[Callable[[], None]] = []  # called at the end of each turn
 
-    def spawn(self, call: Callable[..., None], *given: Any) -> None:
+    def spawn(self, call: Callable[..., None], *args: Any) -> None:
         """Start a task; an exception ends the task and is logged, and never ends the process."""
 
         def run(_: Any) -> None:
             try:
-                call(*given)
+                call(*args)
             except Exception:
                 logs.error("fault", task=str(getattr(call, "__qualname__", call)), why=traceback.format_exc())
 
         self.schedule(greenlet(run, self._scheduler), None)
 
     def schedule(self, task: greenlet, value: Any) -> None:
-        """Switch to the task in this turn, or in the next one if this turn already runs its tasks."""
+        """Run the task in this turn, or in the next one if this turn is already running its tasks."""
         self._ready.append((task, value))
 
     def call_at(self, when: int, call: Callable[[], None]) -> Timer:
-        """Schedule a call at or after a time."""
+        """Schedule a call at the given time, or as soon as possible after it."""
         timer = Timer(call)
         heapq.heappush(self._timers, (when, next(self._sequence), timer))
         return timer
 
-    def park(self, parking: Suspension, deadline: int | None = None) -> Any:
-        """Suspend the current task until it is resumed; returns the value, or ``TIMED_OUT`` after the deadline."""
-        timer = self.call_at(deadline, lambda: parking.resume(TIMED_OUT)) if deadline is not None else None
+    def park(self, suspension: Suspension, deadline: int | None = None) -> Any:
+        """Suspend the current task until it is resumed; returns the value given, or ``TIMED_OUT`` at the deadline."""
+        timer = self.call_at(deadline, lambda: suspension.resume(TIMED_OUT)) if deadline is not None else None
         value = self._scheduler.switch()
         if timer is not None:
             timer.cancel()
@@ -118,20 +118,20 @@
 
     def _wait(self, sock: socket.socket, mask: int, deadline: int | None) -> bool:
         """Wait for one kind of readiness; false after the deadline."""
-        descriptor, parking = sock.fileno(), Suspension(self)
+        descriptor, suspension = sock.fileno(), Suspension(self)
         if descriptor < 0:
             return True  # already closed: the caller's read or write will fail
         waits = self._waits.setdefault(descriptor, {})
-        waits[mask] = parking
+        waits[mask] = suspension
         self._register(descriptor)
-        value = self.park(parking, deadline)
-        if value is TIMED_OUT and waits.get(mask) is parking:
+        value = self.park(suspension, deadline)
+        if value is TIMED_OUT and waits.get(mask) is suspension:
             del waits[mask]
             self._register(descriptor)
         return value is not TIMED_OUT
 
     def _register(self, descriptor: int) -> None:
-        """Register exactly the events with poll that tasks wait for."""
+        """Register with poll exactly those events of the descriptor that tasks wait for."""
         waits = self._waits.get(descriptor)
         if waits:
             self._poll.register(descriptor, sum(waits))
@@ -140,18 +140,18 @@
             self._poll.unregister(descriptor)
 
     def unregister(self, sock: socket.socket) -> None:
-        """Unregister a socket that is about to be closed; waiting tasks resume and find it closed."""
+        """Unregister a socket that is about to be closed; tasks that wait for it resume, and find it closed."""
         waits = self._waits.pop(sock.fileno(), None)
         if waits is not None:
             self._poll.unregister(sock.fileno())
-            for parking in waits.values():
-                parking.resume(None)
+            for suspension in waits.values():
+                suspension.resume(None)
 
     def expire_read(self, sock: socket.socket) -> None:
-        """Expire the deadline of the task that waits to read from the socket."""
-        parking = self._waits.get(sock.fileno(), {}).get(READ)
-        if parking is not None:
-            parking.resume(TIMED_OUT)
+        """Resume the task that waits to read from the socket as if its deadline had passed."""
+        suspension = self._waits.get(sock.fileno(), {}).get(READ)
+        if suspension is not None:
+            suspension.resume(TIMED_OUT)
 
     def stop(self) -> None:
         """End ``run`` after this turn."""
@@ -163,14 +163,14 @@
             self.turn()
 
     def turn(self) -> None:
-        """Run one turn: sockets, clock, timers, tasks, and the calls at its end."""
-        wait = 0
+        """Run one turn: poll sockets, read the clock, run due timers, ready tasks and ``turn_end_calls``."""
+        timeout_ms = 0
         if not self._ready:
-            wait = 1000
+            timeout_ms = 1000
             if self._timers:
                 remaining = self._timers[0][0] - self.clock()
-                wait = min(wait, max(0, -(-remaining // MS)))
-        events = self._poll.poll(wait)
+                timeout_ms = min(timeout_ms, max(0, -(-remaining // MS)))
+        events = self._poll.poll(timeout_ms)
         self.now = self.clock()
         for descriptor, ready_mask in events:
             waits = self._waits.get(descriptor, {})
@@ -191,7 +191,7 @@
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """Bind a non-blocking socket to this address only; it accepts no connections before ``listen``."""
+    """Create a non-blocking socket that is bound to this address only, and does not listen yet."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
--- a/kestrelspar/runtime/signals.py
+++ b/kestrelspar/runtime/signals.py
@@ -12,12 +12,12 @@
 def open_signal_socket() -> socket.socket:
     """Create the socket on which SIGTERM, SIGINT and SIGHUP arrive, one byte each.
 
-    Signals that arrive during the start are queued there.
+    Signals that arrive while the process starts are queued on the socket.
     """
     signal_socket, wakeup_end = socket.socketpair()
     for end in (signal_socket, wakeup_end):
         end.setblocking(False)
-    # Detached, so that it stays open: closed with its socket object, it would make the other end readable.
+    # Detached, so that the descriptor stays open. Closing it with the socket object would make the other end readable.
     descriptor = wakeup_end.detach()
     signal.set_wakeup_fd(descriptor, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -26,7 +26,7 @@
 
 
 def handle_signals(loop: Loop, signal_socket: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
-    """Run the calls of the received signals, each in a task of its own, so that a failure affects no other."""
+    """Run the call of each received signal in a task of its own, so that a failure affects no other call."""
     while True:
         loop.readable(signal_socket, None)
         try:
--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -1,4 +1,4 @@
-"""TLS streams on the event loop, by ssl's memory BIOs, so that no handshake or read blocks a turn."""
+"""TLS streams on the event loop. They use ssl's memory BIOs, so that no handshake or read blocks a turn."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class BadHandshake(Closed):
-    """The TLS handshake failed; the text has the reason."""
+    """The TLS handshake failed; the text of the exception has the reason."""
 
 
 class TlsStream(Stream):
@@ -41,10 +41,10 @@
         super().__init__(loop, sock, pool, incoming)
         self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=server, server_hostname=name)
-        self._filling = False  # a task waits for the socket: no other may read from it
+        self._filling = False  # while a task waits for the socket, no other may read from it
 
     def handshake(self, deadline: int) -> None:
-        """Perform the handshake. ``BadHandshake`` has the reason; ``Late``: the peer stalls. Close the stream then."""
+        """Perform the handshake. After ``BadHandshake``, or ``Late`` if the peer stalls, the caller has to close."""
         while True:
             try:
                 self._tls.do_handshake()
@@ -61,7 +61,7 @@
             return
 
     def _receive(self, deadline: int | None) -> int:
-        """Wait for encrypted bytes and pass them to the TLS object; returns their number, possibly 0."""
+        """Wait for encrypted bytes and pass them to the TLS object; returns their number, which may be 0."""
         self._filling = True
         try:
             if not self.loop.readable(self.sock, deadline):
@@ -88,7 +88,7 @@
             super().write(self._outgoing.read(), deadline)
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more plaintext. ``Closed``: input ended, with or without close_notify; ``Late``: deadline passed."""
+        """Wait for more plaintext; raises ``Closed`` at the end, also without close_notify, or ``Late``."""
         while not self._decrypt(deadline):
             try:
                 self._receive(deadline)
@@ -99,7 +99,7 @@
     def _decrypt(self, deadline: int | None = None) -> int:
         """Decrypt received bytes into the buffer; returns the number of plaintext bytes."""
         while self._buffer is None:
-            self._buffer = self.pool.acquire(self._guest)
+            self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
                     raise Late
@@ -127,7 +127,7 @@
         return 0
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data; after ``Closed`` or ``Late`` it is incomplete, and nothing more may be written."""
+        """Write all data; after ``Closed`` or ``Late`` the data is incomplete, and nothing more may be written."""
         view = memoryview(data)
         while view:
             try:
@@ -138,13 +138,13 @@
             self._flush(deadline)
 
     def discard(self, deadline: int) -> None:
-        """Wait for more bytes and drop all that arrived."""
+        """Wait for more bytes, and drop all that have arrived."""
         self.consume(self._end - self._start)
         self.fill(deadline)
         self.consume(self._end - self._start)
 
     def _process_available(self) -> bool:
-        """Process all available input without waiting, including session tickets; false if the peer has closed."""
+        """Process the available input, including session tickets, without waiting; false if the peer has closed."""
         try:
             while self._read_socket():
                 pass
@@ -161,16 +161,16 @@
 
     def peer_closed(self) -> bool:
         """Whether the peer is known to have closed or reset the connection, and no plaintext is unread."""
-        if self._filling:  # the bytes belong to the waiting reader, which detects the end itself
+        if self._filling:  # the waiting task reads the bytes, and detects the end itself
             return super().peer_closed()
         return not self._process_available() and self._start == self._end
 
     def is_reusable(self) -> bool:
-        """Whether no plaintext and no end of the connection have arrived; session tickets don't count."""
+        """Whether the connection is open and no plaintext has arrived; session tickets don't count."""
         return not self._filling and self._process_available() and self._start == self._end
 
     def certificate(self) -> dict[str, object]:
-        """The peer's verified certificate, as from ``ssl.SSLSocket.getpeercert``; empty if it sent none."""
+        """The peer's verified certificate, as ``ssl.SSLSocket.getpeercert`` returns it; empty if there is none."""
         found: dict[str, object] = dict(self._tls.getpeercert() or {})
         return found
 
@@ -183,7 +183,7 @@
         return found
 
     def close(self) -> None:
-        """Send close_notify, if that can be written at once, and close the socket."""
+        """Close the socket, after a close_notify if that can be written at once."""
         with contextlib.suppress(ssl.SSLError, ValueError):  # ValueError: the handshake is not complete
             self._tls.unwrap()
         if self._outgoing.pending and self.sock.fileno() >= 0:
@@ -195,7 +195,7 @@
 def dial(
     loop: Loop, pool: BufferPool, address: tuple[str, int], deadline: int, context: ssl.SSLContext, name: str = ""
 ) -> TlsStream | None:
-    """Open a TLS connection; None, with a log line, if the handshake fails or the deadline passes.
+    """Open a TLS connection; None if that fails or the deadline passes. A failed handshake is logged.
 
     ``name``: the server name required in the peer's certificate; by default the host of the address.
     """
