--- a/tests/core/test_transport_map.py
+++ b/tests/core/test_transport_map.py
@@ -23,14 +23,14 @@
     return NextHop(Endpoint(name.encode(), 7, state=state), ("127.0.0.1", port), FakeCarrier(), delivery_timeout=within)  # type: ignore[arg-type]
 
 
-# Each step: source, entries (name and port, ! means draining), whole, removed ids; then the expected map
-# (name=owner:port) and log events.
+# Each step: source, its entries (name and port; ! means draining), whether these are all its entries, and removed ids;
+# then the expected map (name=owner:port) and log events.
 STEPS = [
     ("d", "a1 b1", True, "", "a=d:1 b=d:1", ""),
     ("r", "b2 c2", True, "", "a=d:1 b=d:1 c=r:2", "map-conflict"),
     ("r", "b2", False, "", "a=d:1 b=d:1 c=r:2", ""),  # the conflict is logged once
     ("r", "b2!", False, "", "a=d:1 b=d:1 c=r:2", ""),  # a rival cannot drain an entry that it does not own
-    ("r", "c2", True, "", "a=d:1 b=d:1 c=r:2", ""),  # a reload of r keeps the entries of d, and ends the claim on b
+    ("r", "c2", True, "", "a=d:1 b=d:1 c=r:2", ""),  # keeps the entries of d; r is no rival for b any more
     ("d", "a1", True, "", "a=d:1 c=r:2", ""),
     ("d", "b3", False, "", "a=d:1 b=d:3 c=r:2", ""),
     ("r", "b2", False, "", "a=d:1 b=d:3 c=r:2", "map-conflict"),
@@ -41,28 +41,28 @@
 
 
 def test_an_entry_is_owned_by_the_source_that_listed_it_first() -> None:
-    found = TransportMap()
-    for source, listed, whole, removed, expected, events in STEPS:
+    table = TransportMap()
+    for source, listed, complete, removed, expected, events in STEPS:
         update = [hop(text[0], int(text[1]), DRAINING if "!" in text else READY) for text in listed.split()]
-        before = set(found.hops)
-        change = found.apply(source, update, whole, [name.encode() for name in removed.split()])
-        actual = {name.decode(): f"{found.owner(name)}:{held.address[1]}" for name, held in found.hops.items()}
+        before = set(table.hops)
+        change = table.apply(source, update, complete, [name.encode() for name in removed.split()])
+        actual = {name.decode(): f"{table.owner(name)}:{held.address[1]}" for name, held in table.hops.items()}
         assert actual == dict(item.split("=") for item in expected.split()), (source, listed)
         assert [name for name, _ in change.events] == events.split()
         reported = {row.id: row.state for row in change.endpoints}  # the last row for each id
-        assert all(reported[name] is GONE for name in before - set(found.hops))
-        assert all(reported.get(name, READY) is READY for name in found.hops)
-    assert found.destinations == {7}
+        assert all(reported[name] is GONE for name in before - set(table.hops))
+        assert all(reported.get(name, READY) is READY for name in table.hops)
+    assert table.destinations == {7}
 
 
 def test_idle_connections_are_closed_when_an_entry_drains_moves_or_is_removed() -> None:
-    found = TransportMap()
-    found.apply("d", [hop("a", 1, within=500)])
-    assert found.delivery_timeout(7) == 500 and found.delivery_timeout(8) == NO_BOUND
-    assert [held.address[1] for held in found.apply("d", [hop("a", 2)]).close_idle] == [1] and found.delivery_timeout(
+    table = TransportMap()
+    table.apply("d", [hop("a", 1, within=500)])
+    assert table.delivery_timeout(7) == 500 and table.delivery_timeout(8) == NO_BOUND
+    assert [held.address[1] for held in table.apply("d", [hop("a", 2)]).close_idle] == [1] and table.delivery_timeout(
         7
     ) == NO_BOUND
-    assert found.apply("d", [hop("a", 2, DRAINING)]).close_idle and found.apply("d", [], removed=[b"a"]).close_idle
+    assert table.apply("d", [hop("a", 2, DRAINING)]).close_idle and table.apply("d", [], removed=[b"a"]).close_idle
 
 
 @pytest.mark.parametrize(
--- a/tests/journal/test_read.py
+++ b/tests/journal/test_read.py
@@ -20,7 +20,7 @@
 
 
 def write_journal(directory: Path) -> Path:
-    """A journal with one message in each state."""
+    """Write a journal with one message in each state, and return the path of its file."""
     journal, now = Journal(str(directory), 3_000_000), time.monotonic_ns() // 1000
     for number, name in enumerate(("open", "may", "accepted", "ended", "told", "never"), 1):
         text = json.dumps({"trace": name, "class": "payment" if number % 2 else "reading", "dest": 7, "sender": "http"})
@@ -48,8 +48,8 @@
 
 
 def test_each_message_is_shown_with_its_state(tmp_path: Path) -> None:
-    found = read(write_journal(tmp_path).read_bytes())
-    assert {h.trace: (h.state, h.done) for h in found.histories.values()} == {
+    content = read(write_journal(tmp_path).read_bytes())
+    assert {h.trace: (h.state, h.done) for h in content.histories.values()} == {
         "open": ("open", False),
         "may": ("may-have-run", False),
         "accepted": ("accepted", False),
@@ -57,10 +57,10 @@
         "told": ("returned", False),
         "never": ("open", False),
     }
-    may_have_run, never = found.histories[2], found.histories[6]
+    may_have_run, never = content.histories[2], content.histories[6]
     assert may_have_run.attempts[0].ran and not never.attempts[0].ran and never.attempts[0].at is not None
-    assert abs(may_have_run.attempts[0].at - time.time_ns() // 1000) < 3_600_000_000, "times are the wall clock's"  # type: ignore[operator]
-    assert not found.faults and not found.torn and set(found.ended) == {"acme 1"}
+    assert abs(may_have_run.attempts[0].at - time.time_ns() // 1000) < 3_600_000_000, "times are Unix times"  # type: ignore[operator]
+    assert not content.faults and not content.torn and set(content.ended) == {"acme 1"}
 
 
 def test_replacements_of_a_message_are_counted(tmp_path: Path) -> None:
@@ -79,16 +79,18 @@
     whole = write_journal(tmp_path_factory.mktemp("j")).read_bytes()
     at, bit = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(0, 7))
     damaged = whole[:at] + bytes([whole[at] ^ 1 << bit]) + whole[at + 1 :]
-    good, found = read(whole), read(damaged)
-    assert found.faults or found.torn and at >= last_record_start(whole), "damage before the last record is no torn end"
-    hidden = {fault.at for fault in found.faults if "is invalid" not in fault.description}
-    assert len(hidden) + bool(found.torn) == 1
-    # Records whose TAKEN record is the damaged one are reported as invalid, too.
-    assert good.kinds.total() - found.kinds.total() == 1 + sum("is invalid" in f.description for f in found.faults)
+    good, content = read(whole), read(damaged)
+    assert content.faults or content.torn and at >= last_record_start(whole), (
+        "damage before the last record is no torn end"
+    )
+    hidden = {fault.at for fault in content.faults if "is invalid" not in fault.description}
+    assert len(hidden) + bool(content.torn) == 1
+    # If a TAKEN record is damaged, the other records of its message are reported as invalid, too.
+    assert good.kinds.total() - content.kinds.total() == 1 + sum("is invalid" in f.description for f in content.faults)
 
 
 def last_record_start(whole: bytes) -> int:
-    """The offset of the last record."""
+    """The offset of the last valid record."""
     return [scanned.at for scanned in records.scan(whole)][-1]
 
 
@@ -109,8 +111,8 @@
 def test_any_bytes_can_be_read(tmp_path_factory: pytest.TempPathFactory, garbage: bytes, cut: int) -> None:
     assert read(garbage).size == len(garbage)
     whole = write_journal(tmp_path_factory.mktemp("j")).read_bytes()
-    found = read(whole[:cut] + garbage)
-    assert found.kinds.total() <= len(whole[:cut]) // records.HEAD.size + 12
+    content = read(whole[:cut] + garbage)
+    assert content.kinds.total() <= len(whole[:cut]) // records.HEAD.size + 12
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -119,8 +121,8 @@
 
 
 def test_a_record_of_an_unknown_kind_is_a_fault() -> None:
-    found = read(records.record(records.TAKEN, 1, records.taken_payload(1, "{}", b"")) + records.record(77, 1, b"x"))
-    assert [fault.description for fault in found.faults] == [
+    content = read(records.record(records.TAKEN, 1, records.taken_payload(1, "{}", b"")) + records.record(77, 1, b"x"))
+    assert [fault.description for fault in content.faults] == [
         "unknown kind 77 of number 1 is invalid: ValueError('unknown kind')"
     ]
     assert 77 not in KINDS
--- a/tests/journal/test_removal_log.py
+++ b/tests/journal/test_removal_log.py
@@ -1,4 +1,4 @@
-"""Removals since a list was saved: persistence, dropping of old rows, the size limit, damage, and a full disk."""
+"""The removal log: persistence, dropping of old rows, the size limit, damage, and a full disk."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 import pytest
 
-from kestrelspar.journal import removal_log as left_module
+from kestrelspar.journal import removal_log
 from kestrelspar.journal.removal_log import RemovalLog
 from snowlock.interface import EndpointState
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
 STATES = {"-": GONE, "!": DRAINING, "+": READY}
 
-# Steps (revision and names with their state signs, or cut REVISION), and what a new process finds after revision 0.
+# Steps: a revision, and names with the sign of their state; or cut REVISION, which drops the rows through it. Then the
+# names that a new process finds with a revision above 0, each with its sign.
 STEPS = [
     ("1 -a !b", "a- b!"),
     ("1 -a;2 +a", ""),
@@ -26,18 +27,18 @@
 ]
 
 
-@pytest.mark.parametrize(("steps", "found"), STEPS)
-def test_recorded_states_are_there_in_the_next_process(tmp_path: Path, steps: str, found: str) -> None:
+@pytest.mark.parametrize(("steps", "expected"), STEPS)
+def test_recorded_states_survive_a_restart_until_they_are_dropped(tmp_path: Path, steps: str, expected: str) -> None:
     log = RemovalLog(tmp_path / "x.left", 10_000)
     for step in steps.split(";"):
-        number, *names = step.split()
-        if number == "cut":
+        revision, *names = step.split()
+        if revision == "cut":
             log.drop_through(int(names[0]))
         else:
-            assert log.record({name[1:]: STATES[name[0]] for name in names}, int(number))
+            assert log.record({name[1:]: STATES[name[0]] for name in names}, int(revision))
     signs = {state: sign for sign, state in STATES.items()}
     reopened = RemovalLog(tmp_path / "x.left", 10_000)
-    assert " ".join(sorted(name + signs[state] for name, state in reopened.since(0).items())) == found
+    assert " ".join(sorted(name + signs[state] for name, state in reopened.since(0).items())) == expected
     assert reopened.since(0) == log.since(0) and not reopened.since(9)
 
 
@@ -47,13 +48,13 @@
     names = [f"s-{n * 2654435761 % 2**32:08x}" for n in range(1_500)]
     for forget in (False, True):
         log = RemovalLog(tmp_path / f"{forget}.left", 8_192, forget)
-        held = [log.record({name: GONE}, n) for n, name in enumerate(names)]
-        assert (tmp_path / f"{forget}.left").stat().st_size <= 8_192 and all(held) is forget
+        recorded = [log.record({name: GONE}, n) for n, name in enumerate(names)]
+        assert (tmp_path / f"{forget}.left").stat().st_size <= 8_192 and all(recorded) is forget
         found = RemovalLog(tmp_path / f"{forget}.left", 8_192).since(-1)
         if forget:
             assert list(found)[-300:] == names[-300:] and list(found) == list(log.rows_by_key)
         else:
-            assert log.incomplete and set(log.rows_by_key) == set(names), "the process itself still has all rows"
+            assert log.incomplete and set(log.rows_by_key) == set(names), "the running process still has all rows"
             log.drop_through(len(names))
             assert (
                 not log.incomplete and log.record({"a": GONE}) and RemovalLog(log.file, 8_192).since(0) == {"a": GONE}
@@ -71,8 +72,8 @@
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(left_module.os, "pwrite", full)
-        patch.setattr(left_module.os, "rename", full)
+        patch.setattr(removal_log.os, "pwrite", full)
+        patch.setattr(removal_log.os, "rename", full)
         assert not log.record({"b": GONE}) and not log.record({"c": DRAINING})
         log.retry_write()
     assert capsys.readouterr().out.count("map-left-not-kept") == 1 and not list(tmp_path.glob("*.new"))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: accepted messages are recovered, whatever damage the end of the file has."""
+"""The journal: recovery of messages, damaged files, the size limit, changes of the clock, limits and outages."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         1, '{"by":"smpp","ids":["b"]}'
     )
     journal.record_done(3)
-    for _ in range(2):  # the second time from the compacted file
+    for _ in range(2):  # the second time, from the file that the first compacted
         journal = open_journal(tmp_path)
         assert set(journal.entries) == {1, 2}
         one, two = journal.entries[1], journal.entries[2]
@@ -104,7 +104,7 @@
     for number in range(1, 200):
         if journal.record_accepted(number, 100, "{}", bytes(40)):
             accepted.append(number)
-    for index in range(40):  # all records that can follow, in an order that leaves little to compact
+    for index in range(40):  # all records that can follow; in this order compaction frees little
         for number in accepted:
             assert journal.record_attempt(number, index, 5)
             if index < 39:
@@ -144,8 +144,9 @@
     assert set(open_journal(tmp_path).entries) == {1, 3}
 
 
+# Change of the wall clock, and expected shift of the recorded times, in seconds.
 @pytest.mark.parametrize(("step", "shift"), [(-60, 0), (-1, 0), (1, 0), (60, -60), (-7200, 7200)])
-def test_a_wall_clock_that_was_set_back_extends_no_deadline_and_no_window(
+def test_a_wall_clock_set_back_by_less_than_an_hour_extends_no_deadline_and_no_window(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int, shift: int
 ) -> None:
     journal, real = open_journal(tmp_path), time.time_ns
@@ -178,15 +179,10 @@
         now[0] += seconds * 1_000_000_000
         journal.record_limit(b"s-1", rate)
         sizes.append(journal._size)
-    assert [b > a for a, b in pairwise(sizes)] == [
-        False,
-        True,
-        True,
-        False,
-    ]  # small change, large change, old record, unchanged
-    assert (
-        open_journal(tmp_path).limit(b"s-1") == 30.0 and open_journal(tmp_path).limit(b"s-2") == 0.0
-    )  # from the compacted file
+    # A small change, a large change, an unchanged limit whose record is old, and one whose record is new.
+    assert [b > a for a, b in pairwise(sizes)] == [False, True, True, False]
+    # Read from the compacted file.
+    assert open_journal(tmp_path).limit(b"s-1") == 30.0 and open_journal(tmp_path).limit(b"s-2") == 0.0
     now[0] += 60_000_000_000
     assert open_journal(tmp_path).limit(b"s-1") == 0.0
 
@@ -201,11 +197,13 @@
     journal = open_journal(small, 4_096)
     for number in range(100):
         journal.record_limit(b"s-%d" % number, 5.0)
-    assert journal.limit(b"s-0") and not journal.limit(b"s-99") and disk_usage(small) <= 4_096  # no room: not retained
+    # The last limits were not retained, as there was no room.
+    assert journal.limit(b"s-0") and not journal.limit(b"s-99") and disk_usage(small) <= 4_096
 
 
 def test_an_outage_is_retained_for_as_long_as_it_lasts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # An outage was written once, at its beginning: after a minute the record had expired, and a restart forgot it.
+    # Guards against an outage that is written only at its beginning: its record would expire after a minute, and a
+    # restart would lose it.
     journal, real, offset = open_journal(tmp_path), time.time_ns, [0]
     monkeypatch.setattr(store.time, "time_ns", lambda: real() + offset[0])
     for _ in range(5):
