--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""Shared by the socket tests: settings, a courier on an event loop, and helpers to run it."""
+"""Test bench for tests with sockets: settings, a courier on an event loop, and helpers to run it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 READING, WORK_ORDER, PAYMENT = range(3)
 
 
-def settings(**more: object) -> api.Settings:
+def settings(**overrides: object) -> api.Settings:
     values: dict[str, object] = {
         "classes": CLASSES,
         "slots": 8,
@@ -38,7 +38,7 @@
         "limit_column": 1,
         "connect_timeout_ns": 1_500_000_000,
     }
-    return api.Settings(**(values | more))  # type: ignore[arg-type]
+    return api.Settings(**(values | overrides))  # type: ignore[arg-type]
 
 
 class RecordingSender:
@@ -57,20 +57,20 @@
 
 
 class SkipClock:
-    """The monotonic clock, which ``SkippingLoop`` advances when only timers are pending."""
+    """The monotonic clock plus the time that ``SkippingLoop`` has skipped."""
 
     def __init__(self) -> None:
-        self.ahead = 0
+        self.ahead = 0  # skipped time in microseconds
 
     def __call__(self) -> int:
         return clock() + self.ahead
 
 
-CLOCK = SkipClock()  # shared, so that time does not go back for a restarted courier
+CLOCK = SkipClock()  # shared, so that the time of a restarted courier does not go back
 
 
 class SkippingLoop(Loop):
-    """An event loop that skips the time until the next timer."""
+    """An event loop that skips the time until the next timer when nothing else is pending."""
 
     def turn(self) -> None:
         if not self._ready and self._timers and not self._poll.poll(1):
@@ -81,10 +81,10 @@
 class CourierTestbed:
     """A courier on an event loop of its own, with its journal in a directory; the test runs in the main greenlet."""
 
-    def __init__(self, folder: Path, **more: object) -> None:
+    def __init__(self, state_directory: Path, **overrides: object) -> None:
         self.loop, self.buffers = SkippingLoop(CLOCK), BufferPool()
-        self.journal = Journal(str(folder), LIMIT)
-        self.courier = Courier(self.loop, settings(**more), 7, self.journal)
+        self.journal = Journal(str(state_directory), LIMIT)
+        self.courier = Courier(self.loop, settings(**overrides), 7, self.journal)
         self.sender = RecordingSender()
         self.courier.senders["ends"] = self.sender
 
@@ -95,10 +95,10 @@
             assert self.loop.now < deadline, "the loop waits for something that does not happen"
             self.loop.turn()
 
-    def run_for(self, span: int) -> None:
-        """Let exactly this much time pass; a timer ends the skipping there."""
+    def run_for(self, duration: int) -> None:
+        """Run the loop for exactly this time; the timer at its end keeps the loop from skipping more."""
         fired: list[int] = []
-        self.loop.call_at(self.loop.now + span, lambda: fired.append(1))
+        self.loop.call_at(self.loop.now + duration, lambda: fired.append(1))
         self.run_until(lambda: fired)
 
 
@@ -106,6 +106,6 @@
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen(64)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else skipped time overtakes buffered bytes
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # otherwise skipped time would overtake buffered bytes
     sock.setblocking(False)
     return sock, sock.getsockname()
--- a/tests/fleet_recovery.py
+++ b/tests/fleet_recovery.py
@@ -48,12 +48,12 @@
 
     couriers: int
     rate: float  # the endpoint's limit, in calls a second
-    how: str = "refuses"  # refuses connections, errors, shut (refuses calls), told (a retry-after), or hangs
-    load: float = 1.0  # share of the limit
+    how: str = "refuses"  # refuses (connections), errors, closed (refuses calls), retry-after, or hangs
+    load: float = 1.0  # messages, as a share of the limit
     begins: float = 6.0
     ends: float = 14.0
     restart_at: float = 0.0
-    restarted: float = 0.0  # share of the couriers
+    restarted: float = 0.0  # share of the couriers that restart
     seed: int = 1
     until: float = 26.0
 
@@ -67,9 +67,9 @@
         self.accepted: list[dict[int, tuple[int, int]]] = [{} for _ in self.couriers]
         self.in_flight: deque[tuple[int, int, int, int, Outcome, int, tuple[float, ...]]] = deque()
         self.calls: list[tuple[int, bool]] = []  # time of each call, and whether its courier knew of the outage
-        self.aware: set[int] = set()  # couriers with a call since the outage began that was not answered
-        self.recent: deque[int] = deque()
-        self.served: list[int] = []
+        self.aware: set[int] = set()  # couriers with a failed call since the outage began
+        self.recent: deque[int] = deque()  # times of the calls in the last second
+        self.served: list[int] = []  # times of the served calls
         self.number = 0
 
     def _courier(self, number: int, seed: int, before: Forwarder | None = None) -> Forwarder:
@@ -91,9 +91,9 @@
                 return now + 5 * MS, Outcome.CONNECT_FAILED, 0, ()
             if s.how == "errors":
                 return now + CALL_DURATION, Outcome.ERROR, 0, ()
-            if s.how == "shut":
+            if s.how == "closed":
                 return now + 20 * MS, Outcome.FULL, 0, (1.0, s.rate)
-            if s.how == "told":
+            if s.how == "retry-after":
                 return now + 20 * MS, Outcome.FULL, int((s.ends - at) * SECOND), (1.0, s.rate)
             return now + 60 * SECOND, Outcome.TIMEOUT, 0, ()  # hangs: the courier's time-out comes first
         while self.recent and self.recent[0] <= now - SECOND:
@@ -116,7 +116,7 @@
 
     def run(self) -> Simulation:
         s, step = self.scenario, 20 * MS
-        weights = [self.random.expovariate(1.0) + 0.1 for _ in self.couriers]  # couriers get uneven loads
+        weights = [self.random.expovariate(1.0) + 0.1 for _ in self.couriers]  # couriers have uneven loads
         arrival = self.start
         for at in range(self.start + step, self.start + int(s.until * SECOND), step):
             if s.restarted and at - step < self.start + s.restart_at * SECOND <= at:
@@ -145,7 +145,7 @@
         return self
 
     def _restart(self, now: int) -> None:
-        """Restart couriers with their untried messages, and with the limits and outages that a journal keeps."""
+        """Restart couriers with their untried messages, and with the limits and outages that a journal retains."""
         for index in range(int(self.scenario.restarted * len(self.couriers))):
             old = self.couriers[index]
             self.in_flight = deque(call for call in self.in_flight if call[1] != index)
@@ -155,10 +155,10 @@
                     self._record_sends(index, new.feed(Arrival(message, cls, 1, deadline - now, 0, 0)))
 
     def worst_overload(self) -> float:
-        """Return the largest ratio of calls in a window after recovery to the bound that allows for chance.
+        """Return the largest ratio, over all windows after the outage, of calls to the bound that allows for chance.
 
-        Above 1 the endpoint is overloaded. Only windows count in which over two thirds of the calls came from couriers
-        that knew of the outage.
+        Above 1 the endpoint is overloaded. A window counts only if over two thirds of its calls came from couriers that
+        knew of the outage.
         """
         s, worst = self.scenario, 0.0
         recovered_at = self.start + int(s.ends * SECOND)
@@ -177,7 +177,7 @@
         return worst
 
     def recovery_time(self) -> float:
-        """Return the seconds from the end of the outage until half of the load or limit is served within a second."""
+        """Return the seconds from the end of the outage until half of the load or limit is served in one second."""
         recovered_at = self.start + int(self.scenario.ends * SECOND)
         served = [at for at in self.served if at >= recovered_at]
         required = min(1.0, self.scenario.load) * self.scenario.rate / 2
--- a/tests/forwarder.py
+++ b/tests/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder with one controller that tests drive by hand; it checks each reply for rules that always hold."""
+"""A forwarder for tests: they feed its controller with events, and it checks rules that hold for every reply."""
 
 from __future__ import annotations
 
@@ -59,21 +59,21 @@
 class Forwarder:
     """Feeds events to a controller on a simulated clock, fires its timers, and records its actions with their times.
 
-    ``feed`` fails on a send or a second final answer after a message's final answer.
+    ``feed`` fails if a message is sent, or answered again, after its final answer.
     """
 
-    def __init__(self, given: Settings | None = None, seed: int = 7) -> None:
-        self.settings = given or settings()
+    def __init__(self, controller_settings: Settings | None = None, seed: int = 7) -> None:
+        self.settings = controller_settings or settings()
         self.controller = Controller(self.settings, seed)
         self.now = 1_000 * SECOND
-        self.timers: list[tuple[int, int]] = []
+        self.timers: list[tuple[int, int]] = []  # time and token
         self.sends: list[tuple[int, Send]] = []
-        self.attempts: dict[int, int] = {}
-        self.in_flight: dict[tuple[int, int], bytes] = {}
-        self.answers: dict[int, tuple[int, object]] = {}
+        self.attempts: dict[int, int] = {}  # by message: number of attempts
+        self.in_flight: dict[tuple[int, int], bytes] = {}  # by message and attempt: endpoint
+        self.answers: dict[int, tuple[int, object]] = {}  # by message: time, and final answer
         self.logs: list[str] = []
-        self.closed: list[bytes] = []
-        self.subscribed = 0
+        self.closed: list[bytes] = []  # endpoints whose idle connections were to be closed
+        self.subscribed = 0  # number of requests of the endpoint list
 
     def feed(self, *events: Event) -> list[Send]:
         """Feed one batch of events and return the sends of the reply."""
@@ -100,7 +100,7 @@
         return sends
 
     def run_to(self, at: int) -> list[Send]:
-        """Advance the clock, firing timers, and return what was sent meanwhile."""
+        """Advance the clock to a time, fire the timers due by then, and return the sends."""
         sends: list[Send] = []
         while self.timers and min(self.timers)[0] <= at:
             timer = min(self.timers)
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def test_fields_levels_and_both_formats(capsys: pytest.CaptureFixture[str]) -> None:
+def test_both_formats_have_the_fields_of_each_event_at_an_enabled_level(capsys: pytest.CaptureFixture[str]) -> None:
     logs.set_up("logfmt", "warning")
     logs.event("quiet")
     logs.warn("loud", trace="t 1", hop="s-1", n=0, note=None, sure=True)
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -115,17 +115,17 @@
         handshake_both(pair, one, other)
         other.write(b"last", None)
         pair.theirs.close() if broken else other.close()
-        assert not one.peer_closed(), "its last data is not read yet"
+        assert not one.peer_closed(), "the last data of the peer is not read yet"
         assert read(one, 4) == b"last" and one.peer_closed()
         pair.run_tasks(lambda: one.fill(None))  # noqa: B023
         assert isinstance(pair.errors[0], Closed)
 
 
-def test_a_stream_that_received_only_session_tickets_is_quiet() -> None:
+def test_a_stream_that_received_only_session_tickets_is_reusable() -> None:
     pair = ConnectedPair()
     one, other = pair.tls()
     handshake_both(pair, one, other)
-    assert len(pair.theirs.recv(1, socket.MSG_PEEK)) == 1, "the server's session tickets have arrived"
+    assert len(pair.theirs.recv(1, socket.MSG_PEEK)) == 1, "the server's session tickets should have arrived"
     assert other.is_reusable() and not other.peer_closed()
     one.write(b"x", None)
     assert not other.is_reusable() and bytes(other.unread) == b"x"
@@ -195,7 +195,7 @@
     assert any(isinstance(error, BadHandshake) for error in pair.errors)
 
 
-def test_a_connection_over_real_sockets(tmp_path: Path) -> None:
+def test_dial_connects_over_real_sockets_and_returns_none_without_an_answer(tmp_path: Path) -> None:
     loop, pool = SkippingLoop(CLOCK), BufferPool()
     sock, address = listener()
     server, client = contexts(ssl.TLSVersion.TLSv1_3)
--- a/tests/test_controller_regressions.py
+++ b/tests/test_controller_regressions.py
@@ -18,7 +18,7 @@
 
 
 def deliver(f: Forwarder, destination: int, start: int, count: int = 20, latency: int = 100 * MS) -> None:
-    """Deliver some messages, so that the destination's latency is known."""
+    """Deliver ``count`` messages, numbered from ``start``, so that the latency of the destination is known."""
     for number in range(start, start + count):
         f.arrive(number, destination=destination)
         f.wait(latency)
@@ -31,7 +31,7 @@
     f.endpoints("b", destination=2)
     deliver(f, 1, 100)
     f.arrive(1, destination=2)
-    f.outcome(1, Outcome.FULL, wait_ns=5 * SECOND)  # waits for the retry-after, and could use no slot
+    f.outcome(1, Outcome.FULL, wait_ns=5 * SECOND)  # waits for the retry-after, not for a slot
     for number in range(10, 20):
         f.arrive(number, destination=1)
     assert len(f.in_flight) == 5
@@ -74,7 +74,7 @@
 
 
 def test_hanging_routes_leave_slots_to_routes_that_answer() -> None:
-    # Guards against calls to several hanging destinations that hold every slot until their time-outs.
+    # Guards against calls to hanging destinations that together hold every slot until their time-outs.
     f = Forwarder(settings(message_class(aim_ns=4 * SECOND), message_class(Safety.UNSAFE, aim_ns=3 * SECOND), slots=10))
     for destination in range(1, 6):
         f.endpoints("abcde"[destination - 1], destination=destination)
@@ -101,7 +101,7 @@
 
 
 def test_a_route_gets_two_calls_until_its_first_answer() -> None:
-    # Guards against calls that hold all slots at a hanging replacement, or at a start during an outage.
+    # Guards against calls that hold all slots when a replaced endpoint hangs, or at a start during an outage.
     f = Forwarder()
     f.endpoints("a")
     for number in range(1, 9):
@@ -147,7 +147,7 @@
         f = Forwarder(settings(slots=50))
         f.endpoints("a", destination=1)
         deliver(f, 1, 1)
-        # At these usual shares three in a row are conclusive for time-outs, but not for quick failures.
+        # With these usual shares, three failures in a row prove an outage only if they are time-outs.
         f.controller.failure_shares = [0.2, 0.2]
         for number in range(100, 103):
             f.arrive(number)
@@ -234,7 +234,7 @@
     for number in [3, 4] + [0] * 8:
         sends = f.outcome(number or served[-1], Outcome.OK)
         served += [s.message for s in sends]
-    assert served.index(50) < 7  # after the part of the burst that is within its tenant's share, before the rest
+    assert served.index(50) < 7  # after the messages of the burst within its tenant's share, before the others
 
 
 def test_idle_connections_of_seldom_called_endpoints_are_closed_where_connects_fail() -> None:
@@ -304,7 +304,7 @@
     assert [s.endpoint for s in f.arrive(101, cls=1)] == [route("b")]
 
 
-def test_absurd_rates_and_load_reports_are_harmless() -> None:
+def test_messages_are_answered_despite_absurd_rates_and_load_reports() -> None:
     absurd = (0.0, -3.0, float("inf"), float("-inf"), float("nan"), 1e-40, 1e38)
     for forwarders in (1, 5000):
         f = Forwarder(
@@ -392,14 +392,14 @@
         if not f.closed:
             f.wait(SECOND)
             f.outcome(number, Outcome.TIMEOUT)
-    assert f.closed == [route("c")]  # two were lost: the third goes on a new connection
+    assert f.closed == [route("c")]  # two calls were lost: the third uses a new connection
     f.outcome(3, Outcome.OK)
     f.arrive(4, destination=3)
     assert len(f.closed) == 2  # another of its idle connections may be older
     f.outcome(4, Outcome.OK)
     f.wait(60 * SECOND)
     f.arrive(5, destination=3)
-    assert len(f.closed) == 2  # the loss estimate has decayed: this call tests an idle connection
+    assert len(f.closed) == 2  # the estimated loss has decayed, so this call tests an idle connection
 
 
 def test_a_message_whose_repeat_window_has_ended_is_answered_at_once() -> None:
@@ -440,8 +440,8 @@
 
 
 def test_a_route_is_added_to_a_large_list_right_after_a_sweep_of_removed_routes() -> None:
-    # With EAGER_SWEEP_MAX_ROUTES or more, removed routes are not swept at each change of the list. A route that was
-    # added in between to a destination whose routes share a limit ended the handling of the list by an exception.
+    # With EAGER_SWEEP_MAX_ROUTES or more routes, removed ones are not swept at each change of the list. Guards against
+    # an exception when a route is added between two sweeps to a destination whose routes share a limit.
     f = Forwarder()
     f.endpoints(*(f"{number:04}" for number in range(EAGER_SWEEP_MAX_ROUTES)), kind=1)
     f.wait(MS)
--- a/tests/test_endpoint_memory.py
+++ b/tests/test_endpoint_memory.py
@@ -17,13 +17,15 @@
 
 @pytest.mark.parametrize("kind", ["utility", "contractor"])  # routes that share a limit, and independent ones
 def test_an_unused_endpoint_takes_two_kilobytes_at_most(tmp_path: Path, kind: str) -> None:
-    # Guards against allocating what is needed only once a route is used, and against retaining the decoded list.
-    scene = CourierTestbed(tmp_path)
-    carrier = HttpCarrier(scene.loop, scene.buffers, scene.courier.settings, 9)
-    watch = Watch(scene.loop, scene.buffers, scene.courier, carrier, ("127.0.0.1", 9), state_directory=str(tmp_path))
+    # Guards against state that is allocated before a route is used, and against a decoded list that stays in memory.
+    testbed = CourierTestbed(tmp_path)
+    carrier = HttpCarrier(testbed.loop, testbed.buffers, testbed.courier.settings, 9)
+    watch = Watch(
+        testbed.loop, testbed.buffers, testbed.courier, carrier, ("127.0.0.1", 9), state_directory=str(tmp_path)
+    )
     gc.collect()
     tracemalloc.start()
-    known = {
+    snapshot = {
         "index": 1,
         "snapshot": True,
         "endpoints": [
@@ -40,10 +42,10 @@
             for n in range(LISTED)
         ],
     }
-    watch.load_known(known)
+    watch.load_known(snapshot)
     gc.collect()
     bytes_per_endpoint = tracemalloc.get_traced_memory()[0] / LISTED
     tracemalloc.stop()
-    assert len(scene.courier.map.hops) == LISTED and bytes_per_endpoint < MAX_BYTES_PER_ENDPOINT, (
+    assert len(testbed.courier.map.hops) == LISTED and bytes_per_endpoint < MAX_BYTES_PER_ENDPOINT, (
         f"{bytes_per_endpoint:.0f} bytes"
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,7 +37,7 @@
 
 
 class SimulatedLimit:
-    """A limit on the calls in any second; refused calls count too, and load reports tell the share that is left."""
+    """A limit on the calls in any second. Refused calls count, too; load reports have the share that is left."""
 
     def __init__(self, rate: float) -> None:
         self.rate, self.served, self.refused = rate, 0, 0
@@ -92,20 +92,24 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "load", "least", "refusals"),
+    ("rate", "load", "min_served_share", "max_refused_share"),
     [
-        (5.0, 5.0, 0.45, 0.45),  # with small steps nearly all calls that the limit allows would be refused
+        (5.0, 5.0, 0.45, 0.45),  # if intervals changed in small steps only, nearly all calls would be refused
         (13.0, 15.6, 0.45, 0.45),
-        (40.0, 60.0, 0.8, 0.1),  # with random calls instead of turns, each peak would be refused
+        (40.0, 60.0, 0.8, 0.1),  # if calls came at random instead of in turns, those of each peak would be refused
     ],
 )
-def test_a_fleet_uses_a_limit_with_few_refusals(rate: float, load: float, least: float, refusals: float) -> None:
+def test_a_fleet_uses_a_limit_with_few_refusals(
+    rate: float, load: float, min_served_share: float, max_refused_share: float
+) -> None:
     limit = SimulatedLimit(rate)
     fleet = Fleet(a=limit)
     fleet.run(5, load, seed=1)
     served, refused = limit.served, limit.refused
     fleet.run(15, load, seed=2)
-    assert limit.served - served > least * rate * 15 and limit.refused - refused < refusals * rate * 15
+    assert (
+        limit.served - served > min_served_share * rate * 15 and limit.refused - refused < max_refused_share * rate * 15
+    )
 
 
 def test_a_raised_limit_is_used_again() -> None:
@@ -123,10 +127,10 @@
 @pytest.mark.parametrize(
     ("couriers", "remaining", "bounds"),
     [
-        # One answer ends its turns, as the next comes 8 s later.
+        # One answer has to end the turns of a forwarder, as its next answer comes 8 s later.
         (200, 0.9, (0.2, control.TURN_INTERVAL_SHARE)),
         (200, 0.3, (0.6, 0.7)),  # little is left: the interval only decays with time
-        (40, 0.9, (0.6, 0.7)),  # an answer every 1.6 s: so large a step would exceed the limit
+        (40, 0.9, (0.6, 0.7)),  # with an answer every 1.6 s, so large a step would exceed the limit
     ],
 )
 def test_remaining_allowance_shortens_an_interval_in_proportion_to_its_length(
@@ -150,8 +154,8 @@
 
 
 def test_a_new_endpoint_is_not_called_by_all_couriers_at_once() -> None:
-    # Guards against a failure during a release: the limit of each replacement was used up for seconds by the first
-    # calls of forty couriers.
+    # Guards against a failure seen during a release: the first calls of forty couriers used up the limit of each
+    # replaced endpoint for seconds.
     new = SimulatedLimit(9.0)
     fleet = Fleet(a=SimulatedLimit(9.0))
     fleet.run(8, 12.0, seed=1)
@@ -177,7 +181,7 @@
 
 
 def test_a_small_fleet_assumes_no_limit_for_a_new_endpoint() -> None:
-    # Guards against a fail-back budget by the limit of a larger endpoint: nothing is known of the new one.
+    # Guards against a fail-back budget from the limit of a larger endpoint, as nothing is known of the new one.
     f = Forwarder(fleet_settings(couriers=3))
     f.feed(EndpointList(ListKind.DELTA, (Endpoint(b"a", 1),)))
     f.arrive(1)
@@ -187,13 +191,13 @@
 
 
 @pytest.mark.parametrize(
-    ("couriers", "rate", "within"), [(200, 77.0, 3), (200, 490.0, 4), (3, 77.0, 51), (40, 20.0, 3)]
+    ("couriers", "rate", "full_weight_count"), [(200, 77.0, 3), (200, 490.0, 4), (3, 77.0, 51), (40, 20.0, 3)]
 )
 def test_a_tenant_share_below_one_message_a_burst_still_allows_some_messages(
-    couriers: int, rate: float, within: int
+    couriers: int, rate: float, full_weight_count: int
 ) -> None:
     # Guards against a large fleet in which every message of a small tenant counts as beyond its share.
     f = Forwarder(replace(fleet_settings(couriers), tenants=(Tenant(rate),), over_share_worth=0.1))
     f.feed(*(Arrival(n, 0, 1, 10 * SECOND, tenant=0) for n in range(1, 61)))
     weights = [f.controller.messages[n].weight for n in range(1, 61)]
-    assert weights == sorted(weights, reverse=True) and weights.count(1.0) == within, weights.count(1.0)
+    assert weights == sorted(weights, reverse=True) and weights.count(1.0) == full_weight_count, weights.count(1.0)
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -1,6 +1,6 @@
 """A recovering endpoint must not be overloaded by the sum of all couriers' calls.
 
-The bound on N expected calls is N + 2 * sqrt(N) + 2, which allows for chance.
+Where N calls are expected, the bound is N + 2 * sqrt(N) + 2, which allows for chance.
 """
 
 from __future__ import annotations
@@ -12,14 +12,15 @@
 
 from kestrelspar.core.courier import Courier
 from kestrelspar.journal import Journal
-from kestrelspar.runtime.loop import SECOND as S
+from kestrelspar.runtime.loop import SECOND as LOOP_SECOND
 from snowlock import interface as api
 from snowlock.interface import EndpointList, ListKind, Outcome
 from tests.bench import LIMIT, CourierTestbed, settings
 from tests.fleet_recovery import Scenario, Simulation
 from tests.forwarder import MS, SECOND, Forwarder, route
 
-# Share of the couriers that restart, when, the load, and the duration of the outage, which ends at 14 s.
+# Share of the couriers that restart, time of their restart in s, load as a share of the limit, and duration of the
+# outage in s, which ends at 14 s.
 RESTARTS_AND_LOADS = [
     (0.0, 0.0, 1.6, 3.0),
     (0.0, 0.0, 1.3, 8.0),
@@ -34,11 +35,11 @@
     [(2, 1), (2, 20), (2, 60), (10, 3), (10, 100), (30, 2), (30, 10), (200, 3), (200, 12), (200, 60)],
 )
 def test_a_recovering_endpoint_is_not_overloaded_by_the_fleet(couriers: int, rate: float) -> None:
-    # Guards against an estimate of the other couriers by the time at which this one noticed the outage (200 couriers,
-    # 3 calls a second: 1.4 times the bound), a restart without knowledge of the outage (2 couriers: 1.2 times), and a
-    # budget that grows on its own calls within one window.
+    # Guards against three faults: the number of other couriers is estimated from the time at which this courier noticed
+    # the outage (200 couriers, 3 calls a second: 1.4 times the bound); a restarted courier knows nothing of the outage
+    # (2 couriers: 1.2 times the bound); the calls of a window raise the budget of the same window.
     for restarted, at, load, duration in RESTARTS_AND_LOADS:
-        for seed, how in enumerate(("refuses", "shut", "told", "hangs")):
+        for seed, how in enumerate(("refuses", "closed", "retry-after", "hangs")):
             scenario = Scenario(couriers, rate, how, load, 14 - duration, 14, at, restarted, seed, until=21)
             assert Simulation(scenario).run().worst_overload() <= 1, scenario
 
@@ -58,19 +59,19 @@
 
 def test_a_restarted_courier_knows_of_outages_and_recoveries(tmp_path: Path) -> None:
     # Guards against a restarted courier that knows nothing of an outage and sends its backlog at once.
-    scene = CourierTestbed(tmp_path, routes_apart=(True, True))
+    testbed = CourierTestbed(tmp_path, routes_apart=(True, True))
     entries = (api.Endpoint(b"a", 7), api.Endpoint(b"b", 7))
-    scene.courier._events.append(EndpointList(ListKind.DELTA, entries))
-    scene.courier._decide()
-    controller = scene.courier.controller
+    testbed.courier._events.append(EndpointList(ListKind.DELTA, entries))
+    testbed.courier._decide()
+    controller = testbed.courier.controller
     controller._mark_down(controller.routes[b"a"], "test")
-    controller.routes[b"a"].failing_since = (scene.loop.now - 3 * S) * 1000
-    scene.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.TIMEOUT, 0, False))
-    scene.courier._decide()
+    controller.routes[b"a"].failing_since = (testbed.loop.now - 3 * LOOP_SECOND) * 1000
+    testbed.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.TIMEOUT, 0, False))
+    testbed.courier._decide()
 
     def restarted() -> Courier:
         copy = Path(shutil.copytree(tmp_path, tmp_path.parent / "copy", dirs_exist_ok=True))
-        return Courier(scene.loop, settings(routes_apart=(True, True)), 1, Journal(str(copy), LIMIT))
+        return Courier(testbed.loop, settings(routes_apart=(True, True)), 1, Journal(str(copy), LIMIT))
 
     entry = restarted()._with_journalled_state(entries[0])
     assert (
@@ -78,13 +79,13 @@
         and entry.back_ns == 0
         and restarted()._with_journalled_state(entries[1]) == entries[1]
     )
-    controller.routes[b"a"].recovering_since = (scene.loop.now - S) * 1000
-    scene.courier._events.append(api.AttemptEnded(99, 0, b"b", Outcome.OK, 0, True))
-    scene.courier._decide()
+    controller.routes[b"a"].recovering_since = (testbed.loop.now - LOOP_SECOND) * 1000
+    testbed.courier._events.append(api.AttemptEnded(99, 0, b"b", Outcome.OK, 0, True))
+    testbed.courier._decide()
     assert abs(restarted()._with_journalled_state(entries[0]).back_ns - SECOND) < 100 * MS
     controller.routes[b"a"].down = False
-    scene.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.OK, 0, True))
-    scene.courier._decide()
+    testbed.courier._events.append(api.AttemptEnded(99, 0, b"a", Outcome.OK, 0, True))
+    testbed.courier._decide()
     assert restarted()._with_journalled_state(entries[0]) == entries[0]
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random valid event sequences, checked for the rules that a controller must always keep.
+"""Random valid sequences of events, checked against the rules that a controller always has to keep.
 
 Each message gets one final answer; repeats, draining endpoints, retry-after delays, order by key and slots are
 respected; the same seed and events give the same actions.
@@ -31,22 +31,22 @@
     """A model of one forwarder's environment that checks each action against the rules."""
 
     def __init__(self, seed: int, **overrides: object) -> None:
-        self.given = controller_settings(
+        self.settings = controller_settings(
             *CLASSES, slots=6, max_open=40, max_attempts=6, max_retry_after_ns=SECOND, **overrides
         )
         self.rng = random.Random(seed)
-        self.controller = Controller(self.given, seed)
+        self.controller = Controller(self.settings, seed)
         self.now = 50 * SECOND
         self.timers: list[tuple[int, int]] = []
         self.arrivals: dict[int, api.Arrival] = {}
-        self.deadline: dict[int, int] = {}
+        self.deadline: dict[int, int] = {}  # by message
         self.answered: set[int] = set()
-        self.in_flight: dict[tuple[int, int], tuple[bytes, int]] = {}
-        self.attempts: dict[int, int] = {}
+        self.in_flight: dict[tuple[int, int], tuple[bytes, int]] = {}  # by message and attempt: endpoint, send time
+        self.attempts: dict[int, int] = {}  # by message: number of attempts
         self.may_have_run: dict[int, tuple[int, int]] = {}  # by message: zone and send time of the first such attempt
         self.ready: dict[bytes, api.Endpoint] = {}
-        self.wait_until: dict[bytes, int] = {}
-        self.shared_wait_until: dict[int, int] = {}
+        self.wait_until: dict[bytes, int] = {}  # by endpoint: end of a retry-after
+        self.shared_wait_until: dict[int, int] = {}  # the same by destination, where its endpoints share a limit
         self.key_queues: dict[int, list[int]] = {}
         self.key_available_at: dict[int, int] = {}
         self.history: list[tuple[int, list[api.Event], list[api.Action]]] = []
@@ -98,7 +98,7 @@
             assert self.key_queues[arrival.key][0] == send.message
             assert self.now >= self.key_available_at.get(arrival.key, 0)
         number = self.attempts.get(send.message, 0)
-        assert number < self.given.max_attempts and len(self.in_flight) < self.given.slots
+        assert number < self.settings.max_attempts and len(self.in_flight) < self.settings.slots
         assert send.timeout_ns > 0
         self.attempts[send.message] = number + 1
         self.in_flight[send.message, number] = (send.endpoint, self.now)
@@ -124,7 +124,7 @@
         if outcome in MAY_HAVE_RUN:
             self.may_have_run.setdefault(message, (self.zone(target), sent))
             if outcome is not Outcome.ERROR and CLASSES[arrival.message_class].ordered:
-                self.key_available_at[arrival.key] = self.now + self.given.settle_ns
+                self.key_available_at[arrival.key] = self.now + self.settings.settle_ns
         closed = message in self.answered or outcome is Outcome.OK
         if closed and message not in self.answered:
             self.answer(message)
@@ -157,7 +157,7 @@
         return event
 
     def tick(self, busy: bool) -> None:
-        """Advance by one tick: expired timers, calls that end at the deadline, and random new events while busy."""
+        """Advance by one tick: fire timers, end calls at the deadline of their message, and add random events."""
         self.now += TICK
         due = sorted(timer for timer in self.timers if timer[0] <= self.now)
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
@@ -177,7 +177,7 @@
 
 
 def simulate(seed: int, **overrides: object) -> Environment:
-    """Simulate a busy period, and a quiet one in which everything ends."""
+    """Simulate a busy period, then a quiet one in which all messages end."""
     environment = Environment(seed, **overrides)
     environment.batch([environment.random_endpoint_list() for _ in range(6)])
     for _ in range(2500):
@@ -199,14 +199,14 @@
     environment = simulate(seed)
     assert set(environment.arrivals) == environment.answered
     assert len(environment.attempts) > 10, "too few messages were sent for a meaningful test"
-    replay = Controller(environment.given, seed)
+    replay = Controller(environment.settings, seed)
     assert [replay.handle(now, events) for now, events, _ in environment.history] == [
         actions for *_, actions in environment.history
     ]
 
 
-# By (seed, forwarders): hashes of the actions of the controller before it supported other forwarders' reports. After an
-# intended change of its decisions, print new ones with: python -m tests.test_properties
+# By (seed, forwarders): hash of the actions of the controller before it supported other forwarders' reports. After an
+# intended change of its decisions, print new hashes by: python -m tests.test_properties
 RECORDED_DIGESTS = {
     (1, 1): "7fba4a95f375f202",
     (2, 1): "f22ef7ab23dce1e2",
@@ -220,7 +220,7 @@
     assert digest(simulate(seed, forwarders=forwarders)) == RECORDED_DIGESTS[seed, forwarders]
 
 
-def test_stale_events_are_harmless() -> None:
+def test_stale_events_cause_no_actions() -> None:
     controller = Controller(controller_settings(*CLASSES), 1)
     stale = [
         api.TimerFired(12),
--- a/tests/test_recovered_messages.py
+++ b/tests/test_recovered_messages.py
@@ -75,14 +75,14 @@
 def test_a_call_decided_before_a_drain_or_a_retry_after_may_not_be_sent_after_it() -> None:
     forwarder = Forwarder()
     forwarder.endpoints("a")
-    may_go = forwarder.controller.may_still_send
+    may_send = forwarder.controller.may_still_send
     forwarder.arrive(1)
-    assert may_go(forwarder.now, route("a"), 1) and not may_go(forwarder.now, route("x"), 1)
-    assert not may_go(forwarder.now, route("a"), 2), "an unknown message"
+    assert may_send(forwarder.now, route("a"), 1) and not may_send(forwarder.now, route("x"), 1)
+    assert not may_send(forwarder.now, route("a"), 2), "an unknown message"
     forwarder.outcome(1, Outcome.FULL, wait_ns=300 * MS)
-    assert not may_go(forwarder.now + 299 * MS, route("a"), 1) and may_go(forwarder.now + 301 * MS, route("a"), 1)
+    assert not may_send(forwarder.now + 299 * MS, route("a"), 1) and may_send(forwarder.now + 301 * MS, route("a"), 1)
     forwarder.endpoints("a", state=EndpointState.DRAINING)
-    assert not may_go(forwarder.now + SECOND, route("a"), 1)
+    assert not may_send(forwarder.now + SECOND, route("a"), 1)
 
 
 @pytest.mark.parametrize(
@@ -94,8 +94,8 @@
     ],
 )
 def test_a_repeat_decided_within_its_window_may_not_be_sent_after_it(safety: Safety, delay: int, allowed: bool) -> None:
-    # Guards against a repeat that is sent too late because its connection is established only when a destination that
-    # was down has recovered.
+    # Guards against a repeat that is sent too late, as its connection is established only once the destination has
+    # recovered.
     f = Forwarder(settings(message_class(safety, window_ns=3 * SECOND)))
     f.endpoints("a")
     f.arrive(1)
@@ -107,7 +107,7 @@
 
 
 def test_untried_recovered_messages_are_not_shed_for_new_ones() -> None:
-    # Guards against a restart that sheds messages accepted before it: all arrive in one batch, followed by new ones.
+    # Guards against a restart after which recovered messages are shed: all arrive in one batch, followed by new ones.
     f = Forwarder(settings(message_class(), slots=2, max_open=20, max_retry_after_ns=3 * SECOND))
     f.endpoints("a", rate=1000.0)
     f.feed(*(Arrival(number, 0, 1, 10 * SECOND, kept=True) for number in range(25)))
@@ -117,14 +117,14 @@
     assert not [number for number in f.answers if number < 25] and len(f.answers) >= 20
     f.wait(2 * SECOND)
     f.arrive(500)
-    assert [number for number in f.answers if number < 25]  # in the last part of their time they may be shed
+    assert [number for number in f.answers if number < 25]  # near the end of their time, recovered messages may be shed
 
 
 def test_untried_recovered_messages_are_not_refused_on_an_estimate() -> None:
-    given = settings(message_class(), slots=20, forwarders=200, share_left_column=0, limit_column=1)
+    controller_settings = settings(message_class(), slots=20, forwarders=200, share_left_column=0, limit_column=1)
     for kept in (False, True):
-        f = Forwarder(given)
-        f.feed(EndpointList(ListKind.DELTA, (Endpoint(route("a"), 1, limit=2.0),)))  # an equal share: a call in 100 s
+        f = Forwarder(controller_settings)
+        f.feed(EndpointList(ListKind.DELTA, (Endpoint(route("a"), 1, limit=2.0),)))  # equal share: a call in 100 s
         f.feed(*(Arrival(number, 0, 1, 10 * SECOND, kept=kept) for number in range(8)))
         f.wait(5 * SECOND)
         assert len(f.answers) == (0 if kept else 8)
@@ -133,8 +133,8 @@
 
 
 def test_a_call_times_out_before_its_messages_deadline() -> None:
-    # Guards against an answer that is read at the deadline, or after it by the sender's clock: the message would get no
-    # final answer.
+    # Guards against an answer that is read at the deadline, or after it by the sender's clock, so that the message gets
+    # no final answer.
     f = Forwarder(settings(message_class(Safety.UNSAFE, aim_ns=9 * SECOND)))
     f.endpoints("a")
     (send,) = f.arrive(1)
--- a/tests/test_suspensions.py
+++ b/tests/test_suspensions.py
@@ -45,4 +45,4 @@
         return [f.controller.messages[n].weight for n in range(40)]
 
     estimated, agreed = (sum(weight == 1.0 for weight in each) for each in (weights(), weights((0, 10.0))))
-    assert estimated <= 4 and 19 <= agreed <= 20, "two seconds at ten messages a second"
+    assert estimated <= 4 and 19 <= agreed <= 20, "the messages of two seconds at ten a second"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -103,7 +103,7 @@
         assert wire.encode(3, action) == bytes.fromhex(text)
 
 
-def test_settings_are_read_by_name_and_unknown_keys_ignored() -> None:
+def test_settings_are_read_by_key_and_unknown_keys_are_ignored() -> None:
     ((_, opened),) = decode(opening())
     assert isinstance(opened, wire.Opened)
     s = opened.settings
@@ -144,7 +144,7 @@
     assert count == 1 and result.stdout[8] == 69 and b"IndexError" in result.stdout[8 : 8 + size]
 
 
-def test_an_exchange_with_the_deployed_command() -> None:
+def test_the_deployed_command_answers_frames() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=ROOT, check=True, timeout=300)
     process = subprocess.Popen(
