--- a/snowlock/wire.py
+++ b/snowlock/wire.py
@@ -28,6 +28,30 @@
 _CLOSE_IDLE = struct.Struct("<BH6s")
 _SUBSCRIBE = struct.Struct("<BHB")
 MS = 1_000_000
+MAX_TEXT_BYTES = 4000  # of a log line or of a fatal exception
+
+# Codes of the records from the simulator.
+_EVENT_TIMER_FIRED = 1
+_EVENT_DATAGRAM = 2
+_EVENT_ENDPOINT_LIST = 3
+_EVENT_PROBE_RESULT = 4
+_EVENT_LIST_CHANGE = 5
+_EVENT_OPENED = 6
+_EVENT_WITHDRAWN = 7
+_EVENT_ATTEMPT_ENDED = 8
+_EVENT_DETACHED = 9
+_EVENT_ARRIVAL = 10
+_EVENT_STREAM_START = 11
+
+# Codes of the records to the simulator.
+_ACTION_SEND = 66
+_ACTION_REFUSE = 67
+_ACTION_FATAL = 69
+_ACTION_FAIL = 71
+_ACTION_LOG = 73
+_ACTION_SUBSCRIBE = 74
+_ACTION_SET_TIMER = 75
+_ACTION_CLOSE_IDLE = 76
 
 
 class WireError(Exception):
@@ -70,7 +94,7 @@
         try:
             for _ in range(count):
                 code, at = body[at], at + 1
-                if code == 3:
+                if code == _EVENT_ENDPOINT_LIST:
                     at = self._endpoint_list(body, at)
                     continue
                 instance, item, at = self._record(code, body, at)
@@ -95,7 +119,7 @@
 
     def _record(self, code: int, body: bytes, at: int) -> tuple[int, Item | None, int]:
         """Decode a record other than a list; returns instance, item (None: ignored) and next position."""
-        if code == 8:
+        if code == _EVENT_ATTEMPT_ENDED:
             fields = _ATTEMPT_ENDED.unpack_from(body, at)
             instance, message, attempt, endpoint, outcome_code, latency, closed, note, columns = fields
             at += _ATTEMPT_ENDED.size
@@ -107,7 +131,7 @@
                 message, attempt, endpoint, outcome, latency, bool(closed), wait, no_slot, report
             )
             return instance, ended, at + 4 * columns
-        if code == 10:
+        if code == _EVENT_ARRIVAL:
             instance, message, message_class, tenant, key, time_left, _hint, destination, _flags = (
                 _ARRIVAL.unpack_from(body, at)
             )
@@ -116,35 +140,35 @@
                 api.Arrival(message, message_class, int(destination), time_left, tenant, key),
                 at + _ARRIVAL.size,
             )
-        if code == 1:
+        if code == _EVENT_TIMER_FIRED:
             instance, token = _NUMBER.unpack_from(body, at)
             return instance, api.TimerFired(token), at + _NUMBER.size
-        if code == 5:
+        if code == _EVENT_LIST_CHANGE:
             instance, mode, _version, slot = _LIST_CHANGE.unpack_from(body, at)
             kind = api.ListKind(mode)
             if kind is not api.ListKind.FAILED and slot not in self._lists:
                 raise WireError(f"endpoint list {slot} was not sent")
             endpoints = () if kind is api.ListKind.FAILED else self._lists[slot]
             return instance, api.EndpointList(kind, endpoints), at + _LIST_CHANGE.size
-        if code == 7:
+        if code == _EVENT_WITHDRAWN:
             instance, message = _NUMBER.unpack_from(body, at)
             return instance, api.Withdrawn(message), at + _NUMBER.size
-        if code == 6:
+        if code == _EVENT_OPENED:
             instance, seed, length = _OPEN.unpack_from(body, at)
             at += _OPEN.size
             if at + length > len(body):
                 raise WireError("settings record is truncated")
             return instance, Opened(seed, parse_settings(body[at : at + length])), at + length
-        if code == 9:
+        if code == _EVENT_DETACHED:
             (instance,) = _INSTANCE.unpack_from(body, at)
             return instance, Detached(), at + _INSTANCE.size
-        if code == 2:  # a datagram between instances: not used
+        if code == _EVENT_DATAGRAM:  # from another instance: not used
             instance, _peer, length = struct.unpack_from("<HIH", body, at)
             return instance, None, at + 8 + length
-        if code == 4:  # the result of a probe: not used
+        if code == _EVENT_PROBE_RESULT:  # not used
             instance, columns = struct.unpack_from("<H8x6x2xB", body, at)
             return instance, None, at + 19 + 4 * columns
-        if code == 11:  # start of a stream: streamed classes are not supported
+        if code == _EVENT_STREAM_START:  # streamed classes are not supported
             instance, *_ = struct.unpack_from("<HQ6sHQ", body, at)
             return instance, None, at + 26
         raise WireError(f"unknown event code {code}")
@@ -153,26 +177,26 @@
 def encode(instance: int, action: api.Action) -> bytes:
     """Encode an action as a record."""
     if isinstance(action, api.Send):
-        return _SEND.pack(66, instance, action.message, action.timeout_ns, action.endpoint)
+        return _SEND.pack(_ACTION_SEND, instance, action.message, action.timeout_ns, action.endpoint)
     if isinstance(action, api.SetTimer):
-        return _ID_AND_NUMBER.pack(75, instance, action.token, action.at_ns)
+        return _ID_AND_NUMBER.pack(_ACTION_SET_TIMER, instance, action.token, action.at_ns)
     if isinstance(action, api.Refuse):
-        return _ID_AND_NUMBER.pack(67, instance, action.message, action.retry_after_ns)
+        return _ID_AND_NUMBER.pack(_ACTION_REFUSE, instance, action.message, action.retry_after_ns)
     if isinstance(action, api.Fail):
-        return _ID.pack(71, instance, action.message)
+        return _ID.pack(_ACTION_FAIL, instance, action.message)
     if isinstance(action, api.CloseIdle):
-        return _CLOSE_IDLE.pack(76, instance, action.endpoint)
+        return _CLOSE_IDLE.pack(_ACTION_CLOSE_IDLE, instance, action.endpoint)
     if isinstance(action, api.Subscribe):
-        return _SUBSCRIBE.pack(74, instance, 1)
-    return _text(73, instance, action.text)
+        return _SUBSCRIBE.pack(_ACTION_SUBSCRIBE, instance, 1)
+    return _text(_ACTION_LOG, instance, action.text)
 
 
 def fatal(instance: int, text: str) -> bytes:
     """Encode a record that reports an exception in the decision code."""
-    return _text(69, instance, text)
+    return _text(_ACTION_FATAL, instance, text)
 
 
 def _text(code: int, instance: int, text: str) -> bytes:
-    """Encode a record that carries text, truncated to 4000 bytes."""
-    data = text.encode("utf-8", "replace")[:4000]
+    """Encode a record that carries text, truncated to ``MAX_TEXT_BYTES``."""
+    data = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
     return _TEXT.pack(code, instance, len(data)) + data
