--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -29,22 +29,22 @@
 # Time-out of a repeatable call as a multiple of the latency bound (mean + 3 deviations, see _latency_bound):
 # usually, and while many calls are lost.
 TIMEOUT_FACTOR_REPEATABLE, TIMEOUT_FACTOR_LOSSY = 3.0, 1.0
-# Share of lost calls that is usual with heavy messages; at twice this share, time-outs are shortest.
+# Share of lost calls that is usual, as heavy messages take long; at twice this share, time-outs are shortest.
 USUAL_LOST_SHARE = 0.06
 # Minimum time-out of a repeatable call, and of a keyed one, as a multiple of the latency bound.
 MIN_TIMEOUT_FACTOR, MIN_TIMEOUT_FACTOR_KEYED = 5.0, 8.0
-# The same for an unsafe call, which may take much longer, as a time-out loses its message.
+# Time-out of an unsafe call in the same unit: much longer, as a time-out loses the message.
 TIMEOUT_FACTOR_UNSAFE = 10.0
 # Share of the slots that unsafe calls may hold with the long time-out. Beyond it, the time-out of an unsafe
 # call is at most SHORT_TIMEOUT_FACTOR latency bounds.
 LONG_TIMEOUT_SLOT_SHARE, SHORT_TIMEOUT_FACTOR = 0.1, 8.0
-SUSPECT_SLOT_SHARE = 0.2  # share of the slots for calls to silent, failing or recovering routes
-RECHECK_INTERVAL = 20 * MS  # for a route that is blocked until a call to some other route ends
+SUSPECT_SLOT_SHARE = 0.2  # maximum share of the slots for calls to silent, failing or recovering routes
+RECHECK_INTERVAL = 20 * MS  # for a route that is blocked until a call ends, at this route or at another
 # Assumed latency before any call has been answered, as a share of the smallest aim_ns.
 UNKNOWN_LATENCY_AIM_SHARE = 1 / 16
 # Assumed latency bound of a route with fewer than 3 answers, as a multiple of the usual latency.
 UNKNOWN_LATENCY_FACTOR = 5.0
-MAX_CALLS_UNPROVEN = 2  # calls in flight to a route that has not answered yet
+MAX_CALLS_UNPROVEN = 2  # maximum calls in flight to a route that has not answered yet
 CHANCE_THRESHOLD = 0.1  # consecutive failures that are at least this likely by chance are no outage
 QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures of a busy route, which cost little
 # A wide outage raises the usual share of failures. With this maximum, three failed connects in a row to a
@@ -58,9 +58,9 @@
 # is over its limit.
 UNUSED_ALLOWANCE = 0.85
 MIN_REFUSAL_PAUSE = 200 * MS  # minimum interval before the next call after a refusal
-# Share of the fail-back budget that is used: other forwarders estimate theirs too.
+# Share of the fail-back budget that is used, as other forwarders only estimate their shares, too.
 FAILBACK_SAFETY_FACTOR = 0.7
-LATE_DETECTION_WINDOWS = 2  # windows of fall_ns by which others may have noticed an outage earlier
+LATE_DETECTION_WINDOWS = 2  # number of fall_ns by which other forwarders may have noticed an outage earlier
 # Maximum growth of this forwarder's share of the fail-back budget where the route has served its calls. Other
 # forwarders' shares may grow at the same time, and the route must be able to bear the sum.
 FAILBACK_GROWTH = 1.5
@@ -83,7 +83,7 @@
 RATE_NOISE_BAND, RATE_GAIN = 0.3, 0.3
 # Without outcomes, the call interval halves in this time, or in twice the interval if that is longer.
 INTERVAL_HALF_LIFE = 10 * SECOND
-TENANT_BURST = 2 * SECOND  # a tenant may be ahead of its share by the messages of this time
+TENANT_BURST = 2 * SECOND  # a tenant may be ahead of its rate by the messages of this time
 # In a large fleet a tenant may always be ahead by this many messages, as its share of TENANT_BURST may be
 # less than one message.
 TENANT_MIN_BURST = 4
@@ -199,8 +199,9 @@
         self.routes: dict[api.EndpointId, Route] = {}
         self.destinations: dict[int, Destination] = {}
         self.key_queues: dict[int, deque[Message]] = {}  # by ordering key: unfinished messages in order
+        # By ordering key: end of the time in which an earlier attempt may still be running.
         self.key_available_at: dict[int, int] = {}
-        self.waiting: dict[int, Destination] = {}
+        self.waiting: dict[int, Destination] = {}  # by id: destinations with queued messages
         self.inflight = self.unsafe_inflight = 0  # calls in flight; attempts of unsafe messages in flight
         # By tenant: this forwarder's agreed share of the tenant's rate, in messages a second.
         self.tenant_rates: dict[int, float] = {}
@@ -256,7 +257,7 @@
         ready = []
         for dest in touched.values():
             ready.append(dest) if dest.queue else self.waiting.pop(dest.id, None)
-        if self.inflight >= self.settings.slots:  # all are checked again when a slot is free
+        if self.inflight >= self.settings.slots:  # checked again as soon as a slot is free
             for dest in ready:
                 self.waiting[dest.id], dest.wake_at = dest, self.now
         else:
@@ -421,7 +422,7 @@
                 self._wake_by(route.dest, self.now)
 
     def _on_judged(self, event: api.Judged) -> None:
-        """Suspend or throttle routes for a time, by credible reports of other forwarders."""
+        """Suspend routes, or limit them to one call at a time, as other forwarders' reports require."""
         for endpoint, until, one_at_a_time in event.routes:
             if (route := self.routes.get(endpoint)) is not None:
                 route.suspended_until, route.one_at_a_time = until, one_at_a_time
@@ -658,8 +659,8 @@
         An outage ends without notice, and the route can then bear only part of its rate (slow start). In any
         fall_ns this forwarder sends its share of the calls that a recovering route can bear, or a multiple of
         the calls that the route has just served it. The number of forwarders that hold messages for the route
-        is taken to be the number of calls at its rate since the outage began. The cost is that a burst of
-        calls right after a failure is slowed down.
+        is taken to be two, plus the calls at its rate since the outage began if the route is down. The cost
+        is that a burst of calls right after a failure is slowed down.
         """
         bearable = self.settings.cold_from
         if route.recovering_since is not None:
@@ -670,8 +671,8 @@
         aware = 2.0  # estimated number of forwarders that hold messages for the route
         # A forwarder that calls seldom notices an outage late, possibly some windows after its beginning.
         if route.down:
-            known = max(route.last_call_at, route.retry_after_until) - route.failing_since
-            aware += rate * (max(0, known) + LATE_DETECTION_WINDOWS * window) / SECOND
+            outage_time = max(route.last_call_at, route.retry_after_until) - route.failing_since
+            aware += rate * (max(0, outage_time) + LATE_DETECTION_WINDOWS * window) / SECOND
         if self.settings.rate_hint is api.RateHint.ROUGH and not route.limit.rate:
             rate *= ROUGH_RATE_FACTOR
         allowed = bearable * rate * window / SECOND / min(self.settings.forwarders, aware)
@@ -689,7 +690,7 @@
         return limit.calls[-count] + (window if allowed >= 1 else int(window / allowed * limit.jitter))
 
     def _fleet_rate(self, route: Route) -> float:
-        """Return the calls a second from all forwarders: as reported, else as listed, else a low default."""
+        """Return calls a second allowed to all forwarders: as reported, else as listed, else a low default."""
         return route.limit.rate or (
             DEFAULT_RATE if self.settings.rate_hint is api.RateHint.NONE else route.rate
         )
--- a/snowlock/interface.py
+++ b/snowlock/interface.py
@@ -137,7 +137,7 @@
     fall_ns: int = 2_000_000_000  # length of the window in which the calls for tip_multiple are counted
     settle_ns: int = 0  # time after which an attempt that ended without an answer no longer runs
     columns: tuple[str, ...] = ()  # names of the values in load reports
-    zones: tuple[str, ...] = ()
+    zones: tuple[str, ...] = ()  # names of the zones
     kinds: tuple[str, ...] = ()  # names of the kinds of destination
 
     def __post_init__(self) -> None:
