--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -216,7 +216,8 @@
         self.loop, self.settings, self.journal = loop, settings, journal
         self.senders: dict[str, SenderSide] = {}
         self.outcome_sources: dict[str, OutcomeSource] = {}  # sources of later outcomes, by name
-        # Messages accepted by a next hop whose outcome is outstanding: message, name of its source, data awaited.
+        # By number of a message that a next hop accepted and whose outcome is outstanding: the message, the name of its
+        # outcome source, and the data by which that source recognizes the outcome.
         self._awaiting: dict[int, tuple[Message, str, dict[str, Any]]] = {}
         # For the graceful shutdown of the front ends: calls that are started as tasks at SIGTERM.
         self.shutdown_tasks: list[Callable[[], None]] = []
@@ -252,7 +253,7 @@
             self._deliver(message)
 
     def accept(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
-        """Accept or refuse a message; true if accepted. An accepted message is journalled before the answer."""
+        """Accept or refuse a message; true if this courier owns it now. It is journalled before it is accepted."""
         early_answer = self._check_admission(message)
         if early_answer is not None:
             answer(early_answer)
@@ -782,7 +783,7 @@
     # Shutdown
 
     def close(self) -> None:
-        """Begin the graceful shutdown: accept no messages, finish attempts in flight, leave the rest in the journal."""
+        """Shut down gracefully at SIGTERM: accept nothing, finish attempts in flight, leave the rest in the journal."""
         if self.closing is None:
             self.closing, self.ready = self.loop.now, False
             logs.event("closing", open=len(self.open), out=self.attempts_in_flight)
@@ -803,7 +804,7 @@
         self.loop.stop()
 
     def _has_work(self) -> bool:
-        """Whether work remains: an attempt that is in flight or may still start, or a front end with work to finish."""
+        """Whether work remains: an attempt in flight, one that may still start, or an unsent answer or notice."""
         assert self.closing is not None
         may_try = bool(self.journal.entries) and self.loop.now <= self.closing + LAST_ATTEMPT_START
         return bool(self.attempts_in_flight) or may_try or any(busy() for busy in self.busy_checks)
--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -690,7 +690,7 @@
         return limit.calls[-count] + (window if allowed >= 1 else int(window / allowed * limit.jitter))
 
     def _fleet_rate(self, route: Route) -> float:
-        """Return calls a second allowed to all forwarders: as reported, else as listed, else a low default."""
+        """Return the calls a second of all forwarders: as reported, else as listed, else a low default."""
         return route.limit.rate or (
             DEFAULT_RATE if self.settings.rate_hint is api.RateHint.NONE else route.rate
         )
