--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -31,7 +31,7 @@
 BLOCK = 512  # bytes per disk block
 MAX_ENDED_SHARE = 0.25  # maximum share of the size limit for ended messages; the oldest are dropped first
 RESERVED_PER_MESSAGE = 256  # bytes reserved for the final records of each open message
-RESERVED_PER_ATTEMPT = 64  # bytes reserved for each attempt: its ATTEMPT and NOT_RUN records
+RESERVED_PER_ATTEMPT = 64  # bytes reserved for the ATTEMPT and NOT_RUN records of each possible attempt
 MAX_LOGGED_BAD_RECORDS = 10  # damaged records that are logged one by one; further ones are only counted
 # Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again.
 RETENTION, LIMIT_REWRITE_INTERVAL = 60_000_000, 5_000_000
@@ -53,9 +53,10 @@
     Also preserved: texts on ended messages, and rate limits and outages of endpoints.
     """
 
-    def __init__(self, state_directory: str, max_bytes: int, attempts: int = 8) -> None:
+    def __init__(self, state_directory: str, max_bytes: int, max_attempts: int = 8) -> None:
+        """``max_bytes``: size limit of the file and its compacted copy. ``max_attempts``: of each message."""
         self._path, self._max_bytes = Path(state_directory) / "journal", max_bytes
-        self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * attempts
+        self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * max_attempts
         self._new_path = Path(state_directory) / "journal.new"
         self.entries: dict[int, Entry] = {}
         self._live = 0  # size of a compacted file in bytes, plus the room reserved for later records
--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -11,7 +11,7 @@
 BUFFER_SIZE = 16 * 1024
 BUFFER_RETRY_INTERVAL = 5 * MS  # between attempts to acquire a buffer while all are in use
 
-# Target of discarded reads. It takes no memory, as MSG_TRUNC drops the bytes and nothing is written to it.
+# Target of discarded reads. Nothing is written to it, as MSG_TRUNC drops the bytes.
 _DISCARD_TARGET = mmap.mmap(-1, 512 * 1024)
 
 
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -38,9 +38,9 @@
     # Guards against three faults: the number of other couriers is estimated from the time at which this courier noticed
     # the outage (200 couriers, 3 calls a second: 1.4 times the bound); a restarted courier knows nothing of the outage
     # (2 couriers: 1.2 times the bound); the calls of a window raise the budget of the same window.
-    for restarted, at, load, duration in RESTARTS_AND_LOADS:
+    for restarted, restart_at, load, duration in RESTARTS_AND_LOADS:
         for seed, how in enumerate(("refuses", "closed", "retry-after", "hangs")):
-            scenario = Scenario(couriers, rate, how, load, 14 - duration, 14, at, restarted, seed, until=21)
+            scenario = Scenario(couriers, rate, how, load, 14 - duration, 14, restart_at, restarted, seed, until=21)
             assert Simulation(scenario).run().worst_overload() <= 1, scenario
 
 
