--- a/kestrelspar/smpp/__init__.py
+++ b/kestrelspar/smpp/__init__.py
@@ -1,1 +1,1 @@
-"""The SMPP 3.4 front: contractors bind to it, and it binds to gateways."""
+"""The SMPP 3.4 front end: an SMPP server for contractors, and an SMPP client of gateways."""
--- a/kestrelspar/smpp/access.py
+++ b/kestrelspar/smpp/access.py
@@ -1,24 +1,28 @@
-"""Access control of the SMPP server: networks by account, and backoff of addresses with refused binds. No I/O."""
+"""Access control of the SMPP server. No I/O; times in microseconds.
+
+An account may be limited to networks, and an address whose binds were refused is throttled.
+"""
 
 from __future__ import annotations
 
 from ipaddress import IPv4Address, IPv4Network
 
 SECOND = 1_000_000
-FIRST_DELAYED_REFUSAL = 3  # from this refused bind on an address has to wait
-INITIAL_DELAY, MAX_DELAY = SECOND, 60 * SECOND  # doubles with each refusal
-REFUSAL_TTL = 300 * SECOND  # an address without a refusal for this long starts anew
+FIRST_DELAYED_REFUSAL = 3  # the third and each further refused bind causes a delay for the address
+INITIAL_DELAY, MAX_DELAY = SECOND, 60 * SECOND  # the delay doubles with each further refusal
+REFUSAL_TTL = 300 * SECOND  # after this time without a refusal, the count of an address restarts
 MAX_ADDRESSES = 1_024  # addresses; beyond that the one refused longest ago is dropped
 
 
 class BindThrottle:
-    """Counts refused binds by address. Times are in microseconds."""
+    """Counts refused binds by address, and delays further connections from it."""
 
     def __init__(self) -> None:
-        self._refused: dict[str, tuple[int, int]] = {}  # by address: the number, and the time of the last
+        # By address: the number of refused binds, and the time of the last one.
+        self._refused: dict[str, tuple[int, int]] = {}
 
     def record_refusal(self, address: str, now: int) -> int:
-        """Count a refused bind; returns the delay for the address, 0 for none yet."""
+        """Count a refused bind; returns for how long connections from the address are refused now, or 0."""
         count, last = self._refused.pop(address, (0, now))
         count = 1 if now - last > REFUSAL_TTL else count + 1
         while len(self._refused) >= MAX_ADDRESSES:
--- a/kestrelspar/smpp/alphabets.py
+++ b/kestrelspar/smpp/alphabets.py
@@ -12,8 +12,8 @@
 def encode_text(body: bytes) -> tuple[int, bytes]:
     """The data_coding and octets for the body of a message that was not submitted by SMPP.
 
-    UTF-8 is converted to the smallest alphabet that has all its characters; any other body is sent as binary. GSM
-    characters take one octet each and are not packed, as usual in SMPP.
+    UTF-8 text is converted to the first of GSM, Latin-1 and UCS-2 that has all its characters; any other body is sent
+    as binary. As usual in SMPP, GSM characters are not packed: each takes one octet, or two from the extension table.
     """
     try:
         text = body.decode()
