--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -26,30 +26,31 @@
 if TYPE_CHECKING:
     from kestrelspar.keys import TlsStore  # imports ssl, so only for type checks
 
-# After this wait for a session an attempt returns to the decision module, as it occupies a slot.
+# An attempt waits for a session until its deadline, or for this time if that is longer. It then returns to the decision
+# module, as it occupies a slot.
 MAX_QUEUE_TIME = 2 * SECOND
-MAX_EARLY_RECEIPTS = 1_000  # of one gateway, waiting for a submit_sm_resp; it has to send further ones again
+# Receipts of one gateway that wait for their submit_sm_resp. Beyond that the gateway has to send them again.
+MAX_EARLY_RECEIPTS = 1_000
 QUERY_TIMEOUT = 400 * MS  # for each query_sm or cancel_sm about a message whose receipt is missing
 
 
 class TimedOutSubmits:
     """Submits of one delivery attempt that timed out and are still in flight on an open session."""
 
-    def __init__(self, deadline: int, parts: int = 1) -> None:
-        self.deadline = deadline  # of the message: no attempt can follow it
-        self.parts = parts
+    def __init__(self, deadline: int, part_count: int = 1) -> None:
+        self.deadline = deadline  # of the message; no attempt is made after it
+        self.part_count = part_count  # submits of the attempt: one for each part of the message
         self.in_flight = 0
         self.all_ended = False
         self.late_response: Pdu | None = None
-        self.waiting: Suspension | None = None
+        self.waiting: Suspension | None = None  # the next attempt of the message, which waits until all have ended
 
-    def record_late_response(self, answer: Pdu | None) -> None:
-        """One of the submits got a late response, or its session has ended."""
+    def record_late_response(self, response: Pdu | None) -> None:
+        """Record the late response to one of the submits, or None if its session has ended without one."""
         self.in_flight -= 1
         self.all_ended = self.in_flight <= 0
-        self.late_response = (
-            answer if self.parts == 1 else None
-        )  # the response to one part says nothing about the others
+        # The response to one part says nothing about the others.
+        self.late_response = response if self.part_count == 1 else None
         if self.all_ended and self.waiting is not None:
             self.waiting.resume()
 
@@ -80,7 +81,10 @@
         seed: int = 0,
         keys: TlsStore | None = None,
     ) -> None:
-        """``courier`` gets the outcomes reported by receipts; ``inbound`` gets the messages that gateways send."""
+        """``courier`` gets the outcomes reported by receipts; ``inbound`` gets the messages that gateways send.
+
+        ``seed`` is for the jitter of bind delays.
+        """
         self.loop, self.buffers, self.settings = loop, buffers, settings
         self._courier, self._inbound = courier, inbound
         self._links: dict[bytes, Link] = {}
@@ -96,11 +100,11 @@
             )
             link.needs_receiving = self._receiving_predicate(gateway)
             self._links[gateway.name.encode()] = link
-        self._unresolved: dict[int, TimedOutSubmits] = {}
-        self._ledger = receipts.ReceiptTracker()
+        self._unresolved: dict[int, TimedOutSubmits] = {}  # by message number: its last attempt, if it timed out
+        self._tracker = receipts.ReceiptTracker()
 
     def _receiving_predicate(self, gateway: Gateway) -> Callable[[], bool]:
-        return lambda: gateway.stay_bound or self._ledger.pending_count(gateway.name) > 0
+        return lambda: gateway.stay_bound or self._tracker.pending_count(gateway.name) > 0
 
     def hops(self) -> list[NextHop]:
         """The gateways as entries of the transport map."""
@@ -141,6 +145,7 @@
         if earlier_result is not None:
             return earlier_result
         unresolved = TimedOutSubmits(message.deadline, len(requests))
+        # The first part is sent alone, so that nothing has run if the gateway refuses it.
         first = self._submit(message, link, requests[0], deadline, guard, unresolved)
         if len(requests) == 1 or first.outcome is not Outcome.OK:
             return first
@@ -148,7 +153,7 @@
         all_ended = Suspension(self.loop)
 
         def may_continue() -> bool:
-            """Called right before the first byte of a part: another may have failed while it waited for a session."""
+            """Whether a part may be sent; called right before its first byte, as another may have failed by then."""
             failed = any(ended is not None and ended.outcome is not Outcome.OK for ended in results)
             return not failed and guard.may_continue()
 
@@ -161,7 +166,6 @@
                 if all(results):
                     all_ended.resume()
 
-        # The first part is sent alone, so that nothing has run if the gateway refuses it.
         for index in range(1, len(requests)):
             self.loop.spawn(send_part, index)
         self.loop.park(all_ended)
@@ -178,7 +182,7 @@
     ) -> Result:
         """Wait for a session with room, send one submit_sm, and return its outcome."""
         started_at, timeout = self.loop.now, max(0, deadline - self.loop.now)
-        # The time-out starts when the submit is sent: one that waited in the queue must not time out at once.
+        # The time-out starts when the submit is sent, so that time spent waiting for a session does not count.
         bound = link.acquire(max(deadline, min(started_at + MAX_QUEUE_TIME, message.deadline - timeout)))
         waited, deadline = self.loop.now - started_at, min(message.deadline, self.loop.now + timeout)
         if bound is None:
@@ -213,8 +217,8 @@
         except SessionLostError:
             return Result(Outcome.RESET)
         except Late:
-            # SMPP cannot withdraw a submit in flight, and other requests on the session need their responses, so the
-            # session ends after them.
+            # SMPP cannot withdraw a submit in flight. The session is drained rather than closed, as other requests on
+            # it still need their responses.
             self._unresolved = {
                 number: earlier for number, earlier in self._unresolved.items() if earlier.deadline > self.loop.now
             }
@@ -226,15 +230,15 @@
         must_report = link.record_response(bound, sent, answer)
         result = self._result(gateway, answer)
         if result.outcome is Outcome.FULL and not must_report:
-            # Rate control keeps to the limit and delays all submits. The decision module would count each of several
-            # refusals of one burst, so none is reported.
+            # Rate control already delays all submits to this gateway. The refusal is not reported, as the decision
+            # module would count each refusal of one burst.
             return Result(Outcome.MOOT, result.retry_after, note="throttled")
         return result
 
     @staticmethod
     def _result(gateway: Gateway, answer: Pdu) -> Result:
         """The outcome of a response; if outcomes come by receipt, success only means that the message was accepted."""
-        if answer.command is not Command.SUBMIT_SM_RESP:  # also a generic_nack: the message was not processed
+        if answer.command is not Command.SUBMIT_SM_RESP:  # a generic_nack, or a response of another type
             status = answer.status or Status.ESME_RSYSERR
             return status_codes.result_of(status, gateway.throttle_wait)
         result = status_codes.result_of(answer.status, gateway.throttle_wait)
@@ -244,10 +248,10 @@
         return result
 
     def _earlier_result(self, message: Message, deadline: int, gateway: Gateway) -> Result | None:
-        """The outcome of an earlier attempt that timed out; none if another attempt may be made.
+        """The result of this attempt as decided by an earlier one that timed out; None if the message may be sent.
 
-        Two attempts of a message must not run at once, so the next one waits while the first is in flight on an open
-        session. A late response makes it unnecessary.
+        Two attempts of a message must not run at once, so this one waits while the earlier one is in flight on an open
+        session. It is unnecessary if a late response shows that the earlier one ran, or may have run.
         """
         unresolved = self._unresolved.get(message.number)
         if unresolved is None:
@@ -268,7 +272,7 @@
         """See ``core.courier.Later``."""
         link = self._links.get(str(awaits["gate"]).encode())
         base = "text" if link is None else link.gateway.response_id
-        self._ledger.expect(message.number, awaits["gate"], awaits["ids"], base)
+        self._tracker.expect(message.number, awaits["gate"], awaits["ids"], base)
         if link is not None:
             waiting, link.early_receipts = link.early_receipts, []
             for parking in waiting:
@@ -277,12 +281,13 @@
 
     def stop_waiting(self, message: Message) -> None:
         """See ``core.courier.Later``."""
-        self._ledger.drop(message.number)
+        self._tracker.drop(message.number)
 
     def query_outcome(self, message: Message, awaits: dict[str, Any]) -> str:
-        """No receipt has arrived: query the gateway for the final state, and cancel what it has not delivered.
+        """Query the gateway for the final state of a message without a receipt; cancel what it has not delivered.
 
-        The message is not sent again, whatever its class, as the gateway may still be processing it.
+        Returns the final state. The message is not sent again, whatever its class, as the gateway may still be
+        processing it.
         """
         link = self._links.get(str(awaits["gate"]).encode())
         if link is None:
@@ -293,7 +298,7 @@
         return FAILED  # some parts were or may have been delivered
 
     def _query_or_cancel(self, link: Link, message: Message, message_id: str) -> str:
-        """Determine the final state of one part by query_sm; if it has none yet, by cancel_sm."""
+        """Query the final state of one part by query_sm; if it has none yet, cancel the part by cancel_sm."""
         submitted = message.extra.get("smpp", {})
         source = {
             key: submitted.get(key, "" if key == "source_addr" else 0)
@@ -327,14 +332,14 @@
         return RETURNED if answer.command is Command.CANCEL_SM_RESP and not answer.status else FAILED
 
     def _handle_receipt(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
-        """Handle a receipt in its own task; it is acknowledged after its outcome has been journalled."""
+        """Handle a receipt in its own task; acknowledge it after its outcome has been journalled."""
         gateway, receipt = link.gateway, receipts.parse(pdu)
         if receipt is None or self._courier is None or gateway.outcome != "receipt":
             logs.event("smpp-receipt-unread", peer=bound.session.name)
             bound.session.send(pdu.reply())
             return
         wait_until = self.loop.now + gateway.response_timeout
-        while (number := self._ledger.message_number(gateway.name, receipt.id, gateway.receipt_id)) is None:
+        while (number := self._tracker.message_number(gateway.name, receipt.id, gateway.receipt_id)) is None:
             # The receipt may arrive before the submit_sm_resp that it belongs to, or on another session.
             if not link.attempts_in_progress or self.loop.now >= wait_until:
                 logs.event(
@@ -362,16 +367,16 @@
         if receipt.final_state is None:
             return True
         if receipt.final_state == DELIVERED:
-            remaining = self._ledger.remaining_ids(number, receipt.id, gateway.receipt_id)
-            if remaining:  # other parts of a long message
+            remaining = self._tracker.remaining_ids(number, receipt.id, gateway.receipt_id)
+            if remaining:  # the other parts of a long message have no receipt yet
                 if not self._courier.update_awaited_outcome(
                     number, {"gate": gateway.name, "ids": remaining, "some": True}
                 ):
                     return False
-                self._ledger.expect(number, gateway.name, remaining, gateway.response_id)
+                self._tracker.expect(number, gateway.name, remaining, gateway.response_id)
                 return True
         end = receipt.final_state
-        if end == RETURNED and self._courier.awaited_outcome(number).get("some", self._ledger.awaits_several(number)):
+        if end == RETURNED and self._courier.awaited_outcome(number).get("some", self._tracker.awaits_several(number)):
             end = FAILED  # another part was or may have been delivered, so the message may have taken effect
         return self._courier.outcome_received(number, end)
 
@@ -405,7 +410,7 @@
             session.send(pdu.reply())
 
     def outbind_handler(self, system_id: str, password: str) -> Callable[[Stream], None] | None:
-        """Called for an outbind: what takes over the connection, or none if no gateway has these credentials."""
+        """The function that takes over the connection of an outbind; None if no gateway has these credentials."""
         for link in self._links.values():
             gateway = link.gateway
             if (
@@ -423,30 +428,36 @@
         self._links[hop.endpoint.id].close_idle()
 
     def shut_down(self) -> None:
-        """Unbind the sessions with nothing in flight. Others may still get responses; the journal covers the rest."""
+        """Unbind the sessions with nothing in flight.
+
+        The other sessions may still get responses. Messages without one are recovered from the journal.
+        """
         for link in self._links.values():
             link.shut_down()
 
 
 def _combined_result(results: list[Result]) -> Result:
-    """The outcome of an attempt in parts: delivered if all parts are; once one has run, the message may have."""
+    """The outcome of an attempt in parts.
+
+    It succeeded if all parts did. If only some did, the message may have run.
+    """
     failed = [result for result in results if result.outcome is not Outcome.OK]
     if not failed:
-        later = [result.outcome_source for result in results if result.outcome_source is not None]
-        if not later:
+        sources = [result.outcome_source for result in results if result.outcome_source is not None]
+        if not sources:
             return results[0]
-        ids = [message_id for _, awaits in later for message_id in awaits["ids"]]
-        return dataclasses.replace(results[0], outcome_source=(later[0][0], later[0][1] | {"ids": ids}))
+        ids = [message_id for _, awaits in sources for message_id in awaits["ids"]]
+        return dataclasses.replace(results[0], outcome_source=(sources[0][0], sources[0][1] | {"ids": ids}))
     wait = max(result.retry_after for result in failed)
     note = f"{len(results) - len(failed)} of {len(results)} parts were accepted, then {failed[0].outcome.name.lower()}"
     return Result(Outcome.TIMEOUT if failed[0].outcome is Outcome.TIMEOUT else Outcome.ERROR, wait, note=note)
 
 
 def submits(message: Message, gateway: Gateway, reference: int) -> list[Pdu]:
-    """The submit_sm for a message from any front end; TLVs are passed unchanged.
+    """The submit_sm requests for a message from any front end; TLVs are passed unchanged.
 
-    Several if the message is longer than a short message and the gateway is configured for parts; ``reference`` is
-    their concatenation reference number.
+    There are several if the gateway is configured for parts and the text does not fit into one PDU; ``reference`` is
+    their concatenation reference number. Raises ``ValueError`` if the message would need too many parts.
     """
     submitted = message.extra.get("smpp", {})
     fields = {name: submitted[name] for name in p.SM_FIELDS if name in submitted}
