--- a/kestrelspar/smpp/flow_control.py
+++ b/kestrelspar/smpp/flow_control.py
@@ -8,10 +8,10 @@
 cause no further one. The window grows by one for each window of responses (additive increase, multiplicative decrease:
 Chiu and Jain 1989). The rate applies to the gateway, over all its sessions, as gateways limit by account. It is
 unbounded until the first ESME_RTHROTTLED; the ceiling is then the number of submits served within a second under excess
-demand. After a reduction the rate follows the curve of CUBIC (RFC 9438, section 4.2): fast to near the ceiling, level
-about it, and ever faster beyond it, so that it reaches a limit with little overshoot and finds a raised one. A burst
-alone does not show the limit of the gateway: then our rate doubles every ``DOUBLING_TIME`` until the next refusal gives
-a better estimate.
+demand. After a reduction the rate follows the curve of CUBIC (RFC 9438, section 4.2): it rises fast to near the
+ceiling, is almost constant around it, and rises ever faster beyond it. So it exceeds an unchanged limit only a little,
+and finds a limit that has been raised. If the first refusal comes within half a rate window, as in a burst, the ceiling
+is uncertain: then the rate doubles every ``DOUBLING_TIME`` until the next refusal gives a better estimate.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 SECOND = 1_000_000
 RATE_WINDOW = SECOND  # limits are mostly defined per second, so served submits are counted over one
-QUEUE_FULL_FACTOR, CONGESTION_FACTOR = 0.5, 0.8  # by which a window, or a rate, is multiplied
-RESUME_FACTOR = 0.95  # of the ceiling: the rate after a refusal
-# Until the rate is at the ceiling. After twice this time it exceeds the ceiling by as much as it began below it, as the
-# curve is a cubic about that point.
+QUEUE_FULL_FACTOR, CONGESTION_FACTOR = 0.5, 0.8  # factors by which a window or a rate is reduced
+RESUME_FACTOR = 0.95  # the rate after a refusal, as a fraction of the ceiling
+# Time in which the rate recovers to the ceiling. The curve is a cubic about that point, so after twice this time the
+# rate is as far above the ceiling as it began below it.
 RECOVERY_TIME = 3 * SECOND
-DOUBLING_TIME = 700_000  # of the rate, while the ceiling is uncertain
-MIN_RATE = 0.5  # submits per second; with less, it would go unnoticed that a limit no longer applies
+DOUBLING_TIME = 700_000  # time in which the rate doubles while the ceiling is uncertain
+MIN_RATE = 0.5  # submits per second; a lower rate would not show that a limit no longer applies
 CONGESTED, OPTIMUM_LOAD = 90, 80  # congestion_state: 80 to 89 is optimum load, above is congestion (SMPP 5.0, 4.8.4.18)
 # A response indicates a queue if its latency exceeds the minimum by both the factor and the margin.
 SLOW_FACTOR, SLOW_MARGIN = 4.0, 200_000
-MIN_LATENCY_WEIGHT = 0.02  # weight of a slower response in the minimum latency, which follows a changed route this way
+MIN_LATENCY_WEIGHT = 0.02  # weight of a slower response in the minimum latency, so that it adapts to a changed route
 
 
 class Window:
@@ -44,7 +44,7 @@
         self.max_size = max_size
         self.size = float(max_size)
         self.in_flight = 0
-        self.reduced_at = -1  # responses to submits sent before the last reduction cause no further one
+        self.reduced_at = -1  # time of the last reduction; responses to submits sent before it cause no further one
         self.min_latency = 0.0  # of a response, in microseconds; 0: unknown
 
     @property
@@ -80,7 +80,7 @@
         return False
 
     def record_loss(self, now: int) -> None:
-        """Shrink the window after a submit without a response in time."""
+        """Shrink the window after a submit that got no response in time."""
         if now > self.reduced_at:
             self._reduce(now, QUEUE_FULL_FACTOR)
 
@@ -93,20 +93,20 @@
         self.max_rate = max_rate
         self.rate = max_rate  # submits per second; 0: unbounded
         self.ceiling = 0.0  # submits per second that were served at the last refusal; 0: never refused
-        self.not_before = 0
-        self.refusals = 0
+        self.not_before = 0  # earliest time of the next submit, after a retry-after delay
+        self.refusals = 0  # throttled submits
         self._ceiling_uncertain = False  # measured over less than half of the rate window, as in a burst
         self._theoretical_arrival = 0.0  # of the next submit (GCRA)
-        self._active_since = 0  # when the first submit was sent that was served after a rate window without served ones
+        self._active_since = 0  # sending time of the first served submit after a rate window without any
         self._reduced_at = -1
         self._recovery_start = 0  # when the rate starts to recover to the ceiling
         self._recovery_rate = 0.0  # the rate at that time
-        self._consecutive_refusals = 0  # refusals with no submit served in between; each reduction counts one at most
-        self._refused_since = 0  # the first of them
-        self._served_at: deque[int] = deque()  # sending times of the submits served, over the rate window
+        self._consecutive_reductions = 0  # in a row, with no submit served that was sent after one of them
+        self._refused_since = 0  # time of the first of these reductions
+        self._served_send_times: deque[int] = deque()  # sending times of the submits served, over the rate window
 
     def earliest_send(self, now: int) -> int:
-        """The time from which the next submit may be sent; not in the future if it may be sent now."""
+        """The earliest time of the next submit; if it is not after ``now``, the submit may be sent at once."""
         self._update_rate(now)
         return max(self.not_before, math.ceil(self._theoretical_arrival))
 
@@ -117,7 +117,10 @@
             self._theoretical_arrival = max(self._theoretical_arrival, now - interval) + interval
 
     def _update_rate(self, now: int) -> None:
-        """Set the rate by the time since the last reduction: towards the ceiling, level about it, then ever faster."""
+        """Set the rate by the time since it started to recover.
+
+        It doubles while the ceiling is uncertain, and else follows the cubic curve about the ceiling.
+        """
         if not self.ceiling or now <= self._recovery_start:
             return
         progress = (now - self._recovery_start) / RECOVERY_TIME
@@ -134,42 +137,42 @@
         Returns whether the gateway is unavailable rather than limited: it has refused for at least a rate window and
         served nothing in between.
         """
-        while self._served_at and self._served_at[0] <= now - RATE_WINDOW:
-            self._served_at.popleft()
+        while self._served_send_times and self._served_send_times[0] <= now - RATE_WINDOW:
+            self._served_send_times.popleft()
         if not throttled:
-            if not self._served_at:
+            if not self._served_send_times:
                 self._active_since = sent
-            self._served_at.append(sent)
+            self._served_send_times.append(sent)
             if sent > self._reduced_at:
-                self._consecutive_refusals = 0
+                self._consecutive_reductions = 0
             return False
         self.refusals += 1
         self.not_before = max(self.not_before, now + retry_after)
         if sent <= self._reduced_at:  # sent before the last reduction, so it says nothing new
             return False
-        # With nothing served since the last refusal, the same limit still applies: the delay was too short, and the
-        # rate has not been tried. So the delay doubles, up to a quarter of the rate window.
-        retry_after = max(retry_after, min(RATE_WINDOW // 4, retry_after << self._consecutive_refusals))
+        # With nothing served since the last reduction, the same limit still applies: the delay was too short, and the
+        # reduced rate is still untested. So the delay doubles, up to a quarter of the rate window.
+        retry_after = max(retry_after, min(RATE_WINDOW // 4, retry_after << self._consecutive_reductions))
         self.not_before = max(self.not_before, now + retry_after)
         self._theoretical_arrival = max(self._theoretical_arrival, float(now + retry_after))
-        if not self._consecutive_refusals:
+        if not self._consecutive_reductions:
             self._refused_since = now
             self._ceiling_uncertain = not self.ceiling and now - self._active_since < RATE_WINDOW // 2
             self.ceiling = max(MIN_RATE, self._observed_rate(now))
             self._recovery_rate = max(MIN_RATE, RESUME_FACTOR * self.ceiling)
         self.rate, self._recovery_start, self._reduced_at = self._recovery_rate, now + retry_after, now
-        self._consecutive_refusals += 1
+        self._consecutive_reductions += 1
         return now - self._refused_since >= RATE_WINDOW
 
     def _observed_rate(self, now: int) -> float:
         """Submits per second that were served under excess demand."""
         if not self.rate or self._ceiling_uncertain:
-            return float(len(self._served_at))
-        # The part of the rate window without idle and waiting times.
+            return float(len(self._served_send_times))
+        # The length of the rate window without idle time and the time of the retry-after delay.
         observed_for = now - max(self._active_since, self._recovery_start, now - RATE_WINDOW)
         if observed_for < RATE_WINDOW // 5:  # too short to measure: somewhat below the last rate
             return CONGESTION_FACTOR * self.rate
-        served = sum(sent_at > now - observed_for for sent_at in self._served_at)
+        served = sum(sent_at > now - observed_for for sent_at in self._served_send_times)
         return min(self.rate, served * SECOND / observed_for)
 
 
@@ -177,19 +180,22 @@
     """Exponential backoff of binds, with jitter so that couriers do not retry in step."""
 
     def __init__(self, initial_delay: int, max_delay: int, seed: int) -> None:
-        """Delays are drawn from between half and all of a step, which grows from the initial to the maximum delay."""
+        """Each delay is random, from half a step to a whole one; steps double from the initial to the maximum delay."""
         self._initial_delay, self._max_delay = initial_delay, max_delay
         self._random = random.Random(seed)
         self._step = 0
         self.retry_at = 0
 
     def failed(self, now: int, refused: bool = False) -> int:
-        """A bind failed; returns the delay, the longest if ``refused`` with a status that a retry will not change."""
+        """Record a failed bind; returns the delay before the next one.
+
+        The step is the maximum delay if the bind was ``refused`` with a status that a retry will not change.
+        """
         self._step = self._max_delay if refused else min(self._max_delay, 2 * self._step or self._initial_delay)
         wait = self._step // 2 + self._random.randrange(self._step // 2 + 1)
         self.retry_at = now + wait
         return wait
 
     def succeeded(self) -> None:
-        """A bind succeeded: reset the delay."""
+        """Reset the delay after a successful bind."""
         self._step = self.retry_at = 0
--- a/kestrelspar/smpp/inbound.py
+++ b/kestrelspar/smpp/inbound.py
@@ -12,7 +12,8 @@
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Pdu, Status
 
-# Responses to a gateway for messages that are not accepted: temporary (the gateway may send again) and permanent.
+# Responses to a gateway for messages that are not accepted: a temporary error (the gateway may send the message again)
+# and a permanent one.
 DEFERRED_STATUS, REJECTED_STATUS = Status.ESME_RX_T_APPN, Status.ESME_RX_R_APPN
 
 
@@ -22,11 +23,11 @@
     name = "smpp-inbound"
 
     def __init__(self, courier: Courier, forward_alert: Callable[[str, Pdu], None] = lambda gateway, pdu: None) -> None:
-        """``forward_alert`` forwards an alert_notification to the clients that are bound."""
+        """``forward_alert`` forwards an alert_notification of the named gateway to the clients that are bound."""
         self._courier, self._forward_alert = courier, forward_alert
 
     def submit(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
-        """Process a deliver_sm or data_sm in the task of its message; answered as soon as it is journalled."""
+        """Process a deliver_sm or data_sm in the task of its message; respond as soon as the message is journalled."""
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
         tlvs = [(tag, value.hex()) for tag, value in pdu.tlvs if tag != p.MESSAGE_PAYLOAD]
@@ -89,7 +90,7 @@
         self._forward_alert(gateway.name, pdu)
 
     def recover(self, message: Message) -> bool:
-        """Recovered messages are never held back."""
+        """See ``core.courier``; always false, as messages from gateways are never held back."""
         return False
 
     def report_end(self, message: Message, end: End) -> None:
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -1,4 +1,4 @@
-"""The sessions to one gateway: binds when needed, keeps to windows and rate, unbinds when idle."""
+"""The sessions to one gateway: binds them when needed, respects windows and rate, and unbinds them when idle."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 
 class Link:
-    """The sessions to one gateway: a sender acquires one for each request and releases it; waiting ones go in turn."""
+    """The sessions to one gateway.
+
+    A sender acquires a session for each request and then releases it; waiting senders are served in order of arrival.
+    """
 
     def __init__(
         self,
@@ -64,15 +67,13 @@
         self.backoff = Backoff(gateway.bind_retry_delay, gateway.max_bind_retry_delay, seed)
         self.sessions: list[BoundSession] = []
         self.last_reference = 0  # concatenation reference number of the last message
-        self.attempts_in_progress = (
-            0  # delivery attempts in progress: a receipt may arrive before the response that it belongs to
-        )
-        self.early_receipts: list[Suspension] = []  # tasks of receipts that wait for that response
+        self.attempts_in_progress = 0  # delivery attempts; a receipt may arrive before the response to its submit
+        self.early_receipts: list[Suspension] = []  # tasks of such receipts, which wait for that response
         self.needs_receiving: Callable[[], bool] = lambda: gateway.stay_bound
         self._connect_timeout, self._handle = connect_timeout, handle
         self._binding = False
         self._slow_start = False  # true after a failed bind or a lost session, until the next bind succeeds
-        self._queue: deque[Suspension] = deque()
+        self._queue: deque[Suspension] = deque()  # senders that wait for a session
         self._rate_timer: Timer | None = None
         self._idle_timer: Timer | None = None
         self._shutting_down = False
@@ -80,7 +81,10 @@
     # Sending
 
     def acquire(self, deadline: int) -> BoundSession | None | object:
-        """Wait for a session with room, within the rate; none if none can be bound, ``TIMED_OUT`` at the deadline."""
+        """Wait until a session has room in its window and the rate allows a request.
+
+        Returns the session, None if no session can be bound, or ``TIMED_OUT`` at the deadline.
+        """
         parking = Suspension(self.loop)
         self._queue.append(parking)
         self._serve_queue()
@@ -88,7 +92,7 @@
         return acquired
 
     def release(self, bound: BoundSession) -> None:
-        """A request on this session has its response, or will have none."""
+        """Release a session after its request got a response, or can no longer get one."""
         bound.window.in_flight -= 1
         bound.last_used_at = self.loop.now
         self._serve_queue()
@@ -96,10 +100,10 @@
             self._schedule_idle_check()
 
     def record_response(self, bound: BoundSession, sent: int, response: Pdu) -> bool:
-        """Adapt rate and window to the response to a request sent at ``sent``; whether to report a refusal.
+        """Adapt rate and window to the response to a request sent at ``sent``; returns whether to report a refusal.
 
-        A rate limit is handled here. The decision module has to know of a gateway that refuses all submits or whose
-        queue is full, so that it sends nothing there.
+        Refusals by a rate limit are handled here and not reported. If a gateway refuses all submits, or if its queue is
+        full, the refusal is reported, so that the decision module sends nothing there.
         """
         now, congestion_state = self.loop.now, response.tlv(p.CONGESTION_STATE)
         congestion = congestion_state[0] if congestion_state and congestion_state[0] <= 100 else None
@@ -146,7 +150,7 @@
                 if len(sessions) < self.gateway.sessions:
                     self._bind(BIND_COMMANDS[self.gateway.bind])
                 return
-            if bound.session.stream.peer_closed():  # the connection is closed, and its reading task has not noticed yet
+            if bound.session.stream.peer_closed():  # the reading task has not noticed it yet
                 self._slow_start = True
                 bound.session.close()
                 continue
@@ -162,7 +166,7 @@
     # Binding
 
     def _bind(self, command: Command) -> bool:
-        """Start to bind one more session; false during the backoff delay and during shutdown."""
+        """Start to bind a session, unless a bind is in progress; false during the backoff delay and during shutdown."""
         if self._binding:
             return True
         if self._shutting_down or self.backoff.retry_at > self.loop.now:
@@ -226,7 +230,7 @@
             return False
         if session.closed:
             return False
-        if self._slow_start:  # the gateway has just recovered, and does not get the full window at once
+        if self._slow_start:  # a gateway that has just recovered does not get the full window at once
             bound.window.size = max(1.0, gateway.window / SLOW_START_DIVISOR)
             self._slow_start = False
         self.sessions.append(bound)
@@ -245,7 +249,7 @@
         logs.event("smpp-bind-failed", peer=self.gateway.name, why=why, again_ms=wait // 1000)
 
     def _run_session(self, bound: BoundSession) -> None:
-        """Run a session until its end; then bind another one where it is needed."""
+        """Run a session until its end; then bind another one if it is needed."""
         try:
             bound.session.run(lambda pdu: self._handle(self, bound, pdu))
         finally:
@@ -282,7 +286,7 @@
             self._schedule_idle_check()
 
     def _may_unbind(self, bound: BoundSession) -> bool:
-        """Whether it may be unbound: another session receives, or none has to."""
+        """Whether a session may be unbound: it does not receive, another one receives too, or none has to receive."""
         others = [
             other
             for other in self.sessions
@@ -303,7 +307,7 @@
         self._unbind_where(lambda bound: True)
 
     def shut_down(self) -> None:
-        """The process ends: unbind the sessions with nothing in flight, and bind no more."""
+        """Unbind the sessions with nothing in flight, and bind no more; called when the process ends."""
         self._shutting_down = True
         for bound in self.sessions:
             if not bound.window.in_flight:
