--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -3,9 +3,9 @@
 A part carries a reference, the number of parts, and its own position: in a user data header (3GPP TS 23.040,
 9.2.3.24: information elements 0x00 with an 8-bit reference and 0x08 with a 16-bit one) or in the three SAR parameters
 of SMPP 3.4 (5.3.2.22 to 24). Parts belong to one message if they have the same reference, account, source and
-destination address, service type and coding. They may arrive in any order, and more than once. The parts of a message
-that is still incomplete at its time-out end one by one, each with its own final state. The number of incomplete
-messages and the bytes of each are bounded; parts beyond that are deferred.
+destination address, service type and coding. They may arrive in any order, and more than once. If a message is still
+incomplete at its time-out, each of its parts gets a final state of its own. The number of incomplete messages and the
+bytes of each are bounded; parts beyond these limits are deferred.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 UDHI = 0x40  # flag in esm_class: the text begins with a user data header
 CONCAT_8, CONCAT_16 = 0x00, 0x08  # information elements with an 8-bit and a 16-bit reference
 MAX_INCOMPLETE_MESSAGES = 500
-MAX_MESSAGE_BYTES = 64 * 1024  # of a complete message
+MAX_MESSAGE_BYTES = 64 * 1024  # of a reassembled message
 SAR = (p.SAR_MSG_REF_NUM, p.SAR_TOTAL_SEGMENTS, p.SAR_SEGMENT_SEQNUM)
 SAR_LENGTHS = {p.SAR_MSG_REF_NUM: 2, p.SAR_TOTAL_SEGMENTS: 1, p.SAR_SEGMENT_SEQNUM: 1}
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Which part of which message."""
+    """The position of a part in its message, and the reference that identifies the message."""
 
     how: str  # "udh8", "udh16" or "sar"; references of different kinds are unrelated
     ref: int
@@ -44,7 +44,10 @@
 
 
 def split_header(text: bytes) -> tuple[dict[int, bytes], bytes]:
-    """Split off a user data header: its elements and the text after it; ``InvalidPartError`` if it is truncated."""
+    """Split a text into the elements of its user data header, by identifier, and the text after the header.
+
+    Raises ``InvalidPartError`` if the header is truncated.
+    """
     if not text or 1 + text[0] > len(text):
         raise InvalidPartError(f"user data header truncated at {len(text)} bytes", Status.ESME_RINVESMCLASS)
     raw, elements, at = text[1 : 1 + text[0]], {}, 0
@@ -61,8 +64,8 @@
 def identify_part(pdu: Pdu, text: bytes) -> tuple[Part | None, bytes]:
     """Which part a submit_sm or data_sm is, and its text without the header; (None, text) if it is no part.
 
-    A header with elements other than the reference, such as ports, is meant for the handset. Such a message is not
-    reassembled, as these elements would be lost.
+    Raises ``InvalidPartError`` if it is a malformed part. A header with elements other than the reference, such as
+    ports, is meant for the handset. Such a message is not reassembled, as these elements would be lost.
     """
     if pdu.number("esm_class") & UDHI:
         elements, rest = split_header(text)
@@ -107,11 +110,11 @@
 
 @dataclass(slots=True)
 class IncompleteMessage:
-    """The parts of a message that have arrived: by position, the number and the size of each."""
+    """The parts of a message that have arrived."""
 
     total: int
     expires_at: int
-    parts: dict[int, tuple[int, int]] = field(default_factory=dict)
+    parts: dict[int, tuple[int, int]] = field(default_factory=dict)  # by position: message number, and size in bytes
 
     @property
     def numbers(self) -> list[int]:
@@ -120,16 +123,16 @@
 
 
 class Reassembler:
-    """Holds incomplete messages. Times are in microseconds."""
+    """Records which parts of incomplete messages have arrived; the caller holds the parts. Times in microseconds."""
 
     def __init__(self, timeout: int) -> None:
         self._timeout = timeout
         self._incomplete: dict[Key, IncompleteMessage] = {}
 
     def classify(self, key: Key, part: Part, size: int) -> tuple[PartDisposition, int]:
-        """What would happen to a part, and the number of the held part that it duplicates, or 0.
+        """What would happen to a part, and the message number of the held part that it duplicates, or 0.
 
-        Changes nothing: the part is not journalled yet.
+        Changes nothing, so that it can be called before the part is journalled.
         """
         incomplete = self._incomplete.get((*key, part.how, part.ref, part.total))
         if incomplete is None:
@@ -145,7 +148,7 @@
         return (PartDisposition.WHOLE if len(incomplete.parts) + 1 == incomplete.total else PartDisposition.HELD), 0
 
     def add(self, now: int, key: Key, part: Part, number: int, size: int, deadline: int) -> IncompleteMessage | None:
-        """Hold a part. If it completes its message, the message is removed and returned.
+        """Record a held part. If it completes its message, the message is removed and returned.
 
         A message expires no later than the earliest ``deadline`` of its parts, as each of them needs its final state
         by then.
@@ -163,7 +166,7 @@
 
     @property
     def next_expiry(self) -> int | None:
-        """The earliest expiry, None if no message is incomplete."""
+        """The earliest expiry time; None if there is no incomplete message."""
         return min((incomplete.expires_at for incomplete in self._incomplete.values()), default=None)
 
 
@@ -177,13 +180,13 @@
 
 
 def part_capacity(coding: int, text: bytes, how: str = "") -> int:
-    """Capacity of one PDU in octets of text: unsplit (empty ``how``), or for a part by "udh" or "sar"."""
+    """How many octets of text fit into one PDU: of an unsplit text (empty ``how``), or of a part by "udh" or "sar"."""
     seven_bit = coding in (GSM, IA5) and not any(octet > 0x7F for octet in text)
     return {"": (140, 160), "udh": (134, 153), "sar": (132, 152)}[how][seven_bit]
 
 
 def split(text: bytes, coding: int, how: str) -> list[bytes]:
-    """Split a text into as few parts as possible, never inside a surrogate pair or an escape of 7-bit text.
+    """Split a text into as few parts as possible, never inside a surrogate pair or an escape sequence of 7-bit text.
 
     Raises ``ValueError`` if that takes more than 255 parts.
     """
--- a/kestrelspar/smpp/pdu.py
+++ b/kestrelspar/smpp/pdu.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 HEADER = struct.Struct(">IIII")
-MAX_PDU_BYTES = 70 * 1024  # a message_payload of 64 KiB with the other fields; fits into one buffer
-RESPONSE = 0x80000000
+MAX_PDU_BYTES = 70 * 1024  # a message_payload of 64 KiB with the other fields
+RESPONSE = 0x80000000  # bit of the command_id that marks a response
 
 
 class Command(IntEnum):
@@ -111,14 +111,16 @@
     REJECTED = 8
 
 
+# Tags of optional parameters.
 RECEIPTED_MESSAGE_ID, MESSAGE_STATE, MESSAGE_PAYLOAD = 0x001E, 0x0427, 0x0424
 SC_INTERFACE_VERSION = 0x0210
 SAR_MSG_REF_NUM, SAR_TOTAL_SEGMENTS, SAR_SEGMENT_SEQNUM = 0x020C, 0x020E, 0x020F
 CONGESTION_STATE = 0x0428  # SMPP 5.0: from 0 (idle) to 99 (congested), 100 (full)
 MAX_DESTINATIONS = 254  # of a submit_multi
-RETRY_AFTER_MS = 0x1401  # in the vendor-specific range: delay before a returned message may be submitted again
+# Tag in the vendor-specific range; the value is the delay in ms before a returned message may be submitted again.
+RETRY_AFTER_MS = 0x1401
 
-# Name and maximum length of each field: the bytes of a C-octet string with its terminating zero; 0 stands for an
+# Name and length of each field: for a C-octet string, the maximum in bytes with its terminating zero; 0 stands for an
 # integer of one byte.
 _BIND_LAYOUT = (
     ("system_id", 16),
@@ -162,7 +164,7 @@
     ("registered_delivery", 0),
     ("data_coding", 0),
 )
-# Lengths that stand for the list of destinations of a submit_multi, and for the rejected ones in its response.
+# Lengths that stand for a list: the destinations of a submit_multi, and the rejected destinations in its response.
 _DESTINATION_LIST, _UNSUCCESS_LIST = -1, -2
 FIELDS: dict[Command, tuple[tuple[str, int], ...]] = {
     Command.BIND_RECEIVER: _BIND_LAYOUT,
@@ -282,7 +284,7 @@
 
 
 def encode(pdu: Pdu) -> bytes:
-    """The PDU as bytes; raises ``ValueError`` if a field is too long."""
+    """The PDU as bytes; raises ``ValueError`` if a field is too long or cannot be encoded."""
     parts = []
     without_body = pdu.command & RESPONSE and pdu.status  # a response with an error status has no body
     for name, max_length in () if without_body else FIELDS.get(pdu.command, ()):
@@ -315,7 +317,10 @@
 
 
 def complete_length(data: memoryview | bytearray) -> int:
-    """The length of the PDU at the start of the data, or 0 while the data does not hold all of it."""
+    """The length of the PDU at the start of the data, or 0 while the data does not hold all of it.
+
+    Raises ``FramingError`` if its command_length is invalid.
+    """
     if len(data) < 4:
         return 0
     size = int.from_bytes(data[:4], "big")
--- a/kestrelspar/smpp/probe.py
+++ b/kestrelspar/smpp/probe.py
@@ -35,7 +35,7 @@
         self.stream.write(data, self.loop.now + 5 * SECOND)
 
     def read_response(self, deadline: int) -> Pdu:
-        """Read the next response.
+        """Read the next response; requests before it are acknowledged.
 
         Raises ``Closed``, ``Late``, or ``ProbeError`` if something other than a PDU arrives.
         """
@@ -44,7 +44,7 @@
         return pdu
 
     def read_pdu(self, deadline: int) -> Pdu:
-        """Read the next PDU; a request is passed to ``on_request`` and acknowledged."""
+        """Read the next PDU; a request is passed to ``on_request`` and acknowledged. Raises like ``read_response``."""
         while True:
             try:
                 size = p.complete_length(self._unparsed)
@@ -109,8 +109,8 @@
     def run(self, cases: Iterable[Case], report: Callable[[Verdict], None]) -> None:
         """Run all cases and report each verdict.
 
-        After a refused bind a valid one follows, so that the server does not throttle the address as if it guessed
-        passwords.
+        A case with a refused bind is followed by a valid bind, so that the server does not throttle the address as it
+        would throttle one that guesses passwords.
         """
         for case in cases:
             try:
@@ -191,7 +191,7 @@
 
 
 def tcp_dialer(loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> Dial:
-    """Connections without TLS."""
+    """A dialer of connections without TLS."""
 
     def dial(deadline: int) -> Stream | None:
         sock = connect(loop, address, deadline)
--- a/kestrelspar/smpp/receipts.py
+++ b/kestrelspar/smpp/receipts.py
@@ -59,7 +59,10 @@
 
 
 def parse(pdu: Pdu) -> Receipt | None:
-    """Parse a receipt from the parameters of a PDU, else from its text; None if the id or the state is missing."""
+    """Parse a receipt; None if the id or the state is missing.
+
+    Each of them is taken from an optional parameter if present, else from the text.
+    """
     receipted_id, state_value = pdu.tlv(p.RECEIPTED_MESSAGE_ID), pdu.tlv(p.MESSAGE_STATE)
     text = (pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b"").decode("latin-1")
     message_id = receipted_id.split(b"\0")[0].decode("latin-1") if receipted_id else ""
@@ -84,7 +87,8 @@
     """Normalize a message_id, read as ``text`` or as a ``hex`` or ``decimal`` number, for comparison.
 
     Some gateways return the id in one number base in submit_sm_resp and in another one in the receipt. An id that is
-    not a number of the given base is compared as text, so it may fail to match, but never matches another message.
+    not a number of the given base is compared as text, so it may fail to match, but never matches another message. The
+    prefix of the result, ``n`` or ``t``, keeps numbers and texts apart.
     """
     if base == "text":
         return "t" + message_id
@@ -101,11 +105,11 @@
 
     def __init__(self) -> None:
         self._message_numbers: dict[tuple[str, str], int] = {}  # by gateway and normalized id
-        self._awaited: dict[int, tuple[str, dict[str, str]]] = {}  # by message: gateway, and ids by normalized id
+        self._awaited: dict[int, tuple[str, dict[str, str]]] = {}  # by message: gateway, and id by normalized id
         self._pending_counts: dict[str, int] = {}  # by gateway: number of waiting messages
 
     def expect(self, number: int, gateway: str, ids: list[str], base: str) -> None:
-        """Wait for a receipt for each of these ids, as they stood in the responses of the gateway."""
+        """Wait for a receipt for each of these ids, as they stood in the responses; ``base``: see ``normalized_id``."""
         self.drop(number)
         awaited = {normalized_id(message_id, base): message_id for message_id in ids if message_id}
         self._awaited[number] = gateway, awaited
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -19,7 +19,7 @@
 
 # Retry-after delays reported to the decision module.
 NOT_BOUND_RETRY_AFTER = 500 * MS
-FULL_RETRY_AFTER = 50 * MS
+WINDOW_FULL_RETRY_AFTER = 50 * MS
 # Fields of submit_sm that a deliver_sm does not use.
 _UNUSED_FIELDS = {
     "schedule_delivery_time": "",
@@ -32,8 +32,8 @@
 class Receivers:
     """Makes delivery attempts to contractors.
 
-    ``find`` returns a session of the account with room, if any, and whether one is bound to receive; ``missed`` is
-    called for an account that has not bound and has a message waiting.
+    ``find`` returns a session of the account with room in its window, if any, and whether one is bound to receive at
+    all; ``request_bind`` is called for an account that has no bound session while a message waits for it.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
         accounts: tuple[Account, ...],
         response_timeout: int,
         find: Callable[[Account], tuple[Session | None, bool]],
-        missed: Callable[[Account], None],
+        request_bind: Callable[[Account], None],
     ) -> None:
-        self.loop, self._response_timeout, self._find, self._missed = loop, response_timeout, find, missed
+        self.loop, self._response_timeout, self._find, self._request_bind = loop, response_timeout, find, request_bind
         self._accounts = {
             b"account " + account.system_id.encode(): account for account in accounts if account.dest is not None
         }
@@ -68,10 +68,10 @@
             return Result(Outcome.MOOT, note="message does not fit into a deliver_sm")
         session, bound = self._find(account)
         if session is None and not bound:
-            self._missed(account)
+            self._request_bind(account)
             return Result(Outcome.CONNECT_FAILED, NOT_BOUND_RETRY_AFTER, note="not bound")
         if session is None:
-            return Result(Outcome.MOOT, FULL_RETRY_AFTER, note="window full")
+            return Result(Outcome.MOOT, WINDOW_FULL_RETRY_AFTER, note="window full")
         if not guard():
             return Result(Outcome.MOOT, note="barred meanwhile")
         try:
@@ -81,7 +81,7 @@
         except SessionLostError:
             return Result(Outcome.RESET)
         except Late:
-            # A deliver_sm cannot be withdrawn, so the session ends before the message may be sent on another one.
+            # A deliver_sm cannot be withdrawn, so its session is closed before the message may be sent on another one.
             session.close()
             return Result(Outcome.TIMEOUT)
         if response.command is not Command.DELIVER_SM_RESP:
@@ -89,7 +89,7 @@
         return status_codes.result_of(response.status, NOT_BOUND_RETRY_AFTER)
 
     def close_idle(self, hop: NextHop) -> None:
-        """Does nothing, as contractors open and close their sessions."""
+        """Does nothing, as contractors open and close the sessions themselves."""
 
 
 def deliver_sm(message: Message) -> Pdu:
