--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -65,7 +65,7 @@
     required_tlv: int | None = None  # an optional parameter that the response must have
 
     def find_fault(self, response: Pdu | None, closed: bool) -> str:
-        """What is wrong with a response, or with its absence; empty if it is accepted."""
+        """What is wrong with a response, or with its absence; an empty string if the case accepts it."""
         if response is None:
             if not self.commands:
                 return "" if not closed or self.may_close else "connection closed"
@@ -108,7 +108,7 @@
 
     group: str
     name: str
-    clause: str
+    clause: str  # of the specification
     state: SessionState
     chunks: tuple[bytes, ...]
     expected: ExpectedResponse
@@ -395,7 +395,7 @@
             clause="3.1.1",
             chunks=(_raw_pdu(command, first_string or b"x"),),
         )
-        if command is not Command.DATA_SM:  # whose mandatory fields may be complete without the last byte
+        if command is not Command.DATA_SM:  # without its last byte, the mandatory fields may still be complete
             yield case(name=f"{name} that lacks its last byte", clause="3.2", chunks=(_raw_pdu(command, body[:-1]),))
         for field_name, size in p.FIELDS[command]:
             if size > 0:
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -33,8 +33,8 @@
 
 MIN_UNBOUND_AGE = 50 * MS  # a younger connection may be about to bind
 OUTBIND_INTERVAL = 5 * SECOND  # minimum time between two outbinds to one account
-MAX_REFUSED_BINDS = 3  # per connection
-INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND  # of a receipt
+MAX_REFUSED_BINDS = 3  # per connection; then it is closed
+INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND  # before a receipt is sent again
 RECEIVER_STATES = (SessionState.RX, SessionState.TRX)
 MAX_SCHEDULE_DELAY = 30 * 86_400 * SECOND  # a later schedule_delivery_time is refused
 _SMPP_TIME = re.compile(r"(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d\d)(\d)(\d\d)([+\-R])")
@@ -43,7 +43,8 @@
 def parse_time(text: str, wall: datetime) -> int | None:
     """Parse an SMPP time, absolute or relative, into microseconds from ``wall``.
 
-    Returns None for an empty string; raises ``ValueError`` if the time is malformed.
+    In a relative time a year counts as 365 days and a month as 30. Returns None for an empty string; raises
+    ``ValueError`` if the time is malformed.
     """
     if not text:
         return None
@@ -66,7 +67,7 @@
         self.session = session
         self.account: Account | None = None
         self.pending_submits = 0  # submit requests without a response yet
-        self.refused_binds = 0  # outbinds included
+        self.refused_binds = 0  # including refused outbinds
         self.unacknowledged_receipts = 0  # consecutive receipts without an acknowledgement
         self.connected_at = session.loop.now
         self.host = session.name.partition(":")[0]
@@ -91,9 +92,9 @@
         claim_outbind: Callable[[str, str], Callable[[Stream], None] | None] = lambda system_id, password: None,
         keys: TlsStore | None = None,
     ) -> None:
-        """``claim_outbind`` maps the system_id and password of an outbind to the owner of the gateway's connection.
+        """``claim_outbind`` gets the system_id and the password of an outbind.
 
-        It returns None if they match no configured gateway.
+        It returns the function that takes over the connection, or None if they match no configured gateway.
         """
         self._keys, self._bind_throttle, self._verifier = keys, BindThrottle(), Verifier()
         self._claim_outbind = claim_outbind
@@ -104,9 +105,10 @@
         self.loop, self.buffers, self.courier, self.config = loop, buffers, courier, config
         self._connections: list[ClientConnection] = []
         self._waiting_for_bind: list[Suspension] = []  # receipts that wait until a client binds
-        self._open_by_id: dict[str, dict[int, Message]] = {}  # by message_id returned to the client, and number
+        # By message_id returned to the client, then by message number.
+        self._open_by_id: dict[str, dict[int, Message]] = {}
         self._reassembler = parts.Reassembler(config.parts_timeout)
-        self._held_parts: dict[int, Message] = {}  # by number: parts that wait for the rest of their message
+        self._held_parts: dict[int, Message] = {}  # by message number: parts that wait for the rest of their message
         self._expiry_timer: Timer | None = None
         self._operations: dict[Command, Callable[[Account, Pdu], Pdu]] = {
             Command.QUERY_SM: self._query,
@@ -126,7 +128,8 @@
                 logs.warn("not-accepted", front="smpp", why=str(error))
                 self.loop.sleep(20 * MS)
                 continue
-            if self._bind_throttle.is_throttled(peer[0], self.loop.now):  # its refused binds were answered
+            # An address gets no response while it is throttled; its refused binds got one.
+            if self._bind_throttle.is_throttled(peer[0], self.loop.now):
                 sock.close()
                 continue
             if len(self._connections) >= self.config.max_sessions and not self._make_room():
@@ -138,7 +141,10 @@
             self.loop.spawn(self._serve_connection, sock, f"{peer[0]}:{peer[1]}")
 
     def _make_room(self) -> bool:
-        """Close the oldest connection that has not bound, so that idle connections cannot lock clients out."""
+        """Close the oldest connection that has not bound, so that idle connections cannot lock clients out.
+
+        Returns whether there was one older than ``MIN_UNBOUND_AGE``.
+        """
         for client in self._connections:
             if (
                 client.session.state is SessionState.OPEN
@@ -164,7 +170,7 @@
         client = ClientConnection(
             Session(self.loop, stream, name, self.config.enquire_link_interval, self.config.response_timeout)
         )
-        self._connections.append(client)  # counts as unbound, and may be closed to make room
+        self._connections.append(client)  # so that it counts as unbound, and may be closed to make room
         try:
             stream.handshake(self.loop.now + self.config.bind_timeout)
         except (Closed, Late) as error:
@@ -246,12 +252,12 @@
             for waiting in self._waiting_for_bind:
                 waiting.resume()
             self._waiting_for_bind.clear()
-        # The client guesses passwords or retries in a loop.
+        # Such a client guesses passwords, or retries in a loop.
         if client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is SessionState.OPEN:
             client.session.close()
 
     def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
-        """Handle an outbind; the connection of a configured gateway is handed over to the gateway client."""
+        """Handle an outbind: hand over the connection of a configured gateway to the SMPP client, and refuse others."""
         adopt = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
         if adopt is not None and client.session.detach_connection():
             adopt(client.session.stream)
@@ -263,7 +269,7 @@
             client.session.close()
 
     def _find_receiver(self, account: Account) -> tuple[Session | None, bool]:
-        """The least loaded receiver session of the account with room in its window, and whether one is bound at all."""
+        """The least loaded receiver session of the account with room in its window, and whether it has one at all."""
         bound = [
             c.session
             for c in self._connections
@@ -276,7 +282,7 @@
         return min(free, key=lambda session: session.in_flight, default=None), bool(bound)
 
     def _request_bind(self, account: Account) -> None:
-        """Send an outbind to an account that has something to receive and has not bound."""
+        """Send an outbind to an account for which a message or receipt waits and which has not bound to receive."""
         if account.outbind is None or self._next_outbind_at.get(account.system_id, 0) > self.loop.now:
             return
         self._next_outbind_at[account.system_id] = self.loop.now + OUTBIND_INTERVAL
@@ -358,7 +364,7 @@
             self._hold_part(message)
 
     def _hold_part(self, message: Message) -> None:
-        """Hold an accepted part until the other parts are there; reassemble the message if it is the last one."""
+        """Hold an accepted part until the other parts have arrived; if it is the last one, reassemble the message."""
         self._held_parts[message.number] = message
         part, key = parts.Part(**message.extra["part"]), _reassembly_key(message)
         disposition, _ = self._reassembler.classify(key, part, len(message.body))
@@ -419,9 +425,8 @@
                 for part in held:
                     self._fail_part(part)
                 return
-            self.loop.call_at(
-                self.loop.now + SECOND, lambda: self._reassemble(held)
-            )  # retry: the journal may have room by then
+            # Retried in a second, as the journal may have room by then.
+            self.loop.call_at(self.loop.now + SECOND, lambda: self._reassemble(held))
             return
         for part in held:
             self._held_parts.pop(part.number, None)
@@ -429,7 +434,7 @@
         self._register_open(reassembled)
 
     def _confirm_acceptance(self, message: Message, response_sent: bool) -> bool:
-        """Accept a message only if the positive response was sent to its client."""
+        """Register an open message if the positive response was sent to its client; otherwise it is not accepted."""
         if response_sent:
             self._register_open(message)
         return response_sent
@@ -502,7 +507,7 @@
             try:
                 self.courier.submit(message, answer)
             finally:
-                if not decision:  # after an internal error: the response to the others must not wait for this one
+                if not decision:  # an internal error; the response must not wait for a decision on this destination
                     unsuccessful.append(p.Unsuccess(dest.addr, dest.ton, dest.npi, Status.ESME_RSYSERR))
                     count_decision()
 
@@ -513,7 +518,10 @@
         respond()
 
     def _build_message(self, account: Account, pdu: Pdu, trace: str = "", sender_id: str = "") -> Message:
-        """Build the message of a submit_sm or data_sm; ``sender_id`` is its message_id if that is not ``trace``."""
+        """Build the message of a submit_sm or data_sm; raises ``_SubmitRefusedError``.
+
+        ``sender_id`` is the message_id that the client gets, if that is not ``trace``.
+        """
         settings = self.courier.settings
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
@@ -575,7 +583,7 @@
         )
 
     def _parse_schedule(self, text: str) -> int:
-        """The earliest time of the first delivery attempt; 0 means at once."""
+        """The earliest time of the first delivery attempt; 0 means at once. Raises ``_SubmitRefusedError``."""
         try:
             delay = parse_time(text, datetime.now(UTC))
         except (ValueError, OverflowError):
@@ -621,7 +629,7 @@
         ]
 
     def _query(self, account: Account, pdu: Pdu) -> Pdu:
-        """query_sm: ENROUTE for an open message; the final state is known for the configured ``keep-ended`` time."""
+        """Answer query_sm: ENROUTE for an open message, else its final state, known for the ``keep-ended`` time."""
         if self._find_open(account, pdu):
             return pdu.reply(message_id=pdu.text("message_id"), message_state=p.State.ENROUTE)
         row = self.courier.journal.ended(f"{account.system_id} {pdu.text('message_id')}")
@@ -632,9 +640,9 @@
         return pdu.reply(message_id=pdu.text("message_id"), message_state=ended["state"], final_date=final)
 
     def _cancel(self, account: Account, pdu: Pdu) -> Pdu:
-        """cancel_sm, by id or by source and destination address.
+        """Answer cancel_sm, which names messages by their id or by source and destination address.
 
-        Withdraws only messages of which no attempt can have run.
+        Only messages of which no attempt can have run are withdrawn.
         """
         if pdu.text("message_id"):
             found = self._find_open(account, pdu)
@@ -659,14 +667,14 @@
         return pdu.reply(Status.ESME_ROK if succeeded else Status.ESME_RCANCELFAIL)
 
     def _replace(self, account: Account, pdu: Pdu) -> Pdu:
-        """replace_sm: new text for a message that was never attempted; its times and its destination stay."""
+        """Answer replace_sm: a message that was never attempted gets a new text and keeps its times and destination."""
         found = self._find_open(account, pdu)
         if not found:
             return pdu.reply(Status.ESME_RINVMSGID)
         if pdu.text("schedule_delivery_time") or pdu.text("validity_period"):
             return pdu.reply(Status.ESME_RREPLACEFAIL)  # the deadline was fixed when the message was accepted
         if any("parts" in message.extra for message in found):
-            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the id names one part, the text is that of all
+            return pdu.reply(Status.ESME_RREPLACEFAIL)  # the id is that of one part, the text that of all parts
         for message in found:
             fields = message.extra["smpp"] | {
                 "registered_delivery": pdu.number("registered_delivery"),
@@ -680,9 +688,10 @@
     def report_end(self, message: Message, end: End) -> None:
         """Record the final state for query_sm, and send the receipts until they are acknowledged or timed out."""
         self._unregister_open(message)
-        late = self.loop.now >= message.deadline - 100 * MS or "part" in message.extra
+        # A message counts as expired from 100 ms before its deadline, and a part that was not reassembled always does.
+        expired = self.loop.now >= message.deadline - 100 * MS or "part" in message.extra
         if self.config.keep_ended:
-            number, _ = status_codes.receipt_state(end, late)
+            number, _ = status_codes.receipt_state(end, expired)
             record = {"state": number, "at": int(time.time()), "source": message.extra["smpp"]["source_addr"]}
             for sender_id in _sender_ids(message):
                 self.courier.journal.retain_ended(
@@ -690,13 +699,13 @@
                 )
         receipts_owed = message.extra.get("parts")
         if receipts_owed is None:
-            self._send_receipt(message, end, late)
+            self._send_receipt(message, end, expired)
             return
         remaining, all_done = [len(receipts_owed)], Suspension(self.loop)
 
         def send_for_part(part: Message) -> None:
             try:
-                self._send_receipt(part, end, late)
+                self._send_receipt(part, end, expired)
             finally:
                 remaining[0] -= 1
                 if not remaining[0]:
@@ -708,14 +717,14 @@
             self.loop.spawn(send_for_part, dataclasses.replace(message, extra=extra))
         self.loop.park(all_done)
 
-    def _send_receipt(self, message: Message, end: End, late: bool) -> None:
-        """Send one receipt until it is acknowledged, or until ``receipt-hold`` is over."""
+    def _send_receipt(self, message: Message, end: End, expired: bool) -> None:
+        """Send one receipt, repeatedly until it is acknowledged or the ``receipt-hold`` time has passed."""
         requested = int(message.extra["smpp"].get("registered_delivery", 0)) & 3
         if not requested or requested == 2 and end.state == DELIVERED:
             return
         account = message.extra["account"]
-        give_up_at, delay = self.loop.now + self.config.receipt_hold, INITIAL_RETRY_DELAY
-        while self.loop.now < give_up_at:
+        hold_until, delay = self.loop.now + self.config.receipt_hold, INITIAL_RETRY_DELAY
+        while self.loop.now < hold_until:
             candidates = [
                 c
                 for c in self._connections
@@ -733,11 +742,11 @@
                         self._request_bind(known)
                 bind = Suspension(self.loop)
                 self._waiting_for_bind.append(bind)
-                if self.loop.park(bind, min(give_up_at, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
+                if self.loop.park(bind, min(hold_until, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
                     self._waiting_for_bind = [other for other in self._waiting_for_bind if other is not bind]
                 continue
             try:
-                receipt = self._build_receipt(message, end, late)
+                receipt = self._build_receipt(message, end, expired)
                 answer = client.session.request(receipt, self.loop.now + self.config.response_timeout)
                 client.unacknowledged_receipts = 0
                 if answer.status == 0:
@@ -752,10 +761,10 @@
             delay = min(MAX_RETRY_DELAY, 2 * delay)
         logs.warn("smpp-receipt-given-up", trace=message.trace, account=account)
 
-    def _build_receipt(self, message: Message, end: End, late: bool) -> Pdu:
+    def _build_receipt(self, message: Message, end: End, expired: bool) -> Pdu:
         """The deliver_sm that reports the final state of a message."""
         submitted_fields = message.extra["smpp"]
-        number, stat = status_codes.receipt_state(end, late)
+        number, stat = status_codes.receipt_state(end, expired)
         submitted = datetime.fromtimestamp(message.extra.get("submitted", 0), UTC)
         text = (
             f"id:{_sender_id(message)} sub:001 dlvrd:{int(end.state == DELIVERED):03d} "
@@ -790,7 +799,7 @@
 
 
 def _reassembly_key(message: Message) -> parts.Key:
-    """What the parts of one message have in common besides their reference."""
+    """The fields that the parts of one message have in common besides their reference."""
     fields = message.extra["smpp"]
     return (
         message.extra["account"],
@@ -808,7 +817,7 @@
 
 
 class _SubmitRefusedError(Exception):
-    """A submit request is answered with an error status."""
+    """A submit request is refused; ``status`` is the command_status of the response."""
 
     def __init__(self, status: Status) -> None:
         super().__init__(status.name)
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -32,7 +32,7 @@
         self.last_received_at = loop.now
         self._sequence = 0
         self._received = bytearray()  # bytes not decoded yet, as a PDU may be longer than a buffer
-        self._pending: dict[int, Suspension] = {}
+        self._pending: dict[int, Suspension] = {}  # by sequence number: requests that wait for their response
         self._late_handlers: dict[int, Callable[[Pdu | None], None]] = {}  # by sequence number of a timed-out request
         self._unbind_request: Pdu | None = None  # received from the peer and not answered yet
         self.draining = False  # sends no new requests, and ends when none is in flight
@@ -87,13 +87,17 @@
         elif pdu.command is Command.UNBIND:
             self._unbind_request = pdu
             self.drain()
-            if not self.closed:  # wait for its responses to requests in flight, which would count as lost otherwise
+            if not self.closed:  # wait for responses to requests in flight, which would count as lost otherwise
                 self.loop.call_at(self.loop.now + self._response_timeout, lambda: self.loop.spawn(self._finish))
         else:
             handle(pdu)
 
     def _reject(self, error: p.MalformedPduError) -> None:
-        """Answer a malformed request: with its own response type, or with a generic_nack if the command is unknown."""
+        """Answer a malformed request.
+
+        The response is a generic_nack for an unknown command and for an outbind, else the request's own response type.
+        A malformed response is not answered; its request ends as if it had got a generic_nack with ESME_RSYSERR.
+        """
         logs.warn("smpp-bad-pdu", peer=self.name, why=str(error))
         if error.command & p.RESPONSE:
             waiting = self._pending.pop(error.sequence, None)
@@ -110,7 +114,7 @@
         return self._sequence
 
     def detach_connection(self) -> bool:
-        """Stop reading and leave the connection open for another session; false where that is impossible.
+        """Stop reading and leave the connection open for another session; returns false if that is impossible.
 
         Called from ``handle``, in the reading task. Impossible if bytes beyond the PDU have been read, if requests are
         in flight, or if the session is closed.
@@ -131,8 +135,8 @@
     def request(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
         """Write a request and return its response, or raise ``NotSentError``, ``SessionLostError`` or ``Late``.
 
-        After ``Late`` the request is still in flight: ``on_late`` is called with its response, or with none when
-        the session ends.
+        After ``Late`` the request is still in flight: ``on_late`` is called with its late response, or with None if the
+        session ends without one.
         """
         pdu.sequence = self.next_sequence()
         waiting = Suspension(self.loop)
@@ -169,7 +173,10 @@
         self.close()
 
     def _write(self, data: bytes, deadline: int) -> None:
-        """Write one PDU at a time, whichever task calls; a partial write ends the session."""
+        """Write one PDU; concurrent tasks take turns. A failed or partial write ends the session.
+
+        Raises ``NotSentError``.
+        """
         while self._writing and not self.closed:
             parking = Suspension(self.loop)
             self._write_queue.append(parking)
@@ -211,7 +218,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection; requests without a response are lost."""
+        """Close the connection; requests that wait for a response raise ``SessionLostError``."""
         if self.closed:
             return
         self.closed = True
--- a/kestrelspar/smpp/status_codes.py
+++ b/kestrelspar/smpp/status_codes.py
@@ -8,23 +8,25 @@
 from kestrelspar.smpp.pdu import Status
 from snowlock.interface import Outcome
 
-# Outcomes by the command_status of a response. With a status that is neither here nor in REJECTED, the message may have
-# run: an error.
+# Outcomes by the command_status of a response. Any status that is neither here nor in REJECTED is an error, after which
+# the message may have run.
 OUTCOMES = {
     Status.ESME_ROK: Outcome.OK,
     Status.ESME_RTHROTTLED: Outcome.FULL,
     Status.ESME_RMSGQFUL: Outcome.FULL,
-    Status.ESME_RINVBNDSTS: Outcome.CONNECT_FAILED,  # not bound, to the gateway: it processed nothing
+    Status.ESME_RINVBNDSTS: Outcome.CONNECT_FAILED,  # not bound in the view of the gateway, which processed nothing
     Status.ESME_RX_T_APPN: Outcome.FULL,  # temporary error of the application that receives the message
 }
 
 # The message itself is invalid: it did not run, and would be rejected again.
 REJECTED = frozenset(
     {
+        # Length, command, priority, registered delivery.
         0x01,
         0x03,
         0x06,
-        0x07,  # length, command, priority, registered delivery
+        0x07,
+        # Addresses, service type, esm_class, type of number and numbering plan.
         0x0A,
         0x0B,
         0x15,
@@ -32,16 +34,18 @@
         0x48,
         0x49,
         0x50,
-        0x51,  # addresses, service type, esm_class, numbering
+        0x51,
+        # Permanent error of the receiving application, or rejection by it.
         0x65,
-        0x66,  # permanent error of the receiving application, or rejection by it
+        0x66,
+        # Times and optional parameters.
         0x61,
         0x62,
         0xC0,
         0xC1,
         0xC2,
         0xC3,
-        0xC4,  # times and optional parameters
+        0xC4,
     }
 )
 
@@ -56,7 +60,7 @@
 }
 REJECTIONS = {RefusalReason.UNKNOWN_DEST: Status.ESME_RINVDSTADR}
 
-# message_state and text of a receipt.
+# The message_state of a receipt, and the ``stat`` in its text.
 DELIVRD, EXPIRED, UNDELIV, REJECTD = (2, "DELIVRD"), (3, "EXPIRED"), (5, "UNDELIV"), (8, "REJECTD")
 DELETED = (4, "DELETED")
 
@@ -82,7 +86,7 @@
 
 
 def receipt_state(end: End, expired: bool) -> tuple[int, str]:
-    """The message_state of a receipt and its text; with REJECTD it is safe to submit the message again."""
+    """The message_state and ``stat`` of a receipt; after REJECTD it is safe to submit the message again."""
     if end.state == DELIVERED:
         return DELIVRD
     if end.state == RETURNED:
--- a/kestrelspar/smpp/table.py
+++ b/kestrelspar/smpp/table.py
@@ -78,7 +78,7 @@
 
 
 def refusal(side: Side, state: SessionState, pdu: Pdu) -> Pdu | None:
-    """The response to a request that is not served in this state; none if it is served."""
+    """The response that refuses a request which is not served in this state; None if it is served."""
     served, status = _ROWS[side][pdu.command]
     if state in served:
         return None
