--- a/tests/smpp/test_conform.py
+++ b/tests/smpp/test_conform.py
@@ -18,15 +18,15 @@
 ACCOUNT = Credentials("acme", "secret")
 
 
-def run_cases(folder: Path, *groups: str) -> list[Verdict]:
-    stage = SmppTestbed(folder, max_open=400)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
+def run_cases(directory: Path, *groups: str) -> list[Verdict]:
+    testbed = SmppTestbed(directory, max_open=400)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
     verdicts: list[Verdict] = []
     chosen = [case for case in conform.cases(ACCOUNT) if not groups or case.group in groups]
-    dial = probe.tcp_dialer(stage.loop, stage.buffers, stage.address)
-    stage.loop.spawn(lambda: probe.CaseRunner(stage.loop, dial, ACCOUNT, 2 * SECOND).run(chosen, verdicts.append))
-    stage.run_until(lambda: len(verdicts) == len(chosen), 3_600 * SECOND)
+    dial = probe.tcp_dialer(testbed.loop, testbed.buffers, testbed.address)
+    testbed.loop.spawn(lambda: probe.CaseRunner(testbed.loop, dial, ACCOUNT, 2 * SECOND).run(chosen, verdicts.append))
+    testbed.run_until(lambda: len(verdicts) == len(chosen), 3_600 * SECOND)
     return verdicts
 
 
@@ -89,14 +89,14 @@
 
 
 def test_every_case_fails_without_a_connection(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
+    testbed = SmppTestbed(tmp_path)
     verdicts: list[Verdict] = []
-    dial = lambda deadline: None if connect(stage.loop, ("127.0.0.1", 9), deadline) is None else None  # noqa: E731
+    dial = lambda deadline: None if connect(testbed.loop, ("127.0.0.1", 9), deadline) is None else None  # noqa: E731
     chosen = [case for case in conform.cases(ACCOUNT) if case.group == "unasked"]
-    stage.loop.spawn(lambda: probe.CaseRunner(stage.loop, dial, ACCOUNT, SECOND).run(chosen, verdicts.append))
-    stage.run_until(lambda: len(verdicts) == len(chosen))
+    testbed.loop.spawn(lambda: probe.CaseRunner(testbed.loop, dial, ACCOUNT, SECOND).run(chosen, verdicts.append))
+    testbed.run_until(lambda: len(verdicts) == len(chosen))
     assert {v.fault for v in verdicts} == {"no connection"}
 
 
-def test_names_of_statuses() -> None:
+def test_a_status_is_shown_by_its_name_or_if_undefined_by_its_number() -> None:
     assert conform.status_name(Status.ESME_RTHROTTLED) == "ESME_RTHROTTLED" and conform.status_name(0x401) == "0x401"
--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -25,10 +25,13 @@
 
 
 def await_final_states(
-    stage: SmppTestbed, gate: StandInGateway, contractor: StandInContractor, count: int, payments: bool
+    testbed: SmppTestbed, gate: StandInGateway, contractor: StandInContractor, count: int, payments: bool
 ) -> Counter[int]:
-    """Wait for the final states, one for each message; a payment takes effect at most once, and if delivered, once."""
-    stage.run_until(lambda: len(contractor.final_states()) == count and not stage.journal.entries, 300 * SECOND)
+    """Wait for one final state for each message, and count the states.
+
+    With ``payments``, no message may take effect twice, and at least as many take effect as are delivered.
+    """
+    testbed.run_until(lambda: len(contractor.final_states()) == count and not testbed.journal.entries, 300 * SECOND)
     ends = contractor.final_states()
     assert all(len(states) == 1 for states in ends.values())
     states = Counter(next(iter(s)) for s in ends.values())
@@ -65,9 +68,9 @@
 @pytest.mark.parametrize(
     "fault", ["unknown sequence", "twice", "other type", "nack", "nack without a status", "malformed body", "no PDU"]
 )
-def test_a_gateway_that_sends_malformed_responses(tmp_path: Path, fault: str, service: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
+def test_malformed_responses_of_a_gateway_leave_one_final_state_each(tmp_path: Path, fault: str, service: str) -> None:
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
     replacements, real, replaced = malformed_responses(fault), gate.write_bytes, []
 
     def write(stream: object, data: bytes) -> None:
@@ -80,10 +83,10 @@
             real(stream, data)  # type: ignore[arg-type]
 
     gate.write_bytes = write  # type: ignore[method-assign, assignment]
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, service, 3)
-    states = await_final_states(stage, gate, contractor, 3, service == "PAY")
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, service, 3)
+    states = await_final_states(testbed, gate, contractor, 3, service == "PAY")
     assert replaced
     if fault in ("unknown sequence", "twice"):
         assert states == {DELIVRD: 3} and gate.effects.total() == 3
@@ -94,26 +97,28 @@
 
 
 @pytest.mark.parametrize("service", SERVICES)
-def test_a_gateway_that_unbinds_with_submits_in_flight(tmp_path: Path, service: str) -> None:
-    stage = SmppTestbed(tmp_path, slots=20)
-    gate = StandInGateway(stage, pause=lambda _: 40 * MS)
-    stage.open(gateway(gate.address, window=10))
-    contractor = stage.contractor()
+def test_responses_to_submits_in_flight_are_awaited_when_the_gateway_unbinds(tmp_path: Path, service: str) -> None:
+    testbed = SmppTestbed(tmp_path, slots=20)
+    gate = StandInGateway(testbed, pause=lambda _: 40 * MS)
+    testbed.open(gateway(gate.address, window=10))
+    contractor = testbed.contractor()
 
     def unbind() -> None:
         while gate.in_flight < 3:
-            stage.loop.sleep(MS)
+            testbed.loop.sleep(MS)
         stream = gate.receiving_stream()
         gate.write(stream, Pdu(Command.UNBIND, 77))
 
-    stage.loop.spawn(unbind)
-    submit_all(stage, contractor, service, 8)
-    states = await_final_states(stage, gate, contractor, 8, service == "PAY")
+    testbed.loop.spawn(unbind)
+    submit_all(testbed, contractor, service, 8)
+    states = await_final_states(testbed, gate, contractor, 8, service == "PAY")
     assert states == {DELIVRD: 8} and gate.effects.total() == 8, "responses to submits in flight were not awaited"
 
 
 @pytest.mark.parametrize("service", SERVICES)
-def test_a_gateway_that_stops_reading(tmp_path: Path, service: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gateway_that_stops_reading_leaves_one_final_state_each(
+    tmp_path: Path, service: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real_connect = link.connect
 
     def connect(*args: Any) -> socket.socket | None:
@@ -123,8 +128,8 @@
         return sock
 
     monkeypatch.setattr(link, "connect", connect)
-    stage = SmppTestbed(tmp_path, slots=20)
-    gate = StandInGateway(stage)
+    testbed = SmppTestbed(tmp_path, slots=20)
+    gate = StandInGateway(testbed)
     real, stalled = gate.serve, []
 
     def serve(stream: object) -> None:
@@ -133,7 +138,7 @@
             sock = stream.sock  # type: ignore[attr-defined]
             got = b""
             while len(got) < 16:  # answers the bind, and reads nothing after it
-                stage.loop.readable(sock, None)
+                testbed.loop.readable(sock, None)
                 got += sock.recv(1)
             while len(got) < int.from_bytes(got[:4], "big"):
                 got += sock.recv(1)
@@ -143,9 +148,9 @@
 
     gate.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     gate.serve = serve  # type: ignore[method-assign, assignment]
-    stage.open(gateway(gate.address, enquire_link_interval=300 * MS, response_timeout=300 * MS, window=4))
-    contractor = stage.contractor()
-    stage.loop.spawn(
+    testbed.open(gateway(gate.address, enquire_link_interval=300 * MS, response_timeout=300 * MS, window=4))
+    contractor = testbed.contractor()
+    testbed.loop.spawn(
         lambda: [
             contractor.send_request(
                 Command.SUBMIT_SM,
@@ -159,14 +164,16 @@
             for n in range(8)
         ]
     )
-    stage.run_until(lambda: len(contractor.accepted()) == 8)
-    states = await_final_states(stage, gate, contractor, 8, service == "PAY")
+    testbed.run_until(lambda: len(contractor.accepted()) == 8)
+    states = await_final_states(testbed, gate, contractor, 8, service == "PAY")
     assert stalled and states[UNDELIV] <= 2, "a partially written submit did not run"
 
 
 @pytest.mark.parametrize("service", SERVICES)
-def test_a_session_that_stops_responding_with_fifty_in_flight(tmp_path: Path, service: str) -> None:
-    stage = SmppTestbed(tmp_path, slots=120, max_open=200)
+def test_a_session_that_stops_responding_to_fifty_submits_leaves_one_final_state_each(
+    tmp_path: Path, service: str
+) -> None:
+    testbed = SmppTestbed(tmp_path, slots=120, max_open=200)
     unanswered: list[bytes] = []
 
     def script(pdu: Pdu) -> int | None:
@@ -175,84 +182,84 @@
             return None
         return 0
 
-    gate = StandInGateway(stage, script=script)
-    stage.open(gateway(gate.address, window=50, enquire_link_interval=300 * MS, response_timeout=300 * MS))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "RD", 1)
-    stage.loop.spawn(lambda: [contractor.submit(f"{service}{n}".encode(), service) for n in range(60)])
-    stage.run_until(lambda: len(contractor.answers) == 62)
+    gate = StandInGateway(testbed, script=script)
+    testbed.open(gateway(gate.address, window=50, enquire_link_interval=300 * MS, response_timeout=300 * MS))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "RD", 1)
+    testbed.loop.spawn(lambda: [contractor.submit(f"{service}{n}".encode(), service) for n in range(60)])
+    testbed.run_until(lambda: len(contractor.answers) == 62)
     # The contractor's window is 50: submits beyond it that arrive in one turn of the loop are refused.
-    states = await_final_states(stage, gate, contractor, len(contractor.accepted()), service == "PAY")
+    states = await_final_states(testbed, gate, contractor, len(contractor.accepted()), service == "PAY")
     assert len(unanswered) > 1 and states.total() > 50 and (service == "PAY") == (states[UNDELIV] > 0)
 
 
 @pytest.mark.parametrize("outcome", ["response", "receipt"])
-def test_a_thousand_messages_through_a_throttling_gateway(tmp_path: Path, outcome: str) -> None:
-    stage = SmppTestbed(tmp_path, slots=40, max_open=1_200)
+def test_a_thousand_messages_through_a_throttling_gateway_end_once_each(tmp_path: Path, outcome: str) -> None:
+    testbed = SmppTestbed(tmp_path, slots=40, max_open=1_200)
     limit = sliding_window(200)
 
     def script(pdu: Pdu) -> int:
-        return 0 if limit(stage.loop.now) else Status.ESME_RTHROTTLED
+        return 0 if limit(testbed.loop.now) else Status.ESME_RTHROTTLED
 
-    gate = StandInGateway(stage, script=script, pause=lambda _: 2 * MS)
+    gate = StandInGateway(testbed, script=script, pause=lambda _: 2 * MS)
     gate.message_id_for = lambda pdu: pdu.message.decode()
     if outcome == "receipt":
-        gate.before_response = lambda pdu, stream: stage.loop.call_at(
-            stage.loop.now + 50 * MS, lambda: gate.receipt(pdu.message.decode(), "DELIVRD", stream)
+        gate.before_response = lambda pdu, stream: testbed.loop.call_at(
+            testbed.loop.now + 50 * MS, lambda: gate.receipt(pdu.message.decode(), "DELIVRD", stream)
         )
-    stage.open(gateway(gate.address, window=20, throttle_wait=20 * MS, outcome=outcome))
-    contractor = stage.contractor()
+    testbed.open(gateway(gate.address, window=20, throttle_wait=20 * MS, outcome=outcome))
+    contractor = testbed.contractor()
 
     def submit_in_bursts() -> None:
         for number in range(1_000):
             contractor.submit(b"%d" % number, SERVICES[number % 3])
             if not number % 20:
-                stage.loop.sleep(5 * MS)
+                testbed.loop.sleep(5 * MS)
 
-    stage.loop.spawn(submit_in_bursts)
-    stage.run_until(lambda: len(contractor.answers) == 1_001, 300 * SECOND)
+    testbed.loop.spawn(submit_in_bursts)
+    testbed.run_until(lambda: len(contractor.answers) == 1_001, 300 * SECOND)
     accepted = len(contractor.accepted())
-    states = await_final_states(stage, gate, contractor, accepted, False)
+    states = await_final_states(testbed, gate, contractor, accepted, False)
     payments = [b"%d" % number for number in range(1_000) if SERVICES[number % 3] == "PAY"]
     assert all(gate.effects[text] <= 1 for text in payments) and states.total() == accepted
     assert len(gate.effects) >= states[DELIVRD] > accepted // 2, "on a busy machine some may time out"
 
 
 def test_queueing_time_does_not_count_towards_the_time_out(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, slots=40)
-    gate = StandInGateway(stage, pause=lambda _: 30 * MS)
-    stage.open(gateway(gate.address, rate=8, window=20))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path, slots=40)
+    gate = StandInGateway(testbed, pause=lambda _: 30 * MS)
+    testbed.open(gateway(gate.address, rate=8, window=20))
+    contractor = testbed.contractor()
     found: list[Result] = []
-    real = stage.gateways._attempt
-    stage.gateways._attempt = lambda *args: found.append(real(*args)) or found[-1]  # type: ignore[method-assign]
-    for text in (b"a", b"b", b"c", b"d"):  # the decision module learns its latency
-        submit(stage, contractor, text, "RD")
-        stage.run_until(lambda text=text: text in gate.effects)  # type: ignore[misc]
-    stage.loop.spawn(lambda: [contractor.submit(b"%d" % n, "RD") for n in range(10)])
-    await_final_states(stage, gate, contractor, 14, False)
+    real = testbed.gateways._attempt
+    testbed.gateways._attempt = lambda *args: found.append(real(*args)) or found[-1]  # type: ignore[method-assign]
+    for text in (b"a", b"b", b"c", b"d"):  # so that the decision module learns the latency of the gateway
+        submit(testbed, contractor, text, "RD")
+        testbed.run_until(lambda text=text: text in gate.effects)  # type: ignore[misc]
+    testbed.loop.spawn(lambda: [contractor.submit(b"%d" % n, "RD") for n in range(10)])
+    await_final_states(testbed, gate, contractor, 14, False)
     assert Counter(result.outcome for result in found) == {Outcome.OK: 14} and max(r.queued for r in found) > 400 * MS
 
 
 @pytest.mark.parametrize("service", SERVICES)
 @pytest.mark.parametrize("step", ["bind", "submit", "answered", "accepted", "receipt"])
-def test_a_kill_at_every_step(tmp_path: Path, step: str, service: str) -> None:
+def test_a_kill_at_any_step_leaves_one_final_state(tmp_path: Path, step: str, service: str) -> None:
     """The first process stops, as after SIGKILL, and another one starts on its directory."""
     outcome = "receipt" if step in ("accepted", "receipt") else "response"
-    stage = SmppTestbed(tmp_path)
+    testbed = SmppTestbed(tmp_path)
     silent = step == "submit"
-    gate = StandInGateway(stage, script=lambda _: None if silent else 0)
+    gate = StandInGateway(testbed, script=lambda _: None if silent else 0)
     gate.message_id_for = lambda pdu: pdu.message.decode()
-    stage.open(gateway(gate.address, outcome=outcome) if step != "bind" else gateway(("127.0.0.1", 9)))
-    contractor = stage.contractor()
-    message_id = submit(stage, contractor, b"one", service)
+    testbed.open(gateway(gate.address, outcome=outcome) if step != "bind" else gateway(("127.0.0.1", 9)))
+    contractor = testbed.contractor()
+    message_id = submit(testbed, contractor, b"one", service)
     if step == "bind":
-        stage.run_until(lambda: stage.courier.open)
+        testbed.run_until(lambda: testbed.courier.open)
     elif step in ("submit", "answered"):
-        stage.run_until(lambda: gate.submits)
+        testbed.run_until(lambda: gate.submits)
     else:
-        stage.run_until(lambda: stage.courier._awaiting)
-    if step == "receipt":  # sent by the gateway and not read
+        testbed.run_until(lambda: testbed.courier._awaiting)
+    if step == "receipt":  # sent by the gateway, and not read before the kill
         gate.receipt("one", "DELIVRD")
     successor = SmppTestbed(tmp_path)
     new_gate = StandInGateway(successor)
@@ -274,34 +281,34 @@
 
 
 @pytest.mark.parametrize("step", ["waiting", "in flight", "awaiting"])
-def test_sigterm_at_every_step_ends_in_time_and_loses_nothing(tmp_path: Path, step: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, pause=lambda _: 3 * SECOND if step == "in flight" else MS)
+def test_sigterm_at_any_step_ends_the_process_in_time_and_loses_no_message(tmp_path: Path, step: str) -> None:
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, pause=lambda _: 3 * SECOND if step == "in flight" else MS)
     gate.message_id_for = lambda pdu: pdu.message.decode()
-    stage.open(
+    testbed.open(
         gateway(
             gate.address if step != "waiting" else ("127.0.0.1", 9), outcome="receipt", response_timeout=10 * SECOND
         )
     )
-    contractor = stage.contractor()
-    message_id = submit(stage, contractor, b"one", "PAY")
-    stage.run_until(
+    contractor = testbed.contractor()
+    message_id = submit(testbed, contractor, b"one", "PAY")
+    testbed.run_until(
         {
-            "waiting": lambda: stage.courier.open,
+            "waiting": lambda: testbed.courier.open,
             "in flight": lambda: gate.submits,
-            "awaiting": lambda: stage.courier._awaiting,
+            "awaiting": lambda: testbed.courier._awaiting,
         }[step]
     )
-    started_at = stage.loop.now
-    stage.courier.close()
+    started_at = testbed.loop.now
+    testbed.courier.close()
     assert (
         exchange(
-            stage, contractor, Command.SUBMIT_SM, b"x", service_type="RD", source_addr="1", destination_addr="3725550"
+            testbed, contractor, Command.SUBMIT_SM, b"x", service_type="RD", source_addr="1", destination_addr="3725550"
         ).status
         == Status.ESME_RTHROTTLED
     )
-    stage.run_until(lambda: stage.loop._stopped)
-    assert stage.loop.now - started_at < 3_700 * MS and message_id not in contractor.final_states()
+    testbed.run_until(lambda: testbed.loop._stopped)
+    assert testbed.loop.now - started_at < 3_700 * MS and message_id not in contractor.final_states()
     successor = SmppTestbed(tmp_path)
     new_gate = StandInGateway(successor)
     successor.open(gateway(new_gate.address))
@@ -316,22 +323,22 @@
     "fault", ["half a PDU", "receipt unacknowledged", "unbind with a receipt in flight", "no responses"]
 )
 def test_a_contractor_that_failed_gets_its_receipt_on_another_session(tmp_path: Path, fault: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, pause=lambda _: 20 * MS)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, pause=lambda _: 20 * MS)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     if fault == "receipt unacknowledged":
         contractor.drop_receipts = 1
     elif fault != "half a PDU":
         contractor.response_status = None
-    message_id = submit(stage, contractor, b"one", "PAY")
+    message_id = submit(testbed, contractor, b"one", "PAY")
     if fault == "half a PDU":
         contractor.stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 5))[:9], None)
         contractor.stream.close()
     else:
-        stage.run_until(lambda: contractor.receipts)
+        testbed.run_until(lambda: contractor.receipts)
         if fault == "unbind with a receipt in flight":
             contractor.send_request(Command.UNBIND)
-    second = stage.contractor()
-    stage.run_until(lambda: second.receipts and not stage.journal.entries)
+    second = testbed.contractor()
+    testbed.run_until(lambda: second.receipts and not testbed.journal.entries)
     assert second.final_states() == {message_id: {DELIVRD}} and gate.effects == {b"one": 1}
--- a/tests/smpp/test_flow_control.py
+++ b/tests/smpp/test_flow_control.py
@@ -150,39 +150,39 @@
 
 
 def test_sessions_are_opened_on_demand_and_unbound_when_idle(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, slots=40)
-    gate = StandInGateway(stage, pause=lambda _: 50 * MS)
-    stage.open(gateway(gate.address, sessions=3, window=2, idle_unbind=2 * SECOND))
-    contractor = stage.contractor()
-    submit(stage, contractor, b"one")
-    link = next(iter(stage.gateways._links.values()))
-    stage.run_until(lambda: len(contractor.final_states()) == 1)
+    testbed = SmppTestbed(tmp_path, slots=40)
+    gate = StandInGateway(testbed, pause=lambda _: 50 * MS)
+    testbed.open(gateway(gate.address, sessions=3, window=2, idle_unbind=2 * SECOND))
+    contractor = testbed.contractor()
+    submit(testbed, contractor, b"one")
+    link = next(iter(testbed.gateways._links.values()))
+    testbed.run_until(lambda: len(contractor.final_states()) == 1)
     assert len(link.sessions) == 1
-    stage.loop.spawn(lambda: [contractor.submit(b"%d" % index, "WO") for index in range(30)])
-    stage.run_until(lambda: len(contractor.final_states()) == 31)
+    testbed.loop.spawn(lambda: [contractor.submit(b"%d" % index, "WO") for index in range(30)])
+    testbed.run_until(lambda: len(contractor.final_states()) == 31)
     assert len(link.sessions) == 3 and gate.max_in_flight == 6
-    stage.run_for(5 * SECOND)
+    testbed.run_for(5 * SECOND)
     assert not link.sessions
 
 
 def test_an_unavailable_gateway_is_not_flooded_with_binds(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, slots=40)
-    gate = StandInGateway(stage, "accept", closes=10_000)
-    stage.open(gateway(gate.address, bind_retry_delay=200 * MS, max_bind_retry_delay=2 * SECOND, stay_bound=True))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "WO", 20)
+    testbed = SmppTestbed(tmp_path, slots=40)
+    gate = StandInGateway(testbed, "accept", closes=10_000)
+    testbed.open(gateway(gate.address, bind_retry_delay=200 * MS, max_bind_retry_delay=2 * SECOND, stay_bound=True))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "WO", 20)
     before = gate.closes
-    stage.run_for(10 * SECOND)
+    testbed.run_for(10 * SECOND)
     assert 5 <= before - gate.closes + 1 <= 20, "binds in ten seconds with delays up to two seconds"
     gate.closes = 0
-    stage.run_until(lambda: gate.submits)
-    assert next(iter(stage.gateways._links.values())).sessions[0].window.size < 4, "slow start after an outage"
-    stage.run_until(lambda: len(contractor.final_states()) == 20)
+    testbed.run_until(lambda: gate.submits)
+    assert next(iter(testbed.gateways._links.values())).sessions[0].window.size < 4, "slow start after an outage"
+    testbed.run_until(lambda: len(contractor.final_states()) == 20)
 
 
 def test_a_refused_account_is_not_retried_at_once(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
     binds: list[Pdu] = []
 
     def refuse(stream: object, pdu: Pdu) -> None:
@@ -190,27 +190,27 @@
         StandInGateway.write(gate, stream, Pdu(pdu.command, pdu.sequence, Status.ESME_RINVPASWD))  # type: ignore[arg-type]
 
     gate.write = refuse  # type: ignore[method-assign, assignment]
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    message_id = submit(stage, contractor, b"a", "PAY")
-    stage.run_until(lambda: message_id in contractor.final_states())
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    message_id = submit(testbed, contractor, b"a", "PAY")
+    testbed.run_until(lambda: message_id in contractor.final_states())
     assert contractor.final_states()[message_id] == {8} and len(binds) == 1, (
         "certainly not run, and the account is not locked"
     )
 
 
 def test_a_standby_gateway_takes_over_while_the_first_is_unavailable(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    first, second = StandInGateway(stage), StandInGateway(stage)
-    stage.open(gateway(first.address, "first", rank=0, dest=900), gateway(second.address, "second", rank=1, dest=900))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    first, second = StandInGateway(testbed), StandInGateway(testbed)
+    testbed.open(gateway(first.address, "first", rank=0, dest=900), gateway(second.address, "second", rank=1, dest=900))
+    contractor = testbed.contractor()
     for index in range(5):  # one by one: of a burst, some may go to the second before the first has been tried
-        submit(stage, contractor, b"%d" % index)
-        stage.run_until(lambda index=index: len(contractor.final_states()) == index + 1)  # type: ignore[misc]
+        submit(testbed, contractor, b"%d" % index)
+        testbed.run_until(lambda index=index: len(contractor.final_states()) == index + 1)  # type: ignore[misc]
     assert len(first.submits) == 5 and not second.submits
     first.listener.close()
     first.streams[Command.BIND_TRANSCEIVER].close()
     for index in range(5):
-        submit(stage, contractor, b"more-%d" % index)
-    stage.run_until(lambda: len(contractor.final_states()) == 10)
+        submit(testbed, contractor, b"more-%d" % index)
+    testbed.run_until(lambda: len(contractor.final_states()) == 10)
     assert len(second.submits) == 5
--- a/tests/smpp/test_inbound.py
+++ b/tests/smpp/test_inbound.py
@@ -19,30 +19,30 @@
 INBOUND = {"37255": 901, "999": 950}
 
 
-def give_account_a_destination(stage: SmppTestbed, **more: object) -> None:
+def give_account_a_destination(testbed: SmppTestbed, **more: object) -> None:
     import dataclasses
 
-    config = stage.server.config
+    config = testbed.server.config
     accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in config.accounts)  # type: ignore[arg-type]
-    stage.server.config = dataclasses.replace(config, accounts=accounts)
-    stage.server.receivers.__init__(  # type: ignore[misc]
-        stage.loop, accounts, config.response_timeout, stage.server._find_receiver, stage.server._request_bind
+    testbed.server.config = dataclasses.replace(config, accounts=accounts)
+    testbed.server.receivers.__init__(  # type: ignore[misc]
+        testbed.loop, accounts, config.response_timeout, testbed.server._find_receiver, testbed.server._request_bind
     )
 
 
-def staged(folder: Path, **more: object) -> tuple[SmppTestbed, StandInGateway]:
-    stage = SmppTestbed(folder)
-    give_account_a_destination(stage, **more)
-    gate = StandInGateway(stage)
-    other = StandInGateway(stage)
-    stage.open(gateway(gate.address, inbound=INBOUND, stay_bound=True), gateway(other.address, "far", dest=901))
-    stage.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)
-    stage.far = other  # type: ignore[attr-defined]
-    return stage, gate
+def open_testbed(directory: Path, **more: object) -> tuple[SmppTestbed, StandInGateway]:
+    testbed = SmppTestbed(directory)
+    give_account_a_destination(testbed, **more)
+    gate = StandInGateway(testbed)
+    other = StandInGateway(testbed)
+    testbed.open(gateway(gate.address, inbound=INBOUND, stay_bound=True), gateway(other.address, "far", dest=901))
+    testbed.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)
+    testbed.far = other  # type: ignore[attr-defined]
+    return testbed, gate
 
 
 def send_from_gateway(
-    stage: SmppTestbed,
+    testbed: SmppTestbed,
     gate: StandInGateway,
     to: str,
     text: bytes = b"hello",
@@ -53,81 +53,83 @@
     if command is Command.DATA_SM:
         request = Pdu(command, 70 + before, fields=request.fields, tlvs=[(p.MESSAGE_PAYLOAD, text)])
     gate.write(gate.receiving_stream(), request)
-    stage.run_until(lambda: len(gate.responses) > before)
+    testbed.run_until(lambda: len(gate.responses) > before)
     return gate.responses[-1]
 
 
 @pytest.mark.parametrize("command", [Command.DELIVER_SM, Command.DATA_SM])
 def test_a_mobile_originated_message_is_routed_by_its_address(tmp_path: Path, command: Command) -> None:
-    stage, gate = staged(tmp_path)
-    answer = send_from_gateway(stage, gate, "372551", b"to a next hop", command)
+    testbed, gate = open_testbed(tmp_path)
+    answer = send_from_gateway(testbed, gate, "372551", b"to a next hop", command)
     assert answer.command == command | p.RESPONSE and answer.status == 0
-    stage.run_until(lambda: stage.far.submits and not stage.journal.entries)  # type: ignore[attr-defined]
-    sent = stage.far.submits[0]  # type: ignore[attr-defined]
+    testbed.run_until(lambda: testbed.far.submits and not testbed.journal.entries)  # type: ignore[attr-defined]
+    sent = testbed.far.submits[0]  # type: ignore[attr-defined]
     assert (sent.message or sent.tlv(p.MESSAGE_PAYLOAD)) == b"to a next hop" and sent.text("source_addr") == "55"
-    assert send_from_gateway(stage, gate, "1234").status == Status.ESME_RINVDSTADR
+    assert send_from_gateway(testbed, gate, "1234").status == Status.ESME_RINVDSTADR
 
 
 def test_a_mobile_originated_message_waits_for_a_receiver_to_bind(tmp_path: Path) -> None:
-    stage, gate = staged(tmp_path)
-    assert send_from_gateway(stage, gate, "9991", b"hi").status == 0
-    stage.run_for(SECOND)
-    assert len(stage.journal.entries) == 1
-    contractor = stage.contractor(Command.BIND_RECEIVER)
-    stage.run_until(lambda: contractor.receipts and not stage.journal.entries)
+    testbed, gate = open_testbed(tmp_path)
+    assert send_from_gateway(testbed, gate, "9991", b"hi").status == 0
+    testbed.run_for(SECOND)
+    assert len(testbed.journal.entries) == 1
+    contractor = testbed.contractor(Command.BIND_RECEIVER)
+    testbed.run_until(lambda: contractor.receipts and not testbed.journal.entries)
     assert [(m.message, m.text("destination_addr")) for m in contractor.receipts] == [(b"hi", "9991")]
 
 
 def test_a_mobile_originated_message_is_answered_only_after_it_is_journalled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stage, gate = staged(tmp_path)
+    testbed, gate = open_testbed(tmp_path)
     with monkeypatch.context() as full:
         full.setattr(Journal, "_append", lambda self, record: False)
-        assert send_from_gateway(stage, gate, "9991").status == Status.ESME_RX_T_APPN
-    assert not stage.journal.entries and send_from_gateway(stage, gate, "9991").status == 0 and stage.journal.entries
+        assert send_from_gateway(testbed, gate, "9991").status == Status.ESME_RX_T_APPN
+    assert (
+        not testbed.journal.entries and send_from_gateway(testbed, gate, "9991").status == 0 and testbed.journal.entries
+    )
 
 
 @pytest.mark.parametrize(
     ("status", "end"), [(Status.ESME_ROK, DELIVERED), (Status.ESME_RX_R_APPN, FAILED), (None, DELIVERED)]
 )
 def test_the_response_of_the_receiver_is_the_outcome(tmp_path: Path, status: Status | None, end: str) -> None:
-    stage, gate = staged(tmp_path)
+    testbed, gate = open_testbed(tmp_path)
     ends: list[str] = []
-    stage.arrivals.report_end = lambda message, reported: ends.append(reported.state)  # type: ignore[method-assign]
-    contractor = stage.contractor(Command.BIND_RECEIVER)
+    testbed.inbound.report_end = lambda message, reported: ends.append(reported.state)  # type: ignore[method-assign]
+    contractor = testbed.contractor(Command.BIND_RECEIVER)
     contractor.response_status = status
-    send_from_gateway(stage, gate, "9991", b"x")
-    stage.run_until(lambda: contractor.receipts)
-    if status is None:  # no response: its session is closed before the message goes to another one
-        stage.run_until(lambda: not stage.server._find_receiver(stage.server.config.accounts[0])[1])
-        again = stage.contractor(Command.BIND_RECEIVER)
-        stage.run_until(lambda: again.receipts)
-    stage.run_until(lambda: ends)
+    send_from_gateway(testbed, gate, "9991", b"x")
+    testbed.run_until(lambda: contractor.receipts)
+    if status is None:  # without a response, its session is closed before the message is sent on another one
+        testbed.run_until(lambda: not testbed.server._find_receiver(testbed.server.config.accounts[0])[1])
+        again = testbed.contractor(Command.BIND_RECEIVER)
+        testbed.run_until(lambda: again.receipts)
+    testbed.run_until(lambda: ends)
     assert ends == [end] and len(contractor.receipts) == 1
 
 
 def test_an_alert_notification_is_forwarded(tmp_path: Path) -> None:
-    stage, gate = staged(tmp_path)
-    contractor = stage.contractor()
+    testbed, gate = open_testbed(tmp_path)
+    contractor = testbed.contractor()
     gate.write(
         gate.receiving_stream(), Pdu(Command.ALERT_NOTIFICATION, 5, fields={"source_addr": "55", "esme_addr": "9"})
     )
-    stage.run_until(lambda: contractor.answers[-1].command is Command.ALERT_NOTIFICATION)
+    testbed.run_until(lambda: contractor.answers[-1].command is Command.ALERT_NOTIFICATION)
     assert contractor.answers[-1].text("source_addr") == "55"
 
 
 @pytest.mark.parametrize(("password", "bound"), [("come", True), ("wrong", False)])
-def test_outbind_of_a_gateway(tmp_path: Path, password: str, bound: bool) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(("127.0.0.1", 9), outbind_system_id="gw", outbind_password="come", inbound=INBOUND))
+def test_an_outbind_of_a_gateway_is_accepted_only_with_its_password(tmp_path: Path, password: str, bound: bool) -> None:
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(("127.0.0.1", 9), outbind_system_id="gw", outbind_password="come", inbound=INBOUND))
     received: list[Pdu] = []
     streams: list[Stream] = []
 
     def dial() -> None:
-        sock = connect(stage.loop, stage.address, stage.loop.now + SECOND)
+        sock = connect(testbed.loop, testbed.address, testbed.loop.now + SECOND)
         assert sock is not None
-        stream = Stream(stage.loop, sock, stage.buffers)
+        stream = Stream(testbed.loop, sock, testbed.buffers)
         streams.append(stream)
         stream.write(p.encode(Pdu(Command.OUTBIND, 1, fields={"system_id": "gw", "password": password})), None)
         received.append(read_pdu(stream))
@@ -135,32 +137,32 @@
         stream.write(p.encode(Pdu(Command.ENQUIRE_LINK, 9)), None)
         received.append(read_pdu(stream))
 
-    stage.loop.spawn(dial)
-    stage.run_until(lambda: len(received) == 2 if bound else received)
+    testbed.loop.spawn(dial)
+    testbed.run_until(lambda: len(received) == 2 if bound else received)
     if bound:
         assert [pdu.command for pdu in received] == [Command.BIND_TRANSCEIVER, Command.ENQUIRE_LINK_RESP]
         assert received[0].text("system_id") == "us"
-        stage.run_for(6 * SECOND)  # past the time within which an incoming connection has to bind
-        assert next(iter(stage.gateways._links.values())).is_receiving()
+        testbed.run_for(6 * SECOND)  # past the time within which an incoming connection has to bind
+        assert next(iter(testbed.gateways._links.values())).is_receiving()
     else:
         assert received[0].command is Command.GENERIC_NACK
 
 
 def test_an_outbind_is_sent_to_an_account_that_has_not_bound(tmp_path: Path) -> None:
     sock, address = listener()
-    stage, gate = staged(tmp_path, outbind=address)
+    testbed, gate = open_testbed(tmp_path, outbind=address)
     requests: list[Pdu] = []
     contractors: list[StandInContractor] = []
 
-    def host() -> None:
-        stage.loop.readable(sock, None)
+    def accept_outbind() -> None:
+        testbed.loop.readable(sock, None)
         conn, _ = sock.accept()
         conn.setblocking(False)
-        stream = Stream(stage.loop, conn, stage.buffers)
+        stream = Stream(testbed.loop, conn, testbed.buffers)
         requests.append(read_pdu(stream))
-        contractors.append(StandInContractor(stage.loop, stage, address, Command.BIND_RECEIVER, stream=stream))
+        contractors.append(StandInContractor(testbed.loop, testbed, address, Command.BIND_RECEIVER, stream=stream))
 
-    stage.loop.spawn(host)
-    send_from_gateway(stage, gate, "9991", b"hi")
-    stage.run_until(lambda: contractors and contractors[0].receipts and not stage.journal.entries)
+    testbed.loop.spawn(accept_outbind)
+    send_from_gateway(testbed, gate, "9991", b"hi")
+    testbed.run_until(lambda: contractors and contractors[0].receipts and not testbed.journal.entries)
     assert requests[0].command is Command.OUTBIND and contractors[0].receipts[0].message == b"hi"
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -27,7 +27,7 @@
 
 
 def exchange(
-    stage: SmppTestbed,
+    testbed: SmppTestbed,
     contractor: StandInContractor,
     command: Command,
     message: bytes = b"",
@@ -39,16 +39,16 @@
     before = len(contractor.answers)
     contractor.sequence += 1
     request = Pdu(command, contractor.sequence, 0, fields, message, tlvs or [], dests or [])
-    stage.loop.spawn(lambda: contractor.stream.write(p.encode(request), None))
-    stage.run_until(lambda: len(contractor.answers) > before)
+    testbed.loop.spawn(lambda: contractor.stream.write(p.encode(request), None))
+    testbed.run_until(lambda: len(contractor.answers) > before)
     return contractor.answers[-1]
 
 
 def submit(
-    stage: SmppTestbed, contractor: StandInContractor, text: bytes = b"x", service: str = "WO", **fields: Any
+    testbed: SmppTestbed, contractor: StandInContractor, text: bytes = b"x", service: str = "WO", **fields: Any
 ) -> str:
     answer = exchange(
-        stage,
+        testbed,
         contractor,
         Command.SUBMIT_SM,
         text,
@@ -63,42 +63,40 @@
 
 
 def request_by_id(
-    stage: SmppTestbed,
+    testbed: SmppTestbed,
     contractor: StandInContractor,
     command: Command,
-    name: str,
+    message_id: str,
     message: bytes = b"",
     source: str = "100",
 ) -> Pdu:
-    return exchange(stage, contractor, command, message, message_id=name, source_addr=source)
+    return exchange(testbed, contractor, command, message, message_id=message_id, source_addr=source)
 
 
-def query_state(stage: SmppTestbed, contractor: StandInContractor, name: str) -> int:
-    answer = request_by_id(stage, contractor, Command.QUERY_SM, name)
+def query_state(testbed: SmppTestbed, contractor: StandInContractor, message_id: str) -> int:
+    answer = request_by_id(testbed, contractor, Command.QUERY_SM, message_id)
     return answer.number("message_state") if answer.status == 0 else -answer.status
 
 
-def retain_ended(stage: SmppTestbed, retention: int = 60 * SECOND) -> SmppTestbed:
-    stage.server.config = dataclasses.replace(stage.server.config, keep_ended=retention)
-    return stage
+def retain_ended(testbed: SmppTestbed, retention: int = 60 * SECOND) -> SmppTestbed:
+    testbed.server.config = dataclasses.replace(testbed.server.config, keep_ended=retention)
+    return testbed
 
 
 @pytest.mark.parametrize("bound", list(SessionState))
 @pytest.mark.parametrize("command", table.requests(), ids=lambda c: c.name.lower())
 def test_every_request_in_every_state_gets_its_response(tmp_path: Path, command: Command, bound: SessionState) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    contractor = stage.contractor(
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    contractor = testbed.contractor(
         BINDS.get(bound, Command.BIND_TRANSCEIVER), "secret" if bound is not SessionState.OPEN else "wrong"
     )
     request = Pdu(command, 7, 0, {"message_id": "none"}, dests=[Destination("1")])
     expected = table.refusal(Side.CENTRE, bound, request)
-    answer = exchange(stage, contractor, command, dests=[Destination("1")], message_id="none")
+    answer = exchange(testbed, contractor, command, dests=[Destination("1")], message_id="none")
     if command is Command.OUTBIND:
-        assert (answer.command, answer.status) == (
-            Command.GENERIC_NACK,
-            Status.ESME_RINVCMDID,
-        )  # not from a configured gateway
+        # The outbind is not from a configured gateway.
+        assert (answer.command, answer.status) == (Command.GENERIC_NACK, Status.ESME_RINVCMDID)
     elif expected is None:
         assert answer.command == command | p.RESPONSE and answer.status not in (
             Status.ESME_RINVBNDSTS,
@@ -127,16 +125,16 @@
     for command in (Command.DELIVER_SM, Command.DATA_SM, Command.ALERT_NOTIFICATION):
         assert served(Side.ESME, command) == {"RX", "TRX"}
     assert served(Side.ESME, Command.OUTBIND) == {"OPEN"}
-    assert served(Side.CENTRE, Command.OUTBIND) == {"OPEN"}  # the listener also acts as an ESME's
+    assert served(Side.CENTRE, Command.OUTBIND) == {"OPEN"}  # gateways connect to the same listener
 
 
 def test_data_sm_is_a_message_like_any_other(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     answer = exchange(
-        stage,
+        testbed,
         contractor,
         Command.DATA_SM,
         tlvs=[(p.MESSAGE_PAYLOAD, b"long" * 100), (0x0204, b"\0\7")],
@@ -146,16 +144,16 @@
         registered_delivery=1,
     )
     assert answer.command is Command.DATA_SM_RESP and answer.status == 0
-    stage.run_until(lambda: len(contractor.final_states()) == 1)
+    testbed.run_until(lambda: len(contractor.final_states()) == 1)
     assert contractor.final_states() == {answer.text("message_id"): {State.DELIVERED}}
     assert gate.submits[0].tlv(p.MESSAGE_PAYLOAD) == b"long" * 100 and gate.submits[0].tlv(0x0204) == b"\0\7"
 
 
 def test_submit_multi_lists_rejected_destinations_and_each_other_one_ends_once(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     dests = [
         Destination("3725551"),
         Destination("999"),
@@ -163,7 +161,7 @@
         Destination("3725552", 1, 1),
     ]
     answer = exchange(
-        stage,
+        testbed,
         contractor,
         Command.SUBMIT_MULTI,
         b"all",
@@ -176,18 +174,20 @@
         ("999", Status.ESME_RINVDSTADR),
         ("friends", Status.ESME_RINVDLNAME),
     }
-    stage.run_until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
+    testbed.run_until(lambda: len(contractor.receipts) == 2 and not testbed.journal.entries)
     assert sorted(r.text("source_addr") for r in contractor.receipts) == ["3725551", "3725552"]
     assert contractor.final_states() == {answer.text("message_id"): {State.DELIVERED}} and gate.effects[b"all"] == 2
-    refused = exchange(stage, contractor, Command.SUBMIT_MULTI, b"none", dests=[Destination("999")], service_type="WO")
-    assert refused.status == Status.ESME_RINVDSTADR and not stage.courier.open
+    refused = exchange(
+        testbed, contractor, Command.SUBMIT_MULTI, b"none", dests=[Destination("999")], service_type="WO"
+    )
+    assert refused.status == Status.ESME_RINVDSTADR and not testbed.courier.open
 
 
 def test_a_submit_multi_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     request = Pdu(
         Command.SUBMIT_MULTI, 9, 0, {"service_type": "WO"}, b"x", dests=[Destination("3725551"), Destination("3725552")]
     )
@@ -196,25 +196,25 @@
         contractor.stream.write(p.encode(request), None)
         contractor.stream.close()
 
-    stage.loop.spawn(send_and_disconnect)
-    stage.run_for(SECOND)
-    assert not gate.submits and not stage.journal.entries and not stage.courier.open
+    testbed.loop.spawn(send_and_disconnect)
+    testbed.run_for(SECOND)
+    assert not gate.submits and not testbed.journal.entries and not testbed.courier.open
 
 
-def test_query_returns_the_state_of_open_and_ended_messages_also_after_a_restart(tmp_path: Path) -> None:
-    stage = retain_ended(SmppTestbed(tmp_path))
-    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"slow" else 0)
-    stage.open(gateway(gate.address, response_timeout=20 * SECOND))
-    contractor = stage.contractor()
-    done, slow = submit(stage, contractor, b"quick"), submit(stage, contractor, b"slow")
-    stage.run_until(lambda: done in contractor.final_states())
+def test_query_returns_the_state_of_open_and_ended_messages_even_after_a_restart(tmp_path: Path) -> None:
+    testbed = retain_ended(SmppTestbed(tmp_path))
+    gate = StandInGateway(testbed, script=lambda pdu: None if pdu.message == b"slow" else 0)
+    testbed.open(gateway(gate.address, response_timeout=20 * SECOND))
+    contractor = testbed.contractor()
+    done, slow = submit(testbed, contractor, b"quick"), submit(testbed, contractor, b"slow")
+    testbed.run_until(lambda: done in contractor.final_states())
     assert (
-        query_state(stage, contractor, done) == State.DELIVERED
-        and query_state(stage, contractor, slow) == State.ENROUTE
+        query_state(testbed, contractor, done) == State.DELIVERED
+        and query_state(testbed, contractor, slow) == State.ENROUTE
     )
-    assert query_state(stage, contractor, "unknown") == -Status.ESME_RINVMSGID
-    assert request_by_id(stage, contractor, Command.QUERY_SM, done, source="101").status == Status.ESME_RQUERYFAIL
-    stage.courier.journal._compact()
+    assert query_state(testbed, contractor, "unknown") == -Status.ESME_RINVMSGID
+    assert request_by_id(testbed, contractor, Command.QUERY_SM, done, source="101").status == Status.ESME_RQUERYFAIL
+    testbed.courier.journal._compact()
     successor = retain_ended(SmppTestbed(tmp_path))
     successor.open(gateway(gate.address))
     contractor = successor.contractor()
@@ -241,51 +241,52 @@
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_cancel_withdraws_only_messages_that_never_ran(tmp_path: Path, service: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
-    stage.open(gateway(gate.address, window=1, response_timeout=20 * SECOND))
-    contractor = stage.contractor()
-    later = submit(stage, contractor, b"later", service, schedule_delivery_time="000000000100000R")
-    in_flight = submit(stage, contractor, b"in flight", service)
-    stage.run_until(lambda: gate.submits)
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, in_flight).status == Status.ESME_RCANCELFAIL
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, later, source="1").status == Status.ESME_RINVMSGID
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == 0
-    stage.run_until(lambda: later in contractor.final_states())
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, script=lambda pdu: None if pdu.message == b"in flight" else 0)
+    testbed.open(gateway(gate.address, window=1, response_timeout=20 * SECOND))
+    contractor = testbed.contractor()
+    later = submit(testbed, contractor, b"later", service, schedule_delivery_time="000000000100000R")
+    in_flight = submit(testbed, contractor, b"in flight", service)
+    testbed.run_until(lambda: gate.submits)
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, in_flight).status == Status.ESME_RCANCELFAIL
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, later, source="1").status == Status.ESME_RINVMSGID
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, later).status == 0
+    testbed.run_until(lambda: later in contractor.final_states())
     assert contractor.final_states()[later] == {State.DELETED}
-    stage.run_until(lambda: len(stage.journal.entries) == 1)
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, later).status == Status.ESME_RINVMSGID
-    stage.run_for(90 * SECOND)
+    testbed.run_until(lambda: len(testbed.journal.entries) == 1)
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, later).status == Status.ESME_RINVMSGID
+    testbed.run_for(90 * SECOND)
     assert [s.message for s in gate.submits].count(b"later") == 0
     assert all(len(states) == 1 for states in contractor.final_states().values())
 
 
 def test_cancel_by_addresses_withdraws_all_that_can_be_withdrawn(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(StandInGateway(stage).address))
-    contractor = stage.contractor()
-    first = [submit(stage, contractor, schedule_delivery_time="000000000100000R") for _ in range(3)]
-    other = submit(stage, contractor, destination_addr="3725559", schedule_delivery_time="000000000100000R")
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(StandInGateway(testbed).address))
+    contractor = testbed.contractor()
+    first = [submit(testbed, contractor, schedule_delivery_time="000000000100000R") for _ in range(3)]
+    other = submit(testbed, contractor, destination_addr="3725559", schedule_delivery_time="000000000100000R")
     addresses = {"source_addr": "100", "destination_addr": "3725550"}
     assert (
-        exchange(stage, contractor, Command.CANCEL_SM, service_type="RD", **addresses).status == Status.ESME_RCANCELFAIL
+        exchange(testbed, contractor, Command.CANCEL_SM, service_type="RD", **addresses).status
+        == Status.ESME_RCANCELFAIL
     )
-    assert exchange(stage, contractor, Command.CANCEL_SM, **addresses).status == 0
-    stage.run_until(lambda: len(contractor.final_states()) == 3)
-    assert set(contractor.final_states()) == set(first) and query_state(stage, contractor, other) == State.ENROUTE
+    assert exchange(testbed, contractor, Command.CANCEL_SM, **addresses).status == 0
+    testbed.run_until(lambda: len(contractor.final_states()) == 3)
+    assert set(contractor.final_states()) == set(first) and query_state(testbed, contractor, other) == State.ENROUTE
 
 
 def test_replace_changes_only_messages_without_an_attempt_and_survives_a_restart(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, script=lambda pdu: None if pdu.message == b"in flight" else 0)
-    stage.open(gateway(gate.address, response_timeout=20 * SECOND))
-    contractor = stage.contractor()
-    in_flight = submit(stage, contractor, b"in flight")
-    later = submit(stage, contractor, b"old", schedule_delivery_time="000000000003000R")
-    stage.run_until(lambda: gate.submits)
-    assert request_by_id(stage, contractor, Command.REPLACE_SM, in_flight, b"new").status == Status.ESME_RREPLACEFAIL
-    assert request_by_id(stage, contractor, Command.REPLACE_SM, "none", b"new").status == Status.ESME_RINVMSGID
-    assert request_by_id(stage, contractor, Command.REPLACE_SM, later, b"new").status == 0
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, script=lambda pdu: None if pdu.message == b"in flight" else 0)
+    testbed.open(gateway(gate.address, response_timeout=20 * SECOND))
+    contractor = testbed.contractor()
+    in_flight = submit(testbed, contractor, b"in flight")
+    later = submit(testbed, contractor, b"old", schedule_delivery_time="000000000003000R")
+    testbed.run_until(lambda: gate.submits)
+    assert request_by_id(testbed, contractor, Command.REPLACE_SM, in_flight, b"new").status == Status.ESME_RREPLACEFAIL
+    assert request_by_id(testbed, contractor, Command.REPLACE_SM, "none", b"new").status == Status.ESME_RINVMSGID
+    assert request_by_id(testbed, contractor, Command.REPLACE_SM, later, b"new").status == 0
     successor = SmppTestbed(tmp_path)
     gate = StandInGateway(successor)
     successor.open(gateway(gate.address))
@@ -294,10 +295,10 @@
 
 
 def test_a_scheduled_message_waits_through_a_restart_and_its_deadline_counts_from_the_schedule(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     for schedule, status in (
         ("000000000000000R", Status.ESME_RINVSCHED),
         ("999999999999999R", Status.ESME_RINVSCHED),
@@ -305,7 +306,7 @@
     ):
         assert (
             exchange(
-                stage,
+                testbed,
                 contractor,
                 Command.SUBMIT_SM,
                 service_type="WO",
@@ -315,7 +316,7 @@
             == status
         )
     expires_early = exchange(
-        stage,
+        testbed,
         contractor,
         Command.SUBMIT_SM,
         service_type="WO",
@@ -324,9 +325,9 @@
         validity_period="000000000050000R",
     )
     assert expires_early.status == Status.ESME_RINVEXPIRY
-    started_at = stage.loop.now
-    submit(stage, contractor, b"later", schedule_delivery_time="000000000100000R")
-    stage.run_for(40 * SECOND)
+    started_at = testbed.loop.now
+    submit(testbed, contractor, b"later", schedule_delivery_time="000000000100000R")
+    testbed.run_for(40 * SECOND)
     assert not gate.submits
     successor = SmppTestbed(tmp_path)
     gate = StandInGateway(successor)
@@ -364,67 +365,67 @@
 
 
 def test_requests_of_a_gateway_are_answered_by_the_state_table(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    submit(stage, stage.contractor())
-    stage.run_until(lambda: gate.submits)
-    link = next(iter(stage.gateways._links.values()))
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    submit(testbed, testbed.contractor())
+    testbed.run_until(lambda: gate.submits)
+    link = next(iter(testbed.gateways._links.values()))
     session = link.sessions[0].session
     assert session.state is SessionState.TRX
-    posted: list[Pdu] = []
-    session.send = lambda pdu: posted.append(pdu) or True  # type: ignore[method-assign, func-returns-value]
+    sent: list[Pdu] = []
+    session.send = lambda pdu: sent.append(pdu) or True  # type: ignore[method-assign, func-returns-value]
     for command in table.requests():
-        stage.gateways._handle(link, link.sessions[0], Pdu(command, 3))
-    assert {pdu.command.name: pdu.status for pdu in posted if pdu.status == 0} == {
+        testbed.gateways._handle(link, link.sessions[0], Pdu(command, 3))
+    assert {pdu.command.name: pdu.status for pdu in sent if pdu.status == 0} == {
         "DELIVER_SM_RESP": 0,
         "DATA_SM_RESP": 0,
     }
-    assert {pdu.status for pdu in posted if pdu.command is Command.GENERIC_NACK} == {Status.ESME_RINVCMDID}
+    assert {pdu.status for pdu in sent if pdu.command is Command.GENERIC_NACK} == {Status.ESME_RINVCMDID}
 
 
 def test_a_message_between_attempts_is_withdrawn_only_if_none_may_have_run(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, slots=1)
+    testbed = SmppTestbed(tmp_path, slots=1)
     answers = {b"may have run": Status.ESME_RSYSERR, b"full": Status.ESME_RTHROTTLED}
-    gate = StandInGateway(stage, script=lambda pdu: answers.get(pdu.message, 0))
-    stage.open(gateway(gate.address, throttle_wait=5 * SECOND))
-    contractor = stage.contractor()
-    may_have_run = submit(stage, contractor, b"may have run", "RD")
-    stage.run_until(lambda: gate.submits and not stage.courier.attempts_in_flight)
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, may_have_run).status == Status.ESME_RCANCELFAIL
+    gate = StandInGateway(testbed, script=lambda pdu: answers.get(pdu.message, 0))
+    testbed.open(gateway(gate.address, throttle_wait=5 * SECOND))
+    contractor = testbed.contractor()
+    may_have_run = submit(testbed, contractor, b"may have run", "RD")
+    testbed.run_until(lambda: gate.submits and not testbed.courier.attempts_in_flight)
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, may_have_run).status == Status.ESME_RCANCELFAIL
     del answers[b"may have run"]
-    stage.run_until(lambda: may_have_run in contractor.final_states())
-    full = submit(stage, contractor, b"full", "PAY")
-    stage.run_until(lambda: gate.submits[-1].message == b"full" and not stage.courier.attempts_in_flight)
-    assert request_by_id(stage, contractor, Command.REPLACE_SM, full, b"new").status == Status.ESME_RREPLACEFAIL
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, full).status == 0
-    number = stage.courier._last_number
-    stage.run_until(lambda: full in contractor.final_states())
-    assert contractor.final_states()[full] == {State.DELETED} and number not in stage.courier._controller.messages
-    after = submit(stage, contractor, b"after", "PAY")  # the only slot is free again
-    stage.run_until(lambda: after in contractor.final_states())
+    testbed.run_until(lambda: may_have_run in contractor.final_states())
+    full = submit(testbed, contractor, b"full", "PAY")
+    testbed.run_until(lambda: gate.submits[-1].message == b"full" and not testbed.courier.attempts_in_flight)
+    assert request_by_id(testbed, contractor, Command.REPLACE_SM, full, b"new").status == Status.ESME_RREPLACEFAIL
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, full).status == 0
+    number = testbed.courier._last_number
+    testbed.run_until(lambda: full in contractor.final_states())
+    assert contractor.final_states()[full] == {State.DELETED} and number not in testbed.courier._controller.messages
+    after = submit(testbed, contractor, b"after", "PAY")  # the only slot is free again
+    testbed.run_until(lambda: after in contractor.final_states())
     assert [s.message for s in gate.submits].count(b"full") == 1
 
 
 def test_a_message_that_waits_for_the_window_is_not_withdrawn(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, pause=lambda _: 300_000)
-    stage.open(gateway(gate.address, window=1))
-    contractor = stage.contractor()
-    submit(stage, contractor, b"first", "PAY")
-    second = submit(stage, contractor, b"second", "PAY")  # sent by the decision module, and waiting for the window
-    stage.run_until(lambda: stage.courier.attempts_in_flight == 2)
-    assert request_by_id(stage, contractor, Command.CANCEL_SM, second).status == Status.ESME_RCANCELFAIL
-    stage.run_until(lambda: second in contractor.final_states())
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, pause=lambda _: 300_000)
+    testbed.open(gateway(gate.address, window=1))
+    contractor = testbed.contractor()
+    submit(testbed, contractor, b"first", "PAY")
+    second = submit(testbed, contractor, b"second", "PAY")  # its attempt has begun, and waits for the window
+    testbed.run_until(lambda: testbed.courier.attempts_in_flight == 2)
+    assert request_by_id(testbed, contractor, Command.CANCEL_SM, second).status == Status.ESME_RCANCELFAIL
+    testbed.run_until(lambda: second in contractor.final_states())
     assert contractor.final_states()[second] == {State.DELIVERED}
 
 
 def test_a_replaced_message_counts_once_in_the_journal(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(("127.0.0.1", 1)))
-    contractor = stage.contractor()
-    later = submit(stage, contractor, b"old", schedule_delivery_time="000000000100000R")
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(("127.0.0.1", 1)))
+    contractor = testbed.contractor()
+    later = submit(testbed, contractor, b"old", schedule_delivery_time="000000000100000R")
     for text in (b"x" * 200, b"y" * 100):
-        assert request_by_id(stage, contractor, Command.REPLACE_SM, later, text).status == 0
-    journal = stage.journal
+        assert request_by_id(testbed, contractor, Command.REPLACE_SM, later, text).status == 0
+    journal = testbed.journal
     assert journal._live == sum(journal._weights.values()) and len(journal.entries) == 1
--- a/tests/smpp/test_parts.py
+++ b/tests/smpp/test_parts.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "tlvs", "esm", "found"),
+    ("text", "tlvs", "esm", "expected"),
     [
         (b"\x05\x00\x03\x09\x02\x01hi", [], 0x40, (Part("udh8", 9, 2, 1), b"hi")),
         (b"\x06\x08\x04\x01\x09\x02\x02hi", [], 0x43, (Part("udh16", 265, 2, 2), b"hi")),
@@ -44,7 +44,7 @@
             b"\x06\x05\x04\x0b\x84\x23\xf0hi",
             [],
             0x40,
-            (None, b"\x06\x05\x04\x0b\x84\x23\xf0hi"),  # port numbers, for the handset
+            (None, b"\x06\x05\x04\x0b\x84\x23\xf0hi"),  # a header with port numbers, which is for the handset
         ),
         (b"\x0b\x00\x03\x09\x02\x01\x05\x04\x0b\x84\x23\xf0hi", [], 0x40, None),
         (b"", [], 0x40, Status.ESME_RINVESMCLASS),
@@ -58,14 +58,16 @@
         (b"hi", [(p.SAR_MSG_REF_NUM, b"\1"), *sar(1, 2, 1)[1:]], 0, Status.ESME_RINVOPTPARAMVAL),
     ],
 )
-def test_identification_of_parts(text: bytes, tlvs: list[tuple[int, bytes]], esm: int, found: object) -> None:
+def test_parts_are_identified_by_their_header_or_sar_parameters(
+    text: bytes, tlvs: list[tuple[int, bytes]], esm: int, expected: object
+) -> None:
     pdu = Pdu(Command.SUBMIT_SM, 1, 0, {"esm_class": esm}, text, tlvs)
-    if isinstance(found, Status):
+    if isinstance(expected, Status):
         with pytest.raises(InvalidPartError) as caught:
             parts.identify_part(pdu, text)
-        assert caught.value.status is found
+        assert caught.value.status is expected
     else:
-        assert parts.identify_part(pdu, text) == (found or (None, text))
+        assert parts.identify_part(pdu, text) == (expected or (None, text))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
@@ -88,17 +90,17 @@
         assert reassembler.classify((n,), Part("sar", 1, 2, 1), 10)[0] is PartDisposition.HELD
         reassembler.add(n, (n,), Part("sar", 1, 2, 1), n, 60_000, 1 << 60)
     assert reassembler.classify(("one more",), Part("sar", 1, 2, 1), 10)[0] is PartDisposition.NO_ROOM
-    # Exceeds the maximum message size.
+    # This part would exceed the maximum message size.
     assert reassembler.classify((0,), Part("sar", 1, 2, 2), 60_000)[0] is PartDisposition.NO_ROOM
     assert reassembler.classify((0,), Part("sar", 1, 2, 2), 10)[0] is PartDisposition.WHOLE
-    # Another kind of reference: another message.
+    # A reference of another kind belongs to another message, for which there is no room.
     assert reassembler.classify((0,), Part("udh8", 1, 2, 1), 10)[0] is PartDisposition.NO_ROOM
     assert [found.numbers for found in reassembler.pop_expired(SECOND + 1)] == [[0], [1]]
     assert reassembler.next_expiry == SECOND + 2
 
 
 def submit_part(
-    stage: SmppTestbed,
+    testbed: SmppTestbed,
     contractor: StandInContractor,
     how: str,
     ref: int,
@@ -110,46 +112,48 @@
     text = PART_TEXTS[place - 1] if text is None else text
     if how == UDH:
         header = bytes([5, 0, 3, ref, 3, place])
-        return exchange(stage, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **fields)
-    return exchange(stage, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **fields)
+        return exchange(testbed, contractor, Command.SUBMIT_SM, header + text, esm_class=0x40, **fields)
+    return exchange(testbed, contractor, Command.SUBMIT_SM, text, sar(ref, 3, place), **fields)
 
 
 @pytest.mark.parametrize("how", [UDH, SAR])
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_parts_in_any_order_become_one_call_with_a_receipt_for_each(tmp_path: Path, how: str, service: str) -> None:
-    stage = retain_ended(SmppTestbed(tmp_path))
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    names = [submit_part(stage, contractor, how, 9, place, service).text("message_id") for place in (3, 1, 1, 2)]
-    assert names[1] == names[2], "a duplicate part has to get the same response again"
-    stage.run_until(lambda: len(contractor.receipts) == 3 and not stage.journal.entries)
-    assert contractor.final_states() == {name: {State.DELIVERED} for name in names}
+    testbed = retain_ended(SmppTestbed(tmp_path))
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    message_ids = [
+        submit_part(testbed, contractor, how, 9, place, service).text("message_id") for place in (3, 1, 1, 2)
+    ]
+    assert message_ids[1] == message_ids[2], "a duplicate part has to get the same response again"
+    testbed.run_until(lambda: len(contractor.receipts) == 3 and not testbed.journal.entries)
+    assert contractor.final_states() == {message_id: {State.DELIVERED} for message_id in message_ids}
     (sent,) = gate.submits
     assert sent.tlv(p.MESSAGE_PAYLOAD) == b"one two three" and not sent.number("esm_class") & 0x40
     assert all(sent.tlv(tag) is None for tag in parts.SAR)
-    assert [query_state(stage, contractor, name) for name in names] == [State.DELIVERED] * 4
+    assert [query_state(testbed, contractor, message_id) for message_id in message_ids] == [State.DELIVERED] * 4
 
 
-def test_a_missing_part_expires_the_others_once(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    names = [submit_part(stage, contractor, SAR, 9, place).text("message_id") for place in (1, 3)]
-    stage.run_until(lambda: len(contractor.receipts) == 2 and not stage.journal.entries)
-    assert contractor.final_states() == {name: {State.EXPIRED} for name in names} and not gate.submits
-    assert submit_part(stage, contractor, SAR, 9, 2).status == 0  # begins a new message
+def test_without_a_missing_part_each_of_the_others_expires_once(tmp_path: Path) -> None:
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    message_ids = [submit_part(testbed, contractor, SAR, 9, place).text("message_id") for place in (1, 3)]
+    testbed.run_until(lambda: len(contractor.receipts) == 2 and not testbed.journal.entries)
+    assert contractor.final_states() == {message_id: {State.EXPIRED} for message_id in message_ids} and not gate.submits
+    assert submit_part(testbed, contractor, SAR, 9, 2).status == 0  # begins a new message
 
 
 def test_parts_end_by_their_own_deadline_even_if_a_later_message_expires_first(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(("127.0.0.1", 1)))
-    contractor = stage.contractor()
-    begin = stage.loop.now
-    submit_part(stage, contractor, SAR, 1, 1)
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(("127.0.0.1", 1)))
+    contractor = testbed.contractor()
+    begin = testbed.loop.now
+    submit_part(testbed, contractor, SAR, 1, 1)
     short_lived = exchange(
-        stage,
+        testbed,
         contractor,
         Command.SUBMIT_SM,
         b"x",
@@ -160,17 +164,17 @@
         registered_delivery=1,
         validity_period="000000000003000R",
     )
-    stage.run_until(lambda: contractor.receipts)
+    testbed.run_until(lambda: contractor.receipts)
     assert (
         contractor.final_states() == {short_lived.text("message_id"): {State.EXPIRED}}
-        and stage.loop.now - begin <= 3 * SECOND
+        and testbed.loop.now - begin <= 3 * SECOND
     )
 
 
 def test_the_id_of_one_part_cannot_replace_the_whole_message(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(("127.0.0.1", 1)))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(("127.0.0.1", 1)))
+    contractor = testbed.contractor()
     fields = {
         "source_addr": "100",
         "destination_addr": "3725550",
@@ -178,60 +182,60 @@
         "registered_delivery": 1,
         "schedule_delivery_time": "000000000100000R",
     }
-    names = [
-        exchange(stage, contractor, Command.SUBMIT_SM, PART_TEXTS[n - 1], sar(7, 3, n), **fields).text("message_id")
+    message_ids = [
+        exchange(testbed, contractor, Command.SUBMIT_SM, PART_TEXTS[n - 1], sar(7, 3, n), **fields).text("message_id")
         for n in (1, 2, 3)
     ]
-    stage.run_until(lambda: len(stage.journal.entries) == 1)
+    testbed.run_until(lambda: len(testbed.journal.entries) == 1)
     for command, status in ((Command.REPLACE_SM, Status.ESME_RREPLACEFAIL), (Command.CANCEL_SM, 0)):
         assert (
             exchange(
-                stage,
+                testbed,
                 contractor,
                 command,
                 b"new" if command is Command.REPLACE_SM else b"",
-                message_id=names[1],
+                message_id=message_ids[1],
                 source_addr="100",
             ).status
             == status
         )
-    stage.run_until(lambda: len(contractor.receipts) == 3)
-    assert contractor.final_states() == {name: {State.DELETED} for name in names}
+    testbed.run_until(lambda: len(contractor.receipts) == 3)
+    assert contractor.final_states() == {message_id: {State.DELETED} for message_id in message_ids}
 
 
 def test_parts_survive_a_restart_and_a_crash_during_reassembly(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open(gateway(("127.0.0.1", 1)))  # no gateway listens there
-    contractor = stage.contractor()
-    names = [submit_part(stage, contractor, UDH, 4, place).text("message_id") for place in (2, 1)]
+    testbed = SmppTestbed(tmp_path)
+    testbed.open(gateway(("127.0.0.1", 1)))  # no gateway listens there
+    contractor = testbed.contractor()
+    message_ids = [submit_part(testbed, contractor, UDH, 4, place).text("message_id") for place in (2, 1)]
     second = SmppTestbed(tmp_path)
     second.open(gateway(("127.0.0.1", 1)))
     contractor = second.contractor()
     second.journal.record_done = lambda number: None  # type: ignore[method-assign, assignment]
-    names.append(submit_part(second, contractor, UDH, 4, 3).text("message_id"))
+    message_ids.append(submit_part(second, contractor, UDH, 4, 3).text("message_id"))
     second.run_until(lambda: len(second.journal.entries) == 4)
     third = SmppTestbed(tmp_path)
     gate = StandInGateway(third)
     third.open(gateway(gate.address))
     contractor = third.contractor()
     third.run_until(lambda: len(contractor.receipts) == 3 and not third.journal.entries)
-    assert contractor.final_states() == {name: {State.DELIVERED} for name in names}
+    assert contractor.final_states() == {message_id: {State.DELIVERED} for message_id in message_ids}
     assert [s.tlv(p.MESSAGE_PAYLOAD) for s in gate.submits] == [b"one two three"]
 
 
 def test_malformed_parts_are_refused_and_reassembly_can_be_disabled(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
     fields = {"service_type": "WO", "source_addr": "100", "destination_addr": "3725550"}
     assert (
-        exchange(stage, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **fields).status
+        exchange(testbed, contractor, Command.SUBMIT_SM, b"\x09", esm_class=0x40, **fields).status
         == Status.ESME_RINVESMCLASS
     )
-    stage.server.config = dataclasses.replace(stage.server.config, parts_timeout=0)
-    assert submit_part(stage, contractor, SAR, 1, 1).status == 0
-    stage.run_until(lambda: gate.submits)
+    testbed.server.config = dataclasses.replace(testbed.server.config, parts_timeout=0)
+    assert submit_part(testbed, contractor, SAR, 1, 1).status == 0
+    testbed.run_until(lambda: gate.submits)
     assert gate.submits[0].message == PART_TEXTS[0] and gate.submits[0].tlv(p.SAR_TOTAL_SEGMENTS) == b"\3"
 
 
@@ -299,9 +303,9 @@
 LONG_TEXT = b"a" * 400  # three parts
 
 
-def submit_long(stage: SmppTestbed, contractor: StandInContractor, service: str) -> str:
+def submit_long(testbed: SmppTestbed, contractor: StandInContractor, service: str) -> str:
     answer = exchange(
-        stage,
+        testbed,
         contractor,
         Command.SUBMIT_SM,
         b"",
@@ -316,13 +320,16 @@
 
 @pytest.mark.parametrize("how", [UDH, SAR])
 def test_a_long_text_is_sent_in_parts_and_delivered_when_all_are(tmp_path: Path, how: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address, split=how, window=2))
-    contractor = stage.contractor()
-    names = [submit_long(stage, contractor, "PAY") for _ in range(2)]
-    stage.run_until(lambda: len(contractor.receipts) == 2)
-    assert contractor.final_states() == {name: {State.DELIVERED} for name in names} and len(gate.submits) == 6
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address, split=how, window=2))
+    contractor = testbed.contractor()
+    message_ids = [submit_long(testbed, contractor, "PAY") for _ in range(2)]
+    testbed.run_until(lambda: len(contractor.receipts) == 2)
+    assert (
+        contractor.final_states() == {message_id: {State.DELIVERED} for message_id in message_ids}
+        and len(gate.submits) == 6
+    )
     found: dict[int, dict[int, bytes]] = {}
     for pdu in gate.submits:
         part, text = parts.identify_part(pdu, pdu.message)
@@ -332,9 +339,9 @@
     assert gate.max_in_flight <= 2
 
 
-# The status of each submit_sm in turn (None: no response), the class, the final state, and the number of attempts.
+# ``statuses``: the status of each submit_sm in turn (None: no response).
 @pytest.mark.parametrize(
-    ("statuses", "service", "end", "times"),
+    ("statuses", "service", "end", "attempts"),
     [
         ([0, Status.ESME_RSYSERR], "PAY", State.UNDELIVERABLE, 1),  # one part may have been processed: no retry
         ([0, 0, None], "PAY", State.UNDELIVERABLE, 1),
@@ -347,35 +354,35 @@
     ],
 )
 def test_class_rules_apply_to_the_whole_message(
-    tmp_path: Path, statuses: list[int | None], service: str, end: State, times: int
+    tmp_path: Path, statuses: list[int | None], service: str, end: State, attempts: int
 ) -> None:
-    stage = SmppTestbed(tmp_path)
-    left = list(statuses)
-    gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0)
-    stage.open(gateway(gate.address, split="sar", window=8))
-    contractor = stage.contractor()
-    name = submit_long(stage, contractor, service)
-    stage.run_until(lambda: contractor.receipts and not stage.journal.entries)
-    states = contractor.final_states()[name]
+    testbed = SmppTestbed(tmp_path)
+    remaining = list(statuses)
+    gate = StandInGateway(testbed, script=lambda _: remaining.pop(0) if remaining else 0)
+    testbed.open(gateway(gate.address, split="sar", window=8))
+    contractor = testbed.contractor()
+    message_id = submit_long(testbed, contractor, service)
+    testbed.run_until(lambda: contractor.receipts and not testbed.journal.entries)
+    states = contractor.final_states()[message_id]
     assert len(states) == 1 and (states == {end} or end is State.REJECTED and states <= {5, 8})
     first = [pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1"]
-    assert len(first) == times and len({pdu.tlv(p.SAR_MSG_REF_NUM) for pdu in first}) == times
-
-
-def test_no_part_is_sent_after_a_failed_one_and_the_window_begins_with_the_first(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    left = [0, 0, Status.ESME_RSYSERR]
-    gate = StandInGateway(stage, script=lambda _: left.pop(0) if left else 0, pause=lambda _: 200_000)
-    stage.open(gateway(gate.address, split="sar", window=1))
-    contractor = stage.contractor()
-    stage.loop.spawn(submit_long, stage, contractor, "WO")
-    stage.run_until(lambda: len(gate.submits) == 2)
-    (entry,) = stage.journal.entries.values()
+    assert len(first) == attempts and len({pdu.tlv(p.SAR_MSG_REF_NUM) for pdu in first}) == attempts
+
+
+def test_no_part_is_sent_after_a_failed_one_and_the_execution_window_begins_with_the_first(tmp_path: Path) -> None:
+    testbed = SmppTestbed(tmp_path)
+    remaining = [0, 0, Status.ESME_RSYSERR]
+    gate = StandInGateway(testbed, script=lambda _: remaining.pop(0) if remaining else 0, pause=lambda _: 200_000)
+    testbed.open(gateway(gate.address, split="sar", window=1))
+    contractor = testbed.contractor()
+    testbed.loop.spawn(submit_long, testbed, contractor, "WO")
+    testbed.run_until(lambda: len(gate.submits) == 2)
+    (entry,) = testbed.journal.entries.values()
     assert entry.may_have_run_since is not None and entry.may_have_run_since <= gate.submitted_at[0], (
         "the execution window has to begin with the first part"
     )
-    left[:] = [Status.ESME_RSYSERR]
-    stage.run_until(lambda: len(gate.submits) == 3)
+    remaining[:] = [Status.ESME_RSYSERR]
+    testbed.run_until(lambda: len(gate.submits) == 3)
     again = SmppTestbed(tmp_path / "..")
     gate = StandInGateway(again, script=lambda pdu: 0 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1" else 8)
     again.open(gateway(gate.address, split="sar", window=1))
@@ -389,26 +396,26 @@
     def pause(pdu: Pdu) -> int:
         return 450_000 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\2" else 390_000 if pdu.message == b"other" else 5_000
 
-    stage = SmppTestbed(tmp_path)
+    testbed = SmppTestbed(tmp_path)
     bad = [1]
     gate = StandInGateway(
-        stage,
+        testbed,
         pause=pause,
         script=lambda pdu: Status.ESME_RSYSERR if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\3" and bad and bad.pop() else 0,
     )
-    stage.open(gateway(gate.address, "one", split="sar", window=9))
-    contractor = stage.contractor()
-    name = submit_long(stage, contractor, "RD")
-    stage.run_for(200_000)
-    exchange(stage, contractor, Command.SUBMIT_SM, b"other", service_type="PAY", destination_addr="3725550")
-    stage.run_until(lambda: name in contractor.final_states())
+    testbed.open(gateway(gate.address, "one", split="sar", window=9))
+    contractor = testbed.contractor()
+    message_id = submit_long(testbed, contractor, "RD")
+    testbed.run_for(200_000)
+    exchange(testbed, contractor, Command.SUBMIT_SM, b"other", service_type="PAY", destination_addr="3725550")
+    testbed.run_until(lambda: message_id in contractor.final_states())
     assert len([pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\3"]) >= 2
 
 
 def test_an_attempt_in_parts_ends_with_its_last_late_response() -> None:
-    doubt = TimedOutSubmits(SECOND, 3)
-    doubt.in_flight = 2
-    doubt.record_late_response(Pdu(Command.SUBMIT_SM_RESP))
-    assert not doubt.all_ended
-    doubt.record_late_response(None)
-    assert doubt.all_ended and doubt.late_response is None
+    timed_out = TimedOutSubmits(SECOND, 3)
+    timed_out.in_flight = 2
+    timed_out.record_late_response(Pdu(Command.SUBMIT_SM_RESP))
+    assert not timed_out.all_ended
+    timed_out.record_late_response(None)
+    assert timed_out.all_ended and timed_out.late_response is None
--- a/tests/smpp/test_receipts.py
+++ b/tests/smpp/test_receipts.py
@@ -18,16 +18,16 @@
 DELIVRD, EXPIRED, UNDELIV, REJECTD = 2, 3, 5, 8
 
 
-def staged(folder: Path, **more: object) -> tuple[SmppTestbed, StandInGateway, StandInContractor]:
-    stage = SmppTestbed(folder)
-    gate = StandInGateway(stage)
+def open_testbed(directory: Path, **more: object) -> tuple[SmppTestbed, StandInGateway, StandInContractor]:
+    testbed = SmppTestbed(directory)
+    gate = StandInGateway(testbed)
     gate.message_id_for = lambda pdu: f"id-{pdu.message.decode()}"
-    stage.open(gateway(gate.address, outcome="receipt", **more))
-    return stage, gate, stage.contractor()
+    testbed.open(gateway(gate.address, outcome="receipt", **more))
+    return testbed, gate, testbed.contractor()
 
 
-def wait_for_acceptance(stage: SmppTestbed, gate: StandInGateway, count: int = 1) -> None:
-    stage.run_until(lambda: len(stage.courier._awaiting) == count)
+def wait_for_acceptance(testbed: SmppTestbed, gate: StandInGateway, count: int = 1) -> None:
+    testbed.run_until(lambda: len(testbed.courier._awaiting) == count)
 
 
 @pytest.mark.parametrize(
@@ -45,62 +45,62 @@
 )
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_the_receipt_decides_the_final_state(tmp_path: Path, service: str, stat: str, state: int) -> None:
-    stage, gate, contractor = staged(tmp_path)
-    name = submit(stage, contractor, b"a", service)
-    wait_for_acceptance(stage, gate)
+    testbed, gate, contractor = open_testbed(tmp_path)
+    message_id = submit(testbed, contractor, b"a", service)
+    wait_for_acceptance(testbed, gate)
     assert (
         not contractor.receipts
-        and not stage.courier.attempts_in_flight
+        and not testbed.courier.attempts_in_flight
         and gate.submits[0].number("registered_delivery") == 1
     )
     gate.receipt("id-a", "ENROUTE")
     gate.receipt("id-other", stat)
     gate.receipt("id-a", stat)
     gate.receipt("id-a", "DELIVRD")  # a second receipt changes nothing
-    stage.run_until(lambda: contractor.receipts and len(gate.responses) == 4 and not stage.journal.entries)
-    assert contractor.final_states() == {name: {state}} and len(contractor.receipts) == 1
+    testbed.run_until(lambda: contractor.receipts and len(gate.responses) == 4 and not testbed.journal.entries)
+    assert contractor.final_states() == {message_id: {state}} and len(contractor.receipts) == 1
     assert len(gate.submits) == 1 and {pdu.status for pdu in gate.responses} == {0}
 
 
 def test_a_receipt_may_arrive_before_its_response_and_on_another_session(tmp_path: Path) -> None:
-    stage, gate, contractor = staged(tmp_path, bind="pair")
-    first = submit(stage, contractor, b"a")
-    wait_for_acceptance(stage, gate)
-    stage.run_until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound to receive the receipt
+    testbed, gate, contractor = open_testbed(tmp_path, bind="pair")
+    first = submit(testbed, contractor, b"a")
+    wait_for_acceptance(testbed, gate)
+    testbed.run_until(lambda: Command.BIND_RECEIVER in gate.streams)  # bound to receive the receipt
     gate.receipt("id-a", "UNDELIV")
-    stage.run_until(lambda: first in contractor.final_states())
-    gate.before_response = lambda pdu, stream: gate.receipt("id-b", "DELIVRD") or stage.loop.sleep(20 * MS)
-    second = submit(stage, contractor, b"b")
-    stage.run_until(lambda: second in contractor.final_states())
+    testbed.run_until(lambda: first in contractor.final_states())
+    gate.before_response = lambda pdu, stream: gate.receipt("id-b", "DELIVRD") or testbed.loop.sleep(20 * MS)
+    second = submit(testbed, contractor, b"b")
+    testbed.run_until(lambda: second in contractor.final_states())
     assert contractor.final_states() == {first: {UNDELIV}, second: {DELIVRD}}
     assert [pdu.status for pdu in gate.responses] == [0, 0] and len(gate.submits) == 2
 
 
 def test_receipts_are_received_after_a_reconnect(tmp_path: Path) -> None:
-    stage, gate, contractor = staged(tmp_path)
-    name = submit(stage, contractor, b"a")
-    wait_for_acceptance(stage, gate)
+    testbed, gate, contractor = open_testbed(tmp_path)
+    message_id = submit(testbed, contractor, b"a")
+    wait_for_acceptance(testbed, gate)
     old = gate.streams.pop(Command.BIND_TRANSCEIVER)
     old.close()
-    stage.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # rebound only to receive
+    testbed.run_until(lambda: Command.BIND_TRANSCEIVER in gate.streams)  # rebound only to receive
     gate.receipt("id-a", "DELIVRD")
-    stage.run_until(lambda: name in contractor.final_states())
-    assert contractor.final_states() == {name: {DELIVRD}} and len(gate.submits) == 1
+    testbed.run_until(lambda: message_id in contractor.final_states())
+    assert contractor.final_states() == {message_id: {DELIVRD}} and len(gate.submits) == 1
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
 def test_receipts_are_received_after_a_restart(tmp_path: Path, service: str) -> None:
-    stage, gate, contractor = staged(tmp_path)
-    name = submit(stage, contractor, b"a", service)
-    wait_for_acceptance(stage, gate)
-    again = SmppTestbed(tmp_path)  # as after SIGKILL: the first process's loop never runs again
+    testbed, gate, contractor = open_testbed(tmp_path)
+    message_id = submit(testbed, contractor, b"a", service)
+    wait_for_acceptance(testbed, gate)
+    again = SmppTestbed(tmp_path)  # as after SIGKILL: the loop of the first process never runs again
     other = StandInGateway(again)
     again.open(gateway(other.address, outcome="receipt"))
     successor = again.contractor()
     again.run_until(lambda: Command.BIND_TRANSCEIVER in other.streams)
     other.receipt("id-a", "DELIVRD")
     again.run_until(lambda: successor.receipts and not again.journal.entries)
-    assert successor.final_states() == {name: {DELIVRD}} and not other.submits, (
+    assert successor.final_states() == {message_id: {DELIVRD}} and not other.submits, (
         "must not be sent again while the gateway has it"
     )
 
@@ -118,7 +118,7 @@
 def test_a_message_without_a_receipt_ends_once_before_its_deadline(
     tmp_path: Path, query: State | None, cancel: int, state: int
 ) -> None:
-    stage, gate, contractor = staged(tmp_path)
+    testbed, gate, contractor = open_testbed(tmp_path)
 
     def reply(pdu: Pdu) -> Pdu:
         if pdu.command is Command.CANCEL_SM:
@@ -126,40 +126,40 @@
         return pdu.reply(Status.ESME_RQUERYFAIL) if query is None else pdu.reply(message_state=query)
 
     gate.answer_query = reply
-    begun = stage.loop.now
-    name = submit(stage, contractor, b"a", "PAY")
-    stage.run_until(lambda: name in contractor.final_states())
-    states = contractor.final_states()[name]
+    started_at = testbed.loop.now
+    message_id = submit(testbed, contractor, b"a", "PAY")
+    testbed.run_until(lambda: message_id in contractor.final_states())
+    states = contractor.final_states()[message_id]
     assert states == {state} or state == UNDELIV and states == {EXPIRED}
-    assert stage.loop.now - begun < stage.courier.settings.classes[2].deadline_ns // 1000
+    assert testbed.loop.now - started_at < testbed.courier.settings.classes[2].deadline_ns // 1000
     assert gate.queries[0].text("message_id") == "id-a" and len(gate.submits) == 1
     gate.receipt("id-a", "DELIVRD")
-    stage.run_until(lambda: gate.responses)
+    testbed.run_until(lambda: gate.responses)
     assert len(contractor.receipts) == 1
 
 
 def test_a_receipt_is_acknowledged_only_after_it_is_journalled(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, gate, contractor = staged(tmp_path)
-    name = submit(stage, contractor, b"a", "PAY")
-    wait_for_acceptance(stage, gate)
+    testbed, gate, contractor = open_testbed(tmp_path)
+    message_id = submit(testbed, contractor, b"a", "PAY")
+    wait_for_acceptance(testbed, gate)
     with monkeypatch.context() as full:
         full.setattr(Journal, "_append", lambda self, record: False)
         gate.receipt("id-a", "DELIVRD")
-        stage.run_until(lambda: gate.responses)
-        assert gate.responses[0].status == Status.ESME_RX_T_APPN and name not in contractor.final_states()
+        testbed.run_until(lambda: gate.responses)
+        assert gate.responses[0].status == Status.ESME_RX_T_APPN and message_id not in contractor.final_states()
     gate.receipt("id-a", "DELIVRD")
-    stage.run_until(lambda: name in contractor.final_states())
-    assert contractor.final_states() == {name: {DELIVRD}} and gate.responses[1].status == 0
+    testbed.run_until(lambda: message_id in contractor.final_states())
+    assert contractor.final_states() == {message_id: {DELIVRD}} and gate.responses[1].status == 0
 
 
 def test_ids_in_another_number_base_are_matched(tmp_path: Path) -> None:
-    stage, gate, contractor = staged(tmp_path, response_id="hex", receipt_id="decimal")
+    testbed, gate, contractor = open_testbed(tmp_path, response_id="hex", receipt_id="decimal")
     gate.message_id_for = lambda pdu: "00002A"
-    name = submit(stage, contractor)
-    wait_for_acceptance(stage, gate)
+    message_id = submit(testbed, contractor)
+    wait_for_acceptance(testbed, gate)
     gate.receipt("0000000042", "DELIVRD")
-    stage.run_until(lambda: name in contractor.final_states())
-    assert contractor.final_states() == {name: {DELIVRD}}
+    testbed.run_until(lambda: message_id in contractor.final_states())
+    assert contractor.final_states() == {message_id: {DELIVRD}}
 
 
 @pytest.mark.parametrize(
@@ -167,33 +167,33 @@
     [(["DELIVRD", "DELIVRD", "DELIVRD"], DELIVRD), (["DELIVRD", "REJECTD"], UNDELIV), (["REJECTD"], UNDELIV)],
 )
 def test_a_long_message_is_delivered_when_all_its_parts_are(tmp_path: Path, stats: list[str], state: int) -> None:
-    stage, gate, contractor = staged(tmp_path, split="sar")
+    testbed, gate, contractor = open_testbed(tmp_path, split="sar")
     gate.message_id_for = lambda pdu: str(len(gate.submits))
-    name = submit(stage, contractor, b"x" * 254)
-    # 254 characters make two parts; no message waits for the third id.
-    wait_for_acceptance(stage, gate)
+    message_id = submit(testbed, contractor, b"x" * 254)
+    # 254 characters make two parts, so the third receipt has an id that no message waits for.
+    wait_for_acceptance(testbed, gate)
     for place, stat in enumerate(stats, 1):
-        assert name not in contractor.final_states()
+        assert message_id not in contractor.final_states()
         gate.receipt(str(place), stat)
-        stage.run_until(lambda place=place: len(gate.responses) == place)  # type: ignore[misc]
-    stage.run_until(lambda: name in contractor.final_states())
-    assert contractor.final_states() == {name: {state}} and len(gate.submits) == 2
+        testbed.run_until(lambda place=place: len(gate.responses) == place)  # type: ignore[misc]
+    testbed.run_until(lambda: message_id in contractor.final_states())
+    assert contractor.final_states() == {message_id: {state}} and len(gate.submits) == 2
 
 
 def test_messages_awaiting_a_receipt_are_not_cancelled_and_take_no_slot(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, slots=1)
-    gate = StandInGateway(stage)
+    testbed = SmppTestbed(tmp_path, slots=1)
+    gate = StandInGateway(testbed)
     gate.message_id_for = lambda pdu: pdu.message.decode()
-    stage.open(gateway(gate.address, outcome="receipt"))
-    contractor = stage.contractor()
-    names = [submit(stage, contractor, text) for text in (b"a", b"b", b"c")]
-    wait_for_acceptance(stage, gate, 3)
-    assert not any(stage.courier.withdraw(message) for message, _, _ in stage.courier._awaiting.values())
+    testbed.open(gateway(gate.address, outcome="receipt"))
+    contractor = testbed.contractor()
+    message_ids = [submit(testbed, contractor, text) for text in (b"a", b"b", b"c")]
+    wait_for_acceptance(testbed, gate, 3)
+    assert not any(testbed.courier.withdraw(message) for message, _, _ in testbed.courier._awaiting.values())
     for text in "cab":
         gate.receipt(text, "DELIVRD")
-    stage.run_until(lambda: len(contractor.final_states()) == 3)
-    assert contractor.final_states() == {name: {DELIVRD} for name in names}
-    stage.run_for(30_000 * MS)  # past every deadline: nothing is reported twice
+    testbed.run_until(lambda: len(contractor.final_states()) == 3)
+    assert contractor.final_states() == {message_id: {DELIVRD} for message_id in message_ids}
+    testbed.run_for(30_000 * MS)  # past every deadline: nothing is reported twice
     assert len(contractor.receipts) == 3 and not gate.queries
 
 
@@ -207,7 +207,9 @@
     assert parse(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"stat:DELIVRD")) is None
     assert parse(Pdu(Command.DELIVER_SM, fields={"esm_class": 4}, message=b"id:7")) is None
     intermediate = Pdu(Command.DELIVER_SM, fields={"esm_class": 0x20}, message=b"id:7 stat:UNDELIV")
-    assert parse(intermediate) == receipts.Receipt("7", State.ENROUTE), "an intermediate notification is no final state"
+    assert parse(intermediate) == receipts.Receipt("7", State.ENROUTE), (
+        "an intermediate notification has no final state"
+    )
 
 
 @pytest.mark.parametrize(
@@ -223,17 +225,19 @@
         ("-1", "decimal", "-1", "hex", True),
     ],
 )
-def test_normalization_of_ids(first: str, first_base: str, second: str, second_base: str, equal: bool) -> None:
+def test_ids_match_if_they_are_the_same_number_or_the_same_text(
+    first: str, first_base: str, second: str, second_base: str, equal: bool
+) -> None:
     assert (normalized_id(first, first_base) == normalized_id(second, second_base)) is equal
 
 
 def test_an_id_that_a_gateway_reuses_belongs_to_the_later_message() -> None:
-    ledger = ReceiptTracker()
-    ledger.expect(1, "g", ["a"], "text")
-    ledger.expect(2, "g", ["a", "b"], "text")
-    assert ledger.message_number("g", "a", "text") == 2 and ledger.message_number("h", "a", "text") is None
-    ledger.drop(1)
-    assert ledger.message_number("g", "a", "text") == 2 and ledger.pending_count("g") == 1
-    assert ledger.remaining_ids(2, "a", "text") == ["b"]
-    ledger.drop(2)
-    assert ledger.pending_count("g") == 0 and ledger.message_number("g", "b", "text") is None
+    tracker = ReceiptTracker()
+    tracker.expect(1, "g", ["a"], "text")
+    tracker.expect(2, "g", ["a", "b"], "text")
+    assert tracker.message_number("g", "a", "text") == 2 and tracker.message_number("h", "a", "text") is None
+    tracker.drop(1)
+    assert tracker.message_number("g", "a", "text") == 2 and tracker.pending_count("g") == 1
+    assert tracker.remaining_ids(2, "a", "text") == ["b"]
+    tracker.drop(2)
+    assert tracker.pending_count("g") == 0 and tracker.message_number("g", "b", "text") is None
--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -26,21 +26,28 @@
 
 
 class StandInGateway:
-    """Counts accepted submits by text; closes ``closes`` connections at one step; responds with scripted statuses.
+    """Counts accepted submits by text, and responds to each submit with a scripted status.
 
-    ``script`` returns the status of a submit_sm_resp, or none for no response; ``pause`` returns its delay.
+    It closes ``closes`` connections at the step ``close_at``. ``script`` returns the status of a submit_sm_resp, or
+    None for no response; ``pause`` returns its delay in microseconds.
     """
 
     def __init__(
         self,
-        scene: CourierTestbed,
+        testbed: CourierTestbed,
         close_at: str = "",
         closes: int = 1,
         script: Callable[[Pdu], int | None] = lambda _: 0,
         pause: Callable[[Pdu], int] = lambda _: 5 * MS,
     ) -> None:
         self.pause = pause
-        self.scene, self.loop, self.close_at, self.closes, self.script = scene, scene.loop, close_at, closes, script
+        self.testbed, self.loop, self.close_at, self.closes, self.script = (
+            testbed,
+            testbed.loop,
+            close_at,
+            closes,
+            script,
+        )
         self.listener, self.address = listener()
         self.effects: Counter[bytes] = Counter()  # submits with status 0, by text
         self.first_effect_at: dict[bytes, int] = {}
@@ -49,12 +56,12 @@
         self.responses: list[Pdu] = []  # responses to the requests of this gateway
         self.queries: list[Pdu] = []  # query_sm and cancel_sm requests
         self.answer_query: Callable[[Pdu], Pdu] = lambda pdu: pdu.reply(Status.ESME_RINVMSGID)
-        self.streams: dict[Command, Stream] = {}  # by the last request of each command
+        self.streams: dict[Command, Stream] = {}  # by command: the stream of its last request
         self.message_id_for: Callable[[Pdu], str] = lambda pdu: "g1"
-        self.before_response: Callable[[Pdu, Stream], None] = lambda pdu, stream: (
-            None
-        )  # right before a submit_sm is answered
+        # Called right before a submit_sm is answered.
+        self.before_response: Callable[[Pdu, Stream], None] = lambda pdu, stream: None
         self.submitted_at: list[int] = []  # times of submits
+        # Submits without a response, and submits that came while another one with the same text was in flight.
         self.in_flight = self.max_in_flight = self.concurrent_copies = 0
         self.pending: dict[bytes, Stream] = {}  # streams of submits without a response, by text
         self.loop.spawn(self.accept)
@@ -64,7 +71,7 @@
             self.loop.readable(self.listener, None)
             sock, _ = self.listener.accept()
             sock.setblocking(False)
-            self.loop.spawn(self.serve, Stream(self.loop, sock, self.scene.buffers))
+            self.loop.spawn(self.serve, Stream(self.loop, sock, self.testbed.buffers))
 
     def closes_at(self, step: str) -> bool:
         closing = step == self.close_at and self.closes > 0
@@ -140,9 +147,11 @@
             if command in self.streams
         )
 
-    def receipt(self, name: str, stat: str, stream: Stream | None = None, **fields: object) -> None:
+    def receipt(self, message_id: str, stat: str, stream: Stream | None = None, **fields: object) -> None:
         """Send a delivery receipt."""
-        text = f"id:{name} sub:001 dlvrd:001 submit date:2612010900 done date:2612010900 stat:{stat} err:000 text:"
+        text = (
+            f"id:{message_id} sub:001 dlvrd:001 submit date:2612010900 done date:2612010900 stat:{stat} err:000 text:"
+        )
         pdu = Pdu(
             Command.DELIVER_SM, 900 + len(self.responses), fields={"esm_class": 4, **fields}, message=text.encode()
         )
@@ -164,21 +173,21 @@
     def __init__(
         self,
         loop: Loop,
-        scene: CourierTestbed,
+        testbed: CourierTestbed,
         address: tuple[str, int],
         bind: Command,
         password: str = "secret",
         stream: Stream | None = None,
     ) -> None:
         self.loop, self.sequence = loop, 0
-        self.response_status: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; none: no response
+        self.response_status: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; None: no response
         self.answers: list[Pdu] = []
         self.receipts: list[Pdu] = []
-        self.drop_receipts = 0  # number of receipts to leave without a response, closing the connection
+        self.drop_receipts = 0  # number of receipts to leave unanswered; each closes the connection
         if stream is None:
             sock = connect(loop, address, loop.now + SECOND)
             assert sock is not None
-            stream = Stream(loop, sock, scene.buffers)
+            stream = Stream(loop, sock, testbed.buffers)
         self.stream = stream
         self.send_request(bind, system_id="acme", password=password)
         loop.spawn(self.run)
@@ -222,8 +231,8 @@
         """The message_state values in the receipts, by message id."""
         states: dict[str, set[int]] = {}
         for receipt in self.receipts:
-            name = (receipt.tlv(p.RECEIPTED_MESSAGE_ID) or b"").rstrip(b"\0").decode()
-            states.setdefault(name, set()).add((receipt.tlv(p.MESSAGE_STATE) or b"\0")[0])
+            message_id = (receipt.tlv(p.RECEIPTED_MESSAGE_ID) or b"").rstrip(b"\0").decode()
+            states.setdefault(message_id, set()).add((receipt.tlv(p.MESSAGE_STATE) or b"\0")[0])
         return states
 
     def accepted(self) -> list[str]:
@@ -254,7 +263,7 @@
     return Gateway(**(values | more))  # type: ignore[arg-type]
 
 
-def front(gateways: tuple[Gateway, ...]) -> Smpp:
+def smpp_config(gateways: tuple[Gateway, ...]) -> Smpp:
     return Smpp(
         ("127.0.0.1", 1),
         "kestrelspar",
--- a/tests/test_smpp.py
+++ b/tests/test_smpp.py
@@ -20,7 +20,7 @@
 from kestrelspar.smpp.pdu import Command, Pdu, Status
 from kestrelspar.smpp.server import SmppServer, parse_time
 from tests.bench import READING, CourierTestbed, listener
-from tests.smpp_standins import CLOSE_STEPS, StandInContractor, StandInGateway, front, gateway
+from tests.smpp_standins import CLOSE_STEPS, StandInContractor, StandInGateway, gateway, smpp_config
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=80)
 NAMES = {"RD": "reading", "WO": "work-order", "PAY": "payment"}
@@ -40,18 +40,18 @@
             self.loop,
             self.buffers,
             self.courier,
-            front(gateways),
+            smpp_config(gateways),
             lambda name, password: self.gateways.outbind_handler(name, password),
         )
         self.courier.senders["smpp"] = self.server
-        self.arrivals = InboundMessages(self.courier, self.server.forward_alert)
-        self.courier.senders["smpp-inbound"] = self.arrivals
+        self.inbound = InboundMessages(self.courier, self.server.forward_alert)
+        self.courier.senders["smpp-inbound"] = self.inbound
         if gateways:
             self.open(*gateways)
 
     def open(self, *gateways: Gateway) -> None:
         self.gateways = SmppCarrier(
-            self.loop, self.buffers, self.courier.settings, gateways, self.courier, self.arrivals
+            self.loop, self.buffers, self.courier.settings, gateways, self.courier, self.inbound
         )
         self.courier.outcome_sources["smpp"] = self.gateways
         self.courier.apply_map_update("smpp", [*self.gateways.hops(), *self.server.receivers.hops()], complete=True)
@@ -66,10 +66,10 @@
         return made[0]
 
 
-def submit_all(stage: SmppTestbed, contractor: StandInContractor, service: str, count: int) -> list[bytes]:
+def submit_all(testbed: SmppTestbed, contractor: StandInContractor, service: str, count: int) -> list[bytes]:
     texts = [f"{service}-{i}".encode() for i in range(count)]
-    stage.loop.spawn(lambda: [contractor.submit(text, service) for text in texts])
-    stage.run_until(lambda: len(contractor.answers) == 1 + count)
+    testbed.loop.spawn(lambda: [contractor.submit(text, service) for text in texts])
+    testbed.run_until(lambda: len(contractor.answers) == 1 + count)
     return texts
 
 
@@ -78,12 +78,12 @@
 def test_a_lost_connection_at_any_step_leaves_one_final_state_and_no_second_payment(
     tmp_path: Path, step: str, service: str
 ) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, step)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    texts = submit_all(stage, contractor, service, 3)
-    stage.run_until(lambda: len(contractor.final_states()) == 3 and not stage.journal.entries)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, step)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    texts = submit_all(testbed, contractor, service, 3)
+    testbed.run_until(lambda: len(contractor.final_states()) == 3 and not testbed.journal.entries)
     assert gate.closes == 0, "the connection was not closed"
     ends = contractor.final_states()
     assert len(contractor.receipts) == 3 and set(ends) == set(contractor.accepted())
@@ -107,16 +107,16 @@
 
     def script(_: Pdu) -> int:
         if len(gate.submitted_at) == 2:
-            throttled_at.append(stage.loop.now)
+            throttled_at.append(testbed.loop.now)
             return Status.ESME_RTHROTTLED
         return 0
 
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, script=script)
-    stage.open(gateway(gate.address, window=1))
-    contractor = stage.contractor()
-    texts = submit_all(stage, contractor, "PAY", 6)
-    stage.run_until(lambda: len(contractor.final_states()) == 6)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, script=script)
+    testbed.open(gateway(gate.address, window=1))
+    contractor = testbed.contractor()
+    texts = submit_all(testbed, contractor, "PAY", 6)
+    testbed.run_until(lambda: len(contractor.final_states()) == 6)
     assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert all(gate.effects[text] == 1 for text in texts)
     assert not [at for at in gate.submitted_at if throttled_at[0] < at < throttled_at[0] + 300 * MS], (
@@ -133,65 +133,65 @@
         silent.add(pdu.message)
         return None if first else 0
 
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, script=script)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "RD", 1)
-    submit_one(stage, contractor, b"PAY-9", "PAY")
-    stage.run_until(lambda: len(contractor.final_states()) == 2)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, script=script)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "RD", 1)
+    submit_one(testbed, contractor, b"PAY-9", "PAY")
+    testbed.run_until(lambda: len(contractor.final_states()) == 2)
     assert gate.effects[b"RD-0"] == 2 and gate.effects[b"PAY-9"] == 1
     assert sorted(next(iter(s)) for s in contractor.final_states().values()) == [DELIVRD, UNDELIV]
 
 
 def test_no_second_attempt_while_the_first_is_in_flight_on_an_open_session(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
+    testbed = SmppTestbed(tmp_path)
     gate = StandInGateway(
-        stage,
+        testbed,
         script=lambda pdu: 0 if pdu.message != b"RD-0" or gate.submitted_at else None,
         pause=lambda pdu: 390 * MS if pdu.message.startswith(b"PAY") else 5 * MS,
     )
-    stage.open(gateway(gate.address, "one"), gateway(gate.address, "two"))  # the second one could take a retry
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "RD", 1)
+    testbed.open(gateway(gate.address, "one"), gateway(gate.address, "two"))  # the second one could take a retry
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "RD", 1)
     for i in range(4):  # responses in time keep the session open past the time-out of the reading
-        stage.run_for(130 * MS)
-        submit_one(stage, contractor, b"PAY-%d" % i, "PAY")
-    stage.run_until(lambda: len(contractor.final_states()) == 5)
+        testbed.run_for(130 * MS)
+        submit_one(testbed, contractor, b"PAY-%d" % i, "PAY")
+    testbed.run_until(lambda: len(contractor.final_states()) == 5)
     assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert gate.concurrent_copies == 0 and gate.effects[b"RD-0"] == 2 and len(gate.submits) == 6
 
 
 def test_a_late_response_makes_the_next_attempt_unnecessary(tmp_path: Path) -> None:
     pauses = {b"RD-0": 500 * MS, b"PAY-0": 350 * MS}
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, pause=lambda pdu: pauses[pdu.message])
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "RD", 1)
-    stage.run_for(200 * MS)
-    submit_one(stage, contractor, b"PAY-0", "PAY")
-    stage.run_until(lambda: len(contractor.final_states()) == 2)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, pause=lambda pdu: pauses[pdu.message])
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "RD", 1)
+    testbed.run_for(200 * MS)
+    submit_one(testbed, contractor, b"PAY-0", "PAY")
+    testbed.run_until(lambda: len(contractor.final_states()) == 2)
     assert set(map(frozenset, contractor.final_states().values())) == {frozenset({DELIVRD})}
     assert gate.effects == {b"RD-0": 1, b"PAY-0": 1} and gate.concurrent_copies == 0
 
 
 @pytest.mark.parametrize("service", ["RD", "PAY"])
 def test_a_permanent_rejection_is_not_retried(tmp_path: Path, service: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage, script=lambda _: Status.ESME_RINVDSTADR)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, service, 2)
-    stage.run_until(lambda: len(contractor.final_states()) == 2)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed, script=lambda _: Status.ESME_RINVDSTADR)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, service, 2)
+    testbed.run_until(lambda: len(contractor.final_states()) == 2)
     assert set(map(frozenset, contractor.final_states().values())) == {frozenset({UNDELIV})}
     assert len(gate.submits) == 2
 
 
-def submit_one(stage: SmppTestbed, contractor: StandInContractor, text: bytes, service: str) -> None:
+def submit_one(testbed: SmppTestbed, contractor: StandInContractor, text: bytes, service: str) -> None:
     before = len(contractor.answers)
-    stage.loop.spawn(lambda: contractor.submit(text, service))
-    stage.run_until(lambda: len(contractor.answers) > before)
+    testbed.loop.spawn(lambda: contractor.submit(text, service))
+    testbed.run_until(lambda: len(contractor.answers) > before)
 
 
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
@@ -202,7 +202,7 @@
     contractor = old.contractor()
     texts = submit_all(old, contractor, service, 2)
     old.run_until(lambda: len(silent_gate.submitted_at) == 2)
-    accepted = contractor.accepted()  # this process does not run any more, as if killed
+    accepted = contractor.accepted()  # the old process does not run any more, as if killed
     new = SmppTestbed(tmp_path)
     gate = StandInGateway(new)
     new.open(gateway(gate.address))
@@ -215,53 +215,53 @@
 
 
 def test_a_message_is_not_accepted_if_its_contractor_has_disconnected(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor(Command.BIND_TRANSMITTER)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor(Command.BIND_TRANSMITTER)
 
     def submit_and_disconnect() -> None:
         contractor.submit(b"PAY-0", "PAY")
         contractor.stream.close()
 
-    stage.loop.spawn(submit_and_disconnect)
-    stage.run_until(lambda: stage.courier._last_number == 1 and not stage.server._connections)
-    assert not stage.journal.entries and not stage.courier.open and not gate.submits
+    testbed.loop.spawn(submit_and_disconnect)
+    testbed.run_until(lambda: testbed.courier._last_number == 1 and not testbed.server._connections)
+    assert not testbed.journal.entries and not testbed.courier.open and not gate.submits
 
 
 def test_an_unacknowledged_receipt_is_sent_again_with_the_same_state(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    first = stage.contractor()
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    first = testbed.contractor()
     first.drop_receipts = 1
-    submit_all(stage, first, "PAY", 1)
-    stage.run_until(lambda: first.receipts)
-    second = stage.contractor(Command.BIND_RECEIVER)
-    stage.run_until(lambda: second.receipts and not stage.journal.entries)
+    submit_all(testbed, first, "PAY", 1)
+    testbed.run_until(lambda: first.receipts)
+    second = testbed.contractor(Command.BIND_RECEIVER)
+    testbed.run_until(lambda: second.receipts and not testbed.journal.entries)
     assert second.final_states() == first.final_states() and gate.effects[b"PAY-0"] == 1
 
 
 def test_a_full_courier_refuses_with_a_status_and_journals_nothing(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, max_open=2)
-    silent_gate = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(silent_gate.address, response_timeout=10 * SECOND))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "PAY", 3)
+    testbed = SmppTestbed(tmp_path, max_open=2)
+    silent_gate = StandInGateway(testbed, script=lambda _: None)
+    testbed.open(gateway(silent_gate.address, response_timeout=10 * SECOND))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "PAY", 3)
     assert [a.status for a in contractor.answers[1:]].count(Status.ESME_RMSGQFUL) == 1
-    assert len(stage.journal.entries) == 2
-    stage.courier.closing = stage.loop.now
-    submit_one(stage, contractor, b"x", "RD")
+    assert len(testbed.journal.entries) == 2
+    testbed.courier.closing = testbed.loop.now
+    submit_one(testbed, contractor, b"x", "RD")
     assert contractor.answers[-1].status == Status.ESME_RTHROTTLED
 
 
 def test_refused_binds_and_invalid_submits_get_their_status(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
-    assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
-    receiver = stage.contractor(Command.BIND_RECEIVER)
-    submit_one(stage, receiver, b"x", "RD")
+    testbed = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
+    assert testbed.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
+    receiver = testbed.contractor(Command.BIND_RECEIVER)
+    submit_one(testbed, receiver, b"x", "RD")
     assert receiver.answers[-1].status == Status.ESME_RINVBNDSTS
-    sender = stage.contractor(Command.BIND_TRANSMITTER)
+    sender = testbed.contractor(Command.BIND_TRANSMITTER)
     for fields, status in (
         ({"service_type": "NO"}, Status.ESME_RINVSERTYP),
         ({"destination_addr": "999"}, Status.ESME_RINVDSTADR),
@@ -270,10 +270,10 @@
         ({"schedule_delivery_time": "261231000000000R"}, Status.ESME_RINVSCHED),
     ):
         before, submit_fields = len(sender.answers), {"destination_addr": "372"} | fields
-        stage.loop.spawn(
+        testbed.loop.spawn(
             lambda submit_fields=submit_fields: sender.send_request(Command.SUBMIT_SM, b"x", **submit_fields)
         )
-        stage.run_until(lambda before=before: len(sender.answers) > before)
+        testbed.run_until(lambda before=before: len(sender.answers) > before)
         assert sender.answers[-1].status == status
     for command, answer in (
         (Command.ENQUIRE_LINK, Command.ENQUIRE_LINK_RESP),
@@ -282,18 +282,18 @@
         (Command.UNBIND, Command.UNBIND_RESP),
     ):
         before = len(sender.answers)
-        stage.loop.spawn(lambda command=command: sender.send_request(command))
-        stage.run_until(lambda before=before: len(sender.answers) > before)
+        testbed.loop.spawn(lambda command=command: sender.send_request(command))
+        testbed.run_until(lambda before=before: len(sender.answers) > before)
         assert sender.answers[-1].command is answer
-    assert not stage.journal.entries
+    assert not testbed.journal.entries
 
 
 def test_fields_and_tlvs_of_a_submit_reach_the_gateway(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    contractor = stage.contractor()
-    stage.loop.spawn(
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    contractor = testbed.contractor()
+    testbed.loop.spawn(
         lambda: contractor.send_request(
             Command.SUBMIT_SM,
             tlvs=[(0x0204, b"\1\2"), (p.MESSAGE_PAYLOAD, b"L" * 900)],
@@ -304,7 +304,7 @@
             source_addr_ton=5,
         )
     )
-    stage.run_until(lambda: gate.submits)
+    testbed.run_until(lambda: gate.submits)
     got = gate.submits[0]
     assert got.tlvs == [(0x0204, b"\1\2"), (p.MESSAGE_PAYLOAD, b"L" * 900)] and got.message == b""
     assert (got.text("source_addr"), got.number("source_addr_ton"), got.number("data_coding")) == ("55", 5, 8)
@@ -312,14 +312,14 @@
 
 @pytest.mark.parametrize("bind", ["transmitter", "transceiver"])
 def test_a_message_of_any_sender_side_is_delivered_to_a_gateway(tmp_path: Path, bind: str) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address, bind=bind))
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address, bind=bind))
     for trace, body in (("short", b"\0\xff text"), ("long", b"L" * 300)):
-        message = Message(trace, READING, 0, 900, stage.loop.now + 9 * SECOND, body, stage.sender)
-        stage.loop.spawn(stage.courier.submit, message, lambda given: given.accepted)
-    stage.run_until(lambda: len(stage.sender.ends) == 2 and not stage.journal.entries)
-    assert sorted(stage.sender.ends) == [("long", DELIVERED), ("short", DELIVERED)]
+        message = Message(trace, READING, 0, 900, testbed.loop.now + 9 * SECOND, body, testbed.sender)
+        testbed.loop.spawn(testbed.courier.submit, message, lambda given: given.accepted)
+    testbed.run_until(lambda: len(testbed.sender.ends) == 2 and not testbed.journal.entries)
+    assert sorted(testbed.sender.ends) == [("long", DELIVERED), ("short", DELIVERED)]
     assert sorted((pdu.message, pdu.tlv(p.MESSAGE_PAYLOAD)) for pdu in gate.submits) == [
         (b"", b"L" * 300),
         (b"\0\xff text", None),
@@ -328,32 +328,32 @@
 
 
 def test_closing_defers_new_messages_unbinds_and_leaves_the_rest_in_the_journal(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    silent_gate = StandInGateway(stage, script=lambda _: None)
-    stage.open(gateway(silent_gate.address, response_timeout=20 * SECOND))
-    stage.courier.exit_calls += [stage.server.shut_down, stage.gateways.shut_down]
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "PAY", 1)
-    stage.run_until(lambda: silent_gate.submitted_at)
-    stage.courier.close()
-    submit_one(stage, contractor, b"RD-1", "RD")
+    testbed = SmppTestbed(tmp_path)
+    silent_gate = StandInGateway(testbed, script=lambda _: None)
+    testbed.open(gateway(silent_gate.address, response_timeout=20 * SECOND))
+    testbed.courier.exit_calls += [testbed.server.shut_down, testbed.gateways.shut_down]
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "PAY", 1)
+    testbed.run_until(lambda: silent_gate.submitted_at)
+    testbed.courier.close()
+    submit_one(testbed, contractor, b"RD-1", "RD")
     assert contractor.answers[-1].status == Status.ESME_RTHROTTLED
-    stage.run_until(lambda: stage.loop._stopped)
-    assert contractor.answers[-1].command is Command.UNBIND and len(stage.journal.entries) == 1
+    testbed.run_until(lambda: testbed.loop._stopped)
+    assert contractor.answers[-1].command is Command.UNBIND and len(testbed.journal.entries) == 1
 
 
 def test_a_session_without_responses_is_closed(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
+    testbed = SmppTestbed(tmp_path)
     sock, address = listener()
-    stage.open(gateway(address, enquire_link_interval=50 * MS, response_timeout=50 * MS))
-    contractor = stage.contractor()
-    submit_all(stage, contractor, "PAY", 1)
-    stage.run_until(lambda: contractor.final_states() or not stage.courier.open)
+    testbed.open(gateway(address, enquire_link_interval=50 * MS, response_timeout=50 * MS))
+    contractor = testbed.contractor()
+    submit_all(testbed, contractor, "PAY", 1)
+    testbed.run_until(lambda: contractor.final_states() or not testbed.courier.open)
     assert list(map(set, contractor.final_states().values())) in ([], [{REJECTD}])  # certainly not run
     sock.close()
 
 
-def test_validity_periods() -> None:
+def test_smpp_times_are_parsed_and_malformed_ones_raise() -> None:
     wall = datetime(2026, 12, 1, 12, 0, 0, tzinfo=UTC)
     assert parse_time("", wall) is None
     assert parse_time("000000000130000R", wall) == 90 * SECOND
@@ -393,7 +393,7 @@
 
 @FIXED
 @given(st.sampled_from([*Command, 0x99, 0x103]), st.binary(max_size=120))
-def test_garbage_in_a_body_raises_only_bad_pdu(command: int, body: bytes) -> None:
+def test_garbage_in_a_body_raises_only_malformed_pdu_error(command: int, body: bytes) -> None:
     data = struct.pack(">IIII", 16 + len(body), command, 0, 1) + body
     try:
         assert p.decode(data).sequence == 1
@@ -402,47 +402,47 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\x05hello", bytes(40), b"\xff" * 64])
-def test_a_stream_that_is_not_smpp_is_answered_and_closed(tmp_path: Path, data: bytes) -> None:
-    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
+def test_a_stream_that_is_not_smpp_gets_a_generic_nack_and_is_closed(tmp_path: Path, data: bytes) -> None:
+    testbed = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
     got: list[bytes] = []
 
     def exchange() -> None:
-        sock = connect(stage.loop, stage.address, stage.loop.now + SECOND)
+        sock = connect(testbed.loop, testbed.address, testbed.loop.now + SECOND)
         assert sock is not None
         sock.send(data)
         while not got or got[-1]:
-            stage.loop.readable(sock, None)
+            testbed.loop.readable(sock, None)
             try:
                 got.append(sock.recv(100))
             except OSError:
                 got.append(b"")
         sock.close()
 
-    stage.loop.spawn(exchange)
-    stage.run_until(lambda: got and got[-1] == b"")
+    testbed.loop.spawn(exchange)
+    testbed.run_until(lambda: got and got[-1] == b"")
     assert got[0][:12] == struct.pack(">III", 16, Command.GENERIC_NACK, Status.ESME_RINVCMDLEN)
-    stage.contractor()  # other clients are still served
+    testbed.contractor()  # other clients are still served
 
 
 def test_unbound_connections_are_closed_to_make_room_and_three_refused_binds_end_a_connection(tmp_path: Path) -> None:
     # Silent connections, and clients that guess passwords, must not use up the limit of sessions.
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    max_sessions = stage.server.config.max_sessions
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    max_sessions = testbed.server.config.max_sessions
     silent = []
     for _ in range(max_sessions):
-        sock = socket.create_connection(stage.address)
+        sock = socket.create_connection(testbed.address)
         sock.setblocking(False)
         silent.append(sock)
-        stage.run_until(lambda: len(stage.server._connections) == len(silent))
-    stage.run_for(60 * MS)
-    contractor = stage.contractor()
-    assert contractor.answers[0].status == 0 and len(stage.server._connections) <= max_sessions
+        testbed.run_until(lambda: len(testbed.server._connections) == len(silent))
+    testbed.run_for(60 * MS)
+    contractor = testbed.contractor()
+    assert contractor.answers[0].status == 0 and len(testbed.server._connections) <= max_sessions
     bad_bind = p.encode(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "nobody", "password": "x"}))
     got, sock = b"", silent[-1]
     sock.send(bad_bind * 5)
     while True:
-        stage.loop.turn()
+        testbed.loop.turn()
         try:
             data = sock.recv(4096)
         except BlockingIOError:
@@ -458,13 +458,13 @@
 
 
 def test_a_pdu_longer_than_a_buffer_is_decoded(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
-    contractor = stage.contractor()
+    testbed = SmppTestbed(tmp_path, gateway(("127.0.0.1", 9)))
+    contractor = testbed.contractor()
     body = bytes(range(256)) * 200
-    stage.loop.spawn(contractor.send_request, Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)])
-    stage.run_until(lambda: len(contractor.answers) == 2)
+    testbed.loop.spawn(contractor.send_request, Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)])
+    testbed.run_until(lambda: len(contractor.answers) == 2)
     assert contractor.answers[1].status == Status.ESME_RINVDSTADR
     fields = {"destination_addr": "3725550", "service_type": "RD"}
-    stage.loop.spawn(lambda: contractor.send_request(Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)], **fields))
-    stage.run_until(lambda: len(contractor.answers) == 3)
-    assert [message.body for message in stage.courier.open.values()] == [body]
+    testbed.loop.spawn(lambda: contractor.send_request(Command.SUBMIT_SM, b"", [(p.MESSAGE_PAYLOAD, body)], **fields))
+    testbed.run_until(lambda: len(contractor.answers) == 3)
+    assert [message.body for message in testbed.courier.open.values()] == [body]
