--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -135,7 +135,7 @@
         gateway = link.gateway
         try:
             link.last_reference += 1
-            requests = submits(message, gateway, link.last_reference)
+            requests = build_submits(message, gateway, link.last_reference)
             for request in requests:
                 p.encode(request)
         except ValueError as error:
@@ -207,9 +207,10 @@
         deadline: int,
         unresolved: TimedOutSubmits,
     ) -> Result:
+        """Send one submit_sm on a session, and return its outcome."""
         gateway, sent = link.gateway, self.loop.now
         try:
-            answer = bound.session.request(
+            response = bound.session.request(
                 request, min(deadline, sent + gateway.response_timeout), unresolved.record_late_response
             )
         except NotSentError:
@@ -227,8 +228,8 @@
             bound.window.record_loss(self.loop.now)
             bound.session.drain()
             return Result(Outcome.TIMEOUT)
-        must_report = link.record_response(bound, sent, answer)
-        result = self._result(gateway, answer)
+        must_report = link.record_response(bound, sent, response)
+        result = self._result(gateway, response)
         if result.outcome is Outcome.FULL and not must_report:
             # Rate control already delays all submits to this gateway. The refusal is not reported, as the decision
             # module would count each refusal of one burst.
@@ -236,14 +237,14 @@
         return result
 
     @staticmethod
-    def _result(gateway: Gateway, answer: Pdu) -> Result:
+    def _result(gateway: Gateway, response: Pdu) -> Result:
         """The outcome of a response; if outcomes come by receipt, success only means that the message was accepted."""
-        if answer.command is not Command.SUBMIT_SM_RESP:  # a generic_nack, or a response of another type
-            status = answer.status or Status.ESME_RSYSERR
+        if response.command is not Command.SUBMIT_SM_RESP:  # a generic_nack, or a response of another type
+            status = response.status or Status.ESME_RSYSERR
             return status_codes.result_of(status, gateway.throttle_wait)
-        result = status_codes.result_of(answer.status, gateway.throttle_wait)
+        result = status_codes.result_of(response.status, gateway.throttle_wait)
         if result.outcome is Outcome.OK and gateway.outcome == "receipt":
-            awaits = {"gate": gateway.name, "ids": [answer.text("message_id")]}
+            awaits = {"gate": gateway.name, "ids": [response.text("message_id")]}
             return dataclasses.replace(result, outcome_source=(SmppCarrier.name, awaits))
         return result
 
@@ -269,7 +270,7 @@
     # Outcomes by receipt
 
     def expect(self, message: Message, awaits: dict[str, Any]) -> None:
-        """See ``core.courier.Later``."""
+        """See ``core.courier.OutcomeSource``."""
         link = self._links.get(str(awaits["gate"]).encode())
         base = "text" if link is None else link.gateway.response_id
         self._tracker.expect(message.number, awaits["gate"], awaits["ids"], base)
@@ -280,7 +281,7 @@
             link.ensure_receiving()
 
     def stop_waiting(self, message: Message) -> None:
-        """See ``core.courier.Later``."""
+        """See ``core.courier.OutcomeSource``."""
         self._tracker.drop(message.number)
 
     def query_outcome(self, message: Message, awaits: dict[str, Any]) -> str:
@@ -316,20 +317,20 @@
         if bound is None or not message_id:
             return FAILED
         try:
-            answer = bound.session.request(
+            response = bound.session.request(
                 Pdu(Command.QUERY_SM, fields={"message_id": message_id, **source}), self.loop.now + QUERY_TIMEOUT
             )
-            state = answer.number("message_state")
-            if answer.command is Command.QUERY_SM_RESP and not answer.status and state in receipts.FINAL_STATES:
+            state = response.number("message_state")
+            if response.command is Command.QUERY_SM_RESP and not response.status and state in receipts.FINAL_STATES:
                 return receipts.FINAL_STATES[State(state)]
-            answer = bound.session.request(
+            response = bound.session.request(
                 Pdu(Command.CANCEL_SM, fields={"message_id": message_id, **source, **dest}),
                 self.loop.now + QUERY_TIMEOUT,
             )
         except (NotSentError, SessionLostError, Late, ValueError):
             return FAILED
         # Cancelled before delivery: it certainly took no effect and may be submitted again.
-        return RETURNED if answer.command is Command.CANCEL_SM_RESP and not answer.status else FAILED
+        return RETURNED if response.command is Command.CANCEL_SM_RESP and not response.status else FAILED
 
     def _handle_receipt(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
         """Handle a receipt in its own task; acknowledge it after its outcome has been journalled."""
@@ -453,7 +454,7 @@
     return Result(Outcome.TIMEOUT if failed[0].outcome is Outcome.TIMEOUT else Outcome.ERROR, wait, note=note)
 
 
-def submits(message: Message, gateway: Gateway, reference: int) -> list[Pdu]:
+def build_submits(message: Message, gateway: Gateway, reference: int) -> list[Pdu]:
     """The submit_sm requests for a message from any front end; TLVs are passed unchanged.
 
     There are several if the gateway is configured for parts and the text does not fit into one PDU; ``reference`` is
--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -18,6 +18,7 @@
 
 REQUEST_SEQUENCE = 0x01020304  # sequence_number of the request under test
 UNKNOWN_MESSAGE_ID = "no-such-message"
+# Statuses that are accepted in the response to a request with a malformed body.
 _MALFORMED_BODY_STATUSES = (
     Status.ESME_RINVPARLEN,
     Status.ESME_RINVMSGLEN,
@@ -178,7 +179,7 @@
         for state in SessionState:
             refusal = table.refusal(Side.CENTRE, state, Pdu(command))
             if command is Command.OUTBIND or command is Command.ALERT_NOTIFICATION:
-                # No response is defined; a message centre may reject the request with a generic_nack, or ignore it.
+                # No response is defined; a message centre may send a generic_nack, or close the connection.
                 expected, session_continues = ExpectedResponse((Command.GENERIC_NACK,), may_close=True), False
             elif command is Command.DELIVER_SM:
                 expected = ExpectedResponse(
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -92,7 +92,7 @@
         return acquired
 
     def release(self, bound: BoundSession) -> None:
-        """Release a session after its request got a response, or can no longer get one."""
+        """Release a session that ``acquire`` returned, whatever became of the request."""
         bound.window.in_flight -= 1
         bound.last_used_at = self.loop.now
         self._serve_queue()
@@ -143,7 +143,7 @@
                 return
             due = self.rate_control.earliest_send(now)
             if due > now:
-                self._schedule(due)
+                self._serve_queue_at(due)
                 return
             bound = max(sessions, key=lambda bound: bound.window.room)
             if not bound.window.room:
@@ -158,7 +158,7 @@
             self.rate_control.record_sent(now)
             self._queue.popleft().resume(bound)
 
-    def _schedule(self, due: int) -> None:
+    def _serve_queue_at(self, due: int) -> None:
         if self._rate_timer is not None:
             self._rate_timer.cancel()
         self._rate_timer = self.loop.call_at(due, self._serve_queue)
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -60,7 +60,7 @@
     def attempt(self, message: Message, hop: NextHop, deadline: int, guard: SendGuard) -> Result:
         """Make one delivery attempt: choose a session, send one deliver_sm, and return its outcome."""
         account = self._accounts[hop.endpoint.id]
-        request = deliver_sm(message)
+        request = build_deliver_sm(message)
         try:
             p.encode(request)
         except ValueError as error:
@@ -92,7 +92,7 @@
         """Does nothing, as contractors open and close the sessions themselves."""
 
 
-def deliver_sm(message: Message) -> Pdu:
+def build_deliver_sm(message: Message) -> Pdu:
     """The deliver_sm for a message from any front end."""
     submitted = message.extra.get("smpp", {})
     fields = {name: submitted[name] for name in p.SM_FIELDS if name in submitted} | _UNUSED_FIELDS
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -722,7 +722,7 @@
         requested = int(message.extra["smpp"].get("registered_delivery", 0)) & 3
         if not requested or requested == 2 and end.state == DELIVERED:
             return
-        account = message.extra["account"]
+        system_id = message.extra["account"]
         hold_until, delay = self.loop.now + self.config.receipt_hold, INITIAL_RETRY_DELAY
         while self.loop.now < hold_until:
             candidates = [
@@ -730,20 +730,20 @@
                 for c in self._connections
                 if c.session.state in RECEIVER_STATES
                 and c.account is not None
-                and c.account.system_id == account
+                and c.account.system_id == system_id
                 and not (c.session.closed or c.session.draining)
                 and c.session.in_flight < c.account.window
             ]
             # A session that does not answer must not attract all receipts.
             client = min(candidates, key=lambda c: c.unacknowledged_receipts, default=None)
             if client is None:
-                for known in self.config.accounts:
-                    if known.system_id == account and not self._find_receiver(known)[1]:
-                        self._request_bind(known)
-                bind = Suspension(self.loop)
-                self._waiting_for_bind.append(bind)
-                if self.loop.park(bind, min(hold_until, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
-                    self._waiting_for_bind = [other for other in self._waiting_for_bind if other is not bind]
+                for account in self.config.accounts:
+                    if account.system_id == system_id and not self._find_receiver(account)[1]:
+                        self._request_bind(account)
+                next_bind = Suspension(self.loop)
+                self._waiting_for_bind.append(next_bind)
+                if self.loop.park(next_bind, min(hold_until, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
+                    self._waiting_for_bind = [other for other in self._waiting_for_bind if other is not next_bind]
                 continue
             try:
                 receipt = self._build_receipt(message, end, expired)
@@ -759,7 +759,7 @@
                 logs.event("smpp-receipt-unheard", trace=message.trace, peer=client.session.name)
             self.loop.sleep(delay)
             delay = min(MAX_RETRY_DELAY, 2 * delay)
-        logs.warn("smpp-receipt-given-up", trace=message.trace, account=account)
+        logs.warn("smpp-receipt-given-up", trace=message.trace, account=system_id)
 
     def _build_receipt(self, message: Message, end: End, expired: bool) -> Pdu:
         """The deliver_sm that reports the final state of a message."""
