--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -18,7 +18,7 @@
 from tests.smpp_standins import StandInContractor, StandInGateway, gateway
 from tests.test_smpp import SmppTestbed
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 BINDS = {
     SessionState.TX: Command.BIND_TRANSMITTER,
     SessionState.RX: Command.BIND_RECEIVER,
@@ -336,7 +336,7 @@
     assert gate.first_effect_at[b"later"] - started_at >= 60 * SECOND and gate.effects[b"later"] == 1
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.sampled_from([c for c in Command if c is not Command.GENERIC_NACK]),
     st.integers(0, 255),
--- a/tests/test_smpp.py
+++ b/tests/test_smpp.py
@@ -22,7 +22,7 @@
 from tests.bench import READING, CourierTestbed, listener
 from tests.smpp_standins import CLOSE_STEPS, StandInContractor, StandInGateway, gateway, smpp_config
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=80)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=80)
 NAMES = {"RD": "reading", "WO": "work-order", "PAY": "payment"}
 DELIVRD, UNDELIV, REJECTD = 2, 5, 8
 short_texts = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=5)
@@ -126,11 +126,11 @@
 
 
 def test_only_messages_that_may_be_retried_are_retried_after_a_time_out(tmp_path: Path) -> None:
-    silent: set[bytes] = set()
+    unanswered: set[bytes] = set()
 
     def script(pdu: Pdu) -> int | None:
-        first = pdu.message not in silent
-        silent.add(pdu.message)
+        first = pdu.message not in unanswered
+        unanswered.add(pdu.message)
         return None if first else 0
 
     testbed = SmppTestbed(tmp_path)
@@ -364,7 +364,7 @@
             parse_time(text, wall)
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.sampled_from([Command.SUBMIT_SM, Command.DELIVER_SM, Command.BIND_RECEIVER, Command.ENQUIRE_LINK]),
     short_texts,
@@ -391,7 +391,7 @@
     assert found[0].tlvs == tlvs
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.sampled_from([*Command, 0x99, 0x103]), st.binary(max_size=120))
 def test_garbage_in_a_body_raises_only_malformed_pdu_error(command: int, body: bytes) -> None:
     data = struct.pack(">IIII", 16 + len(body), command, 0, 1) + body
