--- a/kestrelspar/smpp/flow_control.py
+++ b/kestrelspar/smpp/flow_control.py
@@ -96,12 +96,12 @@
         self.not_before = 0  # earliest time of the next submit, after a retry-after delay
         self.refusals = 0  # throttled submits
         self._ceiling_uncertain = False  # measured over less than half of the rate window, as in a burst
-        self._theoretical_arrival = 0.0  # of the next submit (GCRA)
+        self._theoretical_arrival = 0.0  # earliest time of the next submit at this rate (GCRA)
         self._active_since = 0  # sending time of the first served submit after a rate window without any
-        self._reduced_at = -1
+        self._reduced_at = -1  # time of the last reduction
         self._recovery_start = 0  # when the rate starts to recover to the ceiling
         self._recovery_rate = 0.0  # the rate at that time
-        self._consecutive_reductions = 0  # in a row, with no submit served that was sent after one of them
+        self._consecutive_reductions = 0  # since a submit sent after a reduction was served
         self._refused_since = 0  # time of the first of these reductions
         self._served_send_times: deque[int] = deque()  # sending times of the submits served, over the rate window
 
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -258,9 +258,9 @@
 
     def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
         """Handle an outbind: hand over the connection of a configured gateway to the SMPP client, and refuse others."""
-        adopt = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
-        if adopt is not None and client.session.detach_connection():
-            adopt(client.session.stream)
+        take_over = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
+        if take_over is not None and client.session.detach_connection():
+            take_over(client.session.stream)
             return
         logs.warn("smpp-outbind-refused", peer=client.session.name, system_id=pdu.text("system_id"))
         client.refused_binds += 1
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -32,7 +32,7 @@
         self.last_received_at = loop.now
         self._sequence = 0
         self._received = bytearray()  # bytes not decoded yet, as a PDU may be longer than a buffer
-        self._pending: dict[int, Suspension] = {}  # by sequence number: requests that wait for their response
+        self._pending: dict[int, Suspension] = {}  # by sequence number: tasks that wait for a response
         self._late_handlers: dict[int, Callable[[Pdu | None], None]] = {}  # by sequence number of a timed-out request
         self._unbind_request: Pdu | None = None  # received from the peer and not answered yet
         self.draining = False  # sends no new requests, and ends when none is in flight
