--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -1,4 +1,4 @@
-"""Failures of gateways and contractors at every step: one final state each, and no retry that the class forbids."""
+"""Failures of gateways and contractors at every step: one final state per message, no retry that its class forbids."""
 
 from __future__ import annotations
 
--- a/tests/smpp/test_flow_control.py
+++ b/tests/smpp/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control for gateways: windows, rate and backoff, computed alone and on sockets."""
+"""Flow control for gateways: windows, rate and backoff, with simulated responses and on sockets."""
 
 from __future__ import annotations
 
--- a/tests/smpp/test_third_party_client.py
+++ b/tests/smpp/test_third_party_client.py
@@ -41,6 +41,7 @@
         StandInPlatform.calls
     ) == 1
     scheduled = submit(short_message=b"x", schedule_delivery_time="000000000100000R")
+    # State 1 is ENROUTE.
     for submitted_id, state in ((message_ids[0], smpplib.consts.SMPP_MESSAGE_STATE_DELIVERED), (scheduled, 1)):
         query = client.query_message(message_id=submitted_id, source_addr_ton=0, source_addr_npi=0, source_addr="100")
         while query.sequence not in answers:
--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -26,7 +26,7 @@
 
 
 class StandInGateway:
-    """Counts accepted submits by text, and responds to each submit with a scripted status.
+    """Counts by text the submits that take effect, and responds to each submit with a scripted status.
 
     It closes ``closes`` connections at the step ``close_at``. ``script`` returns the status of a submit_sm_resp, or
     None for no response; ``pause`` returns its delay in microseconds.
@@ -49,7 +49,8 @@
             script,
         )
         self.listener, self.address = listener()
-        self.effects: Counter[bytes] = Counter()  # submits with status 0, by text
+        # Submits that took effect, by text: those with status 0 or without a response.
+        self.effects: Counter[bytes] = Counter()
         self.first_effect_at: dict[bytes, int] = {}
         self.last_effect_at: dict[bytes, int] = {}
         self.submits: list[Pdu] = []
@@ -61,7 +62,7 @@
         # Called right before a submit_sm is answered.
         self.before_response: Callable[[Pdu, Stream], None] = lambda pdu, stream: None
         self.submitted_at: list[int] = []  # times of submits
-        # Submits without a response, and submits that came while another one with the same text was in flight.
+        # Submits in progress, their maximum, and submits that came while another one with the same text was in flight.
         self.in_flight = self.max_in_flight = self.concurrent_copies = 0
         self.pending: dict[bytes, Stream] = {}  # streams of submits without a response, by text
         self.loop.spawn(self.accept)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -35,7 +35,9 @@
 
 @DETERMINISTIC
 @given(st.sampled_from(sorted(SETTINGS)), json_values, st.booleans())
-def test_settings_are_read_or_rejected_with_their_key(key: str, value: Any, nested: bool) -> None:
+def test_settings_are_read_or_rejected_with_an_error_that_starts_with_settings(
+    key: str, value: Any, nested: bool
+) -> None:
     raw: dict[str, Any] = copy.deepcopy(SETTINGS)
     if nested and isinstance(raw[key], dict) and raw[key]:
         raw[key][min(raw[key])] = value
