--- a/kestrelspar/http/backoff.py
+++ b/kestrelspar/http/backoff.py
@@ -1,9 +1,10 @@
 """Backoff between a courier's requests to discovery: decisions without I/O.
 
 Theory of operation. Where discovery pushes changes (``membership_mode``), a local agent holds the list. A request to it
-costs nothing, a change counts as known whether the courier has asked or not, and a drain that counts as known has to be
-obeyed within half a second. So the first request is sent at once, both at a start and after the watch broke: when two
-hundred couriers spread their first requests over ten seconds, they sent messages to endpoints that had begun to drain.
+costs nothing. A change counts as known to the courier even if the courier has not requested it yet, and a known drain
+must be obeyed within half a second. So the first request is sent at once, both at a start and after the watch broke.
+Spreading the first requests of two hundred couriers over ten seconds let them send messages to endpoints that had begun
+to drain.
 
 Where discovery must be polled, each request costs it and may be refused. Couriers do not coordinate, but all of them
 lose discovery in the same instant: at a release, on a network failure, or when it is overloaded and closes its watches.
@@ -12,16 +13,17 @@
 the configured number of couriers. Meanwhile the courier keeps serving from the list that it has.
 
 Whether the list is pushed or polled, and whether requests failed, were refused or timed out: a change counts as known
-``MAX_STALENESS`` after discovery had it and was reachable. So from any moment on, no more than that may pass before a
-request is sent that discovery can answer. A request that was begun before that moment lasts at most ``CONNECT_TIMEOUT``
-plus ``RESPONSE_TIMEOUT``, a silent watch is closed after ``WATCH_SILENCE_TIMEOUT``, and the delay after it takes what
-is left of the time, at most ``MAX_RETRY_DELAY``. Where the bound for many couriers is above that, delays are drawn from
-the upper end of the allowed range: the same request rate, and no request later than allowed.
+``MAX_STALENESS`` after discovery had it and was reachable. So once discovery becomes reachable, a request that it
+can answer must be sent within that time. A request already in progress then lasts at most ``CONNECT_TIMEOUT`` plus
+``RESPONSE_TIMEOUT``, and a silent watch is closed after ``WATCH_SILENCE_TIMEOUT``. The delay that follows may take only
+the rest of the time, at most ``MAX_RETRY_DELAY``. Where the bound for a large number of couriers exceeds that maximum,
+delays are drawn from the upper end of the allowed range: this keeps the request rate the same, and no request is later
+than allowed.
 
 A discovery server with many clients may take seconds to send response headers, also for a refusal. A client that times
 out sooner never gets an answer, and retries at discovery's cost. So after a request that timed out without response
-headers, the timeout of the next one is doubled, up to ``MAX_RESPONSE_TIMEOUT``, and the delay after it is shorter by as
-much. This does not apply where the list is pushed: the local agent answers at once.
+headers, the timeout of the next one is doubled, up to ``MAX_RESPONSE_TIMEOUT``, and the delay after that one is shorter
+by the added time. This does not apply where the list is pushed: the local agent answers at once.
 
 Times are microseconds.
 """
@@ -38,19 +40,22 @@
 RESPONSE_TIMEOUT = 1 * SECOND  # from the connection to the response headers, unless discovery is slow
 MAX_RESPONSE_TIMEOUT = 4 * SECOND
 SAFETY_MARGIN = 500 * MS  # for network latency, and for a long turn of the event loop
-MAX_RETRY_DELAY = 4 * SECOND  # with the request before it and SAFETY_MARGIN, below MAX_STALENESS
+MAX_RETRY_DELAY = 4 * SECOND  # plus a request's time-outs and SAFETY_MARGIN, it is below MAX_STALENESS
 
-INITIAL_BOUND_PER_COURIER = 50 * MS  # of the first delay: 40 couriers send 20 requests a second in all
-MAX_INITIAL_BOUND_AFTER_MOVE = 2 * SECOND  # of the first delay after a move, which counts as known 4 s later
-PUSHED_INITIAL_BOUND = 400 * MS  # of the first delay after a break if the list is pushed: less than a drain allows
+INITIAL_BOUND_PER_COURIER = 50 * MS  # of the first delay: 40 couriers together send 20 requests a second
+MAX_INITIAL_BOUND_AFTER_MOVE = 2 * SECOND  # of the first delay at a new address, which counts as known after 4 s
+PUSHED_INITIAL_BOUND = 400 * MS  # of the first delay after a break if the list is pushed; a drain allows 500 ms
 MAX_PUSHED_BOUND = 1 * SECOND  # of each delay if the list is pushed, where requests cost nothing
-MAX_BOUND_PER_COURIER = 150 * MS  # as a delay takes half its bound on average: 40 couriers send 13 requests a second
-MIN_MAX_BOUND = 2 * SECOND  # a few couriers need not wait longer
+MAX_BOUND_PER_COURIER = 150 * MS  # the mean delay is half the bound: 40 couriers send 13 requests a second
+MIN_MAX_BOUND = 2 * SECOND  # of the growing bound: with few couriers it stops growing here
 MAX_BOUND = 6 * SECOND  # twice the mean delay of a large fleet
 
 
 class DiscoveryBackoff:
-    """The delays of one courier between its requests for the list; ``pushed``: discovery sends changes by itself."""
+    """The delays of one courier between its requests for the list.
+
+    ``couriers``: the configured number of couriers. ``pushed``: discovery pushes changes and need not be polled.
+    """
 
     def __init__(self, couriers: int, seed: int, pushed: bool) -> None:
         self._random = random.Random(seed)
@@ -66,7 +71,7 @@
         self.response_timeout = RESPONSE_TIMEOUT  # of the next request, until its response headers
 
     def initial_delay(self) -> int:
-        """The delay before the first request if an older list is at hand: many couriers start together."""
+        """The delay before the first request if an older list is available; random, as many couriers start together."""
         return 0 if self._pushed else self._random.randrange(self._start_bound)
 
     def address_changed(self) -> None:
@@ -81,7 +86,7 @@
         """The delay after a connection to discovery ended.
 
         ``received``: it delivered at least one object or empty line. ``silent_for``: how long it had been silent, if
-        that was its end. ``headers_timed_out``: it was established, but sent no response headers in time.
+        it was closed for that, otherwise 0. ``headers_timed_out``: discovery sent no response headers in time.
         """
         if received:
             self._bound = self._bound_after_break
--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -12,10 +12,10 @@
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
-IDLE_FRACTION = 0.86  # of conn_idle, so as to close well before the next hop, which counts from its own response
-REAP_INTERVAL = 200 * MS
-MAX_RETRY_AFTER = 3_600 * SECOND
-BODY_TIMEOUT = 1 * SECOND  # from the first byte of a response to its last
+IDLE_FRACTION = 0.86  # of conn_idle: closes before the next hop, whose idle time begins when it has responded
+REAP_INTERVAL = 200 * MS  # between searches for expired idle connections
+MAX_RETRY_AFTER = 3_600 * SECOND  # larger values count as this one
+RESPONSE_READ_TIMEOUT = 1 * SECOND  # from the first byte of a response to its last
 
 
 def parse_retry_after(text: str) -> int:
@@ -27,8 +27,11 @@
     return min(MAX_RETRY_AFTER, math.ceil(value * SECOND)) if math.isfinite(value) and value > 0 else 0
 
 
-def load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """The load metrics that the settings name, in their order; empty unless all of them are present and valid."""
+def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
+    """Parses an Endpoint-Load-Metrics value, such as ``TEXT x0=0.4, x1=25``.
+
+    Returns the metrics named by ``columns``, in that order; empty unless all of them are present and valid.
+    """
     metrics: dict[str, float] = {}
     for pair in text.removeprefix("TEXT").split(","):
         name, _, value = pair.partition("=")
@@ -41,9 +44,9 @@
     return values if all(math.isfinite(value) and value >= 0 for value in values) else ()
 
 
-def meaning(status: int, headers: dict[str, str], columns: tuple[str, ...]) -> Result:
+def classify_response(status: int, headers: dict[str, str], columns: tuple[str, ...]) -> Result:
     """Classifies a complete response as an outcome for the decision module."""
-    report = load_report(headers.get("endpoint-load-metrics", ""), columns)
+    report = parse_load_report(headers.get("endpoint-load-metrics", ""), columns)
     retry_after = parse_retry_after(headers.get("retry-after", ""))
     if 200 <= status < 300:
         return Result(Outcome.OK, report=report)
@@ -70,7 +73,8 @@
 
     def __init__(self, loop: Loop, buffers: BufferPool, settings: api.Settings, max_idle: int) -> None:
         self.loop, self.buffers, self.settings = loop, buffers, settings
-        self.opened = self.reused = 0
+        self.opened = self.reused = 0  # number of connections
+        # By endpoint id and address: each connection, and since when it has been idle.
         self._idle: dict[tuple[bytes, tuple[str, int]], list[tuple[Stream, int]]] = {}
         self._max_idle = max_idle
         self._draining_responses = 0  # connections on which the rest of a 200 is being read; at most one per slot
@@ -78,7 +82,11 @@
         loop.spawn(self._close_expired)
 
     def attempt(self, message: Message, hop: NextHop, deadline: int, guard: Callable[[], bool]) -> Result:
-        """Makes one delivery attempt, from connecting to the outcome."""
+        """Makes one delivery attempt, from connecting to the outcome.
+
+        ``deadline`` is a time of the loop's clock, in microseconds. ``guard`` is called just before the request is
+        written; if it returns False, nothing is sent.
+        """
         stream = self._acquire(hop)
         if stream is None:
             timeout = min(self.settings.connect_timeout_ns // 1000, hop.connect_timeout)
@@ -98,20 +106,17 @@
         request = parser.request("POST", hop.target, "app.svc", headers, message.body)
         try:
             stream.write(request, deadline)
-        except (
-            Closed,
-            Late,
-        ):  # the last byte was not written: the next hop cannot have processed it
+        except (Closed, Late):  # the last byte was not written: the next hop cannot have processed the message
             stream.close()
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
-        return self._answer(hop, stream, deadline)
+        return self._read_response(hop, stream, deadline)
 
-    def _answer(self, hop: NextHop, stream: Stream, deadline: int) -> Result:
+    def _read_response(self, hop: NextHop, stream: Stream, deadline: int) -> Result:
         """Reads the response to a request that was written, and returns the outcome.
 
-        A status line with 200 means delivered, whatever follows. Any other response counts only if it is complete: one
-        that is truncated or does not match its own length may be noise and proves nothing, least of all that the
-        message was not processed.
+        A status line with 200 that arrives before the deadline means delivered, whatever follows it. Any other response
+        counts only if it is complete: one that is truncated or does not match its own length may be noise. It proves
+        nothing, least of all that the message was not processed.
         """
         try:
             while not len(stream.unread):
@@ -122,7 +127,7 @@
         except Late:
             stream.close()
             return Result(Outcome.TIMEOUT)
-        attempt_deadline, deadline = deadline, min(deadline, self.loop.now + BODY_TIMEOUT)
+        attempt_deadline, deadline = deadline, min(deadline, self.loop.now + RESPONSE_READ_TIMEOUT)
         retry_after = 0  # honoured even if the rest of the response is malformed
         try:
             while (status := parser.status(stream.unread)) is None or status < 200:
@@ -137,7 +142,7 @@
             if status == 200:
                 return self._delivered(hop, stream, deadline)
             answer = parser.read_head(stream, deadline, response=True)
-            result = meaning(status, answer.headers, self.settings.columns)
+            result = classify_response(status, answer.headers, self.settings.columns)
             retry_after = result.retry_after
             if status not in (204, 304):
                 parser.read_body(stream, answer, deadline, response=True)
@@ -170,7 +175,7 @@
             self._finish(hop, stream, answer)
         else:
             self._read_rest_in_background(hop, stream, deadline)
-        return meaning(200, answer.headers, self.settings.columns)
+        return classify_response(200, answer.headers, self.settings.columns)
 
     def _read_rest_in_background(self, hop: NextHop, stream: Stream, deadline: int) -> None:
         """Reads the rest of a 200 response in a task of its own.
@@ -185,7 +190,7 @@
         self.loop.spawn(self._read_rest, hop, stream, deadline)
 
     def _read_rest(self, hop: NextHop, stream: Stream, deadline: int) -> None:
-        """Reads the rest of a 200 response, which is ignored, so that the connection can be reused."""
+        """Reads and discards the rest of a 200 response, so that the connection can be reused."""
         try:
             answer = parser.read_head(stream, deadline, response=True)
             parser.read_body(stream, answer, deadline, response=True)
@@ -205,6 +210,7 @@
             stream.close()
 
     def _release(self, hop: NextHop, stream: Stream) -> None:
+        """Adds a connection to the pool; beyond the maximum, closes the one that has been idle for longest."""
         self._idle.setdefault((hop.endpoint.id, hop.address), []).append((stream, self.loop.now))
         if sum(map(len, self._idle.values())) > self._max_idle:
             oldest = min((k for k, v in self._idle.items() if v), key=lambda k: self._idle[k][0][1])
@@ -215,8 +221,8 @@
         idle = self._idle.get((hop.endpoint.id, hop.address), [])
         while idle:
             stream, since = idle.pop()
-            # A request on a connection that the next hop has closed would end with a reset. Whatever arrives on an
-            # idle connection, end of input or noise, belongs to no request.
+            # A request on a connection that the next hop has closed would end with a reset. Input on an idle
+            # connection belongs to no request, whether it is noise or the end of input.
             if self.loop.now - since < self._idle_timeout and stream.is_reusable():
                 self.reused += 1
                 return stream
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -10,22 +10,25 @@
 from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension, connect
 
-# A final state may be reported up to 300 ms after a message's deadline. A persistent connection that no longer responds
-# must not use that up: the platform responds at once, so the first attempt is short; each further one, on a new
-# connection, has more time.
+# A final state may be reported up to 300 ms after a message's deadline. Waiting on a persistent connection that no
+# longer responds must not use up that time. The platform normally responds at once, so the time-out of the first
+# attempt is short. It doubles after each failure, and after a time-out the next attempt uses a new connection.
 INITIAL_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT = 150 * MS, 2 * SECOND
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 25 * MS, 250 * MS
 MAX_BATCH_SIZE = 200  # notices
 
 
 class Notices:
-    """The sender side of messages that arrived over HTTP. A notice is repeated until the platform acknowledges it."""
+    """The sender side of messages that arrived over HTTP.
+
+    A notice is repeated until the platform acknowledges it, or rejects it with status 400.
+    """
 
     name = "http"
 
     def __init__(self, loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> None:
         self.loop, self.buffers, self.address = loop, buffers, address
-        self._pending: list[tuple[str, Suspension]] = []
+        self._pending: list[tuple[str, Suspension]] = []  # notices as JSON, and the tasks that wait for their end
         self._stream: Stream | None = None
         self._sending = False
         self._move_count = 0
@@ -34,17 +37,17 @@
         """Sends notices to another address from now on, beginning with the pending ones."""
         self.address, self._move_count = address, self._move_count + 1
         if self._stream is not None:
-            self._stream.close()  # ends a request that waits for its response, and its task
+            self._stream.close()  # ends the request that is in progress, and with it the task that sent it
             self._stream = None
         if self._sending:
             self.loop.spawn(self._send_pending)
 
     def recover(self, message: Message) -> bool:
-        """Always false, as HTTP clients cannot query their messages again."""
+        """Always False: an HTTP client cannot query a message that it has submitted."""
         return False
 
     def report_end(self, message: Message, end: End) -> None:
-        """Reports the final state and waits until it is acknowledged; a delivered message needs no notice."""
+        """Reports a final state, and waits for its acknowledgement or rejection. Delivered messages need no notice."""
         if end.state == DELIVERED:
             return
         notice: dict[str, object] = {"id": message.trace, "state": end.state}
@@ -70,7 +73,7 @@
             status = self._post("".join(line + "\n" for line, _ in batch).encode(), timeout)
             if move_count != self._move_count:
                 return  # another task sends to the new address
-            if status == 400 and len(batch) > 1:  # finds the rejected notice by bisection, so that it delays no others
+            if status == 400 and len(batch) > 1:  # bisects to find the rejected notice, so that it delays no others
                 batch_size = len(batch) // 2
                 continue
             if status == 400:
@@ -93,13 +96,13 @@
         self._sending = False
 
     def has_pending(self) -> bool:
-        """Whether a notice is not acknowledged yet."""
+        """Whether a notice still has to be sent or acknowledged."""
         return bool(self._pending)
 
     def _post(self, body: bytes, timeout: int) -> int | None:
-        """Posts a batch on the persistent or a new connection; returns the status, or None if the request failed.
+        """Posts a batch on the persistent connection or a new one; returns the status of the response.
 
-        ``timeout`` is in microseconds.
+        Returns None if the request failed or the platform's address changed. ``timeout`` is in microseconds.
         """
         deadline, move_count = self.loop.now + timeout, self._move_count
         stream, self._stream = self._stream, None
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -14,7 +14,7 @@
 
 
 class MalformedMessageError(Exception):
-    """A malformed or unsupported HTTP/1.1 message; ``status`` is the response's status if a client sent it."""
+    """A malformed or unsupported HTTP/1.1 message; ``status`` is for the response if the message is a request."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The three parts of the start line, and the headers by their lower-case names."""
+    """The three parts of the start line, and the headers by their lower-case names; repeated ones are joined."""
 
     start_line: tuple[str, str, str]
     headers: dict[str, str]
-    size: int  # bytes, with the empty line at its end
+    size: int  # in bytes, including the empty line that ends the head
 
     @property
     def keep_alive(self) -> bool:
@@ -82,31 +82,34 @@
         if "\r" in field or "\n" in field or "\0" in field:
             raise MalformedMessageError("bad header value")
         if key in headers and key == "content-length" and headers[key] != field:
-            raise MalformedMessageError("two lengths")
+            raise MalformedMessageError("conflicting Content-Length headers")
         headers[key] = f"{headers[key]}, {field}" if key in headers and key != "content-length" else field
     return Head((parts[0], parts[1], parts[2]), headers, end + 4)
 
 
 def body_length(parsed: Head, max_bytes: int = MAX_BODY_BYTES) -> int | None:
-    """The body's Content-Length; None if the body is chunked, -1 if neither is given."""
+    """The body's Content-Length in bytes; None if the body is chunked, -1 if the head gives neither.
+
+    Raises ``MalformedMessageError`` for invalid headers, and for a length above ``max_bytes``.
+    """
     coding = parsed.headers.get("transfer-encoding")
     length = parsed.headers.get("content-length")
     if coding is not None:
         # Both headers at once allow request smuggling, as two servers may disagree on where the body ends.
         if coding.lower() != "chunked" or length is not None:
-            raise MalformedMessageError("transfer coding not served")
+            raise MalformedMessageError("unsupported Transfer-Encoding, or Content-Length beside it")
         return None
     if length is None:
         return -1
     if not (length.isascii() and length.isdigit()):
-        raise MalformedMessageError("bad length")
+        raise MalformedMessageError("bad Content-Length")
     if len(length) > 9 or int(length) > max_bytes:
         raise MalformedMessageError("body too long", 413)
     return int(length)
 
 
 def may_begin_request(data: memoryview) -> bool:
-    """Whether a request may begin with the data; true also if there is none."""
+    """Whether the data may be the beginning of a request; true also for empty data."""
     text = bytes(data[:8])
     return any(text.startswith(method) or method.startswith(text) for method in _METHODS)
 
@@ -116,12 +119,12 @@
 
     def __init__(self) -> None:
         self._line = b""  # an incomplete line
-        self._remaining = 0  # bytes of the current chunk's data
-        self._state = "size"
+        self._remaining = 0  # bytes of the current chunk's data that have not arrived yet
+        self._state = "size"  # what comes next: "size", "data", "end of data" or "trailer"
         self.done = False
 
     def feed(self, data: bytes) -> tuple[bytes, int]:
-        """Returns decoded data and the number of bytes consumed (all of them, until the body is complete)."""
+        """Returns decoded data and the number of bytes consumed, which are all unless the body ends before them."""
         decoded, at = [], 0
         while at < len(data) and not self.done:
             if self._state == "data":
@@ -149,7 +152,7 @@
         line = line[:-2]
         if self._state == "end of data":
             if line:
-                raise MalformedMessageError("chunk longer than told")
+                raise MalformedMessageError("chunk longer than its size line says")
             self._state = "size"
         elif self._state == "trailer":
             self.done = not line
@@ -172,12 +175,15 @@
 def read_body(
     stream: Stream, parsed: Head, deadline: int | None, response: bool = False, max_bytes: int = MAX_BODY_BYTES
 ) -> bytes:
-    """Reads and consumes the body that follows the head."""
+    """Reads and consumes the body that follows the head.
+
+    A request without a length has no body; a response without one ends with the connection.
+    """
     length = body_length(parsed, max_bytes)
     if length is not None and length < 0:
         if not response:
             return b""
-        length = max_bytes + 1  # the body ends with the connection
+        length = max_bytes + 1  # never reached: the body ends with the connection
     chunks = ChunkedDecoder() if length is None else None
     parts, size = [], 0
     while True:
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -1,4 +1,4 @@
-"""The sender side over HTTP: clients submit messages and get a response at once."""
+"""The sender side over HTTP: clients submit messages and get a response before the first delivery attempt."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
 READ_TIMEOUT = 2_500 * MS  # from a request's first byte to its last
 FIRST_REQUEST_TIMEOUT = 2_700 * MS  # from the connection's start to the last byte of its first request
-LINGER_TIMEOUT = 3_000 * MS  # after the half-close, for a client that still sends
-LINGER_IDLE_TIMEOUT = 300 * MS  # after the half-close, without any bytes
-SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the start of a new connection to its first request
+LINGER_TIMEOUT = 3_000 * MS  # how long a half-closed connection stays open for a client that continues to send
+LINGER_IDLE_TIMEOUT = 300 * MS  # how long a half-closed connection stays open without receiving a byte
+SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the connection's start, or SIGTERM if later, to its first byte
 SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM, as new connections may arrive for 400 ms
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
@@ -32,7 +32,7 @@
 
 
 def expires(text: str) -> int:
-    """Parses X-Expires-In into microseconds."""
+    """Parses X-Expires-In, a number with the unit ``m`` (milliseconds) or ``u`` (microseconds), into microseconds."""
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
         raise parser.MalformedMessageError("bad X-Expires-In")
@@ -40,18 +40,21 @@
 
 
 class State(Enum):
-    """What a client's connection is doing; in the order in which connections are closed when there are too many."""
+    """What a client's connection is doing, in the order in which connections are closed when there are too many.
 
-    LEAVING = "half-closed, and reading on until it has heard"
-    NEW = "has asked nothing yet"
+    The values are for the log.
+    """
+
+    LEAVING = "half-closed, discarding input"
+    NEW = "no request yet"
     ASKING = "in the middle of a request"
     IDLE = "between requests"
-    SERVED = "waits for our answer"  # its request is received and being processed
+    SERVED = "request being processed"  # never closed to make room
 
 
-# How long a connection stays in a state before it may be closed to make room. Closing one with unread bytes would reset
-# it. So a request that has begun gets a 408 response and a half-close first. A half-closed connection may be closed, as
-# it has been read for the time given here.
+# How long a connection must have been in a state before it may be closed to make room. Closing a connection with unread
+# bytes would reset it, so a request that has begun first gets a 408 response and a half-close. A half-closed connection
+# may be closed because its input has been read for the time given here.
 MIN_STATE_AGE = {State.LEAVING: 100 * MS, State.NEW: 50 * MS, State.ASKING: 300 * MS, State.IDLE: 0}
 
 
@@ -90,7 +93,7 @@
         self._listener = listener
         while True:
             self.loop.readable(listener, None)
-            for _ in range(MAX_ACCEPTS_PER_TURN):  # with one per turn, clients that send nothing would delay all others
+            for _ in range(MAX_ACCEPTS_PER_TURN):  # accepting one per turn would let silent clients delay others
                 try:
                     sock, _ = listener.accept()
                 except BlockingIOError:
@@ -120,10 +123,10 @@
         self._clients[state][client] = self.loop.now
 
     def _make_room(self) -> bool:
-        """Closes the connection whose loss does least harm; false if none was closed at once.
+        """Closes the connection whose loss does least harm; returns whether one was closed at once.
 
-        None is closed once its request is received. A request that is still arriving gets a 408 response after its
-        ``MIN_STATE_AGE``, and its connection closes after that.
+        A connection whose request is being processed is never closed. One whose request is still arriving after its
+        ``MIN_STATE_AGE`` gets a 408 response, and closes after that.
         """
         for state, min_age in MIN_STATE_AGE.items():
             for client, since in self._clients[state].items():
@@ -145,8 +148,8 @@
     def close_connections(self) -> None:
         """After SIGTERM: closes idle connections in an orderly way, and each other one as soon as it is idle.
 
-        Otherwise clients would keep idle connections until the process exits, and lose the requests that they send on
-        them at that moment.
+        Otherwise clients would keep their idle connections until the process exits, and a request sent at that moment
+        would be lost.
         """
         started_at = self.loop.now
         while True:
@@ -174,8 +177,10 @@
         """Whether a connection is open, or a new one may still arrive."""
         return self.count > 0 or self._listener is not None
 
+    # Logging
+
     def _log_throttled(self, event: str, why: str, trace: str | None = None) -> None:
-        """Logs an event that faulty clients can cause often: the first at once, further ones as a count per second."""
+        """Logs an event that faulty clients can cause often: the first one at once, then a count once a second."""
         key = (event, why)
         if key in self._suppressed_counts or len(self._suppressed_counts) >= 20:
             key = key if key in self._suppressed_counts else (event, "other")
@@ -192,8 +197,10 @@
                 logs.event("more", front="http", of=event, why=why, count=count)
         self._suppressed_counts.clear()
 
+    # Requests
+
     def _serve(self, client: Client) -> None:
-        """Serves one connection: requests in turn, until a side closes it or it was idle for too long."""
+        """Serves the requests of one connection, one at a time, until either side closes it or it is idle too long."""
         try:
             while self._await_request(client) and self._handle_request(client):
                 self._set_state(client, State.IDLE)
@@ -215,7 +222,7 @@
             except Late:
                 if stream.is_reusable():
                     return False
-                deadline = self.loop.now + READ_TIMEOUT  # a request began at that very moment, and is served
+                deadline = self.loop.now + READ_TIMEOUT  # a request began just as the time-out expired: serve it
         return True
 
     def _handle_request(self, client: Client) -> bool:
@@ -231,7 +238,7 @@
                 stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             body = parser.read_body(stream, head, deadline)
             if not parser.may_begin_request(stream.unread):  # the Content-Length is wrong, so the body may be truncated
-                raise parser.MalformedMessageError("bytes behind the body that begin no request")
+                raise parser.MalformedMessageError("bytes after the body that begin no request")
             self._set_state(client, State.SERVED)
             method, target, _ = head.start_line
             path = target.partition("?")[0]
@@ -239,13 +246,13 @@
             room = len(self._clients[State.IDLE]) < self._max_idle
             keep = head.keep_alive and room and self.courier.closing is None
             if method == "GET":
-                stream.write(self._get(path, keep), self.loop.now + WRITE_TIMEOUT)
+                stream.write(self._response_to_get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
             if method != "POST":
-                raise parser.MalformedMessageError("only POST and GET are served", 405)
-            message = self._message(path, head, body)
+                raise parser.MalformedMessageError("only POST and GET are supported", 405)
+            message = self._build_message(path, head, body)
         except parser.MalformedMessageError as error:
-            # Unless the request was complete, the start of the next one is unknown.
+            # The connection is closed: the request may be incomplete, so the start of the next one is unknown.
             self._log_throttled("request-rejected", str(error))
             stream.write(
                 parser.response(error.status, f"{error}\n".encode(), keep=False), self.loop.now + WRITE_TIMEOUT
@@ -260,28 +267,29 @@
         return bool(self.loop.park(responded)) and keep
 
     def _submit(self, message: Message, stream: Stream, keep: bool, responded: Suspension) -> None:
-        """Runs as the message's own task; the connection continues as soon as the response is written."""
+        """Submits a message, in a task of its own; ``responded`` wakes the connection's task after the response."""
 
-        def respond(given: Answer) -> bool:
+        def respond(answer: Answer) -> bool:
+            """Writes the response; returns whether it accepted the message."""
             accepted = False
             try:
-                if given.accepted and not stream.peer_closed():
+                if answer.accepted and not stream.peer_closed():
                     stream.write(parser.response(202, keep=keep), self.loop.now + WRITE_TIMEOUT)
                     accepted = True
-                elif given.accepted or given.defer:
-                    retry_after = {"Retry-After": f"{given.retry_after / SECOND:g}"}
+                elif answer.accepted or answer.defer:
+                    retry_after = {"Retry-After": f"{answer.retry_after / SECOND:g}"}
                     stream.write(parser.response(503, keep=keep, headers=retry_after), self.loop.now + WRITE_TIMEOUT)
                     logs.event(
                         "deferred",
                         trace=message.trace,
                         front="http",
-                        why="client gone" if given.accepted else given.reason,
+                        why="client gone" if answer.accepted else answer.reason,
                     )
                 else:
-                    self._log_throttled("rejected", given.reason, message.trace)
+                    self._log_throttled("rejected", answer.reason, message.trace)
                     stream.write(
                         parser.response(
-                            REJECTION_STATUSES.get(given.why, 422), f"{given.reason}\n".encode(), keep=keep
+                            REJECTION_STATUSES.get(answer.why, 422), f"{answer.reason}\n".encode(), keep=keep
                         ),
                         self.loop.now + WRITE_TIMEOUT,
                     )
@@ -299,8 +307,8 @@
     def _close_gracefully(self, client: Client) -> None:
         """Closes a connection that the client has not closed: half-closes it, discards input, then closes it.
 
-        Closing with unread bytes sends a reset, which may overtake the response. Requests that are read from here on
-        are discarded: their senders get no response and submit them elsewhere.
+        Closing a socket with unread bytes sends a reset, which may overtake the response. Requests that arrive after
+        the half-close are discarded: their clients get no response and submit them elsewhere.
         """
         stream = client.stream
         self._set_state(client, State.LEAVING)
@@ -312,7 +320,7 @@
         except (Closed, Late, OSError):
             pass
 
-    def _message(self, path: str, head: parser.Head, body: bytes) -> Message:
+    def _build_message(self, path: str, head: parser.Head, body: bytes) -> Message:
         """Builds the message that a request submits; raises ``MalformedMessageError`` if the request is invalid."""
         settings, headers = self.courier.settings, head.headers
         trace = headers.get("x-trace-id", "")
@@ -331,7 +339,7 @@
             tenant = found
         dest = _DEST.search(headers.get("x-route-to", ""))
         if dest is None:
-            raise parser.MalformedMessageError("X-Route-To holds no dest")
+            raise parser.MalformedMessageError("X-Route-To without a valid dest")
         key = headers.get("idempotency-key", "")
         lifetime = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
         deadline = self.loop.now + lifetime
@@ -341,8 +349,8 @@
     def _indices(name: str, items: tuple[object, ...]) -> Iterator[int]:
         return (i for i, item in enumerate(items) if getattr(item, "name", None) == name)
 
-    def _get(self, path: str, keep: bool) -> bytes:
-        """Responds to health checks and to requests for statistics."""
+    def _response_to_get(self, path: str, keep: bool) -> bytes:
+        """Returns the response to a health check or a request for statistics."""
         if path == "/health/ready":
             return parser.response(200 if self.courier.serving else 503, keep=keep)
         if path == "/health/live":
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -20,13 +20,13 @@
 
 SOURCE = "discovery"
 MAX_LINE_BYTES = 4 * 1024 * 1024
-MIN_PROGRESS_BYTES = 64 * 1024  # of a line that is still incomplete: as many count as activity, fewer do not
-CATCH_UP_TIME = 6 * SECOND  # a change counts as known by then: until then the list may be outdated after a break
+MIN_PROGRESS_BYTES = 64 * 1024  # of an incomplete line: so many received bytes count as activity, fewer do not
+CATCH_UP_TIME = 6 * SECOND  # after a reconnect, the list may be outdated for as long as a change may take to be known
 BATCH_SIZE = 1_000  # rows
 MAX_REMOVALS_BYTES = 8 * 1024  # on disk, for removals and drains since ``known`` was written: about 600 names
 
 
-def entry(raw: Any, settings: api.Settings, carrier: Carrier) -> NextHop:
+def hop_from_row(raw: Any, settings: api.Settings, carrier: Carrier) -> NextHop:
     """Converts one row of the list; raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is invalid."""
     state = STATES[raw["status"]]
     endpoint = api.Endpoint(
@@ -59,13 +59,13 @@
         self.index = 0  # the revision received last
         self._backoff = DiscoveryBackoff(courier.settings.forwarders, seed, not courier.settings.must_subscribe)
         self._disconnected_at: int | None = None  # None while the watch receives lines
-        self._attempts = 0  # to reconnect, since then
+        self._attempts = 0  # number of attempts to reconnect since ``_disconnected_at``
         self._silent_for = 0  # how long the last connection had been silent, if it was closed for that
         self._headers_timed_out = False  # the last connection timed out before its response headers
         self._refusal_status: int | None = None  # of the last request, if it was refused
-        self._has_snapshot = False  # whether changes after ``index`` can be applied to a complete list
+        self._has_snapshot = False  # a complete list was received or loaded, to which changes can be applied
         self._stream: Stream | None = None
-        self._unreadable = ""  # the text that could not be parsed last, which is logged once
+        self._unreadable = ""  # the last text that could not be parsed; its repetitions are not logged
         self._move_count = 0
         self._awaiting_snapshot = False  # the address changed, and no complete list was received from the new one yet
         self._removals = (
@@ -77,7 +77,7 @@
     def load_known(self, known: dict[str, Any]) -> None:
         """Applies the saved list ``known``, corrected by removals and drains that were reported after it was written.
 
-        The list is emptied meanwhile.
+        Empties ``known["endpoints"]`` to limit memory use.
         """
         index, rows = known.get("index"), known.get("endpoints")
         if self._removals is not None and isinstance(rows, list):
@@ -112,9 +112,11 @@
             hops, is_snapshot, index = self._hops(raw["endpoints"]), raw.get("snapshot") is True, raw.get("index")
             if isinstance(index, int) and not isinstance(index, bool):
                 if removals is not None and is_snapshot and (self._awaiting_snapshot or index < self.index):
-                    removals.clear()  # revisions of another discovery, or of one that was reset
+                    removals.clear()  # their revisions are those of another discovery, or of one that was reset
                 self._awaiting_snapshot, self.index = self._awaiting_snapshot and not is_snapshot, index
-            if removals is not None:  # before it is logged: a reader of the log may kill the process at once
+            if (
+                removals is not None
+            ):  # recorded before it is logged, as a reader of the log may kill the process at once
                 removals.record(self._states_by_name(hops, is_snapshot), self.index)
             for hop in hops:
                 if hop.endpoint.state is not api.EndpointState.READY:
@@ -127,17 +129,17 @@
                 heap.count_new_entries(heap.COLLECT_THRESHOLD)
 
     def _hops(self, rows: list[Any]) -> list[NextHop]:
-        """Converts the rows of a list, which is emptied in batches to limit memory use.
+        """Converts the rows of a list, and empties that list in batches to limit memory use.
 
-        At a start, the decoded list took a third of the memory that a listed endpoint costs. Freeing its rows one by
-        one would leave gaps between live objects, and that memory would be lost.
+        At a start, the decoded rows took a third of the memory needed for each listed endpoint. Freeing them one by one
+        would leave gaps between live objects, which could not be used again.
         """
         hops = []
         while rows:
             batch, rows[:BATCH_SIZE] = rows[:BATCH_SIZE], []
             for row in batch:
                 try:
-                    hops.append(entry(row, self.courier.settings, self.carrier))
+                    hops.append(hop_from_row(row, self.courier.settings, self.carrier))
                 except (ValueError, KeyError, TypeError, OverflowError) as error:
                     logs.warn("map-bad-entry", source=SOURCE, why=repr(error), got=f"{row!r:.160}")
         return hops
@@ -216,9 +218,8 @@
                     pending, last_activity = 0, self.loop.now
                 for line in lines.feed(data):
                     for text in objects.feed(line):
-                        if not self._handle_line(
-                            text
-                        ):  # its changes are lost: requested again from the last good revision
+                        # If unreadable, its changes are lost, and are requested again from the last good revision.
+                        if not self._handle_line(text):
                             return False
                         received, pending = True, 0
                         last_activity = self.loop.now
@@ -239,7 +240,7 @@
             stream.close()
 
     def _request_snapshot(self, stream: Stream) -> bool:
-        """Requests the complete list, as changes after index 0 may be incomplete; returns whether it was applied."""
+        """Requests the complete list, as changes after index 0 may be too few; returns whether it was applied."""
         deadline = self.loop.now + self._backoff.response_timeout
         stream.write(parser.request("GET", "/registry/instances", "app.svc", {}), deadline)
         answer = parser.read_head(stream, deadline, response=True)
@@ -273,9 +274,9 @@
         return isinstance(raw, dict) and isinstance(raw.get("endpoints"), list)
 
     def _mark_current(self) -> None:
-        """Marks the list as current, as the watch has lasted for as long as a change may take to become known.
+        """Marks the list as current, ``CATCH_UP_TIME`` after a reconnect, unless the watch is broken again.
 
-        From now on, an endpoint that is missing from the list does not exist.
+        From then on, an endpoint that is missing from the list does not exist.
         """
         if self._disconnected_at is None:
             self.courier.map.disconnected_sources.discard(SOURCE)
@@ -290,19 +291,19 @@
 
 
 class JsonObjects:
-    """Assembles JSON objects from lines: one per line, or indented over several; an empty line means no change."""
+    """Assembles JSON objects from lines; an object has one line or, if indented, several. An empty line: no change."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []  # lines of an incomplete object
         self._depth = self._size = 0
 
     def feed(self, line: bytes) -> list[bytes]:
-        """Returns what the line completes: objects, empty lines, and, unchanged, text that cannot become an object."""
+        """Returns what the line completes: objects, empty lines, and text that cannot become an object, unchanged."""
         text = line.strip()
-        if not text:  # objects hold no empty lines: an incomplete one was cut off
+        if not text:  # objects contain no empty lines, so an object that is incomplete here was cut off
             return [*self._flush(), b""]
         if len(text) >= MIN_PROGRESS_BYTES and not self._parts and text.startswith(b"{") and text.endswith(b"]}"):
-            return [text]  # the common long list on one line, which need not be scanned
+            return [text]  # the usual form of a long list, all on one line, which need not be scanned
         depth_change = self._depth_change(text)
         if self._parts and not depth_change and line.startswith(b"{") and b'"endpoints"' in line:
             return [*self._flush(), text]  # a complete object after one that was cut off
--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from kestrelspar.core.courier import Message
-from kestrelspar.http.nexthop import BODY_TIMEOUT
+from kestrelspar.http.nexthop import RESPONSE_READ_TIMEOUT
 from kestrelspar.http.sender import State
 from kestrelspar.runtime.buffers import Stream
 from kestrelspar.runtime.loop import MS, SECOND
@@ -96,7 +96,7 @@
 
     stage.loop.spawn(flood)
     stage.run_until(lambda: got and flooded)
-    assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - started_at < BODY_TIMEOUT + SECOND
+    assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - started_at < RESPONSE_READ_TIMEOUT + SECOND
     assert stage.buffers._made <= 4
 
 
@@ -112,7 +112,7 @@
         stage.run_until(lambda got=got: got)
         assert got == [Outcome.OK]
     assert stage.pool._draining_responses <= 3
-    stage.run_for(BODY_TIMEOUT + SECOND)
+    stage.run_for(RESPONSE_READ_TIMEOUT + SECOND)
     assert stage.pool._draining_responses == 0
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,7 +16,7 @@
 from kestrelspar import serve
 from kestrelspar.core.courier import FAILED, Courier, End, Message, NextHop
 from kestrelspar.http import parser
-from kestrelspar.http.nexthop import HttpCarrier, load_report, meaning, parse_retry_after
+from kestrelspar.http.nexthop import HttpCarrier, classify_response, parse_load_report, parse_retry_after
 from kestrelspar.http.notices import Notices
 from kestrelspar.http.sender import SenderServer, State, expires
 from kestrelspar.http.watch import LineSplitter, Watch
@@ -193,7 +193,7 @@
     with contextlib.suppress(parser.MalformedMessageError):
         parser.ChunkedDecoder().feed(data)
     LineSplitter().feed(data)
-    assert load_report(data.decode("latin-1"), ("x0", "x1")) == () or b"=" in data
+    assert parse_load_report(data.decode("latin-1"), ("x0", "x1")) == () or b"=" in data
     assert parse_retry_after(data.decode("latin-1")) >= 0
 
 
@@ -235,9 +235,9 @@
         0,
         0,
     )
-    assert load_report("TEXT x0=0.4, x1=25", ("x0", "x1")) == (0.4, 25.0)
+    assert parse_load_report("TEXT x0=0.4, x1=25", ("x0", "x1")) == (0.4, 25.0)
     for text in ("TEXT x1=25", "TEXT x0=nan, x1=25", "TEXT x0=1, x1=inf", "TEXT x0=1, x1=-2", "", "\x7f=,"):
-        assert load_report(text, ("x0", "x1")) == ()  # zeros would mean that there is no limit
+        assert parse_load_report(text, ("x0", "x1")) == ()  # zeros would mean that there is no limit
 
 
 @pytest.mark.parametrize(
@@ -256,7 +256,7 @@
 def test_responses_are_classified(
     status: int, headers: dict[str, str], outcome: Outcome, wait: int, closed: bool
 ) -> None:
-    result = meaning(status, headers, ())
+    result = classify_response(status, headers, ())
     assert (result.outcome, result.retry_after, result.already_answered) == (outcome, wait, closed)
     assert result.no_slot == ("x-egress-full" in headers)
 
