--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -18,7 +18,7 @@
 
 DAY = 86_400 * SECOND
 EXPIRY_WARNING_DAYS = 30  # a warning is logged from this many days before the expiry
-VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
+TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 CLIENT_VERIFICATION = {"none": ssl.CERT_NONE, "wanted": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
 
 
@@ -40,8 +40,8 @@
 
 
 def read(section: schema.Tls) -> TlsContexts:
-    """Builds contexts from files; ``TlsFileError`` says which file is unusable, and why."""
-    # The certificate file may hold the key, too.
+    """Builds the contexts of a section from its files; ``TlsFileError`` says which file is unusable, and why."""
+    # Without a file of its own, the key is in the certificate's file.
     key, file = ("key", section.key) if section.key else ("certificate", section.certificate)
     if file:
         try:
@@ -56,11 +56,12 @@
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER) if section.certificate else None
     if server is not None:
         server.verify_mode = CLIENT_VERIFICATION[section.clients]
-        # Sessions are long-lived, so resumption gains nothing, and a ticket would be input that nobody waits for.
+        # No session tickets: connections are long-lived, so resumption gains nothing, and a ticket would be input that
+        # no reader waits for.
         server.num_tickets = 0
         contexts.append(server)
     for context in contexts:
-        context.minimum_version = VERSIONS[section.minimum]
+        context.minimum_version = TLS_VERSIONS[section.minimum]
         context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
         if section.certificate:
             try:
@@ -94,7 +95,7 @@
     """The contexts of all ``tls`` sections. New connections use the latest ones; existing connections keep theirs."""
 
     def __init__(self, conf: Conf) -> None:
-        """Loads all files; raises ``ConfErrors``, which names each unusable one."""
+        """Loads all files; raises ``ConfErrors``, which names each unusable file."""
         self._contexts: dict[str, TlsContexts] = {}
         self._load(conf)
 
@@ -119,10 +120,11 @@
                 errors.append(section.error(key, f"tls {name} has no certificate, which a listener requires"))
         if errors:
             raise ConfErrors(sorted(errors))
-        self._contexts |= contexts  # settings that are read only at the start may still name a section that was removed
+        # Removed sections stay, as settings that are read only at the start may still name them.
+        self._contexts |= contexts
 
     def reload_files(self, conf: Conf) -> None:
-        """Reads the files again; ``ConfErrors`` leaves the current contexts in place."""
+        """Reads the files again; if it raises ``ConfErrors``, the current contexts stay in use."""
         self._load(conf)
         for label in self._contexts:
             logs.event("tls-read", section=label)
--- a/kestrelspar/passwords.py
+++ b/kestrelspar/passwords.py
@@ -8,8 +8,9 @@
 import os
 import re
 
-LOG_N, R, P = 12, 8, 1  # about 4 MB and 10 ms for each check, which blocks the event loop
-MAX_LOG_N = 15  # hashes made elsewhere may cost more, but must not block the event loop for long
+# Cost parameters of scrypt: each check takes about 4 MB and 10 ms, during which the event loop is blocked.
+LOG_N, R, P = 12, 8, 1
+MAX_LOG_N = 15  # of a hash made elsewhere: it may cost more, but must not block the event loop for long
 _PHC = re.compile(r"\$scrypt\$ln=(\d{1,2}),r=(\d{1,2}),p=(\d)\$([A-Za-z0-9+/]{8,64})\$([A-Za-z0-9+/]{22,128})")
 
 
@@ -31,11 +32,11 @@
 
 
 class Verifier:
-    """Verifies passwords; caches successful checks, as contractors bind many sessions."""
+    """Verifies passwords; caches successful checks, as a contractor may bind many sessions with one password."""
 
     def __init__(self) -> None:
-        self._key = os.urandom(32)  # per process, so that cached digests are of no use elsewhere
-        self._verified: dict[str, bytes] = {}  # keyed digest of the password, by its stored hash
+        self._key = os.urandom(32)  # one for each verifier, so that its cached digests are of no use elsewhere
+        self._verified: dict[str, bytes] = {}  # by stored hash: keyed digest of the password that matched it
 
     def matches(self, stored: str, password: str) -> bool:
         """Whether the password matches the stored one, which is clear text or a hash."""
--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -4,8 +4,8 @@
     on arrival when cls == "reading" and dest == 12: set dest 13
     on end when state == "failed" and cls == "payment": log "payment lost: " + trace
 
-Expressions are a subset of Python's, evaluated here within a budget of steps. An invalid script is rejected at start
-with its file and line; a rule that fails for a message is logged and skipped.
+Expressions are a subset of Python's; this module evaluates them, within a budget of steps. An invalid script is
+rejected at start, with its file and line. A rule that fails for a message is logged and skipped.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from kestrelspar.runtime.loop import MS, Loop
 from snowlock import interface as api
 
-MAX_STEPS = 200  # evaluated nodes of an expression
-MAX_TEXT_LENGTH = 64 * 1024  # characters
-MAX_NUMBER = 10**15
+MAX_STEPS = 200  # evaluated nodes of one expression
+MAX_TEXT_LENGTH = 64 * 1024  # characters of a computed text
+MAX_NUMBER = 10**15  # absolute value of a computed number
 MAX_DEFER_MS = 60_000
 ARRIVAL_FIELDS = frozenset({"trace", "cls", "tenant", "dest", "key", "size", "body", "left_ms", "front"})
 END_FIELDS = ARRIVAL_FIELDS | {"state", "after_ms"}
@@ -47,7 +47,7 @@
     ast.In: lambda a, b: a in b,
     ast.NotIn: lambda a, b: a not in b,
 }
-_CALLS: dict[str, tuple[int, Callable[..., Any]]] = {
+_CALLS: dict[str, tuple[int, Callable[..., Any]]] = {  # functions by name, with their number of arguments
     "len": (1, len),
     "lower": (1, lambda text: text.lower()),
     "text": (1, str),
@@ -66,7 +66,7 @@
 
 
 class Expression:
-    """An expression, which is validated when it is created and evaluated within a budget of steps."""
+    """An expression over the fields ``names``; it is validated when created, and evaluated within a budget of steps."""
 
     def __init__(self, source: str, names: frozenset[str]) -> None:
         self._tree = ast.parse(source.strip(), mode="eval").body
@@ -157,7 +157,7 @@
 
 
 class Rule:
-    """One line of a script."""
+    """One line of a script; raises ``ScriptError`` if it is invalid. ``location`` is its file and line."""
 
     def __init__(self, line: str, location: str) -> None:
         self.location = location
@@ -168,7 +168,7 @@
         names = ARRIVAL_FIELDS if self.trigger == "arrival" else END_FIELDS
         error = "no ':' between condition and action"
         rest = match[2]
-        # A colon may also stand inside a string, so each one is tried until the text before it is an expression.
+        # A string may contain a colon, too, so each colon is tried until the text before it is a valid expression.
         for at in (i for i, character in enumerate(rest) if character == ":"):
             try:
                 self.condition = Expression(rest[:at], names)
@@ -192,7 +192,7 @@
 
 
 def read(path: Path) -> list[Rule]:
-    """Reads the rules of a script; empty lines and lines that begin with # are ignored."""
+    """Reads the rules of a script, except empty lines and lines that begin with #. Raises ``ScriptError``."""
     try:
         lines = path.read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
@@ -205,13 +205,13 @@
 
 
 class Plugins:
-    """The hook that the core calls at the arrival and at the end of a message."""
+    """A hook of the courier, which calls it at the arrival and at the end of each message."""
 
     def __init__(self, loop: Loop, settings: api.Settings, rules: list[Rule]) -> None:
         self.loop, self.settings, self.rules = loop, settings, rules
 
     def arrival(self, message: Message) -> Answer | None:
-        """Runs the rules in order, up to the first that defers or rejects the message."""
+        """Runs the rules in order, up to the first that defers or rejects the message; returns None if none does."""
         for rule in self.rules:
             if rule.trigger != "arrival":
                 continue
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -39,8 +39,10 @@
 BUFFER_MEMORY_DIVISOR = 8  # read buffers take at most one eighth of the memory
 MIN_CLIENT_CONNECTIONS = 8  # however few descriptors there are
 MAX_SAVED_LISTS_FRACTION = 0.5  # of the disk limit, for registries' saved lists; the rest is the journal's
-INITIAL_LIST_TIMEOUT, INITIAL_LIST_POLL_INTERVAL = 200 * MS, 2 * MS  # of the wait for discovery's list at a start
-RESTART_ONLY = ("name", "listen", "state", "sockets", "memory", "disk_bytes", "settings")  # not changed by a reload
+# How long a start waits for the first lists of discovery and registries, and how often it looks whether they are there.
+INITIAL_LIST_TIMEOUT, INITIAL_LIST_POLL_INTERVAL = 200 * MS, 2 * MS
+# Fields of the platform's configuration that a reload does not apply.
+RESTART_ONLY = ("name", "listen", "state", "sockets", "memory", "disk_bytes", "settings")
 
 
 class StartupConfig:
@@ -59,7 +61,8 @@
         extra = self.conf.values_of(schema.Plugins)
         scripts = extra.scripts if extra.enabled else ()
         self.rules = []
-        if scripts:  # here and below: disabled features are not imported, as that delays the start of a whole fleet
+        if scripts:
+            # Disabled features are not imported, here and below: each import delays the start of the whole fleet.
             from kestrelspar import plugins
 
             self.rules = [rule for name in scripts for rule in plugins.read(Path(name))]
@@ -71,12 +74,12 @@
                     section.error(
                         "keep",
                         f"saved lists may take {reserved} bytes, with old and new copy, and the "
-                        f"journal needs half of limits.disk_mb, "
-                        f"{self.platform.disk_bytes} bytes",
+                        f"journal needs half of the {self.platform.disk_bytes} bytes "
+                        f"of limits.disk_mb",
                     )
                 ]
             )
-        self.reserved = reserved
+        self.saved_lists_bytes = reserved  # disk space reserved for saved lists
         self.maps: dict[str, list[entries.Entry]] = {}
         for section in self.conf.sections_of(schema.Map):
             assert isinstance(section.values, schema.Map)
@@ -89,7 +92,7 @@
 
 
 class _NullCarrier:
-    """A placeholder where validating a map entry needs a carrier."""
+    """A placeholder for the carrier that a next hop needs, used to validate map entries."""
 
     def attempt(self, message: object, hop: NextHop, deadline: int, guard: Callable[[], bool]) -> object:
         """Never called."""
@@ -117,9 +120,9 @@
         self._loop, self._buffers, self._courier, self._config = loop, buffers, courier, config
         self._followers: dict[str, Follower] = {}
         self._carrier: HttpCarrier | None = None  # created when needed, as the platform uses no registry
-        self._idle = config.platform.sockets // 8 if config.registries else 8
-        # Idle connections to next hops, and for each registry a list request, a watch and a state file.
-        self.descriptors = self._idle + 4 * len(config.registries) if config.registries else 0
+        self._max_idle = config.platform.sockets // 8 if config.registries else 8
+        # For idle connections to next hops, and for each registry's list request, watch and state file.
+        self.descriptors = self._max_idle + 4 * len(config.registries) if config.registries else 0
 
     def follow(self, registries: list[resolve.Registry]) -> None:
         """Follows exactly these registries: starts new ones, reconfigures known ones, stops those that are missing."""
@@ -131,7 +134,7 @@
                 self._followers[label].apply_settings(registry)
                 continue
             if self._carrier is None:
-                self._carrier = HttpCarrier(self._loop, self._buffers, self._config.platform.settings, self._idle)
+                self._carrier = HttpCarrier(self._loop, self._buffers, self._config.platform.settings, self._max_idle)
             from kestrelspar.registry.follower import Follower
 
             seed = self._config.platform.seed ^ zlib.crc32(label.encode())
@@ -151,8 +154,8 @@
 ) -> None:
     """Reloads the configuration on SIGHUP.
 
-    Follows discovery and registries to their new addresses, applies the log settings, and changes the peer keys or
-    stops talking to peers. Open messages continue. An invalid configuration changes nothing.
+    Follows discovery and registries to their new addresses, applies the log settings, reloads TLS files, and changes
+    the peer keys or stops talking to peers. Open messages are not affected. An invalid configuration changes nothing.
     """
     try:
         new_config = platform.read(environment, reload=True)
@@ -160,11 +163,11 @@
         followed, secrets = resolve.registries(conf), resolve.peer_keys(conf)
         if config.keys is None and resolve.keys(conf) is not None:
             raise ValueError("tls: adding the first certificate or key requires a restart")
-        if sum(saved_list.reserve(r.section.keep) for r in followed) > config.reserved:
+        if sum(saved_list.reserve(r.section.keep) for r in followed) > config.saved_lists_bytes:
             raise ValueError(
                 "registry.keep: saved lists may take no more disk space than at the start (restart, or set keep 0B)"
             )
-        if config.keys is not None:  # last, as an invalid configuration must change nothing
+        if config.keys is not None:  # last, as this takes effect at once and an invalid configuration must not
             config.keys.reload_files(conf)
             followed = config.keys.with_tls(followed)
     except ValueError as error:
@@ -200,8 +203,8 @@
 def split_descriptors(sockets: int, slots: int) -> tuple[int, int]:
     """Splits the descriptor limit: returns the numbers for clients' connections and for idle ones to next hops.
 
-    The rest is reserved for delivery attempts, responses that are still being read, discovery, notices, listeners and
-    files, so that clients which use up their share cannot block these.
+    The others are reserved for delivery attempts, responses that are still being read, discovery, notices, listeners
+    and files, so that clients which use up their share cannot block these.
     """
     rest = sockets - 2 * slots - max(16, min(32, sockets // 4), sockets // 16)
     idle = max(4, min(sockets // 4, rest // 2))
@@ -211,7 +214,7 @@
 def main(environment: Mapping[str, str] = os.environ) -> int:
     """Runs the courier; returns exit code 0 after SIGTERM, 2 for an invalid configuration or an unusable address."""
     signal_socket = signals.open_signal_socket()
-    # a long list makes no reference cycles, and garbage collection over it took half of the start time
+    # Reading a long list creates no reference cycles, and garbage collection took half of the start time.
     heap.disable_collection()
     try:
         startup = StartupConfig(environment)
@@ -224,7 +227,7 @@
     try:
         for name in saved_list.remove_unused(config.state, [registry.label for registry in startup.registries]):
             logs.event("registry-kept-removed", file=name)
-        journal_bytes = config.disk_bytes - startup.reserved - RemovalLog.max_disk_usage(MAX_REMOVALS_BYTES)
+        journal_bytes = config.disk_bytes - startup.saved_lists_bytes - RemovalLog.max_disk_usage(MAX_REMOVALS_BYTES)
         journal = Journal(config.state, journal_bytes, config.settings.max_attempts)
         listener = bind(config.listen)
         smpp_listener = None if smpp is None else bind(smpp.listen)
@@ -237,9 +240,9 @@
     notices = Notices(loop, buffers, config.discovery)
     courier.senders[notices.name] = notices
     courier.busy_checks.append(notices.has_pending)
-    reserved = config.sockets - max_clients
+    reserved_descriptors = config.sockets - max_clients
     if startup.maps:
-        reserved += config.sockets // 8
+        reserved_descriptors += config.sockets // 8
         # For the next hops of transport map files.
         map_carrier = HttpCarrier(loop, buffers, config.settings, config.sockets // 8)
         for label, rows in startup.maps.items():
@@ -248,7 +251,9 @@
             )
     front_ends: list[Callable[[], None]] = []  # the functions that open the front ends
     if smpp is not None and smpp_listener is not None:
-        reserved += _add_smpp(smpp, smpp_listener, loop, buffers, courier, config.seed, startup.keys, front_ends)
+        reserved_descriptors += _add_smpp(
+            smpp, smpp_listener, loop, buffers, courier, config.seed, startup.keys, front_ends
+        )
     if startup.rules:
         from kestrelspar import plugins
 
@@ -258,7 +263,7 @@
     if startup.peer_keys:
         from kestrelspar.peers.link import PeerLink  # only where enabled, as the platform's memory is small
 
-        reserved += 2
+        reserved_descriptors += 2
         try:
             link = PeerLink(
                 loop,
@@ -274,8 +279,10 @@
             return 2
         front_ends.append(link.start)
     registries = Registries(loop, buffers, courier, startup)
-    reserved += registries.descriptors
-    server = SenderServer(loop, buffers, courier, notices, max(MIN_CLIENT_CONNECTIONS, config.sockets - reserved))
+    reserved_descriptors += registries.descriptors
+    server = SenderServer(
+        loop, buffers, courier, notices, max(MIN_CLIENT_CONNECTIONS, config.sockets - reserved_descriptors)
+    )
     watch = Watch(loop, buffers, courier, carrier, config.discovery, config.seed, config.state)
     loop.spawn(
         signals.handle_signals,
@@ -308,7 +315,8 @@
     known from when discovery had it, not from when the courier requested it. No front end may open before ``resume``,
     which would also recover the messages that it had just accepted, and send them twice.
     """
-    # Where discovery is polled, couriers spread their requests, so a start does not wait beyond one poll interval.
+    # Where discovery must be polled, couriers spread their first requests at random, so a start waits for only one
+    # interval.
     deadline = courier.loop.now + (
         INITIAL_LIST_POLL_INTERVAL if config.settings.must_subscribe else INITIAL_LIST_TIMEOUT
     )
@@ -318,7 +326,7 @@
     try:
         for open_front_end in front_ends:
             open_front_end()
-    except OSError as error:  # another process that is bound to the same address listens there
+    except OSError as error:  # another process bound to the same address has begun to listen
         logs.error("can't-start", why=str(error))
         courier.loop.stop()
         return
@@ -339,8 +347,8 @@
 def _open_front_end(loop: Loop, listener: socket.socket, accept: Callable[[socket.socket], None]) -> None:
     """Opens a front end: starts to listen and to accept connections.
 
-    It does not listen earlier, as a message's lifetime runs from when it was sent: a request that arrived during the
-    start would wait unread, and its final state would be late by that time.
+    The socket does not listen before that. A request that arrived during the start would wait unread, and as a
+    message's lifetime runs from when it was sent, its final state would be late by that wait.
     """
     listener.listen(BACKLOG)
     loop.spawn(accept, listener)
@@ -376,5 +384,5 @@
         logs.event("smpp-serves", listen=f"{config.listen[0]}:{config.listen[1]}", gateways=len(config.gateways))
 
     front_ends.append(start)
-    # A session that still waits for late responses may already have a successor.
+    # Twice the number of sessions, as one that still waits for late responses may already have a successor.
     return config.max_sessions + sum(2 * (g.sessions + 1) for g in config.gateways) + 1
