--- a/kestrelspar/registry/consul.py
+++ b/kestrelspar/registry/consul.py
@@ -1,4 +1,4 @@
-"""Client of Consul's KV store over HTTP: blocking reads of all keys below a prefix.
+"""Client of Consul's KV store over HTTP: blocking reads of all keys with a prefix.
 
 Protocol: Consul's "KV Store API" and "Blocking queries" pages. All decisions about lists are made in sync.py.
 """
@@ -31,7 +31,7 @@
 
 
 def decode_key_value(raw: bytes) -> KeyValue:
-    """Decode the JSON object of a key. Raises ``RegistryError`` if it is not one of Consul's."""
+    """Decode the JSON object of one key. Raises ``RegistryError`` if it lacks Consul's fields."""
     try:
         return _decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -64,10 +64,11 @@
         )
 
     def read(self, index: int, consistent: bool) -> tuple[parser.Head, int | None, bool, int]:
-        """Begin to read the whole list, blocking while it is at the index.
+        """Begin to read the whole list. Unless ``index`` is 0, the read blocks until the list changes after that index.
 
-        Returns the head, its index, whether the member knows a leader, and milliseconds since their last contact.
-        Raises ``RegistryError`` if the response is neither a list nor 404, which is an empty list.
+        It blocks for the section's ``wait`` at most. Returns the head of the response, its index, whether the member
+        knows a leader, and how many milliseconds ago the member was last in contact with the leader. Raises
+        ``RegistryError`` unless the status is 200 or 404, which stands for an empty list.
         """
         section = self.config.section
         query = "recurse=true"
@@ -75,7 +76,7 @@
             query += f"&index={index}&wait={section.wait // 1000}ms"
         mode = "consistent" if consistent else section.consistency
         query += f"&{mode}" if mode != "default" else ""
-        # The server may add up to 1/16 of the wait as jitter.
+        # The server may add up to 1/16 of the wait as jitter: the time-out allows for it.
         head = self._request("GET", section.prefix, query, wait=section.wait * 17 // 16 if index else 0)
         if head.status not in (200, 404):
             raise self._response_error(head)
@@ -89,7 +90,7 @@
         )
 
     def item_batches(self, head: parser.Head) -> Iterator[list[Item]]:
-        """Yield the keys of a response as they arrive. Keys that end with a slash are folders, not entries."""
+        """Yield the keys of a response as they arrive, without those that end with a slash, which are folders."""
         splitter = JsonObjectSplitter()
         for chunk in self.connection.body_chunks(head):
             if head.status == 404:
@@ -111,9 +112,9 @@
 
     def read_all(self) -> list[Item]:
         """Read the whole list."""
-        head, _, leader, _ = self.read(0, self.config.section.consistency != "stale")
+        head, _, knows_leader, _ = self.read(0, self.config.section.consistency != "stale")
         found = [item for batch in self.item_batches(head) for item in batch]
-        if not leader:
+        if not knows_leader:
             raise RegistryError("the member knows no leader")
         return found
 
@@ -126,7 +127,10 @@
         return found[0] if found else None
 
     def change(self, key: str, value: bytes | None, expected: int) -> bool:
-        """Put (or delete, if the value is None) if the key is still at the expected index; 0: the key is absent."""
+        """Put (or delete, if the value is None) if the key is still at the expected index; 0: the key is absent.
+
+        Returns whether it was changed.
+        """
         head = self._request("DELETE" if value is None else "PUT", key, f"cas={expected}", value or b"")
         if head.status != 200:
             raise self._response_error(head)
--- a/kestrelspar/registry/etcd.py
+++ b/kestrelspar/registry/etcd.py
@@ -1,8 +1,8 @@
 """Client of etcd v3 over its JSON gateway (HTTP/1.1): requests, responses, authentication.
 
-Protocol: etcd's "API reference" and "gRPC JSON gateway" pages. Keys and values are base64, 64-bit numbers are text,
-and the response to a watch is a sequence of JSON objects with ``result`` or ``error``. All decisions about lists are
-made in sync.py.
+Protocol: etcd's "API reference" and "gRPC JSON gateway" pages. Keys and values are in base64, 64-bit numbers are JSON
+strings, and the response to a watch is a sequence of JSON objects with ``result`` or ``error``. All decisions about
+lists are made in sync.py.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
 
 
 def range_end(prefix: bytes) -> bytes:
-    """The end of the range of keys with this prefix; a NUL byte stands for all keys."""
+    """The first key after all keys with this prefix; a NUL byte, which means no end, if there is none."""
     end = prefix.rstrip(b"\xff")
     return end[:-1] + bytes([end[-1] + 1]) if end else b"\0"
 
@@ -122,7 +122,7 @@
 
 
 def response_error(status: int, body: bytes) -> Exception:
-    """The exception for a response with a status other than 200."""
+    """The exception that describes a response with a status other than 200."""
     try:
         response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -156,7 +156,7 @@
 
 
 class AuthToken:
-    """The token for one member, shared by its connections: if one finds it expired, it is renewed for all."""
+    """The token for one member, shared by its connections: when one of them renews it, all use the new one."""
 
     token = ""
 
@@ -206,7 +206,7 @@
         return {"key": encode_base64(self.prefix), "range_end": encode_base64(range_end(self.prefix))}
 
     def page(self, after: str, revision: int, limit: int) -> RangeResponse:
-        """Read the page of the list after the key ``after``, at the revision (0: the newest)."""
+        """Read a page of the list: at most ``limit`` keys after ``after``, at the revision (0: the newest)."""
         body = self._key_range() | {"limit": str(limit)}
         if after:
             body["key"] = encode_base64(after.encode("utf-8", "surrogateescape") + b"\0")
@@ -216,13 +216,16 @@
         return response
 
     def check(self) -> RangeResponse:
-        """Read the number of keys and the newest key."""
+        """Read the number of keys, and the key that was changed last."""
         body = self._key_range() | {"limit": "1", "keys_only": True, "sort_target": "MOD", "sort_order": "DESCEND"}
         response: RangeResponse = self.call("/v3/kv/range", body, RangeResponse)
         return response
 
     def watch(self, revision: int, silence: int) -> Iterator[WatchResponse | None]:
-        """Yield the results of a watch from this revision, and None after each ``silence``; ends with an exception."""
+        """Yield the results of a watch from this revision, and None after each ``silence`` microseconds without data.
+
+        It always ends with an exception: ``RevisionCompactedError`` or ``RegistryError``.
+        """
         request = self._key_range() | {"start_revision": str(revision), "progress_notify": True, "fragment": True}
         head = self._send("/v3/watch", {"create_request": request})
         if head.status != 200:
@@ -276,7 +279,10 @@
         return items_from_key_values(response.kvs)[0] if response.kvs else None
 
     def change(self, key: str, value: bytes | None, expected: int) -> bool:
-        """Put (or delete, if the value is None) if the key is still at the expected revision; 0: the key is absent."""
+        """Put (or delete, if the value is None) if the key is still at the expected revision; 0: the key is absent.
+
+        Returns whether it was changed.
+        """
         encoded_key = encode_base64(key.encode())
         request = (
             {"request_delete_range": {"key": encoded_key}}
--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -30,10 +30,10 @@
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.settings.resolve import Registry
 
-BATCH_SIZE = 200  # entries passed to the decision module between two turns of the event loop
+BATCH_SIZE = 200  # entries passed to the decision module before other tasks of the event loop run
 RECHECK_DELAY = 1 * SECOND  # after a check that disagreed with the watch
 SAVE_INTERVAL = 10 * SECOND  # minimum between two writes of the saved list
-MAX_RETRY_AFTER = 10 * SECOND
+MAX_RETRY_AFTER = 10 * SECOND  # sent to clients while a stale list defers new messages
 
 
 class SettingsChanged(Exception):
@@ -67,9 +67,9 @@
         self.sync = self._create_sync()
         self._links: list[MemberConnection] = []
         self._clients: list[Etcd | Consul] = []
-        self._generation = 0  # rises when the settings change, which ends tasks of the old ones
+        self._generation = 0  # increases when the settings change; tasks of an older generation end
         self._has_unsaved_changes = False  # the list has changed since it was last saved
-        self._save_error = ""  # why the list could not be saved the last time; empty: it was saved
+        self._save_error = ""  # why the last attempt to save the list failed; empty: it succeeded
         self._saving = False
         self._create_connections()
 
@@ -117,7 +117,7 @@
         self.loop.spawn(self.run, self._generation)
 
     def apply_settings(self, config: Registry) -> None:
-        """Apply settings that SIGHUP reloaded: other members, prefix or token, or the same ones again.
+        """Apply settings that were reloaded on SIGHUP: other members, prefix or token, or the same ones again.
 
         The current list is used until the new one is complete, and then compared with it.
         """
@@ -136,7 +136,7 @@
         self.loop.spawn(self.run, self._generation)
 
     def stop(self) -> None:
-        """The section was removed: stop using the endpoints that it listed."""
+        """Stop following, as the section was removed: its endpoints are no longer used, and its files are deleted."""
         self._generation += 1
         for link in self._links:
             link.close()
@@ -167,7 +167,7 @@
                 if generation == self._generation:
                     self._apply(self.sync.member_failed(self.loop.now, str(error), wait=error.wait), generation)
             except Exception:
-                # A defect in the code that reads a registry must not end this task for good.
+                # A defect in the code that reads a registry must not end this task.
                 logs.error("fault", task=f"follower {self.config.label}", why=traceback.format_exc())
                 if generation == self._generation:
                     self._apply(self.sync.member_failed(self.loop.now, "internal error"), generation)
@@ -200,7 +200,10 @@
             raise SettingsChanged
 
     def _watch(self, client: Etcd, request: WatchRequest, generation: int) -> None:
-        """Run one watch, and check the list whenever the watch has been silent for a while."""
+        """Run one watch, and compare the list with the registry at intervals of the section's ``check``.
+
+        A check that disagreed is repeated after ``RECHECK_DELAY``.
+        """
         sync = self.sync
         assert isinstance(sync, EtcdSync)
         member_index = sync.member_index
@@ -220,7 +223,7 @@
                 self._check_generation(generation)
                 if response is not None:
                     self._apply_watch_response(response, generation)
-                if sync.member_index != member_index:  # the member was passed over
+                if sync.member_index != member_index:  # another member is used from now on
                     return
                 next_check_at = checked_at + (RECHECK_DELAY if sync.check_disagreed else self.config.section.check)
                 if self.loop.now >= next_check_at:
@@ -261,9 +264,9 @@
         """Read Consul's whole list once."""
         sync = self.sync
         assert isinstance(sync, ConsulSync)
-        head, index, leader, contact_ms = client.read(request.index, request.consistent)
+        head, index, knows_leader, last_contact_ms = client.read(request.index, request.consistent)
         self._check_generation(generation)
-        rejection = sync.begin_response(self.loop.now, index, leader, contact_ms)
+        rejection = sync.begin_response(self.loop.now, index, knows_leader, last_contact_ms)
         if rejection is not None:
             client.connection.close()  # its body is not read
             self._apply(rejection, generation)
@@ -282,18 +285,19 @@
     # Updates
 
     def _apply(self, update: Update, generation: int) -> None:
-        """Pass an update to the log and the courier.
+        """Pass an update to the removal log, the event log and the courier.
 
-        Removals go first and at once: they have to take effect within 500 ms of the read that reported them.
+        Removals and drains are applied first and in one piece: they must take effect within 500 ms of the read that
+        reported them.
         """
-        # Before the log lines: whoever reads those may end the process at once.
+        # Removals are recorded before they are logged, as a reader of the log may kill the process at once.
         if (
             self._removal_log is not None
             and self.config.section.keep
             and not self._removal_log.record(update.states_by_key)
             and not self._save_error
         ):
-            self.loop.spawn(self._save_list)  # too many for the log of removals: save the list itself
+            self.loop.spawn(self._save_list)  # the log of removals lacks some of them: save the list itself
         for level, name, fields in update.events:
             logs.event(name, level, registry=self.config.label, **fields)
         hops, removed = update.changed_hops(), update.removed_names()
@@ -317,7 +321,7 @@
         self._update_deferral()
 
     def _update_deferral(self) -> None:
-        """Defer new messages while this list is too old, if the settings say so."""
+        """Defer new messages while there is no list or it is stale, if the settings say so."""
         age = self.loop.now - self.sync.confirmed_at
         if self.config.section.on_stale == "defer" and (
             age > self.config.section.patience or not self.known_list.entries and not self.sync.listed
@@ -332,7 +336,7 @@
         self._apply(update, self._generation)
 
     def _maintain(self, generation: int) -> None:
-        """Check the age of the list regularly, and save the list when it has changed."""
+        """Check the age of the list at intervals, and save the list when it has changed."""
         interval = min(SECOND, max(50 * MS, self.config.section.patience // 10))
         saved_at = self.loop.now - SAVE_INTERVAL + interval
         while generation == self._generation:
@@ -355,7 +359,7 @@
     # The saved list
 
     def _restore_list(self) -> None:
-        """Begin with the list that the previous process saved, whatever its age."""
+        """Use the list that the previous process saved, whatever its age, until the registry sends a newer one."""
         section = self.config.section
         if self._list_file is None or self._removal_log is None:
             return
@@ -423,7 +427,7 @@
             )
         except OSError as error:
             reason = str(error)
-            self._has_unsaved_changes = True  # there may be space again later
+            self._has_unsaved_changes = True  # to be tried again, as there may be space later
         else:
             reason = "" if size else f"it takes more than {section.keep} bytes"
             if size:
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 to a member of a registry, on the loop: one persistent connection, responses whole or in chunks."""
+"""HTTP/1.1 client for one member of a registry, on the event loop: one persistent connection, bodies as they arrive."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class RegistryError(Exception):
     """The member could not be reached, or its response violates its protocol.
 
-    ``wait``: its Retry-After delay in microseconds.
+    ``wait``: the Retry-After delay of its response in microseconds; 0: none.
     """
 
     def __init__(self, reason: str, wait: int = 0) -> None:
@@ -50,13 +50,16 @@
         secure: Callable[[], ssl.SSLContext] | None = None,
         server_name: str = "",
     ) -> None:
-        """For TLS, ``secure`` makes the context, and the member's certificate must be valid for ``server_name``."""
+        """``timeout`` is in microseconds, for connecting, for the head of a response, and between parts of its body.
+
+        For TLS, ``secure`` makes the context, and the member's certificate must be valid for ``server_name``.
+        """
         self._secure, self._server_name = secure, server_name
         self.loop, self.buffers, self.address, self._timeout = loop, buffers, address, timeout
         self._stream: Stream | None = None
 
     def _open(self) -> tuple[Stream, bool]:
-        """A stream, and whether it was used before."""
+        """A stream to the member, and whether it was used for an earlier request."""
         stream, self._stream = self._stream, None
         if stream is not None and stream.is_reusable():
             return stream, True
@@ -77,7 +80,10 @@
     def request(
         self, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b"", wait: int = 0
     ) -> parser.Head:
-        """Send a request and read the head of its response, for which ``wait`` is added to the timeout."""
+        """Send a request and read the head of its response, with ``wait`` microseconds added to the time-out.
+
+        A GET is sent again if the persistent connection turns out to be closed.
+        """
         stream, reused = self._open()
         self._stream = stream
         request_bytes = parser.request(method, path, f"{self.address[0]}:{self.address[1]}", headers or {}, body)
@@ -99,8 +105,8 @@
     def body_chunks(self, head: parser.Head, silence: int | None = None) -> Iterator[bytes | None]:
         """Yield the body of a response as it arrives.
 
-        After ``silence`` without data it yields None, and the caller decides whether to continue. Without ``silence``,
-        a time-out raises ``RegistryError``.
+        After each ``silence`` microseconds without data, it yields None, and the caller decides whether to continue. If
+        ``silence`` is None, a time-out raises ``RegistryError``.
         """
         stream = self._stream
         if stream is None:
--- a/kestrelspar/registry/saved_list.py
+++ b/kestrelspar/registry/saved_list.py
@@ -1,9 +1,9 @@
 """The last good list, saved in the state directory: a courier that starts while the registry is down serves from it.
 
-A file is a line of JSON with a checksum over the rest, followed by compressed JSON lines, one for each entry. It is
+A file is a line of JSON with a checksum over the rest, followed by compressed JSON lines, one for each entry. A list is
 written to a new file that is renamed over the old one, so a crash leaves one of the two. A file that can't be read
-counts as absent. Its size is bounded by the section's ``keep``, which is reserved beforehand out of the disk space of
-the journal, so that a list never takes space needed for a message.
+counts as absent. Its size is bounded by the section's ``keep``. That space is set aside at the start from the disk
+space of the journal, so that a list never takes space needed for a message.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from snowlock import interface as api
 
 FORMAT = 1
-BATCH_SIZE = 500  # entries packed between two turns of the event loop
+BATCH_SIZE = 500  # entries compressed before other tasks of the event loop run
 MAX_HEAD_SIZE = 4096
-MAX_UNPACKED_SIZE = 400_000_000
+MAX_UNPACKED_SIZE = 400_000_000  # bytes of the decompressed rows
 REMOVALS_DIVISOR = 4  # 1 / REMOVALS_DIVISOR of ``keep`` is for the log of removals since the list was written
-BLOCK_SIZE = 512
+BLOCK_SIZE = 512  # bytes
 
 
 class ListHeader(Struct, kw_only=True):
@@ -64,9 +64,9 @@
 
 
 def reserve(keep: int) -> int:
-    """Disk space that a saved list may take at any time, in bytes.
+    """Disk space in bytes that a saved list of at most ``keep`` bytes may take at any time.
 
-    It is that of the old and the new file, in whole blocks, and of the log of removals.
+    It covers the old and the new file, in whole blocks, and the log of removals.
     """
     return (
         2 * (-(-keep // BLOCK_SIZE) * BLOCK_SIZE) + RemovalLog.max_disk_usage(keep // REMOVALS_DIVISOR) if keep else 0
@@ -103,7 +103,7 @@
 
 
 def remove_unused(state_directory: str, labels: list[str]) -> list[str]:
-    """Remove saved lists of registries that are no longer followed, and incomplete files. Returns the names."""
+    """Remove files of registries that are no longer followed, and incomplete files. Returns their names."""
     wanted = {path(state_directory, label).name for label in labels}
     unwanted = [
         name
@@ -130,7 +130,8 @@
 ) -> int:
     """Write the list and return its size in bytes, or 0 if it is larger than ``max_bytes``.
 
-    ``yield_to_loop`` lets other tasks run. If the disk fails, ``OSError`` is raised and the old file stays.
+    Calls ``yield_to_loop`` after each batch to let other tasks run. If the disk fails, it raises ``OSError`` and the
+    old file stays. ``head.xxh64`` is filled in.
     """
     packer, packed, size = zlib.compressobj(1), [], 0
     encode = msgspec.json.encode
@@ -194,16 +195,17 @@
     update: Any,
     removed: dict[str, api.EndpointState],
 ) -> int:
-    """Put a saved list into a known list. ``removed`` has the keys reported as gone or draining since then.
+    """Put a saved list into a known list.
 
-    Returns the number of entries that the current settings no longer accept.
+    ``hop`` converts an entry to a next hop. ``removed`` has the keys that were reported as gone or draining after the
+    list was saved. Returns the number of entries that the current settings no longer accept.
     """
     rejected = 0
     for row in saved.rows:
         state = removed.get(row.key)
         if state is api.EndpointState.GONE:
             continue
-        if state is not None:  # at revision 0, so that any revision of the registry replaces it
+        if state is not None:  # draining; at revision 0, so that whatever the registry sends replaces it
             row.entry.status, row.revision = "leaving", 0
         try:
             known_list.restore(row.key, hop(row.entry), row.revision, update)
--- a/kestrelspar/registry/stream.py
+++ b/kestrelspar/registry/stream.py
@@ -1,4 +1,4 @@
-"""Splits a byte stream into JSON objects. An etcd watch is a sequence of them, a Consul list an array of them."""
+"""Splits a byte stream into JSON objects: an etcd watch is a sequence of objects, a Consul list an array of them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     @property
     def at_boundary(self) -> bool:
-        """Whether only blanks, commas and brackets are left, so that an end of the stream here truncates no object."""
+        """Whether no incomplete object is left, so that the stream may end here."""
         return not self._depth and not self._buffer.strip(b" \t\r\n,[]")
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -1,22 +1,22 @@
-"""Decides what a follower of a registry holds and which request it sends next. No I/O: it is given events and a time.
+"""Decides which list a follower of a registry holds and which request it sends next.
 
-All decisions about a followed list are made in this file. The protocol clients (etcd.py, consul.py) only translate
-bytes into these events, and follower.py sends the requests.
+All decisions about a followed list are made in this file. It does no I/O, but is given events and the time. The
+protocol clients (etcd.py, consul.py) only translate bytes into these events, and follower.py sends the requests.
 
 Theory of operation
 -------------------
-``KnownList`` is the list as last received: for each key, the entry and the revision at which it was written. It takes
-single puts and deletions, and compares whole lists. What results is an ``Update``: the latest state of each endpoint's
-name.
+``KnownList`` is the list as last received: for each key, the entry and the revision at which it was written. Single
+puts and deletions are applied to it, or a complete list is compared with it. The result is an ``Update``: the latest
+state of each endpoint name that has changed.
 
 ``EtcdSync`` and ``ConsulSync`` are the state machines of the two protocols:
 
     LISTING   reads the whole list. etcd: in pages, all at the revision of the first one (pinned). Puts are applied as
-              they arrive, removals when the list is complete: only then is it known which keys it lacks.
+              they arrive, removals when the list is complete, as only then it is known which keys it lacks.
     WATCHING  etcd: a watch from the revision after the last complete one. Consul: blocking reads of the whole list.
-    BROKEN    waits, longer after each round over all members and with jitter, then asks the next member.
+    BROKEN    waits, then uses the next member. The delay has jitter, and grows with each round over all members.
 
-Three checks guard against a member that is wrong:
+Three checks guard against wrong or incomplete responses. To pass over a member means to use the next one instead:
 
 - A member of another cluster (by etcd's cluster_id) is passed over: its list is not this one, whatever it contains.
 - A member behind the revision already seen is passed over: a key that it lacks may still exist, and one that it has
@@ -46,15 +46,15 @@
 MS, SECOND = 1_000, 1_000_000
 # Between attempts; the delay doubles with each round over all members.
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND
-MAX_RELISTS = 3  # compactions in a row while listing, before it waits as after a failure
+MAX_RELISTS = 3  # consecutive compactions while listing, after which the follower waits as after a failure
 STALE_LOG_INTERVAL = 60 * SECOND  # between two log lines about a stale list
-MIN_READ_INTERVAL = 100 * MS  # between the starts of two blocking reads, so that they don't spin
+MIN_READ_INTERVAL = 100 * MS  # between the starts of two blocking reads, to prevent a busy loop
 LARGE_LOSS_DIVISOR = 2  # losing more than 1 / LARGE_LOSS_DIVISOR of the list at once is logged as an error
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key in the registry. ``value`` is None if it was deleted; ``revision`` is that of its last change."""
+    """A key in the registry. ``value`` is None if the key was deleted; ``revision`` is that of its last change."""
 
     key: str
     value: bytes | None
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True)
 class Update:
-    """The result of an event: the latest entry of each endpoint name (None: removed), and events for the log."""
+    """What an event changed: the latest next hop of each endpoint name, and events for the log."""
 
-    hops_by_name: dict[bytes, NextHop | None] = field(default_factory=dict)
+    hops_by_name: dict[bytes, NextHop | None] = field(default_factory=dict)  # None: removed
     states_by_key: dict[str, EndpointState] = field(default_factory=dict)
-    events: list[tuple[int, str, dict[str, Any]]] = field(default_factory=list)
+    events: list[tuple[int, str, dict[str, Any]]] = field(default_factory=list)  # level, event name and fields
 
     def changed_hops(self) -> list[NextHop]:
         """Next hops that are new or changed."""
@@ -80,14 +80,14 @@
 
 @dataclass(slots=True)
 class KnownEntry:
-    """A key of the list. ``hop`` is None if none of its values could be read so far."""
+    """A key of the list. ``hop`` is the last value that could be read; None if none could be."""
 
     hop: NextHop | None
     revision: int
 
 
 class KnownList:
-    """The list as last received. It survives failures, changes of members, and (by the saved file) restarts.
+    """The list as last received. It survives failures, changes of members and, saved in a file, restarts.
 
     ``read`` turns a value into a next hop, or raises ``ValueError``.
     """
@@ -101,7 +101,7 @@
         self._removed_keys: set[str] = set()  # keys removed or draining in the change in progress
 
     def put(self, item: Item, update: Update) -> None:
-        """A key exists with this value. A value that can't be read leaves the entry as it was."""
+        """Store the value of a key. A value that can't be read leaves the key's next hop as it was."""
         assert item.value is not None
         entry = self.entries.get(item.key)
         if entry is not None and entry.revision == item.revision:
@@ -148,7 +148,7 @@
                 self._count_removal(key)
 
     def drop(self, key: str, update: Update) -> None:
-        """A key was deleted."""
+        """Remove a key that was deleted."""
         entry = self.entries.get(key)
         if entry is None:
             return
@@ -181,7 +181,7 @@
             self.drop(key, update)
 
     def change_completed(self, update: Update) -> None:
-        """The change in progress is complete: log an error if it removed most of the list at once."""
+        """End the change in progress, and log an error if it removed most of the list at once."""
         before, lost, self._size_before = self._size_before, len(self._removed_keys), None
         self._removed_keys.clear()
         if before and (not self.entries or lost > 1 and lost * LARGE_LOSS_DIVISOR > before):
@@ -217,14 +217,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Open a watch from this revision on."""
+    """Open a watch that begins with this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Read the whole list. Unless the index is 0, the read blocks until something is newer than it."""
+    """Read the whole list. Unless the index is 0, the read blocks until the list is newer than that index."""
 
     index: int
     consistent: bool = False
@@ -251,14 +251,14 @@
         self._stale_logged_at = 0
 
     def member_failed(self, now: int, reason: str, update: Update | None = None, wait: int = 0) -> Update:
-        """The member failed or is not trustworthy: wait, then use the next one. ``wait`` is its Retry-After delay."""
+        """The member failed or can't be trusted: wait, then use the next one. ``wait`` is its Retry-After delay."""
         update = update or Update()
         failed_member, self.state = self.member_index, State.BROKEN
         self.member_index = (self.member_index + 1) % self.member_count
         rounds = self._failures // self.member_count
         self._failures += 1
         max_delay = min(MAX_RETRY_DELAY, INITIAL_RETRY_DELAY << min(rounds, 10))
-        # 50 to 100 % of the delay, at random, so that not all couriers reconnect at once to members that recover.
+        # 50 to 100 % of the maximum, at random, so that not all couriers reconnect to a recovering member at once.
         self._retry_at = now + max(wait, int(max_delay * (0.5 + self._random.random() / 2)))
         update.events.append(
             (
@@ -279,7 +279,7 @@
         self.confirmed_at, self._failures = now, 0
 
     def tick(self, now: int, update: Update) -> None:
-        """Log when the list becomes stale, at intervals while it is, and when it is current again."""
+        """Log when the list becomes stale, each ``STALE_LOG_INTERVAL`` while it is, and when it is current again."""
         age = now - self.confirmed_at
         if age > self.max_age:
             if not self.is_stale or now - self._stale_logged_at >= STALE_LOG_INTERVAL:
@@ -296,16 +296,16 @@
             update.events.append((INFO, "registry-heard-again", {"revision": self.revision}))
 
     def settings_changed(self, member_count: int, max_age: int, now: int) -> None:
-        """The settings name other members, another prefix or account.
+        """Adapt to settings that name other members, or another prefix or account.
 
-        The whole list is read anew; cluster and revision of the old one no longer count.
+        The whole list is read again; the cluster and revision of the old one are forgotten.
         """
         self.member_count, self.max_age = member_count, max_age
         self.member_index, self.state = self._random.randrange(member_count), State.LISTING
         self.cluster, self.revision, self._failures, self._retry_at = "", 0, 0, now
 
     def _accepts(self, now: int, cluster: str, revision: int, update: Update) -> bool:
-        """Whether to accept this response. If not, its member is passed over."""
+        """Whether to accept a response; if not, its member is passed over."""
         if self.cluster and cluster and cluster != self.cluster:
             self.member_failed(now, f"member of another cluster: {cluster}, expected {self.cluster}", update)
             return False
@@ -328,8 +328,8 @@
         self._seen_keys: set[str] = set()
         self._has_snapshot = False  # a complete list was read; the watch continues from it
         self._relist_count = 0
-        self._mismatch_revision = -1  # revision at which one check has disagreed; -1: none
-        # Keys deleted by an incomplete change, which is sent again after a failure.
+        self._mismatch_revision = -1  # revision of this list when one check disagreed; -1: none did
+        # By key, the revisions of deletions in an incomplete change, which is sent again after a failure.
         self._pending_removals: dict[str, int] = {}
 
     def next_request(self, now: int) -> Request:
@@ -352,13 +352,13 @@
         self._seen_keys = set()
 
     def member_failed(self, now: int, reason: str, update: Update | None = None, wait: int = 0) -> Update:
-        """See ``Sync.member_failed``. An incomplete list is read anew: another member may lack its revision."""
+        """See ``Sync.member_failed``. An incomplete list is read again: another member may lack its revision."""
         if not self._has_snapshot:
             self._restart_list()
         return super().member_failed(now, reason, update, wait)
 
     def receive_page(self, now: int, cluster: str, revision: int, items: list[Item], more: bool) -> Update:
-        """A page of the list was read. ``revision`` is the member's current one, not the pinned one."""
+        """Apply a page of the list. ``revision`` is the member's current one, not the pinned one."""
         update = Update()
         if not self._accepts(now, cluster, max(revision, 1), update):
             return update
@@ -390,17 +390,20 @@
         )
         return update
 
-    def revision_compacted(self, now: int, revision: int) -> Update:
-        """The requested revision was compacted: read the whole list again and compare it with what is held."""
-        update = Update(events=[(WARNING, "registry-compacted", {"asked": self.revision + 1, "oldest": revision})])
+    def revision_compacted(self, now: int, oldest: int) -> Update:
+        """The requested revision was compacted: read the whole list again and compare it with the known one.
+
+        ``oldest`` is the oldest revision available, or 0 if unknown.
+        """
+        update = Update(events=[(WARNING, "registry-compacted", {"asked": self.revision + 1, "oldest": oldest})])
         self._restart_list()
         self._relist_count += 1
         if self._relist_count > MAX_RELISTS:  # reading a list takes longer than the registry keeps revisions
-            return self.member_failed(now, "compacted while listing, each time", update)
+            return self.member_failed(now, "compacted repeatedly while listing", update)
         return update
 
     def watch_created(self, now: int, cluster: str, revision: int) -> Update:
-        """A member that is at this revision has created the watch."""
+        """A member, which is at this revision, has created the watch."""
         update = Update()
         if self._accepts(now, cluster, revision, update):
             self.confirm_current(now)
@@ -409,7 +412,10 @@
     def receive_changes(
         self, now: int, cluster: str, revision: int, items: list[Item], complete: bool = True
     ) -> Update:
-        """Changes from the watch; none: progress up to ``revision``. ``complete``: no further fragment follows."""
+        """Apply changes from the watch. Without any, the response reports progress up to ``revision``.
+
+        ``complete``: no further fragment of these changes follows.
+        """
         update = Update()
         if self.cluster and cluster and cluster != self.cluster:
             return self.member_failed(now, f"member of another cluster: {cluster}, expected {self.cluster}", update)
@@ -437,10 +443,10 @@
         return update
 
     def receive_check(self, now: int, cluster: str, revision: int, newest: int, count: int) -> Update:
-        """Compare with the number of keys and the newest key's revision, read while the watch is silent.
+        """Compare the list with the registry's number of keys and its newest key's revision, read beside the watch.
 
-        One disagreement may be a change in transit. A second one at the same revision means that the watch no longer
-        delivers changes.
+        One disagreement may be due to a change in transit. A second one while the list is still at the same revision
+        means that the watch no longer delivers changes.
         """
         update = Update()
         if not self._accepts(now, cluster, revision, update):
@@ -482,10 +488,10 @@
         super().__init__(known_list, member_count, max_age, now, random)
         self.allow_stale = allow_stale  # whether any member may respond, even one that knows no leader
         self._seen_keys: set[str] = set()
-        self._response_index = 0  # of the response that is being read
-        self._index_decreased = False  # an index decreased; a consistent read confirms or refutes that
+        self._response_index = 0  # index of the response that is being read
+        self._index_decreased = False  # a response had a lower index, which a consistent read confirms or refutes
         self._requested_at = now
-        self._unchanged_responses = 0  # consecutive responses that came at once with nothing new
+        self._unchanged_responses = 0  # consecutive responses that arrived within a second with nothing new
 
     def next_request(self, now: int) -> Request:
         """The next request to send, or how long to wait first."""
@@ -496,25 +502,26 @@
             self.state = State.LISTING
             return ReadRequest(0, True)
         self.state = State.WATCHING if self.revision else State.LISTING
-        return ReadRequest(self.revision if self.listed else 0)  # a saved list may lack later changes
+        return ReadRequest(self.revision if self.listed else 0)  # 0 at first: a saved list may lack later changes
 
     def settings_changed(self, member_count: int, max_age: int, now: int) -> None:
         """See ``Sync.settings_changed``."""
         super().settings_changed(member_count, max_age, now)
         self._index_decreased = False
 
-    def begin_response(self, now: int, index: int | None, leader: bool, contact_ms: int) -> Update | None:
-        """Check the head of a response: its index, whether the member knows a leader, and when it last heard from it.
+    def begin_response(self, now: int, index: int | None, knows_leader: bool, last_contact_ms: int) -> Update | None:
+        """Check the head of a response: its index, and the member's contact with a leader.
 
-        Returns an update if the response is rejected; otherwise its items may follow.
+        ``last_contact_ms`` is how many milliseconds ago the member last heard from the leader. Returns an update if the
+        response is rejected; otherwise its items are to be passed to ``receive_items``.
         """
         self._seen_keys = set()
         if index is None:
             return self.member_failed(now, "response has no X-Consul-Index header")
-        if not leader and not self.allow_stale:
+        if not knows_leader and not self.allow_stale:
             return self.member_failed(now, "the member knows no leader")
-        if contact_ms * MS > self.max_age:
-            return self.member_failed(now, f"the member's last contact with its leader was {contact_ms} ms ago")
+        if last_contact_ms * MS > self.max_age:
+            return self.member_failed(now, f"the member's last contact with its leader was {last_contact_ms} ms ago")
         index = max(1, index)  # with an index of 0 the next read would not block
         if index < self.revision and not self._index_decreased:
             # The registry was restored, or this member lags: its list must not bring back removed entries.
@@ -534,7 +541,7 @@
         return update
 
     def finish_response(self, now: int) -> Update:
-        """The response is complete."""
+        """The response is complete: remove the keys that it lacks."""
         update = Update()
         self.known_list.retain_only(self._seen_keys, update)
         self.known_list.change_completed(update)
@@ -557,6 +564,6 @@
         )
         self._index_decreased, self.revision = False, self._response_index
         self.confirm_current(now)
-        # Reads that return at once with nothing new would spin, and so would reads of a list that changes constantly.
+        # Prevents a busy loop of reads that return at once, be it with nothing new or as the list changes constantly.
         self._retry_at = self._requested_at + min(SECOND, MIN_READ_INTERVAL << min(self._unchanged_responses, 4))
         return update
