--- a/kestrelspar/nginx/importer.py
+++ b/kestrelspar/nginx/importer.py
@@ -14,12 +14,13 @@
 
 _TIME_PART = re.compile(r"(\d+)(ms|s|m|h|d)?")
 _UNITS_MS = {"ms": 1, "s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
-# Directives of a location, own or inherited, and their fields in the transport map.
+# Directives of a location, set there or inherited, and their fields in the transport map.
 TIME_DIRECTIVES = {
     "proxy_connect_timeout": "connect_timeout_ms",
     "proxy_read_timeout": "read_timeout_ms",
     "proxy_next_upstream_timeout": "within_ms",
 }
+# Directives that are converted elsewhere or need no conversion, and are not reported.
 _STRUCTURAL_DIRECTIVES = frozenset(
     {"events", "http", "server", "upstream", "location", "include", "listen", "server_name", "proxy_pass"}
 )
@@ -46,7 +47,10 @@
 
 @dataclass
 class Importer:
-    """Walks the parsed files, and collects the map and a report of what it can't express."""
+    """Walks the parsed files, and collects the transport map and a report of what can't be converted.
+
+    ``zone`` and ``type`` are set on all endpoints.
+    """
 
     zone: str | None = None
     type: str | None = None
@@ -83,7 +87,7 @@
             self.upstreams[directive["args"][0]] = rows
 
     def _convert_server(self, directive: dict[str, Any]) -> dict[str, Any] | None:
-        """Convert a server directive of an upstream."""
+        """Convert a server directive of an upstream; returns None, and reports it, if its address is unsupported."""
         try:
             row: dict[str, Any] = {"address": host_port(directive["args"][0]), "status": "active", "weight": 1.0}
         except ValueError:
@@ -104,7 +108,7 @@
         return row
 
     def _settings_of(self, directives: list[dict[str, Any]], inherited: dict[str, int]) -> dict[str, int]:
-        """The settings of a block: its own times and tries in place of the inherited ones. All else is reported."""
+        """The times and tries of a block: its own, or else the inherited ones. Other directives are reported."""
         own_settings = dict(inherited)
         for directive in directives:
             name, args = directive["directive"], directive["args"]
@@ -120,7 +124,7 @@
         return own_settings
 
     def _convert_block(self, directives: list[dict[str, Any]], inherited: dict[str, int]) -> None:
-        """Convert a block. Its settings are inherited by the blocks inside it."""
+        """Convert the locations in a block. Its settings are inherited by the blocks inside it."""
         own_settings = self._settings_of(directives, inherited)
         for directive in directives:
             if directive["directive"] == "location":
@@ -150,7 +154,8 @@
                 self._report_unsupported(proxy_pass or directive, "is not carried over: unknown upstream")
                 return
         path = directive["args"][-1]
-        nonzero_settings = {key: value for key, value in own_settings.items() if value}  # in nginx, 0 means no bound
+        # Zero is left out: it means no bound in nginx.
+        nonzero_settings = {key: value for key, value in own_settings.items() if value}
         destination = {"location": path, "upstream": next_hop[1], "target": next_hop[2] or path, **nonzero_settings}
         self._locations.append((destination, rows))
 
--- a/kestrelspar/settings/conf.py
+++ b/kestrelspar/settings/conf.py
@@ -31,9 +31,9 @@
     """One key of a section, as declared by its struct."""
 
     name: str  # as written in the file
-    field: str
+    field: str  # name of the struct's field
     meta: Meta
-    shape: str  # "one", "many" or "named"
+    shape: str  # "one": a single value; "many": a tuple of values; "named": a dict of values by name
     default: Any  # NODEFAULT if the key is required
 
     @property
@@ -44,7 +44,7 @@
 
 @cache
 def keys(section: type[Section]) -> dict[str, Key]:
-    """The keys of a section by name."""
+    """The keys of a section by the name that they have in the file."""
     hints = get_type_hints(section, include_extras=True)
     found = {}
     for item in structs.fields(section):
@@ -69,7 +69,7 @@
     label: str
     values: Section
     location: SourceLocation
-    locations: dict[str, SourceLocation]  # by key; for a key that is repeated with names also by `key NAME`
+    locations: dict[str, SourceLocation]  # by key; for a key of shape "named" also by `key NAME`
 
     def error(self, key: str, text: str) -> ConfError:
         """An error in a key of this section that is found after parsing."""
@@ -104,14 +104,17 @@
 
 
 def load(path: str, environment: Mapping[str, str] | None = None) -> Conf:
-    """Read and check a file and the files that it includes. ``ConfErrors`` has all errors."""
+    """Read and check a file and the files that it includes. Raises ``ConfErrors`` with all errors.
+
+    With ``environment``, variables of former versions that are still set are errors, too.
+    """
     errors = [
         ConfError(SourceLocation(variable, 0), "", f"this variable is not read any more: {replacement} of {path}")
         for variable, replacement in REMOVED_VARIABLES.items()
         if environment and environment.get(variable)
     ]
     if not os.path.exists(path) and path == DEFAULT_PATH:
-        blocks: list[lines.Block] = []  # installed without the repository: all settings have their defaults
+        blocks: list[lines.Block] = []  # installed without the deploy directory: all settings have their defaults
     else:
         blocks, syntax_errors = lines.read(path)
         errors += syntax_errors
@@ -189,7 +192,7 @@
         section = ConfSection(block.label, parsed_values, block.location, places)
         errors += [section.error(key, text) for key, text in parsed_values.errors()]
         existing.append(section)
-    else:  # only the name is stored, so that a second one of that name is still an error
+    else:  # invalid: stored without its values, so that a second section of that name is still reported
         existing.append(ConfSection(block.label, Section(), block.location, places))
 
 
@@ -214,7 +217,7 @@
 
 
 def formatted_values(struct: type[Section], values: Section) -> Iterator[tuple[Key, list[str], bool]]:
-    """Yield each key with the lines that would set its value, and whether that is the default."""
+    """Yield each key, the texts that would set its value, one for each line, and whether the value is the default."""
     for key in keys(struct).values():
         value = getattr(values, key.field)
         if key.shape == "named":
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -1,7 +1,7 @@
 """Kinds of values in ``kestrelspar.conf``: how each is parsed from a word, formatted and described.
 
-A field of a section's struct is ``Annotated`` with a ``msgspec.Meta`` made by one of these functions. The parser, the
-checks, ``config show`` and docs/configuration.md all use that metadata.
+Each field of a section's struct is ``Annotated`` with a ``msgspec.Meta`` made by a function of this module, such as
+``duration``. The parser, the checks, ``config show`` and docs/configuration.md all use that metadata.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 
 MS, SECOND = 1_000, 1_000_000
 _NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)([A-Za-z]*)")
+# Factors by unit: times in microseconds, sizes in bytes.
 TIMES = {"us": 1, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
 SIZES = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
 SWITCHES = {"on": True, "yes": True, "true": True, "off": False, "no": False, "false": False}
-MAX_SECRET_LENGTH = 4096
+MAX_SECRET_LENGTH = 4096  # characters
 
 
 def _meta(kind: str, doc: str, minimum: int | None = None, maximum: int | None = None, **extra: Any) -> Meta:
@@ -73,7 +74,7 @@
 
 
 def format_quantity(value: int, units: dict[str, int] = TIMES) -> str:
-    """Format a number with the largest unit that divides it, as it is written in the file."""
+    """Format a time or size as in the file, in the largest unit that divides it."""
     unit = max((name for name, factor in units.items() if value % factor == 0), key=units.__getitem__)
     return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIMES else 'B'}"
 
@@ -125,7 +126,7 @@
     return int(word)
 
 
-_READERS: dict[str, Callable[[str], Any]] = {
+_PARSERS: dict[str, Callable[[str], Any]] = {
     "duration": lambda word: _quantity(word, TIMES),
     "size": lambda word: _quantity(word, SIZES),
     "number": _integer,
@@ -139,11 +140,14 @@
 
 
 def parse_value(word: str, meta: Meta, base_directory: str) -> Any:
-    """Parse a word as a value of this kind. ``ValueError`` says what is wrong, but not what is accepted."""
+    """Parse a word as a value of this kind; paths are relative to ``base_directory``.
+
+    Raises ``ValueError``, whose text says what is wrong, but not what is accepted.
+    """
     extra = meta.extra or {}
     kind = extra["kind"]
     try:
-        found = _READERS[kind](word)
+        found = _PARSERS[kind](word)
     except (ValueError, KeyError):
         raise ValueError(f"{word!r:.60} will not do") from None
     if kind in ("path", "secret"):
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 
 MAX_FILE_SIZE = 4_000_000  # characters of one file; a wrong path must not fill the memory
-MAX_FILES = 200  # read in all, includes counted
+MAX_FILES = 200  # files read in all, including repeated ones
 _WORD = re.compile(r'[ \t]*(?:(#.*)|"((?:[^"\\]|\\.)*)"(?=[ \t#]|$)|([^\s"#][^\s"]*)(?=[ \t]|$))')
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SourceLocation:
-    """A line of a file; line 0 stands for the whole file."""
+    """A line of a file; line 0 stands for the whole file, or for an environment variable."""
 
     path: str
     line: int
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Line:
-    """One setting, as written."""
+    """One setting, as written: its key and the words after it."""
 
     location: SourceLocation
     key: str
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """One section, as written."""
+    """One section, as written: the word that opens it, its label, and its settings."""
 
     location: SourceLocation
     kind: str
@@ -93,13 +93,15 @@
 
 
 def read(path: str) -> tuple[list[Block], list[ConfError]]:
-    """The sections of this file and of the files that it includes, and all errors of their syntax."""
+    """Read a file and the files that it includes. Returns their sections and all syntax errors."""
     reader = _Reader()
     reader.read_file(path, None)
     return reader.blocks, reader.errors
 
 
 class _Reader:
+    """Reads files, and collects their sections and errors."""
+
     def __init__(self) -> None:
         self.blocks: list[Block] = []
         self.errors: list[ConfError] = []
@@ -122,7 +124,7 @@
             self.errors.append(ConfError(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
             return
         if len(text) > MAX_FILE_SIZE:
-            self.errors.append(ConfError(place, "", f"{path} is longer than {MAX_FILE_SIZE} bytes"))
+            self.errors.append(ConfError(place, "", f"{path} is longer than {MAX_FILE_SIZE} characters"))
             return
         self._open_files.append(real_path)
         block: Block | None = None
@@ -131,7 +133,7 @@
         self._open_files.pop()
 
     def _read_line(self, place: SourceLocation, text: str, block: Block | None) -> Block | None:
-        """Read one line and return the section that the next one belongs to."""
+        """Read one line. Returns the section to which indented lines after it belong."""
         try:
             found = words(text)
         except ValueError as error:
--- a/kestrelspar/settings/platform.py
+++ b/kestrelspar/settings/platform.py
@@ -25,7 +25,7 @@
 
 
 def index_of(name: Any, names: tuple[str, ...], what: str) -> int:
-    """The index of a name in a list of the settings."""
+    """The index of a name in a list of the settings; ``what`` describes the name in the error if it is unknown."""
     for index, known in enumerate(names):
         if name == known:
             return index
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration with which the program starts."""
+    """The platform's configuration of one courier."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    state: str
+    state: str  # path of the state directory
     seed: int
-    sockets: int
-    memory: int
+    sockets: int  # maximum number of open descriptors
+    memory: int  # bytes
     disk_bytes: int
-    known: dict[str, Any]
+    known: dict[str, Any]  # a saved list of discovery, which is used at a start
     settings: api.Settings
 
 
@@ -60,7 +60,7 @@
 
 
 def _seed(value: Any) -> int:
-    """Any text or number can seed the random numbers. Hexadecimal text is used as a number."""
+    """Convert any text or number to a seed for random numbers. Hexadecimal text counts as a number."""
     text = str(value)
     try:
         return int(text, 16)
@@ -75,7 +75,7 @@
 
 
 def read_json(path: str) -> Any:
-    """Read the JSON in a file. Errors name the file."""
+    """Read the JSON in a file. Raises ``SettingsError``, which names the file."""
     try:
         return ujson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -83,9 +83,10 @@
 
 
 def read(environment: Mapping[str, str], reload: bool = False) -> Config:
-    """Read the configuration from RELAY_CONFIG's file. The other RELAY_ variables take precedence over it.
+    """Read the configuration from the file that RELAY_CONFIG names. The other RELAY_ variables override its keys.
 
-    If it is read again, the file is newer than the environment, so the file's address of discovery takes precedence.
+    On a reload, the file is newer than the environment, so its address of discovery overrides RELAY_DISCOVERY. Raises
+    ``SettingsError`` for a missing or invalid configuration.
     """
     if "RELAY_CONFIG" not in environment:
         raise SettingsError("RELAY_CONFIG: missing")
--- a/kestrelspar/settings/resolve.py
+++ b/kestrelspar/settings/resolve.py
@@ -1,4 +1,4 @@
-"""Resolves names in sections: classes, tenants, zones and kinds of the platform's settings, and files of secrets."""
+"""Resolves references in sections: classes, tenants, zones and kinds in the platform's settings, and secret files."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     import ssl
 
-    from kestrelspar.keys import TlsStore  # it imports ssl, so only if TLS is used
+    from kestrelspar.keys import TlsStore  # keys imports ssl, which is loaded only if TLS is used
 
-MAX_PASSWORD_LENGTH = 8  # maximum length of an SMPP password in bytes
+MAX_PASSWORD_LENGTH = 8  # bytes of an SMPP password
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """An account with which a contractor may bind."""
+    """An account with which a contractor may bind. ``tenant``, ``cls``, ``zone`` and ``kind`` are indices."""
 
     system_id: str
     password: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """An SMPP gateway, which is a next hop."""
+    """An SMPP gateway, which is a next hop. All times are in microseconds; ``zone`` and ``kind`` are indices."""
 
     name: str
     address: tuple[str, int]
@@ -51,7 +51,7 @@
     password: str
     bind: str
     window: int
-    response_timeout: int  # time-out in microseconds, the unit of all times here
+    response_timeout: int
     enquire_link_interval: int
     throttle_wait: int
     source_addr: str
@@ -68,7 +68,7 @@
     outcome: str = "response"
     response_id: str = "text"
     receipt_id: str = "text"
-    inbound: dict[str, int] = field(default_factory=dict)  # destinations by prefix of the destination address
+    inbound: dict[str, int] = field(default_factory=dict)  # destinations by prefix of destination_addr
     inbound_class: int = 0
     inbound_tenant: int = 0
     outbind_system_id: str = ""
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Smpp:
-    """The SMPP front end."""
+    """The SMPP front end. All times are in microseconds."""
 
     listen: tuple[str, int]
     system_id: str
@@ -90,11 +90,11 @@
     max_sessions: int
     accounts: tuple[Account, ...]
     service_types: dict[str, int]
-    destinations: dict[str, int]  # by prefix of the destination address
+    destinations: dict[str, int]  # by prefix of destination_addr
     gateways: tuple[Gateway, ...]
-    keep_ended: int = 0  # how long query_sm can find an ended message
+    keep_ended: int = 0  # how long query_sm can find a message after its end
     tls: str = ""  # the section's label
-    parts_timeout: int = 10_000_000  # time-out for the parts of a long message; 0: parts are not joined
+    parts_timeout: int = 10_000_000  # how long the parts of a long message are waited for; 0: they are not joined
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,11 +105,11 @@
     section: schema.Registry
     password: str = ""
     token: str = ""
-    secure: Callable[[], ssl.SSLContext] | None = None  # makes a context with the newest keys, if TLS is used
+    secure: Callable[[], ssl.SSLContext] | None = None  # returns the latest context; None: no TLS
 
 
 class _NameResolver:
-    """Resolves names and collects the errors."""
+    """Resolves names and files of secrets, and collects the errors."""
 
     def __init__(self) -> None:
         self.errors: list[ConfError] = []
@@ -128,7 +128,10 @@
     def secret(
         self, section: ConfSection, key: str, path: str, max_length: int = 4096, allow_hash: bool = False
     ) -> str:
-        """Read the secret in a file. With ``allow_hash`` it may be a hash of the secret."""
+        """Read the secret in a file; empty if there is no path or the file can't be read.
+
+        With ``allow_hash``, an SMPP password may be given as its hash.
+        """
         if not path:
             return ""
         try:
@@ -271,7 +274,11 @@
 
 
 def peer_keys(conf: Conf, broker: bool = False) -> list[str]:
-    """The keys that couriers share, beginning with the one that seals. Empty for a courier if peers are off."""
+    """The secrets from which couriers derive the keys of their datagrams.
+
+    The first one is for datagrams that are sent; datagrams received may use any. Empty for a courier if the section is
+    off; a broker needs a key even then. Raises ``ConfErrors``.
+    """
     section, resolver = conf.section(schema.Peers), _NameResolver()
     peers = conf.values_of(schema.Peers)
     if not peers.enabled and not broker:
@@ -289,7 +296,7 @@
 
 
 def keys(conf: Conf) -> TlsStore | None:
-    """The ``tls`` sections with their files. None, without importing ssl, if no section exists or is named."""
+    """The contexts of the ``tls`` sections; None, without importing ssl, if no section exists or is referred to."""
     tls_users = [*conf.sections_of(schema.Registry), *conf.sections_of(schema.SmppGateway), conf.section(schema.Smpp)]
     if not conf.sections_of(schema.Tls) and not any(getattr(section.values, "tls", "") for section in tls_users):
         return None
