--- a/kestrelspar/settings/schema.py
+++ b/kestrelspar/settings/schema.py
@@ -38,7 +38,7 @@
     LABELED: ClassVar[bool] = False  # whether there may be several sections, each with a label
 
     def errors(self) -> list[tuple[str, str]]:
-        """Errors of keys that contradict each other: (key, what is wrong)."""
+        """Errors that no single key shows, such as contradictions between keys: (key, what is wrong)."""
         return []
 
 
@@ -61,7 +61,7 @@
 
 
 class Map(Section, frozen=True, kw_only=True):
-    """A transport map of the operators, in addition to that of discovery; `kestrelspar nginx import` writes one."""
+    """A transport map of the operators, used beside that of discovery; `kestrelspar nginx import` writes one."""
 
     TITLE: ClassVar[str] = "map"
     LABELED: ClassVar[bool] = True
@@ -136,7 +136,7 @@
         tuple[str, ...], text("networks from which it may bind, like 10.1.0.0/16; default: any", 18)
     ] = ()
     certificate: Annotated[
-        str, text("name that the client's certificate must have; none: any, or no certificate", 200)
+        str, text("name that the client's certificate must have; none: any name, or no certificate", 200)
     ] = ""
     message_class: Annotated[str, text("class of messages without a service_type", 40, 1)]
     tenant: Annotated[str, text("its tenant, as named in the settings; default: the first one", 200)] = ""
@@ -152,7 +152,7 @@
     ] = ""
     outbind: Annotated[
         tuple[Address, ...],
-        address("address to which an outbind is sent if messages wait and it is not bound; at most one"),
+        address("address to which an outbind is sent if messages wait while the account is not bound; at most one"),
     ] = ()
 
     def errors(self) -> list[tuple[str, str]]:
@@ -176,7 +176,7 @@
     server_name: Annotated[str, text("name that its certificate must have; default: its address", 200)] = ""
     destination: Annotated[int, number("destination that it serves", 0, 2**31)]
     system_id: Annotated[str, text("own system_id at the gateway", 15)]
-    password_file: Annotated[str, secret("password for that, at most 8 bytes")]
+    password_file: Annotated[str, secret("password for that system_id, at most 8 bytes")]
     zone: Annotated[str, text("its zone, as named in the settings; default: the first one")] = ""
     type: Annotated[str, text("its kind, as named in the settings; default: the first one")] = ""
     bind: Annotated[
@@ -233,7 +233,7 @@
     coding: Annotated[
         str,
         choice(
-            "bodies that came by another protocol: unchanged, or as texts in the smallest "
+            "how a body that arrived by another protocol is sent: unchanged, or as text in the smallest "
             "alphabet (GSM 03.38, Latin-1, UCS-2)",
             "raw",
             "text",
@@ -285,7 +285,7 @@
     answer_within: Annotated[
         int, duration("time-out for a response; the member then counts as failed", 100 * MS, HOUR)
     ] = 5 * SECOND
-    check: Annotated[int, duration("etcd: how often the list is checked while a watch is silent", 100 * MS, HOUR)] = (
+    check: Annotated[int, duration("etcd: interval at which the list is checked during a watch", 100 * MS, HOUR)] = (
         10 * SECOND
     )
     wait: Annotated[int, duration("consul: how long a read blocks if nothing changes", SECOND, 600 * SECOND)] = (
@@ -333,7 +333,7 @@
 
 
 class Peers(Section, frozen=True, kw_only=True):
-    """Sharing of budgets with other couriers, over UDP. Their number and this one's place are platform settings."""
+    """Budgets shared with other couriers over UDP. Their number, and this one's place, are platform settings."""
 
     TITLE: ClassVar[str] = "peers"
     enabled: Annotated[bool, switch("whether this courier communicates with others")] = False
@@ -384,20 +384,22 @@
     spend: Annotated[
         int,
         number(
-            "part of a limit that couriers share, in percent; the rest is for calls that the network bunches", 1, 100
+            "percentage of a limit that couriers share; the rest is for calls that the network bunches",
+            1,
+            100,
         ),
     ] = 90
     again: Annotated[
         int,
         number(
-            "part of that shared part for second and later attempts of all couriers together, "
-            "in percent; 100: no separate bound. The same at all couriers",
+            "percentage of that shared part which second and later attempts of all couriers together may use; "
+            "100: no separate bound. The same at all couriers",
             1,
             100,
         ),
     ] = 100
     held: Annotated[
-        int, number("share of all endpoints that may be restricted by reports of other couriers, in percent", 0, 100)
+        int, number("maximum percentage of all endpoints that reports of other couriers may restrict", 0, 100)
     ] = 50
 
     def errors(self) -> list[tuple[str, str]]:
