--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -46,10 +46,10 @@
     return got
 
 
-@pytest.mark.parametrize("answered", [0, 5, 12, 15])
-@pytest.mark.parametrize("read", [0, 1, 60, 200])
+@pytest.mark.parametrize("sent_bytes", [0, 5, 12, 15])
+@pytest.mark.parametrize("read_bytes", [0, 1, 60, 200])
 def test_a_reset_after_any_byte_does_not_prove_that_a_message_was_not_processed(
-    tmp_path: Path, read: int, answered: int
+    tmp_path: Path, read_bytes: int, sent_bytes: int
 ) -> None:
     # Guards against a payment that is sent again although its last byte had been written.
     stage = HttpTestbed(tmp_path, ok)
@@ -58,10 +58,10 @@
     stage.run_until(lambda: hop.socks)
     stage.run_for(5 * MS)
     (sock,) = hop.socks
-    if read:
-        sock.recv(read)
-    if answered:
-        sock.send(b"HTTP/1.1 503 X\r\n"[:answered])
+    if read_bytes:
+        sock.recv(read_bytes)
+    if sent_bytes:
+        sock.send(b"HTTP/1.1 503 X\r\n"[:sent_bytes])
         stage.run_for(2 * MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_CLOSE)
     sock.close()
@@ -101,7 +101,8 @@
 
 
 def test_the_number_of_responses_being_drained_is_limited(tmp_path: Path) -> None:
-    # Guards against descriptors held by responses that are slow after their status line, as no slot limits these.
+    # Guards against responses that are slow after their status line and hold descriptors: they no longer take a slot,
+    # so the number of slots does not limit them.
     stage = HttpTestbed(tmp_path, ok, slots=3)
     hop = Hop(stage)
     for number in range(8):
@@ -116,7 +117,7 @@
     assert stage.pool._draining_responses == 0
 
 
-def test_noise_on_an_idle_connection_is_no_response(tmp_path: Path) -> None:
+def test_noise_on_an_idle_connection_is_not_read_as_a_response(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     assert attempt(stage) is Outcome.OK
     stage.peer.streams[0].sock.send(b"HTTP/1.1 2")  # half a status line while the connection is idle
@@ -134,13 +135,13 @@
     stage.run_for(400 * MS)
     started_at = stage.loop.now
     assert b" 202 " in stage.talk(submit_request()) and stage.loop.now - started_at < 400 * MS
-    slow[0].until(lambda: slow[0].ending)
+    slow[0].read_until(lambda: slow[0].ending)
     assert slow[0].ending == END and slow[0].got.startswith(b"HTTP/1.1 408 ")
 
 
 def test_a_200_after_the_deadline_does_not_count_as_delivered(tmp_path: Path) -> None:
-    # Guards against a message without a final state: the next hop does not count its late response, so without a notice
-    # nobody would report the message.
+    # Guards against a message without a final state: the next hop does not count a delivery whose response is late, so
+    # the message would be reported neither as delivered nor by a notice.
     stage = HttpTestbed(tmp_path, ok)
     hop = Hop(stage)
     timeout = 100 * MS
--- a/tests/http/test_descriptors.py
+++ b/tests/http/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients use up their descriptors while discovery is down: the watch, notices and attempts keep their share."""
+"""Idle clients use up their descriptors while discovery is down; the watch, notices and attempts still have theirs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def start_limited(directory: Path, world: str, discovery: str) -> Program:
-    """Starts the program with few descriptors, by its settings and by the system's limit."""
+    """Starts the program with few descriptors, limited both by its settings and by the system."""
     return Program(
         directory,
         world,
@@ -41,7 +41,9 @@
     )
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path: Path, world: str) -> None:
+def test_discovery_notices_and_attempts_work_again_although_idle_clients_use_up_their_descriptors(
+    tmp_path: Path, world: str
+) -> None:
     port = free_port()
     program = start_limited(tmp_path, world, f"127.0.0.1:{port}").ready()
     idle = []
@@ -49,10 +51,9 @@
         sock = socket.create_connection(("127.0.0.1", program.port), timeout=TEST_TIMEOUT)
         idle.append(sock)
     StandInPlatform.silent = True
-    # A client that is slow to send, as on a busy machine, may be closed like the silent ones, and retries.
-    wait_until(
-        lambda: program.submit("late", "payment", expires_in="900m") == 202
-    )  # its attempt times out: a notice is pending
+    # On a busy machine, a client that is slow to send may be closed like the silent ones, and retries.
+    # The attempt of this message times out, so a notice is pending.
+    wait_until(lambda: program.submit("late", "payment", expires_in="900m") == 202)
     RecoveredDiscovery.first_watch_line = json.dumps(
         {"index": 5, "snapshot": True, "endpoints": [row("s-1", world), row("s-2", world)]}
     )
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -40,17 +40,17 @@
         self.got += data
         self.ending = self.ending or ("" if data else END)
 
-    def until(self, done: Callable[[], object]) -> None:
+    def read_until(self, done: Callable[[], object]) -> None:
         def read_and_check() -> object:
             self.read()
             return done()
 
         self.stage.run_until(read_and_check)
 
-    def answered(self, data: bytes, status: bytes) -> None:
+    def send_and_expect(self, data: bytes, status: bytes) -> None:
         self.got = b""
         self.send(data)
-        self.until(lambda: b"\r\n\r\n" in self.got)
+        self.read_until(lambda: b"\r\n\r\n" in self.got)
         assert self.got.startswith(b"HTTP/1.1 " + status), self.got
 
 
@@ -58,10 +58,10 @@
 def test_a_request_after_the_half_close_is_neither_accepted_nor_reset(tmp_path: Path, closing: bool) -> None:
     stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
-    caller.answered(submit_request("first"), b"202")
+    caller.send_and_expect(submit_request("first"), b"202")
     if closing:
         stage.courier.close()
-    caller.until(lambda: caller.ending)
+    caller.read_until(lambda: caller.ending)
     assert caller.ending == END and stage.server._clients[State.LEAVING]
     caller.send(submit_request("second"))
     stage.run_for(100 * MS)
@@ -89,7 +89,7 @@
     for _ in range(20):
         caller.send(b"x" * 1000)
         stage.run_for(20 * MS)
-    caller.until(lambda: caller.ending)
+    caller.read_until(lambda: caller.ending)
     assert caller.ending == END and caller.got.startswith(answer)
 
 
@@ -98,20 +98,20 @@
     stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
     caller.send(submit_request("one", Connection="close") + submit_request("two"))
-    caller.until(lambda: caller.ending)
+    caller.read_until(lambda: caller.ending)
     assert caller.ending == END and caller.got.count(b"HTTP/1.1 202") == 1 and not stage.courier.find("two")
 
 
 def test_a_request_that_arrives_as_the_idle_time_ends_is_served(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     caller = Caller(stage)
-    caller.answered(submit_request("one"), b"202")
+    caller.send_and_expect(submit_request("one"), b"202")
     stage.run_until(lambda: stage.server._clients[State.IDLE])
     (client,) = stage.server._clients[State.IDLE]
     caller.send(submit_request("two"))
-    client.stream.expire_read()  # expires in the turn in which the bytes have already arrived
+    client.stream.expire_read()  # the idle time ends in the turn in which the bytes have already arrived
     caller.got = b""
-    caller.until(lambda: b"\r\n\r\n" in caller.got)
+    caller.read_until(lambda: b"\r\n\r\n" in caller.got)
     assert caller.got.startswith(b"HTTP/1.1 202")
     stage.run_for(IDLE_TIMEOUT + SECOND)
     assert stage.server.count == 0
@@ -120,7 +120,8 @@
 # Shutdown
 
 
-def watch_stop(stage: HttpTestbed) -> Callable[[], bool]:
+def intercept_stop(stage: HttpTestbed) -> Callable[[], bool]:
+    """Prevents that the loop stops; the returned function says whether it would have."""
     stopped_at: list[int] = []
     stage.loop.stop = lambda: stopped_at.append(stage.loop.now)  # type: ignore[method-assign]
     return lambda: bool(stopped_at)
@@ -131,32 +132,32 @@
     stage = HttpTestbed(tmp_path, ok)
     callers = [Caller(stage) for _ in range(5)]
     for number, caller in enumerate(callers):
-        caller.answered(submit_request(f"t{number}"), b"202")
-    stopped, started_at = watch_stop(stage), stage.loop.now
+        caller.send_and_expect(submit_request(f"t{number}"), b"202")
+    stopped, started_at = intercept_stop(stage), stage.loop.now
     stage.courier.close()
     for caller in callers:
-        caller.until(lambda caller=caller: caller.ending)
+        caller.read_until(lambda caller=caller: caller.ending)
         assert caller.ending == END and stage.loop.now < started_at + 100 * MS
         caller.sock.close()
     stage.run_until(stopped)
     assert stage.loop.now < started_at + SECOND
 
 
-def test_new_connections_after_sigterm_are_refused_and_none_is_reset(tmp_path: Path) -> None:
+def test_requests_on_new_connections_after_sigterm_are_deferred_and_none_is_reset(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
-    stopped, started_at = watch_stop(stage), stage.loop.now
+    stopped, started_at = intercept_stop(stage), stage.loop.now
     stage.courier.close()
     for number in range(4):
         caller = Caller(stage)
-        caller.answered(submit_request(f"t{number}"), b"503")
+        caller.send_and_expect(submit_request(f"t{number}"), b"503")
         assert b"Connection: close" in caller.got
-        caller.until(lambda caller=caller: caller.ending)
+        caller.read_until(lambda caller=caller: caller.ending)
         assert caller.ending == END
         caller.sock.close()
         stage.run_for(100 * MS)
     silent = Caller(stage)
     stage.run_for(300 * MS)
-    silent.answered(submit_request("late"), b"503")  # it connected before the listener was closed
+    silent.send_and_expect(submit_request("late"), b"503")  # it connected before the listener was closed
     silent.sock.close()
     stage.run_until(stopped)
     assert stage.loop.now < started_at + 2 * SECOND
@@ -164,14 +165,14 @@
 
 def test_the_process_does_not_exit_while_a_request_is_being_read(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
-    stopped, started_at = watch_stop(stage), stage.loop.now
+    stopped, started_at = intercept_stop(stage), stage.loop.now
     caller, data = Caller(stage), submit_request("slow")
     caller.send(data[:40])
     stage.run_for(10 * MS)
     stage.courier.close()
     stage.run_for(1500 * MS)
     assert not stopped()
-    caller.answered(data[40:], b"503")
+    caller.send_and_expect(data[40:], b"503")
     caller.sock.close()
     stage.run_until(stopped)
     assert stage.loop.now < started_at + EXIT_TIMEOUT
@@ -180,14 +181,14 @@
 def test_a_client_that_never_closes_its_side_does_not_delay_the_exit(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     callers = [Caller(stage) for _ in range(3)]
-    callers[0].answered(submit_request("t0"), b"202")
+    callers[0].send_and_expect(submit_request("t0"), b"202")
     callers[1].send(b"POST /rea")
-    stopped, started_at = watch_stop(stage), stage.loop.now
+    stopped, started_at = intercept_stop(stage), stage.loop.now
     stage.courier.close()
     while not stopped():
         callers[0].read()
         if callers[0].ending != RESET:
-            callers[0].send(b"x")  # continues to send slowly after the half-close
+            callers[0].send(b"x")  # it continues to send slowly after the half-close
         stage.run_for(50 * MS)
     assert stage.loop.now <= started_at + EXIT_TIMEOUT + 200 * MS
     for caller in callers:
@@ -202,8 +203,8 @@
     stage.courier.busy_checks.append(stage.notices.has_pending)
     caller = Caller(stage)
     # The payment may have been processed, so its final state is reported by a notice.
-    caller.answered(submit_request("pay", "payment", X_Expires_In="700m"), b"202")
-    stopped = watch_stop(stage)
+    caller.send_and_expect(submit_request("pay", "payment", X_Expires_In="700m"), b"202")
+    stopped = intercept_stop(stage)
     stage.courier.close()
     stage.run_until(stopped)
     assert not stage.journal.entries and stage.notices_seen()[-1]["state"] == "failed"
@@ -213,7 +214,7 @@
 
 
 def test_an_unresponsive_persistent_connection_does_not_delay_a_notice(tmp_path: Path) -> None:
-    # Guards against waiting 2 s for a response on it, as a final state may be late by 300 ms at most.
+    # Guards against waiting 2 s for a response on that connection, as a final state may be late by 300 ms at most.
     stage = HttpTestbed(tmp_path, lambda *_: None, lambda *_: parser.response(204))
     times: list[int] = []
 
@@ -232,7 +233,7 @@
     assert stage.platform.connections == 2
 
 
-def test_rejected_notices_delay_no_others(tmp_path: Path) -> None:
+def test_many_rejected_notices_delay_no_others_and_are_not_sent_one_by_one(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     stage.platform.script = lambda _, body: parser.response(400 if b'"bad' in body else 204)
     acknowledged: list[str] = []
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -22,11 +22,11 @@
 from tests.test_http import ROW, HttpTestbed, Peer, make_watch, ok, submit_request
 
 ROUND_TRIP = 50 * MS
-HEARTBEAT = 2 * SECOND
+HEARTBEAT = 2 * SECOND  # interval of the empty lines of a watch
 
 
 class FaultSchedule:
-    """What discovery does at each time: it serves, or fails in one of these modes, until it serves for good."""
+    """What discovery does at each time: it serves, or fails in a mode of ``FAULTS``, until it recovers for good."""
 
     FAULTS = ("refuses", "no connection", "no answer", "head and silence", "closes", "503")
 
@@ -44,7 +44,7 @@
 
 
 def first_update_after_recovery(backoff: DiscoveryBackoff, schedule: FaultSchedule) -> tuple[int, list[int]]:
-    """When this courier first receives a line after discovery serves for good, and the times of all its requests.
+    """When a courier first receives a line after discovery has recovered for good, and the times of all its requests.
 
     Models the loop of ``Watch``: a request, its outcome, and the delay after it.
     """
@@ -89,7 +89,8 @@
 
 
 def test_requests_of_two_hundred_couriers_stay_spread_while_all_are_refused() -> None:
-    # Guards against shortened delays: the mean was 67 requests a second before this rule, too.
+    # Guards against more requests because delays are shortened to bound staleness. Before that rule, the mean was 67
+    # requests a second, too.
     times: list[int] = []
     for seed in range(200):
         backoff, now = DiscoveryBackoff(200, seed, pushed=False), 0
@@ -123,7 +124,7 @@
 
 @pytest.mark.parametrize("fragment", [b"", b" ", b"{"])
 def test_incomplete_lines_do_not_count_as_activity_of_a_watch(tmp_path: Path, fragment: bytes) -> None:
-    # Guards against a watch kept open by single bytes that never complete a line, so that no change is received.
+    # Guards against a watch that receives no changes, but is kept open by single bytes that never complete a line.
     request_times: list[int] = []
     stage: HttpTestbed
 
@@ -169,7 +170,7 @@
         assert found == [json.loads(text) for text in texts]
 
 
-def test_an_indented_list_in_a_watch_and_over_two_lines(tmp_path: Path) -> None:
+def test_a_watch_applies_an_indented_list_and_one_over_two_lines(tmp_path: Path) -> None:
     two_lines = json.dumps(list_update(3, "leaving")).replace('"endpoints": [', '"endpoints": [\n  ')
     answers = [HEAD + chunk(json.dumps(list_update(2), indent=2).encode() + b"\n") + chunk(two_lines.encode() + b"\n")]
     stage, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
@@ -205,7 +206,7 @@
 
 
 def test_an_unknown_destination_is_deferred_while_the_list_may_be_behind(tmp_path: Path) -> None:
-    # Guards against rejecting a message for good whose destination was listed while the watch was broken.
+    # Guards against rejecting a message for good although its destination was listed while the watch was broken.
     reachable: list[bytes] = []
     stage, watch = start_watch(
         tmp_path, lambda *_: HEAD + chunk(b"\n") if reachable else parser.response(503, keep=False)
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower against the stand-in registry over sockets: both protocols, each fault, restarts."""
+"""The follower and the stand-in registry, connected by sockets: both protocols, each fault, restarts."""
 
 from __future__ import annotations
 
@@ -168,7 +168,9 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_fault_restores_no_removed_entry_and_ends_with_the_current_list(harness: FollowerHarness, name: str) -> None:
+def test_a_fault_restores_no_removed_entry_and_the_list_is_current_after_it(
+    harness: FollowerHarness, name: str
+) -> None:
     harness.remove("a", "b")
     harness.until("cdefgh")
     FAULTS[name](harness)
@@ -295,7 +297,7 @@
     assert saved_list.remove_unused(str(tmp_path), ["other"]) == ["registry-main.list"]
 
 
-def test_a_full_disk_leaves_the_old_list_and_an_oversized_one_is_not_saved(
+def test_on_a_full_disk_the_old_saved_list_stays_and_an_oversized_one_is_not_saved(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     harness = FollowerHarness(tmp_path, "etcd", keep=2_000)
@@ -343,7 +345,7 @@
     assert b" 202 " in testbed.talk(submit_request("t2", X_Route_To="dest=8"))
 
 
-def test_a_drain_takes_effect_at_once_and_waiting_messages_go_to_the_other_hop(tmp_path: Path) -> None:
+def test_a_drain_takes_effect_at_once_and_new_messages_go_to_the_other_hop(tmp_path: Path) -> None:
     testbed = HttpTestbed(tmp_path, ok)
     harness = FollowerHarness(tmp_path, "etcd", testbed)
     harness.follower.carrier = testbed.pool
--- a/tests/registry/test_sync.py
+++ b/tests/registry/test_sync.py
@@ -1,4 +1,4 @@
-"""State machines of a registry's follower, without sockets: single cases, and 2,000 random histories."""
+"""State machines of a registry's follower, without sockets: single cases, and 2,000 random histories of a registry."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class SyncHarness:
-    """A sync, a clock, and the map that results from the updates."""
+    """A state machine under test, a clock, and the transport map that results from the updates."""
 
     def __init__(self, kind: type[EtcdSync] | type[ConsulSync] = EtcdSync, members: int = 2) -> None:
         self.now = 0
@@ -116,9 +116,9 @@
 @pytest.mark.parametrize(
     ("cluster", "revision", "items"),
     [
-        ("c", 49, []),
-        ("other", 60, []),
-        ("c", 60, [item("z", 55)]),  # behind the pinned revision; another cluster; items newer than the pinned revision
+        ("c", 49, []),  # behind the pinned revision
+        ("other", 60, []),  # of another cluster
+        ("c", 60, [item("z", 55)]),  # with an item that is newer than the pinned revision
     ],
 )
 def test_pages_of_different_lists_are_rejected(cluster: str, revision: int, items: list[Item]) -> None:
@@ -185,7 +185,7 @@
     assert harness.sync.state is State.BROKEN and harness.next_request() == WatchRequest(31)
 
 
-def test_a_watch_without_changes_is_detected_by_the_second_check_that_disagrees() -> None:
+def test_a_watch_that_delivers_no_changes_is_detected_by_the_second_check_that_disagrees() -> None:
     harness = SyncHarness().listed(item("a", 3))
     harness.apply(harness.etcd().receive_check(harness.now, "c", 20, 3, 1))
     assert not harness.etcd().check_disagreed and harness.sync.state is not State.BROKEN
@@ -249,7 +249,7 @@
     assert harness.map == {"a": "ready:5"} and harness.events.count("registry-bad-value") == 3
 
 
-def test_two_keys_with_one_name_and_a_key_that_changes_its_name() -> None:
+def test_the_first_key_of_a_name_is_used_and_a_name_may_move_to_another_key() -> None:
     harness = SyncHarness().listed(item("k1", 3, "a/active/1"), item("k2", 4, "a/active/2"))
     assert harness.map == {"a": "ready:1"} and "registry-name-twice" in harness.events
     harness.changes(item("k1", 11, None))
@@ -289,7 +289,7 @@
         assert harness.next_request() == ReadRequest(1 if requested_at else 0)
         requested_at.append(harness.now)
         assert receive_list(harness, 0, item("a", 5))
-    assert requested_at[-1] - requested_at[-2] == SECOND  # responses that come at once with nothing new
+    assert requested_at[-1] - requested_at[-2] == SECOND  # the interval grows while responses bring nothing new
 
 
 def test_a_decreased_index_is_accepted_only_from_a_consistent_read() -> None:
@@ -306,7 +306,9 @@
 
 
 @pytest.mark.parametrize(("index", "leader", "contact"), [(None, True, 0), (60, False, 0), (60, True, 31_000)])
-def test_responses_without_index_or_leader_are_rejected(index: int | None, leader: bool, contact: int) -> None:
+def test_responses_without_index_leader_or_recent_contact_are_rejected(
+    index: int | None, leader: bool, contact: int
+) -> None:
     harness = SyncHarness(ConsulSync)
     receive_list(harness, 50, item("a", 40))
     assert not receive_list(harness, index, leader=leader, contact=contact) and set(harness.map) == {"a"}
@@ -347,7 +349,7 @@
 
 
 def respond(harness: SyncHarness, registry: SimulatedRegistry, no_faults: bool) -> None:
-    """Respond to one request as some member would, with a random fault unless ``no_faults``."""
+    """Respond to the next request of the follower as a member would, with a random fault unless ``no_faults``."""
     rng, request = registry.rng, harness.next_request()
     fault = "" if no_faults else rng.choice(["", "", "", "cut", "lag", "cluster", "twice"])
     if fault == "cut":
@@ -409,7 +411,7 @@
                 registry.compacted = registry.revision - rng.randrange(2)
             else:
                 respond(harness, registry, no_faults=False)
-        for _ in range(12):  # without faults: at most one round of members and a list of three pages
+        for _ in range(12):  # without faults, this suffices for a round over all members and a list of three pages
             respond(harness, registry, no_faults=True)
         assert harness.map == registry.map()
 
@@ -439,7 +441,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.lists(st.text(st.sampled_from('{}"\\[], a')).map(str.encode), max_size=6))
-def test_garbage_is_rejected_or_ignored(parts: list[bytes]) -> None:
+def test_garbage_in_a_stream_is_rejected_or_ignored(parts: list[bytes]) -> None:
     splitter = JsonObjectSplitter()
     try:
         for part in parts:
--- a/tests/settings/test_conf.py
+++ b/tests/settings/test_conf.py
@@ -48,7 +48,7 @@
     )
     assert found.section.servers == (("127.0.0.1", 2379), ("127.0.0.1", 2381), ("127.0.0.1", 1))
     assert loaded.values_of(schema.Log).format == "json" and not loaded.values_of(schema.Plugins).enabled
-    # The shown text can be read, with the same values.
+    # The text that `config show` prints can be read again, with the same values.
     reloaded = conf.load(write_conf(tmp_path, pages.conf_text(loaded)))
     assert reloaded.values_of(schema.Log) == loaded.values_of(schema.Log) and resolve.registries(reloaded) == [found]
 
@@ -167,7 +167,7 @@
     assert not loaded.values_of(schema.Plugins).enabled and not loaded.sections_of(schema.Map)
 
 
-def test_the_generated_page_of_keys_is_up_to_date() -> None:
+def test_the_generated_page_of_settings_is_up_to_date() -> None:
     assert (ROOT / "docs" / "configuration.md").read_text() == pages.page(), "run: kestrelspar config page"
 
 
@@ -179,7 +179,7 @@
 
 @DETERMINISTIC
 @given(st.text(st.sampled_from('abl\n\t "\\#{}:19smpregistylog'), max_size=80))
-def test_garbage_causes_only_reported_errors(text: str) -> None:
+def test_garbage_is_reported_and_raises_nothing_else(text: str) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("builtins.open", lambda *_, **__: __import__("io").StringIO(text))
         blocks, errors = lines.read("x.conf")
@@ -206,6 +206,8 @@
         (["serve", "--config", "/none"], 2, "does not exist"),
     ],
 )
-def test_commands_and_their_exit_codes(arguments: list[str], exit_code: int, expected_text: str) -> None:
+def test_commands_print_what_is_expected_and_set_the_exit_code(
+    arguments: list[str], exit_code: int, expected_text: str
+) -> None:
     result = CliRunner().invoke(cli, arguments, env={"KESTRELSPAR_CONF": ""})
     assert result.exit_code == exit_code and expected_text in result.output, result.output
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -20,7 +20,7 @@
 
 
 def simulate(couriers: int, duration: int) -> tuple[list[int], set[int]]:
-    """All couriers lose their watch at 0: the times of their requests, and which of them were answered in time."""
+    """All couriers lose their watch at 0. Returns the times of their requests, and which couriers were served."""
     backoffs = [DiscoveryBackoff(couriers, seed, pushed=False) for seed in range(couriers)]
     due = [(backoff.next_delay(received=True), courier) for courier, backoff in enumerate(backoffs)]
     heapq.heapify(due)
@@ -57,7 +57,7 @@
     )
 
 
-def test_small_fleets_have_short_delays_and_each_seed_its_own() -> None:
+def test_small_fleets_have_short_delays_and_each_seed_has_its_own() -> None:
     backoff = DiscoveryBackoff(3, 1, pushed=False)
     waits = [backoff.next_delay(received=False) for _ in range(200)]
     assert max(waits) < 2 * SECOND and max(waits[:2]) < 600 * MS and backoff.initial_delay() < 150 * MS
@@ -69,14 +69,14 @@
 def request_intervals(backoff: DiscoveryBackoff, header_delays: list[int | None]) -> tuple[list[int], int | None]:
     """Intervals between the requests of one courier, and the index of the one that was answered.
 
-    ``header_delays``: the time that each response takes until its headers (None: refused at once).
+    ``header_delays``: for each request, the time until the response headers arrive (None: no connection in time).
     """
     found = []
-    for n, head in enumerate(header_delays):
-        if head is not None and head <= backoff.response_timeout:
+    for n, header_delay in enumerate(header_delays):
+        if header_delay is not None and header_delay <= backoff.response_timeout:
             return found, n
-        lasted = CONNECT_TIMEOUT if head is None else CONNECT_TIMEOUT + backoff.response_timeout
-        found.append(lasted + backoff.next_delay(received=False, headers_timed_out=head is not None))
+        lasted = CONNECT_TIMEOUT if header_delay is None else CONNECT_TIMEOUT + backoff.response_timeout
+        found.append(lasted + backoff.next_delay(received=False, headers_timed_out=header_delay is not None))
     return found, None
 
 
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -60,7 +60,7 @@
 
 
 def test_all_errors_of_a_configuration_are_reported_at_once(tmp_path: Path) -> None:
-    # Otherwise a start would fail once for each error, one after the other.
+    # Guards against starts that fail again and again, each for only the next error.
     invalid = {
         "settings": SETTINGS | {"limits": {"max_attempts": "x"}, "classes": [{"semantics": "odd"}, 3]},
         "listen": "nowhere",
@@ -69,7 +69,7 @@
     }
     with pytest.raises(SettingsError) as caught:
         config.read(write_config(tmp_path, invalid))
-    assert sorted(fault.partition(": ")[0] for fault in caught.value.errors) == [
+    assert sorted(error.partition(": ")[0] for error in caught.value.errors) == [
         "config.known",
         "config.limits.sockets",
         "config.listen",
@@ -110,14 +110,14 @@
     return plugins.read(directory / "s.rules")
 
 
-def make_scene_with_rules(directory: Path, text: str) -> tuple[CourierTestbed, plugins.Plugins, Message]:
+def make_testbed_with_rules(directory: Path, text: str) -> tuple[CourierTestbed, plugins.Plugins, Message]:
     scene = CourierTestbed(directory)
     message = Message("t1", READING, 0, 7, scene.loop.now + SECOND, b"urgent: 5", scene.sender, "k")
     return scene, plugins.Plugins(scene.loop, scene.courier.settings, read_rules(directory, text)), message
 
 
-def test_rules_change_defer_and_reject(tmp_path: Path) -> None:
-    _, plugin_host, message = make_scene_with_rules(
+def test_rules_change_defer_and_reject_messages(tmp_path: Path) -> None:
+    _, plugin_host, message = make_testbed_with_rules(
         tmp_path,
         """
         # two colons in the condition
@@ -136,7 +136,7 @@
 
 
 def test_a_rule_that_fails_is_logged_and_skipped(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    _, plugin_host, message = make_scene_with_rules(
+    _, plugin_host, message = make_testbed_with_rules(
         tmp_path,
         """on arrival when size + body == 1: reject "a"
 on arrival when 1 // 0: reject "b"
@@ -185,7 +185,7 @@
 
 @DETERMINISTIC
 @given(st.text(st.sampled_from("abcdesiz()+-*'\":,.<>= 019\n"), max_size=60))
-def test_garbage_is_rejected_or_evaluated(text: str) -> None:
+def test_a_rule_of_garbage_is_rejected_or_evaluated(text: str) -> None:
     try:
         rule = plugins.Rule(f"on arrival when {text}: defer {text}", "x:1")
         rule.condition.evaluate(dict.fromkeys(plugins.ARRIVAL_FIELDS, 1))
@@ -194,7 +194,7 @@
 
 
 def test_plug_ins_run_before_a_message_is_accepted(tmp_path: Path) -> None:
-    scene, plugin_host, message = make_scene_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
+    scene, plugin_host, message = make_testbed_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
     scene.courier.hooks.append(plugin_host)
     accepted: list[bool] = []
     scene.loop.spawn(scene.courier.submit, message, lambda a: accepted.append(a.accepted) or True)
@@ -229,7 +229,7 @@
 """
 
 
-def test_an_import_reports_unsupported_directives_and_can_be_loaded(
+def test_an_nginx_import_reports_unsupported_directives_and_its_map_can_be_loaded(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     source, target = tmp_path / "nginx.conf", tmp_path / "map.json"
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -27,7 +27,7 @@
 from snowlock.interface import Outcome
 from tests.bench import CLOCK, READING, CourierTestbed, SkippingLoop, listener
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=120)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=120)
 names = st.sampled_from(["X-Trace-Id", "Host", "x-qos", "A"])
 values = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=20)
 
@@ -92,7 +92,7 @@
         return NextHop(api.Endpoint(b"s-1", 7, 0, 0, state), self.peer.address, self.pool)
 
     def talk(self, *data: bytes, until: Callable[[bytes], object] = lambda got: b"\r\n\r\n" in got) -> bytes:
-        """Sends the fragments as a client; returns what was received."""
+        """Sends the fragments as a client; returns what was received until ``until`` holds or the connection ends."""
         got: list[bytes] = []
         finished: list[int] = []
 
@@ -140,7 +140,7 @@
 # Parsers
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(st.tuples(names, values), max_size=6), st.binary(max_size=300), st.integers(1, 40), st.booleans())
 def test_requests_are_parsed_from_any_fragments(
     headers: list[tuple[str, str]], body: bytes, step: int, chunked: bool
@@ -175,7 +175,7 @@
     stream.close()
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=200), st.booleans())
 def test_garbage_is_a_malformed_message_or_an_incomplete_head(data: bytes, response: bool) -> None:
     for text in (
@@ -305,9 +305,9 @@
 def test_a_message_is_journalled_and_acknowledged_before_its_first_attempt(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     order: list[str] = []
-    taken, attempt, write = stage.journal.record_accepted, stage.journal.record_attempt, Stream.write
-    stage.journal.record_accepted = lambda *a: (order.append("journal"), taken(*a))[1]  # type: ignore[method-assign]
-    stage.journal.record_attempt = lambda *a: (order.append("attempt"), attempt(*a))[1]  # type: ignore[method-assign]
+    accepted, attempted, write = stage.journal.record_accepted, stage.journal.record_attempt, Stream.write
+    stage.journal.record_accepted = lambda *a: (order.append("journal"), accepted(*a))[1]  # type: ignore[method-assign]
+    stage.journal.record_attempt = lambda *a: (order.append("attempt"), attempted(*a))[1]  # type: ignore[method-assign]
 
     def spy(self: Stream, data: bytes, deadline: int | None) -> None:
         order.append(data.split(b"\r\n")[0].decode("latin-1"))
@@ -340,7 +340,7 @@
     ],
 )
 def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
-    # Guards against connections that hold descriptors and buffers forever.
+    # Guards against clients that hold descriptors and buffers forever.
     stage = HttpTestbed(tmp_path, ok)
     started_at = CLOCK.ahead
     assert stage.talk(data, until=lambda _: False).startswith(answer)
@@ -402,7 +402,7 @@
 
 
 def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
-    # Guards against idle connections that leave no room for new ones, although the connection limit is far.
+    # Guards against idle connections that use up the connection limit and leave no room for new ones.
     stage = HttpTestbed(tmp_path, ok)
     idle, closed = [socket.create_connection(stage.address) for _ in range(9)], []
     for number, sock in enumerate(idle):
@@ -421,7 +421,7 @@
 
 
 def test_the_last_buffers_are_reserved_for_responses_to_own_requests() -> None:
-    # Guards against incomplete requests that hold all buffers, so that responses count as time-outs.
+    # Guards against incomplete requests that hold all buffers, so that responses can't be read and time out.
     pool, loop = BufferPool(3, reserved=1), SkippingLoop(CLOCK)
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
@@ -441,8 +441,8 @@
 
 
 def test_messages_beyond_the_limit_of_open_ones_are_deferred(tmp_path: Path) -> None:
-    # All three accepted messages are in flight. One that waits for an unproven next hop is shed some ms later,
-    # as the courier is full, and makes room for the fourth.
+    # All three accepted messages must be in flight: a message that still waited for an unproven next hop would be shed
+    # within some ms, as the courier is full, and would make room for the fourth.
     stage = HttpTestbed(tmp_path, lambda *_: None, max_open=3)
     other = NextHop(api.Endpoint(b"s-2", 8, 0, 0, api.EndpointState.READY), stage.peer.address, stage.pool)
     stage.courier.apply_map_update("discovery", [other])
@@ -481,7 +481,7 @@
     return got[0]
 
 
-def test_outcomes_of_connections(tmp_path: Path) -> None:
+def test_each_end_of_a_connection_gives_its_outcome(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, ok)
     assert attempt(stage) is Outcome.OK
     assert attempt(stage, leave=False) is Outcome.MOOT and len(stage.peer.seen) == 1
@@ -532,7 +532,7 @@
 def test_only_a_complete_response_proves_that_a_message_was_not_processed(
     tmp_path: Path, answer: bytes, outcome: Outcome
 ) -> None:
-    # Guards against a payment that is processed twice, and against noise that is read as the next response.
+    # Guards against a payment that is processed twice, and against reading noise as the next response.
     stage = HttpTestbed(tmp_path, lambda *_: answer)
     assert attempt(stage, timeout=5 * SECOND) is outcome
     stage.peer.script = lambda *_: parser.response(500)
@@ -553,7 +553,7 @@
 
 
 def test_input_on_an_idle_connection_closes_it(tmp_path: Path) -> None:
-    # Guards against a duplicate of a response that is read as the next response.
+    # Guards against reading a duplicate of one response as the response to the next request.
     stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
     assert attempt(stage) is Outcome.OK
     stage.peer.streams[-1].sock.send(parser.response(200))
@@ -563,8 +563,8 @@
 
 def test_idle_connections_expire_and_closed_ones_are_not_reused(tmp_path: Path) -> None:
     stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
-    for span, connections in ((0, 1), (4_000 * MS, 1), (4_500 * MS, 2)):
-        stage.run_for(span)
+    for idle_time, connections in ((0, 1), (4_000 * MS, 1), (4_500 * MS, 2)):
+        stage.run_for(idle_time)
         assert attempt(stage) is Outcome.OK and stage.peer.connections == connections
     stage.peer.streams[-1].close()  # without notice: a request on it now would end with a reset
     assert attempt(stage) is Outcome.OK and stage.peer.connections == 3
@@ -714,7 +714,7 @@
 
 @pytest.mark.parametrize("responds", [True, False])
 def test_a_start_respects_a_drain_that_began_while_it_was_down(tmp_path: Path, responds: bool) -> None:
-    # Guards against sending a recovered message by an outdated list; but a silent discovery must not delay a start.
+    # Guards against sending a recovered message by an outdated list; yet a silent discovery must not delay a start.
     old = HttpTestbed(tmp_path, lambda *_: None)
     old.talk(submit_request("held"))
     old.run_until(lambda: old.peer.seen)
@@ -784,6 +784,7 @@
 def test_a_limit_that_an_endpoint_reported_is_known_after_a_restart(
     tmp_path: Path, couriers: int, known: float
 ) -> None:
+    # A fleet of three couriers is so small that reported limits are not journalled.
     report = {"Endpoint-Load-Metrics": "TEXT x0=0.9, x1=25"}
     settings_ = {"forwarders": couriers, "columns": ("x0", "x1"), "share_left_column": 0, "limit_column": 1}
     old = HttpTestbed(tmp_path, lambda *_: parser.response(200, headers=report), **settings_)
@@ -888,8 +889,8 @@
     decided: set[int] = set()
     open_messages: dict[int, str] = {}
     in_flight: dict[int, int] = {}  # by message: attempts that were sent and may have been processed
-    for last, piece in enumerate(j.scan(data), 1):
-        kind, number, payload = piece.kind, piece.number, piece.payload
+    for last, record in enumerate(j.scan(data), 1):
+        kind, number, payload = record.kind, record.number, record.payload
         if kind == j.TAKEN:
             open_messages[number] = json.loads(payload[12 : 12 + int.from_bytes(payload[8:12], "little")])["trace"]
         elif kind == j.DONE:
@@ -900,7 +901,7 @@
             in_flight[number] = in_flight.get(number, 0) + (1 if kind == j.ATTEMPT else -1)
         directory = tmp_path / str(last)
         directory.mkdir()
-        (directory / "journal").write_bytes(data[: piece.end])
+        (directory / "journal").write_bytes(data[: record.end])
         new = HttpTestbed(directory, ok)
         new.courier.resume()
         new.run_until(lambda new=new: not new.journal.entries)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -54,6 +54,7 @@
 
 
 def secure(stage: SmppTestbed, directory: Path, **account: object) -> TlsStore:
+    """Switches the listener to TLS, and changes fields of its accounts."""
     write_files(directory)
     keys = TlsStore(conf(directory))
     config = stage.server.config
@@ -81,7 +82,7 @@
     return connected[0]
 
 
-def test_contractors_bind_and_submit_over_tls_and_other_connections_are_closed(tmp_path: Path) -> None:
+def test_contractors_bind_and_submit_over_tls_and_connections_without_tls_are_closed(tmp_path: Path) -> None:
     stage = SmppTestbed(tmp_path)
     gate = StandInGateway(stage)
     stage.open(gateway(gate.address))
@@ -119,17 +120,17 @@
     # Another courier's listener acts as the gateway: it rejects the destination, as a gateway may do.
     hub_keys = hub.server._keys
     for name, bound in (("hub.example", True), ("other.example", False)):
-        gates = SmppCarrier(
+        carrier = SmppCarrier(
             hub.loop,
             hub.buffers,
             hub.courier.settings,
             (gateway(hub.address, system_id="acme", password="secret", tls="main", server_name=name, stay_bound=True),),
             keys=hub_keys,
         )
-        gates.start()
+        carrier.start()
         hub.run_for(SECOND)
-        assert next(iter(gates._links.values())).is_receiving() is bound
-        gates.shut_down()
+        assert next(iter(carrier._links.values())).is_receiving() is bound
+        carrier.shut_down()
 
 
 def test_reloaded_files_apply_to_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
@@ -140,7 +141,7 @@
     assert old is not None
     write_files(tmp_path, "hub.example", ca=trustme.CA())
     keys.reload_files(conf(tmp_path))
-    assert connect_contractor(stage, client()) is None, "the certificate of the other authority is not presented"
+    assert connect_contractor(stage, client()) is None, "the certificate of the other authority was not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
     with pytest.raises(ConfErrors, match=r"conf:2: tls main.certificate.*holds no certificate"):
         keys.reload_files(conf(tmp_path))
@@ -171,7 +172,7 @@
         TlsStore(conf(tmp_path))
 
 
-def test_references_to_missing_tls_sections_are_faults(tmp_path: Path) -> None:
+def test_references_to_missing_tls_sections_are_errors(tmp_path: Path) -> None:
     write_files(tmp_path)
     (tmp_path / "pw").write_text("secret")
     (tmp_path / "pw").chmod(0o600)
@@ -179,9 +180,9 @@
         "smpp\n    tls none\nsmpp-gateway g\n    address 127.0.0.1:1\n    destination 1\n    system-id us\n"
         "    password-file pw\n    tls other\n"
     )
-    with pytest.raises(ConfErrors) as faults:
+    with pytest.raises(ConfErrors) as caught:
         resolve.keys(conf(tmp_path, "", rest))
-    assert [str(fault).partition(": ")[2] for fault in faults.value.errors] == [
+    assert [str(error).partition(": ")[2] for error in caught.value.errors] == [
         "smpp.tls: there is no section tls none",
         "smpp-gateway g.tls: there is no section tls other",
     ]
@@ -224,22 +225,24 @@
     stage = SmppTestbed(tmp_path)
     stage.open()
     config = stage.server.config
-    away = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
-    stage.server.config = dataclasses.replace(config, accounts=away)
+    other_networks = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
+    stage.server.config = dataclasses.replace(config, accounts=other_networks)
     assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
     stage.server.config = config
     assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
         assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
-    cut: list[StandInContractor] = []
-    stage.loop.spawn(lambda: cut.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.run_until(lambda: cut and cut[0].stream.sock.fileno() < 0)
-    assert not cut[0].answers
+    throttled: list[StandInContractor] = []
+    stage.loop.spawn(
+        lambda: throttled.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER))
+    )
+    stage.run_until(lambda: throttled and throttled[0].stream.sock.fileno() < 0)
+    assert not throttled[0].answers  # closed without an answer
     stage.run_for(2 * SECOND)
     assert stage.contractor().answers[0].status == 0
 
 
-def test_delays_grow_and_are_forgotten() -> None:
+def test_bind_delays_grow_with_refusals_and_old_refusals_are_forgotten() -> None:
     limiter = access.BindThrottle()
     delays = [limiter.record_refusal("1.1.1.1", 0) // SECOND for _ in range(12)]
     assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.is_throttled("1.1.1.1", 59 * SECOND)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of the six rules that a controller's actions must keep, each by a scenario that would break the rule."""
+"""The six rules that a controller's actions must keep; each test is a scenario in which a wrong action breaks one."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         assert len(f.sends) == 1 and isinstance(f.answers[1][1], Fail)
 
 
-def test_an_unsafe_message_is_sent_again_when_it_surely_did_not_run() -> None:
+def test_an_unsafe_message_is_sent_again_if_it_cannot_have_run() -> None:
     for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
         f = Forwarder(settings(message_class(Safety.UNSAFE)))
         f.endpoints("a", "b")
@@ -118,7 +118,7 @@
     assert [s.message for s in f.outcome(1, Outcome.OK)] == [2]
 
 
-def test_a_failing_route_gets_few_calls_and_more_over_its_ramp() -> None:
+def test_a_failing_route_gets_few_calls_and_more_as_it_recovers() -> None:
     f = Forwarder(settings(slots=100))
     f.endpoints("a", rate=10.0)
     number = 0
@@ -154,7 +154,7 @@
 def test_failures_at_one_route_count_for_others_that_share_a_limit() -> None:
     f = Forwarder(settings(slots=100, forwarders=50))
     f.endpoints("a", "b", kind=1, rate=10.0)
-    for number in range(1, 30):  # elsewhere one in three calls fails, so that one failure proves little
+    for number in range(1, 30):  # at other destinations one call in three fails, so that one failure proves little
         f.endpoints(f"x{number}", destination=10 + number)
         f.arrive(number, destination=10 + number)
         f.outcome(number, Outcome.OK if number % 3 else Outcome.CONNECT_FAILED)
@@ -184,9 +184,9 @@
 
 
 def test_couriers_that_noticed_an_outage_together_do_not_retry_together() -> None:
-    """Guards against synchronized retries: in random scenario h88a7c5, 18 forwarders called 6.2 s after one burst.
+    """Guards against synchronized retries that overload a recovering destination.
 
-    Their calls overloaded a recovering destination.
+    In random scenario h88a7c5, 18 forwarders called again 6.2 s after the burst by which they noticed the outage.
     """
     retry_times = []
     for seed in range(30):
@@ -204,7 +204,7 @@
         f.arrive(1)
         f.outcome(1, Outcome.CONNECT_FAILED)
         f.wait(SECOND)
-        f.outcome(1, Outcome.CONNECT_FAILED)  # on the other route: the destination is down, so both are
+        f.outcome(1, Outcome.CONNECT_FAILED)  # on the other route, too: the destination and both routes are down
         assert all(r.down for r in f.controller.routes.values())
         start, before = f.now, len(f.sends)
         f.wait(30 * SECOND)
