--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -25,9 +25,9 @@
 class Hop(Peer):
     """A passive next hop: the test controls its sockets."""
 
-    def __init__(self, stage: HttpTestbed) -> None:
-        super().__init__(stage, ok)
-        stage.peer = self
+    def __init__(self, testbed: HttpTestbed) -> None:
+        super().__init__(testbed, ok)
+        testbed.peer = self
 
     def serve(self, stream: Stream) -> None:
         pass
@@ -37,11 +37,13 @@
         return [stream.sock for stream in self.streams]
 
 
-def start_attempt(stage: HttpTestbed, timeout: int = 2 * SECOND) -> list[Outcome]:
+def start_attempt(testbed: HttpTestbed, timeout: int = 2 * SECOND) -> list[Outcome]:
     got: list[Outcome] = []
-    message = Message("t", PAYMENT, 0, 7, stage.loop.now + 9 * SECOND, b"x" * 40, stage.sender, "key")
-    stage.loop.spawn(
-        lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + timeout, lambda: True).outcome)
+    message = Message("t", PAYMENT, 0, 7, testbed.loop.now + 9 * SECOND, b"x" * 40, testbed.sender, "key")
+    testbed.loop.spawn(
+        lambda: got.append(
+            testbed.pool.attempt(message, testbed.hop(), testbed.loop.now + timeout, lambda: True).outcome
+        )
     )
     return got
 
@@ -52,20 +54,20 @@
     tmp_path: Path, read_bytes: int, sent_bytes: int
 ) -> None:
     # Guards against a payment that is sent again although its last byte had been written.
-    stage = HttpTestbed(tmp_path, ok)
-    hop = Hop(stage)
-    got = start_attempt(stage)
-    stage.run_until(lambda: hop.socks)
-    stage.run_for(5 * MS)
+    testbed = HttpTestbed(tmp_path, ok)
+    hop = Hop(testbed)
+    got = start_attempt(testbed)
+    testbed.run_until(lambda: hop.socks)
+    testbed.run_for(5 * MS)
     (sock,) = hop.socks
     if read_bytes:
         sock.recv(read_bytes)
     if sent_bytes:
         sock.send(b"HTTP/1.1 503 X\r\n"[:sent_bytes])
-        stage.run_for(2 * MS)
+        testbed.run_for(2 * MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_CLOSE)
     sock.close()
-    stage.run_until(lambda: got)
+    testbed.run_until(lambda: got)
     assert got[0] in (Outcome.RESET, Outcome.ERROR)
 
 
@@ -74,67 +76,67 @@
 )
 @pytest.mark.parametrize("start", [b"", b"HTTP/1.1 503 X\r\n", b"HTTP/1.1 429 X\r\nTransfer-Encoding: chunked\r\n\r\n"])
 def test_an_endless_response_is_bounded_in_time_and_memory(tmp_path: Path, start: bytes, fragment: bytes) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    hop = Hop(stage)
-    got = start_attempt(stage, 20 * SECOND)
-    stage.run_until(lambda: hop.socks)
-    stage.run_for(5 * MS)
-    (sock,), started_at = hop.socks, stage.loop.now
+    testbed = HttpTestbed(tmp_path, ok)
+    hop = Hop(testbed)
+    got = start_attempt(testbed, 20 * SECOND)
+    testbed.run_until(lambda: hop.socks)
+    testbed.run_for(5 * MS)
+    (sock,), started_at = hop.socks, testbed.loop.now
     flooded: list[int] = []
 
     def flood() -> None:
         try:
             sock.send(start)
             while not got:
-                stage.loop.writable(sock, stage.loop.now + 10 * MS)
+                testbed.loop.writable(sock, testbed.loop.now + 10 * MS)
                 with contextlib.suppress(BlockingIOError):
                     sock.send(fragment)
-                stage.loop.sleep(MS)
+                testbed.loop.sleep(MS)
         except OSError:
             pass
         flooded.append(1)
 
-    stage.loop.spawn(flood)
-    stage.run_until(lambda: got and flooded)
-    assert got[0] in (Outcome.ERROR, Outcome.RESET) and stage.loop.now - started_at < RESPONSE_READ_TIMEOUT + SECOND
-    assert stage.buffers._made <= 4
+    testbed.loop.spawn(flood)
+    testbed.run_until(lambda: got and flooded)
+    assert got[0] in (Outcome.ERROR, Outcome.RESET) and testbed.loop.now - started_at < RESPONSE_READ_TIMEOUT + SECOND
+    assert testbed.buffers._made <= 4
 
 
 def test_the_number_of_responses_being_drained_is_limited(tmp_path: Path) -> None:
     # Guards against responses that are slow after their status line and hold descriptors: they no longer take a slot,
     # so the number of slots does not limit them.
-    stage = HttpTestbed(tmp_path, ok, slots=3)
-    hop = Hop(stage)
+    testbed = HttpTestbed(tmp_path, ok, slots=3)
+    hop = Hop(testbed)
     for number in range(8):
-        got = start_attempt(stage)
-        stage.run_until(lambda number=number: len(hop.socks) > number)
-        stage.run_for(2 * MS)
+        got = start_attempt(testbed)
+        testbed.run_until(lambda number=number: len(hop.socks) > number)
+        testbed.run_for(2 * MS)
         hop.socks[number].send(b"HTTP/1.1 200 OK\r\nContent-Le")
-        stage.run_until(lambda got=got: got)
+        testbed.run_until(lambda got=got: got)
         assert got == [Outcome.OK]
-    assert stage.pool._draining_responses <= 3
-    stage.run_for(RESPONSE_READ_TIMEOUT + SECOND)
-    assert stage.pool._draining_responses == 0
+    assert testbed.pool._draining_responses <= 3
+    testbed.run_for(RESPONSE_READ_TIMEOUT + SECOND)
+    assert testbed.pool._draining_responses == 0
 
 
 def test_noise_on_an_idle_connection_is_not_read_as_a_response(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    assert attempt(stage) is Outcome.OK
-    stage.peer.streams[0].sock.send(b"HTTP/1.1 2")  # half a status line while the connection is idle
-    stage.run_for(2 * MS)
-    assert attempt(stage) is Outcome.OK and stage.peer.connections == 2
+    testbed = HttpTestbed(tmp_path, ok)
+    assert attempt(testbed) is Outcome.OK
+    testbed.peer.streams[0].sock.send(b"HTTP/1.1 2")  # half a status line while the connection is idle
+    testbed.run_for(2 * MS)
+    assert attempt(testbed) is Outcome.OK and testbed.peer.connections == 2
 
 
 def test_a_slow_request_that_is_closed_to_make_room_gets_a_response(tmp_path: Path) -> None:
     # Guards against resetting an incomplete request when descriptors run short.
-    stage = HttpTestbed(tmp_path, ok)
-    slow = [Caller(stage) for _ in range(20)]
+    testbed = HttpTestbed(tmp_path, ok)
+    slow = [Caller(testbed) for _ in range(20)]
     for caller in slow:
         caller.send(b"POST /reading HTTP/1.1\r\nX-")
-    stage.run_until(lambda: len(stage.server._clients[State.ASKING]) == 20)
-    stage.run_for(400 * MS)
-    started_at = stage.loop.now
-    assert b" 202 " in stage.talk(submit_request()) and stage.loop.now - started_at < 400 * MS
+    testbed.run_until(lambda: len(testbed.server._clients[State.ASKING]) == 20)
+    testbed.run_for(400 * MS)
+    started_at = testbed.loop.now
+    assert b" 202 " in testbed.talk(submit_request()) and testbed.loop.now - started_at < 400 * MS
     slow[0].read_until(lambda: slow[0].ending)
     assert slow[0].ending == END and slow[0].got.startswith(b"HTTP/1.1 408 ")
 
@@ -142,14 +144,14 @@
 def test_a_200_after_the_deadline_does_not_count_as_delivered(tmp_path: Path) -> None:
     # Guards against a message without a final state: the next hop does not count a delivery whose response is late, so
     # the message would be reported neither as delivered nor by a notice.
-    stage = HttpTestbed(tmp_path, ok)
-    hop = Hop(stage)
+    testbed = HttpTestbed(tmp_path, ok)
+    hop = Hop(testbed)
     timeout = 100 * MS
-    got, deadline = start_attempt(stage, timeout), stage.loop.now + timeout
-    stage.run_until(lambda: hop.socks)
-    stage.run_for(2 * MS)
+    got, deadline = start_attempt(testbed, timeout), testbed.loop.now + timeout
+    testbed.run_until(lambda: hop.socks)
+    testbed.run_for(2 * MS)
     # The response arrives in a turn after the deadline.
-    real, stage.loop.clock = stage.loop.clock, lambda: max(real(), deadline + 50 * MS)
+    real, testbed.loop.clock = testbed.loop.clock, lambda: max(real(), deadline + 50 * MS)
     hop.socks[0].send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    stage.run_until(lambda: got)
+    testbed.run_until(lambda: got)
     assert got == [Outcome.TIMEOUT]
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -115,47 +115,47 @@
 
 
 def start_watch(directory: Path, script: object, **more: object) -> tuple[HttpTestbed, Watch]:
-    stage = HttpTestbed(directory, ok, script, **more)  # type: ignore[arg-type]
-    watch = make_watch(stage.courier, stage)
+    testbed = HttpTestbed(directory, ok, script, **more)  # type: ignore[arg-type]
+    watch = make_watch(testbed.courier, testbed)
     watch.apply({"index": 1, "snapshot": True, "endpoints": [ROW]})
-    stage.loop.spawn(watch.run)
-    return stage, watch
+    testbed.loop.spawn(watch.run)
+    return testbed, watch
 
 
 @pytest.mark.parametrize("fragment", [b"", b" ", b"{"])
 def test_incomplete_lines_do_not_count_as_activity_of_a_watch(tmp_path: Path, fragment: bytes) -> None:
     # Guards against a watch that receives no changes, but is kept open by single bytes that never complete a line.
     request_times: list[int] = []
-    stage: HttpTestbed
+    testbed: HttpTestbed
 
     def discovery(head: parser.Head, _: bytes) -> bytes:
-        request_times.append(stage.loop.now)
+        request_times.append(testbed.loop.now)
         if len(request_times) > 1:
             return HEAD + chunk(json.dumps(list_update(2, "leaving")).encode() + b"\n")
         return HEAD + chunk(b"\n")
 
-    stage, watch = start_watch(tmp_path, discovery)
-    stage.run_until(lambda: request_times)
+    testbed, watch = start_watch(tmp_path, discovery)
+    testbed.run_until(lambda: request_times)
     for _ in range(80):
-        if fragment and len(request_times) < 2 and stage.platform.streams:
+        if fragment and len(request_times) < 2 and testbed.platform.streams:
             with contextlib.suppress(OSError):  # the courier has closed the watch meanwhile
-                stage.platform.streams[0].sock.send(chunk(fragment))
-        stage.run_for(100 * MS)
-    stage.run_until(lambda: watch.index == 2)
+                testbed.platform.streams[0].sock.send(chunk(fragment))
+        testbed.run_for(100 * MS)
+    testbed.run_until(lambda: watch.index == 2)
     assert request_times[1] - request_times[0] < WATCH_SILENCE_TIMEOUT + SECOND
 
 
 def test_a_discovery_that_is_slow_to_send_headers_is_waited_for(tmp_path: Path) -> None:
     # Guards against retrying a busy discovery forever, each request timing out before its response headers.
-    stage: HttpTestbed
+    testbed: HttpTestbed
 
     def discovery(head: parser.Head, _: bytes) -> bytes:
-        stage.loop.sleep(RESPONSE_TIMEOUT + 600 * MS)
+        testbed.loop.sleep(RESPONSE_TIMEOUT + 600 * MS)
         return HEAD + chunk(json.dumps(list_update(2, "leaving")).encode() + b"\n")
 
-    stage, watch = start_watch(tmp_path, discovery, must_subscribe=True, ask_within_ns=10 * SECOND)
-    stage.run_until(lambda: watch.index == 2)
-    assert 2 <= len(stage.platform.seen) <= 3
+    testbed, watch = start_watch(tmp_path, discovery, must_subscribe=True, ask_within_ns=10 * SECOND)
+    testbed.run_until(lambda: watch.index == 2)
+    assert 2 <= len(testbed.platform.seen) <= 3
 
 
 @pytest.mark.parametrize("indent", [None, 0, 2, 4])
@@ -173,9 +173,9 @@
 def test_a_watch_applies_an_indented_list_and_one_over_two_lines(tmp_path: Path) -> None:
     two_lines = json.dumps(list_update(3, "leaving")).replace('"endpoints": [', '"endpoints": [\n  ')
     answers = [HEAD + chunk(json.dumps(list_update(2), indent=2).encode() + b"\n") + chunk(two_lines.encode() + b"\n")]
-    stage, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
-    stage.run_until(lambda: watch.index == 3)
-    assert stage.courier.map.hops[b"s-9"].endpoint.state.name == "DRAINING" and len(stage.platform.seen) == 1
+    testbed, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
+    testbed.run_until(lambda: watch.index == 3)
+    assert testbed.courier.map.hops[b"s-9"].endpoint.state.name == "DRAINING" and len(testbed.platform.seen) == 1
 
 
 @pytest.mark.parametrize(
@@ -186,9 +186,9 @@
 ) -> None:
     # Guards against losing a drain that was sent in a malformed object.
     answers = [HEAD + chunk(json.dumps(list_update(3, "leaving")).encode() + b"\n"), HEAD + chunk(bad) + chunk(b"\n")]
-    stage, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
-    stage.run_until(lambda: watch.index == 3)
-    assert [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["1", "1"]
+    testbed, watch = start_watch(tmp_path, lambda *_: answers.pop() if answers else None)
+    testbed.run_until(lambda: watch.index == 3)
+    assert [h.start_line[1].rpartition("=")[2] for h, _ in testbed.platform.seen] == ["1", "1"]
     assert capsys.readouterr().out.count("event=map-unreadable") == 1
 
 
@@ -208,19 +208,19 @@
 def test_an_unknown_destination_is_deferred_while_the_list_may_be_behind(tmp_path: Path) -> None:
     # Guards against rejecting a message for good although its destination was listed while the watch was broken.
     reachable: list[bytes] = []
-    stage, watch = start_watch(
+    testbed, watch = start_watch(
         tmp_path, lambda *_: HEAD + chunk(b"\n") if reachable else parser.response(503, keep=False)
     )
-    stage.run_until(lambda: watch._attempts > 1)
+    testbed.run_until(lambda: watch._attempts > 1)
     unknown = submit_request("u", X_Route_To="dest=99")
-    assert b" 503 " in stage.talk(unknown)
+    assert b" 503 " in testbed.talk(unknown)
     reachable.append(b"")
-    stage.run_until(lambda: watch._disconnected_at is None)
-    assert b" 503 " in stage.talk(unknown)
-    peer: Peer = stage.platform
+    testbed.run_until(lambda: watch._disconnected_at is None)
+    assert b" 503 " in testbed.talk(unknown)
+    peer: Peer = testbed.platform
     finished: list[int] = []
-    stage.loop.call_at(stage.loop.now + CATCH_UP_TIME + SECOND, lambda: finished.append(1))
+    testbed.loop.call_at(testbed.loop.now + CATCH_UP_TIME + SECOND, lambda: finished.append(1))
     while not finished:  # empty lines keep the watch open
         peer.streams[-1].sock.send(chunk(b"\n"))
-        stage.run_for(SECOND)
-    assert b" 422 " in stage.talk(unknown)
+        testbed.run_for(SECOND)
+    assert b" 422 " in testbed.talk(unknown)
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -111,9 +111,9 @@
 
 
 def make_testbed_with_rules(directory: Path, text: str) -> tuple[CourierTestbed, plugins.Plugins, Message]:
-    scene = CourierTestbed(directory)
-    message = Message("t1", READING, 0, 7, scene.loop.now + SECOND, b"urgent: 5", scene.sender, "k")
-    return scene, plugins.Plugins(scene.loop, scene.courier.settings, read_rules(directory, text)), message
+    testbed = CourierTestbed(directory)
+    message = Message("t1", READING, 0, 7, testbed.loop.now + SECOND, b"urgent: 5", testbed.sender, "k")
+    return testbed, plugins.Plugins(testbed.loop, testbed.courier.settings, read_rules(directory, text)), message
 
 
 def test_rules_change_defer_and_reject_messages(tmp_path: Path) -> None:
@@ -194,12 +194,12 @@
 
 
 def test_plug_ins_run_before_a_message_is_accepted(tmp_path: Path) -> None:
-    scene, plugin_host, message = make_testbed_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
-    scene.courier.hooks.append(plugin_host)
+    testbed, plugin_host, message = make_testbed_with_rules(tmp_path, 'on arrival when 1: reject "closed today"')
+    testbed.courier.hooks.append(plugin_host)
     accepted: list[bool] = []
-    scene.loop.spawn(scene.courier.submit, message, lambda a: accepted.append(a.accepted) or True)
-    scene.run_until(lambda: accepted)
-    assert accepted == [False] and not scene.journal.entries
+    testbed.loop.spawn(testbed.courier.submit, message, lambda a: accepted.append(a.accepted) or True)
+    testbed.run_until(lambda: accepted)
+    assert accepted == [False] and not testbed.journal.entries
 
 
 # The nginx importer
@@ -239,9 +239,9 @@
     target.write_text(output)
     lines = sorted(int(line.split(":")[1]) for line in unsupported.splitlines())
     assert lines == [4, 6, 7, 10, 17, 18, 19, 19, 20] and all(str(source) in x for x in unsupported.splitlines())
-    scene = CourierTestbed(tmp_path)
+    testbed = CourierTestbed(tmp_path)
     hops = [
-        entries.to_next_hop(row, scene.courier.settings, object())  # type: ignore[arg-type]
+        entries.to_next_hop(row, testbed.courier.settings, object())  # type: ignore[arg-type]
         for row in entries.read_map(str(target))
     ]
     first, second, down, other = hops
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -38,22 +38,22 @@
 class Peer:
     """A test server whose script decides on each complete request: a response, no response (None), or a close (b"")."""
 
-    def __init__(self, scene: CourierTestbed, script: Script) -> None:
-        self.scene, self.script = scene, script
+    def __init__(self, testbed: CourierTestbed, script: Script) -> None:
+        self.testbed, self.script = testbed, script
         self.listener, self.address = listener()
         self.connections = 0
         self.streams: list[Stream] = []
         self.seen: list[tuple[parser.Head, bytes]] = []
-        scene.loop.spawn(self.accept)
+        testbed.loop.spawn(self.accept)
 
     def accept(self) -> None:
         while True:
-            self.scene.loop.readable(self.listener, None)
+            self.testbed.loop.readable(self.listener, None)
             sock, _ = self.listener.accept()
             sock.setblocking(False)
             self.connections += 1
-            self.streams.append(Stream(self.scene.loop, sock, self.scene.buffers))
-            self.scene.loop.spawn(self.serve, self.streams[-1])
+            self.streams.append(Stream(self.testbed.loop, sock, self.testbed.buffers))
+            self.testbed.loop.spawn(self.serve, self.streams[-1])
 
     def serve(self, stream: Stream) -> None:
         try:
@@ -287,27 +287,27 @@
 def test_bad_requests_get_an_error_status_and_nothing_is_journalled(
     tmp_path: Path, request_: bytes, status: int
 ) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    assert stage.talk(request_).startswith(b"HTTP/1.1 %d " % status)
-    assert not stage.journal.entries and not stage.peer.seen
-    assert stage.talk(submit_request()).startswith(b"HTTP/1.1 202 ")
+    testbed = HttpTestbed(tmp_path, ok)
+    assert testbed.talk(request_).startswith(b"HTTP/1.1 %d " % status)
+    assert not testbed.journal.entries and not testbed.peer.seen
+    assert testbed.talk(submit_request()).startswith(b"HTTP/1.1 202 ")
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     data = b"".join(submit_request(f"t{i}") for i in range(5))
-    got = stage.talk(data[:100], data[100:101], data[101:], until=lambda text: text.count(b" 202 ") == 5)
+    got = testbed.talk(data[:100], data[100:101], data[101:], until=lambda text: text.count(b" 202 ") == 5)
     assert got.count(b"\r\n\r\n") == 5
-    stage.run_until(lambda: len(stage.peer.seen) == 5 and not stage.journal.entries)
-    assert stage.platform.seen == []  # a delivered message needs no notice
+    testbed.run_until(lambda: len(testbed.peer.seen) == 5 and not testbed.journal.entries)
+    assert testbed.platform.seen == []  # a delivered message needs no notice
 
 
 def test_a_message_is_journalled_and_acknowledged_before_its_first_attempt(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     order: list[str] = []
-    accepted, attempted, write = stage.journal.record_accepted, stage.journal.record_attempt, Stream.write
-    stage.journal.record_accepted = lambda *a: (order.append("journal"), accepted(*a))[1]  # type: ignore[method-assign]
-    stage.journal.record_attempt = lambda *a: (order.append("attempt"), attempted(*a))[1]  # type: ignore[method-assign]
+    accepted, attempted, write = testbed.journal.record_accepted, testbed.journal.record_attempt, Stream.write
+    testbed.journal.record_accepted = lambda *a: (order.append("journal"), accepted(*a))[1]  # type: ignore[method-assign]
+    testbed.journal.record_attempt = lambda *a: (order.append("attempt"), attempted(*a))[1]  # type: ignore[method-assign]
 
     def spy(self: Stream, data: bytes, deadline: int | None) -> None:
         order.append(data.split(b"\r\n")[0].decode("latin-1"))
@@ -315,20 +315,20 @@
 
     Stream.write = spy  # type: ignore[method-assign]
     try:
-        stage.talk(submit_request())
-        stage.run_until(lambda: not stage.journal.entries)
+        testbed.talk(submit_request())
+        testbed.run_until(lambda: not testbed.journal.entries)
     finally:
         Stream.write = write  # type: ignore[method-assign]
     assert order[:4] == ["journal", "HTTP/1.1 202 Accepted", "attempt", "POST /v1/messages HTTP/1.1"]
 
 
 def test_a_message_is_not_accepted_if_its_client_has_disconnected(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    sock = socket.create_connection(stage.address)
+    testbed = HttpTestbed(tmp_path, ok)
+    sock = socket.create_connection(testbed.address)
     sock.sendall(submit_request())
     sock.close()
-    stage.run_until(lambda: stage.server.count == 0 and stage.courier._last_number == 1)
-    assert not stage.journal.entries and not stage.courier.open and not stage.peer.seen
+    testbed.run_until(lambda: testbed.server.count == 0 and testbed.courier._last_number == 1)
+    assert not testbed.journal.entries and not testbed.courier.open and not testbed.peer.seen
 
 
 @pytest.mark.parametrize(
@@ -341,61 +341,65 @@
 )
 def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
     # Guards against clients that hold descriptors and buffers forever.
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     started_at = CLOCK.ahead
-    assert stage.talk(data, until=lambda _: False).startswith(answer)
-    stage.run_until(lambda: stage.server.count == 0)  # half-closed, and closed once the client has closed its side, too
-    assert not stage.journal.entries
+    assert testbed.talk(data, until=lambda _: False).startswith(answer)
+    testbed.run_until(
+        lambda: testbed.server.count == 0
+    )  # half-closed, and closed once the client has closed its side, too
+    assert not testbed.journal.entries
     assert CLOCK.ahead - started_at < 3 * SECOND
 
 
 def test_a_rejection_reaches_a_client_that_still_sends_a_huge_body(tmp_path: Path) -> None:
     # Guards against a reset that overtakes the response, and against reading the body into memory.
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     head = b"POST /reading HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
-    got = stage.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
-    assert got.startswith(b"HTTP/1.1 413 ") and stage.buffers._made <= 2
+    got = testbed.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
+    assert got.startswith(b"HTTP/1.1 413 ") and testbed.buffers._made <= 2
 
 
 def test_an_id_of_an_open_or_recently_finished_message_is_not_accepted_again(tmp_path: Path) -> None:
     # Guards against a second delivery when a faulty client reuses the id of another message, and against rejecting a
     # client that repeats its request because the connection was closed before the response arrived.
-    stage = HttpTestbed(tmp_path, lambda *_: None)
-    assert b" 202 " in stage.talk(submit_request("a", "payment"))
-    assert b" 202 " in stage.talk(submit_request("a", "payment")) and len(stage.journal.entries) == 1
-    assert b" 409 " in stage.talk(submit_request("a", "payment", b"other")) and b" 409 " in stage.talk(
+    testbed = HttpTestbed(tmp_path, lambda *_: None)
+    assert b" 202 " in testbed.talk(submit_request("a", "payment"))
+    assert b" 202 " in testbed.talk(submit_request("a", "payment")) and len(testbed.journal.entries) == 1
+    assert b" 409 " in testbed.talk(submit_request("a", "payment", b"other")) and b" 409 " in testbed.talk(
         submit_request("a")
     )
-    stage.run_until(lambda: not stage.journal.entries)
-    assert [notice["id"] for notice in stage.notices_seen()] == ["a"]
-    assert b" 409 " in stage.talk(submit_request("a", "payment")) and len(stage.peer.seen) == 1  # its failure is final
-    stage.run_for(29 * SECOND)  # longer than any message's lifetime
-    assert b" 202 " in stage.talk(submit_request("a")) and len(stage.courier._known) == 1
+    testbed.run_until(lambda: not testbed.journal.entries)
+    assert [notice["id"] for notice in testbed.notices_seen()] == ["a"]
+    assert (
+        b" 409 " in testbed.talk(submit_request("a", "payment")) and len(testbed.peer.seen) == 1
+    )  # its failure is final
+    testbed.run_for(29 * SECOND)  # longer than any message's lifetime
+    assert b" 202 " in testbed.talk(submit_request("a")) and len(testbed.courier._known) == 1
 
 
 def test_a_delivered_message_is_acknowledged_again_and_a_returned_one_is_accepted_again(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     for _ in range(3):
-        assert b" 202 " in stage.talk(submit_request("paid", "payment"))
-        stage.run_until(lambda: not stage.journal.entries)
-    assert len(stage.peer.seen) == 1 and not stage.notices_seen()
-    stage.peer.script = lambda *_: parser.response(503, headers={"Retry-After": "9"})
-    assert b" 202 " in stage.talk(submit_request("back", X_Expires_In="300m"))
-    stage.run_until(lambda: stage.notices_seen())
-    stage.run_until(lambda: not stage.journal.entries)
-    assert stage.notices_seen()[0]["state"] == "returned"
-    stage.run_for(10 * SECOND)
-    stage.peer.script = ok
-    assert b" 202 " in stage.talk(submit_request("back"))
-    stage.run_until(lambda: not stage.journal.entries)
-    assert len(stage.notices_seen()) == 1 and len(stage.peer.seen) >= 2
+        assert b" 202 " in testbed.talk(submit_request("paid", "payment"))
+        testbed.run_until(lambda: not testbed.journal.entries)
+    assert len(testbed.peer.seen) == 1 and not testbed.notices_seen()
+    testbed.peer.script = lambda *_: parser.response(503, headers={"Retry-After": "9"})
+    assert b" 202 " in testbed.talk(submit_request("back", X_Expires_In="300m"))
+    testbed.run_until(lambda: testbed.notices_seen())
+    testbed.run_until(lambda: not testbed.journal.entries)
+    assert testbed.notices_seen()[0]["state"] == "returned"
+    testbed.run_for(10 * SECOND)
+    testbed.peer.script = ok
+    assert b" 202 " in testbed.talk(submit_request("back"))
+    testbed.run_until(lambda: not testbed.journal.entries)
+    assert len(testbed.notices_seen()) == 1 and len(testbed.peer.seen) >= 2
 
 
 def test_silent_connections_are_closed_to_make_room_for_active_clients(tmp_path: Path) -> None:
     # Guards against hundreds of silent connections that leave no descriptor for active clients.
-    stage = HttpTestbed(tmp_path, ok)
-    silent = [socket.create_connection(stage.address) for _ in range(60)]
-    assert b" 202 " in stage.talk(submit_request()) and stage.server.count <= 20
+    testbed = HttpTestbed(tmp_path, ok)
+    silent = [socket.create_connection(testbed.address) for _ in range(60)]
+    assert b" 202 " in testbed.talk(submit_request()) and testbed.server.count <= 20
     assert sum(sock.recv(1) == b"" for sock in silent[:30]) == 30  # the oldest were closed
     for sock in silent:
         sock.close()
@@ -403,19 +407,19 @@
 
 def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
     # Guards against idle connections that use up the connection limit and leave no room for new ones.
-    stage = HttpTestbed(tmp_path, ok)
-    idle, closed = [socket.create_connection(stage.address) for _ in range(9)], []
+    testbed = HttpTestbed(tmp_path, ok)
+    idle, closed = [socket.create_connection(testbed.address) for _ in range(9)], []
     for number, sock in enumerate(idle):
         sock.sendall(submit_request(f"t{number}"))
-        stage.run_until(lambda number=number: stage.courier._last_number == number + 1)
-        stage.run_until(lambda: not stage.server._clients[State.SERVED])
+        testbed.run_until(lambda number=number: testbed.courier._last_number == number + 1)
+        testbed.run_until(lambda: not testbed.server._clients[State.SERVED])
         answer = sock.recv(1000)
         assert b" 202 " in answer
         closed.append(b"Connection: close" in answer)
     assert closed == [False] * 5 + [True] * 4
     # Half-closed connections are closed soon, although their clients stay connected.
-    stage.run_until(lambda: stage.server.count <= 5)
-    assert stage.server.count == 5
+    testbed.run_until(lambda: testbed.server.count <= 5)
+    assert testbed.server.count == 5
     for sock in idle:
         sock.close()
 
@@ -443,62 +447,64 @@
 def test_messages_beyond_the_limit_of_open_ones_are_deferred(tmp_path: Path) -> None:
     # All three accepted messages must be in flight: a message that still waited for an unproven next hop would be shed
     # within some ms, as the courier is full, and would make room for the fourth.
-    stage = HttpTestbed(tmp_path, lambda *_: None, max_open=3)
-    other = NextHop(api.Endpoint(b"s-2", 8, 0, 0, api.EndpointState.READY), stage.peer.address, stage.pool)
-    stage.courier.apply_map_update("discovery", [other])
+    testbed = HttpTestbed(tmp_path, lambda *_: None, max_open=3)
+    other = NextHop(api.Endpoint(b"s-2", 8, 0, 0, api.EndpointState.READY), testbed.peer.address, testbed.pool)
+    testbed.courier.apply_map_update("discovery", [other])
     routes = ("dest=7", "dest=7", "dest=8", "dest=7")
     requests = [submit_request(f"t{i}", "payment", X_Route_To=route) for i, route in enumerate(routes)]
-    got = [stage.talk(request) for request in requests[:3]]
-    stage.run_until(lambda: len(stage.peer.seen) == 3)
-    stage.run_for(100 * MS)
-    got.append(stage.talk(requests[3]))
+    got = [testbed.talk(request) for request in requests[:3]]
+    testbed.run_until(lambda: len(testbed.peer.seen) == 3)
+    testbed.run_for(100 * MS)
+    got.append(testbed.talk(requests[3]))
     assert [text[9:12] for text in got] == [b"202", b"202", b"202", b"503"] and b"Retry-After: 1" in got[3]
-    assert len(stage.journal.entries) == 3
+    assert len(testbed.journal.entries) == 3
 
 
 # Next hops
 
 
-def reset_at_once(scene: CourierTestbed) -> tuple[str, int]:
+def reset_at_once(testbed: CourierTestbed) -> tuple[str, int]:
     sock, address = listener()
 
     def serve() -> None:
         while True:
-            scene.loop.readable(sock, None)
+            testbed.loop.readable(sock, None)
             sock.accept()[0].close()
 
-    scene.loop.spawn(serve)
+    testbed.loop.spawn(serve)
     return address
 
 
-def attempt(stage: HttpTestbed, cls: int = READING, timeout: int = 200 * MS, leave: bool = True) -> Outcome:
+def attempt(testbed: HttpTestbed, cls: int = READING, timeout: int = 200 * MS, leave: bool = True) -> Outcome:
     got: list[Outcome] = []
-    message = Message("t", cls, 0, 7, stage.loop.now + SECOND, b"x" * 300, stage.sender, "key")
-    stage.loop.spawn(
-        lambda: got.append(stage.pool.attempt(message, stage.hop(), stage.loop.now + timeout, lambda: leave).outcome)
+    message = Message("t", cls, 0, 7, testbed.loop.now + SECOND, b"x" * 300, testbed.sender, "key")
+    testbed.loop.spawn(
+        lambda: got.append(
+            testbed.pool.attempt(message, testbed.hop(), testbed.loop.now + timeout, lambda: leave).outcome
+        )
     )
-    stage.run_until(lambda: got)
+    testbed.run_until(lambda: got)
     return got[0]
 
 
 def test_each_end_of_a_connection_gives_its_outcome(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    assert attempt(stage) is Outcome.OK
-    assert attempt(stage, leave=False) is Outcome.MOOT and len(stage.peer.seen) == 1
+    testbed = HttpTestbed(tmp_path, ok)
+    assert attempt(testbed) is Outcome.OK
+    assert attempt(testbed, leave=False) is Outcome.MOOT and len(testbed.peer.seen) == 1
     # The connection is reused, also after the attempt that was not allowed to leave.
-    assert attempt(stage) is Outcome.OK and stage.peer.connections == 1
-    head = stage.peer.seen[-1][0].headers
+    assert attempt(testbed) is Outcome.OK and testbed.peer.connections == 1
+    head = testbed.peer.seen[-1][0].headers
     assert (head["x-trace-id"], head["idempotency-key"], head["x-expires-in"]) == ("t", "key", "200m")
-    stage.peer.script = lambda *_: None
-    assert attempt(stage) is Outcome.TIMEOUT
-    stage.peer.script = lambda *_: b""
-    assert attempt(stage) is Outcome.RESET
-    stage.peer.script = lambda *_: b"HTTP/1.1 2"
-    assert attempt(stage) is Outcome.RESET
-    stage.peer.script = lambda *_: b"garbage\r\n\r\n"
-    assert attempt(stage) is Outcome.ERROR
-    stage.peer.listener.close()
-    assert attempt(stage) is Outcome.CONNECT_FAILED
+    testbed.peer.script = lambda *_: None
+    assert attempt(testbed) is Outcome.TIMEOUT
+    testbed.peer.script = lambda *_: b""
+    assert attempt(testbed) is Outcome.RESET
+    testbed.peer.script = lambda *_: b"HTTP/1.1 2"
+    assert attempt(testbed) is Outcome.RESET
+    testbed.peer.script = lambda *_: b"garbage\r\n\r\n"
+    assert attempt(testbed) is Outcome.ERROR
+    testbed.peer.listener.close()
+    assert attempt(testbed) is Outcome.CONNECT_FAILED
 
 
 def raw(status: int, *lines: str, body: bytes = b"") -> bytes:
@@ -533,68 +539,70 @@
     tmp_path: Path, answer: bytes, outcome: Outcome
 ) -> None:
     # Guards against a payment that is processed twice, and against reading noise as the next response.
-    stage = HttpTestbed(tmp_path, lambda *_: answer)
-    assert attempt(stage, timeout=5 * SECOND) is outcome
-    stage.peer.script = lambda *_: parser.response(500)
-    stage.run_for(1_100 * MS)
-    assert attempt(stage) is Outcome.ERROR
+    testbed = HttpTestbed(tmp_path, lambda *_: answer)
+    assert attempt(testbed, timeout=5 * SECOND) is outcome
+    testbed.peer.script = lambda *_: parser.response(500)
+    testbed.run_for(1_100 * MS)
+    assert attempt(testbed) is Outcome.ERROR
     whole = answer in (raw(503, "Content-Length: 2", body=b"ok"),) or b"102" in answer
-    assert stage.peer.connections == (1 if whole else 2)
+    assert testbed.peer.connections == (1 if whole else 2)
 
 
 def test_a_payment_with_a_malformed_refusal_fails_and_its_retry_after_is_honoured(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, lambda *_: raw(429, "Retry-After: 0.8", "Content-Length: 1"))
-    stage.talk(submit_request("p", "payment"))
-    stage.run_until(lambda: not stage.journal.entries)
-    assert stage.notices_seen() == [{"id": "p", "state": "failed"}] and len(stage.peer.seen) == 1
+    testbed = HttpTestbed(tmp_path, lambda *_: raw(429, "Retry-After: 0.8", "Content-Length: 1"))
+    testbed.talk(submit_request("p", "payment"))
+    testbed.run_until(lambda: not testbed.journal.entries)
+    assert testbed.notices_seen() == [{"id": "p", "state": "failed"}] and len(testbed.peer.seen) == 1
     assert (
-        700 * MS < stage.courier._controller.routes[b"s-1"].dest.retry_after_until // 1000 - stage.loop.now <= 800 * MS
+        700 * MS
+        < testbed.courier._controller.routes[b"s-1"].dest.retry_after_until // 1000 - testbed.loop.now
+        <= 800 * MS
     )
 
 
 def test_input_on_an_idle_connection_closes_it(tmp_path: Path) -> None:
     # Guards against reading a duplicate of one response as the response to the next request.
-    stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
-    assert attempt(stage) is Outcome.OK
-    stage.peer.streams[-1].sock.send(parser.response(200))
-    stage.peer.script = lambda *_: parser.response(500)
-    assert attempt(stage) is Outcome.ERROR and stage.peer.connections == 2
+    testbed = HttpTestbed(tmp_path, lambda *_: parser.response(200))
+    assert attempt(testbed) is Outcome.OK
+    testbed.peer.streams[-1].sock.send(parser.response(200))
+    testbed.peer.script = lambda *_: parser.response(500)
+    assert attempt(testbed) is Outcome.ERROR and testbed.peer.connections == 2
 
 
 def test_idle_connections_expire_and_closed_ones_are_not_reused(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, lambda *_: parser.response(200))
+    testbed = HttpTestbed(tmp_path, lambda *_: parser.response(200))
     for idle_time, connections in ((0, 1), (4_000 * MS, 1), (4_500 * MS, 2)):
-        stage.run_for(idle_time)
-        assert attempt(stage) is Outcome.OK and stage.peer.connections == connections
-    stage.peer.streams[-1].close()  # without notice: a request on it now would end with a reset
-    assert attempt(stage) is Outcome.OK and stage.peer.connections == 3
-    stage.peer.script = lambda *_: parser.response(200, keep=False)  # announces that it will be closed
-    assert attempt(stage) is Outcome.OK and attempt(stage) is Outcome.OK and stage.peer.connections == 4
+        testbed.run_for(idle_time)
+        assert attempt(testbed) is Outcome.OK and testbed.peer.connections == connections
+    testbed.peer.streams[-1].close()  # without notice: a request on it now would end with a reset
+    assert attempt(testbed) is Outcome.OK and testbed.peer.connections == 3
+    testbed.peer.script = lambda *_: parser.response(200, keep=False)  # announces that it will be closed
+    assert attempt(testbed) is Outcome.OK and attempt(testbed) is Outcome.OK and testbed.peer.connections == 4
 
 
 def test_a_draining_next_hop_gets_no_attempts_even_if_already_decided(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    real = stage.pool.attempt
+    testbed = HttpTestbed(tmp_path, ok)
+    real = testbed.pool.attempt
 
     def drained_meanwhile(*given: object) -> object:
-        stage.courier.apply_map_update("discovery", [stage.hop(api.EndpointState.DRAINING)], complete=False)
+        testbed.courier.apply_map_update("discovery", [testbed.hop(api.EndpointState.DRAINING)], complete=False)
         return real(*given)  # type: ignore[arg-type]
 
-    stage.pool.attempt = drained_meanwhile  # type: ignore[method-assign, assignment]
-    stage.talk(submit_request(X_Expires_In="900m"))
-    stage.run_until(lambda: not stage.journal.entries)
-    (notice,) = stage.notices_seen()
-    assert not stage.peer.seen and notice == {"id": "t1", "state": "returned", "after_ms": 2000}
+    testbed.pool.attempt = drained_meanwhile  # type: ignore[method-assign, assignment]
+    testbed.talk(submit_request(X_Expires_In="900m"))
+    testbed.run_until(lambda: not testbed.journal.entries)
+    (notice,) = testbed.notices_seen()
+    assert not testbed.peer.seen and notice == {"id": "t1", "state": "returned", "after_ms": 2000}
 
 
 def test_a_retry_after_blocks_attempts_already_decided(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, lambda *_: parser.response(429, headers={"Retry-After": "0.5"}))
-    stage.talk(submit_request("a", X_Expires_In="4000m"))
-    stage.run_until(lambda: stage.peer.seen)
-    stage.run_until(lambda: not stage.courier.attempts_in_flight)
-    now = stage.loop.now * 1000
-    assert not stage.courier._controller.may_still_send(now + 300 * MS * 1000, b"s-1", 1)
-    assert stage.courier._controller.may_still_send(now + 600 * MS * 1000, b"s-1", 1)
+    testbed = HttpTestbed(tmp_path, lambda *_: parser.response(429, headers={"Retry-After": "0.5"}))
+    testbed.talk(submit_request("a", X_Expires_In="4000m"))
+    testbed.run_until(lambda: testbed.peer.seen)
+    testbed.run_until(lambda: not testbed.courier.attempts_in_flight)
+    now = testbed.loop.now * 1000
+    assert not testbed.courier._controller.may_still_send(now + 300 * MS * 1000, b"s-1", 1)
+    assert testbed.courier._controller.may_still_send(now + 600 * MS * 1000, b"s-1", 1)
 
 
 # Notices, the watch, shutdown and restart
@@ -602,16 +610,16 @@
 
 def test_notices_are_repeated_until_acknowledged_and_a_rejected_one_delays_no_others(tmp_path: Path) -> None:
     answers = [parser.response(503), b"", parser.response(400), parser.response(400)]
-    stage = HttpTestbed(tmp_path, ok, lambda *_: answers.pop(0) if answers else parser.response(204))
+    testbed = HttpTestbed(tmp_path, ok, lambda *_: answers.pop(0) if answers else parser.response(204))
     for name in ("a", "b", "c"):
-        message = Message(name, READING, 0, 7, 0, b"", stage.notices)
-        stage.loop.spawn(stage.notices.report_end, message, End(FAILED))
-    stage.run_until(lambda: not answers and not stage.notices._sending)
-    assert [line["id"] for line in stage.notices_seen()[-2:]] == ["b", "c"]
+        message = Message(name, READING, 0, 7, 0, b"", testbed.notices)
+        testbed.loop.spawn(testbed.notices.report_end, message, End(FAILED))
+    testbed.run_until(lambda: not answers and not testbed.notices._sending)
+    assert [line["id"] for line in testbed.notices_seen()[-2:]] == ["b", "c"]
 
 
-def make_watch(courier: Courier, stage: HttpTestbed) -> Watch:
-    return Watch(stage.loop, stage.buffers, courier, stage.pool, stage.platform.address)
+def make_watch(courier: Courier, testbed: HttpTestbed) -> Watch:
+    return Watch(testbed.loop, testbed.buffers, courier, testbed.pool, testbed.platform.address)
 
 
 ROW = {
@@ -627,8 +635,8 @@
 
 
 def test_the_transport_map_follows_changes_and_skips_invalid_entries(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, ok)
-    watch = make_watch(stage.courier, stage)
+    testbed = HttpTestbed(tmp_path, ok)
+    watch = make_watch(testbed.courier, testbed)
     watch._handle_line(
         json.dumps(
             {
@@ -638,13 +646,13 @@
             }
         ).encode()
     )
-    assert list(stage.courier.map.hops) == [b"s-9"] and watch.index == 5  # s-1 was missing from a complete list
-    assert stage.courier.map.hops[b"s-9"].endpoint == api.Endpoint(b"s-9", 3, 1, 1)
+    assert list(testbed.courier.map.hops) == [b"s-9"] and watch.index == 5  # s-1 was missing from a complete list
+    assert testbed.courier.map.hops[b"s-9"].endpoint == api.Endpoint(b"s-9", 3, 1, 1)
     for line in (b"{", b"[]", b"{}", b"", b'{"endpoints": 3}', b"\xff"):
         watch._handle_line(line)
     gone = {"index": 6, "snapshot": False, "endpoints": [{**ROW, "status": "left"}]}
     watch._handle_line(json.dumps(gone).encode())
-    assert not stage.courier.map.hops and watch.index == 6
+    assert not testbed.courier.map.hops and watch.index == 6
 
 
 def test_a_watch_resumes_from_its_last_index(tmp_path: Path) -> None:
@@ -655,12 +663,12 @@
         start = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         return start + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line)
 
-    stage = HttpTestbed(tmp_path, ok, discovery)
-    stage.loop.spawn(make_watch(stage.courier, stage).run)
-    stage.run_until(lambda: len(stage.platform.seen) >= 3)
-    positions = [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen[:3]]
+    testbed = HttpTestbed(tmp_path, ok, discovery)
+    testbed.loop.spawn(make_watch(testbed.courier, testbed).run)
+    testbed.run_until(lambda: len(testbed.platform.seen) >= 3)
+    positions = [h.start_line[1].rpartition("=")[2] for h, _ in testbed.platform.seen[:3]]
     assert positions == ["/registry/instances", "8", "8"]  # the complete list first, as nothing is known yet
-    assert b"s-9" in stage.courier.map.hops
+    assert b"s-9" in testbed.courier.map.hops
 
 
 def test_an_overloaded_discovery_gets_one_request_per_attempt_and_two_log_lines_are_written(
@@ -670,27 +678,27 @@
     line = json.dumps({"index": 1, "snapshot": False, "endpoints": [ROW]}).encode() + b"\n"
     refusals = [parser.response(503, keep=False)] * 4
     update = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
-    stage = HttpTestbed(tmp_path, ok, lambda *_: refusals.pop() if refusals else update)
-    watch = make_watch(stage.courier, stage)
+    testbed = HttpTestbed(tmp_path, ok, lambda *_: refusals.pop() if refusals else update)
+    watch = make_watch(testbed.courier, testbed)
     watch.apply({"index": 0, "snapshot": True, "endpoints": [{**ROW, "name": "s-8"}]})
-    stage.loop.spawn(watch.run)
-    stage.run_until(lambda: b"s-9" in stage.courier.map.hops)
-    assert [h.start_line[1].rpartition("=")[2] for h, _ in stage.platform.seen] == ["0"] * 5
-    assert b"s-8" in stage.courier.map.hops
+    testbed.loop.spawn(watch.run)
+    testbed.run_until(lambda: b"s-9" in testbed.courier.map.hops)
+    assert [h.start_line[1].rpartition("=")[2] for h, _ in testbed.platform.seen] == ["0"] * 5
+    assert b"s-8" in testbed.courier.map.hops
     out = capsys.readouterr().out
     assert out.count("event=map-break") == 1 and "status=503" in out and out.count("event=map-heard") == 1
 
 
 def test_an_address_change_of_discovery_is_followed_at_once_and_pending_notices_are_sent_there(tmp_path: Path) -> None:
     # Guards against a courier that continues to use an address which no longer responds.
-    stage = HttpTestbed(tmp_path, ok, lambda *_: None)
-    watch = make_watch(stage.courier, stage)
-    stage.loop.spawn(watch.run)
-    stage.loop.spawn(stage.notices.report_end, Message("a", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
-    stage.run_until(lambda: len(stage.platform.seen) == 2)  # both wait for a response that never arrives
+    testbed = HttpTestbed(tmp_path, ok, lambda *_: None)
+    watch = make_watch(testbed.courier, testbed)
+    testbed.loop.spawn(watch.run)
+    testbed.loop.spawn(testbed.notices.report_end, Message("a", READING, 0, 7, 0, b"", testbed.notices), End(FAILED))
+    testbed.run_until(lambda: len(testbed.platform.seen) == 2)  # both wait for a response that never arrives
     row = json.dumps({"index": 3, "snapshot": True, "endpoints": [ROW]}).encode()
     new = Peer(
-        stage,
+        testbed,
         lambda head, _: (
             parser.response(204)
             if head.start_line[0] == "POST"
@@ -701,15 +709,15 @@
     )
     started_at = CLOCK.ahead
     watch.move(new.address)
-    stage.notices.move(new.address)
-    stage.run_until(lambda: not stage.notices._sending and watch.index == 3 and len(new.seen) == 3)
+    testbed.notices.move(new.address)
+    testbed.run_until(lambda: not testbed.notices._sending and watch.index == 3 and len(new.seen) == 3)
     # Neither waits for a time-out.
-    assert CLOCK.ahead - started_at < SECOND and list(stage.courier.map.hops) == [b"s-9"]
+    assert CLOCK.ahead - started_at < SECOND and list(testbed.courier.map.hops) == [b"s-9"]
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
     assert new.seen[-1][0].start_line[1].endswith("watch=1&after=3")
-    stage.loop.spawn(stage.notices.report_end, Message("b", READING, 0, 7, 0, b"", stage.notices), End(FAILED))
-    stage.run_until(lambda: len(new.seen) == 4)
-    assert len(stage.platform.seen) == 2
+    testbed.loop.spawn(testbed.notices.report_end, Message("b", READING, 0, 7, 0, b"", testbed.notices), End(FAILED))
+    testbed.run_until(lambda: len(new.seen) == 4)
+    assert len(testbed.platform.seen) == 2
 
 
 @pytest.mark.parametrize("responds", [True, False])
@@ -753,30 +761,30 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     # Guards against requests that wait unread while a courier starts, whose final states would be late by that time.
-    stage = HttpTestbed(tmp_path, ok)
-    config = SimpleNamespace(settings=stage.courier.settings, name="n", listen=("", 0), sockets=9, memory=9)
+    testbed = HttpTestbed(tmp_path, ok)
+    config = SimpleNamespace(settings=testbed.courier.settings, name="n", listen=("", 0), sockets=9, memory=9)
     ours = bind(("127.0.0.1", 0))
     address = ours.getsockname()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
-    stage.loop.spawn(
+    testbed.loop.spawn(
         serve._open_front_ends,
-        stage.courier,
-        [lambda: serve._open_front_end(stage.loop, ours, stage.server.accept)],
+        testbed.courier,
+        [lambda: serve._open_front_end(testbed.loop, ours, testbed.server.accept)],
         config,
     )
-    stage.loop.turn()
-    stage.loop.turn()
+    testbed.loop.turn()
+    testbed.loop.turn()
     socket.create_connection(address).close()
     late = bind(("127.0.0.1", 0))
     late.close()
-    stage.loop.spawn(
+    testbed.loop.spawn(
         serve._open_front_ends,
-        stage.courier,
-        [lambda: serve._open_front_end(stage.loop, late, stage.server.accept)],
+        testbed.courier,
+        [lambda: serve._open_front_end(testbed.loop, late, testbed.server.accept)],
         config,
     )
-    stage.run_until(lambda: stage.loop._stopped)
+    testbed.run_until(lambda: testbed.loop._stopped)
     assert "can't-start" in capsys.readouterr().out
 
 
@@ -795,16 +803,16 @@
 
 
 def test_closing_accepts_nothing_finishes_attempts_in_flight_and_leaves_the_rest(tmp_path: Path) -> None:
-    stage = HttpTestbed(tmp_path, lambda *_: None)
-    stage.talk(submit_request("held", "payment"))
-    stage.run_until(lambda: stage.courier.attempts_in_flight)
-    start = stage.loop.now
-    stage.courier.close()
-    assert b"503" in stage.talk(b"GET /health/ready HTTP/1.1\r\n\r\n")
-    late = stage.talk(submit_request("late"))
+    testbed = HttpTestbed(tmp_path, lambda *_: None)
+    testbed.talk(submit_request("held", "payment"))
+    testbed.run_until(lambda: testbed.courier.attempts_in_flight)
+    start = testbed.loop.now
+    testbed.courier.close()
+    assert b"503" in testbed.talk(b"GET /health/ready HTTP/1.1\r\n\r\n")
+    late = testbed.talk(submit_request("late"))
     assert late.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1" in late
-    stage.run_until(lambda: stage.loop._stopped)
-    assert stage.loop.now - start < 3_700 * MS and list(stage.journal.entries) == [1]
+    testbed.run_until(lambda: testbed.loop._stopped)
+    assert testbed.loop.now - start < 3_700 * MS and list(testbed.journal.entries) == [1]
 
 
 @pytest.mark.parametrize(
@@ -837,15 +845,15 @@
 def test_an_exception_of_the_decision_module_is_logged_and_fails_only_its_message(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    stage = HttpTestbed(tmp_path, ok)
+    testbed = HttpTestbed(tmp_path, ok)
     with monkeypatch.context() as broken:
-        broken.setattr(stage.courier._controller, "handle", lambda *_: 1 // 0)
-        assert b" 202 " in stage.talk(submit_request("a"))
-        stage.run_until(lambda: stage.notices_seen() == [{"id": "a", "state": "failed"}])
+        broken.setattr(testbed.courier._controller, "handle", lambda *_: 1 // 0)
+        assert b" 202 " in testbed.talk(submit_request("a"))
+        testbed.run_until(lambda: testbed.notices_seen() == [{"id": "a", "state": "failed"}])
     assert "event=fault task=module" in capsys.readouterr().out
-    stage.talk(submit_request("b"))
-    stage.run_until(lambda: not stage.journal.entries)
-    assert len(stage.peer.seen) == 1
+    testbed.talk(submit_request("b"))
+    testbed.run_until(lambda: not testbed.journal.entries)
+    assert len(testbed.peer.seen) == 1
 
 
 def test_a_work_order_is_not_retried_after_its_window(tmp_path: Path) -> None:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -53,51 +53,55 @@
     return context
 
 
-def secure(stage: SmppTestbed, directory: Path, **account: object) -> TlsStore:
+def secure(testbed: SmppTestbed, directory: Path, **account: object) -> TlsStore:
     """Switches the listener to TLS, and changes fields of its accounts."""
     write_files(directory)
     keys = TlsStore(conf(directory))
-    config = stage.server.config
+    config = testbed.server.config
     accounts = tuple(dataclasses.replace(a, **account) for a in config.accounts)  # type: ignore[arg-type]
-    stage.server.config = dataclasses.replace(config, tls="main", accounts=accounts)
-    stage.server._keys = keys
+    testbed.server.config = dataclasses.replace(config, tls="main", accounts=accounts)
+    testbed.server._keys = keys
     return keys
 
 
-def connect_contractor(stage: SmppTestbed, context: ssl.SSLContext) -> StandInContractor | None:
+def connect_contractor(testbed: SmppTestbed, context: ssl.SSLContext) -> StandInContractor | None:
     connected: list[StandInContractor | None] = []
 
     def dial() -> None:
-        stream = tls.dial(stage.loop, stage.buffers, stage.address, stage.loop.now + SECOND, context, "hub.example")
+        stream = tls.dial(
+            testbed.loop, testbed.buffers, testbed.address, testbed.loop.now + SECOND, context, "hub.example"
+        )
         connected.append(
             None
             if stream is None
-            else StandInContractor(stage.loop, stage, stage.address, Command.BIND_TRANSCEIVER, stream=stream)
+            else StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_TRANSCEIVER, stream=stream)
         )
 
-    stage.loop.spawn(dial)
-    stage.run_until(
+    testbed.loop.spawn(dial)
+    testbed.run_until(
         lambda: connected and (connected[0] is None or connected[0].answers or connected[0].stream.sock.fileno() < 0)
     )
     return connected[0]
 
 
 def test_contractors_bind_and_submit_over_tls_and_connections_without_tls_are_closed(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    secure(stage, tmp_path)
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    secure(testbed, tmp_path)
     stalled: list[object] = []  # a connection that sends nothing
-    stage.loop.spawn(lambda: stalled.append(connect(stage.loop, stage.address, stage.loop.now + SECOND)))
-    contractor = connect_contractor(stage, client())
+    testbed.loop.spawn(lambda: stalled.append(connect(testbed.loop, testbed.address, testbed.loop.now + SECOND)))
+    contractor = connect_contractor(testbed, client())
     assert contractor is not None and contractor.answers[0].status == 0
     plain: list[StandInContractor] = []
-    stage.loop.spawn(lambda: plain.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.run_until(lambda: plain and plain[0].stream.sock.fileno() < 0)
-    name = submit(stage, contractor)
-    stage.run_until(lambda: name in contractor.final_states())
-    stage.run_for(6 * SECOND)
-    assert len(stage.server._connections) == 1, "the connection that stalled in its handshake was not closed"
+    testbed.loop.spawn(
+        lambda: plain.append(StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_RECEIVER))
+    )
+    testbed.run_until(lambda: plain and plain[0].stream.sock.fileno() < 0)
+    name = submit(testbed, contractor)
+    testbed.run_until(lambda: name in contractor.final_states())
+    testbed.run_for(6 * SECOND)
+    assert len(testbed.server._connections) == 1, "the connection that stalled in its handshake was not closed"
 
 
 @pytest.mark.parametrize(
@@ -105,10 +109,10 @@
     [("acme.example", Status.ESME_ROK), ("other.example", Status.ESME_RBINDFAIL), (None, Status.ESME_RBINDFAIL)],
 )
 def test_an_account_may_require_a_client_certificate(tmp_path: Path, presented: str | None, status: Status) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    secure(stage, tmp_path, certificate="acme.example")
-    contractor = connect_contractor(stage, client(CA.issue_cert(presented) if presented else None))
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    secure(testbed, tmp_path, certificate="acme.example")
+    contractor = connect_contractor(testbed, client(CA.issue_cert(presented) if presented else None))
     assert contractor is not None and contractor.answers[0].status == status
 
 
@@ -134,14 +138,14 @@
 
 
 def test_reloaded_files_apply_to_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    keys = secure(stage, tmp_path)
-    old = connect_contractor(stage, client())
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    keys = secure(testbed, tmp_path)
+    old = connect_contractor(testbed, client())
     assert old is not None
     write_files(tmp_path, "hub.example", ca=trustme.CA())
     keys.reload_files(conf(tmp_path))
-    assert connect_contractor(stage, client()) is None, "the certificate of the other authority was not presented"
+    assert connect_contractor(testbed, client()) is None, "the certificate of the other authority was not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
     with pytest.raises(ConfErrors, match=r"conf:2: tls main.certificate.*holds no certificate"):
         keys.reload_files(conf(tmp_path))
@@ -150,7 +154,7 @@
     (tmp_path / "conf").write_text("log\n    level info\n")
     # The listener keeps the contexts that it was started with.
     keys.reload_files(conf_file.load(str(tmp_path / "conf")))
-    assert connect_contractor(stage, client()) is not None and old.stream.sock.fileno() >= 0
+    assert connect_contractor(testbed, client()) is not None and old.stream.sock.fileno() >= 0
 
 
 @pytest.mark.parametrize(
@@ -222,24 +226,24 @@
 
 
 def test_an_account_is_limited_to_its_networks_and_failed_binds_delay_an_address(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    config = stage.server.config
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    config = testbed.server.config
     other_networks = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
-    stage.server.config = dataclasses.replace(config, accounts=other_networks)
-    assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
-    stage.server.config = config
-    assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
+    testbed.server.config = dataclasses.replace(config, accounts=other_networks)
+    assert testbed.contractor().answers[0].status == Status.ESME_RBINDFAIL
+    testbed.server.config = config
+    assert testbed.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
-        assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
+        assert testbed.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
     throttled: list[StandInContractor] = []
-    stage.loop.spawn(
-        lambda: throttled.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER))
+    testbed.loop.spawn(
+        lambda: throttled.append(StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_RECEIVER))
     )
-    stage.run_until(lambda: throttled and throttled[0].stream.sock.fileno() < 0)
+    testbed.run_until(lambda: throttled and throttled[0].stream.sock.fileno() < 0)
     assert not throttled[0].answers  # closed without an answer
-    stage.run_for(2 * SECOND)
-    assert stage.contractor().answers[0].status == 0
+    testbed.run_for(2 * SECOND)
+    assert testbed.contractor().answers[0].status == 0
 
 
 def test_bind_delays_grow_with_refusals_and_old_refusals_are_forgotten() -> None:
