--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -63,9 +63,9 @@
     return Result(Outcome.ERROR, report=report, note=str(status))
 
 
-def _is_duplicate(stream: Stream, answer: parser.Head) -> bool:
+def _is_duplicate(stream: Stream, head: parser.Head) -> bool:
     """Whether the bytes after a response begin a copy of it, judged by the status line."""
-    return bytes(stream.unread).startswith(" ".join(answer.start_line).encode("latin-1"))
+    return bytes(stream.unread).startswith(" ".join(head.start_line).encode("latin-1"))
 
 
 class HttpCarrier:
@@ -141,12 +141,12 @@
                 return Result(Outcome.TIMEOUT, note="response after the deadline")
             if status == 200:
                 return self._delivered(hop, stream, deadline)
-            answer = parser.read_head(stream, deadline, response=True)
-            result = classify_response(status, answer.headers, self.settings.columns)
+            head = parser.read_head(stream, deadline, response=True)
+            result = classify_response(status, head.headers, self.settings.columns)
             retry_after = result.retry_after
             if status not in (204, 304):
-                parser.read_body(stream, answer, deadline, response=True)
-            if len(stream.unread) and result.outcome in NEVER_RAN and not _is_duplicate(stream, answer):
+                parser.read_body(stream, head, deadline, response=True)
+            if len(stream.unread) and result.outcome in NEVER_RAN and not _is_duplicate(stream, head):
                 raise parser.MalformedMessageError(
                     "bytes after the end of the response: noise, or a wrong Content-Length"
                 )
@@ -156,26 +156,26 @@
         except (Late, parser.MalformedMessageError):
             stream.close()
             return Result(Outcome.ERROR, retry_after, note="malformed response")
-        self._finish(hop, stream, answer)
+        self._finish(hop, stream, head)
         return result
 
     def _delivered(self, hop: NextHop, stream: Stream, deadline: int) -> Result:
         """The result for a status line with 200, with the load report if the headers have arrived and are valid."""
         try:
-            answer = parser.head(stream.unread, response=True)
-            length = parser.body_length(answer) if answer is not None else None
+            head = parser.head(stream.unread, response=True)
+            length = parser.body_length(head) if head is not None else None
         except parser.MalformedMessageError:
             stream.close()
             return Result(Outcome.OK)
-        if answer is None:
+        if head is None:
             self._read_rest_in_background(hop, stream, deadline)
             return Result(Outcome.OK)
-        if length is not None and 0 <= length <= len(stream.unread) - answer.size:
-            stream.consume(answer.size + length)
-            self._finish(hop, stream, answer)
+        if length is not None and 0 <= length <= len(stream.unread) - head.size:
+            stream.consume(head.size + length)
+            self._finish(hop, stream, head)
         else:
             self._read_rest_in_background(hop, stream, deadline)
-        return classify_response(200, answer.headers, self.settings.columns)
+        return classify_response(200, head.headers, self.settings.columns)
 
     def _read_rest_in_background(self, hop: NextHop, stream: Stream, deadline: int) -> None:
         """Reads the rest of a 200 response in a task of its own.
@@ -192,19 +192,19 @@
     def _read_rest(self, hop: NextHop, stream: Stream, deadline: int) -> None:
         """Reads and discards the rest of a 200 response, so that the connection can be reused."""
         try:
-            answer = parser.read_head(stream, deadline, response=True)
-            parser.read_body(stream, answer, deadline, response=True)
+            head = parser.read_head(stream, deadline, response=True)
+            parser.read_body(stream, head, deadline, response=True)
         except (Closed, Late, parser.MalformedMessageError):
             stream.close()
             return
         finally:
             self._draining_responses -= 1
-        self._finish(hop, stream, answer)
+        self._finish(hop, stream, head)
 
-    def _finish(self, hop: NextHop, stream: Stream, answer: parser.Head) -> None:
+    def _finish(self, hop: NextHop, stream: Stream, head: parser.Head) -> None:
         """Returns the connection to the pool if the end of its response is known and nothing followed it."""
-        delimited = answer.status in (204, 304) or parser.body_length(answer) != -1
-        if delimited and answer.keep_alive and stream.is_reusable():
+        delimited = head.status in (204, 304) or parser.body_length(head) != -1
+        if delimited and head.keep_alive and stream.is_reusable():
             self._release(hop, stream)
         else:
             stream.close()
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -119,12 +119,12 @@
             try:
                 headers = {"Content-Type": "application/x-ndjson"}
                 stream.write(parser.request("POST", "/reports", "app.svc", headers, body), deadline)
-                answer = parser.read_head(stream, deadline, response=True)
-                if answer.status != 204:
-                    parser.read_body(stream, answer, deadline, response=True)
-                if answer.keep_alive and move_count == self._move_count:
-                    return answer.status
-                status: int | None = answer.status
+                head = parser.read_head(stream, deadline, response=True)
+                if head.status != 204:
+                    parser.read_body(stream, head, deadline, response=True)
+                if head.keep_alive and move_count == self._move_count:
+                    return head.status
+                status: int | None = head.status
             except (Closed, Late, parser.MalformedMessageError):
                 status = None
             if move_count == self._move_count:
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -184,11 +184,11 @@
         if not response:
             return b""
         length = max_bytes + 1  # never reached: the body ends with the connection
-    chunks = ChunkedDecoder() if length is None else None
+    decoder = ChunkedDecoder() if length is None else None
     parts, size = [], 0
     while True:
-        if chunks is not None:
-            data, used = chunks.feed(bytes(stream.unread))
+        if decoder is not None:
+            data, used = decoder.feed(bytes(stream.unread))
         else:
             assert length is not None
             data = bytes(stream.unread[: length - size])
@@ -198,7 +198,7 @@
         size += len(data)
         if size > max_bytes:
             raise MalformedMessageError("body too long", 413)
-        if size == length or chunks is not None and chunks.done:
+        if size == length or decoder is not None and decoder.done:
             return b"".join(parts)
         try:
             stream.fill(deadline)
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -61,10 +61,10 @@
 class Client:
     """One client's connection."""
 
-    __slots__ = ("stream", "since", "state")
+    __slots__ = ("stream", "connected_at", "state")
 
-    def __init__(self, stream: Stream, since: int) -> None:
-        self.stream, self.since, self.state = stream, since, State.NEW
+    def __init__(self, stream: Stream, connected_at: int) -> None:
+        self.stream, self.connected_at, self.state = stream, connected_at, State.NEW
 
 
 class SenderServer:
@@ -112,7 +112,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = Client(Stream(self.loop, sock, self.buffers, incoming=True), self.loop.now)
-        self._clients[State.NEW][client] = client.since
+        self._clients[State.NEW][client] = client.connected_at
         self.loop.spawn(self._serve, client)
 
     def _set_state(self, client: Client, state: State) -> None:
@@ -215,7 +215,7 @@
         """Waits for the first byte of a request; returns false if the connection was idle for too long."""
         stream, deadline = client.stream, self.loop.now + IDLE_TIMEOUT
         if client.state is State.NEW:
-            deadline = client.since + IDLE_TIMEOUT
+            deadline = client.connected_at + IDLE_TIMEOUT
         while not stream.unread:
             try:
                 stream.fill(deadline)
@@ -229,7 +229,7 @@
         """Reads one request and responds to it; returns whether the connection stays open."""
         stream, deadline = client.stream, self.loop.now + READ_TIMEOUT
         if client.state is State.NEW:
-            deadline = client.since + FIRST_REQUEST_TIMEOUT
+            deadline = client.connected_at + FIRST_REQUEST_TIMEOUT
         self._set_state(client, State.ASKING)
         try:
             head = parser.read_head(stream, deadline)
@@ -243,8 +243,8 @@
             method, target, _ = head.start_line
             path = target.partition("?")[0]
             # Clients that send one request and stay connected would soon use up all connections.
-            room = len(self._clients[State.IDLE]) < self._max_idle
-            keep = head.keep_alive and room and self.courier.closing is None
+            may_stay_idle = len(self._clients[State.IDLE]) < self._max_idle
+            keep = head.keep_alive and may_stay_idle and self.courier.closing is None
             if method == "GET":
                 stream.write(self._response_to_get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -183,7 +183,10 @@
             self.loop.sleep(delay)
 
     def _watch(self) -> bool:
-        """Watches over one connection until it ends; returns whether a line was received."""
+        """Watches over one connection until it ends.
+
+        Returns whether a line was received; False also if the last object could not be read.
+        """
         received, last_activity, move_count, self._refusal_status = False, 0, self._move_count, None
         sock = connect(self.loop, self.discovery, self.loop.now + CONNECT_TIMEOUT)
         if sock is None:
@@ -199,31 +202,31 @@
             target = f"/registry/instances?watch=1&after={self.index}"
             deadline = self.loop.now + self._backoff.response_timeout
             stream.write(parser.request("GET", target, "app.svc", {}), deadline)
-            answer = parser.read_head(stream, deadline, response=True)
-            if answer.status != 200:
-                self._refusal_status = answer.status
+            head = parser.read_head(stream, deadline, response=True)
+            if head.status != 200:
+                self._refusal_status = head.status
                 return False
-            chunks = parser.ChunkedDecoder() if parser.body_length(answer) is None else None
-            lines, objects, pending = LineSplitter(), JsonObjects(), 0
+            decoder = parser.ChunkedDecoder() if parser.body_length(head) is None else None
+            lines, objects, incomplete_bytes = LineSplitter(), JsonObjects(), 0  # bytes since the last activity
             last_activity = self.loop.now
             while True:
                 data = bytes(stream.unread)
-                if chunks is None:
+                if decoder is None:
                     used = len(data)
                 else:
-                    data, used = chunks.feed(data)
+                    data, used = decoder.feed(data)
                 stream.consume(used)
-                pending += used
-                if pending >= MIN_PROGRESS_BYTES:
-                    pending, last_activity = 0, self.loop.now
+                incomplete_bytes += used
+                if incomplete_bytes >= MIN_PROGRESS_BYTES:
+                    incomplete_bytes, last_activity = 0, self.loop.now
                 for line in lines.feed(data):
                     for text in objects.feed(line):
                         # If unreadable, its changes are lost, and are requested again from the last good revision.
                         if not self._handle_line(text):
                             return False
-                        received, pending = True, 0
+                        received, incomplete_bytes = True, 0
                         last_activity = self.loop.now
-                if chunks is not None and chunks.done:
+                if decoder is not None and decoder.done:
                     return received
                 if self.loop.now >= last_activity + WATCH_SILENCE_TIMEOUT:
                     raise Late
@@ -243,12 +246,12 @@
         """Requests the complete list, as changes after index 0 may be too few; returns whether it was applied."""
         deadline = self.loop.now + self._backoff.response_timeout
         stream.write(parser.request("GET", "/registry/instances", "app.svc", {}), deadline)
-        answer = parser.read_head(stream, deadline, response=True)
+        head = parser.read_head(stream, deadline, response=True)
         body = parser.read_body(
-            stream, answer, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, max_bytes=MAX_LINE_BYTES
+            stream, head, self.loop.now + WATCH_SILENCE_TIMEOUT, response=True, max_bytes=MAX_LINE_BYTES
         )
-        if answer.status != 200:
-            self._refusal_status = answer.status
+        if head.status != 200:
+            self._refusal_status = head.status
             return False
         return self._handle_line(body)
 
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -47,14 +47,14 @@
         buffers: BufferPool,
         address: tuple[str, int],
         timeout: int,
-        secure: Callable[[], ssl.SSLContext] | None = None,
+        tls_context: Callable[[], ssl.SSLContext] | None = None,
         server_name: str = "",
     ) -> None:
         """``timeout`` is in microseconds, for connecting, for the head of a response, and between parts of its body.
 
-        For TLS, ``secure`` makes the context, and the member's certificate must be valid for ``server_name``.
+        For TLS, ``tls_context`` returns the context, and the member's certificate must be valid for ``server_name``.
         """
-        self._secure, self._server_name = secure, server_name
+        self._tls_context, self._server_name = tls_context, server_name
         self.loop, self.buffers, self.address, self._timeout = loop, buffers, address, timeout
         self._stream: Stream | None = None
 
@@ -66,10 +66,10 @@
         if stream is not None:
             stream.close()
         deadline = self.loop.now + self._timeout
-        if self._secure is not None:
+        if self._tls_context is not None:
             from kestrelspar.runtime import tls  # imported only if TLS is configured
 
-            stream = tls.dial(self.loop, self.buffers, self.address, deadline, self._secure(), self._server_name)
+            stream = tls.dial(self.loop, self.buffers, self.address, deadline, self._tls_context(), self._server_name)
         else:
             sock = connect(self.loop, self.address, deadline)
             stream = None if sock is None else Stream(self.loop, sock, self.buffers)
--- a/kestrelspar/registry/saved_list.py
+++ b/kestrelspar/registry/saved_list.py
@@ -191,14 +191,14 @@
 def restore(
     known_list: KnownList,
     saved: SavedList,
-    hop: Callable[[entries.Entry], NextHop],
+    make_hop: Callable[[entries.Entry], NextHop],
     update: Any,
     removed: dict[str, api.EndpointState],
 ) -> int:
     """Put a saved list into a known list.
 
-    ``hop`` converts an entry to a next hop. ``removed`` has the keys that were reported as gone or draining after the
-    list was saved. Returns the number of entries that the current settings no longer accept.
+    ``make_hop`` converts an entry to a next hop. ``removed`` has the keys that were reported as gone or draining after
+    the list was saved. Returns the number of entries that the current settings no longer accept.
     """
     rejected = 0
     for row in saved.rows:
@@ -208,7 +208,7 @@
         if state is not None:  # draining; at revision 0, so that whatever the registry sends replaces it
             row.entry.status, row.revision = "leaving", 0
         try:
-            known_list.restore(row.key, hop(row.entry), row.revision, update)
+            known_list.restore(row.key, make_hop(row.entry), row.revision, update)
         except ValueError:
             rejected += 1
     return rejected
--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -89,12 +89,12 @@
 class KnownList:
     """The list as last received. It survives failures, changes of members and, saved in a file, restarts.
 
-    ``read`` turns a value into a next hop, or raises ``ValueError``.
+    ``parse`` turns a value into a next hop, or raises ``ValueError``.
     """
 
-    def __init__(self, read: Callable[[bytes], NextHop]) -> None:
+    def __init__(self, parse: Callable[[bytes], NextHop]) -> None:
         self.entries: dict[str, KnownEntry] = {}
-        self._parse = read
+        self._parse = parse
         self._keys_by_name: dict[bytes, list[str]] = {}  # by endpoint name; the entry of the first key is used
         self._unreadable_keys: set[str] = set()  # each is logged once
         self._size_before: int | None = None  # number of entries when the change in progress began
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -369,18 +369,18 @@
     from kestrelspar.smpp.inbound import InboundMessages
     from kestrelspar.smpp.server import SmppServer
 
-    arrivals = InboundMessages(courier, lambda gateway, pdu: contractors.forward_alert(gateway, pdu))
-    gateways = SmppCarrier(loop, buffers, courier.settings, config.gateways, courier, arrivals, seed, keys)
-    contractors = SmppServer(loop, buffers, courier, config, gateways.outbind_handler, keys)
-    courier.senders[contractors.name] = contractors
-    courier.senders[arrivals.name] = arrivals
-    courier.outcome_sources[gateways.name] = gateways
-    courier.exit_calls += [contractors.shut_down, gateways.shut_down]
-    courier.apply_map_update("smpp", [*gateways.hops(), *contractors.receivers.hops()], complete=True)
+    inbound = InboundMessages(courier, lambda gateway, pdu: server.forward_alert(gateway, pdu))
+    carrier = SmppCarrier(loop, buffers, courier.settings, config.gateways, courier, inbound, seed, keys)
+    server = SmppServer(loop, buffers, courier, config, carrier.outbind_handler, keys)
+    courier.senders[server.name] = server
+    courier.senders[inbound.name] = inbound
+    courier.outcome_sources[carrier.name] = carrier
+    courier.exit_calls += [server.shut_down, carrier.shut_down]
+    courier.apply_map_update("smpp", [*carrier.hops(), *server.receivers.hops()], complete=True)
 
     def start() -> None:
-        gateways.start()
-        _open_front_end(loop, listener, contractors.accept)
+        carrier.start()
+        _open_front_end(loop, listener, server.accept)
         logs.event("smpp-serves", listen=f"{config.listen[0]}:{config.listen[1]}", gateways=len(config.gateways))
 
     front_ends.append(start)
--- a/kestrelspar/settings/conf.py
+++ b/kestrelspar/settings/conf.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfSection:
-    """One section of the file: its values, and the place of each."""
+    """One section of the file: its values, and the location of each."""
 
     label: str
     values: Section
@@ -89,7 +89,7 @@
         return self.section(section).values  # type: ignore[return-value]
 
     def section(self, section: type[Section]) -> ConfSection:
-        """A section that exists only once, with its place."""
+        """A section that exists only once, with its location."""
         found = self.sections.get(section.TITLE)
         return found[0] if found else ConfSection("", section(), SourceLocation(self.path, 0), {})
 
@@ -153,7 +153,7 @@
     if duplicate is not None:
         errors.append(ConfError(block.location, name, f"is defined a second time (first at {duplicate.location})"))
     values: dict[str, Any] = {}
-    places: dict[str, SourceLocation] = {}
+    locations: dict[str, SourceLocation] = {}
     known, error_count = keys(struct), len(errors)
     for line in block.lines:
         key = known.get(line.key)
@@ -166,14 +166,14 @@
                 )
             )
             continue
-        if key.shape == "one" and key.name in places:
+        if key.shape == "one" and key.name in locations:
             errors.append(
-                ConfError(line.location, f"{name}.{key.name}", f"is set a second time (first at {places[key.name]})")
+                ConfError(line.location, f"{name}.{key.name}", f"is set a second time (first at {locations[key.name]})")
             )
             continue
-        places[key.name] = line.location
+        locations[key.name] = line.location
         if key.shape == "named" and line.words:  # each of its lines may have an error of its own
-            places[f"{key.name} {line.words[0]}"] = line.location
+            locations[f"{key.name} {line.words[0]}"] = line.location
         try:
             values[key.field] = _value(key, line, values.get(key.field))
         except ValueError as error:
@@ -181,7 +181,7 @@
                 ConfError(line.location, f"{name}.{key.name}", f"{error} (wanted: {kinds.describe_accepted(key.meta)})")
             )
     for key in known.values():
-        if key.default is NODEFAULT and key.field not in values and key.name not in places:
+        if key.default is NODEFAULT and key.field not in values and key.name not in locations:
             errors.append(
                 ConfError(
                     block.location, f"{name}.{key.name}", f"is missing (wanted: {kinds.describe_accepted(key.meta)})"
@@ -189,11 +189,11 @@
             )
     if len(errors) == error_count:
         parsed_values = struct(**values)
-        section = ConfSection(block.label, parsed_values, block.location, places)
+        section = ConfSection(block.label, parsed_values, block.location, locations)
         errors += [section.error(key, text) for key, text in parsed_values.errors()]
         existing.append(section)
     else:  # invalid: stored without its values, so that a second section of that name is still reported
-        existing.append(ConfSection(block.label, Section(), block.location, places))
+        existing.append(ConfSection(block.label, Section(), block.location, locations))
 
 
 def _value(key: Key, line: lines.Line, existing: Any) -> Any:
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ConfError:
-    """An error in the configuration: its place, its key, what is wrong and what is accepted."""
+    """An error in the configuration: its location, its key, what is wrong and what is accepted."""
 
     location: SourceLocation
     key: str
@@ -109,22 +109,24 @@
         self._file_count = 0
 
     def read_file(self, path: str, included_from: SourceLocation | None) -> None:
-        """Read one file. ``included_from`` is the place of the include line that named it."""
-        real_path, place = os.path.realpath(path), included_from or SourceLocation(path, 0)
+        """Read one file. ``included_from`` is the location of the include line that named it."""
+        real_path, location = os.path.realpath(path), included_from or SourceLocation(path, 0)
         self._file_count += 1
         if real_path in self._open_files or self._file_count > MAX_FILES:
             reason = "includes itself" if real_path in self._open_files else f"is one of more than {MAX_FILES} files"
-            self.errors.append(ConfError(place, "include", f"{path} {reason}"))
+            self.errors.append(ConfError(location, "include", f"{path} {reason}"))
             return
         try:
             with open(path, encoding="utf-8") as file:
                 text = file.read(MAX_FILE_SIZE + 1)
         except (OSError, UnicodeDecodeError) as error:
             reason = str(error.strerror) if isinstance(error, OSError) else "not UTF-8 text"
-            self.errors.append(ConfError(place, "include" if included_from else "", f"{path} can't be read: {reason}"))
+            self.errors.append(
+                ConfError(location, "include" if included_from else "", f"{path} can't be read: {reason}")
+            )
             return
         if len(text) > MAX_FILE_SIZE:
-            self.errors.append(ConfError(place, "", f"{path} is longer than {MAX_FILE_SIZE} characters"))
+            self.errors.append(ConfError(location, "", f"{path} is longer than {MAX_FILE_SIZE} characters"))
             return
         self._open_files.append(real_path)
         block: Block | None = None
@@ -132,45 +134,45 @@
             block = self._read_line(SourceLocation(path, number), line, block)
         self._open_files.pop()
 
-    def _read_line(self, place: SourceLocation, text: str, block: Block | None) -> Block | None:
+    def _read_line(self, location: SourceLocation, text: str, block: Block | None) -> Block | None:
         """Read one line. Returns the section to which indented lines after it belong."""
         try:
             found = words(text)
         except ValueError as error:
-            self.errors.append(ConfError(place, block.kind if block and text[:1] in " \t" else "", str(error)))
+            self.errors.append(ConfError(location, block.kind if block and text[:1] in " \t" else "", str(error)))
             return block
         if not found:
             return block
         if text[0] in " \t":
             if block is None:
                 self.errors.append(
-                    ConfError(place, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
+                    ConfError(location, "", f"{found[0]!r} is outside of any section (a line without indent opens one)")
                 )
             else:
-                block.lines.append(Line(place, found[0], found[1:]))
+                block.lines.append(Line(location, found[0], found[1:]))
             return block
         if found[0] == "include":
-            self._include(place, found[1:])
+            self._include(location, found[1:])
             return None
         if len(found) > 2:
             self.errors.append(
                 ConfError(
-                    place,
+                    location,
                     found[0],
                     f"{' '.join(found[1:])!r:.60} is no label (one word is "
                     "wanted; settings go on indented lines below)",
                 )
             )
-        self.blocks.append(Block(place, found[0], found[1] if len(found) > 1 else ""))
+        self.blocks.append(Block(location, found[0], found[1] if len(found) > 1 else ""))
         return self.blocks[-1]
 
-    def _include(self, place: SourceLocation, patterns: tuple[str, ...]) -> None:
+    def _include(self, location: SourceLocation, patterns: tuple[str, ...]) -> None:
         if not patterns:
-            self.errors.append(ConfError(place, "include", "names no file"))
+            self.errors.append(ConfError(location, "include", "names no file"))
         for pattern in patterns:
-            path = os.path.join(os.path.dirname(place.path), pattern)
+            path = os.path.join(os.path.dirname(location.path), pattern)
             found = sorted(glob.glob(path))
             if not found and not glob.has_magic(pattern):
                 found = [path]  # a missing file is an error, but a pattern may match nothing
             for name in found:
-                self.read_file(name, place)
+                self.read_file(name, location)
