--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -25,7 +25,7 @@
 SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM, as new connections may arrive for 400 ms
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
-REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}
+REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}  # other reasons: 422
 WRITE_TIMEOUT = 400 * MS  # a client waits this long for its response
 _EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
@@ -78,6 +78,7 @@
         self._max_idle = max(4, max_connections // 4)  # connections kept open between requests
         # By state, with the time of entering it, oldest first.
         self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}
+        # By event and reason: how often it occurred again since it was logged, within one second.
         self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
         courier.shutdown_tasks.append(self.close_connections)
--- a/kestrelspar/registry/saved_list.py
+++ b/kestrelspar/registry/saved_list.py
@@ -38,14 +38,14 @@
     """The first line of the file."""
 
     format: int
-    type: str
+    type: str  # "etcd" or "consul"
     prefix: str
     cluster: str
-    revision: int
+    revision: int  # of the registry; Consul: the index
     at_ms: int  # Unix time in ms at which the list was last known to be current
-    count: int
-    xxh64: str
-    told: int = 0  # the list contains the rows of journal/removal_log.py up to this revision
+    count: int  # number of entries
+    xxh64: str  # checksum of the rest of the file, in hexadecimal
+    told: int = 0  # revision of the removal log (journal/removal_log.py) up to which the list contains its rows
 
 
 class ListRow(Struct):
--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -234,7 +234,7 @@
 
 
 class Sync:
-    """What both protocols share: choice of the member, retry delays, and the age of the list."""
+    """Base of both state machines: the choice of the member, retry delays, and the age of the list."""
 
     def __init__(self, known_list: KnownList, member_count: int, max_age: int, now: int, random: Random) -> None:
         self.known_list, self.member_count, self.max_age = known_list, member_count, max_age
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -18,9 +18,9 @@
 MS, SECOND = 1_000, 1_000_000
 _NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)([A-Za-z]*)")
 # Factors by unit: times in microseconds, sizes in bytes.
-TIMES = {"us": 1, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
-SIZES = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
-SWITCHES = {"on": True, "yes": True, "true": True, "off": False, "no": False, "false": False}
+TIME_UNITS = {"us": 1, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
+SIZE_UNITS = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
+SWITCH_WORDS = {"on": True, "yes": True, "true": True, "off": False, "no": False, "false": False}
 MAX_SECRET_LENGTH = 4096  # characters
 
 
@@ -73,10 +73,10 @@
     return _meta("secret", doc)
 
 
-def format_quantity(value: int, units: dict[str, int] = TIMES) -> str:
+def format_quantity(value: int, units: dict[str, int] = TIME_UNITS) -> str:
     """Format a time or size as in the file, in the largest unit that divides it."""
     unit = max((name for name, factor in units.items() if value % factor == 0), key=units.__getitem__)
-    return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIMES else 'B'}"
+    return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIME_UNITS else 'B'}"
 
 
 def describe_accepted(meta: Meta) -> str:
@@ -86,7 +86,7 @@
     if kind == "duration":
         return f"a time from {format_quantity(meta.ge or 0)} to {format_quantity(meta.le or 0)}, like 500ms or 30s"  # type: ignore[arg-type]
     if kind == "size":
-        minimum, maximum = format_quantity(meta.ge or 0, SIZES), format_quantity(meta.le or 0, SIZES)  # type: ignore[arg-type]
+        minimum, maximum = format_quantity(meta.ge or 0, SIZE_UNITS), format_quantity(meta.le or 0, SIZE_UNITS)  # type: ignore[arg-type]
         return f"a size from {minimum} to {maximum}, like 64KB or 3MB"
     if kind == "number":
         return f"a whole number from {meta.ge} to {meta.le}"
@@ -127,10 +127,10 @@
 
 
 _PARSERS: dict[str, Callable[[str], Any]] = {
-    "duration": lambda word: _quantity(word, TIMES),
-    "size": lambda word: _quantity(word, SIZES),
+    "duration": lambda word: _quantity(word, TIME_UNITS),
+    "size": lambda word: _quantity(word, SIZE_UNITS),
     "number": _integer,
-    "switch": SWITCHES.__getitem__,
+    "switch": SWITCH_WORDS.__getitem__,
     "address": _address,
     "text": str,
     "choice": str,
@@ -168,7 +168,7 @@
     if kind == "duration":
         return format_quantity(found)
     if kind == "size":
-        return format_quantity(found, SIZES)
+        return format_quantity(found, SIZE_UNITS)
     if kind == "switch":
         return "on" if found else "off"
     if kind == "address":
--- a/kestrelspar/settings/pages.py
+++ b/kestrelspar/settings/pages.py
@@ -39,8 +39,8 @@
 """
 
 
-def default(key: Key) -> str:
-    """The default of a key, as it would be written."""
+def format_default(key: Key) -> str:
+    """The default of a key, as it would be written in the file; "needed" if the key is required."""
     if key.default is NODEFAULT:
         return "needed"
     if key.default in ("", (), {}):
@@ -50,8 +50,8 @@
     return kinds.format_value(key.default, key.meta)
 
 
-def value(key: Key) -> str:
-    """The values that a key accepts."""
+def describe_values(key: Key) -> str:
+    """Describe the values that a key accepts, and how many."""
     text = kinds.describe_accepted(key.meta)
     return {"one": text, "many": f"one or more: {text}", "named": f"NAME and {text}; repeated"}[key.shape]
 
@@ -59,7 +59,7 @@
 def explain(section: type[Section]) -> Iterator[tuple[str, str, str, str]]:
     """Yield (key, accepted values, default, meaning) for each key of a section."""
     for key in keys(section).values():
-        yield key.name, value(key), default(key), key.doc
+        yield key.name, describe_values(key), format_default(key), key.doc
 
 
 def page() -> str:
@@ -78,7 +78,10 @@
 
 
 def conf_text(conf: Conf, only_set: bool = False) -> str:
-    """The effective configuration in the format of its file. Secrets are shown as the names of their files."""
+    """The effective configuration in the format of its file; with ``only_set``, without the defaults.
+
+    Of a secret, the name of its file is shown.
+    """
     parts: list[str] = []
     for title, section in SECTIONS.items():
         found = conf.sections_of(section)
--- a/kestrelspar/settings/platform.py
+++ b/kestrelspar/settings/platform.py
@@ -32,6 +32,7 @@
     raise ValueError(f"unknown {what} {name!r:.40}")
 
 
+# States of an endpoint by their names in discovery's list.
 STATES = {"active": api.EndpointState.READY, "leaving": api.EndpointState.DRAINING, "left": api.EndpointState.GONE}
 
 
