--- a/kestrelspar/http/backoff.py
+++ b/kestrelspar/http/backoff.py
@@ -1,10 +1,11 @@
 """Backoff between a courier's requests to discovery: decisions without I/O.
 
-Theory of operation. Where discovery pushes changes (``membership_mode``), a local agent holds the list. A request to it
-costs nothing. A change counts as known to the courier even if the courier has not requested it yet, and a known drain
-must be obeyed within half a second. So the first request is sent at once, both at a start and after the watch broke.
-Spreading the first requests of two hundred couriers over ten seconds let them send messages to endpoints that had begun
-to drain.
+Theory of operation. A courier must act on a change of the list from the time at which the change counts as known to it.
+Where discovery pushes changes (``membership_mode``), a local agent holds the list, and a request to it costs nothing.
+A change there counts as known even if the courier has not requested it yet, and a known drain must be obeyed within
+half a second. So the first request is sent at once at a start, and within ``PUSHED_INITIAL_BOUND`` after the watch
+broke. Spreading the first requests of two hundred couriers over ten seconds let them send messages to endpoints that
+had begun to drain.
 
 Where discovery must be polled, each request costs it and may be refused. Couriers do not coordinate, but all of them
 lose discovery in the same instant: at a release, on a network failure, or when it is overloaded and closes its watches.
@@ -13,8 +14,8 @@
 the configured number of couriers. Meanwhile the courier keeps serving from the list that it has.
 
 Whether the list is pushed or polled, and whether requests failed, were refused or timed out: a change counts as known
-``MAX_STALENESS`` after discovery had it and was reachable. So once discovery becomes reachable, a request that it
-can answer must be sent within that time. A request already in progress then lasts at most ``CONNECT_TIMEOUT`` plus
+``MAX_STALENESS`` after discovery had it and was reachable. So once discovery becomes reachable, a request that it can
+answer must be sent within that time. A request already in progress then lasts at most ``CONNECT_TIMEOUT`` plus
 ``RESPONSE_TIMEOUT``, and a silent watch is closed after ``WATCH_SILENCE_TIMEOUT``. The delay that follows may take only
 the rest of the time, at most ``MAX_RETRY_DELAY``. Where the bound for a large number of couriers exceeds that maximum,
 delays are drawn from the upper end of the allowed range: this keeps the request rate the same, and no request is later
@@ -34,7 +35,7 @@
 
 from kestrelspar.runtime.loop import MS, SECOND
 
-MAX_STALENESS = 6 * SECOND  # after this a change counts as known to the courier
+MAX_STALENESS = 6 * SECOND  # after this time a change counts as known to the courier
 WATCH_SILENCE_TIMEOUT = 2_700 * MS  # discovery sends an empty line every 2 s
 CONNECT_TIMEOUT = 400 * MS
 RESPONSE_TIMEOUT = 1 * SECOND  # from the connection to the response headers, unless discovery is slow
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -28,7 +28,7 @@
 
     def __init__(self, loop: Loop, buffers: BufferPool, address: tuple[str, int]) -> None:
         self.loop, self.buffers, self.address = loop, buffers, address
-        self._pending: list[tuple[str, Suspension]] = []  # notices as JSON, and the tasks that wait for their end
+        self._pending: list[tuple[str, Suspension]] = []  # notices as JSON, each with the suspension of its task
         self._stream: Stream | None = None
         self._sending = False
         self._move_count = 0
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -97,7 +97,7 @@
     if coding is not None:
         # Both headers at once allow request smuggling, as two servers may disagree on where the body ends.
         if coding.lower() != "chunked" or length is not None:
-            raise MalformedMessageError("unsupported Transfer-Encoding, or Content-Length beside it")
+            raise MalformedMessageError("unsupported Transfer-Encoding, or a Content-Length beside it")
         return None
     if length is None:
         return -1
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -27,7 +27,10 @@
 
 
 def hop_from_row(raw: Any, settings: api.Settings, carrier: Carrier) -> NextHop:
-    """Converts one row of the list; raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is invalid."""
+    """Converts one row of the list to a next hop.
+
+    Raises ``ValueError``, ``KeyError``, ``TypeError`` or ``OverflowError`` if it is invalid.
+    """
     state = STATES[raw["status"]]
     endpoint = api.Endpoint(
         str(raw["name"]).encode(),
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -46,7 +46,11 @@
 
 
 class StartupConfig:
-    """The configuration that the program starts with; ``ValueError`` names everything that is invalid in it."""
+    """The configuration that the program starts with.
+
+    Raises ``ValueError``, which names all errors of the first source that has any: the platform's JSON, the
+    configuration file, or a file that it refers to.
+    """
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self.platform = platform.read(environment)
@@ -58,8 +62,8 @@
         if self.keys is not None:
             self.registries = self.keys.with_tls(self.registries)
         self.peer_keys = resolve.peer_keys(self.conf)
-        extra = self.conf.values_of(schema.Plugins)
-        scripts = extra.scripts if extra.enabled else ()
+        plugin_settings = self.conf.values_of(schema.Plugins)
+        scripts = plugin_settings.scripts if plugin_settings.enabled else ()
         self.rules = []
         if scripts:
             # Disabled features are not imported, here and below: each import delays the start of the whole fleet.
