--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -82,7 +82,7 @@
         if "\r" in field or "\n" in field or "\0" in field:
             raise MalformedMessageError("bad header value")
         if key in headers and key == "content-length" and headers[key] != field:
-            raise MalformedMessageError("conflicting Content-Length headers")
+            raise MalformedMessageError("two lengths")
         headers[key] = f"{headers[key]}, {field}" if key in headers and key != "content-length" else field
     return Head((parts[0], parts[1], parts[2]), headers, end + 4)
 
@@ -97,12 +97,12 @@
     if coding is not None:
         # Both headers at once allow request smuggling, as two servers may disagree on where the body ends.
         if coding.lower() != "chunked" or length is not None:
-            raise MalformedMessageError("unsupported Transfer-Encoding, or a Content-Length beside it")
+            raise MalformedMessageError("transfer coding not served")
         return None
     if length is None:
         return -1
     if not (length.isascii() and length.isdigit()):
-        raise MalformedMessageError("bad Content-Length")
+        raise MalformedMessageError("bad length")
     if len(length) > 9 or int(length) > max_bytes:
         raise MalformedMessageError("body too long", 413)
     return int(length)
@@ -152,7 +152,7 @@
         line = line[:-2]
         if self._state == "end of data":
             if line:
-                raise MalformedMessageError("chunk longer than its size line says")
+                raise MalformedMessageError("chunk longer than told")
             self._state = "size"
         elif self._state == "trailer":
             self.done = not line
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -239,7 +239,7 @@
                 stream.write(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             body = parser.read_body(stream, head, deadline)
             if not parser.may_begin_request(stream.unread):  # the Content-Length is wrong, so the body may be truncated
-                raise parser.MalformedMessageError("bytes after the body that begin no request")
+                raise parser.MalformedMessageError("bytes behind the body that begin no request")
             self._set_state(client, State.SERVED)
             method, target, _ = head.start_line
             path = target.partition("?")[0]
@@ -250,7 +250,7 @@
                 stream.write(self._response_to_get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
             if method != "POST":
-                raise parser.MalformedMessageError("only POST and GET are supported", 405)
+                raise parser.MalformedMessageError("only POST and GET are served", 405)
             message = self._build_message(path, head, body)
         except parser.MalformedMessageError as error:
             # The connection is closed: the request may be incomplete, so the start of the next one is unknown.
@@ -340,7 +340,7 @@
             tenant = found
         dest = _DEST.search(headers.get("x-route-to", ""))
         if dest is None:
-            raise parser.MalformedMessageError("X-Route-To without a valid dest")
+            raise parser.MalformedMessageError("X-Route-To holds no dest")
         key = headers.get("idempotency-key", "")
         lifetime = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
         deadline = self.loop.now + lifetime
