--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -1,4 +1,4 @@
-"""The sender side over HTTP: clients submit messages and get a response at once."""
+"""The sender side over HTTP: clients submit messages and get a response before the first delivery attempt."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
 READ_TIMEOUT = 2_500 * MS  # from a request's first byte to its last
 FIRST_REQUEST_TIMEOUT = 2_700 * MS  # from the connection's start to the last byte of its first request
-LINGER_TIMEOUT = 3_000 * MS  # after the half-close, for a client that still sends
-LINGER_IDLE_TIMEOUT = 300 * MS  # after the half-close, without any bytes
-SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the start of a new connection to its first request
+LINGER_TIMEOUT = 3_000 * MS  # how long a half-closed connection stays open for a client that continues to send
+LINGER_IDLE_TIMEOUT = 300 * MS  # how long a half-closed connection stays open without receiving a byte
+SHUTDOWN_FIRST_BYTE_TIMEOUT = 600 * MS  # from the connection's start, or SIGTERM if later, to its first byte
 SHUTDOWN_ACCEPT_TIME = 500 * MS  # after SIGTERM, as new connections may arrive for 400 ms
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
-REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}
+REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}  # other reasons: 422
 WRITE_TIMEOUT = 400 * MS  # a client waits this long for its response
 _EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
 
 
 def expires(text: str) -> int:
-    """Parses X-Expires-In into microseconds."""
+    """Parses X-Expires-In, a number with the unit ``m`` (milliseconds) or ``u`` (microseconds), into microseconds."""
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
         raise parser.MalformedMessageError("bad X-Expires-In")
@@ -40,28 +40,31 @@
 
 
 class State(Enum):
-    """What a client's connection is doing; in the order in which connections are closed when there are too many."""
+    """What a client's connection is doing, in the order in which connections are closed when there are too many.
 
-    LEAVING = "half-closed, and reading on until it has heard"
-    NEW = "has asked nothing yet"
+    The values are for the log.
+    """
+
+    LEAVING = "half-closed, discarding input"
+    NEW = "no request yet"
     ASKING = "in the middle of a request"
     IDLE = "between requests"
-    SERVED = "waits for our answer"  # its request is received and being processed
+    SERVED = "request being processed"  # never closed to make room
 
 
-# How long a connection stays in a state before it may be closed to make room. Closing one with unread bytes would reset
-# it. So a request that has begun gets a 408 response and a half-close first. A half-closed connection may be closed, as
-# it has been read for the time given here.
+# How long a connection must have been in a state before it may be closed to make room. Closing a connection with unread
+# bytes would reset it, so a request that has begun first gets a 408 response and a half-close. A half-closed connection
+# may be closed because its input has been read for the time given here.
 MIN_STATE_AGE = {State.LEAVING: 100 * MS, State.NEW: 50 * MS, State.ASKING: 300 * MS, State.IDLE: 0}
 
 
 class Client:
     """One client's connection."""
 
-    __slots__ = ("stream", "since", "state")
+    __slots__ = ("stream", "connected_at", "state")
 
-    def __init__(self, stream: Stream, since: int) -> None:
-        self.stream, self.since, self.state = stream, since, State.NEW
+    def __init__(self, stream: Stream, connected_at: int) -> None:
+        self.stream, self.connected_at, self.state = stream, connected_at, State.NEW
 
 
 class SenderServer:
@@ -75,6 +78,7 @@
         self._max_idle = max(4, max_connections // 4)  # connections kept open between requests
         # By state, with the time of entering it, oldest first.
         self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}
+        # By event and reason: how often it occurred again since it was logged, within one second.
         self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
         courier.shutdown_tasks.append(self.close_connections)
@@ -90,7 +94,7 @@
         self._listener = listener
         while True:
             self.loop.readable(listener, None)
-            for _ in range(MAX_ACCEPTS_PER_TURN):  # with one per turn, clients that send nothing would delay all others
+            for _ in range(MAX_ACCEPTS_PER_TURN):  # accepting one per turn would let silent clients delay others
                 try:
                     sock, _ = listener.accept()
                 except BlockingIOError:
@@ -109,7 +113,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = Client(Stream(self.loop, sock, self.buffers, incoming=True), self.loop.now)
-        self._clients[State.NEW][client] = client.since
+        self._clients[State.NEW][client] = client.connected_at
         self.loop.spawn(self._serve, client)
 
     def _set_state(self, client: Client, state: State) -> None:
@@ -120,10 +124,10 @@
         self._clients[state][client] = self.loop.now
 
     def _make_room(self) -> bool:
-        """Closes the connection whose loss does least harm; false if none was closed at once.
+        """Closes the connection whose loss does least harm; returns whether one was closed at once.
 
-        None is closed once its request is received. A request that is still arriving gets a 408 response after its
-        ``MIN_STATE_AGE``, and its connection closes after that.
+        A connection whose request is being processed is never closed. One whose request is still arriving after its
+        ``MIN_STATE_AGE`` gets a 408 response, and closes after that.
         """
         for state, min_age in MIN_STATE_AGE.items():
             for client, since in self._clients[state].items():
@@ -145,8 +149,8 @@
     def close_connections(self) -> None:
         """After SIGTERM: closes idle connections in an orderly way, and each other one as soon as it is idle.
 
-        Otherwise clients would keep idle connections until the process exits, and lose the requests that they send on
-        them at that moment.
+        Otherwise clients would keep their idle connections until the process exits, and a request sent at that moment
+        would be lost.
         """
         started_at = self.loop.now
         while True:
@@ -174,8 +178,10 @@
         """Whether a connection is open, or a new one may still arrive."""
         return self.count > 0 or self._listener is not None
 
+    # Logging
+
     def _log_throttled(self, event: str, why: str, trace: str | None = None) -> None:
-        """Logs an event that faulty clients can cause often: the first at once, further ones as a count per second."""
+        """Logs an event that faulty clients can cause often: the first one at once, then a count once a second."""
         key = (event, why)
         if key in self._suppressed_counts or len(self._suppressed_counts) >= 20:
             key = key if key in self._suppressed_counts else (event, "other")
@@ -192,8 +198,10 @@
                 logs.event("more", front="http", of=event, why=why, count=count)
         self._suppressed_counts.clear()
 
+    # Requests
+
     def _serve(self, client: Client) -> None:
-        """Serves one connection: requests in turn, until a side closes it or it was idle for too long."""
+        """Serves the requests of one connection, one at a time, until either side closes it or it is idle too long."""
         try:
             while self._await_request(client) and self._handle_request(client):
                 self._set_state(client, State.IDLE)
@@ -208,21 +216,21 @@
         """Waits for the first byte of a request; returns false if the connection was idle for too long."""
         stream, deadline = client.stream, self.loop.now + IDLE_TIMEOUT
         if client.state is State.NEW:
-            deadline = client.since + IDLE_TIMEOUT
+            deadline = client.connected_at + IDLE_TIMEOUT
         while not stream.unread:
             try:
                 stream.fill(deadline)
             except Late:
                 if stream.is_reusable():
                     return False
-                deadline = self.loop.now + READ_TIMEOUT  # a request began at that very moment, and is served
+                deadline = self.loop.now + READ_TIMEOUT  # a request began just as the time-out expired: serve it
         return True
 
     def _handle_request(self, client: Client) -> bool:
         """Reads one request and responds to it; returns whether the connection stays open."""
         stream, deadline = client.stream, self.loop.now + READ_TIMEOUT
         if client.state is State.NEW:
-            deadline = client.since + FIRST_REQUEST_TIMEOUT
+            deadline = client.connected_at + FIRST_REQUEST_TIMEOUT
         self._set_state(client, State.ASKING)
         try:
             head = parser.read_head(stream, deadline)
@@ -236,16 +244,16 @@
             method, target, _ = head.start_line
             path = target.partition("?")[0]
             # Clients that send one request and stay connected would soon use up all connections.
-            room = len(self._clients[State.IDLE]) < self._max_idle
-            keep = head.keep_alive and room and self.courier.closing is None
+            may_stay_idle = len(self._clients[State.IDLE]) < self._max_idle
+            keep = head.keep_alive and may_stay_idle and self.courier.closing is None
             if method == "GET":
-                stream.write(self._get(path, keep), self.loop.now + WRITE_TIMEOUT)
+                stream.write(self._response_to_get(path, keep), self.loop.now + WRITE_TIMEOUT)
                 return keep
             if method != "POST":
                 raise parser.MalformedMessageError("only POST and GET are served", 405)
-            message = self._message(path, head, body)
+            message = self._build_message(path, head, body)
         except parser.MalformedMessageError as error:
-            # Unless the request was complete, the start of the next one is unknown.
+            # The connection is closed: the request may be incomplete, so the start of the next one is unknown.
             self._log_throttled("request-rejected", str(error))
             stream.write(
                 parser.response(error.status, f"{error}\n".encode(), keep=False), self.loop.now + WRITE_TIMEOUT
@@ -260,28 +268,29 @@
         return bool(self.loop.park(responded)) and keep
 
     def _submit(self, message: Message, stream: Stream, keep: bool, responded: Suspension) -> None:
-        """Runs as the message's own task; the connection continues as soon as the response is written."""
+        """Submits a message, in a task of its own; ``responded`` wakes the connection's task after the response."""
 
-        def respond(given: Answer) -> bool:
+        def respond(answer: Answer) -> bool:
+            """Writes the response; returns whether it accepted the message."""
             accepted = False
             try:
-                if given.accepted and not stream.peer_closed():
+                if answer.accepted and not stream.peer_closed():
                     stream.write(parser.response(202, keep=keep), self.loop.now + WRITE_TIMEOUT)
                     accepted = True
-                elif given.accepted or given.defer:
-                    retry_after = {"Retry-After": f"{given.retry_after / SECOND:g}"}
+                elif answer.accepted or answer.defer:
+                    retry_after = {"Retry-After": f"{answer.retry_after / SECOND:g}"}
                     stream.write(parser.response(503, keep=keep, headers=retry_after), self.loop.now + WRITE_TIMEOUT)
                     logs.event(
                         "deferred",
                         trace=message.trace,
                         front="http",
-                        why="client gone" if given.accepted else given.reason,
+                        why="client gone" if answer.accepted else answer.reason,
                     )
                 else:
-                    self._log_throttled("rejected", given.reason, message.trace)
+                    self._log_throttled("rejected", answer.reason, message.trace)
                     stream.write(
                         parser.response(
-                            REJECTION_STATUSES.get(given.why, 422), f"{given.reason}\n".encode(), keep=keep
+                            REJECTION_STATUSES.get(answer.why, 422), f"{answer.reason}\n".encode(), keep=keep
                         ),
                         self.loop.now + WRITE_TIMEOUT,
                     )
@@ -299,8 +308,8 @@
     def _close_gracefully(self, client: Client) -> None:
         """Closes a connection that the client has not closed: half-closes it, discards input, then closes it.
 
-        Closing with unread bytes sends a reset, which may overtake the response. Requests that are read from here on
-        are discarded: their senders get no response and submit them elsewhere.
+        Closing a socket with unread bytes sends a reset, which may overtake the response. Requests that arrive after
+        the half-close are discarded: their clients get no response and submit them elsewhere.
         """
         stream = client.stream
         self._set_state(client, State.LEAVING)
@@ -312,7 +321,7 @@
         except (Closed, Late, OSError):
             pass
 
-    def _message(self, path: str, head: parser.Head, body: bytes) -> Message:
+    def _build_message(self, path: str, head: parser.Head, body: bytes) -> Message:
         """Builds the message that a request submits; raises ``MalformedMessageError`` if the request is invalid."""
         settings, headers = self.courier.settings, head.headers
         trace = headers.get("x-trace-id", "")
@@ -341,8 +350,8 @@
     def _indices(name: str, items: tuple[object, ...]) -> Iterator[int]:
         return (i for i, item in enumerate(items) if getattr(item, "name", None) == name)
 
-    def _get(self, path: str, keep: bool) -> bytes:
-        """Responds to health checks and to requests for statistics."""
+    def _response_to_get(self, path: str, keep: bool) -> bytes:
+        """Returns the response to a health check or a request for statistics."""
         if path == "/health/ready":
             return parser.response(200 if self.courier.serving else 503, keep=keep)
         if path == "/health/live":
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -53,50 +53,55 @@
     return context
 
 
-def secure(stage: SmppTestbed, directory: Path, **account: object) -> TlsStore:
+def secure(testbed: SmppTestbed, directory: Path, **account: object) -> TlsStore:
+    """Switches the listener to TLS, and changes fields of its accounts."""
     write_files(directory)
     keys = TlsStore(conf(directory))
-    config = stage.server.config
+    config = testbed.server.config
     accounts = tuple(dataclasses.replace(a, **account) for a in config.accounts)  # type: ignore[arg-type]
-    stage.server.config = dataclasses.replace(config, tls="main", accounts=accounts)
-    stage.server._keys = keys
+    testbed.server.config = dataclasses.replace(config, tls="main", accounts=accounts)
+    testbed.server._keys = keys
     return keys
 
 
-def connect_contractor(stage: SmppTestbed, context: ssl.SSLContext) -> StandInContractor | None:
+def connect_contractor(testbed: SmppTestbed, context: ssl.SSLContext) -> StandInContractor | None:
     connected: list[StandInContractor | None] = []
 
     def dial() -> None:
-        stream = tls.dial(stage.loop, stage.buffers, stage.address, stage.loop.now + SECOND, context, "hub.example")
+        stream = tls.dial(
+            testbed.loop, testbed.buffers, testbed.address, testbed.loop.now + SECOND, context, "hub.example"
+        )
         connected.append(
             None
             if stream is None
-            else StandInContractor(stage.loop, stage, stage.address, Command.BIND_TRANSCEIVER, stream=stream)
+            else StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_TRANSCEIVER, stream=stream)
         )
 
-    stage.loop.spawn(dial)
-    stage.run_until(
+    testbed.loop.spawn(dial)
+    testbed.run_until(
         lambda: connected and (connected[0] is None or connected[0].answers or connected[0].stream.sock.fileno() < 0)
     )
     return connected[0]
 
 
-def test_contractors_bind_and_submit_over_tls_and_other_connections_are_closed(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    gate = StandInGateway(stage)
-    stage.open(gateway(gate.address))
-    secure(stage, tmp_path)
+def test_contractors_bind_and_submit_over_tls_and_connections_without_tls_are_closed(tmp_path: Path) -> None:
+    testbed = SmppTestbed(tmp_path)
+    gate = StandInGateway(testbed)
+    testbed.open(gateway(gate.address))
+    secure(testbed, tmp_path)
     stalled: list[object] = []  # a connection that sends nothing
-    stage.loop.spawn(lambda: stalled.append(connect(stage.loop, stage.address, stage.loop.now + SECOND)))
-    contractor = connect_contractor(stage, client())
+    testbed.loop.spawn(lambda: stalled.append(connect(testbed.loop, testbed.address, testbed.loop.now + SECOND)))
+    contractor = connect_contractor(testbed, client())
     assert contractor is not None and contractor.answers[0].status == 0
     plain: list[StandInContractor] = []
-    stage.loop.spawn(lambda: plain.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.run_until(lambda: plain and plain[0].stream.sock.fileno() < 0)
-    name = submit(stage, contractor)
-    stage.run_until(lambda: name in contractor.final_states())
-    stage.run_for(6 * SECOND)
-    assert len(stage.server._connections) == 1, "the connection that stalled in its handshake was not closed"
+    testbed.loop.spawn(
+        lambda: plain.append(StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_RECEIVER))
+    )
+    testbed.run_until(lambda: plain and plain[0].stream.sock.fileno() < 0)
+    name = submit(testbed, contractor)
+    testbed.run_until(lambda: name in contractor.final_states())
+    testbed.run_for(6 * SECOND)
+    assert len(testbed.server._connections) == 1, "the connection that stalled in its handshake was not closed"
 
 
 @pytest.mark.parametrize(
@@ -104,10 +109,10 @@
     [("acme.example", Status.ESME_ROK), ("other.example", Status.ESME_RBINDFAIL), (None, Status.ESME_RBINDFAIL)],
 )
 def test_an_account_may_require_a_client_certificate(tmp_path: Path, presented: str | None, status: Status) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    secure(stage, tmp_path, certificate="acme.example")
-    contractor = connect_contractor(stage, client(CA.issue_cert(presented) if presented else None))
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    secure(testbed, tmp_path, certificate="acme.example")
+    contractor = connect_contractor(testbed, client(CA.issue_cert(presented) if presented else None))
     assert contractor is not None and contractor.answers[0].status == status
 
 
@@ -119,28 +124,28 @@
     # Another courier's listener acts as the gateway: it rejects the destination, as a gateway may do.
     hub_keys = hub.server._keys
     for name, bound in (("hub.example", True), ("other.example", False)):
-        gates = SmppCarrier(
+        carrier = SmppCarrier(
             hub.loop,
             hub.buffers,
             hub.courier.settings,
             (gateway(hub.address, system_id="acme", password="secret", tls="main", server_name=name, stay_bound=True),),
             keys=hub_keys,
         )
-        gates.start()
+        carrier.start()
         hub.run_for(SECOND)
-        assert next(iter(gates._links.values())).is_receiving() is bound
-        gates.shut_down()
+        assert next(iter(carrier._links.values())).is_receiving() is bound
+        carrier.shut_down()
 
 
 def test_reloaded_files_apply_to_new_connections_and_bad_ones_change_nothing(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    keys = secure(stage, tmp_path)
-    old = connect_contractor(stage, client())
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    keys = secure(testbed, tmp_path)
+    old = connect_contractor(testbed, client())
     assert old is not None
     write_files(tmp_path, "hub.example", ca=trustme.CA())
     keys.reload_files(conf(tmp_path))
-    assert connect_contractor(stage, client()) is None, "the certificate of the other authority is not presented"
+    assert connect_contractor(testbed, client()) is None, "the certificate of the other authority was not presented"
     (tmp_path / "cert.pem").write_text("no certificate")
     with pytest.raises(ConfErrors, match=r"conf:2: tls main.certificate.*holds no certificate"):
         keys.reload_files(conf(tmp_path))
@@ -149,7 +154,7 @@
     (tmp_path / "conf").write_text("log\n    level info\n")
     # The listener keeps the contexts that it was started with.
     keys.reload_files(conf_file.load(str(tmp_path / "conf")))
-    assert connect_contractor(stage, client()) is not None and old.stream.sock.fileno() >= 0
+    assert connect_contractor(testbed, client()) is not None and old.stream.sock.fileno() >= 0
 
 
 @pytest.mark.parametrize(
@@ -171,7 +176,7 @@
         TlsStore(conf(tmp_path))
 
 
-def test_references_to_missing_tls_sections_are_faults(tmp_path: Path) -> None:
+def test_references_to_missing_tls_sections_are_errors(tmp_path: Path) -> None:
     write_files(tmp_path)
     (tmp_path / "pw").write_text("secret")
     (tmp_path / "pw").chmod(0o600)
@@ -179,9 +184,9 @@
         "smpp\n    tls none\nsmpp-gateway g\n    address 127.0.0.1:1\n    destination 1\n    system-id us\n"
         "    password-file pw\n    tls other\n"
     )
-    with pytest.raises(ConfErrors) as faults:
+    with pytest.raises(ConfErrors) as caught:
         resolve.keys(conf(tmp_path, "", rest))
-    assert [str(fault).partition(": ")[2] for fault in faults.value.errors] == [
+    assert [str(error).partition(": ")[2] for error in caught.value.errors] == [
         "smpp.tls: there is no section tls none",
         "smpp-gateway g.tls: there is no section tls other",
     ]
@@ -221,25 +226,27 @@
 
 
 def test_an_account_is_limited_to_its_networks_and_failed_binds_delay_an_address(tmp_path: Path) -> None:
-    stage = SmppTestbed(tmp_path)
-    stage.open()
-    config = stage.server.config
-    away = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
-    stage.server.config = dataclasses.replace(config, accounts=away)
-    assert stage.contractor().answers[0].status == Status.ESME_RBINDFAIL
-    stage.server.config = config
-    assert stage.contractor().answers[0].status == 0, "one failed bind delayed the next one"
+    testbed = SmppTestbed(tmp_path)
+    testbed.open()
+    config = testbed.server.config
+    other_networks = tuple(dataclasses.replace(a, networks=(IPv4Network("10.0.0.0/8"),)) for a in config.accounts)
+    testbed.server.config = dataclasses.replace(config, accounts=other_networks)
+    assert testbed.contractor().answers[0].status == Status.ESME_RBINDFAIL
+    testbed.server.config = config
+    assert testbed.contractor().answers[0].status == 0, "one failed bind delayed the next one"
     for _ in range(3):
-        assert stage.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
-    cut: list[StandInContractor] = []
-    stage.loop.spawn(lambda: cut.append(StandInContractor(stage.loop, stage, stage.address, Command.BIND_RECEIVER)))
-    stage.run_until(lambda: cut and cut[0].stream.sock.fileno() < 0)
-    assert not cut[0].answers
-    stage.run_for(2 * SECOND)
-    assert stage.contractor().answers[0].status == 0
+        assert testbed.contractor(password="wrong").answers[0].status == Status.ESME_RINVPASWD
+    throttled: list[StandInContractor] = []
+    testbed.loop.spawn(
+        lambda: throttled.append(StandInContractor(testbed.loop, testbed, testbed.address, Command.BIND_RECEIVER))
+    )
+    testbed.run_until(lambda: throttled and throttled[0].stream.sock.fileno() < 0)
+    assert not throttled[0].answers  # closed without an answer
+    testbed.run_for(2 * SECOND)
+    assert testbed.contractor().answers[0].status == 0
 
 
-def test_delays_grow_and_are_forgotten() -> None:
+def test_bind_delays_grow_with_refusals_and_old_refusals_are_forgotten() -> None:
     limiter = access.BindThrottle()
     delays = [limiter.record_refusal("1.1.1.1", 0) // SECOND for _ in range(12)]
     assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.is_throttled("1.1.1.1", 59 * SECOND)
