--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -9,13 +9,13 @@
 that epoch (``past``), and the counts since (``now``). Within an epoch the larger value of each counter wins; a later
 epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
 
-Only the courier itself adds up its epochs: its ``past`` is what it persisted, raised by what the others hold of its
-earlier epochs (``past`` and ``now`` together). So a lost state directory or a crash between two writes loses nothing
-that any other courier had received. If each courier added up the epochs, they would arrive at different sums.
+Only the courier itself adds up its epochs; if each courier did, they would arrive at different sums. Its ``past`` is
+what it persisted, or what the others hold of an earlier epoch (``past`` and ``now`` together) if that is more. So a
+lost state directory or a crash between two writes loses nothing that any other courier had received.
 
-Now and then a courier sends its counters to some others, recent changes first; ``CounterRequest`` requests all of them
-at once. Counters of couriers that are gone are sent by whoever holds them. Each courier has at most ``MAX_COUNTERS``
-counters; any further ones are counted as one.
+Every ``REPORT_INTERVAL`` a courier sends counters to some others, recent changes first; ``CounterRequest`` requests all
+of them at once. Counters of couriers that are gone are sent by any courier that holds them. Each courier has at most
+``MAX_COUNTERS`` counters; all further ones are counted together as ``OVERFLOW_KEY``.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from kestrelspar.peers.members import Outgoing
 from kestrelspar.peers.messages import CounterReport, CounterRequest, PeerMessage
 
-MS, SECOND = 1_000, 1_000_000
+MS, SECOND = 1_000, 1_000_000  # microseconds
 REPORT_INTERVAL = 2 * SECOND  # between unrequested reports
-REPORT_FANOUT = 2  # members that receive each of them
+REPORT_FANOUT = 2  # members that receive each unrequested report
 ROWS_PER_MESSAGE = 16  # counters in a message, so that it fits a datagram
 MAX_KEY_LENGTH = 40  # characters of a counter's name
 MAX_COUNTERS = 1_000  # max counters of one courier
@@ -69,12 +69,12 @@
 
     # Counters of this courier
 
-    def add(self, key: str, calls: int = 1) -> None:
-        """Add to a counter."""
+    def add(self, key: str, amount: int = 1) -> None:
+        """Add to a counter of this courier."""
         own_counters, key = self.by_courier[self.own_name].now, key[:MAX_KEY_LENGTH]
         if key not in own_counters and len(own_counters) >= MAX_COUNTERS:
             key = OVERFLOW_KEY
-        own_counters[key] = own_counters.get(key, 0) + calls
+        own_counters[key] = own_counters.get(key, 0) + amount
         self._changed_keys[key] = None
 
     def own_totals(self) -> dict[str, int]:
@@ -84,7 +84,10 @@
     # Counters of other couriers
 
     def receive(self, sender: str, messages: Iterable[PeerMessage], now: int, gone: set[str]) -> Outgoing:
-        """Handle a member's messages about counters. ``gone``: couriers that can't reply themselves."""
+        """Handle a member's messages about counters. ``gone``: members that are dead or have left.
+
+        A reply covers this courier, the requesting one (its earlier epochs), and those gone, which can't reply.
+        """
         out: Outgoing = []
         for message in messages:
             if isinstance(message, CounterReport):
@@ -102,7 +105,7 @@
         return out
 
     def merge(self, report: CounterReport, now: int) -> None:
-        """Merge a report on a courier, whoever sent it."""
+        """Merge a report, whichever courier it is about and whoever sent it."""
         if report.name == self.own_name:
             self._merge_own(report)
             return
@@ -120,7 +123,7 @@
         counters.reported_at = max(counters.reported_at, now - report.age * MS)
 
     def _merge_own(self, report: CounterReport) -> None:
-        """Merge what others hold of earlier epochs: more than was persisted if the state file is old or lost."""
+        """Merge a report on an earlier epoch: it exceeds what was persisted if the state file is outdated or lost."""
         own_counters = self.by_courier[self.own_name]
         if report.epoch >= own_counters.epoch:
             return
@@ -174,12 +177,12 @@
                             ],
                         )
                     )
-                if complete:  # and a random part of all counters, for couriers that missed earlier reports
+                if complete:  # one random report of all its counters, for couriers that missed earlier ones
                     out.append((name, [self._random.choice(complete)]))
         return out
 
     def reports_on(self, name: str, now: int) -> list[CounterReport]:
-        """All that is held of one courier, as reports."""
+        """Reports on all counters that are held of one courier."""
         counters = self.by_courier.get(name)
         if counters is None:
             return []
@@ -196,7 +199,7 @@
     # Totals
 
     def fleet_totals(self, now: int) -> dict[str, dict[str, int]]:
-        """Fleet totals: by counter the sum, the number of couriers covered, and the age of the oldest part in ms."""
+        """Fleet totals by counter: sum, number of couriers included, and age of the oldest report in milliseconds."""
         totals: dict[str, dict[str, int]] = {}
         for name, counters in self.by_courier.items():
             age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -12,17 +12,17 @@
 from snowlock.state import Destination
 
 MIN_SILENCE_NS = 100_000_000  # a shorter silence is a slow call or a busy machine
-SLOW_START_SHARE = 0.5  # of an endpoint's capacity in slow start; the rest is for calls of couriers without a share
+SLOW_START_SHARE = 0.5  # of an endpoint's capacity in slow start is shared; the rest is for couriers without a share
 
 
 @dataclass(slots=True)
 class Demand:
-    """One budget, as the decision module's state gives it."""
+    """One budget and the unmet demand for it, derived from the decision module's state."""
 
-    calls: int
+    calls: int  # of all couriers together in any window
     window: int  # microseconds
-    endpoints: list[EndpointId]  # whose rate it limits
-    waiting: int = 0  # messages
+    endpoints: list[EndpointId]  # endpoints whose call rate the budget limits
+    waiting: int = 0  # messages that wait for its calls
     waiting_weight: float = 0.0  # total weight of these messages
     fully_lendable: bool = False  # a courier may lend its whole share
 
@@ -34,9 +34,11 @@
     budgets: dict[str, Demand] = field(default_factory=dict)  # by name of the budget
     routes: dict[str, int] = field(default_factory=dict)  # destination by endpoint
     ids: dict[str, EndpointId] = field(default_factory=dict)
-    silent: list[str] = field(default_factory=list)  # endpoints with calls in flight and no answer for long
+    silent: list[str] = field(
+        default_factory=list
+    )  # endpoints with calls in flight that have not answered for longer than usual
     down: list[str] = field(default_factory=list)  # endpoints in an outage, according to the decision module
-    closed: list[str] = field(default_factory=list)  # the same, and those with a retry-after delay
+    closed: list[str] = field(default_factory=list)  # endpoints in an outage, or with a retry-after delay
     active_destinations: set[int] = field(default_factory=set)  # destinations with messages waiting or calls in flight
 
 
@@ -46,7 +48,7 @@
 
 
 def budget_key(endpoint: EndpointId, dest: Destination) -> str:
-    """Name of the budget for a call: the endpoint's, or its destination's if the endpoints share one limit."""
+    """Name of the budget for calls to an endpoint: its own, or its destination's if its endpoints share one limit."""
     return f"e:{endpoint_name(endpoint)}" if dest.separate_limits else f"d:{dest.id}"
 
 
@@ -73,12 +75,13 @@
     reported_limit: Callable[[str], float] = lambda _: 0.0,
     recovering: Mapping[str, int] = MappingProxyType({}),
 ) -> DemandSnapshot:
-    """All current budgets with the messages that wait for each, and the state of the routes.
+    """Take a snapshot of all budgets with the messages that wait for each, and of the state of the routes.
 
-    ``shared_part``: the part of a limit that is shared. ``retry_part``: of that, the part for second and later attempts
-    (1: they have no budget of their own). ``reported_limit``: the limit that other couriers reported for an endpoint,
-    if trusted, else 0. ``recovering``: time since the return of endpoints after an outage, microseconds. Messages that
-    may go to several endpoints with separate limits count evenly towards each of them.
+    ``shared_part``: the part of a limit that couriers share. ``retry_part``: the part of the shared part for second and
+    later attempts (1: they have no budget of their own). ``reported_limit``: the limit that other couriers reported for
+    an endpoint, in calls per second; 0 if there is none that is trusted. ``recovering``: by endpoint, microseconds
+    since its return after an outage. The messages of a destination whose endpoints have separate limits count towards
+    those in equal parts.
     """
     snapshot, couriers = DemandSnapshot(), settings.forwarders
     retry_rates: dict[int, float] = {}  # attempts per second, by destination
@@ -100,7 +103,7 @@
         rate = min(route.limit.rate, reported) if route.limit.rate and reported else route.limit.rate or reported
         if endpoint in recovering:
             calls = slow_start_calls(rate or route.rate, recovering[endpoint], settings)
-            # Otherwise the limit would slow down the other endpoints that share it.
+            # The rate of an endpoint that shares its limit is not lowered: that would slow down the others, too.
             rate_limited = [route.id] if dest.separate_limits or len(dest.routes) == 1 else []
             snapshot.budgets[slow_start_key(endpoint)] = Demand(
                 calls,
@@ -114,8 +117,8 @@
             continue
         demand = snapshot.budgets.get(budget_key(route.id, dest))
         if demand is None:
-            calls, span = budget_for_rate(rate * shared_part, couriers)
-            demand = snapshot.budgets[budget_key(route.id, dest)] = Demand(calls, span, [])
+            calls, window = budget_for_rate(rate * shared_part, couriers)
+            demand = snapshot.budgets[budget_key(route.id, dest)] = Demand(calls, window, [])
             route_count = len(dest.routes) if dest.separate_limits else 1
             demand.waiting = -(-len(dest.queue) // max(1, route_count))
             demand.waiting_weight = sum(message.weight for message in dest.queue) / max(1, route_count)
@@ -132,8 +135,8 @@
 def slow_start_calls(rate: float, since_return: int, settings: Settings) -> int:
     """Calls per ``fall_ns`` that all couriers may make to an endpoint ``since_return`` microseconds after its return.
 
-    The rate rises in quarters of the ramp, each a quarter late, so that couriers that learned late of the return are
-    not far behind the others.
+    ``rate``: the endpoint's full rate, calls per second. The budget rises in four steps, one for each quarter of the
+    ramp and each a quarter late, so that couriers that learned late of the return are not far behind the others.
     """
     ramp = max(1, settings.ramp_ns // 1_000)
     quarters = max(0, 4 * since_return // ramp - 1)
--- a/kestrelspar/peers/event_log.py
+++ b/kestrelspar/peers/event_log.py
@@ -1,4 +1,7 @@
-"""Events of couriers and brokers as log lines: those that need an operator are errors, logged once a minute."""
+"""Logs the events of couriers and brokers.
+
+Those that an operator must act on are errors, logged at most once a minute for each event name and peer.
+"""
 
 from __future__ import annotations
 
@@ -28,12 +31,12 @@
         self._logged_at: dict[tuple[str, str], int] = {}
 
     def write(self, events: Events) -> None:
-        """Log events at the level that belongs to each."""
+        """Log each event at the level that belongs to its name."""
         for name, fields in events:
             if name not in ERROR_EVENTS:
                 logs.event(name, logs.DEBUG if name in DEBUG_EVENTS else logs.INFO, **fields)
                 continue
-            which = name, str(fields.get("peer", fields.get("courier", "")))
-            if self._loop.now >= self._logged_at.get(which, -ERROR_INTERVAL) + ERROR_INTERVAL:
-                self._logged_at[which] = self._loop.now
+            subject = name, str(fields.get("peer", fields.get("courier", "")))
+            if self._loop.now >= self._logged_at.get(subject, -ERROR_INTERVAL) + ERROR_INTERVAL:
+                self._logged_at[subject] = self._loop.now
                 logs.error(name, **fields)
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -5,14 +5,15 @@
 Theory of operation
 -------------------
 Updates of a member are ordered by (process epoch, incarnation, state). The largest wins, whatever the order of arrival.
-An epoch is one start of the process; within it only the member itself raises its incarnation, to refute a suspicion.
+Each start of the process begins a new epoch; within it only the member itself raises its incarnation, to refute a
+suspicion.
 
 In each period one member is probed (``Ping``), in shuffled order. Without an ack in time, helpers are asked to probe it
-(``Probe``); without an ack by the end of the period it is suspected. A suspect is told so with the next ping, and
-refutes the suspicion; if it doesn't do so in time, it is declared dead. The suspicion timeout is longest for one
-witness and falls with each further one.
+(``Probe``); without an ack by the end of the period it is suspected. The next ping notifies a suspect, so that it can
+refute the suspicion; if it doesn't do so in time, it is declared dead. The suspicion timeout is longest while a single
+member (witness) suspects it, and shrinks with each further witness.
 
-Most false suspicions are caused by the accuser's own weakness, so:
+Most false suspicions are caused by a fault of the accuser itself, so:
 
 - A member whose process was paused (more than a period between two ticks) restarts its probes and suspicion timeouts,
   and accuses nobody until it has received an ack.
@@ -20,14 +21,14 @@
   of its own health (Lifeguard's local health multiplier): its periods and suspicion timeouts grow up to
   ``MAX_HEALTH_MULTIPLIER`` times.
 
-Dead members are kept for a while, so that old updates don't revive them, and now and then one of them or a seed is
-pinged. So two halves of a partitioned fleet that declared each other dead rejoin. A ping carries what the sender
-knows about its receiver.
+Dead members are kept for ``DEAD_RETENTION``, so that old updates don't revive them. Now and then a dead member or a
+seed that is not a member is pinged, so that two halves of a partitioned fleet that declared each other dead rejoin: a
+ping carries the state that the sender holds for the receiver, which the receiver can refute.
 
-If the settings name a group, only couriers of the same group or of none are members; couriers that don't support groups
-are members of all groups, as they take all couriers for members. A courier of another group is foreign: it is not held,
-probed or gossiped, but answered, as it may have learned of this courier from one that doesn't support groups and
-dropped the group. The answer carries the group.
+If the settings name a group, only couriers of the same group or of none are members. Couriers that don't support groups
+are members of all groups, as they treat all couriers as members. A courier of another group is foreign: it is neither a
+member nor probed or gossiped. Its pings are answered nevertheless: it may have learned of this courier from one that
+doesn't support groups and therefore omitted the group. The answer carries the group.
 """
 
 import heapq
@@ -39,16 +40,16 @@
 
 from kestrelspar.peers.messages import Ack, MemberState, MemberUpdate, Nack, PeerMessage, Ping, Probe
 
-MS, SECOND = 1_000, 1_000_000
+MS, SECOND = 1_000, 1_000_000  # microseconds
 INDIRECT_PROBES = 3  # helpers asked to probe a member that doesn't answer, and seeds pinged at once
 MAX_HEALTH_MULTIPLIER = 8  # of periods and timeouts, for a courier that may be unhealthy itself
-ACK_TIMEOUT_SHARE, NACK_TIMEOUT_SHARE = 0.4, 0.8  # of a period for an ack; of that timeout, for a helper's nack
-MIN_SUSPICION_FACTOR, MAX_SUSPICION_FACTOR = 3.0, 6.0  # timeout in periods, times log10 of the number of members
-MAX_SUSPICION_WITNESSES = 3  # with so many the suspicion timeout is the shortest
-GOSSIP_FACTOR = 3.0  # times that a change is gossiped, times log2 of the number of members
-DEAD_RETENTION = 600 * SECOND
+ACK_TIMEOUT_SHARE, NACK_TIMEOUT_SHARE = 0.4, 0.8  # ack timeout per period; a helper's nack timeout per ack timeout
+MIN_SUSPICION_FACTOR, MAX_SUSPICION_FACTOR = 3.0, 6.0  # suspicion timeout: periods times log10 of the number of members
+MAX_SUSPICION_WITNESSES = 3  # witnesses for the shortest suspicion timeout; more are not counted
+GOSSIP_FACTOR = 3.0  # a change is gossiped this many times log2 of the number of members
+DEAD_RETENTION = 600 * SECOND  # how long a member that is dead or has left is kept
 RECONNECT_PERIODS = 5  # periods between pings to a dead member, or to a seed that is not a member
-MAX_GOSSIPED_MEMBERS = 24  # max members in a datagram
+MAX_GOSSIPED_MEMBERS = 24  # max updates of other members in a datagram
 MAX_RELAYED_PROBES = 64  # open probes on behalf of other members
 
 Outgoing = list[tuple[str, list[PeerMessage]]]  # receiver and messages
@@ -61,7 +62,7 @@
 
     update: MemberUpdate
     since: int  # when its state was received, or its suspicion timeout restarted
-    times_gossiped: int = 0  # times that it was gossiped since it changed
+    times_gossiped: int = 0  # since its last change
     witnesses: set[str] = field(default_factory=set)  # members that suspect it
 
 
@@ -100,8 +101,8 @@
         self.superseded = False  # another process with a later epoch has this courier's name
         self.leaving = False
         self.local_health = 0  # local health score; 0 is healthy
-        self.rejected_members = 0  # members not accepted beyond ``max_members``
-        self.foreign = 0  # ignored updates of couriers in other groups
+        self.rejected_members = 0  # updates of unknown couriers rejected because of ``max_members``
+        self.foreign = 0  # updates of couriers in other groups that were ignored
         self.events: Events = []
         self._random = random
         self._last_number = random.randrange(1 << 32)
@@ -115,19 +116,17 @@
         self._periods = 0
         self._stalled = False  # this process was paused and has received no ack since
         self._alive: list[str] | None = None  # cache, cleared on a change
-        self._number_holders: dict[int, str] = {
-            own_update.number: own_update.name
-        }  # last courier seen with each number
+        # Name of the last courier seen with each number.
+        self._number_holders: dict[int, str] = {own_update.number: own_update.name}
         self._not_alive: set[str] = set()
         self._updated: set[str] = set()  # members whose last change is still gossiped
-        self._foreign_couriers: dict[
-            str, MemberUpdate
-        ] = {}  # couriers of other groups, by name, so that they can be answered
+        # Couriers of other groups by name, so that they can be answered.
+        self._foreign_couriers: dict[str, MemberUpdate] = {}
 
     # Queries
 
     def alive(self) -> list[str]:
-        """Members that are alive or suspected, as suspects may refute."""
+        """Members that are alive or suspected, as a suspect may still refute the suspicion."""
         if self._alive is None:
             self._alive = [name for name, m in self.members.items() if m.update.state <= MemberState.SUSPECT]
         return self._alive
@@ -188,7 +187,7 @@
     def _handle_stall(self, now: int) -> None:
         """After a pause of this process, drop the open probe and restart suspicion timeouts.
 
-        Otherwise it would accuse others of its own pause.
+        Otherwise it would blame other members for acks and refutations that it missed during its own pause.
         """
         gap, self._last_tick = now - self._last_tick, now
         if gap <= self.period:
@@ -232,7 +231,7 @@
             self.local_health = max(0, self.local_health - 1)
             return
         if probe.nacks < probe.helpers_asked or not probe.helpers_asked:
-            # Helpers didn't answer either, so this courier itself may be the cause.
+            # A helper didn't answer either, or there was none to ask, so this courier itself may be the cause.
             self.local_health = min(MAX_HEALTH_MULTIPLIER - 1, self.local_health + 1)
         member = self.members.get(probe.target)
         if member is not None and member.update.state is MemberState.ALIVE and not self._stalled:
@@ -241,7 +240,7 @@
             self.events.append(("peers-suspect", {"peer": probe.target, "by": self.own_update.name}))
 
     def _expire_members(self, now: int) -> None:
-        """Declare suspects dead after their timeout, and drop members that have been dead or gone for long enough."""
+        """Declare suspects dead after their timeout; forget members dead or departed for ``DEAD_RETENTION``."""
         for name in sorted(self._not_alive):
             member = self.members[name]
             expired = now - member.since >= self.suspicion_timeout(member)
@@ -264,7 +263,7 @@
         return int(scale * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - MIN_SUSPICION_FACTOR) * confirmation))
 
     def _send_nacks(self, now: int, out: Outgoing) -> None:
-        """Send a nack for each relayed probe without an ack: this courier at least is alive."""
+        """Send a nack for each relayed probe without an ack in time: it shows that at least this helper is alive."""
         for number, (requester, request_number, received_at, nack_sent) in list(self._relayed_probes.items()):
             if not nack_sent and now - received_at >= int(self.period * ACK_TIMEOUT_SHARE * NACK_TIMEOUT_SHARE):
                 out.append((requester, [Nack(request_number)]))
@@ -304,7 +303,7 @@
             out.append((requester, [Ack(request_number)]))
 
     def _apply_update(self, update: MemberUpdate, reporter: str, now: int) -> None:
-        """Apply an update of a courier that ``reporter`` sent."""
+        """Apply an update about any courier, received from ``reporter``."""
         if update.name == self.own_update.name:
             self._handle_own_state(update)
             return
@@ -343,14 +342,14 @@
             and len(member.witnesses) < MAX_SUSPICION_WITNESSES
         ):
             member.witnesses.add(reporter)
-            member.times_gossiped = 0  # one more witness is gossiped, too
+            member.times_gossiped = 0  # so that the additional witness is gossiped, too
             self._updated.add(update.name)
 
     def _check_foreign(self, update: MemberUpdate) -> bool:
-        """Whether the courier is of another group. If it was a member, it is dropped.
+        """Whether the update is about a courier of another group. If that was a member, it is forgotten.
 
-        Couriers that don't support groups gossip its update without the group, so a known foreign courier is recognised
-        by its process epoch.
+        Couriers that don't support groups gossip such an update without the group, so an update without a group is
+        matched with a known foreign courier by its process epoch.
         """
         if not self.own_update.group:
             return False
@@ -387,7 +386,7 @@
             self._number_holders[update.number] = update.name
 
     def _handle_own_state(self, update: MemberUpdate) -> None:
-        """Handle an update of this courier: refute it, or detect that another process has the same name."""
+        """Handle an update about this courier: refute a suspicion, or detect that another process has the same name."""
         if update.epoch > self.own_update.epoch:
             self.superseded = True
             self.events.append(
@@ -423,7 +422,7 @@
     # Gossip
 
     def gossip(self, to: str) -> list[PeerMessage]:
-        """Updates to add to a datagram for that member, most urgent first. The caller cuts them to fit."""
+        """Updates to add to a datagram for the courier ``to``, most urgent first; the caller adds as many as fit."""
         max_sent = int(GOSSIP_FACTOR * math.log2(len(self.members) + 2))
         receiver = self.members.get(to)
         updates: list[PeerMessage] = [self.own_update]
@@ -445,13 +444,13 @@
         return updates
 
     def count_gossiped(self, messages: Iterable[PeerMessage]) -> None:
-        """Count updates that were sent."""
+        """Count how often the update of each member in ``messages`` was gossiped."""
         for message in messages:
             if isinstance(message, MemberUpdate) and message.name in self.members:
                 self.members[message.name].times_gossiped += 1
 
     def shut_down(self) -> Outgoing:
-        """Leave on SIGTERM: returns the messages to some members, which gossip them further."""
+        """Leave the group. Returns the messages that notify some members, which gossip it to the others."""
         self.leaving = True
         self.own_update = _with_state(self.own_update, MemberState.LEFT)
         names = self._unsuspected()
@@ -465,7 +464,7 @@
         return self._last_number
 
 
-def _with_state(update: MemberUpdate, stand: MemberState) -> MemberUpdate:
+def _with_state(update: MemberUpdate, state: MemberState) -> MemberUpdate:
     return MemberUpdate(
-        update.name, update.host, update.port, update.number, update.epoch, update.incarnation, stand, update.group
+        update.name, update.host, update.port, update.number, update.epoch, update.incarnation, state, update.group
     )
--- a/kestrelspar/peers/messages.py
+++ b/kestrelspar/peers/messages.py
@@ -11,14 +11,15 @@
 from msgspec import Meta, Struct
 
 Name = Annotated[str, Meta(min_length=1, max_length=60)]
-Key = Annotated[str, Meta(min_length=1, max_length=200)]  # name of a budget, or of an endpoint or a counter
+Key = Annotated[str, Meta(min_length=1, max_length=200)]  # name of a budget, an endpoint or a counter
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 _OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
-Host = Annotated[str, Meta(max_length=15, pattern=rf"\A(localhost|{_OCTET}(\.{_OCTET}){{3}})\Z")]  # no name resolution
-Group = Annotated[str, Meta(max_length=60)]
+# An IPv4 address or ``localhost``, so that a received host never needs name resolution.
+Host = Annotated[str, Meta(max_length=15, pattern=rf"\A(localhost|{_OCTET}(\.{_OCTET}){{3}})\Z")]
+Group = Annotated[str, Meta(max_length=60)]  # a group, or the name of an origin broker; may be empty
 Dest = Annotated[int, Meta(ge=0, le=1 << 40)]  # destination number, the same at all couriers
 Digest = Annotated[int, Meta(ge=0, lt=1 << 62)]
-Calls = Annotated[int, Meta(ge=0, le=1_000_000)]
+Calls = Annotated[int, Meta(ge=0, le=1_000_000)]  # per window of a budget
 
 
 class MemberState(IntEnum):
@@ -33,8 +34,9 @@
 class MemberUpdate(Struct, array_like=True, frozen=True, tag="s"):
     """Membership update: what the sender knows about a member.
 
-    ``number``: the member's position among the couriers, as configured. ``epoch``: its process epoch. ``incarnation``:
-    its incarnation. ``state``: its state.
+    ``number``: the member's position among the couriers, as configured. ``epoch``: its process epoch, larger at each
+    start. ``incarnation``: raised by the member itself to refute a suspicion; starts at 0 in each epoch.
+
     ``group`` comes last because couriers that don't support groups ignore what follows ``state``. A member without a
     group is sent as ``UngroupedMemberUpdate``.
     """
@@ -50,7 +52,7 @@
 
 
 class UngroupedMemberUpdate(Struct, array_like=True, frozen=True, tag="s"):
-    """``MemberUpdate`` for a member without a group: the bytes that were sent before groups existed. Only encoded."""
+    """``MemberUpdate`` of a member without a group, in the encoding from before groups existed. Never decoded."""
 
     name: str
     host: str
@@ -74,7 +76,7 @@
 
 
 class Probe(Struct, array_like=True, frozen=True, tag="q"):
-    """Asks the receiver to ping the member ``target``; it answers with an ``Ack`` or ``Nack`` that repeats ``n``."""
+    """Asks the receiver, as a helper, to ping the member ``target``; its ``Ack`` or ``Nack`` repeats ``n``."""
 
     n: Count
     target: Name
@@ -87,7 +89,7 @@
 
 
 class LoanRequest(Struct, array_like=True, frozen=True, tag="k"):
-    """Requests a loan of ``calls`` calls per window of the budget, or the renewal of ``loan``.
+    """Requests a loan of ``calls`` calls per window of the budget ``key``, or the renewal of ``loan`` if that isn't 0.
 
     ``waiting_weight``: total weight of the messages that wait for these calls.
     """
@@ -100,7 +102,10 @@
 
 
 class LoanGrant(Struct, array_like=True, frozen=True, tag="g"):
-    """Answer to ``LoanRequest`` ``n``: the receiver may use ``calls`` calls, as loan ``loan``, for a loan term."""
+    """Answer to ``LoanRequest`` ``n``: the receiver may use ``calls`` calls per window for a loan term.
+
+    ``loan``: the lender's number for this loan.
+    """
 
     n: Count
     loan: Count
@@ -114,20 +119,24 @@
 
 
 class Observation(Struct, array_like=True, frozen=True, tag="j"):
-    """Observation: the sender saw ``kind`` at an endpoint itself, ``age`` milliseconds ago.
+    """The sender itself observed ``kind`` at the endpoint, ``age`` milliseconds ago.
 
-    ``sequence`` rises with each observation of the sender's process epoch.
+    ``value``: its meaning depends on ``kind``, see ``observations.ObservationKind``. ``sequence`` rises with each
+    observation of the sender's process epoch.
     """
 
     endpoint: Key
-    kind: Annotated[int, Meta(ge=0, le=4)]  # a ``observations.ObservationKind``
+    kind: Annotated[int, Meta(ge=0, le=4)]  # an ``observations.ObservationKind``
     age: Annotated[int, Meta(ge=0, le=3_600_000)]
     value: Annotated[int, Meta(ge=0, le=1 << 40)]
     sequence: Count
 
 
 class CounterReport(Struct, array_like=True, frozen=True, tag="t"):
-    """Counters of one courier: totals from before its process epoch (``past``), or counts since. See counts.py."""
+    """Counters of one courier as rows of name and value. See counts.py.
+
+    ``past``: whether the values are the totals from before ``epoch``, or the counts since its start.
+    """
 
     name: Name
     epoch: Count
@@ -141,14 +150,20 @@
 
 
 class Subscribe(Struct, array_like=True, frozen=True, tag="S"):
-    """To a broker: relay observations of these destinations. A larger ``generation`` starts from an empty set."""
+    """To a broker: relay observations of these destinations to the sender.
+
+    A larger ``generation`` than before first drops all earlier subscriptions; a smaller one is ignored.
+    """
 
     generation: Count
     dests: Annotated[list[Dest], Meta(max_length=256)]
 
 
 class Unsubscribe(Struct, array_like=True, frozen=True, tag="U"):
-    """To a broker: stop relaying observations of these destinations."""
+    """To a broker: stop relaying observations of these destinations.
+
+    Ignored unless ``generation`` is the current one.
+    """
 
     generation: Count
     dests: Annotated[list[Dest], Meta(max_length=256)]
@@ -175,7 +190,8 @@
 class LeaseReply(Struct, array_like=True, frozen=True, tag="L"):
     """A broker's answer to ``LeaseRenewal`` ``n``: the lease is extended by a term.
 
-    ``ok``: the subscriptions on record match the count and digest of the renewal.
+    ``ok``: the subscriptions on record match the generation, count and digest of the renewal. With ``n`` 0 it answers
+    no renewal: the broker is shutting down.
     """
 
     n: Count
@@ -183,7 +199,7 @@
 
 
 class PublishObservation(Struct, array_like=True, frozen=True, tag="P"):
-    """To a broker: an observation of the sender's own at an endpoint of ``dest``, to be relayed."""
+    """To a broker: relay this observation, which the sender itself made at an endpoint of ``dest``."""
 
     dest: Dest
     observation: Observation
@@ -203,7 +219,10 @@
 
 
 class ForwardedObservation(Struct, array_like=True, frozen=True, tag="F"):
-    """From a broker to a broker of another region: an observation for its subscribers only."""
+    """From a broker to one of another region, which relays the observation to its subscribers and to no other broker.
+
+    ``number``, ``epoch``: of the witness, as in ``RelayedObservation``.
+    """
 
     witness: Name
     number: Count
@@ -235,7 +254,10 @@
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    """The content of one datagram."""
+    """The content of one datagram.
+
+    ``epoch``: the sender's process epoch. ``to``: name of the receiver. ``seq``: rises with each datagram of the epoch.
+    """
 
     sender: Name
     epoch: Count
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -1,7 +1,7 @@
 """The protocol between couriers as one object: membership, budgets, observations, counters. No I/O.
 
-``receive`` handles a datagram, ``tick`` timers; both return the datagrams to send. All traffic is within the configured
-bytes per second: what exceeds them is not sent, as every message of the protocol may be lost anyway.
+``receive`` handles a datagram, ``tick`` timers; both return the datagrams to send. Datagrams beyond the configured
+bytes per second are dropped, as the protocol tolerates the loss of any message.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 MS, SECOND = 1_000, 1_000_000  # microseconds
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
 URGENT_RESERVE = 0.25  # share of the bytes per second that is reserved for pings, probes, their replies and renewals
-OBSERVATION_SHARE = 0.5  # of the bytes that may be sent now: for observations of endpoints
-BURST_WINDOW = SECOND  # burst: the unused bandwidth of this time may be sent at once
+OBSERVATION_SHARE = 0.5  # of the bytes available now: the most that observations of endpoints may use
+BURST_WINDOW = SECOND  # unused bandwidth of up to this time may be sent as one burst
 
 Datagrams = list[tuple[tuple[str, int], bytes]]
 
@@ -47,23 +47,23 @@
 
     name: str
     address: tuple[str, int]
-    epoch: int  # epoch: larger at each start
+    epoch: int  # larger at each start of the process
     keys: list[bytes]
-    seeds: dict[str, tuple[str, int]]
+    seeds: dict[str, tuple[str, int]]  # couriers to contact first, by name
     terms: LoanTerms
     bytes_per_second: int = 20_000
-    period: int = SECOND
-    max_members: int = 1_024  # members that are tracked
+    period: int = SECOND  # between two probes of members
+    max_members: int = 1_024  # max members that are tracked
     max_retry_after: int = 2 * SECOND  # longest retry-after delay that is accepted from other couriers
-    max_held_share: float = 0.5  # of all routes: what reports of other couriers may suspend
-    retry_step: int = SECOND  # between the couriers that try a failed endpoint
+    max_restricted_share: float = 0.5  # of all routes: the most that reports of other couriers may close
+    retry_step: int = SECOND  # interval between the couriers that probe an endpoint in an outage, one after the other
     group: str = ""  # only couriers of the same group, or of none, are members
     region: str = ""  # the brokers of this region are used
     brokers: dict[str, tuple[str, int]] = field(default_factory=dict)  # of all regions, by "REGION/NAME"
 
 
 class Peer:
-    """All decisions of one courier about the others."""
+    """One courier's end of the protocol: membership, loans, observations and counters."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
             config.name,
             config.epoch,
             config.max_retry_after,
-            config.max_held_share,
+            config.max_restricted_share,
             config.retry_step,
             Random(seed + 1),
             config.terms.couriers,
@@ -101,9 +101,9 @@
             if own_brokers
             else None
         )
-        self.has_new_observations = False  # observations of endpoints have arrived; the caller resets it
+        self.has_new_observations = False  # new observations of endpoints have arrived; the caller resets it
         self.events: Events = []
-        self.sent = self.received = self.over_bandwidth = 0  # bytes, bytes received, datagrams over the bandwidth limit
+        self.sent = self.received = self.over_bandwidth = 0  # bytes sent and received, datagrams over the limit
         self._available_bytes, self._refilled_at = float(config.bytes_per_second), now
         self._reported_at: dict[str, int] = {}
         self._reported_drops: Counter[str] = Counter()
@@ -113,12 +113,12 @@
             )
 
     def record_interest(self, dests: Iterable[int], now: int) -> None:
-        """Destinations that were called since the last tick, or have messages waiting; ignored without brokers."""
+        """Record destinations called since the last tick or with messages waiting; ignored without brokers."""
         if self.subscriber is not None:
             self.subscriber.record_interest(dests, now)
 
     def broker_status(self, now: int) -> dict[str, dict[str, Any]]:
-        """For operators, by broker: ``Subscriber.status``, and whether its reports are ignored; {} without brokers."""
+        """For operators, by broker: ``Subscriber.status``, and whether it is distrusted; empty without brokers."""
         if self.subscriber is None:
             return {}
         return {
@@ -140,18 +140,18 @@
             )
             self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if datagram.sender == self.config.name:  # another process with our name and the key: the higher epoch wins
+        if datagram.sender == self.config.name:  # another process with this name and the key: the higher epoch wins
             self.members.receive(
                 datagram.sender,
                 datagram.epoch,
                 [message for message in datagram.messages if isinstance(message, MemberUpdate)],
                 now,
             )
-            self._step_back()
+            self._stop_if_superseded()
             return self._send([], now)
         if datagram.sender in self.config.brokers:  # not a courier, whatever messages it sends
             if self.subscriber is None or datagram.sender not in self.subscriber.sessions:
-                return []  # of another region: brokers of our region relay its observations
+                return []  # of another region: brokers of this region relay its observations
             out = self.subscriber.receive(datagram.sender, datagram.epoch, datagram.messages, now)
             self.has_new_observations |= self.observations.receive_relayed(datagram.sender, datagram.messages, now)
             return self._send(out, now)
@@ -166,7 +166,7 @@
                 datagram.sender, datagram.epoch, datagram.messages, now
             )
         out += self.counters.receive(datagram.sender, datagram.messages, now, self.members.gone())
-        self._step_back()
+        self._stop_if_superseded()
         return self._send(out, now)
 
     def tick(self, now: int) -> Datagrams:
@@ -187,10 +187,10 @@
         return self._send(out, now)
 
     def shut_down(self, now: int, ends: bool = True) -> Datagrams:
-        """Tell the others that the process ``ends`` or only stops communicating, so that they need no time-out.
+        """Notify the others that this courier leaves, so that they need not wait for a timeout to detect it.
 
-        One that ends makes no calls any more; one that goes on keeps its share, less what it has lent until the loans
-        have expired.
+        ``ends``: the process ends, and makes no more calls. Otherwise it only stops communicating, and keeps its share,
+        less what it has lent until those loans have expired.
         """
         out = self.members.shut_down()
         self.shares.stopped = ends
@@ -199,7 +199,7 @@
             self.subscriber.silent = True  # its leases expire
         return self._send(out, now)
 
-    def _step_back(self) -> None:
+    def _stop_if_superseded(self) -> None:
         if self.members.superseded:
             self.shares.stopped = self.observations.silent = self.counters.silent = True
             if self.subscriber is not None:
@@ -280,9 +280,8 @@
             isinstance(message, (Observation, CounterReport, CounterRequest)) for message in messages
         ):
             return messages
-        room = (
-            MAX_DATAGRAM_BYTES - Sealer.size(messages, name_bytes) - 8
-        )  # bytes by which the length prefix of the list may grow
+        # 8: bytes by which the length prefix of the list may grow.
+        room = MAX_DATAGRAM_BYTES - Sealer.size(messages, name_bytes) - 8
         observations = (
             [] if any(isinstance(message, Observation) for message in messages) else self.observations.piggybacked(now)
         )
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -1,11 +1,11 @@
 """Authentication of datagrams between couriers, with protection against replays. No I/O.
 
 Theory of operation. A datagram consists of ``KP1``, one byte that identifies the key, a keyed hash over all that
-follows, and the messages. Incoming datagrams are checked in the order of cost, and dropped at the first check that
-fails, with a counter for each kind of failure: each forged datagram of a flood costs one hash. The receiver's name is
-covered by the hash, so a datagram can't be replayed to another receiver. For each sender the highest epoch and a window
-of sequence numbers are stored: a number that was received already, or is older than the window, is a replay. A
-sender's epoch rises with each start, so its sequence numbers may start again.
+follows, and the body: an encoded ``Datagram``. Incoming datagrams are checked in the order of cost, and dropped at the
+first check that fails, so each forged datagram of a flood costs no more than its hash; each kind of failure is counted.
+The receiver's name is covered by the hash, so a datagram can't be replayed to another receiver. For each sender the
+highest epoch and a window of sequence numbers are stored: a number that was received already, or is older than the
+window, is a replay. A sender's epoch rises with each start, so its sequence numbers may start again.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from kestrelspar.peers.messages import Datagram, MemberUpdate, PeerMessage, UngroupedMemberUpdate
 
 MAGIC = b"KP1"
-MAX_DATAGRAM_BYTES = 1_200  # maximum size of a datagram in bytes: needs no fragmentation on any path
+MAX_DATAGRAM_BYTES = 1_200  # small enough to need no fragmentation on any path
 TAG_SIZE = 16  # bytes of the keyed hash
 HEADER_BYTES = len(MAGIC) + 1 + TAG_SIZE  # bytes before the body
 REPLAY_WINDOW = 1_024  # sequence numbers below the highest that are still accepted, once each
-MAX_SENDERS = 4_096  # maximum of senders that are tracked: whoever has a key could make up any number of names
+MAX_SENDERS = 4_096  # max senders that are tracked: whoever has a key could make up any number of names
 
 _encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
 def _to_wire(message: PeerMessage) -> PeerMessage | UngroupedMemberUpdate:
-    """Omit the group of a member without one, for compatibility: couriers that know no groups use the same bytes."""
+    """Encode a member without a group as before groups existed, for couriers that don't support groups."""
     if type(message) is not MemberUpdate or message.group:
         return message
     return UngroupedMemberUpdate(
@@ -39,16 +39,16 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """One message as it is written into a datagram."""
+    """The bytes of one message in a datagram."""
     return _encode(_to_wire(message))
 
 
 class DatagramRejectedError(Exception):
-    """A datagram was rejected; the only argument is the kind of failure."""
+    """A datagram was rejected; the only argument is the kind of failure, a key of ``Sealer.dropped``."""
 
 
 def keys(secrets: list[str]) -> list[bytes]:
-    """Derive keys of full length from the contents of the key files."""
+    """Derive keys of 32 bytes from the contents of the key files."""
     return [hashlib.blake2b(secret.encode(), digest_size=32, person=b"kestrelspar key").digest() for secret in secrets]
 
 
@@ -79,7 +79,7 @@
         self._keys = keys
 
     def seal(self, to: str, messages: list[PeerMessage]) -> bytes:
-        """The sealed datagram; raises ``ValueError`` if it would be too large."""
+        """Return the sealed datagram for the receiver ``to``; ``ValueError`` if larger than ``MAX_DATAGRAM_BYTES``."""
         self._seq += 1
         # The fields of a ``Datagram``, in its order.
         body = _encode((self.name, self.epoch, to, self._seq, [_to_wire(message) for message in messages]))
@@ -90,7 +90,8 @@
 
     @staticmethod
     def size(messages: list[PeerMessage], name_bytes: int) -> int:
-        """Upper bound of a datagram's size; ``name_bytes``: length of the sender's and receiver's names together."""
+        """Upper bound of a datagram's size in bytes; ``name_bytes``: length of both names together."""
+        # 40: bytes for the epoch, the sequence number, and the length prefixes of the names and of the array.
         return HEADER_BYTES + 40 + name_bytes + len(_encode([_to_wire(message) for message in messages]))
 
     def open(self, data: bytes) -> Datagram:
--- a/kestrelspar/peers/state_file.py
+++ b/kestrelspar/peers/state_file.py
@@ -10,15 +10,15 @@
 
 from kestrelspar.runtime import files, logs
 
-MAX_FILE_BYTES = 256 * 1024  # maximum size of the file in bytes
+MAX_FILE_BYTES = 256 * 1024
 
 
 class SavedState(Struct):
     """Contents of the state file."""
 
     epoch: int = field(name="life")
-    lent: dict[str, int] | None = None  # None: unknown what earlier processes lent
-    counts: dict[str, int] = {}
+    lent: dict[str, int] | None = None  # max calls lent at once, by budget; None: unknown what earlier processes lent
+    counts: dict[str, int] = {}  # totals by counter
 
 
 def read(file: Path) -> SavedState:
@@ -35,7 +35,7 @@
 
 
 def write(file: Path, state: SavedState) -> bool:
-    """Save by writing a new file and renaming it; log and return false if that fails."""
+    """Save the state by writing a new file and renaming it; log a failure and return false."""
     try:
         put(file, state)
     except OSError as error:
--- a/kestrelspar/peers/status_socket.py
+++ b/kestrelspar/peers/status_socket.py
@@ -19,12 +19,12 @@
 
 NAME = "peers.sock"
 FLEET_REQUEST, LOCAL_REQUEST = b"fleet\n", b"\n"
-COUNTER_WAIT = 400 * MS  # for the counters of the other couriers
-CLIENT_TIMEOUT = 2 * SECOND  # for the request, and again for reading the reply
+COUNTER_WAIT = 400 * MS  # time for the other couriers' counters to arrive
+CLIENT_TIMEOUT = 2 * SECOND  # for the client to send its request, and again to read the reply
 
 
 class StatusSocket:
-    """Answers each connection with the status, once."""
+    """Answers each connection with the current status, and closes it."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         )
 
     def start(self) -> None:
-        """Listen; if that fails, the courier serves without a status socket."""
+        """Listen; if that fails, log it and serve without a status socket."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
-        mask = os.umask(0o177)  # no other user may connect, from the moment it exists
+        mask = os.umask(0o177)  # no other user may connect, from the moment that the socket exists
         try:
-            self._path.unlink(missing_ok=True)  # of an earlier process
+            self._path.unlink(missing_ok=True)  # left behind by an earlier process
             sock.bind(str(self._path))
             sock.listen(8)
         except OSError as error:
@@ -87,9 +87,10 @@
 
 
 def query_status(state_directory: str, timeout_s: float = 5.0, fleet: bool = False) -> dict[str, Any]:
-    """The status of the process with this state directory.
+    """Return the status of the process with this state directory.
 
-    Raises ``OSError`` if none answers, ``ValueError`` if the reply is truncated.
+    ``fleet``: ask for the counters of the other couriers first. Raises ``OSError`` if no process answers,
+    ``ValueError`` if the reply is truncated or no JSON object.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(timeout_s)
