--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -1,4 +1,4 @@
-"""The broker process: a UDP socket between event loop and ``Broker``, signals, the log, and the status socket.
+"""The broker process: connects a ``Broker`` to its UDP socket, the event loop, signals, the log and a status socket.
 
 Only its epoch is persisted: couriers send a restarted broker their subscriptions again.
 """
@@ -26,9 +26,9 @@
 from kestrelspar.settings import resolve, schema
 from kestrelspar.settings.lines import ConfErrors
 
-TICK = 50 * MS
+TICK_INTERVAL = 50 * MS
 MAX_DATAGRAMS_PER_TURN = 256  # so that ticks and signals are handled in between
-RECEIVE_BUFFER_BYTES = 4_000_000  # requested; the system may grant less, and drops datagrams beyond it
+RECEIVE_BUFFER_BYTES = 4_000_000  # requested; the system may grant less, and drops datagrams that don't fit
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG, None)  # None: short write
 Address = tuple[str, int]
 
@@ -36,9 +36,9 @@
 class BrokerLink:
     """Connects a ``Broker`` to its socket, clock, log and status socket."""
 
-    def __init__(self, loop: Loop, config: BrokerConfig, bound: socket.socket, state_directory: str) -> None:
+    def __init__(self, loop: Loop, config: BrokerConfig, sock: socket.socket, state_directory: str) -> None:
         """``state_directory``: if empty, there is no status socket."""
-        self.loop, self._socket = loop, bound
+        self.loop, self._socket = loop, sock
         self.broker = Broker(config, loop.clock(), Random().randrange(1 << 32))
         self.unsent: Counter[str] = Counter()
         self._event_log = EventLog(loop)
@@ -76,7 +76,7 @@
     def _tick(self) -> None:
         while True:
             self._send(self.broker.tick(self.loop.clock()))
-            self.loop.sleep(TICK)
+            self.loop.sleep(TICK_INTERVAL)
 
     def _send(self, datagrams: Datagrams) -> None:
         for address, data in datagrams:
@@ -103,7 +103,7 @@
         }
 
     def end(self) -> None:
-        """SIGTERM: notify subscribers, and stop."""
+        """On SIGTERM or SIGINT: notify subscribers, and stop the event loop."""
         self._send(self.broker.shut_down(self.loop.clock()))
         if self._status_socket is not None:
             self._status_socket.stop()
@@ -112,7 +112,7 @@
 
 
 class BrokerSettings:
-    """The settings of this broker as read from the file; a ``ValueError`` lists all errors."""
+    """The settings of the broker ``name``, read from the file ``path``; a ``ValueError`` lists all errors in them."""
 
     def __init__(self, path: str, name: str) -> None:
         self.conf = conf_file.load(path)
@@ -133,10 +133,10 @@
 
 
 def _next_epoch(state_directory: str) -> int:
-    """The epoch of this process, persisted before it is sent; ``OSError`` if the state directory is unusable.
+    """Return the epoch of this process, persisted before it is sent.
 
-    A full disk is tolerated: the next start then relies on the clock for a higher epoch, as it does after the loss of
-    the state directory.
+    Raises ``OSError`` if the state directory is unusable. A full disk is tolerated: the next start then relies on the
+    clock for a higher epoch, as it does after the loss of the state directory.
     """
     if not state_directory:
         return state_file.next_epoch(state_file.SavedState(0))
@@ -153,7 +153,7 @@
 
 
 def _reload(link: BrokerLink, settings: BrokerSettings, path: str, name: str) -> None:
-    """SIGHUP: read keys and log settings again. If the settings have an error, nothing changes."""
+    """On SIGHUP: read keys and log settings again. If the settings have an error, nothing changes."""
     try:
         reloaded = BrokerSettings(path, name)
     except ValueError as error:
@@ -190,11 +190,12 @@
     log, peers = settings.conf.values_of(schema.Log), settings.peers
     logs.set_up(log.format, log.level)
     loop = Loop()
-    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    bound.setblocking(False)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     try:
-        bound.bind(settings.listen)  # first: a second process with this state directory must not raise the epoch
+        # Bound before the epoch is raised: a second process with this state directory must not raise it.
+        sock.bind(settings.listen)
     except OSError as error:
         logs.error("can't-start", why="{}:{}: {}".format(*settings.listen, error))
         return 2
@@ -213,7 +214,7 @@
         peers.couriers,
         peers.broker_bytes_per_second,
     )
-    link = BrokerLink(loop, config, bound, state_directory)
+    link = BrokerLink(loop, config, sock, state_directory)
     handlers: Mapping[int, Any] = {
         signal.SIGTERM: link.end,
         signal.SIGINT: link.end,
--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -5,39 +5,39 @@
 
 Theory of operation
 -------------------
-A broker is a process on a machine set aside for it. It is named ``REGION/NAME``, and all couriers and brokers know all
-brokers from their settings. The owners of a destination are, in each region, the first ``OWNERS_PER_REGION`` of that
-region's brokers in the order of a hash of broker and destination (rendezvous hashing) that answer as far as the process
-that asks can tell. There is no agreement protocol, and a failed broker costs the destinations that it owned only one of
-their owners.
+A broker is a process on a dedicated machine. It is named ``REGION/NAME``, and all couriers and brokers know all brokers
+from their settings. In each region a destination has owners, chosen by rendezvous hashing: the region's brokers are
+ordered by a hash of broker and destination, and the first ``OWNERS_PER_REGION`` of those that answer are the owners.
+Each process decides for itself which brokers answer, without an agreement protocol. If a broker fails, each destination
+that it owned loses only one of its owners.
 
-A courier subscribes to the destinations that it deals with at their owners in its region, and publishes its
-observations there. A broker relays an observation to the subscribers and forwards it to one owner in each other region
-(the first owner to the first, the second to the second), which relays it to its subscribers and to no broker: there
-are no loops.
+A courier subscribes to the destinations that it uses, at their owners in its region, and publishes its observations to
+the same brokers. A broker relays an observation to the subscribers and forwards it to one owner in each other region
+(the first owner to the first, the second to the second). That owner relays it to its subscribers and to no broker, so
+there are no loops.
 
 Subscriptions are held under a lease. Changes are sent at once. Each renewal carries the count and a digest of the
-destinations that the broker should hold. Where it holds something else (it restarted, or messages were lost), the
-whole set is sent again, at a random time within ``RESUBSCRIBE_JITTER`` so that a region does not answer one broker's
-restart in one instant. A broker that does not answer two renewals, of ``RENEWAL_ATTEMPTS`` attempts each, counts as
-failed for this courier: its destinations go to the next in order, and it is probed once per lease term until it
-answers again.
+destinations that the broker should hold. If the broker holds a different set (it restarted, or messages were lost), the
+courier sends the whole set again. It does so at a random time within ``RESUBSCRIBE_JITTER``, so that not all couriers
+of a region send theirs at once when a broker restarts. A broker that does not answer two renewals, of
+``RENEWAL_ATTEMPTS`` attempts each, counts as failed for this courier: its destinations go to the next broker in order,
+and it is probed once per lease term until it answers again.
 
 What a broker guards against:
 
 - Replays after it restarted, when its window of sequence numbers is empty: it relays observations only of couriers
   that have named its present epoch in a renewal, which nobody could do before it started.
-- Its own stalls: what it reads before its next tick may have waited in the socket, and then looks younger than it is.
-  Observations are dropped in that case, renewals are accepted.
+- Its own stalls: the datagrams that it reads before its next tick may have waited in the socket, so that the
+  observations in them look younger than they are. Until that tick it drops observations, but accepts renewals.
 - A courier or another broker that floods it: each has a limit of observations per second, and a courier also a share
   of the bandwidth that relaying its observations to all subscribers takes. For each endpoint the number of witnesses
   at a time is limited (``MAX_WITNESSES``: more of them give no new information), and all state is bounded.
 - Another process of its name: couriers report in each renewal the highest epoch of this broker that they have received.
-  Two couriers that report one above its own make it step back; a single one could be lying to remove it.
+  If two couriers report one above its own, it stops sending, as superseded; a single courier could be lying to stop it.
 
-An observation is kept while it is fresh, for repetitions and for couriers that subscribe late. It is sent on with its
-age, which grows while it is kept here and is rounded down: an observation may look younger than it is by the network's
-delays, but never older.
+An observation is kept while it is fresh, to recognise repetitions and for couriers that subscribe late. It is sent with
+its age, which includes the time that it was kept here and is rounded down. So an observation may look younger than it
+is, by the delays of the network, but never older.
 """
 
 from __future__ import annotations
@@ -72,16 +72,16 @@
 INTEREST_TTL = 60 * SECOND  # how long a courier stays interested in a destination after it last dealt with it
 INTEREST_UPDATE_INTERVAL = SECOND  # the time of last use of a destination is updated at most this often
 MAX_INTERESTS = 4_096  # destinations per courier; beyond that the least recently used are evicted
-MAX_PLACED_PER_CALL = 512  # new destinations whose owners are looked up in one call
+MAX_PLACED_PER_CALL = 512  # new destinations whose owners one call of ``record_interest`` looks up
 LEASE_TERM = 15 * SECOND  # of a lease, which is renewed three times per term
 RENEWAL_ATTEMPTS, RENEWAL_RETRY_INTERVAL = 3, 500 * MS  # attempts before a renewal counts as missed
 MAX_MISSED_RENEWALS = 2  # consecutive missed renewals after which a broker counts as failed
-RESUBSCRIBE_JITTER = 3 * SECOND  # a whole set is sent again within this time; doubles while the broker's set differs
+RESUBSCRIBE_JITTER = 3 * SECOND  # a whole set is sent again within it; doubles with each mismatch in a row
 MAX_DESTINATIONS_PER_MESSAGE = 100  # destinations in one message
-UNSUBSCRIBE_DELAY = 5 * SECOND  # for a substitute, so that the owner has the subscription again before it loses it
+UNSUBSCRIBE_DELAY = 5 * SECOND  # from a substitute, so that the returned owner is subscribed first
 OBSERVATION_TTL = 3 * SECOND  # an older observation, other than of a limit, is not relayed
 MIN_REPEAT_INTERVAL = 200 * MS  # an observation repeated sooner is a duplicate made by the network
-MAX_WITNESSES = 4  # witnesses of the same observation of an endpoint that are relayed
+MAX_WITNESSES = 4  # max witnesses that are relayed for one kind of observation at an endpoint
 STALL_THRESHOLD = 500 * MS  # a longer gap between ticks means that datagrams may have waited in the socket
 PUBLISH_RATE, FORWARD_RATE = 50, 5_000  # observations per second from one courier, from one broker; burst: one second
 COURIER_BANDWIDTH_SHARE = 0.05  # of the bytes per second: for relaying one courier's observations to all subscribers
@@ -92,7 +92,7 @@
 SWEEP_INTERVAL = SECOND  # between two removals of expired leases and observations
 URGENT_RESERVE = 0.25  # of the bytes per second: reserved for leases and for pings between brokers
 EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
-LIMIT_KIND = 4  # of ``observations.ObservationKind``
+LIMIT_KIND = 4  # ``observations.ObservationKind.LIMIT``
 
 Address = tuple[str, int]
 Datagrams = list[tuple[Address, bytes]]
@@ -105,10 +105,10 @@
     name: str  # in full, as in ``brokers``: "REGION/NAME"
     region: str
     address: Address
-    epoch: int  # epoch: larger at each start, as a courier's
+    epoch: int  # larger at each start of the process, as a courier's
     keys: list[bytes]
     brokers: dict[str, Address]  # of all regions, including this one
-    couriers: int  # a witness has a number below that
+    couriers: int  # number of couriers; a witness must have a number below it
     bytes_per_second: int = 1_000_000
     max_subscribers: int = 4_096
 
@@ -142,36 +142,37 @@
 
     name: str
     next_renewal: int  # when the next renewal, or the next attempt of one, is due
-    epoch: int = 0  # the highest that was received
+    epoch: int = 0  # highest epoch of the broker that was received
     answering: bool = True
     last_reply_at: int | None = None
-    n: int = 0  # of the renewal
-    open: bool = False  # the renewal is unanswered
-    attempts: int = 0
-    missed: int = 0
+    n: int = 0  # number of the last renewal
+    open: bool = False  # the last renewal is unanswered
+    attempts: int = 0  # of the last renewal
+    missed: int = 0  # consecutive renewals without an answer
     generation: int = 1
     subscribed: set[int] = field(default_factory=set)  # what the broker should hold
     digest: int = 0  # of ``subscribed``
     to_add: dict[int, None] = field(default_factory=dict)  # to be subscribed
-    to_drop: dict[int, int] = field(default_factory=dict)  # to be unsubscribed, each from this time on
-    add_after: int = 0  # no subscription is sent before
+    to_drop: dict[int, int] = field(default_factory=dict)  # to be unsubscribed, with the time from which on
+    add_after: int = 0  # time before which no subscription is sent
     mismatches: int = 0  # consecutive renewals that found a different set at the broker
 
 
 class Subscriber:
-    """The courier side: what it is interested in, who owns that, and what the owners hold. ``Peer.subscriber``."""
+    """The courier side: destinations of interest, their owners, and the subscriptions at each broker of the region."""
 
     def __init__(
         self, name: str, address: Address, number: int, brokers: Iterable[str], now: int, random: Random
     ) -> None:
-        """``brokers``: full names of those of the own region."""
+        """``brokers``: full names of the brokers of the courier's own region."""
         self.name, self.address, self.number = name, address, number
         self.events: Events = []
         self.refused = 0  # destinations beyond ``MAX_INTERESTS``
         self.silent = False
         self.sessions = {each: BrokerSession(each, now + random.randrange(SECOND)) for each in brokers}
         for session in self.sessions.values():
-            session.add_after = session.next_renewal  # a subscription needs a lease, which the first renewal begins
+            # A subscription needs a lease, which begins with the first renewal.
+            session.add_after = session.next_renewal
         self._random = random
         self._last_n = random.randrange(1, 1 << 32)
         self._used: set[int] = set()  # destinations used since their times of last use were updated
@@ -180,7 +181,7 @@
         self._owners: dict[int, list[str]] = {}  # by destination of interest
 
     def record_interest(self, dests: Iterable[int], now: int) -> None:
-        """These destinations were called lately, or have messages waiting. Cheap where they are the same as before."""
+        """Record destinations called lately or with messages waiting. Cheap if they are the same as before."""
         self._used.update(dests)
         new = self._used - self._interests.keys()
         if now >= self._last_update + INTEREST_UPDATE_INTERVAL:
@@ -205,7 +206,7 @@
             self._assign_owners(dest, now)
 
     def owners(self, dest: int) -> list[str]:
-        """The brokers that an observation of this destination is published to."""
+        """The brokers to which observations of this destination are published."""
         return self._owners.get(dest) or self._find_owners(dest)
 
     def _find_owners(self, dest: int) -> list[str]:
@@ -214,7 +215,7 @@
         ]
 
     def _drop_interest(self, dest: int, now: int) -> None:
-        """The courier is no longer interested in the destination."""
+        """Remove a destination that is no longer of interest, and schedule its unsubscription."""
         del self._interests[dest]
         for name in self._owners.pop(dest):
             self._schedule_unsubscribe(self.sessions[name], dest, now)
@@ -241,12 +242,12 @@
     # Leases
 
     def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> Outgoing:
-        """Handle the replies of a broker of the own region to lease renewals."""
+        """Handle messages of a broker of the own region: its replies to lease renewals; others are ignored."""
         session = self.sessions[sender]
         for message in messages:
             if not isinstance(message, LeaseReply):
                 continue
-            if message.n == 0:  # it is shutting down
+            if message.n == 0:  # the broker is shutting down
                 self._broker_failed(session, now)
                 session.open, session.next_renewal = False, now + self._jitter(LEASE_TERM)
             elif message.n == session.n and session.open:
@@ -278,7 +279,7 @@
         session.subscribed, session.digest, session.to_drop = set(), 0, {}
 
     def _broker_failed(self, session: BrokerSession, now: int) -> None:
-        """The broker does not answer, or is shutting down: others own its destinations until it answers again."""
+        """Handle a broker that does not answer or shuts down: others own its destinations until it answers again."""
         if not session.answering:
             return
         session.answering = False
@@ -356,7 +357,11 @@
     # Reports
 
     def status(self, now: int) -> dict[str, dict[str, Any]]:
-        """For operators, by broker: answering, life (epoch), keys, answered_ms (age of the last reply; None: none)."""
+        """Status for operators, by broker.
+
+        ``life``: epoch of the broker. ``keys``: number of subscribed destinations. ``answered_ms``: time since the last
+        reply, in milliseconds; None if there was none.
+        """
         return {
             name: {
                 "answering": session.answering,
@@ -399,8 +404,8 @@
     epoch: int
     expires_at: int
     rate_limit: TokenBucket
-    bandwidth_used_until: int = 0  # its share of the bandwidth is used up until then
-    known_epoch: int = 0  # our epoch as the courier has named it
+    bandwidth_used_until: int = 0  # time until which its share of the bandwidth is used up
+    known_epoch: int = 0  # highest epoch that the courier has named as this broker's
     generation: int = 0
     dests: set[int] = field(default_factory=set)
     digest: int = 0
@@ -414,7 +419,7 @@
     next_ping: int
     n: int = 0  # of the last ping
     open: bool = False  # the last ping is unanswered
-    missed: int = 0
+    missed: int = 0  # consecutive pings without an answer
 
     @property
     def answering(self) -> bool:
@@ -428,7 +433,7 @@
     endpoint: str
     witness: str
     origin: str
-    limit: bool
+    limit: bool  # whether it is about the endpoint's limit
 
 
 @dataclass(slots=True)
@@ -438,7 +443,7 @@
     number: int
     epoch: int
     observation: Observation
-    seen_at: int  # by our clock; not earlier than it really was
+    seen_at: int  # when the witness made it, by the local clock; never earlier than it really was
     relayed_at: int  # when it was last relayed
 
     def to_message(self, key: ObservationKey, now: int) -> RelayedObservation:
@@ -453,15 +458,16 @@
 
 
 class Broker:
-    """All decisions of one broker. As ``Peer`` for a courier: ``receive`` handles datagrams, ``tick`` timers."""
+    """One broker's end of the protocol. As in ``Peer``, ``receive`` handles a datagram, ``tick`` timers."""
 
     def __init__(self, config: BrokerConfig, now: int, seed: int) -> None:
-        """It serves at once, without state: couriers fill it again as they renew their leases."""
+        """Create a broker without subscriptions; couriers send it theirs as they renew their leases."""
         self.config = config
         self.sealer = Sealer(config.name, config.epoch, config.keys)
         self.events: Events = []  # emptied by the caller; errors: broker-name-twice, broker-number-twice
-        self.superseded = False  # a younger process has our name: nothing is sent any more
-        self.silent = False  # stepped back, or shut down
+        self.superseded = False  # another process with a later epoch has this broker's name
+        self.silent = False  # superseded or shut down: nothing is sent any more
+        # Bytes sent and received, datagrams over the limit, observations relayed and forwarded, and own stalls.
         self.sent = self.received = self.over_bandwidth = self.relayed = self.forwarded = self.stalled = 0
         self.refused: Counter[str] = Counter()  # rejected messages, by reason
         self._random = Random(seed)
@@ -484,13 +490,13 @@
         self._observation_count = 0
         self._to_relay: dict[tuple[int, ObservationKey], None] = {}  # relayed with the next tick
         self._new_subscriptions: dict[str, set[int]] = {}  # since the last tick, by courier
-        self._seen_newer_epoch: set[str] = set()  # couriers that have reported an epoch above ours
+        self._seen_newer_epoch: set[str] = set()  # couriers that have reported a later epoch of this broker
         self._last_n = self._random.randrange(1, 1 << 32)
         self._last_tick = self._last_sweep = self._refilled_at = now
-        self._after_stall = False  # the last tick came after a stall: what is read until the next one may be late
+        self._after_stall = False  # the last tick followed a stall: datagrams read until the next may be late
         self._available_bytes = float(config.bytes_per_second)
         self._reported_at: dict[tuple[str, str], int] = {}  # by event and subject
-        self._reported_drops: Counter[str] = Counter()  # by kind: dropped datagrams that are reported already
+        self._reported_drops: Counter[str] = Counter()  # dropped datagrams that were reported, by kind
 
     # Incoming datagrams
 
@@ -510,9 +516,9 @@
                 )
                 self._reported_drops[kind] = self.sealer.dropped[kind]
             return []
-        if datagram.sender == self.config.name:  # another process with our name and the key: the higher epoch wins
+        if datagram.sender == self.config.name:  # another process with this name and the key: the higher epoch wins
             if datagram.epoch > self.config.epoch:
-                self._step_back(datagram.epoch, now)
+                self._set_superseded(datagram.epoch, now)
             return []
         if self.silent:
             return []
@@ -574,11 +580,11 @@
         return self._send(datagram.sender, self.config.brokers[datagram.sender], [*replies], now, True)
 
     def _renew_lease(self, name: str, epoch: int, message: LeaseRenewal, now: int) -> Datagrams:
-        """Renew or create a lease. The reply says whether the held subscriptions match the courier's digest."""
+        """Renew or create a lease. The reply says whether the broker holds the courier's current subscriptions."""
         if message.known_epoch > self.config.epoch:
             self._seen_newer_epoch.add(name)
             if len(self._seen_newer_epoch) >= 2:
-                self._step_back(message.known_epoch, now)
+                self._set_superseded(message.known_epoch, now)
                 return []
         lease = self._leases.get(name)
         if message.number >= self.config.couriers:
@@ -590,7 +596,7 @@
                 self.events.append(("broker-full", {"subscribers": len(self._leases)}))
             return []
         if lease is None or lease.epoch < epoch:
-            rate_limit = (  # a restart does not refill the bucket
+            rate_limit = (  # a restarted courier keeps its token bucket
                 lease.rate_limit if lease is not None else TokenBucket(PUBLISH_RATE, PUBLISH_RATE, now)
             )
             if lease is not None:
@@ -612,9 +618,9 @@
         return self._send(name, lease.address, [LeaseReply(message.n, ok)], now, True)
 
     def _check_number(self, number: int, name: str, now: int) -> None:
-        """Report two couriers with one number: they spend one share of each budget twice.
+        """Report two couriers that have the same number: they use the same share of each budget, so it is spent twice.
 
-        Where they are in different groups, only brokers see both.
+        If they are in different groups, only brokers see both.
         """
         rival = self._courier_by_number.get(number)
         if rival is not None and rival != name and rival in self._leases and self._leases[rival].number == number:
@@ -674,13 +680,15 @@
     def _handle_publish(self, lease: CourierLease, message: PublishObservation, late: bool, now: int) -> None:
         if late:
             self.refused["late"] += 1
-        elif lease.known_epoch != self.config.epoch:  # a replay from before our start, or our reply has not arrived yet
+        elif lease.known_epoch != self.config.epoch:
+            # A replay from before this start, or a courier that has not named this epoch in a renewal yet.
             self.refused["unready"] += 1
         elif not lease.rate_limit.take(now):
             self.refused["flood"] += 1
             if self._may_report("broker-flooded", lease.name, now):
                 self.events.append(("broker-flooded", {"courier": lease.name, "words_a_second": PUBLISH_RATE}))
-        elif now < lease.bandwidth_used_until:  # one observation may exceed the share: the next has to wait for it
+        elif now < lease.bandwidth_used_until:
+            # One observation may overdraw the share; those that follow are refused until it is made up for.
             self.refused["share"] += 1
         else:
             key = ObservationKey(message.observation.endpoint, lease.name, "", message.observation.kind == LIMIT_KIND)
@@ -693,7 +701,7 @@
                 lease.bandwidth_used_until = max(lease.bandwidth_used_until, now - SECOND) + int(cost * SECOND / share)
 
     def _accept(self, dest: int, key: ObservationKey, observation: CachedObservation, now: int) -> bool:
-        """Queue an observation for the next tick, unless it is old, a duplicate or beyond a limit."""
+        """Queue an observation for the next tick. Returns false if it is old, a duplicate or beyond a limit."""
         if now - observation.seen_at > OBSERVATION_TTL and not key.limit:
             self.refused["old"] += 1
             return False
@@ -708,7 +716,7 @@
                 self.refused["repeated"] += 1
                 return False
             if after == before:
-                observation.seen_at = min(known.seen_at, observation.seen_at)  # the same one by a slower path
+                observation.seen_at = min(known.seen_at, observation.seen_at)  # a repetition that the network delayed
         elif len(of_dest) >= MAX_OBSERVATIONS_PER_DESTINATION or self._observation_count >= MAX_OBSERVATIONS:
             self.refused["too-many"] += 1
             return False
@@ -729,7 +737,8 @@
         self._to_relay[(dest, key)] = None
         return True
 
-    def _find_owners(self, region: str, dest: int) -> list[str]:
+    def _answering_brokers(self, region: str, dest: int) -> list[str]:
+        """All brokers of the region that answer, this one included; the owners of the destination come first."""
         return [
             name
             for name in rendezvous_order(self._regions[region], dest)
@@ -739,7 +748,7 @@
     # Timers
 
     def tick(self, now: int) -> Datagrams:
-        """Handle timers. To be called every 50 ms, if possible with the socket read empty between two ticks."""
+        """Handle timers. To be called every 50 ms; if possible, the socket is drained between two ticks."""
         self._after_stall = now - self._last_tick > STALL_THRESHOLD
         if self._after_stall:
             self.stalled += 1
@@ -793,7 +802,7 @@
                     and (key.limit or now - observation.seen_at <= OBSERVATION_TTL)
                 )
         out: Datagrams = []
-        # In random order: where the bandwidth does not suffice for all, it is not always the same ones that lose.
+        # In random order, so that if the bandwidth does not suffice for all, it is not always the same that miss out.
         for name in self._random.sample(list(by_receiver), len(by_receiver)):
             lease = self._leases.get(name)
             address = lease.address if lease is not None else self.config.brokers.get(name)
@@ -809,18 +818,21 @@
         now: int,
         by_receiver: dict[str, list[PeerMessage]],
     ) -> None:
-        """To one owner in each other region: the first of ours to the first of theirs, the second to the second."""
-        rank = self._find_owners(self.config.region, dest).index(self.config.name) % OWNERS_PER_REGION
+        """Forward an observation to one owner in each other region.
+
+        The first owner here forwards to the first owner there, the second to the second.
+        """
+        rank = self._answering_brokers(self.config.region, dest).index(self.config.name) % OWNERS_PER_REGION
         message = ForwardedObservation(key.witness, observation.number, observation.epoch, dest, observation.aged(now))
         for region in self._regions:
             if region == self.config.region:
                 continue
-            owners = self._find_owners(region, dest)
-            if owners:
-                by_receiver.setdefault(owners[min(rank, len(owners) - 1)], []).append(message)
+            brokers = self._answering_brokers(region, dest)
+            if brokers:
+                by_receiver.setdefault(brokers[min(rank, len(brokers) - 1)], []).append(message)
 
     def _sweep(self, now: int) -> None:
-        """Remove expired leases and observations, and the records of events that may be reported again."""
+        """Remove expired leases and observations, and the times of events that may be reported again."""
         for lease in [lease for lease in self._leases.values() if now >= lease.expires_at]:
             self._remove_lease(lease)
         for dest, of_dest in list(self._observations.items()):
@@ -842,8 +854,8 @@
         self.silent = True
         return out
 
-    def _step_back(self, epoch: int, now: int) -> None:
-        """Another process has our name and a higher epoch: couriers accept only its messages."""
+    def _set_superseded(self, epoch: int, now: int) -> None:
+        """Stop sending: another process has this name and a higher epoch, so couriers accept only its messages."""
         if self.superseded:
             return
         self.superseded = self.silent = True
@@ -903,7 +915,12 @@
     # Reports
 
     def status(self, now: int) -> dict[str, Any]:
-        """For operators: life (epoch), subscribers, keys, passed_on, forwarded, held_back, refused, stalled ..."""
+        """Status for operators.
+
+        ``life``: epoch. ``stepped_back``: superseded. ``keys``: destinations with subscribers. ``fresh``: observations
+        kept. ``passed_on``: observations relayed. ``held_back``: datagrams dropped by the bandwidth limit. ``dropped``,
+        ``refused``: datagrams and messages rejected, by reason. ``brokers``: whether each other broker answers.
+        """
         return {
             "life": self.config.epoch,
             "stepped_back": self.superseded,
--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -34,9 +34,8 @@
     budgets: dict[str, Demand] = field(default_factory=dict)  # by name of the budget
     routes: dict[str, int] = field(default_factory=dict)  # destination by endpoint
     ids: dict[str, EndpointId] = field(default_factory=dict)
-    silent: list[str] = field(
-        default_factory=list
-    )  # endpoints with calls in flight that have not answered for longer than usual
+    # Endpoints with calls in flight that have not answered for longer than usual.
+    silent: list[str] = field(default_factory=list)
     down: list[str] = field(default_factory=list)  # endpoints in an outage, according to the decision module
     closed: list[str] = field(default_factory=list)  # endpoints in an outage, or with a retry-after delay
     active_destinations: set[int] = field(default_factory=set)  # destinations with messages waiting or calls in flight
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -28,10 +28,10 @@
 UPDATE_PAUSE_FACTOR = 20  # the pause between updates of the budgets is at least this multiple of their duration
 MAX_TICK_INTERVAL = 300 * MS  # longest pause between ticks
 LEAST_STEP = 300 * MS
-STALL_THRESHOLD = 500 * MS  # after a longer gap between ticks this process was stalled, not an endpoint
-SAVE_INTERVAL = 5_000 * MS  # between two writes of the counters; once a minute after a failed write
-TENANT_WINDOW = 2_000 * MS  # of tenant budgets: the time by which a tenant may run ahead of its share
-BUDGET_POLL_INTERVAL = 2 * MS  # of a call that waits for its budget
+STALL_THRESHOLD = 500 * MS  # a longer gap between ticks means that this process was stalled, not an endpoint
+SAVE_INTERVAL = 5_000 * MS  # between two writes of the counters; ``ERROR_INTERVAL`` after a failed write
+TENANT_WINDOW = 2_000 * MS  # of tenant budgets: by how much time a tenant may run ahead of its share
+BUDGET_POLL_INTERVAL = 2 * MS  # between two checks of a call that waits for its budget
 MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn of the loop
 FAILED_OUTCOMES = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CONNECT_FAILED)
 
@@ -59,7 +59,7 @@
         self._socket.setblocking(False)
         self._socket.bind(config.listen)
         terms = LoanTerms(settings.forwarders, settings.number, config.term, config.drift / 1_000)
-        about = PeerConfig(
+        peer_config = PeerConfig(
             name,
             config.advertised_address(),
             self.epoch,
@@ -72,10 +72,10 @@
             region=config.region,
             brokers=dict(config.broker),
         )
-        # Before the first datagram: an epoch that others have received must not be used again.
+        # Written before the first datagram is sent: an epoch that others have received must not be used again.
         self._state.epoch = self.epoch
         state_file.write(self._state_file, self._state)
-        self.peer = Peer(about, loop.clock(), seed, self._state.lent, self._save_lent, self._state.counts)
+        self.peer = Peer(peer_config, loop.clock(), seed, self._state.lent, self._save_lent, self._state.counts)
         self._snapshot = demand.DemandSnapshot()
         self._endpoint_rates: dict[EndpointId, float] = {}
         self._tenant_rates: dict[int, float] = {}
@@ -86,7 +86,7 @@
         self._event_log = EventLog(loop)
         self.unsent: Counter[str] = Counter()
         self._status_socket = StatusSocket(loop, state_directory, self.status, self.request_counters)
-        self._disabled = self._detached = False  # disabled: by the settings; detached: all loans have expired, too
+        self._disabled = self._detached = False  # disabled: by a reload; detached: loans have expired since
 
     def _save_lent(self, lent: dict[str, int]) -> bool:
         self._state.lent, self._state.counts = lent, self.peer.counters.own_totals()
@@ -110,7 +110,7 @@
         )
 
     def reload(self, config: schema.Peers, secrets: list[str]) -> None:
-        """SIGHUP: replace the keys, or stop to communicate. Loans stay counted until their term has expired."""
+        """On SIGHUP: replace the keys, or stop communicating if disabled. Loans count until their term has expired."""
         if config.enabled:
             self.peer.sealer.rekey(keys(secrets))
             return
@@ -120,10 +120,11 @@
         self._send(self.peer.shut_down(self.loop.clock(), ends=False))
         logs.event("peers-off", until_ms=2 * self.config.term // MS)
         self._resume_endpoints()
-        longest = max((wanted.window for wanted in self._snapshot.budgets.values()), default=0)
-        self.loop.call_at(self.loop.now + 2 * self.config.term + 2 * longest, self._detach)
+        longest_window = max((wanted.window for wanted in self._snapshot.budgets.values()), default=0)
+        self.loop.call_at(self.loop.now + 2 * self.config.term + 2 * longest_window, self._detach)
 
     def _detach(self) -> None:
+        """Stop sharing limits; a tenant's rate becomes an equal share of its limit."""
         self.courier.peers = None
         tenants = self.courier.settings.tenants
         equal_shares = tuple((n, tenants[n].rate / self.courier.settings.forwarders) for n in self._tenant_rates)
@@ -153,7 +154,7 @@
                     continue
                 if not self._disabled:
                     self._send(self.peer.receive(data, self.loop.clock()))
-            if self.peer.has_new_observations:  # take new observations of endpoints into account before the next call
+            if self.peer.has_new_observations:  # apply new observations of endpoints before the next call
                 self._update_suspensions()
 
     def _send(self, datagrams: Datagrams) -> None:
@@ -251,11 +252,11 @@
         self.peer.counters.add(f"calls/{dest}/{result.outcome.name.lower()}")
 
     def _was_stalled(self, sent: int, now: int) -> bool:
-        """Whether this process may have delayed the answer: then no failure of the endpoint is reported."""
+        """Whether a stall of this process may have delayed the answer; the endpoint is not blamed for that."""
         return now - self._last_tick > STALL_THRESHOLD or sent <= self._resumed_at
 
     def _update_suspensions(self) -> None:
-        """Notify the decision module of changes in which endpoints are suspended on reports of other couriers."""
+        """Notify the decision module of endpoints whose suspension by reports of other couriers has changed."""
         self.peer.has_new_observations = False
         observations, now = self.peer.observations, self.loop.clock()
         suspended = observations.restrictions(now, self.peer.members.alive())
@@ -331,15 +332,15 @@
                 shares.retire_budget(key)
 
     def _update_rates(self) -> None:
-        """Notify the decision module of changed rates of this courier's shares."""
+        """Notify the decision module where the rate that this courier may use has changed."""
         now = self.loop.clock()
         endpoint_rates: dict[EndpointId, float] = {}
         tenant_rates: dict[int, float] = {}
         for key, wanted in self._snapshot.budgets.items():
             allowed = self.peer.shares.allowed(key, now)
             if allowed is not None:
-                # Right after a start no call is allowed for one window. The module is not given that as a rate: at rate
-                # zero it would abandon at once messages that can be delivered a second later.
+                # Right after a start no call is allowed for one window. The decision module is given the share as the
+                # rate even then: at rate zero it would at once abandon messages that can be delivered a second later.
                 allowed = allowed or self.peer.shares.share(key)
                 rate = max(0.05, allowed * 1_000_000 / wanted.window)
                 for id in wanted.endpoints:  # a recovering endpoint has a second budget: the lower rate applies
@@ -374,7 +375,7 @@
             self.loop.sleep(BUDGET_POLL_INTERVAL)
 
     def spend_budget(self, endpoint: EndpointId, is_retry: bool) -> bool:
-        """See ``core.courier.Peers``. Reads the clock again: the process may have been stalled in this turn."""
+        """See ``core.courier.Peers``. Reads the clock itself, as the process may have been stalled in this turn."""
         keys, now, shares = self._budget_keys(endpoint, is_retry), self.loop.clock(), self.peer.shares
         if not all(shares.may_call(key, now) for key in keys):
             return False
--- a/kestrelspar/peers/observations.py
+++ b/kestrelspar/peers/observations.py
@@ -7,39 +7,41 @@
 -------------------
 A courier reports only what it observed itself: a retry-after delay (``WAIT``), calls that failed with none served since
 (``DOWN``), calls in flight without an answer (``SILENT``), an endpoint that serves after one of these (``BACK``), and a
-limit that the endpoint reported (``LIMIT``). Each observation carries a sequence number of the witness, of which the
-larger wins within a process epoch, and its age, so duplicated, late or reordered observations change nothing.
-Observations go directly to each member, in several rounds, as a datagram may be lost.
+limit that the endpoint reported (``LIMIT``). Each observation carries its age and a sequence number of the witness;
+within a process epoch the larger number wins. So duplicated, late or reordered observations change nothing.
+Observations are sent directly to each member, in several rounds, as a datagram may be lost. With brokers, only members
+without a group are sent them directly, see brokers.py.
 
 A received observation makes a courier more careful, never bolder than it would be alone:
 
 - a retry-after delay is honoured for at most ``max_wait`` after it was seen;
-- an outage needs two witnesses, or one witness and a failed call of this courier;
+- an outage needs two witnesses, at least one of them with ``DOWN``, or one witness and a failed call of this courier;
 - a served call of this courier outranks an observation made before that call was sent, and so does a ``BACK`` from
   another courier;
-- the last route of a destination is never closed: it is called one call at a time. Nor are more than
-  ``max_restricted_share`` of all routes closed: those with the fewest witnesses are called one call at a time, too;
-- the first ``BACK`` or served call after an outage starts the endpoint's slow start (``recovering``): how much all
-couriers
-  may send it then is a budget, see demand.py;
+- the last route of a destination is never closed, only limited to one call at a time;
+- at most ``max_restricted_share`` of all routes are closed. Beyond that, the routes with the fewest witnesses are
+  limited to one call at a time instead;
+- the first ``BACK`` or served call after an outage starts the endpoint's slow start (``recovering``): the calls that
+  all couriers may then make to it are a budget, see demand.py;
 - a witness that this courier's calls contradict is distrusted: each contradiction adds one to its score, each
   confirmation takes ``CONFIRMATION_CREDIT`` off, and it is trusted while its score is below
   ``SOURCE_DISTRUST_SCORE``.
 
 One courier at a time probes an endpoint in an outage: members are ranked by a hash of endpoint and member name, and the
 one of rank r calls again, one call at a time, r probe intervals after the last report of a failure. If its call fails,
-that is the next report; if it is served, the wait ends for all. A courier that receives nothing calls after at most
-``MAX_PROBE_RANK`` intervals, as it would alone.
-
-A broker may alter or invent what it relays, and so may the broker of another region that it received it from. Claims
-are therefore kept by witness and relay path (``ClaimSource``), and two witnesses count as two only if no single party,
-witness or broker, handled all of their claims. So neither one lying courier, which is one witness on all its paths, nor
-one lying broker, however many witnesses it invents, can restrict a route by anything but a retry-after delay.
-A claim source is distrusted as above; a relay path after ``PATH_DISTRUST_SCORE`` contradicted calls, and a broker after
-``BROKER_DISTRUST_SCORE``. A source that is distrusted already no longer counts against its path, so one lying courier
-doesn't discredit an honest broker.
-
-State is bounded by live endpoints times ``MAX_WITNESSES`` for each relaying broker, and by members.
+that is the next report; if it is served, the restriction ends for all. A courier that receives no further reports calls
+after at most ``MAX_PROBE_RANK`` intervals, as it would alone.
+
+A broker may alter or invent the claims that it relays, and so may the broker of another region from which it received
+them. Claims are therefore kept by witness and relay path (``ClaimSource``), and two witnesses count as two only if no
+single party, witness or broker, handled all of their claims. So neither one lying courier, which is one witness on all
+its paths, nor one lying broker, however many witnesses it invents, can restrict a route by anything but a retry-after
+delay. A claim source is distrusted as above; a relay path if its score reaches ``PATH_DISTRUST_SCORE``, and all that a
+broker relays if its score reaches ``BROKER_DISTRUST_SCORE``. A false claim of a source that is distrusted already
+doesn't raise the scores of its path and broker, so one lying courier doesn't discredit an honest broker.
+
+The state is bounded: claims by the number of listed endpoints times ``MAX_WITNESSES``, once for direct witnesses and
+once for each relaying broker; scores by the number of members and ``MAX_RELAYED_SCORES``.
 """
 
 from __future__ import annotations
@@ -55,23 +57,26 @@
 from kestrelspar.peers.members import Events, Outgoing
 from kestrelspar.peers.messages import Observation, PeerMessage, PublishObservation, RelayedObservation
 
-MS, SECOND = 1_000, 1_000_000
-MAX_WITNESSES = 12  # per endpoint: direct ones, and as many again by each broker
+MS, SECOND = 1_000, 1_000_000  # microseconds
+MAX_WITNESSES = 12  # per endpoint: of direct witnesses, and again of those relayed by each broker
 OUTAGE_REPORT_MAX_AGE = 3 * SECOND  # an older report of a failure is no evidence of a current outage
-MAX_PROBE_RANK = 8  # max probe intervals that a courier waits for those ranked before it
-REPORT_ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # times that a report is sent to all; the delay doubles each time
+MAX_PROBE_RANK = 8  # probe intervals that a courier waits at most for those ranked before it
+REPORT_ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # rounds of a report to all; the delay doubles each round
 SUFFICIENT_REPORTS = 3  # witnesses with the same report; a further one is sent in the last round only
 MIN_REPORT_INTERVAL = 250 * MS  # between reports of failures at one endpoint
 MIN_REPORTED_WAIT = 50 * MS  # a shorter retry-after delay ends before other couriers receive it
-# A claim source is distrusted from the first score on; a confirmed claim takes off the second; the third is the max.
+# A claim source is distrusted from SOURCE_DISTRUST_SCORE on. A contradicted claim adds one to its score, a confirmed
+# claim takes off CONFIRMATION_CREDIT, and the score stays between 0 and SOURCE_MAX_SCORE (twice the threshold, as for
+# relay paths and brokers).
 SOURCE_DISTRUST_SCORE, CONFIRMATION_CREDIT, SOURCE_MAX_SCORE = 3.0, 0.5, 6.0
-# The same for a relay path (a broker, and the broker that it received from), and for all that one broker relays.
+# Scores from which a relay path (a broker, and the broker from which it received the claim) is distrusted, and all that
+# one broker relays.
 PATH_DISTRUST_SCORE, BROKER_DISTRUST_SCORE = 12.0, 24.0
-CONFIRMED, DISREGARDED, CONTRADICTED = range(3)  # verdicts of one call on a relay path, in order of gravity
+CONFIRMED, DISREGARDED, CONTRADICTED = range(3)  # verdicts of one call on a relay path, in order of severity
 MAX_RELAYED_SCORES = 2_048  # scores kept for sources that brokers relay
-MAX_NUMBER_CONFLICTS = 16  # couriers reported for claiming this courier's number
+MAX_NUMBER_CONFLICTS = 16  # max couriers reported for having this courier's number
 LIMIT_TOLERANCE = 0.1  # limits that differ by a smaller part are taken as equal
-MIN_OUTAGE = SECOND  # a shorter one is not treated as an outage
+MIN_OUTAGE = SECOND  # a shorter outage has no slow start, neither during it nor after it
 MAX_PIGGYBACKED = 6  # own observations added to a datagram
 OBSERVATION_DATAGRAM_BYTES = 150  # approximate size of a datagram with one observation
 
@@ -97,9 +102,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRestriction:
-    """Restriction of a route, for the decision module: closed until then, or limited to one call at a time."""
+    """Restriction of a route, for the decision module: closed, or limited to one call at a time."""
 
-    until: int
+    until: int  # when it ends
     one_at_a_time: bool
 
 
@@ -110,7 +115,7 @@
     served: int = -(1 << 60)  # last call that was served
     failed: int = -(1 << 60)  # last call that failed
     refused: int = -(1 << 60)  # last call that was refused
-    limit: float = 0.0
+    limit: float = 0.0  # last limit that the endpoint reported, calls per second
     limit_at: int = -(1 << 60)
 
 
@@ -119,7 +124,7 @@
     """One observation of this courier that is being sent to all others."""
 
     kind: ObservationKind
-    at: int
+    at: int  # when it was observed
     value: int
     sequence: int
     pending_members: list[str] = field(default_factory=list)  # still to be sent to in this round
@@ -151,11 +156,11 @@
 
 
 class ClaimSource(NamedTuple):
-    """Claim source: the witness, and the relay path by which its claim came.
+    """Where a claim came from: the witness, and the relay path.
 
-    ``relay``: the broker that relayed it; empty if it came directly. ``origin``: the broker of another region that
-    ``relay`` received it from. Without a witness it stands for the whole relay path; with ``ANY_ORIGIN`` for all that
-    the broker relays.
+    ``relay``: the broker that relayed it; empty if it came directly. ``origin``: the broker of another region from
+    which ``relay`` received it; empty if there was none. An empty ``witness`` stands for all claims by that relay path;
+    with ``origin`` set to ``ANY_ORIGIN``, for all that the broker relays.
     """
 
     witness: str
@@ -163,7 +168,7 @@
     origin: str = ""
 
     def parties(self) -> set[tuple[bool, str]]:
-        """All parties that handled the claim, and whether each is a broker."""
+        """All parties that handled the claim, each as (whether it is a broker, name)."""
         return {(False, self.witness)} | {(True, name) for name in (self.relay, self.origin) if name}
 
     def trust_levels(self) -> list[tuple[ClaimSource, float]]:
@@ -197,14 +202,14 @@
 
 
 def independent_witness_count(sources: Collection[ClaimSource]) -> int:
-    """Number of independent witnesses; several that came by one relay path count as one."""
+    """Number of independent witnesses; those whose claims were relayed by the same broker count as one."""
     return min(
         len({source.witness for source in sources}), len({source.relay or (source.witness,) for source in sources})
     )
 
 
 def probe_rank(endpoint: str, own_name: str, others: Iterable[str]) -> int:
-    """How many of the others probe this endpoint before this courier.
+    """Number of other couriers that probe this endpoint before this one.
 
     Rendezvous hashing gives the same order at all couriers.
     """
@@ -235,8 +240,8 @@
 
         ``max_wait``: longest retry-after delay that is accepted, microseconds. ``max_restricted_share``: share of all
         routes that reports of other couriers may close. ``probe_interval``: between couriers that probe an endpoint in
-        an outage, microseconds. ``couriers``, ``number``: number of couriers, and the position of this one; a witness
-        must have a position. ``origins``: brokers of other regions.
+        an outage, microseconds. ``couriers``, ``number``: number of couriers, and the position of this one; relayed
+        claims of a witness whose position is not below ``couriers`` are dropped. ``origins``: brokers of other regions.
         """
         self.own_name, self.epoch, self.max_wait, self.max_restricted_share, self.probe_interval = (
             own_name,
@@ -247,9 +252,8 @@
         )
         self.events: Events = []
         self.couriers, self.number, self.origins = couriers, number, frozenset(origins)
-        self.scores: dict[
-            ClaimSource, float
-        ] = {}  # contradicted claims, less a credit for each confirmed one; never below 0
+        # Contradicted claims, less a credit for each confirmed one; never below 0.
+        self.scores: dict[ClaimSource, float] = {}
         self.distrusted: set[ClaimSource] = set()
         self.silent = False
         self._random = random
@@ -257,8 +261,8 @@
         self._routes: dict[str, int] = {}  # destination by endpoint
         self._locally_closed: frozenset[str] = frozenset()
         self._local: dict[str, LocalRecord] = {}
-        self._pending_reports: dict[tuple[str, bool], PendingReport] = {}  # by endpoint, and whether it is its limit
-        self._number_conflicts: set[str] = set()  # couriers that claim this courier's number
+        self._pending_reports: dict[tuple[str, bool], PendingReport] = {}  # by endpoint, and whether it reports a limit
+        self._number_conflicts: set[str] = set()  # couriers that have this courier's number
         self._records: dict[str, dict[ClaimSource, WitnessRecord]] = {}  # by endpoint
         self._outages: dict[str, int] = {}  # start of the current outage, by endpoint
         self._recovering: dict[str, int] = {}  # end of a recent outage, by endpoint
@@ -270,8 +274,8 @@
     ) -> None:
         """Record the end of a call that was sent at ``sent``.
 
-        ``wait``: the retry-after delay that it was answered with, microseconds. ``limit``: the limit that the endpoint
-        reported, calls per second.
+        ``wait``: the retry-after delay in the answer, microseconds; 0 if none. ``limit``: the limit that the endpoint
+        reported, calls per second; 0 if none.
         """
         local = self._local.setdefault(endpoint, LocalRecord())
         if limit > 0:
@@ -283,7 +287,11 @@
             self._end_outage(endpoint, now)
             self._score_claims(endpoint, sent, now, served=True)
             pending = self._pending_reports.get((endpoint, False))
-            if pending is not None and pending.kind is not ObservationKind.BACK or self._reported_unwell(endpoint, now):
+            if (
+                pending is not None
+                and pending.kind is not ObservationKind.BACK
+                or self._recently_reported_failing(endpoint, now)
+            ):
                 self._queue_report(endpoint, ObservationKind.BACK, now, 0)
         elif outcome is CallOutcome.REFUSED:
             local.refused = sent
@@ -300,9 +308,9 @@
         self._queue_report(endpoint, ObservationKind.SILENT, now, 0)
 
     def _queue_report(self, endpoint: str, kind: ObservationKind, now: int, value: int) -> None:
-        """Queue a report to all others, unless a recent one says the same.
+        """Queue a report to all others, unless a recent report of this courier says the same.
 
-        If enough other witnesses have reported it, it is sent in one round only.
+        If enough other witnesses have reported the same, it is sent in one round only.
         """
         key = endpoint, kind is ObservationKind.LIMIT
         pending = self._pending_reports.get(key)
@@ -325,7 +333,7 @@
         )
 
     def _independent_reports(self, endpoint: str, kind: ObservationKind, now: int) -> int:
-        """Number of witnesses with the same report: direct ones, or by two brokers, as one could invent witnesses."""
+        """Number of witnesses that reported the same, directly or by several brokers, as one could invent witnesses."""
         paths: dict[str, set[str]] = {}
         for source, record in self._records.get(endpoint, {}).items():
             if (
@@ -339,7 +347,7 @@
     # Observations of other couriers
 
     def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> bool:
-        """Handle a member's messages. Returns whether any of them was new."""
+        """Handle a member's messages. Returns whether any of them was a new observation."""
         changed = False
         for message in messages:
             if isinstance(message, Observation) and message.endpoint in self._routes and sender != self.own_name:
@@ -347,7 +355,7 @@
         return changed
 
     def receive_relayed(self, broker: str, messages: Iterable[PeerMessage], now: int) -> bool:
-        """Handle what a broker of this courier's region relays. Returns whether any of it was new."""
+        """Handle messages of a broker of this courier's region. Returns whether any was a new relayed observation."""
         changed = False
         for message in messages:
             if (
@@ -361,7 +369,7 @@
                 and message.witness not in self._number_conflicts
                 and len(self._number_conflicts) < MAX_NUMBER_CONFLICTS
             ):
-                # It is in another group, so possibly no other courier knows of both.
+                # The witness is in another group, so possibly no other courier knows both of them.
                 self._number_conflicts.add(message.witness)
                 self.events.append(
                     (
@@ -375,13 +383,13 @@
                 )
         return changed
 
-    def _evict_witness(self, records: dict[ClaimSource, WitnessRecord], by: str) -> None:
-        """Make room for one more witness of this broker (empty: of those that report directly).
+    def _evict_witness(self, records: dict[ClaimSource, WitnessRecord], relay: str) -> None:
+        """Make room for one more witness relayed by the broker ``relay`` (empty: one that reports directly).
 
         The witnesses of one broker never displace those of another. Within one broker, the oldest record of the origin
         with the most records is evicted.
         """
-        same = [source for source in records if source.relay == by]
+        same = [source for source in records if source.relay == relay]
         if len(same) < MAX_WITNESSES:
             return
         origins = [source.origin for source in same]
@@ -398,7 +406,7 @@
         return not self.distrusted.isdisjoint((ClaimSource("", broker), ClaimSource("", broker, ANY_ORIGIN)))
 
     def distrusted_sources(self) -> list[str]:
-        """Distrusted sources, relay paths and brokers, for reports."""
+        """Distrusted claim sources, relay paths and brokers, as text for the status."""
         return sorted(str(source) for source in self.distrusted)
 
     def _record(self, source: ClaimSource, epoch: int, observation: Observation, now: int) -> bool:
@@ -431,7 +439,10 @@
         return True
 
     def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
-        """Score the claims made before an own call was sent by the outcome of that call, each claim once."""
+        """Compare claims with the outcome of an own call sent after them, and score each claim once.
+
+        ``served``: whether the call was served; otherwise it failed or was answered with a retry-after delay.
+        """
         paths: dict[ClaimSource, tuple[int, ObservationKind]] = {}
         for source, witness in self._records.get(endpoint, {}).items():
             claim = witness.health
@@ -450,8 +461,8 @@
             disregarded = level in self.distrusted
             self._adjust_score(level, threshold, contradicted, endpoint, claim.kind)
             for level, _ in broader:
-                # The claim of a distrusted source has no effect and doesn't count against its broker, which only
-                # relayed it. But as a false claim it mustn't earn credit for the rest of that path either.
+                # A false claim of a distrusted source has no effect and doesn't count against its broker, which only
+                # relayed it. But it mustn't earn credit for the rest of that path either.
                 verdict = CONFIRMED if not contradicted else DISREGARDED if disregarded else CONTRADICTED
                 disregarded = disregarded or level in self.distrusted
                 if level not in paths or verdict > paths[level][0]:
@@ -479,7 +490,7 @@
             self.events.append(("peers-believed-again", {"peer": str(level)}))
 
     def _standing_claims(self, endpoint: str) -> list[tuple[ClaimSource, Claim]]:
-        """Trusted claims of trouble that neither a call of this courier nor a ``BACK`` has contradicted."""
+        """Trusted claims of failures or delays that neither a served call nor a ``BACK`` has contradicted since."""
         local = self._local.get(endpoint) or LocalRecord()
         claims = [
             (source, record.health)
@@ -493,8 +504,8 @@
             if claim.kind is not ObservationKind.BACK and claim.at > served_at
         ]
 
-    def _reported_unwell(self, endpoint: str, now: int) -> bool:
-        """Whether other couriers recently reported trouble."""
+    def _recently_reported_failing(self, endpoint: str, now: int) -> bool:
+        """Whether other couriers recently reported failures, silence or a retry-after delay of the endpoint."""
         return any(
             record.health is not None
             and record.health.kind is not ObservationKind.BACK
@@ -505,7 +516,7 @@
     # Resulting restrictions
 
     def start_outage(self, endpoint: str, now: int) -> None:
-        """Record the start of an outage found by this courier or reported by others; slow start follows it."""
+        """Record the start of an outage, found by this courier or reported by others. Slow start will follow it."""
         self._outages.setdefault(endpoint, now)
 
     def _end_outage(self, endpoint: str, at: int) -> None:
@@ -518,7 +529,10 @@
             self._recovering[endpoint] = at
 
     def recovering(self, now: int, ramp: int) -> dict[str, int]:
-        """Endpoints in an outage or in slow start, with the time since their return; 0 while they are out."""
+        """Endpoints in an outage or in slow start, with the microseconds since their return (0 during the outage).
+
+        ``ramp``: length of the slow start, microseconds.
+        """
         self._recovering = {name: at for name, at in self._recovering.items() if now - at < ramp}
         return {name: max(0, now - at) for name, at in self._recovering.items()} | {
             name: 0 for name, since in self._outages.items() if now - since >= MIN_OUTAGE
@@ -534,6 +548,7 @@
         return self._apply_bounds(candidates, now)
 
     def _restriction(self, endpoint: str, now: int, others: list[str]) -> tuple[int, RouteRestriction] | None:
+        """The restriction that follows from the standing claims, with the number of independent witnesses."""
         claims = self._standing_claims(endpoint)
         waits = [
             (source, claim.until)
@@ -558,7 +573,8 @@
             self.start_outage(endpoint, now)
         elif endpoint not in self._outages or not claims:
             return None
-        # A confirmed outage lasts until a call is served. Otherwise all would call at once when the reports are old.
+        # A confirmed outage outlasts its reports until a call is served: if it ended with their age, all couriers would
+        # call at once. Only if no further failure is reported for the time below, the route is no longer restricted.
         last = max([claim.at for _, claim in claims if claim.kind is not ObservationKind.WAIT] or [local.failed])
         last = max(last, local.failed)
         if now >= last + max(OUTAGE_REPORT_MAX_AGE, self.probe_interval * MAX_PROBE_RANK):
@@ -592,10 +608,11 @@
         return bounded
 
     def reported_limit(self, endpoint: str, now: int) -> float:
-        """The limit reported to other couriers, calls per second.
+        """The limit that the endpoint reported to other couriers, calls per second; 0 if none can be trusted.
 
-        0 if no trusted claim is newer than the last report to this courier. It takes two independent witnesses that
-        agree, or one witness and a refused call of this courier since: one witness alone could starve all couriers.
+        Only trusted claims count that are newer than the last limit reported to this courier itself. It takes two
+        independent witnesses that agree, or one witness and a call of this courier that was refused since that report:
+        one witness alone could starve all couriers.
         """
         local = self._local.get(endpoint) or LocalRecord()
         limits = sorted(
@@ -624,7 +641,7 @@
         """
         if routes.keys() != self._routes.keys():
             self._local = {name: local for name, local in self._local.items() if name in routes}
-            self._records = {name: heard for name, heard in self._records.items() if name in routes}
+            self._records = {name: records for name, records in self._records.items() if name in routes}
             self._outages = {name: at for name, at in self._outages.items() if name in routes}
             self._recovering = {name: at for name, at in self._recovering.items() if name in routes}
             self._pending_reports = {key: pending for key, pending in self._pending_reports.items() if key[0] in routes}
@@ -637,9 +654,10 @@
             source: score for source, score in self.scores.items() if source.relay or source.witness in names
         }
         excess = len(self.scores) - MAX_RELAYED_SCORES - len(names)
-        if excess > 0:  # a broker can invent any number of witnesses: those with the lowest scores are dropped
+        if excess > 0:  # as a broker can invent any number of witnesses, the lowest scores are dropped
             lowest = sorted(
-                (source for source in self.scores if source.relay and source.witness), key=lambda v: self.scores[v]
+                (source for source in self.scores if source.relay and source.witness),
+                key=lambda source: self.scores[source],
             )
             for source in lowest[:excess]:
                 del self.scores[source]
@@ -648,7 +666,10 @@
     def tick(
         self, now: int, others: list[str], byte_budget: int, brokers_of: Callable[[int], list[str]] | None = None
     ) -> Outgoing:
-        """Observations that are due, in about ``byte_budget`` bytes. ``brokers_of``: the brokers of a destination."""
+        """Observations that are due, in about ``byte_budget`` bytes.
+
+        ``others``: members to send them to directly. ``brokers_of``: the brokers to publish a destination's to.
+        """
         if self.silent:
             return []
         outgoing: dict[str, list[PeerMessage]] = {}
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -15,17 +15,18 @@
 
 - only what the preceding window left unused is lent, and it counts as lent before the grant can leave
   (``_grant_requests``);
-- the borrower's term runs from its request, the lender's from its grant and a window longer, each with the clock drift
-  on the safe side;
+- the borrower's term starts with its request; the lender's starts with its grant and is a window longer; both allow for
+  the clock drift, the borrower's by being shorter and the lender's by being longer;
 - a grant counts once, and only for an open request of the same process epoch; a returned loan is no longer used;
 - the maximum ever lent is persisted before a grant leaves (``persist``). After a start that amount counts as lent for a
-  whole term, and everything lendable where nothing was persisted; what was found is persisted again until it no longer
-  matters;
-- for one window after a start a courier neither calls nor lends, as it does not know what its earlier process called.
-
-Demand: ``set_shortfall`` sets how many more calls than it may make a courier could use, and the weight of the messages
-that wait for them. Requests are gathered and granted together, call by call to the request with the most weight per
-call granted. A lender retains what it used recently.
+  whole term; if nothing was persisted, everything lendable does. The amounts that were found are persisted again until
+  those loans can no longer be running;
+- for one window after a start a courier neither calls nor lends, as it does not know which calls its earlier process
+  made.
+
+Demand: ``set_shortfall`` sets how many further calls a courier could use, and the weight of the messages that need
+them. A lender gathers requests for ``REQUEST_GATHERING_TIME`` and grants them together, call by call, each to the
+request with the most weight per call granted. It retains what it used recently.
 """
 
 from __future__ import annotations
@@ -39,17 +40,18 @@
 from kestrelspar.peers.members import Events, Outgoing
 from kestrelspar.peers.messages import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 
-MS, SECOND = 1_000, 1_000_000
+MS, SECOND = 1_000, 1_000_000  # microseconds
 MAX_LENT_PART = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
 REQUEST_GATHERING_TIME = 50 * MS  # between the first request and the grants for all gathered so far
-REQUEST_INTERVAL = 200 * MS  # per budget, while calls are lacking
-MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked at once; doubles while too little is granted
+REQUEST_INTERVAL = 200 * MS  # min time between two rounds of requests for one budget
+MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked in one round; doubles while too little is granted
 RENEWAL_POINT = 0.5  # part of the term after which a loan in use is renewed
-IDLE_WINDOWS = 2  # a loan that was not needed for so many windows is returned
+IDLE_WINDOWS = 2  # windows after which a loan that was not needed is returned
 MEAN_WINDOWS = 16  # time constant, in windows, of the mean use of a budget
-RECALL_WINDOWS = 3  # a lender whose own messages need more windows renews no loan; fewer are served in time anyway
-CARRY_OVER = 600 * SECOND  # min time for which the loans of an earlier process epoch are persisted again
-UNKNOWN_LOANS = "*"  # persisted in place of amounts if none were found: everything lendable may be lent
+# A lender renews no loan if its own waiting messages need more windows than this; fewer are served in time anyway.
+RECALL_WINDOWS = 3
+MIN_CARRY_OVER_TIME = 600 * SECOND  # min time for which an earlier epoch's loans are persisted again
+UNKNOWN_LOANS = "*"  # key persisted if no amounts were found: everything lendable may be lent
 MAX_CALLS_WITHOUT_BUDGET = 1_000  # calls remembered for a budget that is not configured yet
 
 
@@ -58,20 +60,20 @@
     """Settings that must be the same at all couriers, and the position of this one."""
 
     couriers: int
-    number: int  # position of this courier; from ``couriers`` on its share is nothing
-    term: int = 3 * SECOND
-    drift: float = 0.01
+    number: int  # position of this courier; if not below ``couriers``, it has no share
+    term: int = 3 * SECOND  # for which a loan may be used
+    drift: float = 0.01  # max drift of a clock, as a part of the time passed
 
 
 def equal_share(calls: int, couriers: int, number: int) -> int:
-    """Calls per window that belong to the courier at position ``number``."""
+    """The share of the courier at position ``number``: calls per window, of ``calls`` for all couriers."""
     if not 0 <= number < couriers:
         return 0
     return calls // couriers + (number < calls % couriers)
 
 
 def budget_for_rate(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
-    """A budget for ``rate`` calls per second, as (calls, window length).
+    """A budget for ``rate`` calls per second, as (calls, window length in microseconds).
 
     The window is lengthened if a courier's share would otherwise be less than one call.
     """
@@ -87,9 +89,9 @@
 
     peer: str
     calls: int
-    until: int  # lender: the calls are its own again from then on; borrower: they may not be used from then on
+    until: int  # time from which on the lender may use the calls again, or the borrower no longer
     requested_at: int = 0  # borrower: when the last request or renewal was sent
-    last_needed: int = 0  # borrower only
+    last_needed: int = 0  # borrower: when its demand last exceeded what it had without this loan
 
 
 @dataclass(slots=True)
@@ -97,34 +99,34 @@
     """A loan request that was sent and not answered yet."""
 
     peer: str
-    key: str
-    at: int
+    key: str  # name of the budget
+    at: int  # when it was sent
     calls: int
-    loan: int
+    loan: int  # number of the loan to be renewed; 0 for a new one
 
 
 @dataclass(slots=True)
 class Budget:
     """State of one budget at this courier."""
 
-    calls: int
+    calls: int  # of all couriers together in any window
     window: int
-    share: int
+    share: int  # this courier's calls per window, including those that it has lent
     recent_calls: deque[int] = field(default_factory=deque)  # times of the calls in the preceding window
-    lent: dict[tuple[str, int, int], Loan] = field(default_factory=dict)  # by borrower, its process epoch and request
+    lent: dict[tuple[str, int, int], Loan] = field(default_factory=dict)  # by borrower, its epoch and request number
     borrowed: dict[tuple[str, int], Loan] = field(default_factory=dict)  # by lender and loan number
     mean: float = 0.0  # decaying mean of calls per window, as of ``mean_at``
     mean_at: int = 0
-    shortfall: int = 0
+    shortfall: int = 0  # further calls that this courier could use, as of ``shortfall_at``
     waiting_weight: float = 0.0
     shortfall_at: int = 0
     requested_at: int = -(1 << 60)
     fanout: int = MIN_REQUEST_FANOUT
     max_lent: int = 0  # most calls lent at once since the start, as persisted
-    retired: bool = False  # its destination is gone; removed once no loans and recent calls are left
-    fully_lendable: bool = False  # the whole share may be lent: for budgets so small that most shares are nothing
+    retired: bool = False  # its destination is gone; the budget is removed once it has no loans and no recent calls
+    fully_lendable: bool = False  # the whole share may be lent: for budgets so small that most shares are zero
     rotation: int = 0  # added to a courier's number, to vary which couriers get the remainder of the division
-    next_unowned_call_at: int = 0  # if fully lendable and without a share: from then on one call is allowed anyway
+    next_unowned_call_at: int = 0  # time of the next call that is allowed without a share, if fully lendable
 
 
 class Shares:
@@ -141,8 +143,8 @@
     ) -> None:
         """Create the shares of a process that starts at ``now``.
 
-        ``lent_before``: the most that an earlier process epoch had lent, by budget; None if unknown. ``persist`` writes
-        such amounts down and returns whether it succeeded; if not, nothing is lent.
+        ``lent_before``: the most calls that an earlier process epoch had lent at once, by budget; None if unknown.
+        ``persist`` saves such amounts and returns whether it succeeded; if not, nothing is lent.
         """
         self.terms, self.epoch = terms, epoch
         self.events: Events = []
@@ -156,7 +158,8 @@
         self._gathering_since: int | None = None
         self._request_number = 0
         self._loan_number = 0
-        self._granted_loans: dict[int, tuple[str, tuple[str, int, int]]] = {}  # budget and key in ``lent``, by number
+        # By loan number: name of the budget, and the loan's key in ``Budget.lent``.
+        self._granted_loans: dict[int, tuple[str, tuple[str, int, int]]] = {}
         self.storage_failed = False  # loans can't be persisted: nothing is lent or borrowed
         self.stopped = False  # another process has this name, or this one is leaving: it has no share
         self.silent = False  # sends no messages any more, so it neither lends nor borrows
@@ -169,7 +172,7 @@
         """Set a budget: all couriers together may make ``calls`` calls in any ``window`` microseconds.
 
         ``fully_lendable``: the whole share may be lent. ``rotation``: the same at all couriers, and different for each
-        budget, so that not always the same couriers own the calls of small budgets.
+        budget, so that the calls of small budgets don't all belong to the same couriers.
         """
         known = self._budgets.get(key)
         share = self._share_of(calls, self.terms.number, rotation)
@@ -217,7 +220,7 @@
         return 0 if self.stopped or key not in self._budgets else self._budgets[key].share
 
     def _retained(self, key: str, budget: Budget, now: int) -> int:
-        """What is left of this courier's share after loans."""
+        """What is left of this courier's share after the calls that it has lent or may have lent."""
         if self.stopped:
             return 0
         lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until)
@@ -231,18 +234,18 @@
         return max_lendable if self._lent_before is None else min(max_lendable, self._lent_before.get(key, 0))
 
     def _blackout_end(self, budget: Budget) -> int:
-        """Until then calls of an earlier process may lie in the preceding window."""
+        """Time until which calls of an earlier process may lie in the preceding window."""
         return self._started_at + int(budget.window * (1 + self.terms.drift)) + 1
 
     def _max_lendable(self, budget: Budget) -> int:
         return budget.share if budget.fully_lendable else int(MAX_LENT_PART * budget.share)
 
     def _loan_hold_time(self, budget: Budget) -> int:
-        """From a grant until the lender may use the lent calls again."""
+        """Time from a grant until the lender may use the lent calls again."""
         return int((self.terms.term + budget.window) * (1 + self.terms.drift)) + 1
 
     def _used_calls(self, budget: Budget, now: int) -> int:
-        """Calls in the preceding window, extended by the drift so that by no clock it is too short."""
+        """Calls in the preceding window. It is extended by the drift, so that it isn't too short by any clock."""
         since = now - int(budget.window * (1 + self.terms.drift))
         while budget.recent_calls and budget.recent_calls[0] <= since:
             budget.recent_calls.popleft()
@@ -258,7 +261,7 @@
         )
 
     def try_call(self, key: str, now: int) -> bool:
-        """Count a call if one may be made. Returns whether it may be made."""
+        """Count a call if it may be made now; returns whether it may."""
         if not self.may_call(key, now):
             return False
         budget = self._budgets.get(key)
@@ -283,7 +286,7 @@
         return int(interval * (0.5 + self._random.random())) if budget.fully_lendable and not budget.share else 0
 
     def set_shortfall(self, key: str, calls: int, waiting_weight: float, now: int) -> None:
-        """Set how many more calls than allowed this courier could use now, and the total weight of their messages."""
+        """Set how many further calls this courier could use now, and the total weight of their messages."""
         budget = self._budgets.get(key)
         if budget is not None:
             budget.shortfall, budget.waiting_weight, budget.shortfall_at = max(0, calls), max(0.0, waiting_weight), now
@@ -297,7 +300,7 @@
         return math.ceil(self._decayed_mean(budget, now) - 0.5) + shortfall
 
     def _reserve(self, budget: Budget, now: int) -> int:
-        """Calls per window that a lender reserves: its mean use, and the shortfall beyond what its share serves.
+        """Calls per window that a lender reserves: its mean use, and the part of the shortfall beyond its share.
 
         A short queue is no reason to recall loans: it would be served before they are returned.
         """
@@ -337,7 +340,7 @@
         for lent_key, loan in list(budget.lent.items()):
             if now >= loan.until:
                 del budget.lent[lent_key]
-                self._granted_loans = {n: at for n, at in self._granted_loans.items() if at[1] != lent_key}
+                self._granted_loans = {n: entry for n, entry in self._granted_loans.items() if entry[1] != lent_key}
 
     def _renew_or_return(self, key: str, budget: Budget, now: int, out: Outgoing) -> None:
         """Renew borrowed loans in time, and return those that are no longer needed."""
@@ -365,7 +368,7 @@
     def _request_loans(self, key: str, budget: Budget, now: int, peers: list[str], out: Outgoing) -> None:
         """Ask a few members for the shortfall, and more of them while too little is granted."""
         shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
-        # What is served within one window is worth no loan: every courier has such bursts.
+        # Only the part that can't be served within one window is worth a loan: every courier has shorter bursts.
         shortfall -= self.allowed(key, now) or 0
         if shortfall <= 0:
             budget.fanout = MIN_REQUEST_FANOUT
@@ -413,37 +416,39 @@
                 self._handle_return(sender, epoch, message, now)
         return out
 
-    def _handle_request(self, sender: str, epoch: int, ask: LoanRequest, now: int, out: Outgoing) -> None:
-        if self.stopped or self.silent or self.storage_failed or ask.key not in self._budgets:
+    def _handle_request(self, sender: str, epoch: int, request: LoanRequest, now: int, out: Outgoing) -> None:
+        if self.stopped or self.silent or self.storage_failed or request.key not in self._budgets:
             return
-        budget = self._budgets[ask.key]
-        existing = budget.lent.get((sender, epoch, ask.n))
-        if existing is not None:  # a repeated request gets the same answer and no longer term
-            number = next(n for n, at in self._granted_loans.items() if at == (ask.key, (sender, epoch, ask.n)))
-            out.append((sender, [LoanGrant(ask.n, number, existing.calls)]))
-        elif ask.loan:
-            self._handle_renewal(sender, epoch, ask, budget, now, out)
+        budget = self._budgets[request.key]
+        existing = budget.lent.get((sender, epoch, request.n))
+        if existing is not None:  # a repeated request gets the same answer, and the term is not extended
+            number = next(
+                n for n, entry in self._granted_loans.items() if entry == (request.key, (sender, epoch, request.n))
+            )
+            out.append((sender, [LoanGrant(request.n, number, existing.calls)]))
+        elif request.loan:
+            self._handle_renewal(sender, epoch, request, budget, now, out)
         elif not any(
-            pending[:2] == (sender, epoch) and pending[2].n == ask.n
-            for pending in self._pending_requests.get(ask.key, ())
+            pending[:2] == (sender, epoch) and pending[2].n == request.n
+            for pending in self._pending_requests.get(request.key, ())
         ):
-            self._pending_requests.setdefault(ask.key, []).append((sender, epoch, ask))
+            self._pending_requests.setdefault(request.key, []).append((sender, epoch, request))
             self._gathering_since = now if self._gathering_since is None else self._gathering_since
 
     def _handle_renewal(
-        self, sender: str, epoch: int, ask: LoanRequest, budget: Budget, now: int, out: Outgoing
+        self, sender: str, epoch: int, request: LoanRequest, budget: Budget, now: int, out: Outgoing
     ) -> None:
-        """Extend a loan unless this courier needs the calls; the lender's end moves before the grant leaves."""
-        key, loan_key = self._granted_loans.get(ask.loan, ("", ("", 0, 0)))
+        """Extend a loan unless this courier needs the calls; its end here is moved before the grant is sent."""
+        key, loan_key = self._granted_loans.get(request.loan, ("", ("", 0, 0)))
         loan = budget.lent.get(loan_key)
-        if key != ask.key or loan is None or loan_key[:2] != (sender, epoch) or now >= loan.until:
+        if key != request.key or loan is None or loan_key[:2] != (sender, epoch) or now >= loan.until:
             return
         if now - budget.shortfall_at < budget.window and budget.shortfall > RECALL_WINDOWS * self._retained(
-            ask.key, budget, now
+            request.key, budget, now
         ):
             return
         loan.until = max(loan.until, now + self._loan_hold_time(budget))
-        out.append((sender, [LoanGrant(ask.n, ask.loan, loan.calls)]))
+        out.append((sender, [LoanGrant(request.n, request.loan, loan.calls)]))
 
     def _grant_requests(self, now: int, out: Outgoing) -> None:
         """Lend spare calls one by one, each to the request with the most weight per call granted."""
@@ -457,7 +462,7 @@
             spare = self._spare_calls(key, budget, now)
             granted = [0] * len(requests)
             while spare > 0:
-                unmet = [n for n, (_, _, ask) in enumerate(requests) if granted[n] < ask.calls]
+                unmet = [n for n, (_, _, request) in enumerate(requests) if granted[n] < request.calls]
                 if not unmet:
                     break
                 best = max(unmet, key=lambda n: (requests[n][2].waiting_weight / (granted[n] + 1), -n))
@@ -469,20 +474,20 @@
                 new_max[key] = lent
         if not grants or new_max and not self._persist(new_max, now):
             return
-        for key, borrower, epoch, ask, calls in grants:
+        for key, borrower, epoch, request, calls in grants:
             budget = self._budgets[key]
             budget.max_lent = new_max.get(key, budget.max_lent)
             self._loan_number += 1
-            loan_key = (borrower, epoch, ask.n)
+            loan_key = (borrower, epoch, request.n)
             budget.lent[loan_key] = Loan(borrower, calls, now + self._loan_hold_time(budget))
             self._granted_loans[self._loan_number] = key, loan_key
-            out.append((borrower, [LoanGrant(ask.n, self._loan_number, calls)]))
+            out.append((borrower, [LoanGrant(request.n, self._loan_number, calls)]))
 
     def _persist(self, new_max: dict[str, int], now: int) -> bool:
-        """Persist the most that is lent, before any of it is used. While that fails, nothing is lent or borrowed."""
+        """Persist the most that is lent, before any of it is used. Until that succeeds, nothing is lent or borrowed."""
         amounts = {key: budget.max_lent for key, budget in self._budgets.items() if budget.max_lent} | new_max
         if now < self._started_at + max(
-            [CARRY_OVER, *(self._loan_hold_time(budget) for budget in self._budgets.values())]
+            [MIN_CARRY_OVER_TIME, *(self._loan_hold_time(budget) for budget in self._budgets.values())]
         ):
             # Guards against a second crash soon after: the loans of the earlier epoch may still be running then.
             found = {UNKNOWN_LOANS: 1} if self._lent_before is None else self._lent_before
@@ -494,7 +499,7 @@
         return persisted
 
     def _spare_calls(self, key: str, budget: Budget, now: int) -> int:
-        """What may be lent now: unused in the preceding window, not reserved, and within the lendable part."""
+        """Calls that may be lent now: unused in the preceding window, not reserved, and within the lendable part."""
         lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until) + self._possibly_lent(
             key, budget, now
         )
@@ -519,7 +524,7 @@
             return
         if number is None:
             return
-        # Nobody can lend more than the lendable part of its share, which bounds what a false grant adds.
+        # No courier can lend more than the lendable part of its share; this bounds what a false grant adds.
         share = self._share_of(budget.calls, number, budget.rotation)
         already = sum(loan.calls for (lender, _), loan in budget.borrowed.items() if lender == sender)
         if (
@@ -533,9 +538,9 @@
         budget.borrowed[(sender, grant.loan)] = Loan(sender, grant.calls, until, request.at, now)
         self.events.append(("peers-borrowed", {"peer": sender, "budget": request.key, "calls": grant.calls}))
 
-    def _handle_return(self, sender: str, epoch: int, back: LoanReturn, now: int) -> None:
+    def _handle_return(self, sender: str, epoch: int, returned: LoanReturn, now: int) -> None:
         """Take back a loan that is no longer used; the calls may be used again a window later."""
-        key, loan_key = self._granted_loans.get(back.loan, ("", ("", 0, 0)))
+        key, loan_key = self._granted_loans.get(returned.loan, ("", ("", 0, 0)))
         budget = self._budgets.get(key)
         if budget is None or loan_key[:2] != (sender, epoch) or loan_key not in budget.lent:
             return
