--- a/kestrelspar/peers/observations.py
+++ b/kestrelspar/peers/observations.py
@@ -657,7 +657,7 @@
         if excess > 0:  # as a broker can invent any number of witnesses, the lowest scores are dropped
             lowest = sorted(
                 (source for source in self.scores if source.relay and source.witness),
-                key=lambda source: self.scores[source],
+                key=lambda candidate: self.scores[candidate],
             )
             for source in lowest[:excess]:
                 del self.scores[source]
--- a/tests/peers/test_broker_model.py
+++ b/tests/peers/test_broker_model.py
@@ -1,4 +1,7 @@
-"""Couriers in zones with brokers on the simulated network, one fault each; lab/broker_simulation.py has the checks."""
+"""Couriers in zones with brokers on the simulated network, one kind of fault per case.
+
+The checks made during each run are in lab/broker_simulation.py.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
     )
 
 
-def test_couriers_work_without_brokers_and_resubscribe_within_a_term_of_their_return() -> None:
+def test_couriers_work_without_brokers_and_resubscribe_within_a_term_of_the_brokers_return() -> None:
     net, interested = start_fleet(2, 8, 4, 4)
     couriers = [node for node in net.nodes.values() if node.peer is not None]
     for name in net.brokers:
@@ -59,7 +62,8 @@
     witness = net.nodes[interested[0]]
     assert witness.peer is not None
     at = witness.clock(net.now)
-    witness.peer.observations.record_call("e", CallOutcome.FAILED, at, at)  # only piggybacked: no broker is up
+    # No broker is up, so this is sent by piggybacking only.
+    witness.peer.observations.record_call("e", CallOutcome.FAILED, at, at)
     for name in net.brokers:
         net.start(name)
     net.run(net.now + LEASE_TERM + RESUBSCRIBE_JITTER + SECOND)
@@ -74,7 +78,7 @@
     net.run(net.now + SECOND // 5)
     for name in interested[1:]:
         peer = net.nodes[name].peer
-        assert peer is not None and {voice.witness for voice in peer.observations._records["e"]} == {witness.name}
+        assert peer is not None and {source.witness for source in peer.observations._records["e"]} == {witness.name}
 
 
 def test_a_zone_that_fails_and_returns_as_a_whole_causes_no_suspicion_and_leaves_others_unaffected() -> None:
--- a/tests/peers/test_broker_process.py
+++ b/tests/peers/test_broker_process.py
@@ -117,7 +117,7 @@
         return LeaseRenewal(self.n, self.host, self.port, self.number, known, 1, 0, 0)
 
     def renew(self, to: BrokerProcess, known: int = 0, listen: tuple[str, int] | None = None) -> int:
-        """The epoch of the broker that answered; 0 if none did in time."""
+        """Renew until a broker replies, and return its epoch; 0 after 20 attempts without a reply."""
         for _ in range(20):
             self.socket.sendto(self.sealer.seal("eu/b1", [self.renewal(known)]), listen or to.address)
             try:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_it_serves_answers_status_requests_and_shuts_down_cleanly(
+def test_a_broker_serves_answers_status_requests_and_shuts_down_cleanly(
     tmp_path: Path, started: list[BrokerProcess], number: signal.Signals
 ) -> None:
     started.append(broker := BrokerProcess(tmp_path).wait_until_ready())
@@ -203,7 +203,7 @@
     for _ in range(5_000):  # more than one turn of the loop reads; the socket buffer overflows and drops the rest
         courier.socket.sendto(pick.randbytes(200), broker.address)
     courier.socket.settimeout(0.1)
-    assert courier.renew(broker) == broker.status()["life"], "it still answers"
+    assert courier.renew(broker) == broker.status()["life"], "the broker still answers"
     assert broker.status()["dropped"]["foreign"] > 1_000
     assert broker.stop() == 0 and "event=fault" not in broker.log_text()
 
@@ -247,7 +247,7 @@
 
 def test_the_older_of_two_brokers_with_one_name_reports_it(tmp_path: Path, started: list[BrokerProcess]) -> None:
     started.append(older := BrokerProcess(tmp_path / "one").wait_until_ready())
-    time.sleep(0.01)  # so that the epoch, from the clock's milliseconds, is higher
+    time.sleep(0.01)  # so that the second one's epoch, taken from the clock's milliseconds, is higher
     second_address = free_address()
     younger = BrokerProcess(tmp_path / "two", more=f"  listen {second_address[0]}:{second_address[1]}\n")
     started.append(younger.wait_until_ready())
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize(("name", "more", "secrets", "expected"), SETTINGS_ERRORS)
-def test_invalid_settings_end_it_at_once(
+def test_a_broker_with_invalid_settings_exits_at_once_with_code_2(
     tmp_path: Path, started: list[BrokerProcess], name: str, more: str, secrets: list[str], expected: list[str]
 ) -> None:
     started.append(broker := BrokerProcess(tmp_path, name, more))
@@ -283,7 +283,7 @@
     assert [text for text in expected if text not in broker.log_text()] == [] and "Traceback" not in broker.log_text()
 
 
-def test_a_missing_key_an_address_in_use_and_an_unusable_state_directory(
+def test_a_missing_key_an_address_in_use_or_an_unusable_state_directory_prevents_the_start(
     tmp_path: Path, started: list[BrokerProcess]
 ) -> None:
     keyless = tmp_path / "keyless"
@@ -308,7 +308,7 @@
     assert first.stop() == 0
 
 
-def test_a_full_disk_does_not_stop_it_from_serving(tmp_path: Path, started: list[BrokerProcess]) -> None:
+def test_a_full_disk_does_not_stop_a_broker_from_serving(tmp_path: Path, started: list[BrokerProcess]) -> None:
     def limit_file_size() -> None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (0, resource.getrlimit(resource.RLIMIT_FSIZE)[1]))
 
--- a/tests/peers/test_brokers.py
+++ b/tests/peers/test_brokers.py
@@ -48,9 +48,9 @@
 class BrokerHarness:
     """One broker of region x, the first owner of ``DEST``, and the couriers and brokers that send to it."""
 
-    def __init__(self, **about: Any) -> None:
+    def __init__(self, **overrides: Any) -> None:
         self.name = OWNERS["x"][0]
-        config: dict[str, Any] = {"keys": [KEY], "brokers": NAMES, "couriers": COURIERS} | about
+        config: dict[str, Any] = {"keys": [KEY], "brokers": NAMES, "couriers": COURIERS} | overrides
         self.broker = Broker(BrokerConfig(self.name, "x", NAMES[self.name], EPOCH, **config), START, 1)
         self.now = START
         self.sealers: dict[tuple[str, int], Sealer] = {}
@@ -61,7 +61,7 @@
         return self.sealers.setdefault((name, epoch), Sealer(name, epoch, [KEY]))
 
     def decode(self, datagrams: brokers.Datagrams) -> list[tuple[str, PeerMessage]]:
-        """The broker's messages by receiver. Pings of other brokers are only recorded."""
+        """The broker's messages by receiver, without its pings to other brokers, which are only recorded."""
         found: list[tuple[str, PeerMessage]] = []
         for _, data in datagrams:
             assert len(data) <= MAX_DATAGRAM_BYTES
@@ -108,7 +108,7 @@
             self.send(f"n{number}", Subscribe(1, [dest]))
 
 
-def seen(n: int = 1, age: int = 0, kind: int = ObservationKind.DOWN, endpoint: str = "a") -> Observation:
+def make_observation(n: int = 1, age: int = 0, kind: int = ObservationKind.DOWN, endpoint: str = "a") -> Observation:
     return Observation(endpoint, kind, age, 0, n)
 
 
@@ -132,7 +132,7 @@
     assert len(successors) == 8 and max(successors.values()) < 2 * min(successors.values()), "spread over all others"
 
 
-def test_region_of_a_broker() -> None:
+def test_the_region_of_a_broker_is_its_name_up_to_the_last_slash() -> None:
     assert (
         brokers.brokers_in_region(NAMES, "x") == ["x/b0", "x/b1", "x/b2"] and brokers.brokers_in_region(NAMES, "") == []
     )
@@ -147,49 +147,55 @@
     harness.subscribe(1, 2, 3)
     harness.subscribe(4, dest=DEST + 1)
     harness.tick()
-    harness.send("n1", PublishObservation(DEST, seen(age=40)))
+    harness.send("n1", PublishObservation(DEST, make_observation(age=40)))
     found = harness.tick(30 * MS)
     assert relayed(found) == [("n2", "n1"), ("n3", "n1")]
     forwarded = [(to, message) for to, message in found if isinstance(message, ForwardedObservation)]
     assert sorted(to for to, _ in forwarded) == sorted(OWNERS[region][0] for region in "yz"), (
-        "first owner to first owner"
+        "the first owner forwards to first owners"
     )
-    assert all(message == ForwardedObservation("n1", 1, 1, DEST, seen(age=70)) for _, message in forwarded), (
-        "the 30 ms here count"
+    assert all(
+        message == ForwardedObservation("n1", 1, 1, DEST, make_observation(age=70)) for _, message in forwarded
+    ), "the 30 ms at the broker count towards the age"
+    assert all(
+        message.observation == make_observation(age=70)
+        for _, message in found
+        if isinstance(message, RelayedObservation)
     )
-    assert all(message.observation == seen(age=70) for _, message in found if isinstance(message, RelayedObservation))
     assert harness.tick() == []
 
 
 def test_a_forwarded_observation_goes_only_to_subscribers_and_is_accepted_only_from_other_regions() -> None:
     harness = BrokerHarness()
     harness.subscribe(1)
-    message = ForwardedObservation("n9", 9, 3, DEST, seen(age=10))
+    message = ForwardedObservation("n9", 9, 3, DEST, make_observation(age=10))
     for sender in (OWNERS["x"][1], "n1", "n30"):
         harness.send(sender, message)
         assert harness.tick() == [], sender
     assert harness.broker.refused["odd"] == 2 and harness.broker.refused["unknown"] == 1
     harness.send("y/b1", message)
-    assert harness.tick() == [("n1", RelayedObservation("n9", 9, 3, seen(age=60), "y/b1"))], "with its origin"
-    harness.send("y/b2", ForwardedObservation("n9", COURIERS, 3, DEST, seen(2)))
+    assert harness.tick() == [("n1", RelayedObservation("n9", 9, 3, make_observation(age=60), "y/b1"))], (
+        "with its origin"
+    )
+    harness.send("y/b2", ForwardedObservation("n9", COURIERS, 3, DEST, make_observation(2)))
     assert harness.tick() == [] and harness.broker.refused["no-place"] == 1
 
 
 def test_repetitions_are_relayed_but_not_duplicates_of_the_network_or_old_observations() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", PublishObservation(DEST, seen(5)))
-    harness.send("n1", PublishObservation(DEST, seen(5)))
+    harness.send("n1", PublishObservation(DEST, make_observation(5)))
+    harness.send("n1", PublishObservation(DEST, make_observation(5)))
     assert len(relayed(harness.tick())) == 1 and harness.broker.refused["repeated"] == 1
     harness.wait(300 * MS)
-    harness.send("n1", PublishObservation(DEST, seen(5, age=300)))
+    harness.send("n1", PublishObservation(DEST, make_observation(5, age=300)))
     assert len(relayed(harness.tick())) == 1
-    harness.send("n1", PublishObservation(DEST, seen(4)))
+    harness.send("n1", PublishObservation(DEST, make_observation(4)))
     assert harness.tick() == [] and harness.broker.refused["repeated"] == 2, "older than the last one of this witness"
     harness.send(
         "n1",
-        PublishObservation(DEST, seen(6, age=3_001)),
-        PublishObservation(DEST, seen(7, age=9_000, kind=ObservationKind.LIMIT)),
+        PublishObservation(DEST, make_observation(6, age=3_001)),
+        PublishObservation(DEST, make_observation(7, age=9_000, kind=ObservationKind.LIMIT)),
     )
     assert [message.observation.kind for _, message in harness.tick() if isinstance(message, RelayedObservation)] == [
         ObservationKind.LIMIT
@@ -207,7 +213,7 @@
         harness.broker.tick(harness.now)
         harness.renew("n2", 2, dests=(DEST,))
         harness.renew("n1", 1, dests=(DEST,))
-        harness.send("n1", PublishObservation(DEST, seen(n, age)))
+        harness.send("n1", PublishObservation(DEST, make_observation(n, age)))
         ((_, message),) = [each for each in harness.tick(delay) if isinstance(each[1], RelayedObservation)]
         assert (
             isinstance(message, RelayedObservation)
@@ -218,11 +224,11 @@
 def test_a_late_subscriber_is_sent_fresh_observations_at_once() -> None:
     harness = BrokerHarness()
     harness.subscribe(1)
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     harness.tick()
     harness.wait(SECOND)
     harness.subscribe(2)
-    assert harness.tick() == [("n2", RelayedObservation("n1", 1, 1, seen(age=1_100)))]
+    assert harness.tick() == [("n2", RelayedObservation("n1", 1, 1, make_observation(age=1_100)))]
     harness.wait(3 * SECOND)
     harness.subscribe(3)
     assert harness.tick() == [] and not harness.broker._observations and harness.broker._observation_count == 0, (
@@ -234,13 +240,13 @@
     harness = BrokerHarness()
     harness.subscribe(*range(12))
     for number in range(12):
-        harness.send(f"n{number}", PublishObservation(DEST, seen()))
+        harness.send(f"n{number}", PublishObservation(DEST, make_observation()))
     found = {witness for _, witness in relayed(harness.tick())}
     assert len(found) == brokers.MAX_WITNESSES and harness.broker.refused["enough"] == 12 - brokers.MAX_WITNESSES
-    harness.send("n11", PublishObservation(DEST, seen(2, kind=ObservationKind.BACK)))
+    harness.send("n11", PublishObservation(DEST, make_observation(2, kind=ObservationKind.BACK)))
     assert {witness for _, witness in relayed(harness.tick())} == {"n11"}, "another kind is counted separately"
     harness.wait(4 * SECOND)
-    harness.send("n10", PublishObservation(DEST, seen(3)))
+    harness.send("n10", PublishObservation(DEST, make_observation(3)))
     assert {witness for _, witness in relayed(harness.tick())} == {"n10"}
 
 
@@ -281,20 +287,20 @@
         harness.renew("n1", 1, epoch=2) == [("n1", LeaseReply(5, True))]
         and harness.broker.status(harness.now)["subscriptions"] == 1
     )
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     assert harness.tick() == [] and harness.broker.sealer.dropped["old-life"] == 1
 
 
 def test_datagrams_to_an_earlier_epoch_of_the_broker_are_not_relayed_when_replayed() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     assert relayed(harness.tick())
     restarted = BrokerHarness()
     restarted.broker = Broker(
         BrokerConfig(harness.name, "x", NAMES[harness.name], EPOCH + 1, [KEY], NAMES, COURIERS), START, 1
     )
-    for data in harness.sent:  # all that it received before, replayed to an empty window
+    for data in harness.sent:  # all that it received before its restart, replayed to an empty replay window
         restarted.decode(restarted.broker.receive(data, restarted.now))
     assert relayed(restarted.tick()) == [] and restarted.broker.refused["unready"] == 1
 
@@ -305,7 +311,7 @@
     )
 
 
-def answered(
+def reply_to_renewals(
     courier: Subscriber,
     out: list[tuple[str, list[PeerMessage]]],
     now: int,
@@ -313,7 +319,7 @@
     ok: bool = True,
     silent: tuple[str, ...] = (),
 ) -> dict[str, list[PeerMessage]]:
-    """Have each broker that is not silent reply to renewals; the messages by broker."""
+    """Have each broker that is not silent reply to the renewals in ``out``. Returns all messages by broker."""
     for name, messages in out:
         for message in messages:
             if isinstance(message, LeaseRenewal) and name not in silent:
@@ -331,7 +337,7 @@
         for _ in range(duration // (50 * MS)):
             now += 50 * MS
             courier.record_interest([DEST], now)
-            for name, messages in answered(courier, courier.tick(now), now, silent=silent).items():
+            for name, messages in reply_to_renewals(courier, courier.tick(now), now, silent=silent).items():
                 for message in messages:
                     if isinstance(message, Subscribe):
                         subscribed[name] |= set(message.dests)
@@ -372,7 +378,7 @@
     now = START + 5 * SECOND
     while now < START + brokers.INTEREST_TTL + 10 * SECOND:
         courier.record_interest([0], now)
-        answered(courier, courier.tick(now), now)
+        reply_to_renewals(courier, courier.tick(now), now)
         now += SECOND // 4
     assert set(courier._interests) == {0} and set().union(
         *(session.subscribed for session in courier.sessions.values())
@@ -398,7 +404,7 @@
     )
     rare, frequent = 5, range(100, 110)
     courier = make_subscriber()
-    for n in range(4 * 60 * 20):  # one destination is used only once in ten seconds, between two updates of the others
+    for n in range(4 * 60 * 20):  # ``rare`` is used only once in ten seconds, between two updates of the others
         courier.record_interest([*frequent, rare] if n % 200 == 7 else frequent, START + n * 50 * MS)
         courier.tick(START + n * 50 * MS)
         assert n < 7 or rare in courier._interests
@@ -424,7 +430,7 @@
         for courier in fleet:
             courier.record_interest(range(40), now)
             known = courier.sessions[restarted].epoch
-            messages = answered(courier, courier.tick(now), now, silent=(restarted,))
+            messages = reply_to_renewals(courier, courier.tick(now), now, silent=(restarted,))
             for message in messages.get(restarted, []):
                 if isinstance(message, LeaseRenewal):  # after the restart it holds nothing
                     epoch = EPOCH + (now >= restarted_at)
@@ -449,13 +455,13 @@
         harness.now += brokers.LEASE_TERM - SECOND
         if ticks_first:
             harness.tick(0)
-        harness.send("n1", PublishObservation(DEST, seen()))
-        harness.send("y/b1", ForwardedObservation("n9", 9, 3, DEST, seen()))
+        harness.send("n1", PublishObservation(DEST, make_observation()))
+        harness.send("y/b1", ForwardedObservation("n9", 9, 3, DEST, make_observation()))
         assert harness.renew("n2", 2, dests=(DEST,)) == [("n2", LeaseReply(5, True))]
         assert harness.tick(0) == [] and harness.broker.refused["late"] == 2 and harness.broker.stalled == 1
         harness.tick()
-        harness.send("n1", PublishObservation(DEST, seen(2)))
-        assert relayed(harness.tick()) == [("n2", "n1")], "normal operation from then on"
+        harness.send("n1", PublishObservation(DEST, make_observation(2)))
+        assert relayed(harness.tick()) == [("n2", "n1")], "after that, observations are relayed again"
         assert harness.broker.stalled == 1 and [name for name, _ in harness.broker.events] == ["broker-stalled"]
 
 
@@ -467,7 +473,7 @@
     assert not harness.broker.superseded
     assert harness.renew("n2", 2, known=EPOCH + 1) == [] and harness.broker.superseded
     assert [(name, fields["younger"]) for name, fields in harness.broker.events] == [("broker-name-twice", EPOCH + 1)]
-    harness.send("n3", PublishObservation(DEST, seen()))
+    harness.send("n3", PublishObservation(DEST, make_observation()))
     assert (
         harness.renew("n3", 3) == []
         and harness.tick() == []
@@ -484,7 +490,7 @@
     harness = BrokerHarness()
     harness.subscribe(1, 2)
     harness.renew("n77", 2)
-    harness.send("y/b0", ForwardedObservation("n78", 1, 1, DEST, seen()))
+    harness.send("y/b0", ForwardedObservation("n78", 1, 1, DEST, make_observation()))
     harness.renew("n77", 2)
     assert [(name, fields["courier"], fields["rival"]) for name, fields in harness.broker.events] == [
         ("broker-number-twice", "n77", "n2"),
@@ -498,19 +504,19 @@
     harness.subscribe(*range(10))
     for each in range(40):
         for n in range(20):
-            harness.send("n1", PublishObservation(DEST, seen(1 + 20 * each + n, endpoint=f"e{n}")))
+            harness.send("n1", PublishObservation(DEST, make_observation(1 + 20 * each + n, endpoint=f"e{n}")))
         harness.tick()
     relayed_count = harness.broker.relayed
     assert harness.broker.refused["share"] + harness.broker.refused["flood"] > 700
     assert relayed_count * brokers.RELAY_COST_BYTES <= 1.2 * brokers.COURIER_BANDWIDTH_SHARE * 100_000 * 3, (
         "its share, and the burst that is allowed"
     )
-    harness.send("n2", PublishObservation(DEST, seen(1, endpoint="other")))
+    harness.send("n2", PublishObservation(DEST, make_observation(1, endpoint="other")))
     assert {witness for _, witness in relayed(harness.tick())} == {"n2"} and harness.broker.over_bandwidth == 0
     fast = BrokerHarness(bytes_per_second=100_000_000)
     fast.subscribe(1, 2)
     for n in range(200):
-        fast.send("n1", PublishObservation(DEST, seen(n + 1, endpoint=f"e{n}")))
+        fast.send("n1", PublishObservation(DEST, make_observation(n + 1, endpoint=f"e{n}")))
     assert fast.broker.refused["flood"] == 200 - brokers.PUBLISH_RATE
     assert [name for name, _ in fast.broker.events] == ["broker-flooded"]
 
@@ -528,7 +534,7 @@
     assert harness.broker.status(harness.now)["subscriptions"] == 60
     monkeypatch.setattr(brokers, "MAX_OBSERVATIONS", 80)
     for n in range(200):
-        harness.send("y/b0", ForwardedObservation("n9", 9, 1, DEST + n % 2, seen(endpoint=f"e{n}")))
+        harness.send("y/b0", ForwardedObservation("n9", 9, 1, DEST + n % 2, make_observation(endpoint=f"e{n}")))
     assert harness.broker._observation_count == 80 and all(
         len(each) <= brokers.MAX_OBSERVATIONS_PER_DESTINATION for each in harness.broker._observations.values()
     )
@@ -540,7 +546,7 @@
     harness.wait(SECOND)
     sent, began = harness.broker.sent, harness.now
     for n in range(300):
-        harness.send(f"y/b{n % 3}", ForwardedObservation("n30", 30, 1, DEST, seen(n + 1, endpoint=f"e{n}")))
+        harness.send(f"y/b{n % 3}", ForwardedObservation("n30", 30, 1, DEST, make_observation(n + 1, endpoint=f"e{n}")))
         if n % 50 == 49:
             harness.tick()
     assert harness.broker.over_bandwidth > 0 and harness.broker.sent - sent <= 10_000 * (
@@ -555,8 +561,8 @@
     for n in (1, 2):
         harness.renew(f"{long}{n}", n)
         harness.send(f"{long}{n}", Subscribe(1, [DEST]))
-    harness.send(f"{long}1", PublishObservation(DEST, seen(endpoint="\U0001f41f" * 195)))
-    harness.send(f"{long}1", PublishObservation(DEST, seen(2)))
+    harness.send(f"{long}1", PublishObservation(DEST, make_observation(endpoint="\U0001f41f" * 195)))
+    harness.send(f"{long}1", PublishObservation(DEST, make_observation(2)))
     assert [
         message.observation.sequence for _, message in harness.tick() if isinstance(message, RelayedObservation)
     ] == [2]
@@ -566,7 +572,7 @@
 def test_at_shutdown_queued_observations_are_relayed_and_subscribers_notified() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     found = harness.decode(harness.broker.shut_down(harness.now))
     assert relayed(found) == [("n2", "n1")] and {to for to, message in found if message == LeaseReply(0, False)} == {
         "n1",
@@ -588,7 +594,7 @@
         harness.renew("n1", 1, dests=(DEST,))
     assert [name for name, answers in harness.broker.status(harness.now)["brokers"].items() if not answers] == [failed]
     assert harness.send(failed, Ping(4)) == [(failed, Ack(4))]
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     receivers = {to for to, message in harness.tick() if isinstance(message, ForwardedObservation)}
     assert receivers == {OWNERS["y"][1], OWNERS["z"][0]}
 
@@ -609,15 +615,15 @@
 def test_an_invalid_datagram_is_dropped_and_counted(name: str) -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2)
-    harness.send("n1", PublishObservation(DEST, seen()))
+    harness.send("n1", PublishObservation(DEST, make_observation()))
     harness.tick()
-    bad = BAD[name](harness, harness.sealer("n1").seal(harness.name, [PublishObservation(DEST, seen(2))]))
+    bad = BAD[name](harness, harness.sealer("n1").seal(harness.name, [PublishObservation(DEST, make_observation(2))]))
     for _ in range(3):
         assert harness.decode(harness.broker.receive(bad, harness.now)) == []
     assert harness.tick() == [] and harness.broker.status(harness.now)["dropped"] == {name: 3}
     reported = [fields["kind"] for event, fields in harness.broker.events if event == "broker-dropped"]
     assert reported == ([] if name == "old-life" else [name]), "one event per kind and minute"
-    harness.send("n1", PublishObservation(DEST, seen(3)))
+    harness.send("n1", PublishObservation(DEST, make_observation(3)))
     assert relayed(harness.tick()) == [("n2", "n1")], "a valid one that follows is accepted"
 
 
@@ -718,7 +724,7 @@
 
 
 def test_couriers_without_brokers_are_sent_only_messages_that_they_can_decode() -> None:
-    """In a fleet half of which has neither groups nor brokers, that half is sent no message on brokers."""
+    """Half of the couriers support neither groups nor brokers, and could not decode the messages of brokers."""
     net = SimulatedNetwork(8, 5, Faults(), brokers={"x": 3}, placement=lambda n: ("x", "ab"[n % 2]))
     net.pre_broker_couriers = {f"n{n}" for n in range(4)}
     broker_messages = (
@@ -730,7 +736,7 @@
         RelayedObservation,
         ForwardedObservation,
     )
-    received_by_old: set[type] = set()
+    received_by_pre_broker: set[type] = set()
     for name in [*net.brokers, *net.nodes]:
         if name in net.nodes:
             net.set_endpoints(name, {"a": DEST, "b": DEST})
@@ -742,7 +748,7 @@
 
         def recording(data: bytes, original: Callable[[bytes], Datagram] = original) -> Datagram:
             datagram = original(data)
-            received_by_old.update(type(message) for message in datagram.messages)
+            received_by_pre_broker.update(type(message) for message in datagram.messages)
             return datagram
 
         peer.sealer.open = recording  # type: ignore[method-assign]
@@ -752,7 +758,7 @@
         assert node.peer is not None
         node.peer.observations.record_call("a", CallOutcome.FAILED, node.clock(net.now), node.clock(net.now))
     net.run(22 * SECOND)
-    assert Observation in received_by_old and not received_by_old & set(broker_messages)
+    assert Observation in received_by_pre_broker and not received_by_pre_broker & set(broker_messages)
     assert not any(node.broker.refused for node in net.brokers.values() if node.broker is not None), (
         "nor are brokers sent other messages"
     )
@@ -770,7 +776,10 @@
 
 
 class BrokerFaults(RuleBasedStateMachine):
-    """One courier and three brokers that fail and restart on a lossy network: finally each owner holds what it owns."""
+    """One courier, and three brokers that fail and restart, on a lossy network.
+
+    In the end each broker must hold just the subscriptions to the destinations that it owns.
+    """
 
     @initialize(seed=st.integers(0, 999), loss=st.sampled_from([0.0, 0.3]))
     def start(self, seed: int, loss: float) -> None:
@@ -831,7 +840,7 @@
 TestBrokerFaults.settings = settings(max_examples=30, stateful_step_count=12, derandomize=True, deadline=None)
 
 
-def test_a_broker_changes_its_keys() -> None:
+def test_a_broker_with_a_new_key_seals_with_it_and_still_accepts_the_old_one() -> None:
     harness = BrokerHarness()
     harness.broker.sealer.rekey([b"n" * 32, KEY])
     assert harness.renew("n1", 1), "the old key is still accepted"
--- a/tests/peers/test_demand.py
+++ b/tests/peers/test_demand.py
@@ -18,7 +18,7 @@
     return f
 
 
-def test_budgets_from_own_and_reported_limits() -> None:
+def test_a_budget_follows_the_lower_of_own_and_reported_limit() -> None:
     f = forwarder_with_limit()
     known, other = (name.encode().ljust(6, b".").decode() for name in ("a", "b"))
     if f.sends[0][1].endpoint == route("b"):
@@ -40,7 +40,7 @@
     ].calls == slow_start_calls(50.0, 0, f.settings)
 
 
-def test_silence_and_outages_according_to_the_decision_module() -> None:
+def test_the_snapshot_lists_silent_endpoints_and_those_in_an_outage() -> None:
     f = forwarder_with_limit()
     for number in range(2, 8):
         f.arrive(number)
@@ -55,8 +55,8 @@
 
 
 def test_slow_start_grows_in_delayed_steps() -> None:
-    given = settings(cold_from=0.2, ramp_ns=10 * SECOND, fall_ns=SECOND)
-    calls = [slow_start_calls(100.0, since_return * S, given) for since_return in range(0, 11)]
+    ramp_settings = settings(cold_from=0.2, ramp_ns=10 * SECOND, fall_ns=SECOND)
+    calls = [slow_start_calls(100.0, since_return * S, ramp_settings) for since_return in range(0, 11)]
     assert calls == sorted(calls) and calls[0] == 10 and calls[-1] < 50
     for since_return, each in enumerate(calls):
         assert each <= 0.5 * 100 * (0.2 + 0.8 * max(0.0, since_return - 2.5) / 10) + 1e-6 or each == 10
--- a/tests/peers/test_groups.py
+++ b/tests/peers/test_groups.py
@@ -1,4 +1,4 @@
-"""Groups of members: who is accepted, compatibility with couriers without groups, and a fleet converted to groups."""
+"""Groups: who becomes a member, compatibility with couriers without groups, and a fleet converted to groups."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 T = 10 * SECOND
 
 
-class UngroupedSaid(msgspec.Struct, array_like=True, frozen=True, tag="s"):
+class MemberUpdateBeforeGroups(msgspec.Struct, array_like=True, frozen=True, tag="s"):
     """A membership update as it was before groups existed."""
 
     name: Name
@@ -27,8 +27,10 @@
     stand: MemberState
 
 
-def update(name: str, group: str, life: int = 1, inc: int = 0, stand: MemberState = MemberState.ALIVE) -> MemberUpdate:
-    return MemberUpdate(name, "10.0.0.1", 1 + ord(name[-1]), int(name[1:]), life, inc, stand, group)
+def update(
+    name: str, group: str, epoch: int = 1, incarnation: int = 0, state: MemberState = MemberState.ALIVE
+) -> MemberUpdate:
+    return MemberUpdate(name, "10.0.0.1", 1 + ord(name[-1]), int(name[1:]), epoch, incarnation, state, group)
 
 
 def make_members(group: str) -> Members:
@@ -36,14 +38,16 @@
 
 
 def test_updates_without_a_group_are_the_same_bytes_as_before_groups() -> None:
-    old = UngroupedSaid("n1", "10.0.0.1", 50, 1, 1, 0, MemberState.ALIVE)
+    old = MemberUpdateBeforeGroups("n1", "10.0.0.1", 50, 1, 1, 0, MemberState.ALIVE)
     assert encode(update("n1", "")) == msgspec.msgpack.encode(old), "without a group no byte differs"
-    assert msgspec.msgpack.decode(encode(update("n1", "a")), type=UngroupedSaid) == old, "the group is ignored"
+    assert msgspec.msgpack.decode(encode(update("n1", "a")), type=MemberUpdateBeforeGroups) == old, (
+        "the group is ignored"
+    )
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=MemberUpdate) == update("n1", "")
     assert len(encode(update("n1", "north-1"))) == len(encode(update("n1", ""))) + 8
 
 
-# What the courier n0 of group a receives, in order; then its members and the number of ignored updates.
+# Updates that the courier n0 of group a receives, in order; its members after that; the number of ignored updates.
 @pytest.mark.parametrize(
     ("name", "updates", "members_after", "foreign"),
     [
@@ -56,18 +60,18 @@
             set(),
             2,
         ),
-        ("dead member of another group", [update("n1", "b", stand=MemberState.DEAD)], set(), 1),
-        ("member moves to another group", [update("n1", "a"), update("n1", "b", life=2), update("n1", "a")], set(), 2),
+        ("dead member of another group", [update("n1", "b", state=MemberState.DEAD)], set(), 1),
+        ("member moves to another group", [update("n1", "a"), update("n1", "b", epoch=2), update("n1", "a")], set(), 2),
         (
             "member moves here from another group",
-            [update("n1", "b"), update("n1", "a", life=2), update("n1", "b")],
+            [update("n1", "b"), update("n1", "a", epoch=2), update("n1", "b")],
             {"n1"},
             2,
         ),
-        ("member moves back to no group", [update("n1", "b"), update("n1", "", life=2)], {"n1"}, 1),
+        ("member moves back to no group", [update("n1", "b"), update("n1", "", epoch=2)], {"n1"}, 1),
     ],
 )
-def test_which_couriers_are_members(
+def test_members_are_couriers_of_the_same_group_or_of_none(
     name: str, updates: list[PeerMessage], members_after: set[str], foreign: int
 ) -> None:
     members = make_members("a")
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -1,4 +1,4 @@
-"""Many couriers in ``lab.simulated_network``: budgets are kept and membership converges under any faults."""
+"""Fleets on the simulated network: under each kind of fault budgets are kept and membership converges."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def limit_halved_for_two_thirds(net: SimulatedNetwork) -> None:
-    """A third isn't notified: just its shares of the old limit, and loans granted before, may exceed the new one."""
+    """A third of the couriers isn't notified: only its old shares, and older loans, may exceed the new limit."""
     net.at(
         8 * SECOND,
         lambda: [
@@ -130,7 +130,7 @@
 
 
 def test_loans_use_what_equal_shares_leave_unused_and_no_isolated_courier_starves() -> None:
-    for cut, least, most in ((False, 0.85, 1.0), (True, 0.5, 0.72)):
+    for cut, min_share, max_share in ((False, 0.85, 1.0), (True, 0.5, 0.72)):
         net, traffic = fleet(1)
         if cut:
             net.cut = lambda a, b: True
@@ -142,7 +142,7 @@
         )
         net.run(28 * SECOND)
         share = (traffic.served - served_before) / (traffic.arrived - arrived_before)
-        assert least < share <= most, share
+        assert min_share < share <= max_share, share
         assert all(
             net.budget_checker.calls_by_courier[(name, "e:x")] > calls_before[(name, "e:x")] + 20 for name in net.nodes
         )
@@ -158,11 +158,11 @@
         peer = node.peer
         assert peer is not None
         requests, peer.shares._pending_requests = peer.shares._pending_requests, {}
-        for n, (who, _, ask) in enumerate(each for found in requests.values() for each in found):
+        for n, (who, _, request) in enumerate(each for found in requests.values() for each in found):
             for calls in (1_000, 3, 3, 3):
                 address = peer.members.address(who)
                 assert address is not None
-                net._send_all(node, [(address, peer.sealer.seal(who, [LoanGrant(ask.n, now + n, calls)]))])
+                net._send_all(node, [(address, peer.sealer.seal(who, [LoanGrant(request.n, now + n, calls)]))])
 
     net.nodes["n5"].byzantine_behavior = lend_too_much
     net.run(30 * SECOND)
@@ -227,9 +227,7 @@
     assert all(states(net, f"n{i}")["n9"] is MemberState.LEFT for i in range(9))
 
 
-def test_of_two_couriers_with_one_name_the_older_epoch_stops_and_a_courier_number_beyond_the_fleet_has_no_share() -> (
-    None
-):
+def test_the_older_of_two_couriers_with_one_name_stops_and_a_number_beyond_the_fleet_has_no_share() -> None:
     net, _ = fleet(7)
     net.run(5 * SECOND)
     older = net.nodes["n4"].peer
--- a/tests/peers/test_observations.py
+++ b/tests/peers/test_observations.py
@@ -38,9 +38,10 @@
     return created
 
 
-# Each step: (milliseconds after the step before, who, what, endpoint, value). Who "me": a call of this courier that was
-# sent 10 ms before and ended with that outcome. Anybody else: an observation by that witness; value is the retry-after
-# delay or the limit, for other kinds the age in ms.
+# A step: (milliseconds after the previous step, who, what, endpoint, value). If ``who`` is "me": a call of this courier
+# that was sent 10 ms before the step and ended with the outcome ``what``. Otherwise: an observation of kind ``what`` by
+# that witness; ``value`` is the retry-after delay in ms, the limit in thousandths of a call per second, or for other
+# kinds the age in ms.
 Step = tuple[int, str, object, str, int]
 DOWN, SILENT, BACK, WAIT, LIMIT = (
     ObservationKind.DOWN,
@@ -116,8 +117,10 @@
         ("unlisted endpoint", [(0, "n1", WAIT, "zz", 800)], {}),
     ],
 )
-def test_route_restrictions(name: str, steps: list[Step], held: dict[str, str]) -> None:
-    tracker = make_tracker("zz")  # not first in rank at a1, or it would probe at once
+def test_a_route_is_restricted_only_with_enough_evidence_and_within_the_bounds(
+    name: str, steps: list[Step], held: dict[str, str]
+) -> None:
+    tracker = make_tracker("zz")  # not of rank 0 at a1, or it would probe at once
     assert probe_rank("a1", "zz", OTHERS) > 0
     now = apply_steps(tracker, steps)
     found = tracker.restrictions(now, OTHERS)
@@ -222,8 +225,8 @@
 def reported(tracker: ObservationTracker, now: int) -> list[tuple[str, Observation]]:
     return [
         (name, observation)
-        for name, words in tracker.tick(now, OTHERS, 10**6)
-        for observation in words
+        for name, messages in tracker.tick(now, OTHERS, 10**6)
+        for observation in messages
         if isinstance(observation, Observation)
     ]
 
@@ -293,8 +296,8 @@
         )
 
 
-# Relayed observations: brokers x/b0 and x/b1 are in the own region, y/b0 and y/b1 in another.
-# A claim source: witness, relaying broker, broker of origin.
+# Relayed observations: brokers x/b0 and x/b1 are in this courier's region, y/b0 and y/b1 in another. Claim sources are
+# written as (witness, relaying broker, broker of origin); W1B0 is witness n1 by x/b0.
 
 ORIGINS = ("y/b0", "y/b1")
 COURIERS = 40
@@ -364,7 +367,7 @@
 
 
 @pytest.mark.parametrize(("name", "sources", "held"), SOURCES, ids=[name for name, *_ in SOURCES])
-def test_no_single_liar_is_two_witnesses(name: str, sources: list[tuple[str, ...]], held: bool) -> None:
+def test_a_single_liar_never_counts_as_two_witnesses(name: str, sources: list[tuple[str, ...]], held: bool) -> None:
     assert independently_sourced([ClaimSource(*source) for source in sources]) is held
     tracker, limits = make_brokered_tracker(), make_brokered_tracker()
     for source in sources:
@@ -380,7 +383,7 @@
     assert set(tracker.restrictions(T + 10 * MS, OTHERS)) == {"a1"}
 
 
-def test_a_broker_can_neither_overwrite_nor_evict_claims_that_came_another_way() -> None:
+def test_a_broker_can_neither_overwrite_nor_evict_claims_that_came_by_another_path() -> None:
     tracker = make_brokered_tracker()
     for source in (W1B0, W1B1, ("n1",)):
         deliver(tracker, T, source, n=5)
@@ -415,7 +418,7 @@
 def deliver_contradicted(
     tracker: ObservationTracker, now: int, n: int, *sources: tuple[str, ...], endpoint: str = "a1"
 ) -> int:
-    """Every source reports a retry-after delay; then an own call is served there."""
+    """Each source reports a retry-after delay, which a served call of this courier then contradicts."""
     for source in sources:
         deliver(tracker, now, source, WAIT, n=n, value=900, endpoint=endpoint)
     tracker.record_call(endpoint, OK, now + MS, now + 2 * MS)
@@ -456,14 +459,15 @@
     tracker, now, calls = make_brokered_tracker(), T, 0
     while not tracker.broker_distrusted("x/b0") and calls < 100:
         calls += 1
-        deliver(tracker, now, ("n38", "x/b0"), BACK, n=calls)  # true of a healthy endpoint, so free to claim
+        # ``BACK`` is true of a healthy endpoint, so it costs nothing to claim.
+        deliver(tracker, now, ("n38", "x/b0"), BACK, n=calls)
         now = deliver_contradicted(tracker, now, calls, (f"n{calls % 38}", "x/b0"))
     assert calls == PATH_DISTRUST_SCORE
 
 
 def test_false_claims_that_are_disregarded_earn_no_credit_for_the_rest_of_the_path() -> None:
     tracker, now = make_brokered_tracker(), T
-    for n in range(1, 60):  # the path from y/b0 is distrusted after twelve; beside each false claim is a true one
+    for n in range(1, 60):  # the path from y/b0 is distrusted after 12 false claims; a true one comes with each
         deliver(tracker, now, ("n38", "x/b0"), BACK, n=n)
         now = deliver_contradicted(tracker, now, n, (f"n{n % 38}", "x/b0", "y/b0"))
     assert (
@@ -514,11 +518,11 @@
     tracker.record_call("b1", FAILED, T - 10 * MS, T)
     found: dict[str, list[object]] = {}
     for at in range(60):
-        for name, words in tracker.tick(
+        for name, messages in tracker.tick(
             T + at * 50 * MS, ["old"], 10**6, lambda dest: ["x/b1", "x/b0"] if dest == 2 else []
         ):
-            found.setdefault(name, []).extend(words)
-    assert {name: len(words) for name, words in found.items()} == {"x/b0": 4, "x/b1": 4, "old": 4}
+            found.setdefault(name, []).extend(messages)
+    assert {name: len(messages) for name, messages in found.items()} == {"x/b0": 4, "x/b1": 4, "old": 4}
     assert found["x/b0"][0] == PublishObservation(2, Observation("b1", DOWN, 0, 0, 1)) and found["old"][
         0
     ] == Observation("b1", DOWN, 0, 0, 1)
@@ -536,8 +540,8 @@
                 deliver(tracker, T, (f"n{n}", by), endpoint="b1")
         tracker.record_call("b1", FAILED, T, T + MS)
         sent_rounds = [
-            words
+            messages
             for at in range(60)
-            for _, words in tracker.tick(T + MS + at * 50 * MS, [], 10**6, lambda dest: ["x/b1"])
+            for _, messages in tracker.tick(T + MS + at * 50 * MS, [], 10**6, lambda dest: ["x/b1"])
         ]
         assert len(sent_rounds) == rounds
--- a/tests/peers/test_shares.py
+++ b/tests/peers/test_shares.py
@@ -1,4 +1,4 @@
-"""Loans: repeated, late, unknown and impossible messages change nothing; without storage nothing is lent."""
+"""Loans: repeated, late, unrequested and excessive messages have no effect; without storage nothing is lent."""
 
 from __future__ import annotations
 
@@ -72,6 +72,7 @@
     assert borrower_ends < STARTED + 3 * SECOND and lender_resumes > STARTED + 500 * MS + 4 * SECOND
 
 
+# A grant with ``n`` 0 answers the open request. ``number``: position of the lender. ``late``: time after the request.
 @pytest.mark.parametrize(
     ("grant", "number", "late"),
     [
@@ -169,8 +170,10 @@
             if not each.allowed("c:a", STARTED) and each.try_call("c:a", now)
         )
         assert len(calls) > 60
-        most = max(sum(now <= at < now + SECOND for at in calls) for now in calls)
-        assert 3 + most <= 6 + 3 * 6**0.5 + 3, "bound for an endpoint that takes six calls, half of them shared out"
+        max_in_a_second = max(sum(now <= at < now + SECOND for at in calls) for now in calls)
+        assert 3 + max_in_a_second <= 6 + 3 * 6**0.5 + 3, (
+            "bound for an endpoint that takes six calls, half of them shared out"
+        )
         assert len(calls) / 60 <= 3.1, "calls without a share amount to the budget once more"
     assert owners[0] != owners[1]
     pair = LenderAndBorrower()
