--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -69,7 +69,7 @@
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 OWNERS_PER_REGION = 2  # owners of a destination in each region
-INTEREST_TTL = 60 * SECOND  # how long a courier stays interested in a destination after it last dealt with it
+INTEREST_TTL = 60 * SECOND  # how long a courier stays interested in a destination after its last use
 INTEREST_UPDATE_INTERVAL = SECOND  # the time of last use of a destination is updated at most this often
 MAX_INTERESTS = 4_096  # destinations per courier; beyond that the least recently used are evicted
 MAX_PLACED_PER_CALL = 512  # new destinations whose owners one call of ``record_interest`` looks up
@@ -149,7 +149,7 @@
     open: bool = False  # the last renewal is unanswered
     attempts: int = 0  # of the last renewal
     missed: int = 0  # consecutive renewals without an answer
-    generation: int = 1
+    generation: int = 1  # of the subscriptions; raised when the whole set is dropped
     subscribed: set[int] = field(default_factory=set)  # what the broker should hold
     digest: int = 0  # of ``subscribed``
     to_add: dict[int, None] = field(default_factory=dict)  # to be subscribed
@@ -378,10 +378,10 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Limits the observations per second that one sender may have relayed; allows a burst of one second."""
+    """Limits how many observations per second are accepted from one sender; allows a burst of one second."""
 
-    rate: int
-    tokens: float
+    rate: int  # tokens per second
+    tokens: float  # as of ``updated_at``
     updated_at: int
 
     def take(self, now: int) -> bool:
@@ -406,9 +406,9 @@
     rate_limit: TokenBucket
     bandwidth_used_until: int = 0  # time until which its share of the bandwidth is used up
     known_epoch: int = 0  # highest epoch that the courier has named as this broker's
-    generation: int = 0
-    dests: set[int] = field(default_factory=set)
-    digest: int = 0
+    generation: int = 0  # of the subscriptions, as given by the courier
+    dests: set[int] = field(default_factory=set)  # destinations that the courier has subscribed to
+    digest: int = 0  # of ``dests``
 
 
 @dataclass(slots=True)
@@ -416,7 +416,7 @@
     """A broker's state for one other broker."""
 
     rate_limit: TokenBucket
-    next_ping: int
+    next_ping: int  # when the next ping is due
     n: int = 0  # of the last ping
     open: bool = False  # the last ping is unanswered
     missed: int = 0  # consecutive pings without an answer
@@ -440,8 +440,8 @@
 class CachedObservation:
     """A witness's latest observation of an endpoint, kept while it is fresh."""
 
-    number: int
-    epoch: int
+    number: int  # of the witness
+    epoch: int  # of the witness
     observation: Observation
     seen_at: int  # when the witness made it, by the local clock; never earlier than it really was
     relayed_at: int  # when it was last relayed
--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -5,9 +5,9 @@
 
 Theory of operation
 -------------------
-Counters only grow. For each courier two sets of counters are held, for its latest process epoch: the totals from before
-that epoch (``past``), and the counts since (``now``). Within an epoch the larger value of each counter wins; a later
-epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
+Counters only grow. Of each courier, two sets of counters are kept for its latest process epoch: the totals from before
+that epoch (``past``), and the counts since its start (``now``). Within an epoch the larger value of each counter wins;
+a later epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
 
 Only the courier itself adds up its epochs; if each courier did, they would arrive at different sums. Its ``past`` is
 what it persisted, or what the others hold of an earlier epoch (``past`` and ``now`` together) if that is more. So a
@@ -44,8 +44,8 @@
     """The counters of one courier."""
 
     epoch: int
-    past: dict[str, int] = field(default_factory=dict)
-    now: dict[str, int] = field(default_factory=dict)
+    past: dict[str, int] = field(default_factory=dict)  # totals from before the epoch
+    now: dict[str, int] = field(default_factory=dict)  # counts since the epoch began
     reported_at: int = 0  # when the courier itself reported them, by the local clock; never earlier than it really did
 
     def total(self) -> dict[str, int]:
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -332,7 +332,7 @@
                 shares.retire_budget(key)
 
     def _update_rates(self) -> None:
-        """Notify the decision module where the rate that this courier may use has changed."""
+        """Notify the decision module of endpoints and tenants for which this courier's rate has changed."""
         now = self.loop.clock()
         endpoint_rates: dict[EndpointId, float] = {}
         tenant_rates: dict[int, float] = {}
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -94,13 +94,16 @@
         now: int,
         random: Random,
     ) -> None:
+        """``seeds``: addresses of couriers to contact first, by name. ``period``: between two probes, microseconds."""
         self.own_update = own_update
         self.seeds = {name: address for name, address in seeds.items() if name != own_update.name}
         self.period, self.max_members = period, max_members
         self.members: dict[str, Member] = {}
         self.superseded = False  # another process with a later epoch has this courier's name
         self.leaving = False
-        self.local_health = 0  # local health score; 0 is healthy
+        self.local_health = (
+            0  # Lifeguard's score: 0 is healthy; each point lengthens periods and timeouts by their base value
+        )
         self.rejected_members = 0  # updates of unknown couriers rejected because of ``max_members``
         self.foreign = 0  # updates of couriers in other groups that were ignored
         self.events: Events = []
--- a/kestrelspar/peers/observations.py
+++ b/kestrelspar/peers/observations.py
@@ -75,7 +75,7 @@
 CONFIRMED, DISREGARDED, CONTRADICTED = range(3)  # verdicts of one call on a relay path, in order of severity
 MAX_RELAYED_SCORES = 2_048  # scores kept for sources that brokers relay
 MAX_NUMBER_CONFLICTS = 16  # max couriers reported for having this courier's number
-LIMIT_TOLERANCE = 0.1  # limits that differ by a smaller part are taken as equal
+LIMIT_TOLERANCE = 0.1  # a smaller relative change of a limit is not reported; two witnesses agree within twice that
 MIN_OUTAGE = SECOND  # a shorter outage has no slow start, neither during it nor after it
 MAX_PIGGYBACKED = 6  # own observations added to a datagram
 OBSERVATION_DATAGRAM_BYTES = 150  # approximate size of a datagram with one observation
@@ -150,7 +150,7 @@
     """What one courier claimed about one endpoint."""
 
     epoch: int
-    last_heard: int = 0
+    last_received_at: int = 0  # when its last new observation was received
     health: Claim | None = None
     limit: Claim | None = None
 
@@ -395,7 +395,10 @@
         origins = [source.origin for source in same]
         largest = max(origins, key=lambda origin: (origins.count(origin), origin))
         del records[
-            min((source for source in same if source.origin == largest), key=lambda source: records[source].last_heard)
+            min(
+                (source for source in same if source.origin == largest),
+                key=lambda source: records[source].last_received_at,
+            )
         ]
 
     def _trusted(self, source: ClaimSource) -> bool:
@@ -429,7 +432,7 @@
             if previous is not None and observation.sequence == previous.sequence:
                 previous.at = min(previous.at, at)  # the same observation by a faster path
             return False
-        witness.last_heard = now
+        witness.last_received_at = now
         if claim.kind is ObservationKind.LIMIT:
             witness.limit = claim
         else:
@@ -439,7 +442,7 @@
         return True
 
     def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
-        """Compare claims with the outcome of an own call sent after them, and score each claim once.
+        """Compare claims with the outcome of a call of this courier sent after them; each claim is scored once.
 
         ``served``: whether the call was served; otherwise it failed or was answered with a retry-after delay.
         """
@@ -735,17 +738,17 @@
         status: dict[str, dict[str, int | str]] = {}
         for endpoint, records in self._records.items():
             claims = [record.health for record in records.values() if record.health is not None]
-            held = restrictions.get(endpoint)
+            restriction = restrictions.get(endpoint)
             last = max(claims, key=lambda claim: claim.at, default=None)
             status[endpoint] = {
                 "witnesses": len({source.witness for source in records}),
                 "last": last.kind.name.lower() if last else "limit",
                 "age_ms": (now - last.at) // MS if last else 0,
                 "held": "no"
-                if held is None
+                if restriction is None
                 else "one at a time"
-                if held.one_at_a_time
-                else f"{(held.until - now) // MS} ms",
+                if restriction.one_at_a_time
+                else f"{(restriction.until - now) // MS} ms",
                 "limit": f"{self.reported_limit(endpoint, now):g}",
             }
         return status
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -61,7 +61,7 @@
 
 
 class Sealer:
-    """Seals the datagrams that one process sends, and opens those that it receives.
+    """Seals the datagrams that a process sends, and verifies and decodes those that it receives.
 
     ``keys``: 16 to 64 bytes each; datagrams are sealed with the first one, and opened with any.
     """
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -88,7 +88,7 @@
     """Calls per window that were lent or borrowed."""
 
     peer: str
-    calls: int
+    calls: int  # per window
     until: int  # time from which on the lender may use the calls again, or the borrower no longer
     requested_at: int = 0  # borrower: when the last request or renewal was sent
     last_needed: int = 0  # borrower: when its demand last exceeded what it had without this loan
@@ -280,7 +280,7 @@
     def _unowned_interval(self, budget: Budget) -> int:
         """Time until the next call of a courier without a share; 0 if it has one or the budget isn't fully lendable.
 
-        All such calls of all couriers together amount to about the budget once more.
+        Together, such calls of all couriers add about as many calls as the budget has.
         """
         interval = self.terms.couriers * budget.window // max(1, budget.calls)
         return int(interval * (0.5 + self._random.random())) if budget.fully_lendable and not budget.share else 0
