--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -144,7 +144,7 @@
     state = state_file.read(file)
     state.epoch = state_file.next_epoch(state)
     try:
-        state_file.put(file, state)
+        state_file.write_or_raise(file, state)
     except OSError as error:
         if error.errno not in DISK_FULL_ERRNOS:
             raise
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -101,9 +101,8 @@
         self.members: dict[str, Member] = {}
         self.superseded = False  # another process with a later epoch has this courier's name
         self.leaving = False
-        self.local_health = (
-            0  # Lifeguard's score: 0 is healthy; each point lengthens periods and timeouts by their base value
-        )
+        # Lifeguard's score: 0 is healthy; each point lengthens periods and timeouts by their base value.
+        self.local_health = 0
         self.rejected_members = 0  # updates of unknown couriers rejected because of ``max_members``
         self.foreign = 0  # updates of couriers in other groups that were ignored
         self.events: Events = []
--- a/kestrelspar/peers/state_file.py
+++ b/kestrelspar/peers/state_file.py
@@ -37,14 +37,14 @@
 def write(file: Path, state: SavedState) -> bool:
     """Save the state by writing a new file and renaming it; log a failure and return false."""
     try:
-        put(file, state)
+        write_or_raise(file, state)
     except OSError as error:
         logs.warn("peers-not-kept", file=file.name, why=str(error))
         return False
     return True
 
 
-def put(file: Path, state: SavedState) -> None:
+def write_or_raise(file: Path, state: SavedState) -> None:
     """Like ``write``, but raises ``OSError`` on failure."""
     data = msgspec.json.encode(state)
     if len(data) > MAX_FILE_BYTES:
