--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -4,9 +4,10 @@
     python -m benchmarks.brokers --zones 200 1000 5000 [--group 100]
     python -m benchmarks.brokers --words 50 100 200 400
 
-``--plays``: runs each fault case of lab/broker_simulation.py with this many seeds, and with its checkers. ``--zones``:
-stops a whole zone at once and restarts it at once 20 s later; then does the same to as many couriers spread over all
-zones. ``--words``: sends one courier's observation with brokers and without.
+``--plays``: runs the fault cases of kestrelspar/lab/broker_simulation.py with this many seeds, under the checkers of
+that module. ``--zones``: for fleets of these sizes, stops all couriers of one zone at the same time and restarts them
+together 20 s later; then does the same to as many couriers spread over all zones. ``--words``: for fleets of these
+sizes, compares sending one courier's observation through brokers with sending it directly to all couriers.
 """
 
 from __future__ import annotations
@@ -19,11 +20,14 @@
 from kestrelspar.lab.simulated_network import SECOND, SimulatedNetwork
 from kestrelspar.peers.observations import CallOutcome
 
-POLL_INTERVAL = SECOND // 4
+POLL_INTERVAL = SECOND // 4  # in microseconds of simulated time, as all times of the model
 
 
 def run_cases(seeds: range, couriers: int, cases: list[str]) -> int:
-    """Run every fault case with these seeds; return the number of runs in which a checker found an error."""
+    """Run fault cases with each of the seeds; return the number of runs in which a checker found an error.
+
+    ``cases`` selects the cases that have one of these texts in their names; an empty list selects all.
+    """
     failed_runs = 0
     print(f"{'fault':<40}  runs  bad  served  failed  none free  checks with a closed route")
     for case in [each for each in CASES if not cases or any(part in each for part in cases)]:
@@ -45,7 +49,7 @@
 
 
 def _wait_until(net: SimulatedNetwork, timeout: int, condition: object) -> float:
-    """Return the seconds until the condition holds, or -1 if it does not within ``timeout``."""
+    """Run the network until the condition holds; return the simulated seconds, or -1 if ``timeout`` passes before."""
     started_at = net.now
     while net.now < started_at + timeout:
         if condition():  # type: ignore[operator]
@@ -54,26 +58,29 @@
     return -1.0
 
 
-def _sent(net: SimulatedNetwork) -> dict[str, int]:
+def _bytes_sent(net: SimulatedNetwork) -> dict[str, int]:
     return {node.name: node.peer.sent for node in net.nodes.values() if node.peer is not None}
 
 
-def _fully_connected(net: SimulatedNetwork, node_names: list[str], group: int) -> bool:
-    """Return whether all of these know their whole group and have sessions with all brokers of their region."""
+def _fully_connected(net: SimulatedNetwork, node_names: list[str], group_size: int) -> bool:
+    """Return whether each of these couriers knows its whole group and has sessions with all brokers of its region."""
     for name in node_names:
         node = net.nodes[name]
         if (
             node.peer is None
-            or len(node.peer.members.alive()) < group - 1
+            or len(node.peer.members.alive()) < group_size - 1
             or node.peer.subscriber is None
-            or any(place.last_reply_at is None for place in node.peer.subscriber.sessions.values())
+            or any(session.last_reply_at is None for session in node.peer.subscriber.sessions.values())
         ):
             return False
     return True
 
 
 def _propagation_time(net: SimulatedNetwork, witness: str) -> float:
-    """Return the seconds until 99 % of the running, interested couriers know the witness's observation, or -1."""
+    """Let the witness observe a failed call to endpoint "e"; return the seconds until the others know, or -1 after 5 s.
+
+    The others are the running couriers that have the endpoint; 99 % of them have to know the observation.
+    """
     witness_node = net.nodes[witness]
     assert witness_node.peer is not None
     seen_at = witness_node.clock(net.now)
@@ -104,17 +111,20 @@
     return (net.now - started_at) / SECOND
 
 
-def stop_and_restart(members: int, group: int, whole_only: bool) -> None:
-    """Stop as many couriers as a zone has at once, and restart them; print what the others notice and send."""
+def stop_and_restart(members: int, group_size: int, whole_zone_only: bool) -> None:
+    """Stop a zone's number of couriers together, restart them 20 s later, and print what the others notice and send.
+
+    The stopped couriers are first one whole zone, then, without ``whole_zone_only``, couriers of all zones.
+    """
     cpu_started_at = time.process_time()
-    net, interested = start_fleet(1, members, group, max(8, members // 25))
-    groups = max(1, -(-members // group))
+    net, interested = start_fleet(1, members, group_size, max(8, members // 25))
+    groups = max(1, -(-members // group_size))
     zone_size = len([node for node in net.nodes.values() if node.group == "z0"])
     join_time = _wait_until(net, 30 * SECOND, lambda: _fully_connected(net, list(net.nodes), members // groups))
     propagation = _propagation_time(net, interested[-1])
-    sent_before = _sent(net)
+    sent_before = _bytes_sent(net)
     net.run(net.now + 5 * SECOND)
-    idle_rate = max((sent - sent_before[name]) / 5 for name, sent in _sent(net).items())
+    idle_rate = max((sent - sent_before[name]) / 5 for name, sent in _bytes_sent(net).items())
     print(
         f"{members} members, {groups} groups, {len(interested)} interested: all know their group "
         f"{30 + join_time:.1f} s after a simultaneous start; 99 % know an observation after {propagation:.2f} s; "
@@ -123,12 +133,12 @@
     )
     first_zone = [name for name, node in net.nodes.items() if node.group == "z0"]
     cases = [("a whole zone", first_zone), ("as many of all zones", list(net.nodes)[-zone_size:])]
-    for name, stopped in cases[:1] if whole_only else cases:
+    for name, stopped in cases[:1] if whole_zone_only else cases:
         witness = next(each for each in interested if each not in stopped)
         for each in stopped:
             net.kill(each)
         event_count = len(net.events)
-        sent_before, started_at = _sent(net), net.now
+        sent_before, started_at = _bytes_sent(net), net.now
         propagation_during = propagation = _propagation_time(net, witness)
         detection_time = _wait_until(
             net,
@@ -144,7 +154,7 @@
             if event in ("peers-suspect", "peers-dead")
         } - set(stopped)
         max_rate = max(
-            (sent - sent_before[each]) / ((net.now - started_at) / SECOND) for each, sent in _sent(net).items()
+            (sent - sent_before[each]) / ((net.now - started_at) / SECOND) for each, sent in _bytes_sent(net).items()
         )
         leases_left = sum(each.status(0)["subscribers"] for each in running_brokers(net))
         broker_sent_before, started_at = [each.sent for each in running_brokers(net)], net.now
@@ -161,8 +171,8 @@
         over_bandwidth = sum(each.over_bandwidth for each in running_brokers(net))
         print(
             f"  {name} stopped ({len(stopped)}): an observation then takes {propagation_during:.2f} s; all members "
-            f"know of the stop after {detection_time:.1f} s; others suspected {len(wrongly_suspected)}; at most "
-            f"{max_rate:.0f} bytes/s; leases left {leases_left}; restarted at once: all know all after "
+            f"know of the stop after {detection_time:.1f} s; others wrongly suspected {len(wrongly_suspected)}; at "
+            f"most {max_rate:.0f} bytes/s; leases left {leases_left}; restarted together: all know their group after "
             f"{recovery_time:.1f} s, an observation then takes {propagation:.2f} s, busiest broker "
             f"{max_broker_rate:.0f} bytes/s, datagrams over the bandwidth limit {over_bandwidth}",
             flush=True,
@@ -171,7 +181,10 @@
 
 
 def compare_propagation(sizes: list[int]) -> None:
-    """Print what one observation costs its witness and how long it takes, by brokers and sent to all."""
+    """Print the cost of one observation for its witness, and the time until the interested couriers know it.
+
+    Each fleet size is run twice: with brokers, and with the observation sent directly to all couriers.
+    """
     for members in sizes:
         for all_to_all in (False, True):
             results = [measure_propagation(seed, members, old=all_to_all) for seed in range(3)]
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,7 +33,7 @@
 from benchmarks.slope import SETTINGS, Slope
 
 ROOT = Path(__file__).parent.parent
-FILE, PAGE = ROOT / "benchmarks" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
+DATA_FILE, PAGE = ROOT / "benchmarks" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
 MODULES = ("benchmarks.capacity_peers", "benchmarks.capacity_courier", "benchmarks.capacity_brokers")
 
 
@@ -49,10 +49,10 @@
     size: int
     run: int
     setting: str
-    date: str
+    date: str  # UTC, in ISO 8601
     commit: str  # followed by + if the working tree had changes
     machine: str
-    figures: dict[str, float] = field(default_factory=dict)
+    figures: dict[str, float] = field(default_factory=dict)  # values by figure name, in the units of the slope
 
     @property
     def key(self) -> tuple[str, int, int]:
@@ -173,14 +173,17 @@
 
 
 def measured_commit() -> str:
-    """Return the measured commit, followed by + if the working tree differs from it."""
+    """Return the measured commit, followed by + if the working tree differs from it; "unknown" if git fails.
+
+    Changes of the data file and of the page do not count as differences.
+    """
 
     def git(*arguments: str) -> str:
         return subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
 
     try:
         dirty = [
-            line for line in git("status", "--porcelain").splitlines() if not line.endswith((FILE.name, PAGE.name))
+            line for line in git("status", "--porcelain").splitlines() if not line.endswith((DATA_FILE.name, PAGE.name))
         ]
         return git("rev-parse", "--short=12", "HEAD") + ("+" if dirty else "")
     except (OSError, subprocess.CalledProcessError):
@@ -196,11 +199,15 @@
 
 
 def measure(selected: list[Slope], file: Path, pool: Executor) -> None:
-    """Measure every size and run of these slopes; write each row as soon as it is measured."""
+    """Measure every size and run of these slopes; write each row as soon as it is measured.
+
+    A failed run does not stop the others. Raises ``CapacityError`` at the end if any run failed, and at the start if
+    the file is damaged.
+    """
     by_name = {slope.name: slope for slope in selected}
 
     def current_rows() -> dict[tuple[str, int, int], MeasuredRun]:
-        """Read the file again each time, as others may measure, too; drop sizes and runs that a slope no longer has."""
+        """Read the file anew, as another process may have added rows; drop sizes and runs that no slope has now."""
         return {
             row.key: row
             for row in read_rows(file)
@@ -209,16 +216,16 @@
 
     current_rows()  # reports a damaged file before anything is measured
     commit_id, machine_text, failures = measured_commit(), describe_machine(), []
-    runs = {
+    futures = {
         pool.submit(_measure_once, slope.name, size, run): (slope, size, run)
         for slope in selected
         for run in range(1, slope.runs + 1)
         for size in slope.sizes
     }
-    for done in as_completed(runs):
-        slope, size, run = runs[done]
+    for future in as_completed(futures):
+        slope, size, run = futures[future]
         try:
-            figures = done.result()
+            figures = future.result()
         except Exception as error:  # any error: the other runs continue
             failures.append(f"{slope.name}, size {size}, run {run}: {type(error).__name__}: {error}")
             continue
@@ -232,12 +239,15 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Measure slopes, render the page, or list the slopes."""
+    """Measure slopes, render the page, or list the slopes.
+
+    Returns the exit code: 0, or 1 if ``page --check`` finds an outdated page, or 2 after a ``CapacityError``.
+    """
     parser = argparse.ArgumentParser(
         prog="benchmarks.capacity", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument(
-        "--file", type=Path, default=FILE, help="file of the measured rows (default: benchmarks/capacity.json)"
+        "--file", type=Path, default=DATA_FILE, help="file of the measured rows (default: benchmarks/capacity.json)"
     )
     subparsers = parser.add_subparsers(dest="verb", required=True)
     measure_parser = subparsers.add_parser("measure", help="measure the named slopes, or all")
@@ -256,7 +266,7 @@
             with ProcessPoolExecutor(max(1, options.jobs), mp_context=spawn, max_tasks_per_child=1) as pool:
                 measure(select_slopes(options.name, available), options.file, pool)
         elif options.verb == "page":
-            from benchmarks.capacity_page import render  # imported here, as it imports this module
+            from benchmarks.capacity_page import render  # imported here, as capacity_page imports this module
 
             rendered = render(read_rows(options.file), available)
             if options.check:
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A figure at a size, and how far it is extrapolated."""
+    """A figure at one size, and how far that size is beyond the measured ones."""
 
     value: float
     up_to: int  # the largest size measured
-    factor: float  # of extrapolation; 1: within the measured sizes
+    factor: float  # size over the largest measured size; 1 within the measured sizes
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,16 +29,16 @@
     """Both fits of one figure, and which one is chosen."""
 
     means: Mapping[int, float]
-    a: float
+    a: float  # line: a + b n
     b: float
-    c: float
-    k: float  # 0 if there is no power fit, as a mean is 0 or less
+    c: float  # power: c n^k
+    k: float  # c and k are 0 if a mean is 0 or less: there is no power fit then
     line_error: float  # root mean square error of the line, divided by the mean of the means
     power_error: float
-    kind: str  # "line", "power", "level"
+    kind: str  # chosen fit: "line", "power", or "level" for a figure that falls with the size
 
     def at(self, size: float) -> Value:
-        """Return the figure at that size."""
+        """Return the mean of the runs at a measured size, and otherwise the value of the chosen fit."""
         up_to = max(self.means)
         factor = max(1.0, size / up_to)
         if size in self.means:
@@ -56,7 +56,10 @@
 
 
 def fit(points: Iterable[tuple[int, float]]) -> Fit:
-    """Fit points (size, value), which may have several values per size, one per run."""
+    """Fit points (size, value), which may have several values per size, one per run.
+
+    Raises ``ValueError`` if there are fewer than two sizes.
+    """
     by_size: dict[int, list[float]] = {}
     for size, value in points:
         by_size.setdefault(size, []).append(value)
@@ -82,13 +85,15 @@
 
 
 def _line(points: list[tuple[float, float]]) -> tuple[float, float]:
-    x, y = mean(each for each, _ in points), mean(each for _, each in points)
-    spread = sum((each - x) ** 2 for each, _ in points)
-    b = sum((left - x) * (right - y) for left, right in points) / spread
-    return y - b * x, b
+    """Return (a, b) of the least-squares line a + b x."""
+    mean_x, mean_y = mean(x for x, _ in points), mean(y for _, y in points)
+    spread = sum((x - mean_x) ** 2 for x, _ in points)
+    b = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    return mean_y - b * mean_x, b
 
 
 def _relative_error(means: Mapping[int, float], predict: object) -> float:
+    """Return the root mean square error of the prediction, divided by the mean of the means."""
     assert callable(predict)
     overall_mean = mean(means.values())
     if overall_mean == 0:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 import pytest
 
 from benchmarks import capacity
-from benchmarks.capacity import FILE, PAGE, CapacityError, MeasuredRun, read_rows, slopes, write_rows
+from benchmarks.capacity import DATA_FILE, PAGE, CapacityError, MeasuredRun, read_rows, slopes, write_rows
 from benchmarks.capacity_fit import fit
 from benchmarks.capacity_page import amount, number, render
 from benchmarks.capacity_roles import MECHANISM_STATUS, ROWS, Mechanism, Reading, ranked, results
@@ -26,11 +26,11 @@
 
 
 def test_page_matches_the_data_file() -> None:
-    assert PAGE.read_text() == render(read_rows(FILE), slopes()), "python -m benchmarks.capacity page"
+    assert PAGE.read_text() == render(read_rows(DATA_FILE), slopes()), "python -m benchmarks.capacity page"
 
 
 def test_data_file_has_every_run_of_every_slope() -> None:
-    assert capacity.find_problems(read_rows(FILE), slopes()) == []
+    assert capacity.find_problems(read_rows(DATA_FILE), slopes()) == []
 
 
 def test_every_slope_has_enough_sizes_and_runs() -> None:
@@ -40,13 +40,13 @@
 
 
 def test_every_row_is_evaluated() -> None:
-    evaluated, not_evaluated = results(Reading(slopes(), read_rows(FILE)))
+    evaluated, not_evaluated = results(Reading(slopes(), read_rows(DATA_FILE)))
     assert not_evaluated == [] and len(evaluated) == len(ROWS) and all(each.ratio > 0 for each in evaluated)
     assert {each.row.mechanism for each in evaluated} == set(Mechanism) == set(MECHANISM_STATUS)
 
 
 def test_ranking_uses_the_worst_row_of_each_mechanism() -> None:
-    evaluated, _ = results(Reading(slopes(), read_rows(FILE)))
+    evaluated, _ = results(Reading(slopes(), read_rows(DATA_FILE)))
     order = ranked(evaluated)
     assert [each.ratio for each in order] == sorted((each.ratio for each in order), reverse=True)
     for each in order:
@@ -57,7 +57,7 @@
 
 
 def test_page_and_data_file_contain_no_paths() -> None:
-    for file in (PAGE, FILE):
+    for file in (PAGE, DATA_FILE):
         assert not re.search(r"(?<![\w.])/(work|home|tmp|root|usr|opt)\b", file.read_text()), file.name
 
 
@@ -79,13 +79,15 @@
         ([(10, 1.0), (10, 3.0), (20, 4.0), (20, 4.0)], "line", 10, 2.0),  # a measured size: the mean of the runs
     ],
 )
-def test_fit_kind_and_value(points: list[tuple[int, float]], kind: str, size: int, value: float) -> None:
+def test_fit_chooses_the_kind_and_predicts_the_value(
+    points: list[tuple[int, float]], kind: str, size: int, value: float
+) -> None:
     result = fit(points)
     assert result.kind == kind and result.at(size).value == pytest.approx(value, rel=1e-4)
 
 
 @pytest.mark.parametrize(("size", "factor"), [(10, 1.0), (40, 1.0), (25, 1.0), (80, 2.0), (1_000, 25.0)])
-def test_extrapolation_factor(size: int, factor: float) -> None:
+def test_extrapolation_factor_is_relative_to_the_largest_measured_size(size: int, factor: float) -> None:
     result = fit([(10, 1.0), (20, 2.0), (40, 4.0)]).at(size)
     assert result.factor == factor and result.up_to == 40
 
@@ -141,7 +143,7 @@
         (0.0123456, "ms", "12.3 us"),
     ],
 )
-def test_amount_format(value: float, unit: str, expected: str) -> None:
+def test_amount_is_shown_in_a_unit_of_suitable_scale(value: float, unit: str, expected: str) -> None:
     assert amount(value, unit) == expected
 
 
@@ -229,7 +231,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(capacity, "PAGE", tmp_path / "page.md")
-    rows = read_rows(FILE)
+    rows = read_rows(DATA_FILE)
     write_rows(tmp_path / "rows.json", rows)
     check = ["--file", str(tmp_path / "rows.json"), "page"]
     assert capacity.main([*check, "--check"]) == 1
@@ -345,16 +347,18 @@
 
 
 def test_page_lists_slopes_that_are_not_measured() -> None:
-    rows = [row for row in read_rows(FILE) if row.name != "word"]
+    rows = [row for row in read_rows(DATA_FILE) if row.name != "word"]
     page = render(rows, slopes())
     assert "Incomplete: " in page and "Not computed: observations of failed endpoints, sent by one courier" in page
 
 
 def test_page_compares_a_mechanism_with_the_state_before(monkeypatch: pytest.MonkeyPatch) -> None:
     new_rows = [
-        replace(row, name="word-brokered", figures={"sent": 100.0}) for row in read_rows(FILE) if row.name == "word"
+        replace(row, name="word-brokered", figures={"sent": 100.0})
+        for row in read_rows(DATA_FILE)
+        if row.name == "word"
     ]
     available = slopes()
     after = replace(available["word"], name="word-brokered", figures={"sent": "bytes"})
-    page = render([*read_rows(FILE), *new_rows], available | {"word-brokered": after})
+    page = render([*read_rows(DATA_FILE), *new_rows], available | {"word-brokered": after})
     assert "### word, then word-brokered" in page and "| sent | 50 | " in page
