--- a/benchmarks/capacity_brokers.py
+++ b/benchmarks/capacity_brokers.py
@@ -35,26 +35,27 @@
 from kestrelspar.peers.observations import ObservationKind
 from kestrelspar.peers.seal import Sealer
 
-GROUP = 50
-MS, SECOND = 1_000, 1_000_000
-TICK = 50 * MS
-OBSERVATIONS = 100  # published one by one, each on its own destination, within the term of the leases
+GROUP_SIZE = 50
+MS, SECOND = 1_000, 1_000_000  # in microseconds, as all times here
+TICK_INTERVAL = 50 * MS
+OBSERVATIONS = 100  # published one by one, each about another destination, before any lease expires
 
 
 def grouped_slope(name: str) -> Slope:
-    """Return a membership slope with members in groups."""
+    """Return the slope that measures membership slope ``name`` with members in groups."""
     figures, doc, function = GROUPED_SLOPES[name]
     return Slope(
         f"{name}-grouped",
         "members",
         MODELLED_SIZES,
         figures,
-        lambda size, seed: function(size, seed, GROUP),  # type: ignore[operator]
-        f"The same as {name}, in groups of {GROUP} with brokers: {doc}; the modelled network",
+        lambda size, seed: function(size, seed, GROUP_SIZE),  # type: ignore[operator]
+        f"The same as {name}, in groups of {GROUP_SIZE} with brokers: {doc}; the modelled network",
         setting=MODELLED,
     )
 
 
+# By the name of the slope without groups: units of the figures, description, and measuring function.
 GROUPED_SLOPES = {
     "members": (
         {"sent": "bytes", "processor": "ms", "least-known": "count", "held-back": "count", "all-known": "s"},
@@ -75,8 +76,8 @@
 
 
 def measure_brokered_observation(size: int, seed: int) -> dict[str, float]:
-    """Measure one courier's observation of an endpoint in whose destination only a few couriers are interested."""
-    result = measure_propagation(seed, size, GROUP, ASSUMED.placed)
+    """Measure how one courier's observation spreads if only ``ASSUMED.placed`` couriers have the destination."""
+    result = measure_propagation(seed, size, GROUP_SIZE, ASSUMED.placed)
     return {
         "sent": float(result.witness_bytes),
         "known": result.seconds,
@@ -101,7 +102,7 @@
     gc.collect()
     tracemalloc.start()
     broker = Broker(BrokerConfig(name, "r0", regions[name], 7, [KEY], regions, TARGET.couriers, 1 << 30), 0, seed)
-    now = TICK
+    now = TICK_INTERVAL
     broker.tick(now)
 
     def send_from(n: int, *messages: PeerMessage) -> None:
@@ -121,12 +122,12 @@
             digest ^= destination_digest(destination)
         digests.append(digest)
         if n % 100 == 0:
-            now += TICK
+            now += TICK_INTERVAL
             broker.tick(now)
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    now += TICK
+    now += TICK_INTERVAL
     broker.tick(now)
     renewals = [
         sealers[n].seal(name, [LeaseRenewal(2, "10.0.0.1", 2_770, n, 7, 1, destinations_per_courier, digests[n])])
@@ -144,11 +145,11 @@
             name,
             [PublishObservation(destination, Observation(f"e-{destination:07}", ObservationKind.DOWN, 0, 0, n + 1))],
         )
-        now += TICK
+        now += TICK_INTERVAL
         broker.tick(now)
         cpu_started_at, sent_before = time.process_time(), broker.sent
         broker.receive(datagram, now)
-        now += TICK
+        now += TICK_INTERVAL
         broker.tick(now)
         cpu += time.process_time() - cpu_started_at
         bytes_sent += broker.sent - sent_before
@@ -172,9 +173,9 @@
         {"sent": "bytes", "known": "s", "told": "count", "by-brokers": "bytes", "told-beside": "count"},
         measure_brokered_observation,
         f"One courier reports a failed call at a destination in which {ASSUMED.placed} couriers are interested, by "
-        f"brokers, in groups of {GROUP}: bytes that it sends for it, time until 99 % of the other interested couriers "
-        "know, how many of them know, bytes of all brokers in 5 s including leases, and uninterested couriers that "
-        "receive it; the modelled network",
+        f"brokers, in groups of {GROUP_SIZE}: bytes that it sends for it, time until 99 % of the other interested "
+        "couriers know, how many of them know, bytes of all brokers in 5 s including leases, and uninterested couriers "
+        "that receive it; the modelled network",
         setting=MODELLED,
     ),
     Slope(
--- a/benchmarks/capacity_courier.py
+++ b/benchmarks/capacity_courier.py
@@ -39,23 +39,23 @@
 from kestrelspar.standins import platform
 
 ENDPOINTS_PER_DESTINATION = 3
-FIRST_NEW_DESTINATION = 1_000_000  # destinations from this number on are listed by changes only
-CHANGES = 20  # of the list per run; half of them measure the cost, half the delay
-RELOADS = 3  # of the configuration per run
+FIRST_NEW_DESTINATION = 1_000_000  # lowest number of the destinations that only changes of the list add
+LIST_CHANGES_PER_RUN = 20  # half of them measure the cost, half the delay
+CONFIG_CHANGES_PER_RUN = 3
 LOAD_DURATION = 10 * SECOND
 MESSAGE_LIFETIME = 3_600 * SECOND  # long enough that no open message expires during a run
 BODY_BYTES = 200
-MB = 1e6
+MB = 1e6  # bytes
 LISTED_SIZES = (1_000, 10_000, 50_000, 200_000)
-FULL_LIST_SIZES = (1_000, 3_000, 10_000, 30_000)  # a courier reads lists of up to 4 MiB (watch.MAX_LINE_BYTES)
+FULL_LIST_SIZES = (1_000, 3_000, 10_000, 30_000)  # a courier reads lists of 4 MiB at most (watch.MAX_LINE_BYTES)
 
 
 class Environment:
-    """The stand-in servers around one courier."""
+    """The stand-in servers that couriers are started with: next hops and discovery."""
 
-    def __init__(self, seed: int, manners: platform.Behaviour) -> None:
-        self.loop, self.seen, self.random, self.seed = Loop(), platform.CallRecord(), random.Random(seed), seed
-        self.hops = [platform.NextHop(self.loop, self.seen, seed * HOPS + n, manners) for n in range(HOPS)]
+    def __init__(self, seed: int, behaviour: platform.Behaviour) -> None:
+        self.loop, self.call_record, self.random, self.seed = Loop(), platform.CallRecord(), random.Random(seed), seed
+        self.hops = [platform.NextHop(self.loop, self.call_record, seed * HOPS + n, behaviour) for n in range(HOPS)]
         self.discovery = WatchDiscovery(self.loop, [])
 
     def rows(self, count: int, per_destination: int = ENDPOINTS_PER_DESTINATION) -> list[dict[str, Any]]:
@@ -66,7 +66,10 @@
     def courier(
         self, rows: list[dict[str, Any]], state_directory: str | None = None, **options: Any
     ) -> Iterator[Program]:
-        """Run a courier with these endpoints in ``known``."""
+        """Run a courier whose configuration lists these endpoints (``known``), until the block ends.
+
+        ``options`` are further keys of the configuration. Without ``state_directory`` a temporary one is used.
+        """
         with (
             tempfile.TemporaryDirectory() as own_directory,
             running_courier(
@@ -82,11 +85,12 @@
 
 
 def _fast_environment(run: int) -> Environment:
+    """Return an environment whose next hops answer after 10 to 30 ms."""
     return Environment(run, platform.Behaviour(10 * MS, 20 * MS))
 
 
 def measure_listed(size: int, run: int) -> dict[str, float]:
-    """Measure a start with ``size`` endpoints in ``known``, against one with none."""
+    """Measure a start with ``size`` endpoints listed in the configuration, compared with a start with none."""
     environment = _fast_environment(run)
     with environment.courier([]) as courier:
         courier.wait_ready()
@@ -105,7 +109,7 @@
 
 
 def measure_full_list(size: int, run: int) -> dict[str, float]:
-    """Do the same, with discovery sending its full list each time."""
+    """Move endpoints as ``measure_list_change`` does, but discovery sends its full list for each change."""
     return _measure_list_changes(size, run, snapshot=True)
 
 
@@ -117,13 +121,13 @@
         courier.wait_idle()
         stream = run_task(environment.loop, courier.open_stream)
         rows = environment.rows(size)
-        for change in range(CHANGES):
+        for change in range(LIST_CHANGES_PER_RUN):
             moved = environment.random.randrange(size)
-            rows[moved]["group"] = group = FIRST_NEW_DESTINATION + change
+            rows[moved]["group"] = destination = FIRST_NEW_DESTINATION + change
             update = rows if snapshot else [rows[moved]]
             if change % 2:
                 delays.append(
-                    run_task(environment.loop, _time_until_in_force, environment, stream, update, snapshot, group)
+                    run_task(environment.loop, _time_until_in_force, environment, stream, update, snapshot, destination)
                 )
                 continue
             cpu_before = courier.wait_idle()
@@ -142,13 +146,13 @@
 
 
 def _time_until_in_force(
-    environment: Environment, stream: Stream, update: list[dict[str, Any]], snapshot: bool, group: int
+    environment: Environment, stream: Stream, update: list[dict[str, Any]], snapshot: bool, destination: int
 ) -> float:
     """Send a change and submit messages for the destination that it lists; return the seconds until one is accepted."""
     started_at = time.monotonic()
     environment.discovery.send_update(update, snapshot)
     submitted = 0
-    while submit(stream, f"{group}-{submitted}", "reading", group, b"x" * BODY_BYTES) != 202:
+    while submit(stream, f"{destination}-{submitted}", "reading", destination, b"x" * BODY_BYTES) != 202:
         submitted += 1
         if time.monotonic() > started_at + 10:
             raise NotMeasured("a change of the list was not in force after 10 s")
@@ -156,7 +160,7 @@
 
 
 def _backlog_configuration(size: int) -> dict[str, Any]:
-    """Return the configuration of a courier that may hold ``size`` open messages for long."""
+    """Return configuration options with which a courier keeps ``size`` open messages for the length of a run."""
     settings = platform.settings(max_open=2 * size)
     for message_class in settings["classes"]:
         message_class["deadline_ns"] = MESSAGE_LIFETIME * 1_000
@@ -167,7 +171,7 @@
 
 
 def _write_journal(state_directory: str, size: int, generator: random.Random, options: dict[str, Any]) -> int:
-    """Write a journal with ``size`` open messages, equally many for each next hop; return its size in bytes."""
+    """Write a journal with ``size`` open messages, spread evenly over the next hops; return its size in bytes."""
     limits = options["limits"], options["settings"]["limits"]
     journal = Journal(state_directory, limits[0]["disk_mb"] * 1_000_000, limits[1]["max_attempts"])
     deadline = clock() + MESSAGE_LIFETIME
@@ -189,7 +193,7 @@
 
 
 def measure_open_messages(size: int, run: int) -> dict[str, float]:
-    """Measure a start with ``size`` open messages in the journal, against an empty one; the next hops do not answer."""
+    """Measure a start with ``size`` open messages in the journal, compared with an empty one; no next hop answers."""
     environment = Environment(run, platform.Behaviour(silent=1.0))
     rows, options = environment.rows(HOPS, 1), _backlog_configuration(size)
     with environment.courier(rows, **options) as courier:
@@ -215,22 +219,22 @@
 
 
 def measure_backlog_served(size: int, run: int) -> dict[str, float]:
-    """Measure the delivery of ``size`` open messages from a journal: half of them, or what ``LOAD_DURATION`` allows."""
+    """Measure deliveries from ``size`` recovered messages until half are delivered or ``LOAD_DURATION`` has passed."""
     environment = _fast_environment(run)
     rows, options = environment.rows(HOPS, 1), _backlog_configuration(size)
     with tempfile.TemporaryDirectory() as state_directory:
         _write_journal(state_directory, size, environment.random, options)
         with environment.courier(rows, state_directory, **options) as courier:
             courier.wait_ready()
-            cost, count, started_at = courier.cpu, len(environment.seen.first_answered_at), time.monotonic()
+            cost, count, started_at = courier.cpu, len(environment.call_record.first_answered_at), time.monotonic()
             while (
-                len(environment.seen.first_answered_at) < count + size // 2
+                len(environment.call_record.first_answered_at) < count + size // 2
                 and time.monotonic() < started_at + LOAD_DURATION / SECOND
             ):
                 run_for(environment.loop, MS)
             cost, count, seconds = (
                 courier.cpu - cost,
-                len(environment.seen.first_answered_at) - count,
+                len(environment.call_record.first_answered_at) - count,
                 time.monotonic() - started_at,
             )
     if not count:
@@ -239,7 +243,7 @@
 
 
 def measure_messages_served(size: int, run: int) -> dict[str, float]:
-    """Measure a load of ``size`` messages a second for ``LOAD_DURATION``."""
+    """Measure a load of ``size`` messages a second for ``LOAD_DURATION``; deliveries count until a second later."""
     environment = _fast_environment(run)
     with environment.courier(environment.rows(HOPS, 1)) as courier:
         courier.wait_ready()
@@ -247,21 +251,21 @@
         statuses = start_load(courier, size, LOAD_DURATION, ("reading",))
         run_for(environment.loop, LOAD_DURATION + SECOND)
         cost = courier.cpu - cpu_before
-    offered, delivered = LOAD_DURATION * size / SECOND, len(environment.seen.first_answered_at)
+    offered, delivered = LOAD_DURATION * size / SECOND, len(environment.call_record.first_answered_at)
     if not delivered:
         raise NotMeasured(f"nothing was delivered; submissions were answered {sorted(set(statuses))}")
     return {"cpu": cost * 1e6 / delivered, "taken": statuses.count(202) / offered, "delivered": delivered / offered}
 
 
 def measure_configuration_change(size: int, run: int) -> dict[str, float]:
-    """Measure a SIGHUP after a change of one endpoint and one limit in a file with ``size`` endpoints in ``known``."""
+    """Measure reloads, by SIGHUP, of a configuration with ``size`` endpoints after one endpoint and one limit changed."""
     environment = _fast_environment(run)
     rows = environment.rows(size)
     costs, delays = [], []
     with environment.courier(rows) as courier:
         courier.wait_ready()
         cpu_before = courier.wait_idle()
-        for change in range(RELOADS):
+        for change in range(CONFIG_CHANGES_PER_RUN):
             rows[environment.random.randrange(size)]["weight"] = 2.0 + change
             courier.config["limits"]["disk_mb"] += 1
             courier.write_config()
--- a/tests/test_capacity_courier.py
+++ b/tests/test_capacity_courier.py
@@ -1,4 +1,4 @@
-"""Slopes of one real courier: each measurement returns its figures, here at small sizes."""
+"""Slopes of one real courier: each measurement, at a small size, returns all figures of its slope."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from benchmarks.slope import Slope
 from kestrelspar.runtime.loop import SECOND
 
-# Where memory is compared with that of an empty courier, the size is large enough to exceed the system's page
-# granularity.
+# Slopes that compare memory with that of an empty courier have sizes at which the difference exceeds the granularity
+# of the system's pages.
 SIZES = {
     "listed": 1_000,
     "list-change": 20,
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("slope", SLOPES, ids=lambda slope: slope.name)
 def test_each_measurement_returns_all_its_figures(slope: Slope, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity_courier, "LOAD_DURATION", SECOND // 2)
-    monkeypatch.setattr(capacity_courier, "CHANGES", 4)
+    monkeypatch.setattr(capacity_courier, "LIST_CHANGES_PER_RUN", 4)
     figures = slope.measure(SIZES[slope.name], 1)
     assert figures.keys() == slope.figures.keys()
     assert all(math.isfinite(value) and value > 0 for value in figures.values()), figures
