--- a/benchmarks/capacity_courier.py
+++ b/benchmarks/capacity_courier.py
@@ -258,7 +258,7 @@
 
 
 def measure_configuration_change(size: int, run: int) -> dict[str, float]:
-    """Measure reloads, by SIGHUP, of a configuration with ``size`` endpoints after one endpoint and one limit changed."""
+    """Measure reloads by SIGHUP: in a configuration of ``size`` endpoints, one endpoint and one limit changed."""
     environment = _fast_environment(run)
     rows = environment.rows(size)
     costs, delays = [], []
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -7,9 +7,8 @@
 from dataclasses import dataclass
 from statistics import mean
 
-from benchmarks.capacity import MeasuredRun as Measured
-from benchmarks.capacity import find_problems
-from benchmarks.capacity_peers import CALLS, LOAD, RESTART_INTERVAL, SimulatedFleet
+from benchmarks.capacity import MeasuredRun, find_problems
+from benchmarks.capacity_peers import CALL_LIMIT, LOAD_FACTOR, RESTART_INTERVAL, SimulatedFleet
 from benchmarks.capacity_roles import (
     BUILT_FIRST,
     BYTES,
@@ -23,10 +22,10 @@
     PLACED_DESTINATIONS,
     PROCESSOR_TIME,
     Mechanism,
-    NotMeasured,
     Reading,
     Result,
     Role,
+    SlopeNotMeasured,
     list_bytes,
     ranked,
     results,
@@ -46,9 +45,10 @@
 from kestrelspar.peers.shares import budget_for_rate
 
 CONTROL_PLANE_BOUNDS = (PROCESSOR_TIME, MEMORY, BYTES)
-MEMBER_DATAGRAMS = 2  # membership datagrams that a courier sends per period: its probe, and an answer to another's
+MEMBER_DATAGRAMS_PER_PERIOD = 2  # that a courier sends: its own probe, and the answer to the probe of another
 CONFIRMATION_FACTOR = 1.5  # an earlier figure within this factor counts as confirmed
-PAIRS = (
+# Slopes that measure the same figures before a mechanism was built and with it.
+BEFORE_AFTER_PAIRS = (
     ("word", "word-brokered"),
     ("members", "members-grouped"),
     ("members-churn", "members-churn-grouped"),
@@ -103,7 +103,10 @@
 
 
 def extrapolation(used: dict[str, tuple[int, float, str]]) -> str:
-    """Say up to which sizes a figure was measured, and by which factor it is extrapolated."""
+    """Say up to which sizes a figure was measured, and by which factor it is extrapolated.
+
+    ``used`` has the form of ``Reading.used``.
+    """
     if not used:
         return "computed, not measured"
     return "; ".join(
@@ -113,7 +116,7 @@
     )
 
 
-def render(rows: list[Measured], slopes: dict[str, Slope]) -> str:
+def render(rows: list[MeasuredRun], slopes: dict[str, Slope]) -> str:
     """Render the whole page."""
     reading = Reading(slopes, rows)
     evaluated, not_evaluated = results(reading)
@@ -137,13 +140,14 @@
 
 
 def _guarded(section: Callable[[], list[str]]) -> list[str]:
+    """Return the lines of the section, or a line that names the slope that it lacks."""
     try:
         return section()
-    except NotMeasured as error:
+    except SlopeNotMeasured as error:
         return [f"Not computed: the slope {error} is not measured.", ""]
 
 
-def _head(rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
+def _head(rows: list[MeasuredRun], slopes: dict[str, Slope]) -> list[str]:
     machines = sorted({row.machine for row in rows})
     commits = sorted({row.commit for row in rows})
     days = sorted({row.date[:10] for row in rows})
@@ -231,7 +235,7 @@
     ]
 
 
-def _slopes(reading: Reading, rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
+def _slopes(reading: Reading, rows: list[MeasuredRun], slopes: dict[str, Slope]) -> list[str]:
     lines = [
         "## Slopes",
         "",
@@ -269,9 +273,10 @@
 
 
 def _fitted(reading: Reading, slope: Slope, figure: str, unit: str) -> tuple[str, str, str]:
+    """Return the cells with the line, the power, and the chosen fit with its error."""
     try:
         fit = reading.fit(slope.name, figure)
-    except NotMeasured:
+    except SlopeNotMeasured:
         return "", "", "one size only"
     sign = "-" if fit.b < 0 else "+"
     power = f"{fit.c:.3g} n^{fit.k:.2f}" if fit.k else "none"
@@ -291,7 +296,7 @@
     for prior in PRIOR_FIGURES:
         try:
             fit = reading.fit(prior.slope, prior.figure)
-        except NotMeasured:
+        except SlopeNotMeasured:
             table_rows.append([prior.what, f"{prior.size:,}", amount(prior.value, prior.unit), "not measured yet", ""])
             continue
         fitted, values = (
@@ -324,30 +329,32 @@
 
 
 def _prior_claims(reading: Reading) -> list[str]:
-    """Earlier claims about the target itself."""
+    """Return the lines that confirm or correct the users' earlier claims about the target itself."""
 
-    def confirmed(value: float, prior: float) -> str:
+    def verdict(value: float, prior: float) -> str:
         return "confirmed" if 1 / CONFIRMATION_FACTOR <= value / prior <= CONFIRMATION_FACTOR else "corrected"
 
     informed = reading.at("word-alone", "told", COURIERS)
     last = reading.at("word-alone", "last", COURIERS)
-    each = reading.marginal("word", "sent", 1)
+    bytes_per_member = reading.marginal("word", "sent", 1)
     memory = reading.at("member-alone", "memory", COURIERS)
-    minutes = (
+    minutes_verdict = (
         "corrected"
-        if informed < COURIERS - 1 or each * COURIERS / TARGET.bytes_a_second < 60 * PRIOR_OBSERVATION_MINUTES
+        if informed < COURIERS - 1
+        or bytes_per_member * COURIERS / TARGET.bytes_a_second < 60 * PRIOR_OBSERVATION_MINUTES
         else "confirmed"
     )
     share = DESTINATION_LIMIT / COURIERS
     served = reading.fit("budgets", "served").means
-    smallest, largest_fleet = min(served), max(served)
+    smallest_fleet, largest_fleet = min(served), max(served)
     largest = max(reading.fit("members", "processor").means)
     model = reading.at("members", "processor", largest)
     single = reading.at("member-alone", "processor", largest)
     informed_fleet = reading.at("members-churn", "processor", largest)
     lines = [
-        f"- *One observation takes its witness minutes at {COURIERS:,}*: {minutes}. Each member costs it "
-        f"{number(each)} bytes, so all would take {amount(each * COURIERS / TARGET.bytes_a_second, 's')} of its "
+        f"- *One observation takes its witness minutes at {COURIERS:,}*: {minutes_verdict}. Each member costs it "
+        f"{number(bytes_per_member)} bytes, so all would take "
+        f"{amount(bytes_per_member * COURIERS / TARGET.bytes_a_second, 's')} of its "
         f"{amount(TARGET.bytes_a_second, 'bytes')} a second; but an observation of a failure is sent for "
         f"{amount(observations.OUTAGE_REPORT_MAX_AGE / 1e6, 's')} only, then it expires. At {COURIERS:,} members "
         f"{number(informed)} "
@@ -358,18 +365,18 @@
         f"including that of the model itself. One courier alone that knows {largest:,} takes {amount(single, 'ms')}, "
         f"at {COURIERS:,} {amount(reading.at('member-alone', 'processor', COURIERS), 'ms')}.",
         f"- *All {COURIERS:,} as hollow couriers in one process take over {amount(PRIOR_HOLLOW_GB * 1e3, 'MB')}*: "
-        f"{confirmed(memory * COURIERS / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, "
+        f"{verdict(memory * COURIERS / 1e3, PRIOR_HOLLOW_GB)}, {amount(memory, 'MB')} each, "
         f"{amount(memory * COURIERS, 'MB')} together.",
-        f"- *Members beyond {PRIOR_MAX_MEMBERS:,} are refused*: {confirmed(MAX_MEMBERS, PRIOR_MAX_MEMBERS)} by the "
+        f"- *Members beyond {PRIOR_MAX_MEMBERS:,} are refused*: {verdict(MAX_MEMBERS, PRIOR_MAX_MEMBERS)} by the "
         f"code, {MAX_MEMBERS:,}. There are two more bounds: the sequence numbers of {seal.MAX_SENDERS:,} senders are "
         f"stored, and datagrams of others are dropped; and counters of {counts.MAX_COURIERS:,} couriers are stored.",
         f"- *A limit that is shared equally leaves each less than a call*: confirmed, {number(share)} of a call a "
         f"second of a limit of {number(DESTINATION_LIMIT)}; its window is extended for that, to "
         f"{amount(budget_for_rate(DESTINATION_LIMIT, COURIERS)[1] / 1e6, 's')}. And nothing of a share under "
         f"{MIN_SHARE_FOR_LOANS} calls is lent ({amount(shares.MAX_LENT_PART, 'share')} of it, rounded down): of "
-        f"{CALLS} calls a "
-        f"second, with half of a load of {LOAD} at one courier, {amount(served[smallest], 'share')} of the messages "
-        f"are served at {smallest} members, {amount(served[largest_fleet], 'share')} at {largest_fleet}.",
+        f"{CALL_LIMIT} calls a second, with half of a load of {LOAD_FACTOR} at one courier, "
+        f"{amount(served[smallest_fleet], 'share')} of the messages are served at {smallest_fleet} members, "
+        f"{amount(served[largest_fleet], 'share')} at {largest_fleet}.",
         "",
     ]
     return lines
@@ -421,7 +428,7 @@
 
 
 def _control_plane_totals(evaluated: list[Result]) -> list[str]:
-    """The whole control plane at one courier against its bounds."""
+    """Return a table of the control plane's total load on one courier, against its bounds."""
     table_rows = []
     for bound, unit, maximum in (
         (MEMORY, "MB", TARGET.memory_mb),
@@ -429,7 +436,7 @@
         (BYTES, "bytes", float(TARGET.bytes_a_second)),
     ):
         rows = [each for each in evaluated if each.row.bound_name == bound and not each.row.hypothetical]
-        need, remaining = (
+        load, remaining = (
             sum(each.load for each in rows),
             sum((each.remaining_ratio or 0.0) * each.bound for each in rows),
         )
@@ -437,9 +444,9 @@
             [
                 bound,
                 str(len(rows)),
-                amount(need, unit),
+                amount(load, unit),
                 amount(maximum, unit),
-                times(need / maximum),
+                times(load / maximum),
                 amount(remaining, unit),
                 times(remaining / maximum),
             ]
@@ -474,7 +481,10 @@
 
 
 def _start_time(r: Reading, listed: float) -> float:
-    """Return the seconds of a start: its base, its list and its backlog."""
+    """Return the seconds that a start takes with ``listed`` endpoints and with a courier's backlog.
+
+    Both slopes include the time of an empty start; it counts once.
+    """
     base = r.fit("listed", "start-wall").at(min(r.fit("listed", "start-wall").means)).value
     return r.at("listed", "start-wall", listed) + max(
         0.0, r.at("open-message", "start-wall", TARGET.backlog_per_courier) - base
@@ -554,11 +564,10 @@
             f"know all after {amount(reading.at('members-wave', 'joined', COURIERS), 's')}; in groups of "
             f"{TARGET.zone}, {amount(reading.at('members-wave', 'known', TARGET.zone), 's')} and "
             f"{amount(reading.at('members-wave', 'joined', TARGET.zone), 's')}. A datagram has room for "
-            f"{members.MAX_GOSSIPED_MEMBERS} "
-            f"members, and a courier sends about {MEMBER_DATAGRAMS} a second (a probe and an answer), so {TARGET.wave} "
-            f"updates take at least {amount(TARGET.wave / members.MAX_GOSSIPED_MEMBERS / MEMBER_DATAGRAMS, 's')} to be "
-            "sent once by "
-            "each.",
+            f"{members.MAX_GOSSIPED_MEMBERS} members, and a courier sends about {MEMBER_DATAGRAMS_PER_PERIOD} a second "
+            f"(a probe and an answer), so {TARGET.wave} updates take at least "
+            f"{amount(TARGET.wave / members.MAX_GOSSIPED_MEMBERS / MEMBER_DATAGRAMS_PER_PERIOD, 's')} to be sent once "
+            "by each.",
             "",
         ]
 
@@ -653,6 +662,7 @@
 
 
 def _messages_that_fit(r: Reading, memory: float) -> float:
+    """Return the number of open messages that ``memory`` MB hold."""
     fit = r.fit("open-message", "memory")
     return max(0.0, (memory - fit.a) / fit.b) if fit.b > 0 else math.inf
 
@@ -695,7 +705,7 @@
 
 
 def _published_systems(reading: Reading) -> list[str]:
-    options = [
+    systems = [
         PublishedSystem(
             "Consul: two levels of gossip, servers and agents",
             "an agent never talks to all",
@@ -739,7 +749,7 @@
         "",
         "As remembered from publications of their makers; none of their figures is used here.",
         "",
-        *table(["system", "what it shows", "here"], [(each.system, each.shows, each.here) for each in options]),
+        *table(["system", "what it shows", "here"], [(each.system, each.shows, each.here) for each in systems]),
         "Observations and lists by interest help only if a destination's events reach few couriers. With events "
         f"spread evenly, each courier gets an event for each destination once in "
         f"{amount(TARGET.seconds_between_encounters, 's')}: all are interested in all {TARGET.destinations:,}. Placed "
@@ -750,10 +760,10 @@
     ]
 
 
-def _ranking(evaluated: list[Result], not_evaluated: int) -> list[str]:
+def _ranking(evaluated: list[Result], not_evaluated_count: int) -> list[str]:
     order = ranked(evaluated)
     rows = []
-    for place, each in enumerate(order, 1):
+    for rank, each in enumerate(order, 1):
         same_mechanism = [
             one for one in evaluated if one.row.mechanism is each.row.mechanism and not one.row.hypothetical
         ]
@@ -764,7 +774,7 @@
         )
         rows.append(
             [
-                str(place),
+                str(rank),
                 str(each.row.mechanism),
                 f"**{MECHANISM_STATUS[each.row.mechanism]}**",
                 f"{each.row.role}: {each.row.what}",
@@ -815,10 +825,10 @@
             for each in control
         ],
     )
-    if not_evaluated:
+    if not_evaluated_count:
         return [
             *lines,
-            f"The ranking is incomplete, so no priority is derived from it: {not_evaluated} rows lack a slope.",
+            f"The ranking is incomplete, so no priority is derived from it: {not_evaluated_count} rows lack a slope.",
             "",
         ]
     return lines + _built_first(order, evaluated)
@@ -826,10 +836,10 @@
 
 def _built_first(order: list[Result], evaluated: list[Result]) -> list[str]:
     """Explain the choice of what is built first, as far as the ranking supports it."""
-    places = {each.row.mechanism: n for n, each in enumerate(order, 1)}
+    ranks = {each.row.mechanism: n for n, each in enumerate(order, 1)}
     top = order[0]
-    observations_place = next(each for each in order if each.row.mechanism is Mechanism.WORDS)
-    groups = next(each for each in order if each.row.mechanism is Mechanism.GROUPS)
+    worst_observations = next(each for each in order if each.row.mechanism is Mechanism.WORDS)
+    worst_groups = next(each for each in order if each.row.mechanism is Mechanism.GROUPS)
     exceeded = [
         each
         for each in evaluated
@@ -848,9 +858,9 @@
     else:
         lines += [
             f"The ranking alone does not support it: by ratio the worst is {top.row.mechanism} ({times(top.ratio)}), "
-            f"observations have rank {places[Mechanism.WORDS]} ({times(observations_place.ratio)}), members have rank "
-            f"{places[Mechanism.GROUPS]} ({times(groups.ratio)}). Of what the control plane may use of a courier, the "
-            f"worst is {control.row.what} ({times(control.ratio)} times its {control.row.bound_name}; "
+            f"observations have rank {ranks[Mechanism.WORDS]} ({times(worst_observations.ratio)}), members have rank "
+            f"{ranks[Mechanism.GROUPS]} ({times(worst_groups.ratio)}). Of what the control plane may use of a courier, "
+            f"the worst is {control.row.what} ({times(control.ratio)} times its {control.row.bound_name}; "
             f"{control.row.mechanism}). It is built first all the same, for three reasons:",
             "",
         ]
@@ -918,13 +928,13 @@
 def _pairs(reading: Reading) -> list[str]:
     lines = ["## Before and after a mechanism", ""]
     any_measured = False
-    for before, after in PAIRS:
+    for before, after in BEFORE_AFTER_PAIRS:
         if not {before, after} <= reading.slopes.keys():
             continue
         try:
             shared = [figure for figure in reading.slopes[before].figures if figure in reading.slopes[after].figures]
             fits = {figure: (reading.fit(before, figure), reading.fit(after, figure)) for figure in shared}
-        except NotMeasured:
+        except SlopeNotMeasured:
             continue
         any_measured = True
         table_rows = []
@@ -953,7 +963,7 @@
     return lines if any_measured else [*lines, "None is built and measured yet.", ""]
 
 
-def _limitations(rows: list[Measured], slopes: dict[str, Slope]) -> list[str]:
+def _limitations(rows: list[MeasuredRun], slopes: dict[str, Slope]) -> list[str]:
     largest = max((row.size for row in rows if row.setting == "modelled network"), default=0)
     delay = Faults().delay
     lines = [
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -1,4 +1,4 @@
-"""Slopes of what couriers share: members, observations of endpoints, budgets, counters.
+"""Slopes of what couriers exchange: members, observations of endpoints, budgets, counters.
 
 There are two settings. On the modelled network, the pure modules of all couriers run in one process. Their processor
 time includes that of the model, and one machine's caches have to hold what many machines would, so it is an upper
@@ -27,25 +27,26 @@
 
 MODELLED, PURE = "modelled network", "pure module"
 KEY = b"a key for the couriers played ..."[:32]
+# In microseconds of simulated time; CHECK_AT is a time since the start of the run, the others are durations.
 START_SPREAD, CHECK_AT, IDLE_DURATION = 20 * SECOND, 60 * SECOND, 20 * SECOND
 MAX_CONVERGENCE_TIME = 240 * SECOND  # a run is cut off when convergence takes longer
 SETTLING_TIME, CHURN_DURATION, RESTART_INTERVAL = 5 * SECOND, 40 * SECOND, 5 * SECOND
 WAVE_DURATION = 40 * SECOND
 SINGLE_DURATION = 60 * SECOND
 OBSERVATION_DURATION = 5 * SECOND
-GOSSIP_EXHAUSTED = 1 << 20  # a number of transmissions after which gossip no longer passes an update on
+GOSSIP_EXHAUSTED = 1 << 20  # transmissions of an update: more than gossip makes, so that it is not sent again
 COUNTERS_PER_COURIER = 20
 COUNTS_DURATION = 5 * SECOND
-# CALLS is the limit in calls per second, LOAD the offered load as a fraction of it.
-CALLS, LOAD, MESSAGE_TIMEOUT, WARM_UP, LOAD_DURATION = 50, 0.8, 4 * SECOND, 8 * SECOND, 20 * SECOND
-KNOWN_SHARE = 0.99
+# CALL_LIMIT is in calls per second; LOAD_FACTOR is the offered load as a fraction of it.
+CALL_LIMIT, LOAD_FACTOR, MESSAGE_TIMEOUT, WARM_UP, LOAD_DURATION = 50, 0.8, 4 * SECOND, 8 * SECOND, 20 * SECOND
+KNOWN_SHARE = 0.99  # share of the couriers, or of their entries, at which something counts as known to all
 
 
-def _net(size: int, seed: int, group: int = 0) -> SimulatedNetwork:
-    """Create ``size`` couriers; with ``group``, in groups of that size and two regions with three brokers each."""
-    if not group:
+def _net(size: int, seed: int, group_size: int = 0) -> SimulatedNetwork:
+    """Create ``size`` couriers; with ``group_size``, in such groups and in two regions with three brokers each."""
+    if not group_size:
         return SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
-    groups = max(1, size // group)
+    groups = max(1, size // group_size)
     net = SimulatedNetwork(
         size,
         seed,
@@ -79,15 +80,16 @@
 
 
 def _inform(peer: Peer, updates: list[MemberUpdate]) -> None:
+    """Let the courier know these members, with nothing left to gossip about them."""
     peer.members.receive(updates[0].name, updates[0].epoch, updates, 0)
     for member in peer.members.members.values():
         member.times_gossiped = GOSSIP_EXHAUSTED
     peer.events, peer.members.events = [], []
 
 
-def measure_members(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """Measure starts spread over 20 s: a check 60 s after the first start, then 20 s of idling."""
-    net, full_count = _net(size, seed, group), (group or size) - 1
+def measure_members(size: int, seed: int, group_size: int = 0) -> dict[str, float]:
+    """Spread starts over 20 s; check the known members 60 s after the first start, then measure 20 s of idling."""
+    net, full_count = _net(size, seed, group_size), (group_size or size) - 1
     for n, name in enumerate(net.nodes):
         net.at(n * START_SPREAD // size, lambda name=name: net.start(name))  # type: ignore[misc]
     net.run(START_SPREAD)
@@ -121,9 +123,9 @@
     return figures | {"all-known": (known_at or MAX_CONVERGENCE_TIME) / SECOND}
 
 
-def measure_churn(size: int, seed: int, group: int = 0) -> dict[str, float]:
+def measure_churn(size: int, seed: int, group_size: int = 0) -> dict[str, float]:
     """Let all know their group, stop one courier for good, and restart another one every 5 s for 40 s."""
-    net = _net(size, seed, group)
+    net = _net(size, seed, group_size)
     _start_informed(net)
     net.run(SETTLING_TIME)
     started_at, stopped = net.now, f"n{size // 2}"
@@ -137,7 +139,7 @@
     while net.now < started_at + CHURN_DURATION:
         net.run(net.now + 100 * MS)
         check_started_at = time.process_time()
-        if not known_at and _count_informed_of_loss(net, stopped) >= int(KNOWN_SHARE * ((group or size) - 1)):
+        if not known_at and _count_informed_of_loss(net, stopped) >= int(KNOWN_SHARE * ((group_size or size) - 1)):
             known_at = net.now
         checking_time += time.process_time() - check_started_at
     cpu = time.process_time() - cpu_started_at - checking_time
@@ -161,9 +163,9 @@
     }
 
 
-def measure_wave(size: int, seed: int, group: int = 0) -> dict[str, float]:
-    """Let all know their group, stop ``TARGET.wave / TARGET.couriers`` of all at once, and start them 1 s later."""
-    net = _net(size, seed, group)
+def measure_wave(size: int, seed: int, group_size: int = 0) -> dict[str, float]:
+    """Let all know their group, stop ``TARGET.wave / TARGET.couriers`` of them together, and start these 1 s later."""
+    net = _net(size, seed, group_size)
     _start_informed(net)
     net.run(SETTLING_TIME)
     count = max(1, round(size * TARGET.wave / TARGET.couriers))
@@ -190,7 +192,7 @@
             known_at = net.now if informed >= KNOWN_SHARE * len(pairs) else 0
         if not joined and len(peers) == size:
             known_members = sum(len(peers[name].members.alive()) for name in stopped)
-            joined = net.now if known_members >= KNOWN_SHARE * len(stopped) * ((group or size) - 1) else 0
+            joined = net.now if known_members >= KNOWN_SHARE * len(stopped) * ((group_size or size) - 1) else 0
         if net.now <= started_at + WAVE_DURATION:
             sent = sum(peer.sent - (0 if name in stopped else sent_before[name]) for name, peer in peers.items())
             over_bandwidth = sum(peer.over_bandwidth for peer in peers.values()) - over_bandwidth_before
@@ -208,6 +210,7 @@
 
 
 def _count_informed_of_loss(net: SimulatedNetwork, name: str) -> int:
+    """Return how many couriers of its group consider this courier dead or removed, or do not know it."""
     count = 0
     for node in net.nodes.values():
         if node.peer is not None and node.group == net.nodes[name].group:
@@ -270,11 +273,11 @@
 
 
 def measure_single_courier(size: int, seed: int) -> dict[str, float]:
-    """Measure a courier with ``size`` members: memory, 60 s of probes, answers and restarts at the target's rate."""
-    seal.MAX_SENDERS = max(seal.MAX_SENDERS, size + 1)  # raised like the bound on members, in this process only
+    """Measure one courier with ``size`` members: memory, and 60 s of probes, answers and the target's restarts."""
+    seal.MAX_SENDERS = max(seal.MAX_SENDERS, size + 1)  # raised in this process only, like the bound on members
     tracemalloc.start()
     fleet = SimulatedFleet(size, seed)
-    for update in fleet.others:  # each one has sent before, so its sequence number is stored
+    for update in fleet.others:  # a datagram from each, as the courier stores the sequence numbers of its senders
         fleet.peer.sealer.open(fleet.sealer(update.name, update.epoch).seal("c-01-0000", []))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
@@ -284,16 +287,16 @@
     tracemalloc.stop()
     fleet = SimulatedFleet(size, seed)
     peer, cpu, sent = fleet.peer, 0.0, 0
-    waiting: list[tuple[int, bytes]] = []
+    delayed: list[tuple[int, bytes]] = []  # answers of other couriers, with the time at which they arrive
     restart_interval, last_ping_second = int(TARGET.restart_interval * SECOND), 0
     while fleet.now < SINGLE_DURATION:
         fleet.now += TICK_INTERVAL
-        incoming = [data for due_at, data in waiting if due_at <= fleet.now]
-        waiting = [(due_at, data) for due_at, data in waiting if due_at > fleet.now]
-        if fleet.now // SECOND != last_ping_second:  # each is probed by one other per period, on average
+        incoming = [data for due_at, data in delayed if due_at <= fleet.now]
+        delayed = [(due_at, data) for due_at, data in delayed if due_at > fleet.now]
+        if fleet.now // SECOND != last_ping_second:  # a courier is probed once per period of 1 s, on average
             last_ping_second = fleet.now // SECOND
             incoming.append(fleet.datagram_from(fleet.random.choice(fleet.others), Ping(last_ping_second)))
-        if fleet.now % restart_interval < TICK_INTERVAL:  # one restart in the fleet, learnt by gossip
+        if fleet.now % restart_interval < TICK_INTERVAL:  # gossip reports one restart somewhere in the fleet
             n = fleet.random.randrange(len(fleet.others))
             previous = fleet.others[n]
             fleet.others[n] = MemberUpdate(
@@ -317,7 +320,7 @@
         for address, data in outgoing:
             sent += len(data)
             update, datagram = fleet.open_datagram(address, data)
-            waiting += [
+            delayed += [
                 (fleet.now + 5 * MS, fleet.datagram_from(update, Ack(message.n)))
                 for message in datagram.messages
                 if isinstance(message, Ping)
@@ -330,7 +333,7 @@
 
 
 def measure_observation(size: int, seed: int) -> dict[str, float]:
-    """Let every courier know all others; one sees a failed call and reports it."""
+    """Let every courier know all others; one observes a failed call and reports it."""
     net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     net.run(SETTLING_TIME)
@@ -387,12 +390,12 @@
 
 
 def measure_budgets(size: int, seed: int) -> dict[str, float]:
-    """Measure one limit of 50 calls a second at a load of 0.8, half of it at one courier; each knows all others."""
+    """Measure one limit of 50 calls a second under 0.8 of that load, half of it at one courier; each knows all."""
     net = SimulatedNetwork(size, seed, Faults(), bytes_per_second=TARGET.bytes_a_second)
-    calls, window = budget_for_rate(float(CALLS), size)
+    calls, window = budget_for_rate(float(CALL_LIMIT), size)
     net.budget("d", calls, window)
     peers = _start_informed(net)
-    total_rate = CALLS * LOAD
+    total_rate = CALL_LIMIT * LOAD_FACTOR
     traffic = Traffic(
         net,
         "d",
@@ -417,7 +420,7 @@
 
 
 def measure_budgets_held(size: int, seed: int) -> dict[str, float]:
-    """Measure memory and one tick with ``size`` limits, each twice a destination's events per second at the target."""
+    """Measure memory and a tick with ``size`` limits; each is twice a destination's events per second at the target."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
     shares = _shares(size, seed)
@@ -433,6 +436,7 @@
 
 
 def _shares(size: int, seed: int) -> Shares:
+    """Return one courier's shares of ``size`` limits."""
     shares = Shares(LoanTerms(TARGET.couriers, seed), 1, 0, {}, Random(seed))
     calls, window = budget_for_rate(2 * TARGET.events_per_destination, TARGET.couriers)
     for n in range(size):
@@ -441,7 +445,7 @@
 
 
 def measure_counts(size: int, seed: int) -> dict[str, float]:
-    """Let every courier know all others, each with 20 counters; one requests those of all others."""
+    """Let every courier know all others and have 20 counters; one courier requests the counters of all."""
     net = SimulatedNetwork(size, seed, Faults(), seeds=5, bytes_per_second=TARGET.bytes_a_second)
     peers = _start_informed(net)
     for each in peers:
@@ -463,12 +467,13 @@
     }
 
 
-def _complete_reports(counts: FleetCounters) -> int:
-    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counts.by_courier.values())
+def _complete_reports(counters: FleetCounters) -> int:
+    """Return the number of couriers of which all counters are known."""
+    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counters.by_courier.values())
 
 
 def measure_counts_held(size: int, seed: int) -> dict[str, float]:
-    """Measure memory for 20 counters of each of ``size`` couriers, and summing them up for reports."""
+    """Measure the memory for 20 counters of each of ``size`` couriers, and the time to sum them up for reports."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
     counts = FleetCounters("n0", 1, 0, {}, Random(seed))
@@ -492,7 +497,7 @@
 
 
 def measure_counters(size: int, seed: int) -> dict[str, float]:
-    """Measure a courier that counts calls by ``size`` destinations: counters up to the maximum, bytes to report all."""
+    """Measure a courier that counts calls by ``size`` destinations: memory, separate counters, bytes to report all."""
     tracemalloc.start()
     memory_before = tracemalloc.get_traced_memory()[0]
     own = FleetCounters("c-01-0000", 1, 0, {}, Random(seed))
@@ -506,7 +511,7 @@
 
 
 def measure_probe_rank(size: int, seed: int) -> dict[str, float]:
-    """Measure the rank of one courier among those that probe a failed endpoint: one hash per member."""
+    """Measure the time to rank one courier among those that probe a failed endpoint: one hash per member."""
     others = [f"c-{n % 20:02}-{n:05}" for n in range(size)]
     repetitions = max(3, 20_000 // size)
     cpu_started_at = time.process_time()
@@ -515,9 +520,9 @@
     return {"processor": (time.process_time() - cpu_started_at) * 1e6 / repetitions}
 
 
-# A failure is reported for OUTAGE_REPORT_MAX_AGE. Until then a courier may send its bandwidth and the unused bandwidth
-# of BURST_WINDOW, except for URGENT_RESERVE, the reserve for probes. From 95 % of that on, the bound determines the
-# bytes sent: the run counts as cut off.
+# A failure is reported for OUTAGE_REPORT_MAX_AGE. In this time a courier may send what its bandwidth limit allows and,
+# at first, the unused bandwidth of BURST_WINDOW; URGENT_RESERVE of one second's bandwidth stays reserved for probes. A
+# run that sends 95 % of this or more counts as cut off, as the bandwidth limit determined how many bytes were sent.
 MAX_OBSERVATION_BYTES = (
     0.95 * TARGET.bytes_a_second * ((OUTAGE_REPORT_MAX_AGE + BURST_WINDOW) / SECOND - URGENT_RESERVE)
 )
@@ -608,9 +613,9 @@
         (10, 50, 100, 200),
         {"served": "share", "span": "s", "sent": "bytes", "above": "count"},
         measure_budgets,
-        f"One limit of {CALLS} calls a second shared by this many, half of a load of {LOAD} at one of them: share of "
-        "the messages served, the window over which the limit is enforced, bytes per second by each, calls above "
-        "the limit; the modelled network",
+        f"One limit of {CALL_LIMIT} calls a second shared by this many, half of a load of {LOAD_FACTOR} at one of "
+        "them: share of the messages served, the window over which the limit is enforced, bytes per second by each, "
+        "calls above the limit; the modelled network",
         setting=MODELLED,
     ),
     Slope(
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md: the load on each role at the target, as slope x size, and the mechanism against it.
+"""The rows of docs/CAPACITY.md: each role's load at the target, as slope x size, and the mechanism that reduces it.
 
 A row is data: a formula over the slopes (``Reading``) and the target, a bound, and a mechanism with its status.
 ``remaining`` is the load with the mechanism, and with placement if the mechanism depends on it: then only few couriers
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from benchmarks.capacity import MeasuredRun as Measured
+from benchmarks.capacity import MeasuredRun
 from benchmarks.capacity_fit import Fit, fit
 from benchmarks.slope import Slope
 from benchmarks.target import ASSUMED, TARGET
@@ -25,15 +25,15 @@
 from kestrelspar.peers.peer import PeerConfig
 
 MAX_MEMBERS: int = next(each.default for each in dataclasses.fields(PeerConfig) if each.name == "max_members")
-MIN_SHARE_FOR_LOANS = math.ceil(1 / shares.MAX_LENT_PART)  # calls; nothing of a smaller share is lent
+# In calls: the part of a smaller share that may be lent rounds down to 0, unless the budget is fully lendable.
+MIN_SHARE_FOR_LOANS = math.ceil(1 / shares.MAX_LENT_PART)
 COUNTERS_PER_DESTINATION = 2  # at least: calls by outcome, and the use of its budget (link.py)
-TICKS_PER_SECOND = (
-    1_000_000 / MAX_TICK_INTERVAL
-)  # at least: the interval between ticks is longest if the state is large
+# A lower bound: the interval between ticks grows to MAX_TICK_INTERVAL, in microseconds, if the state is large.
+MIN_TICKS_PER_SECOND = 1_000_000 / MAX_TICK_INTERVAL
 
 
-class NotMeasured(Exception):
-    """A slope that a formula needs has not been measured."""
+class SlopeNotMeasured(Exception):
+    """A slope that a formula needs has not been measured; the only argument is its name."""
 
 
 class MechanismStatus(StrEnum):
@@ -85,10 +85,13 @@
 
 @dataclass
 class Reading:
-    """Figures at any size, with a record of the slopes used since ``reset_used``."""
+    """Figures at any size, with a record of the slopes used since ``reset_used``.
+
+    Methods that return figures or fits raise ``SlopeNotMeasured``.
+    """
 
     slopes: dict[str, Slope]
-    rows: list[Measured]
+    rows: list[MeasuredRun]
     # By slope: largest measured size, extrapolation factor, setting.
     used: dict[str, tuple[int, float, str]] = field(default_factory=dict)
     _fits: dict[tuple[str, str], Fit] = field(default_factory=dict)
@@ -109,7 +112,7 @@
                 and (slope is None or slope.is_complete(figure, row.figures))
             ]
             if len({size for size, _ in points}) < 2:
-                raise NotMeasured(name)
+                raise SlopeNotMeasured(name)
             self._fits[name, figure] = fit(points)
         return self._fits[name, figure]
 
@@ -120,7 +123,7 @@
         return value.value
 
     def marginal(self, name: str, figure: str, count: float) -> float:
-        """Return what ``count`` units add to the figure, without its base value."""
+        """Return what ``count`` units add to the figure by the line that was fitted, without its base value."""
         slope_fit = self.fit(name, figure)
         up_to = max(slope_fit.means)
         self._record_use(name, up_to, max(1.0, count / up_to))
@@ -160,6 +163,7 @@
 PLACED_DESTINATIONS = TARGET.destinations * ASSUMED.placed / COURIERS  # destinations per courier, with placement
 # Per second and courier, to destinations that are down, if the courier does not know that they are.
 FAILED_CALLS = TARGET.events_per_courier * TARGET.down
+# Calls per second that one destination accepts from all couriers together.
 DESTINATION_LIMIT = ASSUMED.headroom * TARGET.events_per_destination
 PROCESSOR_TIME, MEMORY, BYTES = (
     "processor time for the control plane",
@@ -335,7 +339,7 @@
         "processor time",
         "ranking of the couriers that probe a failed endpoint",
         "destinations down x order.processor at the interested couriers x checks a second",
-        lambda r: TARGET.destinations_down * r.at("order", "processor", COURIERS) / 1e3 * TICKS_PER_SECOND,
+        lambda r: TARGET.destinations_down * r.at("order", "processor", COURIERS) / 1e3 * MIN_TICKS_PER_SECOND,
         "ms",
         TARGET.processor_ms,
         PROCESSOR_TIME,
@@ -345,7 +349,7 @@
             * TARGET.down
             * r.marginal("order", "processor", ASSUMED.placed)
             / 1e3
-            * TICKS_PER_SECOND
+            * MIN_TICKS_PER_SECOND
         ),
         "observations of all failed endpoints were received",
     ),
@@ -391,12 +395,12 @@
         "processor time",
         "limits of which it has a share",
         "budgets-held.tick at all destinations x ticks a second, at least",
-        lambda r: r.at("budgets-held", "tick", TARGET.destinations) * TICKS_PER_SECOND,
+        lambda r: r.at("budgets-held", "tick", TARGET.destinations) * MIN_TICKS_PER_SECOND,
         "ms",
         TARGET.processor_ms,
         PROCESSOR_TIME,
         Mechanism.SHARES,
-        lambda r: r.at("budgets-held", "tick", PLACED_DESTINATIONS) * TICKS_PER_SECOND,
+        lambda r: r.at("budgets-held", "tick", PLACED_DESTINATIONS) * MIN_TICKS_PER_SECOND,
     ),
     Row(
         Role.COURIER,
@@ -848,12 +852,12 @@
     bound: float
     ratio: float
     remaining_ratio: float | None  # the ratio with the mechanism in place
-    used: dict[str, tuple[int, float, str]]
+    used: dict[str, tuple[int, float, str]]  # as ``Reading.used``, of the bound and the load
 
 
 def results(reading: Reading) -> tuple[list[Result], list[tuple[Row, str]]]:
     """Evaluate all rows; return the results, and the rows that need an unmeasured slope with its name."""
-    worked_out, not_worked_out = [], []
+    evaluated, not_evaluated = [], []
     for row in ROWS:
         reading.reset_used()
         try:
@@ -862,11 +866,11 @@
             used = reading.used
             reading.reset_used()
             remaining_ratio = row.remaining(reading) / bound if row.remaining is not None else None
-        except NotMeasured as error:
-            not_worked_out.append((row, str(error)))
+        except SlopeNotMeasured as error:
+            not_evaluated.append((row, str(error)))
             continue
-        worked_out.append(Result(row, load, bound, load / bound, remaining_ratio, used))
-    return worked_out, not_worked_out
+        evaluated.append(Result(row, load, bound, load / bound, remaining_ratio, used))
+    return evaluated, not_evaluated
 
 
 def ranked(all_results: Iterable[Result]) -> list[Result]:
