--- a/benchmarks/message.py
+++ b/benchmarks/message.py
@@ -1,9 +1,9 @@
-"""What a message costs the program that the platform's `run` line starts: CPU per message, and memory.
+"""CPU time per message, and memory, of the program that the platform's `run` line starts.
 
     python -m benchmarks.message [--root CHECKOUT] [--rate 150] [--for 15]
 
-The program of a checkout (by default this one) is started as the platform starts it, between stand-in servers of this
-process.
+The program of a checkout (by default this one) is started as the platform starts it. This process runs the stand-in
+servers around it and the clients.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
     parser.add_argument("--rate", type=int, default=150)
     parser.add_argument("--for", dest="span", type=int, default=15)
     options = parser.parse_args()
-    loop, seen = Loop(), platform.CallRecord()
-    hops = [platform.NextHop(loop, seen, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)]
+    loop, call_record = Loop(), platform.CallRecord()
+    hops = [platform.NextHop(loop, call_record, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)]
     rows = [endpoint_row(n, hop.address, n) for n, hop in enumerate(hops)]
     discovery = platform.Discovery(loop, rows)
     with (
@@ -41,7 +41,7 @@
     accepted = statuses.count(202)
     print(
         f"{'messages accepted':<40} {accepted} in {time.monotonic() - started_at:.0f} s, delivered "
-        f"{len(seen.first_answered_at)}"
+        f"{len(call_record.first_answered_at)}"
     )
     print(f"{'CPU per message':<40} {(busy[0] - idle[0]) * 1e6 / accepted:.0f} us")
     print(f"{'memory idle, busy, peak':<40} {idle[1] / 1024:.1f}, {busy[1] / 1024:.1f}, {busy[2] / 1024:.1f} MB")
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,4 +1,4 @@
-"""Couriers that share a budget, on the modelled network: share served, calls above the budget, and cost.
+"""Couriers that share a budget, on the modelled network: share of messages served, maximum calls per second, and cost.
 
     python -m benchmarks.peers [--seeds 10]
     python -m benchmarks.peers --play outage [--seeds 10] [--couriers 10]
@@ -24,19 +24,23 @@
 from kestrelspar.lab.simulated_network import MS, SECOND, Faults, SimulatedNetwork, Traffic
 from kestrelspar.peers.observations import CallOutcome, ClaimSource
 
-COURIERS, CALLS, WARM_UP, LOAD_DURATION, MESSAGE_TIMEOUT = 10, 50, 8 * SECOND, 30 * SECOND, 4 * SECOND
+COURIERS, CALL_LIMIT, WARM_UP, LOAD_DURATION, MESSAGE_TIMEOUT = 10, 50, 8 * SECOND, 30 * SECOND, 4 * SECOND
 
 
 def message_rates(load: float) -> dict[str, float]:
     """Return the messages per second by courier: half of the load at one, the rest evenly spread."""
-    total = CALLS * load
+    total = CALL_LIMIT * load
     return {f"n{i}": total / 2 if i == 0 else total / 2 / (COURIERS - 1) for i in range(COURIERS)}
 
 
 def run_model(seed: int, load: float, mode: str) -> tuple[float, int]:
-    """Return the share of the messages served, and the maximum number of calls in any second."""
+    """Return the share of the messages served, and the maximum number of calls in any second.
+
+    Modes: "equal" cuts off all couriers from each other, so that each has an equal share; "loans" cuts off none;
+    "partition" cuts off a third of them in every second interval of 5 s.
+    """
     net = SimulatedNetwork(COURIERS, seed, Faults(), 0.001)
-    net.budget("d", CALLS)
+    net.budget("d", CALL_LIMIT)
     for name in net.nodes:
         net.start(name)
     if mode == "equal":
@@ -52,7 +56,7 @@
 
 
 def ideal_share_served(seed: int, load: float) -> float:
-    """Return the share that one queue for all couriers would serve."""
+    """Return the share of the messages that one queue for all couriers, in order of arrival, would serve."""
     random, events = Random(seed), []
     for rate in message_rates(load).values():
         at = 0
@@ -71,7 +75,7 @@
             waiting.popleft()
         while recent_calls and recent_calls[0] <= now - SECOND:
             recent_calls.popleft()
-        while waiting and len(recent_calls) < CALLS:
+        while waiting and len(recent_calls) < CALL_LIMIT:
             served += waiting.popleft() >= WARM_UP
             recent_calls.append(now)
     return served / sum(event >= WARM_UP for event in events)
@@ -83,15 +87,18 @@
     for name in net.nodes:
         net.start(name)
     net.run(30 * SECOND)
-    sent_before, cpu_before = sum(n.peer.sent for n in net.nodes.values() if n.peer), time.process_time()
+    sent_before, cpu_before = sum(node.peer.sent for node in net.nodes.values() if node.peer), time.process_time()
     net.run(30 * SECOND + duration)
-    sent = sum(n.peer.sent for n in net.nodes.values() if n.peer) - sent_before
+    sent = sum(node.peer.sent for node in net.nodes.values() if node.peer) - sent_before
     seconds = members * duration / SECOND
     return sent / seconds, (time.process_time() - cpu_before) * 1e6 / seconds
 
 
 def propagation_time(members: int, loss: float, seed: int) -> tuple[float, float]:
-    """Return the seconds until 99 % of the members know one courier's observation, and the bytes that it sent."""
+    """Return the seconds until 99 % of the members know one courier's observation, and the bytes that it sent in 5 s.
+
+    Returns 20 s and 0 bytes if they do not know it within 20 s.
+    """
     net = SimulatedNetwork(members, seed, Faults(loss=loss), seeds=5, bytes_per_second=20_000)
     for name in net.nodes:
         net.start(name)
@@ -123,7 +130,10 @@
 
 
 def compare_scenario(scenario: str, couriers: int, seeds: range) -> None:
-    """Run a scenario with peers off and on, by seed: share served, messages that waited for a time-out, refusals."""
+    """Run a scenario with each seed, with peers off and on, and print what was served.
+
+    Printed as well: messages that waited for a time-out, refused calls, and errors that the checkers found.
+    """
     rows = []
     for seed in seeds:
         row = []
@@ -133,10 +143,11 @@
             row.append((report["served"], report["paid_a_time_out"], refused, len(report["faults"])))
         rows.append(row)
         print(
-            f"{scenario:<9} seed {seed}: served {row[0][0]:.3f} off, {row[1][0]:.3f} on; paid a time-out "
-            f"{row[0][1]}, {row[1][1]}; refused {row[0][2]}, {row[1][2]}; faults {row[0][3]}, {row[1][3]}"
+            f"{scenario:<9} seed {seed}: served {row[0][0]:.3f} off, {row[1][0]:.3f} on; waited for a "
+            f"time-out {row[0][1]}, {row[1][1]}; refused {row[0][2]}, {row[1][2]}; checker errors {row[0][3]}, "
+            f"{row[1][3]}"
         )
-    for n, name in enumerate(("served", "paid a time-out", "refused")):
+    for n, name in enumerate(("served", "waited for a time-out", "refused")):
         off, on = (statistics.mean(row[peers_on][n] for row in rows) for peers_on in (0, 1))
         print(f"{scenario:<12} {name}: {off:.3f} off, {on:.3f} on")
 
@@ -168,7 +179,7 @@
             print(
                 f"load {load_factor:.1f} {mode:<10} served {mean_share:.3f} of {ideal_share:.3f}: "
                 f"{mean_share / ideal_share:.2f}; minimum {min(runs)[0]:.3f}; most calls in a second {max_calls} of "
-                f"{CALLS}"
+                f"{CALL_LIMIT}"
             )
     for members in (10, 50, 200):
         bytes_per_second, cpu = idle_cost(members)
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -1,4 +1,4 @@
-"""One real courier process between stand-in servers of this process: start, observation and stop."""
+"""Starts, watches and stops one real courier process; its clients and stand-in servers run in this process."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from kestrelspar.standins.server import free_listener
 
 ROOT = Path(__file__).parent.parent
-HOPS, CLIENTS = 4, 8
-IDLE_TIME, POLL_INTERVAL = 20 * MS, 5 * MS  # a process that used no processor time for IDLE_TIME has finished its work
+HOPS, CLIENTS = 4, 8  # numbers of next hops and of concurrent clients
+IDLE_TIME, POLL_INTERVAL = 20 * MS, 5 * MS  # a process that used no processor time for IDLE_TIME counts as idle
 T = TypeVar("T")
 
 
@@ -30,17 +30,17 @@
     """A figure cannot be measured at this size; the text names the limit or the refusal."""
 
 
-def process_usage(process: int) -> tuple[float, int, int]:
+def process_usage(process_id: int) -> tuple[float, int, int]:
     """Return a process's processor time in seconds, and its current and peak resident memory in KB."""
-    lines = Path(f"/proc/{process}/status").read_text().splitlines()
+    lines = Path(f"/proc/{process_id}/status").read_text().splitlines()
     status = dict(line.split(":", 1) for line in lines if ":" in line)
-    # The clock id as clock_getcpuclockid(3) computes it: nanoseconds, where /proc/PID/stat has clock ticks.
-    clock = ~process << 3 | 2
+    # The clock id as clock_getcpuclockid(3) computes it. The clock counts nanoseconds, /proc/PID/stat only clock ticks.
+    clock = ~process_id << 3 | 2
     return time.clock_gettime_ns(clock) / 1e9, int(status["VmRSS"].split()[0]), int(status["VmHWM"].split()[0])
 
 
 def run_task(loop: Loop, call: Callable[..., T], *arguments: Any, timeout: int = 60 * SECOND) -> T:
-    """Run a task on the loop to its end and return its result; raises ``NotMeasured`` after ``timeout``."""
+    """Call a function in a task of the loop and return its result; raises ``NotMeasured`` after ``timeout``."""
     outcomes: list[tuple[T | None, BaseException | None]] = []
 
     def task() -> None:
@@ -51,7 +51,7 @@
 
     loop.spawn(task)
     deadline = loop.clock() + timeout
-    loop.call_at(deadline, lambda: None)  # wakes the loop up, which might wait forever in its last turn otherwise
+    loop.call_at(deadline, lambda: None)  # a timer, without which the last turn might wait forever
     while not outcomes:
         if loop.clock() >= deadline:
             raise NotMeasured(f"{call.__qualname__} did not end within {timeout // SECOND} s")
@@ -63,17 +63,17 @@
 
 
 def run_for(loop: Loop, duration: int) -> None:
-    """Run the stand-in servers for this long."""
+    """Run the loop, and with it the stand-in servers, for this long."""
     run_task(loop, loop.sleep, duration, timeout=duration + 10 * SECOND)
 
 
 class WatchDiscovery(platform.Discovery):
-    """Discovery that sends to a watch only later changes, and an empty line as keep-alive at once and each second."""
+    """Stand-in discovery whose watches get no list, only changes; an empty line at once and each second keeps alive."""
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop, rows)
         self._watches: list[Stream] = []
-        self._writing = False  # keeps an empty line out of the middle of a long list
+        self._writing = False  # while true, no empty line is sent, as it could split the line of an update
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
@@ -163,7 +163,7 @@
         return [line for line in self._log.read_text(errors="replace").splitlines() if f"event={event} " in f"{line} "]
 
     def open_stream(self) -> Stream:
-        """Connect to the HTTP front end; call it in a task."""
+        """Connect to the HTTP front end, and retry until it listens; call it in a task."""
         while True:
             self._check_running()
             sock = connect(self.loop, self.listen, self.loop.now + SECOND)
@@ -179,7 +179,7 @@
             )
 
     def get(self, path: str) -> tuple[int, bytes]:
-        """Return status and body of one of its pages; call it in a task."""
+        """Send a GET request for this path; return status and body of the response; call it in a task."""
         stream = self.open_stream()
         try:
             stream.write(parser.request("GET", path, "bench", {"Connection": "close"}), None)
@@ -198,12 +198,12 @@
             self.loop.sleep(2 * MS)
 
     def wait_ready(self, timeout: int = 180 * SECOND) -> tuple[float, float]:
-        """Wait until it serves; return the seconds of processor time and of wall time since its start."""
+        """Wait until ``/health/ready`` answers 200; return the seconds of processor and wall time since the start."""
         run_task(self.loop, self._wait_until_serving, timeout=timeout)
         return self.cpu, time.monotonic() - self.started_at
 
     def wait_idle(self, timeout: int = 60 * SECOND) -> float:
-        """Wait until it is idle; return its processor time then."""
+        """Wait until the courier has been idle for ``IDLE_TIME``; return the seconds of processor time that it used."""
         deadline, last_cpu, idle_since = self.loop.clock() + timeout, self.cpu, self.loop.clock()
         while self.loop.clock() < idle_since + IDLE_TIME:
             run_for(self.loop, POLL_INTERVAL)
@@ -223,7 +223,7 @@
     root: str | Path = ROOT,
     **options: Any,
 ) -> Iterator[Program]:
-    """Run a courier with these endpoints in ``known``, and ``options`` in its configuration, until the block ends."""
+    """Run a courier whose configuration has these endpoints (``known``) and ``options``, until the block ends."""
     with free_listener() as listener:
         host, port = listener.getsockname()
     config = platform.configuration(f"{host}:{port}", discovery, str(state_directory), **options)
@@ -267,10 +267,10 @@
 def start_load(
     courier: Program, rate: int, duration: int, classes: tuple[str, ...], synchronized: bool = False
 ) -> list[int]:
-    """Start clients that submit ``rate`` messages of 200 bytes a second to ``HOPS`` destinations in turn.
+    """Start clients that together submit ``rate`` messages a second, of 200 bytes, to ``HOPS`` destinations in turn.
 
-    The messages are evenly spaced, or sent by all clients at once (``synchronized``), which costs the courier less, as
-    it accepts them together. Returns a list that receives the statuses of the responses.
+    The messages are evenly spaced, or sent by all clients at the same time (``synchronized``), which costs the courier
+    less, as it accepts them together. Returns a list to which the status of each response is appended.
     """
     loop, statuses, started_at = courier.loop, list[int](), courier.loop.now
 
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -39,7 +39,7 @@
 class TimedLoop(Loop):
     """A loop that records its longest turn, from the return of poll to the turn's end."""
 
-    longest_turn = 0
+    longest_turn = 0  # microseconds
 
     def turn(self) -> None:
         """Run one turn; its time counts from the return of poll."""
@@ -48,7 +48,7 @@
 
 
 class CountingSender:
-    """A sender side that counts the messages that ended."""
+    """A sender side that counts the messages that reached a final state."""
 
     name = "http"
     end_count = 0
@@ -58,7 +58,7 @@
         return False
 
     def report_end(self, message: Message, end: End) -> None:
-        """Count one message."""
+        """Count a message that reached its final state."""
         self.end_count += 1
 
 
@@ -76,11 +76,13 @@
     return courier, HttpCarrier(loop, buffers, parsed_settings, 100), buffers
 
 
-def registry_section(wire: str, *ports: int) -> Registry:
-    """Return a registry section of the settings."""
+def registry_section(registry_type: str, *ports: int) -> Registry:
+    """Return a registry section of the settings, with servers at these ports."""
     return Registry(
         "bench",
-        schema.Registry(type=wire, servers=tuple(("127.0.0.1", port) for port in ports), prefix=PREFIX, keep=2_000_000),
+        schema.Registry(
+            type=registry_type, servers=tuple(("127.0.0.1", port) for port in ports), prefix=PREFIX, keep=2_000_000
+        ),
     )
 
 
@@ -104,11 +106,11 @@
 
 
 def quantile(durations: list[int], share: float) -> str:
-    """Format a quantile in milliseconds."""
+    """Format the ``share`` quantile of durations, given in microseconds, in milliseconds."""
     return f"{sorted(durations)[int(len(durations) * share)] / MS:.1f} ms" if durations else "-"
 
 
-def measure_listing(wire: str, endpoints: int) -> list[tuple[str, str]]:
+def measure_listing(registry_type: str, endpoints: int) -> list[tuple[str, str]]:
     """Measure time, memory and longest pause of reading the complete list, and the longest pause of saving it."""
     port, loop = free_port(), TimedLoop()
     process = start_stand_in(port, "--fill", str(endpoints))
@@ -116,7 +118,9 @@
         with tempfile.TemporaryDirectory() as state_directory:
             courier, carrier, buffers = make_courier(loop, state_directory)
             memory_before, started_at = rss(), loop.now
-            follower = Follower(loop, buffers, courier, carrier, registry_section(wire, port), state_directory, 1)
+            follower = Follower(
+                loop, buffers, courier, carrier, registry_section(registry_type, port), state_directory, 1
+            )
             follower.start()
             while not follower.sync.listed:
                 loop.turn()
@@ -128,27 +132,29 @@
             saved_bytes = sum(file.stat().st_size for file in Path(state_directory).glob("*.list"))
             assert len(courier.map.hops) == endpoints
             return [
-                (f"{wire}: complete list", f"{duration / SECOND:.2f} s"),
-                (f"{wire}: memory", f"{memory / 1024:.1f} MB"),
-                (f"{wire}: memory per endpoint", f"{memory * 1024 / endpoints:.0f} bytes"),
-                (f"{wire}: longest turn while listing", f"{longest_pause / MS:.1f} ms"),
-                (f"{wire}: longest turn later, while the list is saved", f"{loop.longest_turn / MS:.1f} ms"),
-                (f"{wire}: saved list", f"{saved_bytes / 1024:.0f} KB"),
+                (f"{registry_type}: complete list", f"{duration / SECOND:.2f} s"),
+                (f"{registry_type}: memory", f"{memory / 1024:.1f} MB"),
+                (f"{registry_type}: memory per endpoint", f"{memory * 1024 / endpoints:.0f} bytes"),
+                (f"{registry_type}: longest turn while listing", f"{longest_pause / MS:.1f} ms"),
+                (f"{registry_type}: longest turn later, while the list is saved", f"{loop.longest_turn / MS:.1f} ms"),
+                (f"{registry_type}: saved list", f"{saved_bytes / 1024:.0f} KB"),
             ]
     finally:
         process.kill()
         process.wait()
 
 
-def measure_churn(wire: str, endpoints: int, rate: int, seconds: int) -> list[tuple[str, str]]:
-    """Measure changes from the read that received them until the controller has them."""
+def measure_churn(registry_type: str, endpoints: int, rate: int, seconds: int) -> list[tuple[str, str]]:
+    """Measure the time from the read that received a change until the controller has it, and the longest turn."""
     port, loop = free_port(), TimedLoop()
     process = start_stand_in(port, "--fill", str(endpoints), "--churn", str(rate))
     delays: list[int] = []
     try:
         with tempfile.TemporaryDirectory() as state_directory:
             courier, carrier, buffers = make_courier(loop, state_directory)
-            follower = Follower(loop, buffers, courier, carrier, registry_section(wire, port), state_directory, 1)
+            follower = Follower(
+                loop, buffers, courier, carrier, registry_section(registry_type, port), state_directory, 1
+            )
             read_at, fill, apply_update = [0], Stream.fill, courier.apply_map_update
 
             def timed_fill(self: Stream, deadline: int | None) -> None:
@@ -169,11 +175,11 @@
             Stream.fill = fill  # type: ignore[method-assign]
             cpu = time.process_time() - cpu
             return [
-                (f"{wire}: changes received in {seconds} s", str(len(delays))),
-                (f"{wire}: read to controller, median", quantile(delays, 0.5)),
-                (f"{wire}: read to controller, 99%", quantile(delays, 0.99)),
-                (f"{wire}: longest turn", f"{loop.longest_turn / MS:.1f} ms"),
-                (f"{wire}: CPU", f"{100 * cpu / seconds:.0f} % of a core"),
+                (f"{registry_type}: changes received in {seconds} s", str(len(delays))),
+                (f"{registry_type}: read to controller, median", quantile(delays, 0.5)),
+                (f"{registry_type}: read to controller, 99%", quantile(delays, 0.99)),
+                (f"{registry_type}: longest turn", f"{loop.longest_turn / MS:.1f} ms"),
+                (f"{registry_type}: CPU", f"{100 * cpu / seconds:.0f} % of a core"),
             ]
     finally:
         process.kill()
@@ -181,13 +187,13 @@
 
 
 def measure_drain(rounds: int) -> list[tuple[str, str]]:
-    """Measure drains at 200 messages a second, from the read that received one to the last new call to the endpoint."""
+    """Measure the time from reading that an endpoint drains to the last new call to it, at 200 messages a second."""
     loop = TimedLoop()
     delays: list[int] = []
     with tempfile.TemporaryDirectory() as state_directory:
         courier, carrier, buffers = make_courier(loop, state_directory)
-        seen = platform.CallRecord()
-        hops = [platform.NextHop(loop, seen, n, platform.Behaviour(5 * MS, 10 * MS)) for n in range(2)]
+        call_record = platform.CallRecord()
+        hops = [platform.NextHop(loop, call_record, n, platform.Behaviour(5 * MS, 10 * MS)) for n in range(2)]
         store = Store()
         listener = free_listener()
         member = Member(loop, store, listener)
@@ -237,7 +243,7 @@
             store.put(f"{PREFIX}{drained.decode()}", endpoint_json(int(drained), "leaving"))
             while courier.map.hops[drained].endpoint.state is EndpointState.READY:
                 loop.turn()
-            read_at, stop_at = loop.now, loop.now + SECOND // 2  # the start of the turn that read it
+            read_at, stop_at = loop.now, loop.now + SECOND // 2  # now: the start of the turn that read the change
             while loop.now < stop_at:
                 loop.turn()
             delays.append(max(0, last_calls[drained] - read_at))
@@ -261,8 +267,8 @@
     options = parser.parse_args()
     logs.set_up(level="error", stream=open(os.devnull, "w"))  # noqa: SIM115
     rows = []
-    for wire in ("etcd", "consul"):
-        rows += measure_listing(wire, options.endpoints)
+    for registry_type in ("etcd", "consul"):
+        rows += measure_listing(registry_type, options.endpoints)
     rows += measure_churn("etcd", options.endpoints, options.churn, options.churn_for)
     rows += measure_churn("consul", 1_000, 20, min(10, options.churn_for))
     rows += measure_drain(20)
--- a/benchmarks/slope.py
+++ b/benchmarks/slope.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-RUNS = 3
-MIN_SIZES = 4
+RUNS = 3  # per size
+MIN_SIZES = 4  # per slope
 SETTINGS = ("real process", "modelled network", "pure module")
 
 
@@ -22,8 +22,8 @@
     doc: str  # what is measured, and in which setting (modelled network, one process ...)
     runs: int = RUNS
     setting: str = SETTINGS[0]  # one of SETTINGS: where the figures come from
-    # Figure -> (deciding figure, limit): a run that reaches the limit was cut off or held to a bound. Its value is
-    # shown, but not fitted, as the uncut value is unknown.
+    # Figure -> (deciding figure, limit): a run whose deciding figure reaches the limit was cut off or held to a bound.
+    # Its value of the figure is shown but not fitted, as the value without the cut-off is unknown.
     cut_off_at: dict[str, tuple[str, float]] = field(default_factory=dict)
 
     def is_complete(self, figure: str, figures: dict[str, float]) -> bool:
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.smpp [--rate 150] [--for 8] [--sessions 200] [--clump 1000] [--limit 50 100]
 
-The program is started as the platform starts it, with the SMPP front end enabled, between stand-in servers of this
-process.
+The program is started as the platform starts it, with the SMPP front end enabled. This process runs the stand-in
+servers around it and the clients.
 """
 
 from __future__ import annotations
@@ -68,13 +68,13 @@
         self.pid = 0
 
     @contextmanager
-    def program(self, slots: int = 16, most_open: int = 400, sessions: int = 300, deadline: int = 16) -> Iterator[None]:
-        """Run the program until the block ends."""
+    def program(self, slots: int = 16, max_open: int = 400, sessions: int = 300, deadline: int = 16) -> Iterator[None]:
+        """Run the program until the block ends; ``deadline``, in seconds, is that of messages of every class."""
         with tempfile.TemporaryDirectory() as state_directory:
             config: dict[str, Any] = platform.configuration(
                 f"127.0.0.1:{self.http[1]}", self.discovery.address, state_directory
             )
-            config["settings"] = platform.settings(slots, most_open)
+            config["settings"] = platform.settings(slots, max_open)
             for message_class in config["settings"]["classes"]:
                 message_class["deadline_ns"] = deadline * 1_000_000_000
             config["known"]["endpoints"] = self.rows
@@ -119,20 +119,20 @@
             self.loop.turn()
 
     def stream(self, address: tuple[str, int]) -> Stream:
-        """Connect to the program."""
+        """Connect to one of the program's addresses."""
         sock = connect(self.loop, address, self.loop.now + SECOND)
         assert sock is not None
         return Stream(self.loop, sock, self.buffers)
 
     def esme(self, command: Command = Command.BIND_TRANSMITTER) -> Esme:
-        """Return a bound ESME."""
+        """Return an ESME with a bound session."""
         client = Esme(self.loop, self.stream(self.smpp))
         client.bind(command, Credentials("acme", "secret"), 2 * SECOND)
         return client
 
 
 def submit_sm(number: int, destination: str) -> Pdu:
-    """Return the same message for SMPP as ``http_request`` for HTTP."""
+    """Return the PDU that submits over SMPP what ``http_request`` submits over HTTP: 200 bytes, classes in turn."""
     return Pdu(
         Command.SUBMIT_SM,
         fields={
@@ -163,7 +163,7 @@
 
 
 def compare_front_ends(rate: int, duration: int) -> None:
-    """Print the CPU per message at a steady rate, and the maximum submissions per second, for each front end."""
+    """Print the CPU per message at a steady rate, and the maximum submissions per second, for each front end, twice."""
     print(f"{'front':<8}{'rate':>8}{'success':>8}{'a second':>10}{'CPU per message':>16}")
     for steady in (True, False):
         for front_end in ("HTTP", "SMPP", "HTTP", "SMPP"):
@@ -246,7 +246,7 @@
 def measure_burst(count: int, limit: int) -> None:
     """Submit a burst at once and print how long the gateway takes to get all of it, against what its limit allows."""
     environment = Environment(limit)
-    with environment.program(slots=32, most_open=2 * count, deadline=120):
+    with environment.program(slots=32, max_open=2 * count, deadline=120):
         accepted = [0]
 
         def submit_all() -> None:
--- a/benchmarks/target.py
+++ b/benchmarks/target.py
@@ -21,12 +21,12 @@
     events_per_second: int = 3_200_000
     destinations: int = 1_400_000
     down: float = 0.028  # share of the destinations that is down at any time
-    backlog: int = 46_000_000_000  # waiting events
+    backlog: int = 46_000_000_000  # events that wait for delivery
     changes_per_day: int = 36_000  # of configuration
     in_force: float = 10.0  # seconds from the announcement of a change until it is in force everywhere
-    core: float = 0.012  # share of a courier's core for the control plane
-    memory_mb: float = 64.0  # of a courier for the control plane
-    bytes_a_second: int = 17_000  # of a courier for the control plane
+    core: float = 0.012  # share of a courier's core that the control plane may use
+    memory_mb: float = 64.0  # of a courier's memory that the control plane may use
+    bytes_a_second: int = 17_000  # of a courier's traffic that the control plane may use
     control_machines: int = 54
     machines_lost_per_day: int = 20
     restarts_per_day: int = 3_800  # or replacements
@@ -61,7 +61,7 @@
 
     @property
     def backlog_per_courier(self) -> float:
-        """Waiting events at one courier."""
+        """Events that wait for delivery at one courier."""
         return self.backlog / self.couriers
 
     @property
@@ -110,7 +110,7 @@
     disk_mb: float = 100_000.0  # of a courier's disk for messages
     control_mb: float = 60.0  # MB per second that a control machine sends at most
     broker_mb: float = 1_000.0  # memory of a control machine that a broker may use
-    control_core: float = 0.5  # share of a control machine's core for one kind of work
+    control_core: float = 0.5  # share of a control machine's core that one kind of work may use
     restart_in: float = 10.0  # seconds until a courier must serve again, and until every loss must be known
     spread: float = 30.0  # seconds over which the starts of a wave are spread
     long_outage: int = 3_600  # seconds for which the control plane may be unavailable
@@ -172,8 +172,7 @@
     PriorFigure("memory of listed endpoints", "listed", "memory", 50_000, 80.0, "MB"),
     PriorFigure("processor time of a start with listed endpoints", "listed", "start-cpu", 50_000, 4.9, "s"),
 )
-PRIOR_HOLLOW_GB = 100.0  # all couriers of the target as hollow couriers in one process: "over"
+PRIOR_HOLLOW_GB = 100.0  # for all couriers of the target as hollow couriers in one process; the users said "over"
 PRIOR_MAX_MEMBERS = 1_024  # members; more are refused
-PRIOR_OBSERVATION_MINUTES = (
-    1.0  # of a courier's bandwidth for one observation at the target: "minutes", so more than one
-)
+# Time that one observation takes of a courier's bandwidth at the target; the users said "minutes", so more than one.
+PRIOR_OBSERVATION_MINUTES = 1.0
