--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -30,19 +30,19 @@
     """
     failed_runs = 0
     print(f"{'fault':<40}  runs  bad  served  failed  none free  checks with a closed route")
-    for case in [each for each in CASES if not cases or any(part in each for part in cases)]:
-        seen: Counter[str] = Counter()
+    for case in [each for each in CASES if not cases or any(text in each for text in cases)]:
+        counts: Counter[str] = Counter()
         failed = 0
         for seed in seeds:
             result = run_case(case, seed, couriers)
-            seen.update(result.counts)
+            counts.update(result.counts)
             failed += bool(result.violations)
             if result.violations:
                 print(f"  seed {seed}: {result.violations[:2]}")
         failed_runs += failed
         print(
-            f"{case:<40} {len(seeds):>5} {failed:>4} {seen['served']:>7} {seen['failed']:>7} {seen['none free']:>10} "
-            f"{seen['looks with something left alone']:>8}",
+            f"{case:<40} {len(seeds):>5} {failed:>4} {counts['served']:>7} {counts['failed']:>7} "
+            f"{counts['none free']:>10} {counts['looks with something left alone']:>8}",
             flush=True,
         )
     return failed_runs
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -493,10 +493,10 @@
 
 def _losses(reading: Reading) -> list[str]:
     def lines() -> list[str]:
-        known = reading.at("members-churn", "loss-known", COURIERS)
-        known_in_group = reading.at("members-churn", "loss-known", TARGET.zone)
+        known_s = reading.at("members-churn", "loss-known", COURIERS)
+        known_in_group_s = reading.at("members-churn", "loss-known", TARGET.zone)
         transmissions = int(members.GOSSIP_FACTOR * math.log2(COURIERS + 2))
-        full, placed = list_bytes(reading, TARGET.destinations), list_bytes(reading, PLACED_DESTINATIONS)
+        full_bytes, placed_bytes = list_bytes(reading, TARGET.destinations), list_bytes(reading, PLACED_DESTINATIONS)
         table_rows = []
         for what, count, how_often in (
             ("a machine", ASSUMED.a_machine, f"{TARGET.machines_lost_per_day} a day"),
@@ -511,8 +511,8 @@
                     how_often,
                     number(count * TARGET.backlog_per_courier),
                     number(count * TARGET.events_per_courier),
-                    number(count * TARGET.events_per_courier * known),
-                    number(count * TARGET.events_per_courier * known_in_group),
+                    number(count * TARGET.events_per_courier * known_s),
+                    number(count * TARGET.events_per_courier * known_in_group_s),
                     number(count * COURIERS * transmissions),
                 ]
             )
@@ -524,8 +524,8 @@
                     "how often",
                     "events waiting there",
                     "events a second to be redirected",
-                    f"events sent there until the loss is known, {amount(known, 's')}",
-                    f"the same with groups of a zone, {amount(known_in_group, 's')}",
+                    f"events sent there until the loss is known, {amount(known_s, 's')}",
+                    f"the same with groups of a zone, {amount(known_in_group_s, 's')}",
                     "membership updates sent",
                 ],
                 table_rows,
@@ -543,13 +543,13 @@
             f"{number(_start_time(reading, TARGET.destinations) / TARGET.restart_interval)} couriers are starting at "
             f"any time, or {number(_start_time(reading, PLACED_DESTINATIONS) / TARGET.restart_interval)}.",
             "",
-            f"A wave of {TARGET.wave} that fetches the full list moves {amount(TARGET.wave * full, 'bytes')}, which "
-            f"takes the {TARGET.control_machines_per_region} machines of a region "
-            f"{amount(TARGET.wave * full / TARGET.control_machines_per_region / ASSUMED.control_mb / 1e6, 's')} at "
-            f"{number(ASSUMED.control_mb)} MB a second each; with the placed destinations only, it moves "
-            f"{amount(TARGET.wave * placed, 'bytes')}. At its own {amount(TARGET.bytes_a_second, 'bytes')} a second, "
-            f"one courier takes {amount(full / TARGET.bytes_a_second, 's')}, or "
-            f"{amount(placed / TARGET.bytes_a_second, 's')}.",
+            f"A wave of {TARGET.wave} that fetches the full list moves {amount(TARGET.wave * full_bytes, 'bytes')}, "
+            f"which takes the {TARGET.control_machines_per_region} machines of a region "
+            f"{amount(TARGET.wave * full_bytes / TARGET.control_machines_per_region / ASSUMED.control_mb / 1e6, 's')} "
+            f"at {number(ASSUMED.control_mb)} MB a second each; with the placed destinations only, it moves "
+            f"{amount(TARGET.wave * placed_bytes, 'bytes')}. At its own {amount(TARGET.bytes_a_second, 'bytes')} a "
+            f"second, one courier takes {amount(full_bytes / TARGET.bytes_a_second, 's')}, or "
+            f"{amount(placed_bytes / TARGET.bytes_a_second, 's')}.",
             "",
             f"If a region's links fail for {amount(ASSUMED.region_link, 's')} (assumed), each side declares the other "
             f"dead: {TARGET.region:,} couriers consider {COURIERS - TARGET.region:,} dead, and these consider "
@@ -584,17 +584,18 @@
     left = TARGET.control_machines - TARGET.control_machines_per_region
 
     def lines() -> list[str]:
-        cost = reading.at("list-change", "teller", TARGET.destinations) / 1e3
-        wire = reading.at("list-change", "wire", TARGET.destinations)
+        cost_ms = reading.at("list-change", "teller", TARGET.destinations) / 1e3
+        wire_bytes = reading.at("list-change", "wire", TARGET.destinations)
         missed = TARGET.changes_per_second * ASSUMED.long_outage
         return [
             "Sending all changes takes a machine "
-            f"{amount(TARGET.changes_per_second * COURIERS / TARGET.control_machines * cost, 'ms')} a second with all "
-            f"machines, {amount(TARGET.changes_per_second * COURIERS / left * cost, 'ms')} with {left}. A courier that "
-            f"received nothing for {amount(ASSUMED.long_outage, 's')} lacks {number(missed)} changes, "
-            f"{amount(missed * wire, 'bytes')}; {TARGET.region:,} of them at once need "
-            f"{amount(missed * wire * TARGET.region, 'bytes')}, which takes "
-            f"{amount(missed * wire * TARGET.region / left / ASSUMED.control_mb / 1e6, 's')} from {left} machines.",
+            f"{amount(TARGET.changes_per_second * COURIERS / TARGET.control_machines * cost_ms, 'ms')} a second with "
+            f"all machines, {amount(TARGET.changes_per_second * COURIERS / left * cost_ms, 'ms')} with {left}. A "
+            f"courier that received nothing for {amount(ASSUMED.long_outage, 's')} lacks {number(missed)} changes, "
+            f"{amount(missed * wire_bytes, 'bytes')}; {TARGET.region:,} of them at once need "
+            f"{amount(missed * wire_bytes * TARGET.region, 'bytes')}, which takes "
+            f"{amount(missed * wire_bytes * TARGET.region / left / ASSUMED.control_mb / 1e6, 's')} from {left} "
+            "machines.",
             "",
         ]
 
@@ -671,23 +672,23 @@
     def lines() -> list[str]:
         r = reading
         up_to = max(r.fit("list-change", "wire").means)
-        wire, courier_cost = r.at("list-change", "wire", up_to), r.at("list-change", "hearer", up_to)
-        reload_cost = r.at("config-change", "hearer", TARGET.destinations)
+        wire_bytes, courier_us = r.at("list-change", "wire", up_to), r.at("list-change", "hearer", up_to)
+        reload_ms = r.at("config-change", "hearer", TARGET.destinations)
         n = ASSUMED.burst_changes
         return [
             f"The users name no burst; {n:,} changes announced within one second are assumed, "
             f"{number(n / TARGET.changes_per_second)} times the mean. To each courier they are "
-            f"{amount(n * wire, 'bytes')}, {amount(n * wire / TARGET.bytes_a_second, 's')} of its "
-            f"{amount(TARGET.bytes_a_second, 'bytes')} a second, and {amount(n * courier_cost, 'us')} of its processor "
-            f"time, {amount(n * courier_cost / 1e3 / TARGET.processor_ms, 's')} of what the control plane may use (at "
-            f"{up_to:,} listed); to all {COURIERS:,} {amount(n * wire * COURIERS, 'bytes')}, "
-            f"{amount(n * wire * COURIERS / TARGET.control_machines / ASSUMED.control_mb / 1e6, 's')} from "
+            f"{amount(n * wire_bytes, 'bytes')}, {amount(n * wire_bytes / TARGET.bytes_a_second, 's')} of its "
+            f"{amount(TARGET.bytes_a_second, 'bytes')} a second, and {amount(n * courier_us, 'us')} of its processor "
+            f"time, {amount(n * courier_us / 1e3 / TARGET.processor_ms, 's')} of what the control plane may use (at "
+            f"{up_to:,} listed); to all {COURIERS:,} {amount(n * wire_bytes * COURIERS, 'bytes')}, "
+            f"{amount(n * wire_bytes * COURIERS / TARGET.control_machines / ASSUMED.control_mb / 1e6, 's')} from "
             f"{TARGET.control_machines} machines. If each change is sent only to the {ASSUMED.placed} couriers "
             f"interested in its destination, a courier receives {number(n * ASSUMED.placed / COURIERS)} of them.",
             "",
-            f"A configuration in a file that is read as a whole costs {amount(reload_cost, 'ms')} of processor time "
+            f"A configuration in a file that is read as a whole costs {amount(reload_ms, 'ms')} of processor time "
             f"per change with {TARGET.destinations:,} destinations in it: "
-            f"{number(reload_cost / 1e3 * TARGET.changes_per_second)} s in each second at the mean of "
+            f"{number(reload_ms / 1e3 * TARGET.changes_per_second)} s in each second at the mean of "
             f"{number(TARGET.changes_per_second)}. It is then read once for several changes, and late.",
             "",
         ]
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -185,7 +185,7 @@
 
 
 def _observations_at_broker(r: Reading, figure: str) -> float:
-    """Return one broker's load of observations.
+    """Return one broker's load of observations per second; ``figure`` is the load of one observation.
 
     Each destination that is down is probed once a second, and each failure is sent in ``REPORT_ROUNDS`` rounds to the
     owners of the destination in a region.
@@ -195,7 +195,10 @@
 
 
 def _renewals_at_broker(r: Reading, figure: str) -> float:
-    """Return one broker's load of leases: each courier of its region renews three times per term."""
+    """Return one broker's load of leases per second; ``figure`` is the load of one renewal.
+
+    Each courier of the broker's region renews three times per term.
+    """
     return TARGET.region * 3 * SECOND / LEASE_TERM * r.at("broker", figure, TARGET.region)
 
 
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -236,7 +236,7 @@
 
 
 def endpoint_row(number: int, address: str, group: int) -> dict[str, Any]:
-    """Return an endpoint in the format of discovery."""
+    """Return an endpoint of destination ``group``, in the format of discovery."""
     return {
         "name": f"hop-{number}",
         "address": address,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -161,7 +161,7 @@
 # Target
 
 
-def test_derived_target_figures() -> None:
+def test_derived_target_figures_follow_from_the_given_ones() -> None:
     assert TARGET.zone == 500 and TARGET.events_per_courier == 320 and TARGET.destinations_down == 39_200
     assert TARGET.backlog_per_courier == 4_600_000 and TARGET.control_machines_per_region == 9
     assert round(TARGET.couriers_per_control_machine) == 185 and round(TARGET.restart_interval) == 23
