--- a/benchmarks/capacity_courier.py
+++ b/benchmarks/capacity_courier.py
@@ -1,4 +1,4 @@
-"""Slopes of one real courier: by listed endpoints, by open messages, by messages per second.
+"""Slopes of one real courier: by endpoints in its lists and configuration, by open messages, by messages per second.
 
 The courier is a process of its own, started as the platform starts it; stand-in servers and clients run in this
 process, on loopback.
@@ -125,7 +125,7 @@
             moved = environment.random.randrange(size)
             rows[moved]["group"] = destination = FIRST_NEW_DESTINATION + change
             update = rows if snapshot else [rows[moved]]
-            if change % 2:
+            if change % 2:  # odd changes measure the delay, even ones the cost
                 delays.append(
                     run_task(environment.loop, _time_until_in_force, environment, stream, update, snapshot, destination)
                 )
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -46,7 +46,7 @@
 
 CONTROL_PLANE_BOUNDS = (PROCESSOR_TIME, MEMORY, BYTES)
 MEMBER_DATAGRAMS_PER_PERIOD = 2  # that a courier sends: its own probe, and the answer to the probe of another
-CONFIRMATION_FACTOR = 1.5  # an earlier figure within this factor counts as confirmed
+CONFIRMATION_FACTOR = 1.5  # an earlier figure within this factor of the measured one counts as confirmed
 # Slopes that measure the same figures before a mechanism was built and with it.
 BEFORE_AFTER_PAIRS = (
     ("word", "word-brokered"),
@@ -68,7 +68,7 @@
 
 
 def amount(value: float, unit: str) -> str:
-    """Format a figure with a unit of suitable scale."""
+    """Format a figure in a unit of suitable scale; ``unit``, the unit of the value, is one of those of a slope."""
     scales: dict[str, list[tuple[float, str]]] = {
         "bytes": [(1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1, "bytes")],
         "MB": [(1e6, "TB"), (1e3, "GB"), (1, "MB"), (1e-3, "KB")],
@@ -117,7 +117,7 @@
 
 
 def render(rows: list[MeasuredRun], slopes: dict[str, Slope]) -> str:
-    """Render the whole page."""
+    """Return the text of the whole page, in Markdown."""
     reading = Reading(slopes, rows)
     evaluated, not_evaluated = results(reading)
     parts: list[list[str]] = [
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -33,7 +33,7 @@
 
 
 class SlopeNotMeasured(Exception):
-    """A slope that a formula needs has not been measured; the only argument is its name."""
+    """A slope that a formula needs has complete rows of fewer than two sizes; the only argument is its name."""
 
 
 class MechanismStatus(StrEnum):
@@ -80,7 +80,7 @@
     Mechanism.COURIER: MechanismStatus.STANDS,
 }
 
-BUILT_FIRST = (Mechanism.GROUPS, Mechanism.WORDS)  # built first; the page says whether the ranking supports it
+BUILT_FIRST = (Mechanism.GROUPS, Mechanism.WORDS)  # the page says whether the ranking supports this choice
 
 
 @dataclass
@@ -148,7 +148,7 @@
     role: Role
     kind: str  # state, messages, processor time, memory, time
     what: str
-    formula_text: str
+    formula_text: str  # the formula of ``load`` in words
     load: Formula
     unit: str
     bound: float | Formula
@@ -161,7 +161,7 @@
 
 COURIERS = TARGET.couriers
 PLACED_DESTINATIONS = TARGET.destinations * ASSUMED.placed / COURIERS  # destinations per courier, with placement
-# Per second and courier, to destinations that are down, if the courier does not know that they are.
+# Calls per second of one courier to destinations that are down, if it does not know that they are.
 FAILED_CALLS = TARGET.events_per_courier * TARGET.down
 # Calls per second that one destination accepts from all couriers together.
 DESTINATION_LIMIT = ASSUMED.headroom * TARGET.events_per_destination
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -187,7 +187,7 @@
 
 
 def measure_drain(rounds: int) -> list[tuple[str, str]]:
-    """Measure the time from reading that an endpoint drains to the last new call to it, at 200 messages a second."""
+    """Measure the time from the turn that reads a drain to the last new call to its endpoint; 200 messages a second."""
     loop = TimedLoop()
     delays: list[int] = []
     with tempfile.TemporaryDirectory() as state_directory:
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -41,9 +41,9 @@
     """The stand-in servers, and the program between them."""
 
     def __init__(self, limit: int = 0) -> None:
-        self.loop, self.buffers, self.seen = Loop(), BufferPool(2048), platform.CallRecord()
+        self.loop, self.buffers, self.call_record = Loop(), BufferPool(2048), platform.CallRecord()
         self.hops = [
-            platform.NextHop(self.loop, self.seen, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)
+            platform.NextHop(self.loop, self.call_record, n, platform.Behaviour(10 * MS, 20 * MS)) for n in range(HOPS)
         ]
         self.rows = [
             {
