--- a/kestrelspar/lab/broker_simulation.py
+++ b/kestrelspar/lab/broker_simulation.py
@@ -1,14 +1,14 @@
 """Simulated runs of couriers in zones with brokers, each with one fault, and their checkers. See simulated_network.py.
 
-Couriers call the endpoints that they use, which are up or down in real time; they report what they observe, and avoid
-endpoints that others report as failing. The checkers know the real state of the endpoints:
-
-- a budget is never exceeded, see ``model.BudgetChecker``;
-- a courier never closes, by reports of others, all routes of a destination, nor more than half of its routes, nor any
-  route for longer than ``MAX_CLOSED_TIME``;
-- no courier closes an endpoint that has been up for ``MAX_STALE_TIME``, whatever was reported, unless there is a liar;
-- a single lying (Byzantine) courier or broker is distrusted in the end, and until then it closes endpoints only for
-  retry-after delays of a few seconds.
+Couriers call the endpoints that they use, report what they observe, and avoid endpoints that others report as failing.
+The checkers know which endpoints are really up, and check that:
+
+- a budget is never exceeded, see ``simulated_network.BudgetChecker``;
+- reports of other couriers never make a courier close all routes of a destination, more than half of all the routes
+  that it uses, or any route for longer than ``MAX_CLOSED_TIME``;
+- without a liar, no courier keeps a route closed by such reports if its endpoint has been up for ``MAX_STALE_TIME``;
+- a single lying (Byzantine) courier or broker closes routes for at most ``MAX_WAIT``, and is distrusted in the end: no
+  route is closed in the last 3 s of the run.
 """
 
 from __future__ import annotations
@@ -36,19 +36,18 @@
 from kestrelspar.peers.peer import Peer
 
 PROBE_INTERVAL = 200 * MS  # between the couriers' probes of an endpoint that is down
-MAX_WAIT = 2 * SECOND
-MAX_CLOSED_TIME = max(
-    MAX_WAIT, MAX_PROBE_RANK * PROBE_INTERVAL, OUTAGE_REPORT_MAX_AGE
-)  # longest time ahead that reports may close a route
-MAX_STALE_TIME = (
-    OUTAGE_REPORT_MAX_AGE + MAX_PROBE_RANK * PROBE_INTERVAL + SECOND
-)  # after so long an endpoint that is up is closed nowhere
-CALL_INTERVAL, FAILURE_TIME, SUCCESS_TIME = 200 * MS, 60 * MS, 10 * MS  # of calls for a destination; latency of a call
-OWN_CLOSED_TIME = 400 * MS  # that a courier avoids an endpoint after its own failed call
+MAX_WAIT = 2 * SECOND  # longest retry-after delay
+# The longest time ahead for which reports may close a route.
+MAX_CLOSED_TIME = max(MAX_WAIT, MAX_PROBE_RANK * PROBE_INTERVAL, OUTAGE_REPORT_MAX_AGE)
+# An endpoint that has been up for this long is closed at no courier.
+MAX_STALE_TIME = OUTAGE_REPORT_MAX_AGE + MAX_PROBE_RANK * PROBE_INTERVAL + SECOND
+# Interval between a courier's calls for one destination; latency of a failed and of a successful call.
+CALL_INTERVAL, FAILURE_TIME, SUCCESS_TIME = 200 * MS, 60 * MS, 10 * MS
+OWN_CLOSED_TIME = 400 * MS  # how long a courier avoids an endpoint after its own failed call
 CHECK_INTERVAL = 250 * MS
 RUN_DURATION = 14 * SECOND
-BUDGET_KEY, BUDGET_CALLS = "e:x", 60
-RESTRICTIONS_CACHE_TIME = 50 * MS  # restrictions are read as often as in the program
+BUDGET_KEY, BUDGET_CALLS = "e:x", 60  # calls per second
+RESTRICTIONS_CACHE_TIME = 50 * MS  # restrictions are read again at this interval, as by a real courier
 
 
 @dataclass(slots=True)
@@ -56,25 +55,26 @@
     """The simulated network, the real state of the endpoints, and the checkers' results."""
 
     net: SimulatedNetwork
-    endpoints: dict[str, int]  # their destinations
-    down: dict[str, tuple[int, int]] = field(default_factory=dict)  # begin and end of an endpoint's outage
+    endpoints: dict[str, int]  # by endpoint: the number of its destination
+    down: dict[str, tuple[int, int]] = field(default_factory=dict)  # by endpoint: begin and end of its outage
     honest: set[str] = field(default_factory=set)
     has_liar: bool = False
     violations: list[str] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)  # calls served, failed; checks with a closed route
-    last_closed_at: int = 0  # when a courier last had a route closed by reports
-    own_closed: dict[tuple[str, str], int] = field(default_factory=dict)  # by courier and endpoint: until when
-    restrictions: dict[str, tuple[int, dict[str, RouteRestriction]]] = field(
-        default_factory=dict
-    )  # by courier: when read, cached
+    # Calls served, calls failed, calls not made for lack of an open route, and checks that found a closed route.
+    counts: Counter[str] = field(default_factory=Counter)
+    last_closed_at: int = 0  # when a check last found a route closed by reports
+    # By courier and endpoint: until when the courier avoids it after its own failed call.
+    own_closed: dict[tuple[str, str], int] = field(default_factory=dict)
+    # By courier: its cached restrictions, and when they were read.
+    restrictions: dict[str, tuple[int, dict[str, RouteRestriction]]] = field(default_factory=dict)
 
     def up(self, endpoint: str, since: int) -> bool:
-        """Whether an endpoint has been up since that time."""
+        """Whether an endpoint has been up from ``since`` until now."""
         begin, end = self.down.get(endpoint, (0, 0))
         return end <= since or begin > self.net.now
 
-    def holds(self, node: Node, peer: Peer) -> dict[str, RouteRestriction]:
-        """A courier's restrictions by reports of others, read at most every 50 ms as in the program."""
+    def restrictions_of(self, node: Node, peer: Peer) -> dict[str, RouteRestriction]:
+        """A courier's restrictions by reports of others, cached for ``RESTRICTIONS_CACHE_TIME``."""
         read_at, restrictions = self.restrictions.get(node.name, (-SECOND, {}))
         if self.net.now - read_at >= RESTRICTIONS_CACHE_TIME:
             now = node.clock(self.net.now)
@@ -93,7 +93,7 @@
         peer = node.peer
         if peer is None or node.paused_until > net.now:
             return
-        restrictions, now = self.holds(node, peer), node.clock(net.now)
+        restrictions, now = self.restrictions_of(node, peer), node.clock(net.now)
         candidates = [route for route, destination in peer.observations._routes.items() if destination == dest]
         available = [
             route
@@ -108,7 +108,7 @@
         success = self.up(endpoint, net.now)
         self.counts["served" if success else "failed"] += 1
 
-        def ended() -> None:
+        def record_outcome() -> None:
             if node.peer is not peer or node.paused_until > net.now:
                 return
             if not success:
@@ -117,7 +117,7 @@
                 endpoint, CallOutcome.SERVED if success else CallOutcome.FAILED, now, node.clock(net.now)
             )
 
-        net.at(net.now + (SUCCESS_TIME if success else FAILURE_TIME), ended)
+        net.at(net.now + (SUCCESS_TIME if success else FAILURE_TIME), record_outcome)
 
     def check(self) -> None:
         """Check the restrictions of all honest couriers, and schedule the next check."""
@@ -157,9 +157,11 @@
 
 
 def world(seed: int, couriers: int = 30, loss: float = 0.0, brokers: int = 3, old: bool = False) -> World:
-    """Couriers in three zones of two regions, each with three of six destinations of two endpoints, and one budget.
+    """Start couriers and brokers in three zones of two regions, with calls, checks, and traffic under one budget.
 
-    ``old``: all couriers start without groups and brokers.
+    There are six destinations with two endpoints each, and each courier uses three of them. ``brokers``: their number
+    in each region. ``loss``: share of the datagrams that is lost. ``old``: all couriers start without groups and
+    brokers.
     """
     net = SimulatedNetwork(
         couriers,
@@ -206,7 +208,7 @@
 
 
 def _broker_stopped(w: World) -> None:
-    w.net.pause("x/b1", 5 * SECOND)  # while an endpoint goes down
+    w.net.pause("x/b1", 5 * SECOND)  # so that it is paused when endpoints go down at 5 s and 7 s
     w.net.pause("y/b1", 16 * SECOND)  # longer than its lease term, in runs that last long enough
 
 
@@ -251,7 +253,7 @@
 
 
 def _lying_courier(w: World) -> None:
-    """A courier sends false observations to the brokers of its region and all its group, several times a second."""
+    """A courier sends false observations to the brokers of its region and its whole group, several times a second."""
     w.has_liar = True
     w.down = {}
     liar = w.net.nodes["n0"]
@@ -321,7 +323,8 @@
     w.net.brokers["x/b0"].byzantine_behavior = lie
 
 
-CASES: dict[str, tuple[Callable[[World], None], float]] = {  # fault, and share of datagrams that is lost
+# By case: its fault, and the share of the datagrams that is lost.
+CASES: dict[str, tuple[Callable[[World], None], float]] = {
     "calm": (_no_fault, 0.0),
     "a broker killed": (_broker_killed, 0.0),
     "brokers started empty": (_broker_empty, 0.0),
@@ -339,7 +342,7 @@
 
 
 def run_case(case: str, seed: int, couriers: int = 30, duration: int = RUN_DURATION) -> World:
-    """Run one case to its end; violations found by the checkers are in ``violations``."""
+    """Run one case to its end; the violations that the checkers found are in ``violations`` of the result."""
     begin, loss = CASES[case]
     w = world(seed, couriers, loss, old=begin is _rolling_upgrade)
     random = w.net.random
@@ -364,7 +367,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """How one courier's observation spread."""
+    """How far, how fast and with how many bytes one courier's observation spread."""
 
     seconds: float  # until 99 % of the couriers that use the endpoint had received it; 20 if they had not within 5 s
     witness_bytes: int  # bytes of the datagrams that the witness sent for it
@@ -376,9 +379,10 @@
 def start_fleet(
     seed: int, members: int, group: int, user_count: int, loss: float = 0.0, old: bool = False, brokers: int = 3
 ) -> tuple[SimulatedNetwork, list[str]]:
-    """Couriers in groups of two regions, 30 s after they started together, and the users of one destination.
+    """Run couriers in groups of two regions for 30 s; return the network, and the couriers that use destination 1.
 
-    ``user_count``: number of its users.
+    ``group``: number of couriers in a group; ``user_count``: number of couriers that use destination 1; ``brokers``:
+    their number in each region; ``old``: without groups and brokers.
     """
     groups = max(1, -(-members // group))
     net = SimulatedNetwork(
@@ -404,7 +408,10 @@
 def measure_propagation(
     seed: int, members: int, group: int = 50, user_count: int = 8, loss: float = 0.0, old: bool = False
 ) -> Propagation:
-    """Measure how one failure that a courier observes spreads; ``old``: without groups and brokers, all to all."""
+    """Measure how the report of one failed call spreads.
+
+    ``old``: without groups and brokers, so that each courier reports to all others.
+    """
     net, users = start_fleet(seed, members, group, user_count, loss, old)
     witness = net.nodes[users[0]]
     assert witness.peer is not None
@@ -419,7 +426,7 @@
 
     witness.peer.sealer.seal = counting_seal  # type: ignore[method-assign]
     witness.peer.observations.record_call("e", CallOutcome.FAILED, at, at)
-    seconds, knew = 20.0, 0.0
+    seconds, share_after_3_s = 20.0, 0.0
     while net.now < begin + 5 * SECOND:
         net.run(net.now + 5 * MS)
         share = sum(
@@ -430,15 +437,15 @@
         if share >= 0.99 and seconds == 20.0:
             seconds = (net.now - begin) / SECOND
         if net.now <= begin + 3 * SECOND:
-            knew = share
+            share_after_3_s = share
     others = [node for node in net.nodes.values() if node.peer is not None and node.name not in users]
-    informed = sum(bool(node.peer.observations._records) for node in others if node.peer is not None)
+    uninterested_receivers = sum(bool(node.peer.observations._records) for node in others if node.peer is not None)
     return Propagation(
         seconds,
         witness_bytes[0],
         sum(broker.sent for broker in running_brokers(net)) - broker_bytes,
-        knew,
-        informed,
+        share_after_3_s,
+        uninterested_receivers,
     )
 
 
--- a/kestrelspar/lab/checkers.py
+++ b/kestrelspar/lab/checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of a run on the rig, which see only what member systems received and what clients were sent."""
+"""Checkers of a run on the test rig. They see only what member systems received and what clients were sent."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 def max_calls_per_second(calls: Iterable[Call], window: int = SECOND) -> int:
     """Return the most calls, including refused ones, that a member system received within any ``window``.
 
-    If timestamps may be late, pass one second less the largest delay: calls stamped within that time arrived within one
-    second.
+    If timestamps may be late by up to some delay, pass one second less that delay: calls whose timestamps lie within
+    such a window arrived within one second.
     """
     recent: deque[int] = deque()
     most = 0
@@ -40,8 +40,9 @@
 def delivery_violations(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
     """Describe the accepted messages without an end, messages with several ends, and payments that ran twice.
 
-    A message that ran may have been reported as failed or returned, if its answer was lost or late. So a message is
-    wrong only if it neither ran nor was reported, or if it was reported with two different states.
+    A message that ran may have been reported as failed or returned, if its answer was lost or late. So a message
+    counts as one without an end only if it neither ran nor was reported, and as one with several ends only if it was
+    reported with different states.
     """
     ran = Counter(call.trace for call in calls if call.accepted)
     found = []
--- a/kestrelspar/lab/child.py
+++ b/kestrelspar/lab/child.py
@@ -24,7 +24,7 @@
 
 
 class _Pipe:
-    """A descriptor that the event loop can wait on: of a socket it uses only ``fileno``."""
+    """A file descriptor in place of a socket: the event loop calls only ``fileno`` of the sockets that it waits for."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -53,24 +53,25 @@
 
 def serve(loop: Loop, on_command: Callable[[dict[str, Any]], None]) -> None:
     """In the helper process: handle commands until stdin is closed."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal signals all; the parent decides and closes stdin
+    # A terminal sends SIGINT to the parent and its helpers; the parent ends the helpers by closing their stdin.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     loop.spawn(read_objects, loop, 0, on_command, loop.stop)
-    with suppress(BrokenPipeError):  # the parent reads no more reports
+    with suppress(BrokenPipeError):  # the parent has closed the pipe of reports
         loop.run()
 
 
 def send_report(report: dict[str, Any]) -> None:
-    """In the helper process: send one report; raises ``BrokenPipeError`` if the parent reads no more."""
+    """In the helper process: send one report; raises ``BrokenPipeError`` if the parent has closed the pipe."""
     data = ujson.dumps(report).encode() + b"\n"
     while data:
         data = data[os.write(1, data) :]
 
 
 class HelperProcess:
-    """In the parent: handle of one helper process."""
+    """In the parent: a handle for one helper process."""
 
     def __init__(self, loop: Loop, module: str, on_report: Callable[[dict[str, Any]], None], name: str = "") -> None:
-        """Start the process; ``on_report`` is called with its reports, and its stderr is that of this process."""
+        """Start the process, with the stderr of this one; ``on_report`` is called with each of its reports."""
         self.name, self.ended = name or module, False
         environment = dict(os.environ) | {"PYTHONPATH": str(ROOT)}
         self.process = subprocess.Popen(
@@ -95,7 +96,7 @@
             self._stdin.close()
 
     def kill(self) -> None:
-        """Kill it, also if it is stopped by a signal, and wait for its exit."""
+        """Kill it, which works also while it is stopped by SIGSTOP, and wait for its exit."""
         self.close()
         if self.process.poll() is None:
             self.process.kill()
