--- a/kestrelspar/__main__.py
+++ b/kestrelspar/__main__.py
@@ -1,6 +1,6 @@
-"""Entry point of ``python -m kestrelspar``: without arguments it runs the courier, with a verb the command line.
+"""Entry point of ``python -m kestrelspar``: without arguments it runs the courier, with arguments the command line.
 
-The platform's `run` line uses it without arguments.
+The `run` command of the platform's deployment file has no arguments.
 """
 
 from __future__ import annotations
--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -28,7 +28,7 @@
 
 READY_TIMEOUT = 15 * SECOND
 SETTLE_TIMEOUT = 20 * SECOND  # after the last submission: covers the longest deadline and delivery of its notice
-GROUPS = (1, 2)
+GROUPS = (1, 2)  # numbers of the destinations
 
 
 @dataclass
@@ -46,11 +46,12 @@
 
     def __init__(self, loop: Loop, directory: Path, rate: float, seed: int) -> None:
         self.loop, self.rate, self.random = loop, rate, random.Random(seed)
-        self.buffers, self.seen = BufferPool(1024), CallRecord()
+        self.buffers, self.call_record = BufferPool(1024), CallRecord()
         self.sent: dict[str, SentMessage] = {}  # by trace id
         behaviours = (Behaviour(), Behaviour(min_latency=40 * MS, refused=0.05, error=0.03))
         hops = [
-            platform.NextHop(loop, self.seen, seed + index, behaviour) for index, behaviour in enumerate(behaviours)
+            platform.NextHop(loop, self.call_record, seed + index, behaviour)
+            for index, behaviour in enumerate(behaviours)
         ]
         rows = [
             {
@@ -135,7 +136,7 @@
         sent = self.sent[trace]
         if sent.status != 202:
             return ["returned"] if sent.status in (429, 503) else ["not answered"]
-        delivered = ["delivered"] if trace in self.seen.first_answered_at else []
+        delivered = ["delivered"] if trace in self.call_record.first_answered_at else []
         return delivered + sorted(set(sent.notices))
 
     def pending(self) -> int:
@@ -158,7 +159,9 @@
 
     def progress_text(self) -> str:
         """Counts of messages for the progress bar."""
-        return f"{len(self.sent)} submitted, {len(self.seen.first_answered_at)} delivered, {self.pending()} pending"
+        return (
+            f"{len(self.sent)} submitted, {len(self.call_record.first_answered_at)} delivered, {self.pending()} pending"
+        )
 
     def stop(self) -> int:
         """Stop the courier by SIGTERM, killing it after 5 s, and return its exit code."""
@@ -170,14 +173,14 @@
             return self.process.wait()
 
     def errors(self) -> list[str]:
-        """Messages without exactly one outcome, and payments that were executed more than once."""
+        """Texts about messages without exactly one outcome, and about payments executed more than once."""
         errors = []
         for trace, sent in self.sent.items():
             outcomes = self.outcomes(trace)
             if len(outcomes) != 1 or outcomes == ["not answered"]:
                 errors.append(f"{sent.cls} {trace}: {', '.join(outcomes) or 'no outcome'}")
-            if sent.cls == "payment" and self.seen.effects[trace] > 1:
-                errors.append(f"{sent.cls} {trace}: executed {self.seen.effects[trace]} times")
+            if sent.cls == "payment" and self.call_record.effects[trace] > 1:
+                errors.append(f"{sent.cls} {trace}: executed {self.call_record.effects[trace]} times")
         return errors
 
     def table(self) -> Table:
@@ -189,9 +192,9 @@
             traces = [trace for trace, sent in self.sent.items() if sent.cls == cls]
             outcomes = [outcome for trace in traces for outcome in self.outcomes(trace)]
             latencies = sorted(
-                self.seen.first_answered_at[t] - self.sent[t].submitted_at
+                self.call_record.first_answered_at[t] - self.sent[t].submitted_at
                 for t in traces
-                if t in self.seen.first_answered_at
+                if t in self.call_record.first_answered_at
             )
             table.add_row(
                 cls,
@@ -223,7 +226,7 @@
     with tempfile.TemporaryDirectory(prefix="kestrelspar-demo-") as directory:
         demo = Demo(loop, Path(directory), rate, seed)
         with Progress(TextColumn("demo"), BarColumn(), TextColumn("{task.fields[text]}"), console=console) as progress:
-            # The column {task.fields[text]} needs the field from the first refresh on.
+            # The column {task.fields[text]} needs the field from the first refresh on, so each new task gets it.
             add, progress.add_task = progress.add_task, lambda *a, **k: add(*a, text="", **k)  # type: ignore[method-assign]
 
             def run_demo() -> None:
@@ -248,4 +251,6 @@
         click.echo(line, err=True)
     if errors:
         raise CommandError(f"{len(errors)} errors; each message should have exactly one outcome")
-    console.print(f"{len(demo.sent)} messages, each with exactly one outcome; {demo.seen.calls} calls to next hops.")
+    console.print(
+        f"{len(demo.sent)} messages, each with exactly one outcome; {demo.call_record.calls} calls to next hops."
+    )
--- a/kestrelspar/cli/journal.py
+++ b/kestrelspar/cli/journal.py
@@ -14,14 +14,14 @@
 from rich.table import Table
 
 from kestrelspar.cli.main import CommandError, ConfigurationError
-from kestrelspar.journal import read as reading
+from kestrelspar.journal import read as journal_reader
 from kestrelspar.settings import platform
 
 MAX_JOURNAL_BYTES = 1_000_000_000  # the file is read into memory
 
 
 def _state_directory(state: str | None) -> Path:
-    """The state directory: ``--state``, else the one of the platform's configuration."""
+    """The state directory of ``--state``; without the option, that of the platform's configuration."""
     if state is not None:
         return Path(state)
     try:
@@ -30,16 +30,17 @@
         raise ConfigurationError(ValueError(f"--state is not given, and {error}")) from error
 
 
-def _read_journal(state: str | None) -> tuple[Path, reading.JournalContent]:
+def _read_journal(state: str | None) -> tuple[Path, journal_reader.JournalContent]:
     path = _state_directory(state) / "journal"
     try:
-        with open(path, "rb") as file:  # a compaction renames a new file over this one; the open file stays complete
+        # A compaction replaces the file by renaming a new one; the file opened here stays complete.
+        with open(path, "rb") as file:
             data = file.read(MAX_JOURNAL_BYTES + 1)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from error
     if len(data) > MAX_JOURNAL_BYTES:
         raise CommandError(f"{path} has more than {MAX_JOURNAL_BYTES} bytes")
-    return path, reading.read(data)
+    return path, journal_reader.read(data)
 
 
 def _format_time(at: int | None) -> str:
@@ -84,7 +85,7 @@
         )
     if as_json:
         for history in selected:
-            click.echo(ujson.dumps(reading.row(history), escape_forward_slashes=False))
+            click.echo(ujson.dumps(journal_reader.row(history), escape_forward_slashes=False))
         return
     rows = Table("trace", "class", "dest", "state", "attempts", "deadline")
     for history in selected:
@@ -114,7 +115,7 @@
     """
     _, journal = _read_journal(state)
     for history in journal.histories.values():
-        click.echo(ujson.dumps(reading.row(history, bodies), escape_forward_slashes=False))
+        click.echo(ujson.dumps(journal_reader.row(history, bodies), escape_forward_slashes=False))
 
 
 @verb.command()
--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -96,7 +96,7 @@
     "--model",
     default="",
     metavar="N[,N...]",
-    help="Also run so many couriers on the modelled network, in simulated time.",
+    help="Also run this many couriers on the modelled network, in simulated time; several numbers give one run each.",
 )
 @click.option(
     "--zones", type=click.IntRange(1), default=2, show_default=True, help="Number of zones, each behind a relay."
@@ -124,13 +124,14 @@
     type=click.FloatRange(0, 0.5),
     default=0.001,
     show_default=True,
-    help="Share of its calls that fail; an equal share is answered with a retry-after delay.",
+    help="Share of a hollow courier's calls that fail; an equal share is refused with a retry-after delay.",
 )
 @click.option("--period", type=DURATION, default="1s", show_default=True, help="Interval between probes of members.")
 @click.option(
     "--compare",
     is_flag=True,
-    help="Compare hollow to real couriers: no messages, and also real couriers without peers.",
+    help="Compare the costs of hollow and real couriers: without messages, and with two more real couriers that have "
+    "peers disabled.",
 )
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the whole report to this file, as JSON.")
 @click.option(
@@ -154,13 +155,13 @@
 ) -> None:
     """Run real and hollow couriers together, in zones behind relays, under a fault.
 
-    A hollow courier runs only the exchange between couriers, over real datagrams, with random calls and no messages:
-    hundreds share a process. Results of runs that fell behind real time are marked. The limits of 12 GB and 200
-    processes hold whatever is requested. Exit code 1 if a checker found an error, 2 if the requested size exceeds the
-    limits, 130 or 143 after a signal.
+    A hollow courier runs only the exchange between couriers, over real datagrams, with random calls and no messages, so
+    that hundreds share a process. Results of runs that fell behind real time are marked. No run takes more than 12 GB
+    and 200 processes. Exit code 1 if a checker found an error, 2 if the requested size exceeds these limits, 130 or 143
+    after a signal.
 
-    With --model the same is run on the modelled network, in simulated time, which can be slower than real time; the
-    table says which results are from which.
+    With --model the same is run on the modelled network, in simulated time, which can pass more slowly than real time.
+    The table says of each result whether it is from real time or from the modelled network.
 
     \b
     Example:
@@ -224,7 +225,10 @@
 
 
 def progress(console: Console, status: Status) -> Callable[[str], None]:
-    """Return a function that shows progress: in place on a terminal, else a line per phase and every 5 s."""
+    """Return a function that shows progress texts, which begin with their phase and a colon.
+
+    On a terminal the text is replaced in place. Otherwise a line is printed when the phase changes, and every 5 s.
+    """
     last_printed: list[Any] = [0.0, ""]  # time and phase
 
     def show(text: str) -> None:
@@ -247,7 +251,7 @@
     return (
         f"{couriers}: members known after {run['known_s']} s, {run['processes']} processes, {run['memory_mb']} MB"
         + (
-            f", {run['fault_name']} of {run['hit']} settled after {run['settled_s']} s"
+            f", fault {run['fault_name']} hit {run['hit']} couriers, members known again after {run['settled_s']} s"
             if run["fault_name"] != "none"
             else ""
         )
@@ -255,7 +259,7 @@
 
 
 def _size_table(runs: list[dict[str, Any]]) -> Table:
-    """Two rows for each size: at rest, and during the fault."""
+    """Rows for each run: one at rest, and one during the fault if there was one."""
     table = Table(
         padding=0,
         title="By size; per courier and second: CPU in ms (hollow / hollow in a process of its own / "
--- a/kestrelspar/cli/main.py
+++ b/kestrelspar/cli/main.py
@@ -1,4 +1,4 @@
-"""Root of the command line. Each command's module is imported on use, since most need only a part of the program."""
+"""Root of the command line. A command's module is imported only when used: most need only a part of the program."""
 
 from __future__ import annotations
 
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -74,7 +74,7 @@
 
 
 class Client:
-    """Client of one registry for operators; tries its members in the configured order."""
+    """Client of one registry for operators; tries the registry's members in the configured order."""
 
     def __init__(self, config: resolve.Registry) -> None:
         self.config = config
@@ -91,7 +91,7 @@
         return Etcd(link, self.config) if self.config.section.type == "etcd" else Consul(link, self.config)
 
     def _call_first_available(self, call: Callable[[Etcd | Consul], T]) -> T:
-        """Result of the call on the first member that answers."""
+        """Result of the call on the first member that answers; ``CommandError`` if none does."""
 
         def work(loop: Loop) -> T:
             errors = []
@@ -115,10 +115,10 @@
         )
 
     def change(self, row_key: str, value: bytes | None, expected: int) -> None:
-        """Put or delete the key if it is unchanged since it was read; ``CommandError`` otherwise.
+        """Put the key, or delete it if ``value`` is None; ``CommandError`` if that fails or the key has changed.
 
-        The change is sent to one member only: if its response is lost, the change may have been made or not, so it is
-        not repeated elsewhere.
+        ``expected``: revision of the key when it was read; 0 if it did not exist. The change is sent to one member
+        only: if the response is lost, the change may have been made or not, so it is not sent to another one.
         """
 
         def work(loop: Loop) -> bool:
@@ -235,7 +235,7 @@
 
 
 class _Viewer:
-    """Takes the courier's place at a ``Follower`` and prints the changes that it reports."""
+    """Stands in for the courier to which a ``Follower`` passes the list, and prints the changes."""
 
     def __init__(self, as_json: bool) -> None:
         self.settings, self.map, self.as_json = VIEWER_SETTINGS, TransportMap(), as_json
@@ -263,7 +263,7 @@
 
 
 class _NullCarrier:
-    """Carrier for a follower whose entries are only shown: it makes no delivery attempts."""
+    """Carrier that makes no delivery attempts, for a ``Follower`` whose entries are only shown."""
 
     def attempt(self, *_: object) -> NoReturn:
         """Not called, since the viewer submits no messages."""
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -20,7 +20,7 @@
 from kestrelspar.settings import kinds
 from kestrelspar.settings.kinds import address as address_kind
 from kestrelspar.settings.resolve import MAX_PASSWORD_LENGTH
-from kestrelspar.smpp import conform as cases_of
+from kestrelspar.smpp import conform as conformance
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import probe
 from kestrelspar.smpp.pdu import Command, Pdu
@@ -76,7 +76,7 @@
 
 
 class _EsmeRunner:
-    """Runs a function as a task on a loop of its own, with a dialer and an account for ESME sessions."""
+    """Runs a function as a task on a loop of its own. It has a dialer and an account for ESME sessions."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         except ValueError as error:
             raise ConfigurationError(error) from error
         self.loop, self.buffers = Loop(), BufferPool(64)
-        self.account = cases_of.Credentials(account, password, **account_fields)
+        self.account = conformance.Credentials(account, password, **account_fields)
         self.dial = probe.tcp_dialer(self.loop, self.buffers, address)
         if authorities is not None:
             import ssl
@@ -124,13 +124,16 @@
         if errors:
             raise CommandError(str(errors[0]) or type(errors[0]).__name__.lower())
 
-    def bound(self, how: Command, within: int, on_deliver: Callable[[Pdu], None]) -> probe.Esme:
-        """Connect and bind; return the session, which passes received messages to ``on_deliver``."""
-        stream = self.dial(self.loop.now + within)
+    def bound(self, bind_command: Command, timeout: int, on_deliver: Callable[[Pdu], None]) -> probe.Esme:
+        """Connect and bind; return the session, which passes received messages to ``on_deliver``.
+
+        Raises ``ProbeError`` if there is no connection or the bind is refused. ``timeout`` is that of each step.
+        """
+        stream = self.dial(self.loop.now + timeout)
         if stream is None:
             raise probe.ProbeError("no connection")
         esme = probe.Esme(self.loop, stream, on_deliver)
-        esme.bind(how, self.account, within)
+        esme.bind(bind_command, self.account, timeout)
         return esme
 
 
@@ -177,9 +180,9 @@
         destination=destination,
         service_type=service_type,
     )
-    selected = [case for case in cases_of.cases(runner.account) if not groups or case.group in groups]
+    selected = [case for case in conformance.cases(runner.account) if not groups or case.group in groups]
     if not selected:
-        known_groups = sorted({case.group for case in cases_of.cases(runner.account)})
+        known_groups = sorted({case.group for case in conformance.cases(runner.account)})
         raise click.UsageError(f"no such group (there are: {', '.join(known_groups)})")
     verdicts: list[probe.Verdict] = []
     runner.run(
@@ -209,12 +212,12 @@
             )
         )
     else:
-        _print(verdicts)
+        _print_verdicts(verdicts)
     if failed:
         raise SystemExit(1)
 
 
-def _print(verdicts: list[probe.Verdict]) -> None:
+def _print_verdicts(verdicts: list[probe.Verdict]) -> None:
     console, failed = Console(), [verdict for verdict in verdicts if verdict.fault]
     if failed:
         rows = Table("case", "clause", "wanted", "fault")
@@ -229,7 +232,7 @@
     console.print(rows)
 
 
-def _show(pdu: Pdu) -> None:
+def _print_message(pdu: Pdu) -> None:
     body = pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b""
     click.echo(
         f"{datetime.now(UTC):%H:%M:%S} {pdu.command.name.lower()} from {pdu.text('source_addr') or '-'} to "
@@ -265,18 +268,18 @@
     Example:
       kestrelspar smpp send 127.0.0.1:2775 --account acme --password-file acme.password --to 3725550 "Tere!"
     """
-    from kestrelspar.smpp import alphabets as texts
+    from kestrelspar.smpp import alphabets
 
     runner = _EsmeRunner(address, account, password_file, authorities, server_name)
     received: list[Pdu] = []
 
     def receive(pdu: Pdu) -> None:
         received.append(pdu)
-        _show(pdu)
+        _print_message(pdu)
 
     def run_session() -> None:
         esme = runner.bound(Command.BIND_TRANSCEIVER if receipt else Command.BIND_TRANSMITTER, within, receive)
-        coding, body = texts.encode_text(text.encode())
+        coding, body = alphabets.encode_text(text.encode())
         fields = {
             "source_addr": source,
             "destination_addr": destination,
@@ -295,7 +298,7 @@
             within,
         )
         if response.status:
-            raise probe.ProbeError(f"submit_sm: {cases_of.status_name(response.status)}")
+            raise probe.ProbeError(f"submit_sm: {conformance.status_name(response.status)}")
         click.echo(f"accepted as {response.text('message_id')}")
         deadline = runner.loop.now + span
         while receipt and not received:
@@ -334,7 +337,7 @@
     runner = _EsmeRunner(address, account, password_file, authorities, server_name)
 
     def run_session() -> None:
-        esme = runner.bound(BIND_COMMANDS[how], within, _show)
+        esme = runner.bound(BIND_COMMANDS[how], within, _print_message)
         click.echo(f"bound as {how}")
         end = None if span is None else runner.loop.now + span
         while end is None or runner.loop.now < end:
@@ -364,7 +367,7 @@
     from kestrelspar.standins.gateway import Behaviour, Gateway
 
     loop = Loop()
-    Gateway(loop, listener(address), Behaviour(receipts=SECOND), on_submit=lambda outcome, pdu: _show(pdu))
+    Gateway(loop, listener(address), Behaviour(receipts=SECOND), on_submit=lambda outcome, pdu: _print_message(pdu))
     click.echo(f"message centre on {address[0]}:{address[1]}")
     run_for(loop, span)
 
--- a/kestrelspar/standins/gateway.py
+++ b/kestrelspar/standins/gateway.py
@@ -28,8 +28,8 @@
 class Behaviour:
     """Limits, delays and faults of a stand-in gateway; times in microseconds, shares from 0 to 1."""
 
-    limit: int = 0  # maximum submits within any second, over all sessions; 0: no limit
-    window: int = 0  # maximum unanswered submits of a session, above: ESME_RMSGQFUL; 0: no limit
+    limit: int = 0  # maximum submits within any second, over all sessions; above: ESME_RTHROTTLED; 0: no limit
+    window: int = 0  # maximum unanswered submits of a session; a further one gets ESME_RMSGQFUL; 0: no limit
     latency: int = 5 * MS  # delay of each response
     receipts: int = -1  # delay of a receipt after the response; -1: no receipts
     lost: float = 0.0  # share of receipts that are not sent
@@ -47,7 +47,11 @@
 
 
 class Gateway:
-    """Serves any number of sessions; counts effective submits by text (``accepted``), responses by status."""
+    """Serves any number of sessions.
+
+    Counts the accepted submits by text (``accepted``), with those that get no response, and the responses by status
+    (``answers``).
+    """
 
     def __init__(
         self,
@@ -57,7 +61,7 @@
         seed: int = 1,
         on_submit: Callable[[str, Pdu], None] = lambda outcome, pdu: None,
     ) -> None:
-        """``on_submit`` is called for each submit with its status name, "silence" or "cut"."""
+        """``on_submit`` is called for each submit, with the name of its status, or "silence" or "cut" for a fault."""
         self.loop, self.behaviour, self._on_submit = loop, behaviour, on_submit
         self._random = random.Random(seed)
         self._sessions: list[Session] = []
@@ -65,7 +69,7 @@
         self._states: dict[str, State] = {}  # by message_id, for query_sm
         self.accepted: Counter[bytes] = Counter()
         self.answers: Counter[str] = Counter()
-        self.first_accepted_at = self.last_accepted_at = 0  # time of the first and last submit that took effect
+        self.first_accepted_at = self.last_accepted_at = 0  # times of the first and last accepted submit
         loop.spawn(accept, loop, listener, BufferPool(1024), self._serve)
 
     def _serve(self, stream: Stream) -> None:
--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -16,7 +16,7 @@
 from kestrelspar.standins.server import accept, free_listener
 
 CLASSES = ("reading", "work-order", "payment")
-NS = 1_000  # nanoseconds in a microsecond, the unit of the loop
+NS = 1_000  # nanoseconds in a microsecond, which is the loop's unit of time
 
 
 def settings(slots: int = 16, max_open: int = 400) -> dict[str, Any]:
@@ -98,7 +98,10 @@
 
 
 class Discovery(Server):
-    """Discovery service: lists next hops, sends the list to watches when it changes, and receives notices."""
+    """Discovery service: lists next hops, and receives notices.
+
+    A watch is sent the whole list (``rows``) at its start, and again whenever ``index`` has changed.
+    """
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop)
@@ -145,32 +148,31 @@
     """Calls recorded by all next hops together."""
 
     effects: Counter[str] = field(default_factory=Counter)  # by message id: number of calls executed
-    first_answered_at: dict[str, int] = field(
-        default_factory=dict
-    )  # by message id: time of the first 200, in microseconds of the loop
+    # By message id: time of the first response with status 200, in microseconds of the loop.
+    first_answered_at: dict[str, int] = field(default_factory=dict)
     calls: int = 0
 
 
 class NextHop(Server):
-    """An endpoint of a member system; the random numbers behind its behaviour come from a seed."""
+    """An endpoint of a member system, with random latencies and faults that are determined by a seed."""
 
-    def __init__(self, loop: Loop, seen: CallRecord, seed: int, behaviour: Behaviour) -> None:
+    def __init__(self, loop: Loop, call_record: CallRecord, seed: int, behaviour: Behaviour) -> None:
         super().__init__(loop)
-        self.seen, self.behaviour, self._random = seen, behaviour, random.Random(seed)
+        self.call_record, self.behaviour, self._random = call_record, behaviour, random.Random(seed)
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        manners, trace, chance = self.behaviour, head.headers.get("x-trace-id", ""), self._random.random()
-        self.seen.calls += 1
-        if chance < manners.refused:
+        behaviour, trace, chance = self.behaviour, head.headers.get("x-trace-id", ""), self._random.random()
+        self.call_record.calls += 1
+        if chance < behaviour.refused:
             return parser.response(429, headers={"Retry-After": "0.2"})
-        self.loop.sleep(manners.min_latency + int(self._random.random() * manners.jitter))
-        self.seen.effects[trace] += 1
-        if chance < manners.refused + manners.error:
+        self.loop.sleep(behaviour.min_latency + int(self._random.random() * behaviour.jitter))
+        self.call_record.effects[trace] += 1
+        if chance < behaviour.refused + behaviour.error:
             return parser.response(500)
-        if chance < manners.refused + manners.error + manners.silent:
+        if chance < behaviour.refused + behaviour.error + behaviour.silent:
             self.loop.sleep(30 * SECOND)
             return None
         if not stream.peer_closed():
-            self.seen.first_answered_at.setdefault(trace, self.loop.now)
+            self.call_record.first_answered_at.setdefault(trace, self.loop.now)
         return parser.response(200)
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -1,8 +1,8 @@
-"""A stand-in registry: one store, served as etcd's JSON gateway and as Consul's KV store by members with faults.
+"""A stand-in registry: one store, served by members with the APIs of etcd's JSON gateway and of Consul's KV store.
 
-``Store`` is the data, without I/O. ``Member`` serves it on a loop; tests and fault schedules set its faults. It follows
-the published APIs as far as the courier's client and third-party client libraries use them. It is no
-database: nothing is stored on disk.
+``Store`` is the data, without I/O. ``Member`` serves it on a loop; tests and fault schedules set the member's faults.
+The published APIs are followed as far as the courier's client and third-party client libraries use them. Nothing is
+stored on disk.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 
     revision: int
     value: bytes | None
-    create: int
-    version: int
-    lease: int = 0
+    create: int  # revision at which the key was created
+    version: int  # number of changes since then, with the creation
+    lease: int = 0  # id of the lease with which the key expires; 0: none
 
 
 @dataclass
 class Store:
     """Keys with all their versions since the last compaction, leases, accounts and tokens."""
 
-    cluster: int = 14841639068965178418
+    cluster: int = 14841639068965178418  # id of the cluster
     revision: int = 1
-    compacted: int = 0
+    compacted: int = 0  # revision of the last compaction
     keys: dict[bytes, list[Version]] = field(default_factory=dict)
     log: list[tuple[int, bytes]] = field(default_factory=list)  # revision and key of each change, in order
     leases: dict[int, int] = field(default_factory=dict)  # by lease id: time of expiry
@@ -69,9 +69,10 @@
         return version if version is not None and version.value is not None else None
 
     def commit(self, changes: list[tuple[bytes, bytes | None, int]]) -> int:
-        """Apply puts and deletions as one revision and return the current revision.
+        """Apply puts and deletions as one revision, and return the current revision.
 
-        Deletions of keys that don't exist are ignored.
+        A change is a key, its new value (None: deletion), and a lease id (0: none). Deletions of keys that don't exist
+        are ignored.
         """
         changes = [c for c in changes if c[1] is not None or self.version_at(c[0], self.revision)]
         if not changes:
@@ -85,8 +86,8 @@
             self.log.append((new_revision, key))
         self.revision = new_revision
         waiting, self.change_waiters = self.change_waiters, []
-        for parking in waiting:
-            parking.resume()
+        for waiter in waiting:
+            waiter.resume()
         return new_revision
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
@@ -120,7 +121,10 @@
         return changes
 
     def last_revision(self, start: bytes, end: bytes, revision: int) -> int:
-        """Revision of the last change in a range, including deletions; the compacted revision if none is known."""
+        """Revision of the last change in a range up to ``revision``, including deletions.
+
+        If there is none since the last compaction, the revision of that compaction, but 1 at least.
+        """
         for at, key in reversed(self.log):
             if at <= revision and key >= start and (end == b"\0" or key < end):
                 return at
@@ -142,17 +146,17 @@
             else:
                 del self.keys[key]
 
-    def grant(self, now: int, ttl: int, number: int = 0) -> int:
+    def grant(self, now: int, ttl: int, lease_id: int = 0) -> int:
         """Create a lease of ``ttl`` seconds, with the given id or a new one, and return its id."""
-        number = number or 7_000_000 + len(self.ttls)
-        self.leases[number], self.ttls[number] = now + ttl * SECOND, ttl
-        return number
+        lease_id = lease_id or 7_000_000 + len(self.ttls)
+        self.leases[lease_id], self.ttls[lease_id] = now + ttl * SECOND, ttl
+        return lease_id
 
     def expire_leases(self, now: int) -> None:
         """Remove expired leases and delete their keys."""
-        expired = [number for number, until in self.leases.items() if until <= now]
-        for number in expired:
-            del self.leases[number]
+        expired = [lease_id for lease_id, until in self.leases.items() if until <= now]
+        for lease_id in expired:
+            del self.leases[lease_id]
         if expired:
             self.commit(
                 [
@@ -165,7 +169,7 @@
 
 @dataclass
 class Faults:
-    """Faults that a member injects at present."""
+    """Faults that a member injects; each is in effect until it is reset, or as long as its comment says."""
 
     refuse: bool = False  # new connections are closed at once
     silent_until: int = 0  # responses and watches wait until this time
@@ -183,17 +187,17 @@
 
 
 class Member:
-    """One server of the store, with both APIs."""
+    """One server of the store, with both APIs on one port."""
 
     def __init__(self, loop: Loop, store: Store, listener: socket.socket, max_fragment_events: int = 0) -> None:
         self.loop, self.store, self.listener = loop, store, listener
         self.address: tuple[str, int] = listener.getsockname()
         self.faults = Faults()
-        self.max_fragment_events = (
-            max_fragment_events  # maximum events per watch response, if the client requests fragments
-        )
+        # Most events in one watch response if the client requests fragments; 0: no limit.
+        self.max_fragment_events = max_fragment_events
         self.buffers = BufferPool(4096)
-        self.recent_requests: list[tuple[str, dict[str, Any]]] = []  # path and parameters of the last requests
+        # Path and parameters of the last 201 requests.
+        self.recent_requests: list[tuple[str, dict[str, Any]]] = []
         self.streams: set[Stream] = set()
         loop.spawn(accept, loop, listener, self.buffers, self._serve, lambda: self.faults.refuse)
 
@@ -204,7 +208,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision that this member has reached."""
+        """Revision that this member has reached: the store's, unless it lags behind."""
         lag = self.faults.lag
         return self.store.revision if lag is None else min(lag, self.store.revision)
 
@@ -228,7 +232,7 @@
             self.loop.sleep(self.faults.silent_until - self.loop.now)
 
     def _write(self, stream: Stream, data: bytes) -> bool:
-        """Write; False if an injected cut ends the connection."""
+        """Write a response, or only its first bytes for the fault ``cut``; return False if the connection ends."""
         cut, self.faults.cut = self.faults.cut, None
         stream.write(data if cut is None else data[:cut], self.loop.now + IO_TIMEOUT)
         return cut is None
@@ -550,7 +554,11 @@
 def run_random_faults(
     loop: Loop, members: list[Member], seed: int, interval: int, report: Callable[[str], None]
 ) -> None:
-    """Inject random faults forever, at a mean interval in microseconds; run it as a task of its own."""
+    """Inject random faults forever, at a mean interval in microseconds; run it as a task of its own.
+
+    ``well`` ends the faults of all members. So does ``compact`` if there is nothing to compact, and ``lapse`` if there
+    is no lease.
+    """
     random_source = random.Random(seed)
     while True:
         loop.sleep(int(interval * (0.5 + random_source.random())))
