--- a/tests/cli/test_verbs.py
+++ b/tests/cli/test_verbs.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from kestrelspar.cli import map as map_verbs
+from kestrelspar.cli import map as map_commands
 from kestrelspar.cli.main import cli
 from kestrelspar.standins.registry import Member
 from tests.registry.registry_thread import RegistryThread
@@ -81,15 +81,15 @@
 ) -> None:
     member, conf = registry
     member.store.put("hops/s", entry_json("s"))
-    read_rows = map_verbs.Client.rows
+    read_rows = map_commands.Client.rows
 
-    def rows_before_another_change(self: map_verbs.Client) -> list[map_verbs.Row]:
+    def rows_before_another_change(self: map_commands.Client) -> list[map_commands.Row]:
         rows = read_rows(self)
         member.store.put("hops/s", entry_json("s", address="127.0.0.1:7"))
         member.store.put("hops/new", entry_json("new"))
         return rows
 
-    monkeypatch.setattr(map_verbs.Client, "rows", rows_before_another_change)
+    monkeypatch.setattr(map_commands.Client, "rows", rows_before_another_change)
     for arguments in (
         ("drain", "s"),
         ("remove", "s"),
@@ -154,9 +154,8 @@
     program = Program(tmp_path, world, KESTRELSPAR_CONF=str(conf)).ready()
     assert submit("second") == 202  # its destination is known only from the saved list
     wait_until(lambda: "second" in StandInPlatform.calls)
-    with (
-        RegistryThread() as other
-    ):  # SIGHUP switches to the registry in the settings; its list lacks "far", which is removed
+    # SIGHUP switches to the registry in the changed settings. Its list lacks "far", which is therefore removed.
+    with RegistryThread() as other:
         other.store.put(
             "new/near",
             entry_json("near", address=world, group=11).replace(b"contractor", b"m").replace(b"room-a", b"a"),
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A test that is expected to fail, always or now and then."""
+    """A test that is expected to fail: each time, or in some runs (``intermittent``)."""
 
     test: str
     reason: str
@@ -29,7 +29,7 @@
 
 
 def parse_line(line: str) -> KnownFailure:
-    """One line of the list; ``ValueError`` without a text if it is malformed."""
+    """Parse one line of the list; ``ValueError`` without a text if it is malformed."""
     fields = [field.strip() for field in line.split("|")]
     if len(fields) not in (3, 4) or not all(fields):
         raise ValueError
@@ -43,7 +43,7 @@
 
 
 def read(text: str) -> dict[str, KnownFailure]:
-    """Known failures by the test's id; ``ValueError`` names the line at fault."""
+    """Known failures by test id; ``ValueError`` names the line with the error."""
     found: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt passes over just what it lists, and anything else about it fails the run."""
+"""Only the failures that KNOWN-RED.txt lists are tolerated; other failures, or errors in the list, fail the run."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 ROOT = Path(__file__).parent.parent
 TESTS = "def test_good(): pass\ndef test_bad(): assert 0\ndef test_bad_2(): assert 0\n"
 BAD, BAD_2 = "test_it.py::test_bad | the cause | issue 9\n", "test_it.py::test_bad_2 | the other | issue 9\n"
-GOOD, NOW_AND_THEN = "test_it.py::test_good | none | issue 9", " | intermittent: 2 of 5\n"
+GOOD, INTERMITTENT = "test_it.py::test_good | none | issue 9", " | intermittent: 2 of 5\n"
 
 
 @pytest.mark.parametrize(
-    ("listed", "code", "says"),
+    ("listed", "code", "message"),
     [
         (BAD + BAD_2, 0, "KNOWN RED: test_it.py::test_bad: the cause (issue 9)"),
         ("# none but one\n\n" + BAD, 1, "1 failed"),
@@ -26,16 +26,16 @@
         (BAD + BAD_2 + "a | b | c\nd | e | f\n", 4, "4 tests, 3 at most"),
         (BAD + "test_it.py::test_bad_2\n", 4, "KNOWN-RED.txt:2: 'test_it.py::test_bad_2' is not TEST | CAUSE | ISSUE"),
         (
-            BAD + BAD_2.rstrip() + NOW_AND_THEN,
+            BAD + BAD_2.rstrip() + INTERMITTENT,
             0,
             "KNOWN RED: test_it.py::test_bad_2: the other (issue 9; intermittent: 2 of 5)",
         ),
         (
-            BAD + BAD_2 + GOOD + NOW_AND_THEN,
+            BAD + BAD_2 + GOOD + INTERMITTENT,
             0,
             "KNOWN RED: test_it.py::test_good: none (issue 9; intermittent: 2 of 5)",
         ),
-        (BAD + GOOD + NOW_AND_THEN, 1, "1 failed"),
+        (BAD + GOOD + INTERMITTENT, 1, "1 failed"),
         (BAD + GOOD + " | intermittent: 5 of 5", 4, "KNOWN-RED.txt:2: "),
         (BAD + GOOD + " | intermittent: 0 of 5", 4, "KNOWN-RED.txt:2: "),
         (BAD + GOOD + " | now and then", 4, "KNOWN-RED.txt:2: "),
@@ -43,7 +43,9 @@
         (BAD + BAD, 4, "is there twice"),
     ],
 )
-def test_the_list_passes_over_just_what_it_names(tmp_path: Path, listed: str | None, code: int, says: str) -> None:
+def test_only_listed_failures_are_tolerated_and_errors_of_the_list_are_reported(
+    tmp_path: Path, listed: str | None, code: int, message: str
+) -> None:
     (tmp_path / "test_it.py").write_text(TESTS)
     (tmp_path / "pyproject.toml").write_text("[tool.pytest.ini_options]\n")
     if listed is not None:
@@ -56,8 +58,8 @@
         text=True,
         check=False,
     )
-    assert run.returncode == code and says in run.stdout + run.stderr, run.stdout + run.stderr
+    assert run.returncode == code and message in run.stdout + run.stderr, run.stdout + run.stderr
 
 
-def test_ci_loads_it() -> None:
+def test_ci_loads_the_plugin() -> None:
     assert "-m pytest -p tests.known_red" in (ROOT / ".ci" / "run").read_text()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -203,7 +203,7 @@
     with socket.create_connection(("127.0.0.1", port), timeout=TEST_TIMEOUT) as sock:
         buffer = b""
 
-        def ask(pdu: Pdu) -> Pdu:
+        def request(pdu: Pdu) -> Pdu:
             nonlocal buffer
             sock.sendall(p.encode(pdu))
             return read()
@@ -215,9 +215,9 @@
             pdu, buffer = p.decode(buffer[:size]), buffer[size:]
             return pdu
 
-        bound = ask(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "acme", "password": "pw"}))
+        bound = request(Pdu(Command.BIND_TRANSCEIVER, 1, 0, {"system_id": "acme", "password": "pw"}))
         fields = {"destination_addr": "3721", "registered_delivery": 1}
-        submitted = ask(Pdu(Command.SUBMIT_SM, 2, 0, fields, b"hi"))
+        submitted = request(Pdu(Command.SUBMIT_SM, 2, 0, fields, b"hi"))
         receipt = read()
         assert (bound.status, submitted.status, receipt.command) == (0, 0, Command.DELIVER_SM)
         assert StandInPlatform.calls == [submitted.text("message_id")] and receipt.tlv(p.MESSAGE_STATE) == b"\x02"
@@ -226,7 +226,8 @@
 
 
 def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(tmp_path: Path, world: str) -> None:
-    # SIGHUP must not end the process, and the address in the environment must not override a new one in the file.
+    # SIGHUP must not end the process. The address of discovery in the environment must not override a new one in the
+    # file.
     class NewDiscovery(StandInPlatform):
         notices: list[dict[str, Any]] = []
 
@@ -259,7 +260,7 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "state", "ended"),
+    ("source", "status", "end_signal"),
     [
         ("registry", "left", signal.SIGKILL),
         ("registry", "leaving", signal.SIGTERM),
@@ -268,9 +269,10 @@
     ],
 )
 def test_a_reported_removal_or_drain_persists_over_a_restart_while_its_source_is_down(
-    tmp_path: Path, world: str, source: str, state: str, ended: signal.Signals
+    tmp_path: Path, world: str, source: str, status: str, end_signal: signal.Signals
 ) -> None:
-    # A start on a saved list older than the last reported change sent calls to endpoints that had been removed.
+    # A courier that started from a saved list older than the last reported change called endpoints that had been
+    # removed.
     server = ThreadingHTTPServer(("127.0.0.1", 0), RemovedHop)
     server.daemon_threads, server.block_on_close, RemovedHop.calls = True, False, []
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -287,17 +289,17 @@
         known = rows if source == "discovery" else []
         if source == "discovery":
             StandInPlatform.first_watch_line = json.dumps(
-                {"index": 5, "snapshot": False, "endpoints": [rows[0] | {"status": state}]}
+                {"index": 5, "snapshot": False, "endpoints": [rows[0] | {"status": status}]}
             )
         program = Program(tmp_path, world, known, **environment).ready()
         if source == "registry":
             wait_until((tmp_path / "registry-main.list").exists)
-            if state == "left":
+            if status == "left":
                 store.delete("r/r-0")
             else:
-                store.commit([(b"r/r-0", json.dumps(rows[0] | {"status": state}).encode(), 0)])
+                store.commit([(b"r/r-0", json.dumps(rows[0] | {"status": status}).encode(), 0)])
         assert any("event=map-leaves" in line and "hop=r-0" in line for line in program.process.stdout or ())
-        program.end(ended)
+        program.end(end_signal)
     StandInPlatform.discovery_down, StandInPlatform.first_watch_line = True, ""
     program = Program(tmp_path, world, known, **environment).ready()
     assert [program.submit(f"t{n}") for n in range(6)] == [202] * 6
