--- a/kestrelspar/lab/__init__.py
+++ b/kestrelspar/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection with real processes, a modelled network, checkers and reports. Never imported by the server."""
+"""Fault injection into real processes and a simulated network, checkers and reports. Never imported by the server."""
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -1,13 +1,13 @@
 """Hollow couriers: hundreds in a process, each with the full peer protocol and without the message path.
 
 A hollow courier is a real ``Peer`` behind a UDP socket of its own, driven as ``peers/link.py`` drives it: membership,
-peer messages, budgets, observations and counters; its state is saved to memory. Messages and calls come from a random
-workload: they wait for their budget, are charged to it, and their outcomes are observed and counted. Member systems
-are not called.
+peer messages, budgets, observations and counters. Its state is saved to memory. A random workload stands for messages
+and calls: messages wait until a budget allows their call, calls are charged to the budget, and their outcomes are drawn
+at random, observed and counted. Member systems are not called.
 
     python -m kestrelspar.lab.hollow        commands on stdin, reports on stdout; see ``Host``
 
-The process ends when its stdin closes, and when its configured lifetime is over.
+The process ends when its stdin closes, or when its configured lifetime is over.
 """
 
 from __future__ import annotations
@@ -36,9 +36,10 @@
 from kestrelspar.runtime.loop import MS, SECOND
 
 RECEIVE_BUFFER_BYTES = 1_000_000  # of a courier's socket: hundreds of other couriers are served between two reads
-MAX_BACKLOG_SECONDS = 4  # seconds' worth of messages that may wait; further ones are abandoned
-BUSY_FACTOR, BUSY_SHARE = 3.0, 0.2  # a share of the couriers has a multiple of the mean rate, so that shares are lent
-RETRY_AFTER = 300 * MS  # reported by an endpoint that refuses a call
+MAX_BACKLOG_SECONDS = 4  # as many messages may wait as arrive in this time; further ones are abandoned
+# ``BUSY_SHARE`` of the couriers have ``BUSY_FACTOR`` times the mean rate, so that they borrow from the others.
+BUSY_FACTOR, BUSY_SHARE = 3.0, 0.2
+RETRY_AFTER = 300 * MS  # retry-after delay of a refused call
 
 
 class HollowConfig(Struct, frozen=True):
@@ -50,10 +51,10 @@
     failing: float = 0.001  # share of calls that fail; the same share is refused
     limits: dict[str, float] = {}  # by endpoint: calls per second
     spend: int = 90  # percent of each limit that the couriers share
-    term: int = 3 * SECOND
-    period: int = SECOND
-    bytes_a_second: int = 20_000
-    key: str = ""
+    term: int = 3 * SECOND  # of loans
+    period: int = SECOND  # between probes of members
+    bytes_a_second: int = 20_000  # bandwidth limit of a courier's datagrams
+    key: str = ""  # seals the datagrams
     span: int = 600 * SECOND  # lifetime of the process
 
 
@@ -68,7 +69,7 @@
 
 
 def endpoint_budgets(config: HollowConfig) -> dict[str, tuple[int, int]]:
-    """Calls and window by budget key, as real couriers derive them from a configured limit."""
+    """Calls and window (microseconds) by budget key, as real couriers derive them from a configured limit."""
     return {
         f"e:{name}": budget_for_rate(limit * config.spend / 100, config.couriers)
         for name, limit in config.limits.items()
@@ -76,9 +77,9 @@
 
 
 class Workload:
-    """Random messages of one courier and outcomes of their calls, deterministic for its seed. No I/O.
+    """Random messages of one courier and outcomes of their calls. No I/O.
 
-    Arrivals are a Poisson process.
+    Arrivals are a Poisson process. The seed and the courier's number determine all of it.
     """
 
     def __init__(self, config: HollowConfig, number: int) -> None:
@@ -90,27 +91,27 @@
         self.arrived = self.abandoned = 0
         self.in_flight: deque[tuple[int, str]] = deque()  # calls: time and endpoint
         self.routes = {name: destination for destination, name in enumerate(self.names, 1)}
-        self._next: int | None = None
+        self._next_arrival: int | None = None
 
     def arrive(self, now: int) -> int:
-        """Queue the messages that arrived since the previous call, and return their number."""
+        """Queue the messages that arrived since the previous call; return their number, with the abandoned ones."""
         before = self.arrived
         if self.rate <= 0 or not self.names:
             return 0
-        if self._next is None:
-            self._next = now + int(self._random.expovariate(self.rate) * SECOND)
-        while self._next <= now:
+        if self._next_arrival is None:
+            self._next_arrival = now + int(self._random.expovariate(self.rate) * SECOND)
+        while self._next_arrival <= now:
             name = self._random.choice(self.names)
             if self.waiting[name] < max(1.0, MAX_BACKLOG_SECONDS * self.rate):
                 self.waiting[name] += 1
             else:
                 self.abandoned += 1
             self.arrived += 1
-            self._next += max(1, int(self._random.expovariate(self.rate) * SECOND))
+            self._next_arrival += max(1, int(self._random.expovariate(self.rate) * SECOND))
         return self.arrived - before
 
     def outcome(self) -> tuple[CallOutcome, int]:
-        """The outcome of a call, and the retry-after delay reported with it."""
+        """Draw the outcome of a call, and its retry-after delay in microseconds (0: none)."""
         draw = self._random.random()
         if draw < self.failing:
             return CallOutcome.FAILED, 0
@@ -125,7 +126,7 @@
     ) -> None:
         """End the calls in flight, queue new messages, and make the calls that the budgets allow.
 
-        ``on_call`` is called with the budget's key and the time of each call.
+        ``on_call`` is called for each call, with its budget's key and its time by ``clock``.
         """
         shares, now = peer.shares, clock()
         while self.in_flight:
@@ -152,7 +153,7 @@
 
 
 class HollowCourier:
-    """HollowCourierConfig hollow courier: its socket, its workload, and its peer while it runs."""
+    """One hollow courier: its socket, its workload, and its ``Peer`` while it runs."""
 
     def __init__(self, host: Host, courier_config: HollowCourierConfig) -> None:
         self.host, self.loop, self.courier_config, self.config = host, host.loop, courier_config, host.config
@@ -160,9 +161,10 @@
         self.workload = Workload(self.config, courier_config.number)
         self.calls: list[tuple[str, int]] = []  # since the last report
         self.events: Counter[str] = Counter()
-        self.unsent = self.sent = self.received = self.over_bandwidth = 0  # of ended processes; unsent: of all
+        # Of peers that have been stopped; ``unsent`` counts the datagrams of all peers, with the running one.
+        self.unsent = self.sent = self.received = self.over_bandwidth = 0
         self._state = state_file.SavedState(0, {}, {})
-        self._state_file = b""  # in memory
+        self._state_file = b""  # kept in memory only
         self._save_at = 0
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -172,7 +174,7 @@
         self.loop.spawn(self._read)
 
     def start(self) -> None:
-        """Start, as a new process with the saved state of the previous one."""
+        """Start as a new process would, with the saved state of the previous one."""
         config, courier_config, now = self.config, self.courier_config, self.loop.clock()
         self._state.epoch = state_file.next_epoch(self._state)
         peer_config = PeerConfig(
@@ -199,14 +201,14 @@
         self.loop.spawn(self._tick, self.peer)
 
     def stop(self) -> None:
-        """End at once, as if killed: it sends nothing more, and datagrams to it are lost."""
+        """Stop at once, as if killed: it sends nothing more, and datagrams to it are lost."""
         if self.peer is not None:
             self.sent, self.received = self.sent + self.peer.sent, self.received + self.peer.received
             self.over_bandwidth += self.peer.over_bandwidth
             self.peer = None
 
     def _save(self) -> None:
-        """Saves to memory: with hundreds of couriers on one disk, replacing a file took 0.8 s and stalled them all."""
+        """Save to memory: with hundreds of couriers on one disk, replacing a file took 0.8 s and stalled them all."""
         self._state_file = msgspec.json.encode(self._state)
 
     def _save_loans(self, lent: dict[str, int]) -> bool:
@@ -249,7 +251,7 @@
         self.loop.sleep(1 + self.tick_offset())
         while self.peer is peer:
             began = self.loop.clock()
-            if self.config.rate > 0:  # without calls no endpoint has reported a limit
+            if self.config.rate > 0:  # otherwise no call is made, so no endpoint reports a limit to derive budgets from
                 self.workload.step(peer, self.host.budgets, self.loop.clock, self._record_call)
             self._send(peer, peer.tick(self.loop.clock()))
             self._apply_observations(peer)
@@ -266,7 +268,7 @@
         self.calls.append((key, at))
 
     def tick_offset(self) -> int:
-        """Offset that spreads the ticks of a host's couriers over the interval; the same after each restart."""
+        """Offset of the ticks, which spreads those of a host's couriers over the interval; unchanged by restarts."""
         return self.courier_config.number * 7_919 % MIN_TICK_INTERVAL
 
 
@@ -278,11 +280,12 @@
     - ``{"open": {"told": {...}, "couriers": [{...}]}}`` (``HollowConfig``, ``HollowCourierConfig``), answered by
       ``{"open": {NAME: [HOST, PORT]}}``;
     - ``{"seeds": {NAME: [HOST, PORT]}}``: seed members of all couriers, in addition to each courier's own;
-    - ``{"start": [NAME...], "within": MICROSECONDS}``: starts spread over that time;
+    - ``{"start": [NAME...], "within": MICROSECONDS}``: the starts are spread over that time;
     - ``{"stop": [NAME...]}``;
-    - ``{"restart": [NAME...], "gap": MICROSECONDS, "within": MICROSECONDS}``: ``gap`` is the downtime of each;
-    - ``{"truth": {"there": {ZONE: N}, "gone": {ZONE: [NAME...]}}}``: the running couriers' number and the killed
-      couriers by zone; reports count how far the couriers' membership lists differ from it.
+    - ``{"restart": [NAME...], "gap": MICROSECONDS, "within": MICROSECONDS}``: the stops are spread over the time
+      ``within``, and each courier starts again ``gap`` after it stopped;
+    - ``{"truth": {"there": {ZONE: N}, "gone": {ZONE: [NAME...]}}}``: how many couriers of each zone run, and which have
+      been killed; reports count how far the couriers' membership lists differ from that.
     """
 
     def __init__(self) -> None:
@@ -296,7 +299,7 @@
         self.ticks = self.total_lateness = self.max_lateness = self.stalls = 0
 
     def record_tick(self, lateness: int) -> None:
-        """Record by how much a courier's tick came after its scheduled time."""
+        """Record how many microseconds after its scheduled time a courier's tick came."""
         self.ticks += 1
         self.total_lateness += lateness
         self.max_lateness = max(self.max_lateness, lateness)
@@ -342,9 +345,11 @@
             self.loop.sleep(SECOND)
 
     def report(self) -> dict[str, Any]:
-        """Status of the couriers and resource use of the process.
+        """Status of the couriers and resource use of the process; resets what is counted from report to report.
 
-        Sums are since the start, lateness and calls since the previous report.
+        ``calls``, ``longest``, ``ticks``, ``stalls`` and the lateness (``late``, ``latest``) are since the previous
+        report. Of ``sums``, those about membership lists are current; the others, and ``events``, ``cpu`` and
+        ``dropped``, are since the start.
         """
         usage = resource.getrusage(resource.RUSAGE_SELF)
         with open("/proc/self/statm") as file:
--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -1,9 +1,10 @@
 """Simulated lying (Byzantine) courier and broker, which have the key and follow the membership and lease protocols.
 
-A lying courier has a name and a number. It repeatedly sends each member false observations of all endpoints: that they
-are down, that they are well, that their limit is one call a second, that calls have to wait without end. It answers
-each loan request with more than it owns, and serves no message. It publishes the same observations to its brokers, if
-there are any. A lying broker relays such observations under the names of witnesses that did not make them.
+A lying courier has the name and number of a real one. It repeatedly sends each member false observations of all
+endpoints: that they are down, that they have recovered, that their limit is one call a second, or that calls have to
+wait for years. It publishes the same observations to its brokers, if there are any. It answers each loan request with
+more than it owns, and serves no message. A lying broker relays such observations under the names of witnesses that did
+not make them.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class LyingCourier:
-    """Replaces one of the rig's couriers."""
+    """Takes the place of one of the rig's couriers, with its name, number and UDP address."""
 
     def __init__(self, rig: Rig, name: str) -> None:
         self.rig, self.name, node = rig, name, rig.nodes[name]
@@ -52,7 +53,7 @@
         self._peer_addresses = rig.peer_addresses(name)
         self._to = {address: to for to, address in self._peer_addresses.items()}
         config = rig.peer_config(name)
-        about = PeerConfig(
+        peer_config = PeerConfig(
             name=name,
             epoch=rig.loop.now,
             keys=keys([KEY]),
@@ -65,7 +66,7 @@
         self._brokers: dict[str, tuple[str, int]] = {
             to: address for to, address in config.get("brokers", {}).items() if to.startswith(f"{config['region']}/")
         }
-        self._peer = Peer(about, rig.loop.clock(), rig.seed)
+        self._peer = Peer(peer_config, rig.loop.clock(), rig.seed)
         self._closed = False
         self._last_lie_at = self._sequence = 0
         rig.loop.spawn(self._read)
@@ -98,7 +99,7 @@
                 self._grant_loans(data)
 
     def _grant_loans(self, data: bytes) -> None:
-        """Answer each loan request with a grant of what was asked for, and one of ten times as much."""
+        """Answer each loan request with two grants: one of the calls requested, and one of ten times as many."""
         datagram = decode(data[HEADER_BYTES:])
         for message in datagram.messages:
             if isinstance(message, LoanRequest) and datagram.sender in self._peer_addresses:
@@ -124,9 +125,9 @@
                     for at in range(0, len(observations), 20):
                         self._send_messages(to, observations[at : at + 20])
                 publications: list[PeerMessage] = [
-                    PublishObservation(self.rig.groups[seen.endpoint], seen)
-                    for seen in observations
-                    if isinstance(seen, Observation)
+                    PublishObservation(self.rig.groups[observation.endpoint], observation)
+                    for observation in observations
+                    if isinstance(observation, Observation)
                 ]
                 for to in self._brokers:
                     for at in range(0, len(publications), 20):
@@ -135,7 +136,7 @@
 
 
 class LyingBroker:
-    """Replaces one of the rig's brokers. Its witnesses have the names, numbers and epochs of real couriers."""
+    """Takes the place of one of the rig's brokers. The witnesses that it names are real couriers."""
 
     def __init__(self, rig: ZonedRig, name: str) -> None:
         self.rig, self.name = rig, name
@@ -143,8 +144,8 @@
         self._socket.setblocking(False)
         self._socket.bind(rig.brokers[name].peers)
         self._other_brokers = {to: rig.address(to) for to in rig.brokers if to != name}
-        epoch = time.time_ns() // MS // MS  # larger than that of the broker it replaces
-        about = BrokerConfig(
+        epoch = time.time_ns() // MS // MS  # Unix time in milliseconds: larger than that of the broker it replaces
+        broker_config = BrokerConfig(
             name,
             name.partition("/")[0],
             rig.address(name),
@@ -153,8 +154,8 @@
             self._other_brokers | {name: rig.address(name)},
             len(rig.nodes),
         )
-        self._broker = Broker(about, rig.loop.clock(), rig.seed)
-        self._epochs: dict[str, int] = {}
+        self._broker = Broker(broker_config, rig.loop.clock(), rig.seed)
+        self._epochs: dict[str, int] = {}  # by courier that holds a lease
         self._courier_addresses: dict[str, tuple[str, int]] = {}  # by courier that holds a lease
         self._last_lie_at = self._sequence = 0
         self.lies = 0  # false observations sent
@@ -174,7 +175,7 @@
             except OSError:
                 continue
             self._send(self._broker.receive(data, self.rig.loop.clock()))
-            with suppress(ValueError):  # other data on the socket
+            with suppress(ValueError):  # data that is no datagram of a courier or broker
                 datagram = decode(data[HEADER_BYTES:])
                 for message in datagram.messages:
                     if isinstance(message, LeaseRenewal):
@@ -195,17 +196,17 @@
     def _lie(self) -> None:
         kind, value = LIES[self.rig.rng.randrange(len(LIES))]
         self._sequence += 1
-        seen = [Observation(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
+        observations = [Observation(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
         claims = [
             (name, self.rig.nodes[name].number, epoch, observation)
             for name, epoch in self._epochs.items()
-            for observation in seen
+            for observation in observations
         ]
-        to_couriers: list[PeerMessage] = [RelayedObservation(*each) for each in claims]
-        to_others: list[PeerMessage] = [
-            ForwardedObservation(*each[:3], self.rig.groups[each[3].endpoint], each[3]) for each in claims
+        to_couriers: list[PeerMessage] = [RelayedObservation(*claim) for claim in claims]
+        to_brokers: list[PeerMessage] = [
+            ForwardedObservation(*claim[:3], self.rig.groups[claim[3].endpoint], claim[3]) for claim in claims
         ]
-        for addresses, messages in ((self._courier_addresses, to_couriers), (self._other_brokers, to_others)):
+        for addresses, messages in ((self._courier_addresses, to_couriers), (self._other_brokers, to_brokers)):
             for to, address in addresses.items():
                 for at in range(0, len(messages), 10):
                     self._send([(address, self._broker.sealer.seal(to, messages[at : at + 10]))])
--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -1,9 +1,9 @@
 """UDP relays in front of groups of couriers, which apply the faults between the groups.
 
 Every courier of a group advertises the address of its group's relay (`peers.advertise`), so all datagrams to it arrive
-there. The relay reads the sender and the receiver of a datagram, which are authenticated but not encrypted. It looks up
-the faults from the sender's group to its own, and forwards the datagram to the courier's actual address. It knows
-nothing else of couriers.
+there. The relay reads the sender and the receiver of a datagram, which are authenticated but not encrypted. It applies
+the faults of the path from the sender's group to the receiver's, and forwards the datagram to the actual address of the
+receiver. It knows nothing else of couriers.
 
 ``python -m kestrelspar.lab.relays`` is a process with the relays of several groups: see ``RelayProcess``.
 """
@@ -41,7 +41,7 @@
 
 
 def read_routing_header(data: bytes) -> RoutingHeader | None:
-    """Read the sender and the receiver of a datagram; nothing if it is malformed."""
+    """Read the sender and the receiver of a datagram; return None if it is malformed."""
     if not data.startswith(MAGIC):
         return None
     try:
@@ -52,16 +52,16 @@
 
 @dataclass(slots=True)
 class PathFaults:
-    """Faults of the path from one group to another: shares of the datagrams, and delays in microseconds."""
+    """Faults of the path from one group to another."""
 
-    loss: float = 0.0
-    double: float = 0.0
-    delay: tuple[int, int] = (0, 0)
-    cut: bool = False
+    loss: float = 0.0  # share of the datagrams that is lost
+    double: float = 0.0  # share of the datagrams that is duplicated
+    delay: tuple[int, int] = (0, 0)  # bounds of a datagram's random delay, in microseconds
+    cut: bool = False  # all datagrams are lost
 
 
 class FaultyNetwork:
-    """Decides which faults a datagram meets, without I/O. Faults are by ordered pair of groups, so by direction."""
+    """Decides which faults a datagram meets, without I/O. Each direction between two groups has faults of its own."""
 
     def __init__(self, seed: int) -> None:
         self.groups: dict[str, str] = {}  # by courier
@@ -73,7 +73,10 @@
         self.faults.clear()
 
     def copy_delays(self, sender: str, to: str) -> list[int] | None:
-        """Return the delay of each copy: an empty list if it is lost, nothing if sender or receiver has no group."""
+        """Return the delay in microseconds of each copy of a datagram; the list is empty if the datagram is lost.
+
+        Returns None if the sender or the receiver has no group.
+        """
         groups = self.groups.get(sender), self.groups.get(to)
         if groups[0] is None or groups[1] is None:
             return None
@@ -86,7 +89,7 @@
 
 
 class Relay:
-    """The ingress socket of one group."""
+    """The UDP socket that receives all datagrams to one group, and forwards them."""
 
     def __init__(self, loop: Loop, group: str, network: FaultyNetwork) -> None:
         self.loop, self.group, self.network = loop, group, network
@@ -144,10 +147,13 @@
 class RelayProcess:
     """The relays of several groups in one process, controlled by commands.
 
-    ``{"open": [GROUP...], "seed": S}`` is answered by ``{"open": {GROUP: [HOST, PORT]}}``;
-    ``{"groups": {COURIER: GROUP}}`` has the groups of all couriers; ``{"places": {COURIER: [HOST, PORT]}}`` has their
-    actual addresses, of which it uses those of its groups; ``{"faults": [[FROM, TO, {...}], ...]}`` replaces all
-    faults. It sends a report every second.
+    - ``{"open": [GROUP...], "seed": S}`` opens relays, answered by ``{"open": {GROUP: [HOST, PORT]}}``;
+    - ``{"groups": {COURIER: GROUP}}`` has the groups of all couriers;
+    - ``{"places": {COURIER: [HOST, PORT]}}`` has the actual addresses of couriers; those of other processes' groups are
+      ignored;
+    - ``{"faults": [[FROM, TO, {...}], ...]}`` (groups, ``PathFaults``) replaces all faults.
+
+    Once opened, it sends a report every second.
     """
 
     def __init__(self) -> None:
@@ -201,7 +207,7 @@
 
 
 def dropped_datagrams(sockets: list[socket.socket]) -> int:
-    """Return how many datagrams the system dropped as these sockets' buffers were full; 0 if unavailable."""
+    """Return how many datagrams the kernel dropped because these sockets' buffers were full; 0 if it doesn't tell."""
     ports = {sock.getsockname()[1] for sock in sockets}
     try:
         with open("/proc/net/udp") as table:
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -2,10 +2,11 @@
 
 Every courier has its own directory and settings. Member systems refuse calls above their limit, counted over a sliding
 window of one second. They can hang, close connections, answer with Retry-After, change their limits, and recover cold:
-then they are overloaded if the calls of all couriers exceed a growing share of the limit. Datagrams between couriers
-pass one proxy for each ordered pair, which drops, delays, duplicates or blocks them as configured. Calls and answers of
-single couriers can be lost or delayed. Clients submit messages at each courier at the configured rates. The rig records
-what member systems and clients received, and the checkers (checkers.py) see nothing else of the couriers.
+for some time after an outage they are overloaded if the calls of all couriers exceed a share of the limit, which grows
+with time. Datagrams from one courier to another pass a proxy of that pair, which drops, delays, duplicates or blocks
+them as configured. Calls and answers of single couriers can be lost or delayed. Clients submit messages to each courier
+at the configured rates. The rig records what member systems and clients received; the checkers (checkers.py) see
+nothing else of the couriers.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 KEY = "a key that all couriers of the rig have"
 READY_TIMEOUT = 20 * SECOND
 RESPONSE_TIMEOUT = SECOND
-# A courier may send a call before it has read the Retry-After, later still if it is short of CPU; this also covers the
-# turns of the rig's own event loop.
+# A call is not early if it arrives this soon after the first Retry-After: the courier may have sent it before it read
+# that answer, which takes longer if it is short of CPU. This also covers the turns of the rig's own event loop.
 RETRY_AFTER_GRACE = 500 * MS
 RETRY_AFTER_RESOLUTION = 10 * MS  # Retry-After is sent in hundredths of a second
 
@@ -43,7 +44,7 @@
 class TimedLoop(Loop):
     """Event loop that records its longest turn: arrivals during a turn are timestamped late by up to that much."""
 
-    longest_turn = 0
+    longest_turn = 0  # microseconds
 
     def turn(self) -> None:
         """See ``Loop.turn``."""
@@ -55,8 +56,8 @@
 class Call:
     """One call as a member system received it."""
 
-    at: int  # time of arrival
-    trace: str
+    at: int  # time of arrival, in microseconds of the rig's loop
+    trace: str  # the message's X-Trace-Id
     courier: str
     accepted: bool  # False if refused (above the limit, or during a Retry-After delay), or dropped while down
     unanswered: bool = False  # no answer was sent
@@ -84,7 +85,10 @@
 
 
 class Member(platform.Server):
-    """A member system's endpoint: refuses calls above its limit in any second, and reports its load in each answer."""
+    """A member system's endpoint: refuses calls above its limit in any second, and reports load and limit in answers.
+
+    ``limit`` is in calls per second, ``latency`` the time until it answers an accepted call.
+    """
 
     def __init__(
         self, loop: TimedLoop, limit: int, latency: int, rng: random.Random, call_faults: dict[str, CallFaults]
@@ -95,17 +99,20 @@
         self.calls: list[Call] = []
         self.down = False  # accepts calls and answers none
         self.shut = False  # closes connections
-        self.wait_until = 0  # end of the Retry-After delay that answers report
-        self.early_calls: list[Call] = []  # calls of couriers that should still have been waiting
+        self.wait_until = 0  # until then, calls are refused with a Retry-After of the remaining time
+        self.early_calls: list[Call] = []  # calls that arrived before their courier's Retry-After had passed
         self.overloads: list[int] = []  # times at which it was overloaded while recovering
         # By courier: when it was first sent the current Retry-After, and until when it is to wait.
         self._waits: dict[str, tuple[int, int]] = {}
         self._recovering_since: int | None = None
-        self._accepted_at: deque[int] = deque()
-        self._recovery_calls: deque[int] = deque()
+        self._accepted_at: deque[int] = deque()  # times of the calls accepted within the last second
+        self._recovery_calls: deque[int] = deque()  # times of the latest calls during the recovery
 
     def up(self) -> None:
-        """Serve again, cold: its capacity grows from a fifth of its limit to all of it (``platform.settings``)."""
+        """Serve again. After an outage its capacity grows from a fifth of its limit to the whole limit.
+
+        The share and the time that this takes are in ``platform.settings``.
+        """
         if self.down or self.shut:
             self._recovering_since = self.loop.now
         self.down = self.shut = False
@@ -185,11 +192,11 @@
     def __init__(self, loop: Loop, sender: str, to: str, rng: random.Random) -> None:
         self.loop, self.sender, self.to, self._rng = loop, sender, to, rng
         self.target: tuple[str, int] = ("", 0)
-        self.loss = self.double = 0.0
-        self.delay = (0, 0)
-        self.cut = False
-        self.received_bytes = 0  # bytes received from the sender
-        self.recent: deque[bytes] = deque(maxlen=50)  # latest datagrams, for replays
+        self.loss = self.double = 0.0  # shares of the datagrams that are lost and duplicated
+        self.delay = (0, 0)  # bounds of a datagram's random delay, in microseconds
+        self.cut = False  # all datagrams are lost
+        self.received_bytes = 0  # from the sender, with those of lost datagrams
+        self.recent: deque[bytes] = deque(maxlen=50)  # latest datagrams that were not lost, for replays
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
         self.socket.setblocking(False)
@@ -215,7 +222,7 @@
                     self.deliver(data)
 
     def deliver(self, data: bytes) -> None:
-        """Deliver a datagram, which need not come from the sender."""
+        """Deliver a datagram at once. Tests also deliver replayed and forged ones."""
         with suppress(OSError):  # no process listens at the target
             self.socket.sendto(data, self.target)
 
@@ -236,9 +243,10 @@
 
 
 class Ports:
-    """Allocates ports below the kernel's ephemeral range, from a block for each rig process.
+    """Allocates ports below the kernel's ephemeral range, from a block chosen by the id of the rig's process.
 
-    Otherwise another run or an outgoing connection could take a port between the check and the start of the courier.
+    With other ports, another run or an outgoing connection could take a port between this check and the start of the
+    courier.
     """
 
     FIRST_PORT, BLOCK_SIZE, BLOCKS = 10_000, 256, 85
@@ -258,7 +266,7 @@
 
 @dataclass
 class ExternalFleet:
-    """Peer settings for a fleet with couriers outside of the rig, all behind relays, in place of the rig's proxies."""
+    """Peer settings for a fleet that has couriers outside of the rig. Relays take the place of the rig's proxies."""
 
     couriers: int  # of the whole fleet
     advertise: dict[str, tuple[str, int]] = field(default_factory=dict)  # by courier: the address of its relay
@@ -286,11 +294,12 @@
         groups: dict[str, int] | None = None,
         external_fleet: ExternalFleet | None = None,
     ) -> None:
-        """``limits`` is by member system; ``groups`` has its destination's number, if several share a destination.
+        """``limits``: calls per second by member system. ``latency``: time until a member system answers a call.
 
-        ``spend`` is the percentage of the limits that is shared; ``extra_settings`` are further lines of ``peers``.
-        With ``external_fleet`` there are no proxies; its entries for a courier must be complete before that courier is
-        started.
+        ``groups``: number of the destination by member system; by default each has a destination of its own.
+        ``peers``: whether the couriers share budgets. ``spend``: percentage of the limits that they share.
+        ``extra_settings``: further lines of the section ``peers``. With ``external_fleet`` there are no proxies; its
+        entries for a courier must be complete before that courier is started.
         """
         self.external_fleet = external_fleet
         self.directory, self.seed, self.extra_settings, self.spend, self.peers = (
@@ -428,11 +437,11 @@
         )
 
     def _extra_peer_settings(self, node: CourierProcess) -> str:
-        """Further lines of a courier's section ``peers``."""
+        """Further lines of a courier's section ``peers``; none here, some in ``ZonedRig``."""
         return ""
 
     def reload(self, name: str, keys: list[str], peers: bool = True) -> None:
-        """Reload with other keys (the first one seals) or with peers off, by SIGHUP."""
+        """Change a courier's keys (it seals with the first one) or switch peers off, and reload by SIGHUP."""
         node = self.nodes[name]
         assert node.process is not None
         self._configure(node, peers, keys)
@@ -444,7 +453,7 @@
         assert node.process is not None
         process = node.process
         process.send_signal(signal_number)
-        # Run the event loop instead of blocking: arrivals meanwhile have to be timestamped when they come.
+        # Runs the event loop instead of blocking, so that what arrives meanwhile gets the right timestamps.
         self.run_until(lambda: process.poll() is not None, 10 * SECOND)
         node.exit_codes.append(process.returncode)
         node.process, node.paused = None, False
@@ -470,7 +479,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def pause(self, name: str, span: int) -> None:
-        """Pause a process by SIGSTOP, and resume it by SIGCONT after ``span``."""
+        """Pause a process by SIGSTOP, and resume it by SIGCONT after ``span``. Returns at once."""
         node = self.node(name)
         process = node.process
         assert process is not None
@@ -485,7 +494,10 @@
         self.loop.call_at(self.loop.now + span, resume)
 
     def ready(self) -> None:
-        """Run until all started couriers are ready; raise ``TimeoutError`` with the ends of the logs of the others."""
+        """Run until all started couriers are ready.
+
+        Raises ``TimeoutError`` after ``READY_TIMEOUT``, with the end of the log of each courier that is not ready.
+        """
         deadline = self.loop.now + READY_TIMEOUT
         statuses: dict[str, int] = {}
 
@@ -505,9 +517,9 @@
 
     # Time
 
-    def run_until(self, done: Callable[[], object], within: int) -> None:
-        """Run the event loop until ``done`` holds; raise ``TimeoutError`` after ``within``."""
-        deadline = self.loop.now + within
+    def run_until(self, done: Callable[[], object], timeout: int) -> None:
+        """Run the event loop until ``done()`` is true; raise ``TimeoutError`` after ``timeout``."""
+        deadline = self.loop.now + timeout
         while not done():
             if self.loop.now > deadline:
                 raise TimeoutError("the awaited condition was not met in time")
@@ -515,20 +527,20 @@
 
     def run(self, span: int) -> None:
         """Run the event loop for ``span``."""
-        elapsed: list[int] = []
+        elapsed: list[int] = []  # not empty once the time has passed
         self.loop.call_at(self.loop.now + span, lambda: elapsed.append(1))
         self.run_until(lambda: elapsed, span + 60 * SECOND)
 
     # Clients
 
-    def send_request(self, name: str, call: bytes) -> int:
-        """Send one request on a new connection, and return its status; 0 if there was no answer."""
+    def send_request(self, name: str, request: bytes) -> int:
+        """Send one request to a courier on a new connection, and return the HTTP status; 0 if there was no answer."""
         sock = connect(self.loop, self.nodes[name].listen, self.loop.now + RESPONSE_TIMEOUT)
         if sock is None:
             return 0
         stream = Stream(self.loop, sock, self.buffers)
         try:
-            stream.write(call, self.loop.now + RESPONSE_TIMEOUT)
+            stream.write(request, self.loop.now + RESPONSE_TIMEOUT)
             return parser.read_head(stream, self.loop.now + RESPONSE_TIMEOUT, response=True).status
         except (Closed, Late, parser.MalformedMessageError):
             return 0
@@ -536,10 +548,14 @@
             stream.close()
 
     def traffic(self, rates: dict[str, dict[str, float]], span: int) -> None:
-        """Submit messages for ``span`` at random intervals; ``rates`` by courier and member system, per second."""
+        """Start to submit messages at random intervals, for the time ``span``.
+
+        ``rates`` has messages per second by courier and member system. A message is for the destination of its member
+        system, so another endpoint of that destination may be called.
+        """
         until = self.loop.now + span
 
-        def clients(name: str, group: int, rate: float) -> None:
+        def submit_at_rate(name: str, group: int, rate: float) -> None:
             while self.loop.now < until and not self._draining:
                 self.loop.sleep(int(self.rng.expovariate(rate) * SECOND))
                 self.loop.spawn(self.submit, name, group)
@@ -547,18 +563,18 @@
         for name, by_member in rates.items():
             for member, rate in by_member.items():
                 if rate:
-                    self.loop.spawn(clients, name, self.groups[member], rate)
+                    self.loop.spawn(submit_at_rate, name, self.groups[member], rate)
 
     def submit(self, name: str, group: int) -> None:
-        """Submit one message of a random class."""
+        """Submit one message of a random class for destination ``group`` to courier ``name``."""
         message_class = self.rng.choice(platform.CLASSES)
         trace = f"{name}-{len(self.submissions):06d}"
         sent = self.submissions[trace] = Submission(message_class, name, self.loop.now)
-        lifetime_minutes = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[message_class]
+        lifetime_ms = {"reading": 4_000, "work-order": 6_000, "payment": 5_000}[message_class]
         headers = {
             "X-Trace-Id": trace,
             "X-Qos": message_class,
-            "X-Expires-In": f"{lifetime_minutes}m",
+            "X-Expires-In": f"{lifetime_ms}m",
             "X-Route-To": f"dest={group}",
             "Idempotency-Key": trace,
         }
@@ -570,13 +586,13 @@
             sent.notices.append(str(notice.get("state")))
 
     def drain(self) -> None:
-        """Stop submitting messages, and run until those accepted have had time to end."""
+        """Stop submitting messages, and run for 7 s, so that those accepted can end: none lives longer than 6 s."""
         self._draining = True
         self.run(7 * SECOND)
 
-    def wait_for_log(self, name: str, text: str, within: int) -> None:
-        """Run until the log of a courier contains ``text``."""
-        deadline = self.loop.now + within
+    def wait_for_log(self, name: str, text: str, timeout: int) -> None:
+        """Run until the log of a courier contains ``text``; raise ``TimeoutError`` after ``timeout``."""
+        deadline = self.loop.now + timeout
         while text not in self.read_log(name):
             if self.loop.now > deadline:
                 raise TimeoutError(f"{name} did not log in time: {text}")
--- a/kestrelspar/lab/run.py
+++ b/kestrelspar/lab/run.py
@@ -14,8 +14,9 @@
 from kestrelspar.lab.scenario import Action, Scenario
 from kestrelspar.runtime.loop import MS, SECOND
 
-SHARED_PERCENT = 90  # of a limit
-# After a limit changed: a term and a window for what was lent before, and the time until couriers have learnt of it.
+SHARED_PERCENT = 90  # percentage of a limit that the couriers share
+# After its limit has changed, a member system is not checked against it for this long: a loan term and a window for
+# calls lent before, and the time until the couriers have learnt the new limit.
 LIMIT_CHANGE_GRACE = 4 * SECOND
 
 
@@ -65,7 +66,10 @@
 def run_scenario(
     scenario: Scenario, directory: Path, seed: int, progress: Callable[[str], None] = lambda text: None
 ) -> dict[str, Any]:
-    """Run a scenario, and return its report for JSON; its ``faults`` are empty if the checkers found nothing."""
+    """Run a scenario, and return its report as values for JSON.
+
+    ``faults`` of the report is empty if the checkers found nothing. Raises ``TimeoutError`` if couriers don't start.
+    """
     with Rig(
         directory,
         scenario.couriers,
@@ -173,13 +177,13 @@
 
 
 def _repeated_attempts(rig: Rig, scenario: Scenario, begin: int) -> dict[str, tuple[int, float]]:
-    """By destination: the most repeated attempts within a second, and how many all couriers together may make."""
+    """By destination: the most repeated attempts in any second, and how many all couriers together may make in one."""
     found = {}
     for group in sorted(set(scenario.groups.values())):
         names = [name for name, each in scenario.groups.items() if each == group]
         repeats = checkers.repeats(call for name in names for call in rig.members[name].calls if call.at >= begin)
         most = checkers.max_calls_per_second(repeats, max(MS, SECOND - rig.loop.longest_turn))
         budget = sum(scenario.limits[name] for name in names) * SHARED_PERCENT / 100 * scenario.again / 100
-        # A budget of less than one call for each courier has a longer window.
+        # A budget that gives a courier less than one call per second has a longer window, with one call for each.
         found[str(group)] = most, max(budget, scenario.couriers)
     return found
--- a/kestrelspar/lab/scenario.py
+++ b/kestrelspar/lab/scenario.py
@@ -5,7 +5,7 @@
         for         12s
     member m1
         limit       40
-        group       1               # its destination; members of the same group are its endpoints
+        group       1               # number of its destination; members of the same group are endpoints of one
     traffic *
         m1          4
     traffic n0
@@ -30,6 +30,7 @@
 from kestrelspar.settings import kinds
 from kestrelspar.settings.lines import Block, ConfError, ConfErrors, Line, SourceLocation, read
 
+# Kinds of values, with their ranges.
 DURATION = kinds.duration("", 0, 3_600 * SECOND)
 POSITIVE_PERCENT = kinds.number("", 1, 100)
 COURIER_COUNT = kinds.number("", 1, 50)
@@ -39,32 +40,33 @@
 SWITCH = kinds.switch("")
 NAME = kinds.text("", 60)
 
-# Argument types of each action. A trailing * stands for one or more of that type, a trailing ? for an optional one.
+# Argument types of each action. A trailing * stands for one or more arguments of that type, a trailing ? for an
+# optional argument.
 ACTIONS: dict[str, tuple[str, ...]] = {
-    "cut": ("courier*",),
-    "deaf": ("courier*",),
-    "heal": (),
-    "loss": ("percent",),
-    "double": ("percent",),
-    "delay": ("time", "time"),
-    "kill": ("courier*",),
-    "term": ("courier*",),
-    "start": ("courier", "empty?"),
-    "stop": ("courier", "time"),
-    "down": ("member",),
-    "up": ("member",),
-    "shut": ("member",),
-    "wait": ("member", "time"),
-    "limit": ("member", "calls"),
-    "calls-lost": ("courier*",),
-    "answers-lost": ("courier*",),
-    "calls-late": ("time", "time"),
+    "cut": ("courier*",),  # datagrams between these couriers and the others are lost
+    "deaf": ("courier*",),  # datagrams to these couriers are lost
+    "heal": (),  # ends the faults of datagrams and calls
+    "loss": ("percent",),  # of all datagrams
+    "double": ("percent",),  # of all datagrams
+    "delay": ("time", "time"),  # bounds of the random delay of datagrams
+    "kill": ("courier*",),  # SIGKILL
+    "term": ("courier*",),  # SIGTERM
+    "start": ("courier", "empty?"),  # empty: without its saved state
+    "stop": ("courier", "time"),  # SIGSTOP, and SIGCONT after the time
+    "down": ("member",),  # accepts calls and answers none
+    "up": ("member",),  # ends down and shut
+    "shut": ("member",),  # closes connections
+    "wait": ("member", "time"),  # refuses calls with Retry-After until the time has passed
+    "limit": ("member", "calls"),  # sets the limit, in calls per second
+    "calls-lost": ("courier*",),  # calls of these couriers are lost
+    "answers-lost": ("courier*",),  # answers to these couriers are lost
+    "calls-late": ("time", "time"),  # bounds of the random delay of all calls
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """An action at a time: its name and its arguments."""
+    """One timed action: its name, a key of ``ACTIONS``, and its parsed arguments."""
 
     at: int  # microseconds after the warm-up
     name: str
@@ -79,7 +81,7 @@
     span: int = 10 * SECOND
     warm_up: int = 6 * SECOND  # traffic before the first action, and before the checkers count
     peers: bool = True
-    again: int = 100  # percent of the limits that repeated attempts of all couriers together may take
+    again: int = 100  # repeated attempts of all couriers together may take this percentage of the limits
     liar: str = ""  # name of a simulated lying (Byzantine) courier
     limits: dict[str, int] = field(default_factory=dict)  # by member: calls per second
     latencies: dict[str, int] = field(default_factory=dict)  # by member: time until it answers a call
@@ -88,13 +90,16 @@
     actions: list[Action] = field(default_factory=list)
 
     def rates(self) -> dict[str, dict[str, float]]:
-        """Rates by courier; rates for a single courier override those for all."""
+        """Rates by courier, then by member; rates for a single courier override those for all (``*``)."""
         names = [f"n{number}" for number in range(self.couriers)]
         return {name: self.traffic.get("*", {}) | self.traffic.get(name, {}) for name in names}
 
 
 class _Reader:
-    """Collects a scenario and its errors. The methods lab, member, traffic and at parse the sections of these names."""
+    """Collects a scenario and its errors.
+
+    Each section is parsed by the method of its name: ``lab``, ``member``, ``traffic`` or ``at``.
+    """
 
     def __init__(self) -> None:
         self.scenario = Scenario()
@@ -119,7 +124,7 @@
         return self.parse_value(line, key, line.words[0], meta)
 
     def known_courier(self, name: str) -> str | None:
-        """Return the name if it is a courier of the scenario, otherwise nothing."""
+        """Return the name if it is a courier of the scenario, else None."""
         return name if name in {f"n{number}" for number in range(self.scenario.couriers)} else None
 
     def parse_keys(self, block: Block, table: dict[str, tuple[Any, Callable[[Any], None]]]) -> None:
@@ -186,7 +191,7 @@
             when = kinds.parse_value(block.label, DURATION, "")
         except ValueError as error:
             self.add_error(block.location, "at", f"{error} (wanted: {kinds.describe_accepted(DURATION)})")
-            when = 0  # its lines are checked all the same
+            when = 0  # only so that the section's lines are checked, too
         for line in block.lines:
             if line.key not in ACTIONS:
                 self.add_error(line.location, f"at.{line.key}", f"unknown action (wanted: {', '.join(ACTIONS)})")
@@ -196,7 +201,7 @@
                 self.scenario.actions.append(Action(when, line.key, arguments))
 
     def parse_arguments(self, line: Line) -> tuple[Any, ...] | None:
-        """Parse the arguments of an action by their types; nothing if one is invalid."""
+        """Parse the arguments of an action by their types; return None if one is invalid."""
         types, given = ACTIONS[line.key], line.words
         if types and types[-1].endswith("*"):
             types = (types[0].rstrip("*"),) * max(1, len(given))
--- a/kestrelspar/lab/simulated_network.py
+++ b/kestrelspar/lab/simulated_network.py
@@ -1,9 +1,9 @@
 """Discrete-event simulation of a network of couriers and brokers, deterministic for one seed, in one process.
 
-It runs the I/O-free peer modules of many couriers. The clock of the simulation is called real time here; each node
-reads it through a local clock with an offset and a drift. Datagrams are lost, delayed, duplicated and reordered as
-configured, and cut off by direction. Nodes can be paused, killed and restarted, with or without their saved state. The
-budget checker is independent of the couriers: it counts their calls in real time.
+It runs the I/O-free peer modules of many couriers. "Real time" is the clock of the simulation, in microseconds; each
+node reads it through a local clock with an offset and a drift. Datagrams are lost, delayed, duplicated and reordered as
+configured, and can be cut off in one direction. Nodes can be paused, killed and restarted, with or without their saved
+state. The budget checker is independent of the couriers: it counts their calls in real time.
 
 Brokers are nodes beside the couriers and belong to regions. Where there are brokers, each courier is configured with
 all of them, its region and its group, except for the couriers in ``SimulatedNetwork.pre_broker_couriers``, which run
@@ -25,18 +25,18 @@
 
 MS, SECOND = 1_000, 1_000_000
 TICK_INTERVAL = 50 * MS
-TICK_JITTER = 5 * MS
+TICK_JITTER = 5 * MS  # upper bound of the random time added to each interval
 CALL_INTERVAL = 20 * MS  # between a courier's attempts to make calls for waiting messages
 KEY = b"a key for the model's couriers.."
 
 
 @dataclass(slots=True)
 class Faults:
-    """Faults of datagrams: shares of all datagrams, and the bounds of their delay in microseconds."""
+    """Faults of all datagrams."""
 
-    loss: float = 0.0
-    duplicate: float = 0.0
-    delay: tuple[int, int] = (1 * MS, 5 * MS)
+    loss: float = 0.0  # share that is lost
+    duplicate: float = 0.0  # share that arrives twice
+    delay: tuple[int, int] = (1 * MS, 5 * MS)  # bounds of the random delay
 
 
 @dataclass(slots=True)
@@ -46,20 +46,19 @@
     name: str
     number: int
     address: tuple[str, int]
-    clock_rate: float  # local clock's microseconds for each one of real time
+    clock_rate: float  # microseconds of the local clock in one microsecond of real time
     clock_offset: int  # microseconds
-    peer: Peer | None = None
+    peer: Peer | None = None  # the running courier
     epoch: int = 0
-    saved_loans: dict[str, int] | None = None  # state on disk: the most that was lent of each budget
+    saved_loans: dict[str, int] | None = None  # the courier's state on disk: by budget, the most that was lent
     paused_until: int = 0
     queued: list[bytes] = field(default_factory=list)  # datagrams that arrived during a pause
-    byzantine_behavior: Callable[[Node, int], None] | None = (
-        None  # Byzantine behaviour, called with the real time before each tick
-    )
+    # Behaviour of a lying node: called before each tick, with the node and the real time.
+    byzantine_behavior: Callable[[Node, int], None] | None = None
     group: str = ""
     region: str = ""
     before_tick: Callable[[Node, Peer], None] | None = None  # the workload of a courier
-    broker: Broker | None = None
+    broker: Broker | None = None  # the running broker
 
     def process(self) -> Peer | Broker | None:
         """The running courier or broker, if any."""
@@ -71,15 +70,15 @@
 
 
 class BudgetChecker:
-    """Counts the calls of all couriers by budget, in real time; more than the budget in one window is a fault."""
+    """Counts the calls of all couriers by budget, in real time; more than the budget in one window is a violation."""
 
     def __init__(self) -> None:
-        self.limits: dict[str, tuple[int, int]] = {}
-        self.max_calls: dict[str, int] = defaultdict(int)
-        self.calls: dict[str, int] = defaultdict(int)
-        self.calls_by_courier: dict[tuple[str, str], int] = defaultdict(int)
-        self.violations: list[tuple[int, str, int]] = []
-        self._times: dict[str, deque[int]] = defaultdict(deque)
+        self.limits: dict[str, tuple[int, int]] = {}  # by budget: calls, and window in microseconds
+        self.max_calls: dict[str, int] = defaultdict(int)  # by budget: the most calls in any window
+        self.calls: dict[str, int] = defaultdict(int)  # by budget
+        self.calls_by_courier: dict[tuple[str, str], int] = defaultdict(int)  # by courier and budget
+        self.violations: list[tuple[int, str, int]] = []  # time, budget, and number of calls in the window
+        self._times: dict[str, deque[int]] = defaultdict(deque)  # by budget: times of the calls in the current window
 
     def call(self, now: int, name: str, key: str) -> None:
         """Record a call of a courier under a budget."""
@@ -112,15 +111,18 @@
         probe_interval: int = SECOND,
         period: int = SECOND,
     ) -> None:
-        """``brokers``: number of brokers by region; ``placement``: returns region and group for a courier's number.
+        """``drift``: largest deviation of a clock's rate from 1. ``loan_terms``: further arguments of ``LoanTerms``.
 
-        ``probe_interval``: interval between the couriers' probes of an endpoint that is down. ``period``: interval of
-        the membership probes. ``seeds``: number of seed members of each group; without groups, of the whole fleet.
+        ``bytes_per_second``: bandwidth limit of each courier. ``brokers``: number of brokers by region. ``placement``:
+        returns region and group for a courier's number. ``probe_interval``: interval between the couriers' probes of
+        an endpoint that is down. ``period``: interval of the membership probes. ``seeds``: number of seed members of
+        each group; without groups, of the whole fleet.
         """
         self.random = Random(seed)
         self.now = 0
         self.faults = faults or Faults()
-        self.cut: Callable[[str, str], bool] = lambda sender, to: False  # whether datagrams are cut off, by direction
+        # Whether datagrams from one node (the first name) to another are cut off.
+        self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.budget_checker = BudgetChecker()
         self.loan_terms, self.bytes_per_second, self.probe_interval, self.period = (
             loan_terms or {},
@@ -130,7 +132,7 @@
         )
         self.events: list[tuple[int, str, str, dict[str, object]]] = []  # (real time, node, event, fields)
         self._order = itertools.count()
-        self._queue: list[tuple[int, int, Callable[[], None]]] = []
+        self._queue: list[tuple[int, int, Callable[[], None]]] = []  # heap of (real time, order of scheduling, call)
         self.nodes = {
             f"n{i}": Node(
                 f"n{i}", i, ("10.0.0.1", 1000 + i), 1 + self.random.uniform(-drift, drift), self.random.randrange(10**9)
@@ -159,9 +161,8 @@
             for n, (region, name) in enumerate(names)
         }
         self.pre_broker_couriers: set[str] = set()  # couriers that run without groups and brokers
-        self.endpoints_by_courier: dict[
-            str, dict[str, int]
-        ] = {}  # by courier: destination of each endpoint that it uses
+        # By courier, then by endpoint that it uses: the endpoint's destination.
+        self.endpoints_by_courier: dict[str, dict[str, int]] = {}
         self._by_address = {node.address: node for node in [*self.nodes.values(), *self.brokers.values()]}
         self.budgets: dict[str, tuple[int, int]] = {}
 
@@ -179,21 +180,25 @@
     # Couriers
 
     def budget(self, key: str, calls: int, window: int = SECOND) -> None:
-        """Configure a budget at all couriers, now and at each later start."""
+        """Configure a budget of ``calls`` in any ``window`` at all couriers, now and at each later start."""
         self.budgets[key] = self.budget_checker.limits[key] = calls, window
         for node in self.nodes.values():
             if node.peer is not None:
                 node.peer.shares.set_budget(key, calls, window)
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
-        """Addresses of the seed members of all groups, of which ``start`` uses those of the courier's group.
+        """Addresses of the seed members for courier ``name``.
 
-        ``name``: the courier, for subclasses that return the seed members of its group alone.
+        Here they are those of all groups, of which ``start`` uses the ones of the courier's group. A subclass may
+        return those alone.
         """
         return self._seeds
 
     def start(self, name: str, keep_state: bool = True) -> None:
-        """Start a process, in place of any that runs; without ``keep_state`` it has lost its saved loans."""
+        """Start a courier or broker, in place of its process if one runs.
+
+        Without ``keep_state`` a courier starts without its saved loans.
+        """
         node = self.node(name)
         if not keep_state:
             node.saved_loans = None
@@ -254,7 +259,7 @@
         self.node(name).paused_until = self.now + duration
 
     def set_endpoints(self, name: str, routes: dict[str, int]) -> None:
-        """Set the endpoints that a courier uses, with their destinations, for now and after restarts."""
+        """Set the endpoints that a courier uses, with their destinations, now and at each later start."""
         self.endpoints_by_courier[name] = routes
         peer = self.nodes[name].peer
         if peer is not None:
@@ -318,9 +323,10 @@
 
 
 class Traffic:
-    """Messages for one budget at each courier: they wait for a permitted call, or are abandoned after a timeout.
+    """Messages whose calls are charged to one budget.
 
-    Arrivals are a Poisson process; ``rates`` gives messages per second by courier.
+    A message waits at its courier until the courier's share of the budget allows a call; it is abandoned after
+    ``timeout``. Arrivals are a Poisson process; ``rates`` has messages per second by courier.
     """
 
     def __init__(self, net: SimulatedNetwork, key: str, rates: dict[str, float], timeout: int = 4 * SECOND) -> None:
--- a/kestrelspar/lab/zones.py
+++ b/kestrelspar/lab/zones.py
@@ -28,7 +28,7 @@
 
     def _forward(self, data: bytes, address: tuple[str, int]) -> None:
         super()._forward(data, address)
-        with suppress(ValueError):  # deliberately forged
+        with suppress(ValueError):  # forged by a test
             self.relayed += [
                 (self.loop.now, message.witness, message.observation.endpoint)
                 for message in decode(data[HEADER_BYTES:]).messages
@@ -37,7 +37,10 @@
 
 
 class ZonedRig(Rig):
-    """Couriers and brokers in several zones. All datagrams to one pass a relay, whose address it advertises."""
+    """Couriers and brokers in several zones.
+
+    The others know each of them by the address of a relay, which all datagrams to it pass.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,10 @@
         brokers: dict[str, str],
         **rig_options: Any,
     ) -> None:
-        """``zones`` has the region and zone of every courier; ``brokers`` has the zone of each broker."""
+        """``zones`` has the region and zone of each courier, ``brokers`` the zone of each broker, by name.
+
+        Names of couriers are n0, n1 and so on; those of brokers begin with their region and a slash.
+        """
         self.zones, self.ungrouped = zones, set[str]()  # ungrouped: couriers configured without group and brokers
         super().__init__(directory, len(zones), seed, limits, **rig_options)
         assert list(zones) == list(self.nodes)
@@ -68,7 +74,7 @@
         return {}
 
     def peer_addresses(self, sender: str) -> dict[str, tuple[str, int]]:
-        """See ``Rig.peer_addresses``: only couriers of its group, or all if it is configured without group."""
+        """See ``Rig.peer_addresses``: only couriers of the sender's group, or all if it is configured without group."""
         return {
             name: self.address(name)
             for name in self.nodes
@@ -104,7 +110,7 @@
     # Brokers
 
     def start_broker(self, name: str, keep_state: bool = True) -> None:
-        """Start a broker, and wait until it serves; without ``keep_state`` its state is deleted first."""
+        """Start a broker, and run until it serves; without ``keep_state`` its state directory is deleted first."""
         node = self.brokers[name]
         state = node.directory / "state"
         if not keep_state:
@@ -135,7 +141,7 @@
                     self.network.faults[(outside, inside)] = Faults(cut=True)
 
     def set_loss(self, share: float) -> None:
-        """Drop this share of all datagrams, also within zones."""
+        """Drop this share of all datagrams, also of those within a zone; replaces the faults between relays."""
         for a in self.relays:
             for b in self.relays:
                 self.network.faults[(a, b)] = Faults(loss=share)
--- a/tests/lab/broker_scenarios.py
+++ b/tests/lab/broker_scenarios.py
@@ -27,7 +27,7 @@
 LIMITS = {"m1": 60, "m2": 60, "m3": 14}
 GROUPS = {"m1": 1, "m2": 1, "m3": 2}  # m1 and m2 are endpoints of one destination; m3 is loaded close to its limit
 RATES = {"m1": 2.0, "m3": 1.2}
-# An outage lasts at least this long, and ends once a courier of each group has suspended the endpoint by report.
+# An outage lasts at least this long, and until a courier of each group has suspended the endpoint on reports of others.
 MIN_OUTAGE = 3 * SECOND
 TIMEOUT = 30 * SECOND  # generous: an outage is reported within a second or two
 ONE_REGION = {f"n{n}": ("eu", "z1" if n < 3 else "z2") for n in range(6)}
@@ -54,12 +54,13 @@
         names = {call.courier for call in rig.members[member].calls if call.at > since}
         return {zone: len({name for name in names if rig.zones[name][1] == zone}) for _, zone in rig.zones.values()}
 
-    def outage(self, when: str, across: bool = True) -> None:
-        """Close one of m1 and m2; a courier of each group has to suspend it by report.
+    def outage(self, when: str, across_zones: bool = True) -> None:
+        """Close one of m1 and m2; a courier of each group has to suspend it on reports of others.
 
-        With ``across`` brokers also have to relay to each zone what couriers of other zones observed. Each courier
-        stays with an endpoint that serves it, not all with the same one. So the other endpoint is closed first, until
-        two couriers of each group have called the one that is to fail, and can witness its outage.
+        With ``across_zones``, brokers also have to relay to each zone what couriers of other zones observed.
+
+        Each courier stays with an endpoint that serves it, and not all with the same one. So the endpoint that is not
+        to fail is closed first, until two couriers of each group have called the other one and can witness its outage.
         """
         rig = self.rig
         failing, other = sorted(
@@ -75,23 +76,23 @@
         rig.members[other].up()
         rig.members[failing].shut, since = True, rig.loop.now
         rig.run(MIN_OUTAGE)
-        not_suspended, not_relayed, deadline = zones, zones if across else set(), rig.loop.now + TIMEOUT
+        not_suspended, not_relayed, deadline = zones, zones if across_zones else set(), rig.loop.now + TIMEOUT
         while self.with_brokers and rig.loop.now < deadline:
             not_suspended = zones - {
                 rig.zones[name][1] for name in names if rig.read_log(name).count(log_text) > before[name]
             }
-            not_relayed = zones - rig.zones_with_foreign_witnesses(failing, since) if across else set()
+            not_relayed = zones - rig.zones_with_foreign_witnesses(failing, since) if across_zones else set()
             if not not_suspended and not not_relayed:
                 break
             rig.run(200 * MS)
         rig.members[failing].up()
         self.require(
             not not_suspended,
-            f"{when}: {failing} failed, and no courier in {sorted(not_suspended)} suspended it by report",
+            f"{when}: {failing} failed, and no courier in {sorted(not_suspended)} suspended it on reports of others",
         )
         self.require(
             not not_relayed,
-            f"{when}: {failing} failed, and brokers relayed to {sorted(not_relayed)} nothing of other zones",
+            f"{when}: {failing} failed, and brokers relayed to {sorted(not_relayed)} no observation of other zones",
         )
         rig.run(2 * SECOND)
 
@@ -134,7 +135,7 @@
 
 
 def brokers_introduced(run: Run) -> None:
-    """Couriers without group and brokers are restarted one by one with both, while all serve."""
+    """Couriers configured without group and brokers are restarted with both, one by one, under traffic."""
     rig = run.rig
     rig.ungrouped = set(rig.nodes)
     start_all(run)
@@ -142,7 +143,7 @@
         if number == 3:
             rig.ready()
             rig.run(2 * SECOND)
-            run.outage("z1 with brokers, z2 without", across=False)
+            run.outage("z1 with brokers, z2 without", across_zones=False)
         rig.end_process(name, signal.SIGTERM)
         if run.with_brokers:
             rig.ungrouped.discard(name)
@@ -154,8 +155,10 @@
 
 
 def brokers_fail(run: Run) -> None:
-    """One broker is paused for longer than its lease term. The other is killed meanwhile and restarted at once without
-    state, then killed for good, so that no broker is left until the paused one resumes.
+    """One broker is paused for longer than the lease term; meanwhile the other one is killed.
+
+    The killed broker is restarted at once without state, and later killed for good. So no broker is left until the
+    paused one resumes.
     """
     rig = run.rig
     start_all(run)
@@ -184,11 +187,11 @@
 
 
 def zone_cut_off(run: Run) -> None:
-    """A zone is cut off in one direction, the other, then both; half of the couriers restart at once; 30 % loss.
+    """A zone is cut off in one direction, the other, then both; then half of the couriers restart; then 30 % loss.
 
-    One direction is cut for 3 s, both for 8 s, instead of 10 s each. That is long enough for a member to be suspected
-    (two periods of 300 ms) and declared dead (six more), for a loan to expire (2 s), and for a broker to be considered
-    gone by those whose lease renewal fell into it.
+    One direction is cut for 3 s, both for 8 s, instead of 10 s each as in the simulation. That is long enough for a
+    member to be suspected (two periods of 300 ms) and declared dead (six more), and for a loan to expire (2 s). It also
+    makes a broker count as gone at the couriers whose lease renewal fell into the cut.
     """
     rig = run.rig
     start_all(run)
@@ -197,7 +200,7 @@
         rig.run(3 * SECOND)
         rig.heal()
     rig.partition("z1")
-    run.outage("z1 cut off", across=False)
+    run.outage("z1 cut off", across_zones=False)
     rig.run(3 * SECOND)
     rig.heal()
     for name in ("n0", "n1", "n5"):
@@ -226,7 +229,7 @@
         f"n4 knows only witnesses of its own region: {status.get('endpoints')}",
     )
     rig.partition("z1")
-    run.outage("regions partitioned", across=False)
+    run.outage("regions partitioned", across_zones=False)
     rig.run(4 * SECOND)
     rig.heal()
     run.outage("regions reconnected")
--- a/tests/lab/test_brokers.py
+++ b/tests/lab/test_brokers.py
@@ -1,7 +1,7 @@
 """Courier and broker processes in zones under faults: guarantees hold, and observations reach every group.
 
-Each scenario runs with brokers and without, where all couriers know each other. The runs are parallel, and start one
-after the other so that they don't compete for a core while starting.
+Each scenario runs twice: with brokers, and without, when all couriers know each other. The runs are parallel, but start
+one after the other, so that they don't compete for a core while starting.
 """
 
 from __future__ import annotations
@@ -20,14 +20,18 @@
 from tests.lab.broker_scenarios import LIMITS, ONE_REGION, SCENARIOS
 from tests.test_program import ROOT, TEST_TIMEOUT
 
-SERVED_TOLERANCE = 0.15  # share of messages: runs of one scenario differ by up to 0.09, as outages hit other messages
+# Share of the messages. Runs of one scenario differ by up to 0.09, as an outage does not always hit the same messages.
+SERVED_TOLERANCE = 0.15
 START_CPU_S = 3.0  # CPU seconds that the start of a run takes
 Reports = dict[tuple[str, str], dict[str, Any]]
 
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> Reports:
-    """Run all scenarios, as many in parallel as there are cores: with more, starts and ends would come too late."""
+    """Run all scenarios and return their reports, by name of the scenario and mode ("on": with brokers).
+
+    As many run in parallel as there are cores: with more, couriers would start and messages end too late.
+    """
     cores = len(os.sched_getaffinity(0))
     running: dict[tuple[str, str], subprocess.Popen[str]] = {}
     results: Reports = {}
@@ -53,21 +57,21 @@
             collect()
     finally:
         for run in running.values():
-            run.send_signal(signal.SIGINT)  # so that it ends its couriers
+            run.send_signal(signal.SIGINT)  # unlike SIGKILL, it lets the run end its couriers
             run.wait()
     return results
 
 
 @pytest.mark.parametrize("mode", ["on", "off"])
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_no_promise_is_broken(reports: Reports, name: str, mode: str) -> None:
+def test_guarantees_hold_and_processes_exit_cleanly(reports: Reports, name: str, mode: str) -> None:
     report = reports[name, mode]
     print({key: report.get(key) for key in ("most_in_a_second", "longest_us", "ends", "seconds")})
     assert "broken" not in report, report["broken"]
     assert report["wrong_ends"] == [] and report["faults"] == []
     assert set(report["codes"].values()) == {0}, report["codes"]
     assert report["handed_in"] > 200 and report["calls"] > 200
-    # A lying courier can raise the sum by what others borrow from it (docs/design/peers.md, "A liar").
+    # A lying courier can raise the number of calls by what others borrow from it (docs/design/peers.md, "A liar").
     lent = MAX_LENT_PART * (len(ONE_REGION) - 1) / len(ONE_REGION) if name == "liars" else 0.0
     for member, limit in LIMITS.items():
         assert report["most_in_a_second"][member] <= limit * (1 + lent), report["most_in_a_second"]
@@ -81,14 +85,14 @@
         assert [status["region"], status["group"]] == report["zones"][courier]
         own = {broker for broker in SCENARIOS[name][2] if broker.startswith(f"{status['region']}/")}
         assert status["brokers"].keys() == own
-        gone = own - report["brokers"].keys()  # killed for good, or replaced by a lying broker
-        assert all(status["brokers"][broker]["answering"] for broker in own - gone), status
+        ended = own - report["brokers"].keys()  # killed for good, or replaced by a lying broker
+        assert all(status["brokers"][broker]["answering"] for broker in own - ended), status
     assert "group: z1" in report["shown"] and "Brokers" in report["shown"] and "eu/b2" in report["shown"]
     assert report["brokers"] and all(each["passed_on"] > 0 for each in report["brokers"].values())
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_no_less_is_served_than_without_brokers(reports: Reports, name: str) -> None:
+def test_brokers_do_not_lower_the_share_of_messages_served(reports: Reports, name: str) -> None:
     on, off = reports[name, "on"], reports[name, "off"]
     print(f"{name}: {on['served']:.3f} with brokers, {off['served']:.3f} without")
     assert on["served"] >= off["served"] - SERVED_TOLERANCE, (on["ends"], off["ends"])
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -85,9 +85,8 @@
     assert abs(sum(arrived) - 500 * first.rate) < 5 * (500 * first.rate) ** 0.5
     rates = [Workload(config, number).rate for number in range(2_000)]
     assert abs(sum(rates) / len(rates) - 2.0) < 0.1
-    assert first.abandoned == first.arrived - sum(
-        first.waiting.values()
-    )  # no calls are made: messages wait or are abandoned
+    # No calls are made, so each message waits or is abandoned.
+    assert first.abandoned == first.arrived - sum(first.waiting.values())
 
 
 @pytest.mark.parametrize(("rate", "limits"), [(0.0, {"a": 5.0}), (3.0, {})])
@@ -105,7 +104,7 @@
 
 def test_budgets_are_derived_from_a_limit_as_by_real_couriers() -> None:
     assert endpoint_budgets(HollowConfig(10, 1, limits={"m": 50.0})) == {"e:m": (45, SECOND)}
-    # In a longer window, so that each courier's share is at least one call.
+    # A longer window, so that each courier's share is at least one call.
     assert endpoint_budgets(HollowConfig(1_000, 1, limits={"m": 50.0}))["e:m"][0] >= 1_000
 
 
--- a/tests/lab/test_relays.py
+++ b/tests/lab/test_relays.py
@@ -34,7 +34,9 @@
         (MAGIC + bytes(17) + b"\x93\xa1a\xa1b\x07", None),
     ],
 )
-def test_the_way_of_a_datagram_is_read_without_its_key(data: bytes, expected: tuple[str, str] | None) -> None:
+def test_sender_and_receiver_of_a_datagram_are_read_without_the_key(
+    data: bytes, expected: tuple[str, str] | None
+) -> None:
     header = read_routing_header(data)
     assert (header and (header.sender, header.to)) == expected
 
@@ -58,7 +60,7 @@
         ({("a", "b"): PathFaults(double=1.0, loss=1.0)}, "a1", "b1", []),
     ],
 )
-def test_faults_are_those_of_the_ordered_pair(
+def test_faults_apply_to_one_direction_between_two_groups(
     faults: dict[tuple[str, str], PathFaults], sender: str, to: str, delays: list[int] | None
 ) -> None:
     network = FaultyNetwork(3)
@@ -69,7 +71,7 @@
         assert network.copy_delays(sender, to) == [0]
 
 
-def test_loss_takes_its_share_and_one_seed_gives_one_story() -> None:
+def test_loss_drops_the_configured_share_and_is_deterministic_for_a_seed() -> None:
     outcomes = []
     for _ in range(2):
         network = FaultyNetwork(5)
@@ -79,7 +81,7 @@
     assert 2_850 <= sum(outcomes[0]) <= 3_150
 
 
-def test_a_relay_passes_on_to_the_true_address_and_counts_what_it_does_not() -> None:
+def test_a_relay_forwards_to_the_actual_address_and_counts_lost_datagrams_by_reason() -> None:
     loop = Loop()
     network = FaultyNetwork(1)
     network.groups = GROUPS
@@ -127,8 +129,8 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
         other.setblocking(False)
-        beyond = ExternalFleet(2, {"n0": ("10.0.0.7", 1_234)}, {"n0": {"x": other.getsockname()}})
-        with Rig(tmp_path, 1, 1, {"m1": 40}, external_fleet=beyond) as rig:
+        fleet = ExternalFleet(2, {"n0": ("10.0.0.7", 1_234)}, {"n0": {"x": other.getsockname()}})
+        with Rig(tmp_path, 1, 1, {"m1": 40}, external_fleet=fleet) as rig:
             updates: list[MemberUpdate] = []
 
             def listen() -> None:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files are parsed, and their errors are reported by line; checkers find what they are for."""
+"""Scenario files are parsed, and their errors are reported by line; the checkers find what they check for."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_a_file_as_told_in_the_order_of_its_times(tmp_path: Path) -> None:
+def test_a_file_is_parsed_and_its_actions_are_sorted_by_time(tmp_path: Path) -> None:
     (tmp_path / "a.conf").write_text(VALID)
     loaded = scenario.load(str(tmp_path / "a.conf"))
     assert (loaded.couriers, loaded.span, loaded.limits, loaded.latencies) == (
@@ -52,7 +52,7 @@
         ("lab", "lap", 1, "lap: unknown section"),
     ],
 )
-def test_what_will_not_do_is_named_by_its_line(tmp_path: Path, old: str, new: str, line: int, message: str) -> None:
+def test_errors_are_reported_with_file_and_line(tmp_path: Path, old: str, new: str, line: int, message: str) -> None:
     file = tmp_path / "a.conf"
     file.write_text(
         VALID.replace(old, new)
@@ -61,10 +61,10 @@
     )
     with pytest.raises(ConfErrors) as raised:
         scenario.load(str(file))
-    assert any(str(fault).startswith(f"{file}:{line}: ") and message in str(fault) for fault in raised.value.errors)
+    assert any(str(error).startswith(f"{file}:{line}: ") and message in str(error) for error in raised.value.errors)
 
 
-def test_the_judges_catch_what_they_are_for() -> None:
+def test_checkers_find_lost_and_repeated_messages_and_the_busiest_second() -> None:
     sent = {
         name: Submission(cls, "n0", 0, 202, list(notices))
         for name, cls, notices in (
@@ -89,7 +89,7 @@
     assert checkers.max_calls_per_second([Call(time, "x", "", False) for time in reversed(times)]) == 3
 
 
-def test_a_member_that_comes_back_cold_falls_when_it_is_pushed_and_bears_more_with_time() -> None:
+def test_a_recovering_member_is_overloaded_above_a_capacity_that_grows_with_time() -> None:
     loop = TimedLoop()
     member = Member(loop, 10, 0, Random(1), {})
     assert not any(member._is_overloaded() for _ in range(50)), "it is not recovering"
