--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -18,8 +18,8 @@
 from kestrelspar.cli.units import DURATION
 from kestrelspar.lab import run as scenario_run
 from kestrelspar.lab import scale, scenario
-from kestrelspar.lab.plan import FAULTS, RunParameters, plan_model, plan_run
-from kestrelspar.lab.simulated_scale import run as run_modelled
+from kestrelspar.lab.plan import FAULTS, RunParameters, plan_run, plan_simulation
+from kestrelspar.lab.simulated_scale import run as run_simulated
 
 
 @click.group("lab")
@@ -135,7 +135,10 @@
 )
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the whole report to this file, as JSON.")
 @click.option(
-    "--page", "site", type=click.Path(dir_okay=False), help="Write it to this file, as an HTML page with charts."
+    "--page",
+    "site",
+    type=click.Path(dir_okay=False),
+    help="Write the report to this file, as an HTML page with charts.",
 )
 def scale_command(
     real: int,
@@ -177,23 +180,23 @@
             )
             for number in filter(None, hollow.split(","))
         ]
-        modelled = [
+        simulated = [
             RunParameters(0, int(number), zones, span, seed, fault, grouped, rate, failing, period)
             for number in filter(None, model.split(","))
         ]
         for request in requested:  # check all of them before the first is started
             plan_run(request, scale.default_bounds())
-        for request in modelled:
-            plan_model(request, scale.default_bounds())
+        for request in simulated:
+            plan_simulation(request, scale.default_bounds())
         for request in requested:
             with tempfile.TemporaryDirectory(prefix="kestrelspar-lab-") as directory, console.status("") as status:
                 runs.append(
                     scale.run(request, Path(directory), scale.default_bounds(), progress(console, status), compare)
                 )
             console.print(_summary(runs[-1]))
-        for request in modelled:
+        for request in simulated:
             with console.status("") as status:
-                runs.append(run_modelled(request, scale.default_bounds(), progress(console, status)))
+                runs.append(run_simulated(request, scale.default_bounds(), progress(console, status)))
             console.print(_summary(runs[-1]))
     except ValueError as error:
         raise ConfigurationError(error) from error
--- a/kestrelspar/cli/peers.py
+++ b/kestrelspar/cli/peers.py
@@ -55,7 +55,7 @@
 @STATE_OPTION
 @JSON_OPTION
 def status(state: str, plain: bool) -> None:
-    """Show the members, the reachable brokers and dropped datagrams; for a broker, its subscriptions and relayed data.
+    """Show the members, which brokers answer, and dropped datagrams; for a broker, its subscriptions and relayed data.
 
     \b
     Example:
--- a/kestrelspar/lab/page.py
+++ b/kestrelspar/lab/page.py
@@ -25,7 +25,7 @@
 
 
 def _chart(chart: Any) -> str:
-    # The script element only configures a script that the browser would have to fetch.
+    # Removes pygal's script element: it only configures a script that the browser would have to fetch.
     return re.sub("<script.*?</script>", "", chart.render(is_unicode=True, disable_xml_declaration=True), flags=re.S)
 
 
@@ -58,10 +58,10 @@
     busiest.x_labels = list(members)
     busiest.add("busiest second", [m["most_in_a_second"] for m in members.values()])
     busiest.add("limit", [m["limit"] for m in members.values()])
-    faults = "".join(f"<li>{html.escape(fault)}</li>" for fault in report["faults"])
-    verdict = "<p>No fault found.</p>"
-    if faults:
-        verdict = f'<p class="bad">{len(report["faults"])} faults:</p><ul>{faults}</ul>'
+    errors = "".join(f"<li>{html.escape(error)}</li>" for error in report["faults"])
+    verdict = "<p>The checkers found no errors.</p>"
+    if errors:
+        verdict = f'<p class="bad">{len(report["faults"])} errors found by the checkers:</p><ul>{errors}</ul>'
     summary = (
         f"Seed {report['seed']}, peers {'on' if report['peers'] else 'off'}: {report['served']:.1%} of the "
         f"messages ran; {report['paid_a_time_out']} had a call that timed out."
@@ -84,7 +84,7 @@
 
 
 def _by_second(rows: list[dict[str, Any]], key: str, factor: float) -> list[float]:
-    """Return the increase of a running sum per second between rows, times ``factor``."""
+    """Return, for each two successive rows, the increase of the running sum ``key`` per second, times ``factor``."""
     return [
         round(max(0.0, factor * (b[key] - a[key]) / max(0.1, b["s"] - a["s"])), 4)
         for a, b in zip(rows, rows[1:], strict=False)
@@ -123,8 +123,8 @@
             f"{html.escape(run['fault_name'])}</h2>"
         )
         for kind, lines in (
-            ("saturated, so figures are not of real time", run["saturated"]),
-            ("found", run["findings"]),
+            ("saturated, so that the run fell behind real time", run["saturated"]),
+            ("found by the checkers", run["findings"]),
         ):
             if lines:
                 listed = "".join(f"<li>{html.escape(line)}</li>" for line in lines)
@@ -168,8 +168,8 @@
             f"<style>{STYLE}</style><h1>Couriers by number</h1>",
             f"<p>Cores {html.escape(str(report['machine']['cores']))}, "
             f"Python {html.escape(report['machine']['python'])}. "
-            "Figures are per courier and second; the column <i>from</i> says whether they are of real processes and "
-            "datagrams, or of the modelled network.</p>",
+            "Figures are per courier and second; the column <i>from</i> says whether they were measured on real "
+            "processes and datagrams, or on the modelled network.</p>",
             _table(rows),
             "<h2>Phases</h2>",
             _table(phases),
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -1,9 +1,10 @@
-"""Scale run: real and hollow couriers in zones behind relays, under a fault; measures cost by fleet size, and checks.
+"""Scale run: real and hollow couriers in zones behind relays, under a fault.
 
-The run is controlled by one process. It holds the test rig (real couriers, member systems, clients), and child
-processes for relays and hollow couriers, which report each second. It ends by itself; a signal, or memory above the
-bound, ends it earlier, and no process is left behind. All figures come from those reports, from /proc, and from the
-calls that member systems received.
+It measures what a courier costs at a fleet size, and checks that the guarantees hold. One process controls the run. It
+holds the test rig (real couriers, member systems, clients), and starts child processes for relays and hollow couriers,
+which report each second. The run ends by itself; a signal, or memory above the bound, ends it earlier. No process is
+left behind. All figures come from the reports of the child processes, from /proc, and from the calls that member
+systems received.
 """
 
 from __future__ import annotations
@@ -27,8 +28,7 @@
 from kestrelspar.lab.child import HelperProcess
 from kestrelspar.lab.hollow import HollowConfig, endpoint_budgets
 from kestrelspar.lab.plan import MB, Plan, ResourceLimits, RunParameters, RunTooLargeError, plan_run
-from kestrelspar.lab.relays import PathFaults as RelayPath
-from kestrelspar.lab.relays import encode_faults as path_fault
+from kestrelspar.lab.relays import PathFaults, encode_faults
 from kestrelspar.lab.rig import KEY, ExternalFleet, Rig
 from kestrelspar.peers.link import MIN_TICK_INTERVAL
 from kestrelspar.peers.status_socket import query_status
@@ -36,40 +36,40 @@
 from kestrelspar.settings import kinds
 
 LOAN_TERM, SPEND_PERCENT = 3 * SECOND, 90
-SEEDS_PER_GROUP = 3  # couriers of each group that the others are configured with
+SEEDS_PER_GROUP = 3  # couriers of each group that are the seeds of all its couriers
 OPEN_TIMEOUT, CONVERGENCE_TIMEOUT, RECOVERY_TIMEOUT = 60 * SECOND, 180 * SECOND, 120 * SECOND
-MAX_WRONG_SHARE = 0.01  # share of pairs of couriers that may be wrong when membership counts as converged
+MAX_WRONG_SHARE = 0.01  # membership has converged if at most this share of the entries of membership lists is wrong
 CUT_DURATION, PAUSE_DURATION = 10 * SECOND, LOAN_TERM + 2 * SECOND
 FAULT_LOSS, FAULT_DELAY = 0.1, (50 * MS, 250 * MS)
-RESTART_PERIOD, RESTART_DOWNTIME = 5 * SECOND, 500 * MS  # restarts are spread over a period; downtime of each
+RESTART_PERIOD, RESTART_DOWNTIME = 5 * SECOND, 500 * MS  # time over which restarts are spread; downtime of each courier
 MEMBER_SYSTEMS = ("m1", "m2")
 REAL_RATE = 2.0  # messages per second at a real courier
-MAX_PROCESS_LOAD = 0.9  # of a core; a process that uses more is saturated
-MAX_CORE_LOAD = 0.95  # of all cores that this process may use; above it they are saturated
-MAX_STALLED_SHARE = 0.01  # of the ticks may come more than a period late
-CONTROL_COURIERS = 2  # real couriers with peers disabled, for the comparison of real and hollow ones
+MAX_PROCESS_LOAD = 0.9  # share of a core; a process that uses more is saturated
+MAX_CORE_LOAD = 0.95  # share of the cores that this process may use; if more is in use, they are saturated
+MAX_STALLED_SHARE = 0.01  # share of the ticks that may come more than a probe period late
+CONTROL_COURIERS = 2  # real couriers with peers disabled, to find what the peer protocol costs a real courier
 
 
 class StoppedBySignalError(Exception):
-    """A signal asked the run to end; the argument is the signal's number."""
+    """SIGINT or SIGTERM ended the run; the argument is the number of the signal."""
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """Totals at one time; a phase's figures are the differences of two."""
+    """Totals at one time; the figures of a phase are the differences between two snapshots."""
 
     at: int = 0
     hosts: dict[str, tuple[int, float]] = field(default_factory=dict)  # by process: time of its report, CPU seconds
-    relays: dict[str, tuple[int, float]] = field(default_factory=dict)
+    relays: dict[str, tuple[int, float]] = field(default_factory=dict)  # as for hosts
     real_cpu: dict[str, float] = field(default_factory=dict)  # seconds by courier
     controller_cpu: float = 0.0  # seconds of this process
     sums: Counter[str] = field(default_factory=Counter)
     bytes_sent: dict[str, int] = field(default_factory=dict)  # by real courier
-    cores: tuple[int, int, int] = (0, 0, 0)  # of the cores that this process may use: jiffies in all, idle, stolen
+    cores: tuple[int, int, int] = (0, 0, 0)  # jiffies, see ``core_times``
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time of a process; 0 after its end."""
+    """Processor time of a process, in seconds; 0 after its end."""
     with suppress(OSError, ValueError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -84,7 +84,10 @@
 
 
 def core_times() -> tuple[int, int, int]:
-    """Jiffies of the cores that this process may use, over all processes: in all, idle, stolen by the hypervisor."""
+    """Jiffies of the cores that this process may use: the total, those idle, those stolen by the hypervisor.
+
+    They are the machine's figures, not those of this process.
+    """
     sums = [0, 0, 0]
     with suppress(OSError, ValueError, IndexError):
         allowed = {f"cpu{n}" for n in os.sched_getaffinity(0)}
@@ -98,7 +101,10 @@
 
 @contextmanager
 def stopping_on_signals(loop: Loop) -> Iterator[None]:
-    """Raise ``StoppedBySignalError`` on SIGINT and SIGTERM, at the end of a turn, so that no step is left half done."""
+    """Raise ``StoppedBySignalError`` on SIGINT and SIGTERM.
+
+    It is raised at the end of the loop's turn, so that no step is left half done.
+    """
     received: list[int] = []
 
     def record_signal(number: int, _: FrameType | None) -> None:
@@ -123,34 +129,44 @@
 
     def __init__(
         self,
-        asked: RunParameters,
-        folder: Path,
+        parameters: RunParameters,
+        directory: Path,
         bounds: ResourceLimits,
         progress: Callable[[str], None],
         compare: bool = False,
     ) -> None:
-        self.asked, self.folder, self.bounds, self.progress, self.compare = asked, folder, bounds, progress, compare
-        self.plan: Plan = plan_run(asked, bounds)
-        self.limits = {name: max(40, 2 * asked.couriers) for name in MEMBER_SYSTEMS}
+        """``progress`` is called with texts that describe the current step.
+
+        ``compare``: no messages, and ``CONTROL_COURIERS`` more real couriers, to compare hollow with real ones.
+        """
+        self.parameters, self.directory, self.bounds, self.progress, self.compare = (
+            parameters,
+            directory,
+            bounds,
+            progress,
+            compare,
+        )
+        self.plan: Plan = plan_run(parameters, bounds)
+        self.limits = {name: max(40, 2 * parameters.couriers) for name in MEMBER_SYSTEMS}
         self.config = HollowConfig(
-            asked.couriers,
-            asked.seed,
-            asked.rate,
-            asked.failing,
+            parameters.couriers,
+            parameters.seed,
+            parameters.rate,
+            parameters.failing,
             limits={system: float(limit) for system, limit in self.limits.items()},
             spend=SPEND_PERCENT,
             term=LOAN_TERM,
-            period=asked.period,
+            period=parameters.period,
             key=KEY,
-            span=900 * SECOND + 3 * asked.span,
+            span=900 * SECOND + 3 * parameters.span,
         )
         self.rig_options = ExternalFleet(
-            asked.couriers, period=kinds.format_quantity(asked.period), term=kinds.format_quantity(LOAN_TERM)
+            parameters.couriers, period=kinds.format_quantity(parameters.period), term=kinds.format_quantity(LOAN_TERM)
         )
         self.rig = Rig(
-            folder,
-            asked.real + (CONTROL_COURIERS if compare else 0),
-            asked.seed,
+            directory,
+            parameters.real + (CONTROL_COURIERS if compare else 0),
+            parameters.seed,
             self.limits,
             spend=SPEND_PERCENT,
             external_fleet=self.rig_options,
@@ -161,19 +177,18 @@
         self.reports: dict[str, dict[str, Any]] = {}  # by child: its last report
         self.opened: dict[str, dict[str, Any]] = {}  # by child: addresses of its zones or couriers
         self.addresses: dict[str, Any] = {}  # of couriers
-        self.calls: dict[str, list[int]] = {
-            key: [] for key in endpoint_budgets(self.config)
-        }  # of hollow couriers: times
+        # By budget: times of the hollow couriers' calls.
+        self.calls: dict[str, list[int]] = {key: [] for key in endpoint_budgets(self.config)}
         self.killed_hosts: set[str] = set()  # by the fault
-        self.killed_couriers: set[str] = set()
+        self.killed_couriers: set[str] = set()  # those of the killed hosts
         self.max_lateness: dict[str, int] = {}  # by child, since the last snapshot
-        self.ticks: Counter[str] = Counter()  # of hollow couriers, since the last snapshot
-        self.affected = 0  # couriers that the fault concerns directly
-        self.series: list[dict[str, Any]] = []
+        self.ticks: Counter[str] = Counter()  # ticks of hollow couriers and their lateness, since the last snapshot
+        self.affected = 0  # number of couriers that the fault hits directly
+        self.series: list[dict[str, Any]] = []  # one row per second, see ``series_row``
         self.peak_memory = self.max_processes = 0
-        self._exceeded = ""  # which bound was exceeded
+        self._exceeded = ""  # text about the bound that was exceeded, if any
         self._begin = self.loop.now
-        self.real = [f"n{n}" for n in range(asked.real)]
+        self.real = [f"n{n}" for n in range(parameters.real)]
 
     # Processes
 
@@ -198,7 +213,7 @@
 
     def scope(self, name: str) -> str:
         """The membership group of a courier."""
-        return self.plan.zones[name] if self.asked.grouped else "all"
+        return self.plan.zones[name] if self.parameters.grouped else "all"
 
     def _receive(self, name: str, report: dict[str, Any]) -> None:
         if "open" in report:
@@ -211,18 +226,18 @@
         for key, times in report.get("calls", {}).items():
             self.calls[key] += times
 
-    def _child(self, name: str, module: str) -> HelperProcess:
+    def _start_child(self, name: str, module: str) -> HelperProcess:
         return HelperProcess(self.loop, f"kestrelspar.lab.{module}", lambda report: self._receive(name, report), name)
 
     def open(self) -> None:
-        """Start and configure relays, hosts and real couriers; hollow couriers are opened, but not started yet."""
+        """Start and configure relays, hosts and real couriers. Hollow couriers get sockets, but do not run yet."""
         self.loop.turn_end_calls.append(self._check_bounds)
         self.loop.spawn(self._watch)
-        asked = self.asked
+        parameters = self.parameters
         for index, zones in enumerate(self.plan.relays):
             name = f"relays {index}"
-            self.relays[name] = self._child(name, "relays")
-            self.relays[name].send_command({"open": zones, "seed": asked.seed + index, "groups": self.plan.zones})
+            self.relays[name] = self._start_child(name, "relays")
+            self.relays[name].send_command({"open": zones, "seed": parameters.seed + index, "groups": self.plan.zones})
         self.rig.run_until(lambda: len(self.opened) == len(self.relays), OPEN_TIMEOUT)
         zone_addresses = {zone: tuple(listener) for opened in self.opened.values() for zone, listener in opened.items()}
         seeds: dict[str, dict[str, Any]] = {}
@@ -232,7 +247,7 @@
                 group_seeds[name] = zone_addresses[zone]
         for index, (zone, names) in enumerate(self.plan.hosts):
             host = f"hollow {index} of {zone}"
-            self.hosts[host] = self._child(host, "hollow")
+            self.hosts[host] = self._start_child(host, "hollow")
             self.hosts[host].send_command(
                 {
                     "open": {
@@ -270,7 +285,7 @@
             self.rig.ready()
 
     def send_actual_membership(self) -> None:
-        """Send the hosts which couriers run, so that they can report how far membership lists differ from that."""
+        """Tell the hosts which couriers run and which were killed, to compare membership lists with that."""
         running: Counter[str] = Counter(
             self.scope(name) for name in self.plan.zones if name not in self.killed_couriers
         )
@@ -282,7 +297,7 @@
 
     def start_hollow(self) -> None:
         """Start the hollow couriers, spread over time."""
-        start_period = max(2 * SECOND, self.asked.hollow * 5 * MS)
+        start_period = max(2 * SECOND, self.parameters.hollow * 5 * MS)
         for (_, names), host in zip(self.plan.hosts, self.hosts.values(), strict=True):
             host.send_command({"start": names, "within": start_period})
 
@@ -309,7 +324,7 @@
     # Figures
 
     def sums(self) -> Counter[str]:
-        """Totals of the last reports of hosts and relays."""
+        """Totals over the last reports of all hosts and relays."""
         found: Counter[str] = Counter()
         for host in self.hosts:
             found.update(self.reports.get(host, {}).get("sums", {}))
@@ -334,7 +349,7 @@
         return share("missing", "pairs"), share("ghosts", "ghost_pairs")
 
     def series_row(self) -> dict[str, Any]:
-        """One row of the series. It holds totals; the report page derives rates from them."""
+        """One row of the series. Bytes, datagrams and CPU times are totals; the report page derives rates from them."""
         missing, ghosts = self.membership_errors()
         sums = self.sums()
         return {
@@ -351,7 +366,7 @@
         }
 
     def real_cpu(self) -> dict[str, float]:
-        """Processor seconds by real courier, including the control couriers with peers disabled."""
+        """Processor seconds by real courier, including the control couriers."""
         return {
             name: cpu_seconds(node.process.pid) for name, node in self.rig.nodes.items() if node.process is not None
         }
@@ -363,7 +378,7 @@
         }
 
     def statuses(self) -> dict[str, dict[str, Any]]:
-        """Status of each real courier that answers on its status socket."""
+        """Status by real courier, without those that do not answer on their status socket."""
         found = {}
         for name in self.real:
             with suppress(OSError, ValueError):
@@ -371,7 +386,7 @@
         return found
 
     def snapshot(self) -> Snapshot:
-        """Take the totals, and count lateness anew from here."""
+        """Take the totals, and reset the counts of ticks and lateness."""
         self.max_lateness.clear()
         self.ticks.clear()
         self.loop.longest_turn = 0
@@ -389,7 +404,10 @@
         )
 
     def phase(self, begin: Snapshot) -> dict[str, Any]:
-        """The figures since a snapshot, per second and courier; process loads are shares of a core."""
+        """The figures since a snapshot; takes another one, which resets the counts of ticks and lateness.
+
+        Costs are per second and courier, loads of processes are shares of a core.
+        """
         lateness, longest, ticks = dict(self.max_lateness), self.loop.longest_turn, Counter(self.ticks)
         end = self.snapshot()
         seconds = max(1, end.at - begin.at) / SECOND
@@ -418,10 +436,10 @@
             for name in end.bytes_sent
             if name in begin.bytes_sent
         ]
-        hollow = max(1, self.asked.hollow - len(self.killed_couriers))
+        hollow = max(1, self.parameters.hollow - len(self.killed_couriers))
         couriers = {name: len(names) for (_, names), name in zip(self.plan.hosts, self.hosts, strict=True)}
-        # A host without couriers shows the cost of reporting; less that, a host with one courier shows the cost of a
-        # courier that shares its process with no other.
+        # A host without couriers shows the cost of reporting. A host with one courier, after subtraction of that cost,
+        # shows what a courier costs that has a process of its own.
         reporting = sum(share for name, share in hosts.items() if not couriers[name])
         alone = [share - reporting for name, share in hosts.items() if couriers[name] == 1 and self.plan.single_hosts]
         shared = {name: share for name, share in hosts.items() if couriers[name] > (1 if self.plan.single_hosts else 0)}
@@ -453,26 +471,26 @@
     # The fault
 
     def inject(self) -> int:
-        """Begin the run's fault; return how long until it ends by itself, 0 for a fault that stays."""
-        asked = self.asked
-        self.affected, random = 0, Random(asked.seed)
-        last = f"z{asked.zones - 1}"
-        zones = [f"z{n}" for n in range(asked.zones)]
+        """Begin the run's fault; return after how long it ends by itself, 0 for a fault that lasts until the end."""
+        parameters = self.parameters
+        self.affected, random = 0, Random(parameters.seed)
+        last = f"z{parameters.zones - 1}"
+        zones = [f"z{n}" for n in range(parameters.zones)]
         others = [zone for zone in zones if zone != last]
-        if asked.fault in ("loss", "delay"):
-            self.affected = asked.couriers
-            path = RelayPath(loss=FAULT_LOSS) if asked.fault == "loss" else RelayPath(delay=FAULT_DELAY)
-            self._set_path_faults([path_fault(sender, receiver, path) for sender in zones for receiver in zones])
-        elif asked.fault in ("cut", "one-way"):
-            inbound = [path_fault(zone, last, RelayPath(cut=True)) for zone in others]
-            outbound = [path_fault(last, zone, RelayPath(cut=True)) for zone in others]
-            self._set_path_faults(inbound if asked.fault == "one-way" else inbound + outbound)
-            duration = min(CUT_DURATION, asked.span)
+        if parameters.fault in ("loss", "delay"):
+            self.affected = parameters.couriers
+            path = PathFaults(loss=FAULT_LOSS) if parameters.fault == "loss" else PathFaults(delay=FAULT_DELAY)
+            self._set_path_faults([encode_faults(sender, receiver, path) for sender in zones for receiver in zones])
+        elif parameters.fault in ("cut", "one-way"):
+            inbound = [encode_faults(zone, last, PathFaults(cut=True)) for zone in others]
+            outbound = [encode_faults(last, zone, PathFaults(cut=True)) for zone in others]
+            self._set_path_faults(inbound if parameters.fault == "one-way" else inbound + outbound)
+            duration = min(CUT_DURATION, parameters.span)
             self.loop.call_at(self.loop.now + duration, lambda: self._set_path_faults([]))
             self.affected = len(self.plan.zone(last))
             return duration
-        elif asked.fault in ("stop", "kill"):
-            # The largest host of the last zone, as some hosts have a single courier or none.
+        elif parameters.fault in ("stop", "kill"):
+            # Takes the largest host of the last zone, as some hosts have a single courier or none.
             host, names = max(
                 (
                     (name, names)
@@ -483,7 +501,7 @@
             )
             self.affected = len(names)
             child = self.hosts[host]
-            if asked.fault == "stop":
+            if parameters.fault == "stop":
                 child.process.send_signal(signal.SIGSTOP)
                 self.loop.call_at(self.loop.now + PAUSE_DURATION, lambda: child.process.send_signal(signal.SIGCONT))
                 return PAUSE_DURATION
@@ -491,7 +509,7 @@
             self.killed_couriers |= set(names)
             child.kill()
             self.send_actual_membership()
-        elif asked.fault == "restarts":
+        elif parameters.fault == "restarts":
             for (_, names), host_child in zip(self.plan.hosts, self.hosts.values(), strict=True):
                 chosen = random.sample(names, len(names) // 2)
                 host_child.send_command({"restart": chosen, "gap": RESTART_DOWNTIME, "within": RESTART_PERIOD})
@@ -504,13 +522,19 @@
             relay.send_command({"faults": faults})
 
     def converged(self, since: int) -> bool:
-        """Whether, by reports sent more than a second after ``since``, the couriers' membership lists are correct."""
+        """Whether at most ``MAX_WRONG_SHARE`` of the entries of membership lists are wrong.
+
+        False until all hosts have sent a report more than a second after ``since``.
+        """
         hosts = [host for host in self.hosts if host not in self.killed_hosts]
         reported = all(host in self.reports and self.reports[host]["at"] > since + SECOND for host in hosts)
         return reported and max(self.membership_errors()) <= MAX_WRONG_SHARE
 
     def wait(self, done: Callable[[], bool], timeout: int, text: str) -> int | None:
-        """Run the loop until ``done()``; the time that took, None on a timeout."""
+        """Run the loop until ``done()`` is true; return the time that it took, or None after ``timeout``.
+
+        Raises ``RuntimeError`` if a child process ends that was not killed by the fault.
+        """
         begin, progress_at = self.loop.now, 0
         while not done():
             if self.loop.now - begin > timeout:
@@ -532,7 +556,7 @@
 
     def run(self) -> dict[str, Any]:
         """Run to the end, and return the report."""
-        asked = self.asked
+        parameters = self.parameters
         self.progress(f"starting {self.plan.processes} processes")
         self.open()
         real_before = self.real_memory()
@@ -544,11 +568,11 @@
             )
         begin = self.loop.now
         self.start_hollow()
-        known = self.wait(lambda: self.converged(begin), CONVERGENCE_TIMEOUT, "converging")
-        self._run_for(min(5 * SECOND, asked.span))  # until the gossip of the start has died down
-        rest = self.snapshot()
-        self._run_for(max(3 * SECOND, asked.span // 3 if asked.fault != "none" else asked.span))
-        figures: dict[str, Any] = {"rest": self.phase(rest)}
+        convergence_time = self.wait(lambda: self.converged(begin), CONVERGENCE_TIMEOUT, "converging")
+        self._run_for(min(5 * SECOND, parameters.span))  # until the gossip of the start has died down
+        rest_start = self.snapshot()
+        self._run_for(max(3 * SECOND, parameters.span // 3 if parameters.fault != "none" else parameters.span))
+        figures: dict[str, Any] = {"rest": self.phase(rest_start)}
         statuses = self.statuses()
         least_known = min(
             [
@@ -563,39 +587,41 @@
             default=0,
         )
         memory_growth = self._memory_growth(real_before, hosts_before)
-        settled: int | None = None
-        if asked.fault != "none":
-            fault = self.snapshot()
+        recovery_time: int | None = None
+        if parameters.fault != "none":
+            fault_start = self.snapshot()
             injected = round((self.loop.now - self._begin) / SECOND, 1)
             fault_duration = self.inject()
             self._run_for(fault_duration)
             fault_end = self.loop.now
-            self._run_for(max(0, asked.span - fault_duration) if asked.fault in ("none", "loss", "delay") else 0)
-            settled = self.wait(lambda: self.converged(fault_end), RECOVERY_TIMEOUT, f"after {asked.fault}")
-            figures |= {"fault": self.phase(fault), "injected_s": injected}
+            self._run_for(
+                max(0, parameters.span - fault_duration) if parameters.fault in ("none", "loss", "delay") else 0
+            )
+            recovery_time = self.wait(lambda: self.converged(fault_end), RECOVERY_TIMEOUT, f"after {parameters.fault}")
+            figures |= {"fault": self.phase(fault_start), "injected_s": injected}
         self.progress("waiting for the last messages to end")
         if self.real and not self.compare:
             self.rig.drain()
-        findings = self.findings(known, settled)
+        findings = self.findings(convergence_time, recovery_time)
         return {
             "from": "real time",
-            "real": asked.real,
-            "hollow": asked.hollow,
-            "couriers": asked.couriers,
-            "zones": asked.zones,
-            "grouped": asked.grouped,
-            "seed": asked.seed,
-            "fault_name": asked.fault,
+            "real": parameters.real,
+            "hollow": parameters.hollow,
+            "couriers": parameters.couriers,
+            "zones": parameters.zones,
+            "grouped": parameters.grouped,
+            "seed": parameters.seed,
+            "fault_name": parameters.fault,
             "hit": self.affected,
-            "rate": asked.rate,
-            "failing": asked.failing,
-            "period_ms": asked.period // MS,
+            "rate": parameters.rate,
+            "failing": parameters.failing,
+            "period_ms": parameters.period // MS,
             "processes": self.max_processes,
             "memory_mb": round(self.peak_memory / MB, 1),
             "planned_mb": round(self.plan.memory / MB, 1),
-            "known_s": _seconds(known),
+            "known_s": _seconds(convergence_time),
             "least_known": least_known,
-            "settled_s": _seconds(settled),
+            "settled_s": _seconds(recovery_time),
             **figures,
             "messages": len(self.rig.submissions),
             "served": round(checkers.served_share(self.rig.submissions, self._member_calls()), 4),
@@ -619,10 +645,16 @@
         self.wait(lambda: self.loop.now >= end, 1 << 60, "measuring")
 
     def _memory_growth(self, real_before: dict[str, int], hosts_before: dict[str, int]) -> dict[str, Any]:
-        """Memory growth of real and hollow couriers since before the hollow ones started, also per member known."""
+        """Memory of real and hollow couriers.
+
+        ``memory_a_member_*``: bytes by which it grew for each member since before the hollow couriers started.
+        ``memory_a_real_mb``: resident memory of a real courier. ``memory_a_hollow_mb``: growth for a hollow one.
+        """
         now = self.real_memory()
-        learned = self.asked.hollow if not self.asked.grouped else self.asked.hollow / self.asked.zones
-        group_size = self.asked.couriers / (self.asked.zones if self.asked.grouped else 1)
+        learned = (
+            self.parameters.hollow if not self.parameters.grouped else self.parameters.hollow / self.parameters.zones
+        )
+        group_size = self.parameters.couriers / (self.parameters.zones if self.parameters.grouped else 1)
         real = [
             (now[name] - real_before[name]) / max(1, learned)
             for name in self.real
@@ -658,18 +690,18 @@
             for key, (calls, window) in endpoint_budgets(self.config).items()
         }
 
-    def findings(self, known: int | None, settled: int | None) -> list[str]:
-        """Violated guarantees, and phases that did not converge."""
-        asked, found = self.asked, checkers.delivery_violations(self.rig.submissions, self._member_calls())
-        if known is None:
+    def findings(self, convergence_time: int | None, recovery_time: int | None) -> list[str]:
+        """Texts about violated guarantees, and about phases after which membership did not converge."""
+        parameters, found = self.parameters, checkers.delivery_violations(self.rig.submissions, self._member_calls())
+        if convergence_time is None:
             found.append(
                 f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
                 f"{max(self.membership_errors()):.1%} of pairs are wrong"
             )
-        if asked.fault != "none" and settled is None:
+        if parameters.fault != "none" and recovery_time is None:
             missing, ghosts = self.membership_errors()
             found.append(
-                f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s: {missing:.1%} of "
+                f"{parameters.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s: {missing:.1%} of "
                 f"running members missing, {ghosts:.1%} of killed members listed as alive"
             )
         found += [
@@ -692,7 +724,7 @@
                 - self.killed_couriers
                 - {name}
             )
-            if len(running - listed) > MAX_WRONG_SHARE * len(running) and settled is not None:
+            if len(running - listed) > MAX_WRONG_SHARE * len(running) and recovery_time is not None:
                 found.append(f"{name}: {len(running - listed)} of {len(running)} running members are missing")
         rejected = self.sums()["refused"]
         if rejected:
@@ -711,7 +743,7 @@
 
 
 def saturated(figures: dict[str, Any]) -> list[str]:
-    """Texts that name each saturated resource. A single stall of the machine does not count as saturation."""
+    """Texts about the saturated resources in a phase's figures; a single stall of the machine counts as none."""
     found = [
         f"{process} used {figures[key]:.2f} of a core"
         for key, process in (
@@ -736,9 +768,9 @@
 
 
 def cost_ratios(report: dict[str, Any]) -> dict[str, float]:
-    """Ratios of a hollow courier's cost to a real one's, of the peer protocol alone.
+    """Ratios of what the peer protocol costs a hollow courier to what it costs a real one.
 
-    The processor time of a real courier is that with peers enabled, less that with peers disabled.
+    Of the processor time of a real courier with peers enabled, that of one with peers disabled is subtracted.
     """
     rest = report["rest"]
     real_cpu = rest["cpu_ms_a_real"] - rest["cpu_ms_a_real_off"]
@@ -754,27 +786,28 @@
 
 
 def run(
-    asked: RunParameters,
-    folder: Path,
+    parameters: RunParameters,
+    directory: Path,
     bounds: ResourceLimits,
     progress: Callable[[str], None] = lambda text: None,
     compare: bool = False,
 ) -> dict[str, Any]:
-    """Run once and return the report, a dict that JSON can hold.
+    """Run once and return the report, a dict that JSON can hold; see ``ScaleRun`` for the arguments.
 
-    Raises ``RunTooLargeError`` and ``StoppedBySignalError``; whatever it raises, no process is left behind.
+    Raises ``RunTooLargeError`` if the run is too large, and ``StoppedBySignalError`` after a signal. Whatever it
+    raises, no process is left behind.
     """
-    with ScaleRun(asked, folder, bounds, progress, compare) as scale_run, stopping_on_signals(scale_run.loop):
+    with ScaleRun(parameters, directory, bounds, progress, compare) as scale_run, stopping_on_signals(scale_run.loop):
         return scale_run.run()
 
 
 def default_bounds() -> ResourceLimits:
-    """The default bounds, with this process's limit of descriptors."""
+    """The default bounds, with this process's soft limit of open descriptors."""
     return ResourceLimits(descriptors=resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
 def machine_info() -> dict[str, Any]:
-    """Cores and Python version that the run used."""
+    """The cores that this process may use, and its Python version."""
     return {"cores": sorted(os.sched_getaffinity(0)), "python": sys.version.split()[0]}
 
 
--- a/kestrelspar/lab/simulated_scale.py
+++ b/kestrelspar/lab/simulated_scale.py
@@ -1,8 +1,9 @@
-"""The scale run on the simulated network, for sizes that no machine runs in real time. See scale.py.
+"""The scale run on the simulated network, for fleets too large to run in real time on one machine. See scale.py.
 
 Membership, peer messages, budgets, observations and counters are the production modules, with the random workload of
-hollow couriers; datagrams and time are simulated. So bytes, convergence and its duration are figures of the protocol;
-processor time is that of the modules and the simulation together, in one process without sockets.
+hollow couriers; datagrams and time are simulated. So the bytes sent and the time until membership lists converge are
+figures of the protocol. The processor time is that of the modules and the simulation together, in one process without
+sockets.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from typing import Any
 
 from kestrelspar.lab.hollow import HollowConfig, Workload, endpoint_budgets
-from kestrelspar.lab.plan import COURIERS_PER_HOST, MB, ResourceLimits, RunParameters, RunTooLargeError, plan_model
+from kestrelspar.lab.plan import COURIERS_PER_HOST, MB, ResourceLimits, RunParameters, RunTooLargeError, plan_simulation
 from kestrelspar.lab.scale import (
     CONVERGENCE_TIMEOUT,
     CUT_DURATION,
@@ -45,30 +46,37 @@
 class ZonedNet(SimulatedNetwork):
     """Simulated couriers in zones, with a random workload."""
 
-    def __init__(self, asked: RunParameters) -> None:
+    def __init__(self, parameters: RunParameters) -> None:
         super().__init__(
-            asked.couriers,
-            asked.seed,
+            parameters.couriers,
+            parameters.seed,
             Faults(),
             loan_terms={"term": LOAN_TERM},
             bytes_per_second=20_000,
-            period=asked.period,
+            period=parameters.period,
         )
-        self.asked = asked
-        self.zones = {name: f"z{node.number % asked.zones}" for name, node in self.nodes.items()}
-        self._seeded: dict[str, dict[str, tuple[str, int]]] = {}
+        self.parameters = parameters
+        self.zones = {name: f"z{node.number % parameters.zones}" for name, node in self.nodes.items()}
+        self._seeds_by_group: dict[str, dict[str, tuple[str, int]]] = {}
         for name, node in self.nodes.items():
-            seeds = self._seeded.setdefault(self.scope(name), {})
+            seeds = self._seeds_by_group.setdefault(self.scope(name), {})
             if len(seeds) < SEEDS_PER_GROUP:
                 seeds[name] = node.address
-        limits = dict.fromkeys(MEMBER_SYSTEMS, max(40.0, 2.0 * asked.couriers))
-        config = HollowConfig(asked.couriers, asked.seed, asked.rate, asked.failing, limits=limits, spend=SPEND_PERCENT)
+        limits = dict.fromkeys(MEMBER_SYSTEMS, max(40.0, 2.0 * parameters.couriers))
+        config = HollowConfig(
+            parameters.couriers,
+            parameters.seed,
+            parameters.rate,
+            parameters.failing,
+            limits=limits,
+            spend=SPEND_PERCENT,
+        )
         self.endpoint_budgets = endpoint_budgets(config)
         for key, (calls, window) in self.endpoint_budgets.items():
             self.budget_checker.limits[key] = calls, window
         self.workloads = {name: Workload(config, node.number) for name, node in self.nodes.items()}
-        self.killed: set[str] = set()
-        self.ended_totals = Counter[str]()  # of processes that have ended
+        self.killed: set[str] = set()  # couriers killed for good by the fault
+        self.ended_totals = Counter[str]()  # sums of couriers' processes that have ended
         self.sent_datagrams = 0
         self.event_counts: Counter[str] = Counter()
         for name, node in self.nodes.items():
@@ -76,11 +84,11 @@
 
     def scope(self, name: str) -> str:
         """The membership group of a courier."""
-        return self.zones[name] if self.asked.grouped else "all"
+        return self.zones[name] if self.parameters.grouped else "all"
 
     def seeds_of(self, name: str) -> dict[str, tuple[str, int]]:
-        """See ``SimulatedNetwork``."""
-        return self._seeded[self.scope(name)]
+        """See ``SimulatedNetwork.seeds_of``."""
+        return self._seeds_by_group[self.scope(name)]
 
     def _workload_step(self, name: str) -> Callable[[Node, Peer], None]:
         workload, checker = self.workloads[name], self.budget_checker
@@ -96,12 +104,12 @@
         return step
 
     def send(self, sender: str, receiver: Node, data: bytes) -> None:
-        """See ``SimulatedNetwork``."""
+        """See ``SimulatedNetwork.send``."""
         self.sent_datagrams += 1
         super().send(sender, receiver, data)
 
     def kill(self, name: str) -> None:
-        """See ``SimulatedNetwork``."""
+        """See ``SimulatedNetwork.kill``."""
         peer = self.nodes[name].peer
         if peer is not None:
             self.ended_totals.update(sent=peer.sent, heard=peer.received, held_back=peer.over_bandwidth)
@@ -109,7 +117,7 @@
         super().kill(name)
 
     def sums(self) -> Counter[str]:
-        """Totals over all couriers, and how complete and current their membership lists are."""
+        """Totals over all couriers, and how far their membership lists differ from the couriers that run."""
         found = Counter(self.ended_totals)
         running: Counter[str] = Counter(self.scope(name) for name in self.nodes if name not in self.killed)
         killed: dict[str, list[str]] = {}
@@ -145,17 +153,20 @@
 class SimulatedRun:
     """One scale run on the simulated network."""
 
-    def __init__(self, asked: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None]) -> None:
-        self.planned_memory = plan_model(asked, bounds)
-        self.asked, self.bounds, self.progress = asked, bounds, progress
+    def __init__(self, parameters: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None]) -> None:
+        self.planned_memory = plan_simulation(parameters, bounds)
+        self.parameters, self.bounds, self.progress = parameters, bounds, progress
         self.initial_memory = _rss()
-        self.net = ZonedNet(asked)
+        self.net = ZonedNet(parameters)
         self.series: list[dict[str, Any]] = []
         self.peak_memory = self.affected = 0
         self.signals: list[int] = []  # numbers of the signals received
 
     def advance(self, duration: int = SECOND) -> None:
-        """Advance simulated time, check the memory bound, and add a row to the series."""
+        """Advance simulated time, check the memory bound, and add a row to the series.
+
+        Raises ``StoppedBySignalError`` after a signal, and ``RunTooLargeError`` above the memory bound.
+        """
         for _ in range(max(1, duration // SIGNAL_CHECK_INTERVAL)):
             self.net.run(self.net.now + SIGNAL_CHECK_INTERVAL)
             if self.signals:
@@ -187,11 +198,14 @@
         )
 
     def converged(self) -> bool:
-        """Whether the membership lists are correct, but for a tolerated share."""
+        """Whether at most ``MAX_WRONG_SHARE`` of the entries of membership lists are wrong."""
         return bool(max(self.series[-1]["missing"], self.series[-1]["ghosts"]) <= MAX_WRONG_SHARE)
 
     def wait(self, timeout: int) -> int | None:
-        """Advance until the lists have converged; the time that took in steps of a second, None on a timeout."""
+        """Advance until the membership lists have converged.
+
+        Returns the time that it took, in steps of a second, or None if it took longer than ``timeout``.
+        """
         begin = self.net.now
         self.advance()
         while not self.converged():
@@ -228,40 +242,43 @@
         }
 
     def inject(self) -> int:
-        """See ``scale.ScaleRun.inject``; a process stands for as many couriers of the last zone as it would hold."""
-        net, asked = self.net, self.asked
-        last = f"z{asked.zones - 1}"
+        """See ``scale.ScaleRun.inject``.
+
+        Where that stops or kills a process, this stops or kills as many couriers of the last zone as a process holds.
+        """
+        net, parameters = self.net, self.parameters
+        last = f"z{parameters.zones - 1}"
         inside = [name for name, zone in net.zones.items() if zone == last]
         self.affected = {
             "cut": len(inside),
             "one-way": len(inside),
             "stop": len(inside[:COURIERS_PER_HOST]),
-            "restarts": asked.couriers // 2,
-        }.get(asked.fault, asked.couriers)
-        if asked.fault == "loss":
+            "restarts": parameters.couriers // 2,
+        }.get(parameters.fault, parameters.couriers)
+        if parameters.fault == "loss":
             net.faults.loss = FAULT_LOSS
-        elif asked.fault == "delay":
+        elif parameters.fault == "delay":
             net.faults.delay = FAULT_DELAY
-        elif asked.fault in ("cut", "one-way"):
-            isolated, both = set(inside), asked.fault == "cut"
+        elif parameters.fault in ("cut", "one-way"):
+            isolated, both = set(inside), parameters.fault == "cut"
             net.cut = lambda sender, receiver: (
                 (sender in isolated) != (receiver in isolated) and (both or receiver in isolated)
             )
-            duration = min(CUT_DURATION, asked.span)
+            duration = min(CUT_DURATION, parameters.span)
             net.at(net.now + duration, lambda: setattr(net, "cut", lambda sender, receiver: False))
             return duration
-        elif asked.fault == "stop":
+        elif parameters.fault == "stop":
             for name in inside[:COURIERS_PER_HOST]:
                 net.pause(name, PAUSE_DURATION)
             return PAUSE_DURATION
-        elif asked.fault == "kill":
-            names = inside[: min(COURIERS_PER_HOST, len(inside) // 2 if asked.grouped else COURIERS_PER_HOST)]
+        elif parameters.fault == "kill":
+            names = inside[: min(COURIERS_PER_HOST, len(inside) // 2 if parameters.grouped else COURIERS_PER_HOST)]
             for name in names:
                 net.kill(name)
             net.killed |= set(names)
             self.affected = len(names)
-        elif asked.fault == "restarts":
-            names = Random(asked.seed).sample(list(net.nodes), len(net.nodes) // 2)
+        elif parameters.fault == "restarts":
+            names = Random(parameters.seed).sample(list(net.nodes), len(net.nodes) // 2)
             for index, name in enumerate(names):
                 at = net.now + RESTART_PERIOD * index // len(names)
                 net.at(at, lambda name=name: net.kill(name))  # type: ignore[misc]
@@ -271,63 +288,67 @@
 
     def run(self) -> dict[str, Any]:
         """Run to the end, and return the report."""
-        asked, net = self.asked, self.net
-        start_period = max(2 * SECOND, asked.hollow * MS)
+        parameters, net = self.parameters, self.net
+        start_period = max(2 * SECOND, parameters.hollow * MS)
         for index, name in enumerate(net.nodes):
             net.at(start_period * index // len(net.nodes), lambda name=name: net.start(name))  # type: ignore[misc]
         while net.now < start_period:
             self.advance()
-        known = self.wait(CONVERGENCE_TIMEOUT)
-        self.phase(min(5 * SECOND, asked.span))  # until the gossip of the start has died down
-        figures = {"rest": self.phase(max(3 * SECOND, asked.span // 3 if asked.fault != "none" else asked.span))}
-        settled: int | None = None
-        if asked.fault != "none":
+        convergence_time = self.wait(CONVERGENCE_TIMEOUT)
+        self.phase(min(5 * SECOND, parameters.span))  # until the gossip of the start has died down
+        figures = {
+            "rest": self.phase(max(3 * SECOND, parameters.span // 3 if parameters.fault != "none" else parameters.span))
+        }
+        recovery_time: int | None = None
+        if parameters.fault != "none":
             before, sent, cpu, begin = net.sums(), net.sent_datagrams, _cpu(), net.now
             fault_duration = self.inject()
-            while net.now < begin + (asked.span if asked.fault in ("loss", "delay") else fault_duration):
+            while net.now < begin + (parameters.span if parameters.fault in ("loss", "delay") else fault_duration):
                 self.advance()
-            settled = self.wait(RECOVERY_TIMEOUT)
+            recovery_time = self.wait(RECOVERY_TIMEOUT)
             figures["fault"] = self.figures(before, sent, cpu, begin)
         found = [
             f"{key}: {count} calls in one window at {at // MS} ms, {net.budget_checker.limits[key][0]} allowed"
             for at, key, count in net.budget_checker.violations[:3]
         ]
         sums = net.sums()
-        if known is None:
+        if convergence_time is None:
             found.append(
                 f"no convergence within {CONVERGENCE_TIMEOUT // SECOND} s: "
                 f"{_share(sums, 'missing', 'pairs'):.1%} of members missing"
             )
-        if asked.fault != "none" and settled is None:
-            found.append(f"{asked.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s")
+        if parameters.fault != "none" and recovery_time is None:
+            found.append(f"{parameters.fault}: no convergence within {RECOVERY_TIMEOUT // SECOND} s")
         if sums["refused"]:
             found.append(f"{sums['refused']} members were rejected: membership list full")
-        group_size = asked.couriers / (asked.zones if asked.grouped else 1)
+        group_size = parameters.couriers / (parameters.zones if parameters.grouped else 1)
         return {
             "from": "modelled network",
             "real": 0,
-            "hollow": asked.hollow,
-            "couriers": asked.couriers,
-            "zones": asked.zones,
-            "grouped": asked.grouped,
-            "seed": asked.seed,
-            "fault_name": asked.fault,
+            "hollow": parameters.hollow,
+            "couriers": parameters.couriers,
+            "zones": parameters.zones,
+            "grouped": parameters.grouped,
+            "seed": parameters.seed,
+            "fault_name": parameters.fault,
             "hit": self.affected,
-            "rate": asked.rate,
-            "failing": asked.failing,
-            "period_ms": asked.period // MS,
+            "rate": parameters.rate,
+            "failing": parameters.failing,
+            "period_ms": parameters.period // MS,
             "processes": 1,
             "memory_mb": round(self.peak_memory / MB, 1),
             "planned_mb": round(self.planned_memory / MB, 1),
-            "known_s": None if known is None else (known + start_period) / SECOND,
-            "settled_s": None if settled is None else settled / SECOND,
+            "known_s": None if convergence_time is None else (convergence_time + start_period) / SECOND,
+            "settled_s": None if recovery_time is None else recovery_time / SECOND,
             **figures,
             "messages": 0,
             "served": 0.0,
             "busiest_span": {
                 key: [net.budget_checker.max_calls[key], calls] for key, (calls, _) in net.budget_checker.limits.items()
             },
-            "memory_a_member_hollow": round((self.peak_memory - self.initial_memory) / asked.couriers / group_size),
+            "memory_a_member_hollow": round(
+                (self.peak_memory - self.initial_memory) / parameters.couriers / group_size
+            ),
             "saturated": [],
             "findings": found,
             "events": dict(net.event_counts),
@@ -352,13 +373,13 @@
 
 
 def run(
-    asked: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None] = lambda text: None
+    parameters: RunParameters, bounds: ResourceLimits, progress: Callable[[str], None] = lambda text: None
 ) -> dict[str, Any]:
     """Run once and return the report, a dict that JSON can hold.
 
     Raises ``RunTooLargeError`` and ``StoppedBySignalError``.
     """
-    simulation = SimulatedRun(asked, bounds, progress)
+    simulation = SimulatedRun(parameters, bounds, progress)
 
     def record_signal(number: int, _: FrameType | None) -> None:
         simulation.signals.append(number)
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -1,4 +1,4 @@
-"""Several courier processes under faults: what member systems received must not violate any guarantee."""
+"""Several courier processes under faults: what member systems and clients received violates no guarantee."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
     for _ in range(60):
         rig.run(100 * MS)
         for proxy in rig.proxies.values():  # replayed, forged, oversized
-            for data in list(proxy.recent)[-9:]:  # with the forged ones, ten times what a courier may send
+            for data in list(proxy.recent)[-9:]:  # with the forged ones, ten times as many as a courier may send
                 proxy.deliver(data)
                 proxy.deliver(bytes([*data[:-1], data[-1] ^ 1]))
             proxy.deliver(rng.randbytes(1_500))
 
 
 def one_without_peers(rig: Rig) -> None:
-    """A courier with peers off uses its own estimate of an equal share, and does not affect those of others."""
+    """A courier with peers off uses its own estimate of an equal share, and leaves the shares of the others alone."""
     rig.end_process("n4", signal.SIGTERM)
     rig.start("n4", peers=False)
     rig.run(5 * SECOND)
@@ -81,38 +81,39 @@
     rig.run(6 * SECOND)
 
 
+# By case: its faults, and a text that some courier must log.
 CASES: dict[str, tuple[Callable[[Rig], None], str]] = {
     "a third cut off, then all restarted": (partition_then_restart_of_all, ""),
-    "stopped, killed, folder lost": (lenders_paused_and_restarted_without_state, ""),
-    "doubled, late, lost, forged, replayed, oversized": (
+    "paused, killed, state lost": (lenders_paused_and_restarted_without_state, ""),
+    "duplicated, delayed, lost, forged, replayed, oversized": (
         datagrams_duplicated_delayed_and_forged,
         "event=peers-dropped",
     ),
-    "one without": (one_without_peers, ""),
-    "keys changed, one turned off": (keys_rotated_then_peers_switched_off, "event=peers-off"),
+    "one without peers": (one_without_peers, ""),
+    "keys rotated, peers of one off": (keys_rotated_then_peers_switched_off, "event=peers-off"),
 }
 
 # Cases in which counters are lost, or a courier does not share them.
 WITHOUT_COMPLETE_COUNTERS = (
     "a third cut off, then all restarted",
-    "stopped, killed, folder lost",
-    "one without",
-    "keys changed, one turned off",
+    "paused, killed, state lost",
+    "one without peers",
+    "keys rotated, peers of one off",
 )
 
 
 def fleet_accepted(rig: Rig) -> int:
-    """Return the number of accepted messages that one courier reports for all, after it has asked the others."""
+    """Return the number of messages accepted by all, as one courier reports it after it has asked the others."""
     for proxy in rig.proxies.values():
         proxy.loss = proxy.double = 0.0
         proxy.delay = (0, 0)
     counts_seen: list[int] = []
 
-    def query() -> None:  # in a thread, as the rig's event loop has to run its proxies
+    def query() -> None:  # runs in a thread, so that the rig's event loop can forward datagrams meanwhile
         counts = query_status(str(rig.nodes["n2"].directory / "state"), fleet=True)["counts"]
         counts_seen.append(sum(each["sum"] for key, each in counts.items() if key.startswith("taken/")))
 
-    for _ in range(5):  # a reply that exceeds the bandwidth comes with a later one
+    for _ in range(5):  # a courier's counters that exceeded the bandwidth limit come in reply to a later query
         thread = threading.Thread(target=query)
         thread.start()
         rig.run(1_500 * MS)
@@ -120,8 +121,8 @@
     return counts_seen[-1]
 
 
-# By case: a courier that stops taking part in sharing.
-NOT_SHARING = {"one without": "n4", "keys changed, one turned off": "n3"}
+# By case: a courier that ceases to share budgets with the others; its calls are not counted.
+NOT_SHARING = {"one without peers": "n4", "keys rotated, peers of one off": "n3"}
 
 
 @pytest.mark.parametrize("name", CASES)
@@ -160,8 +161,11 @@
 SCENARIOS = ("liar", "limit-falls", "half-deaf", "answers-lost", "told-waits", "cold-return", "second-attempts")
 
 
-def test_scenarios_are_played_and_their_judges_find_nothing(tmp_path: Path) -> None:
-    """Run all in parallel: one end per message, limits and Retry-After kept, no recovering endpoint overloaded."""
+def test_checkers_find_nothing_in_runs_of_the_scenarios(tmp_path: Path) -> None:
+    """Each message has one end, limits and Retry-After are respected, no recovering endpoint is overloaded.
+
+    All scenarios run in parallel.
+    """
     processes = {}
     for name in SCENARIOS:
         arguments = [
@@ -190,7 +194,7 @@
         report = json.loads((tmp_path / f"{name}.json").read_text())
         assert report["faults"] == [] and sum(member["calls"] for member in report["members"].values()) > 100
         page = (tmp_path / f"{name}.html").read_text()
-        assert page.count("<svg ") == 3 and "No fault found" in page
+        assert page.count("<svg ") == 3 and "The checkers found no errors" in page
         assert not re.search("<script|src=|<link|@import", page), "the page is self-contained"
 
 
@@ -207,7 +211,7 @@
 """
 
 
-def test_the_judges_find_what_couriers_that_are_broken_on_purpose_do(tmp_path: Path) -> None:
+def test_checkers_find_exceeded_limits_and_lost_messages_of_deliberately_broken_couriers(tmp_path: Path) -> None:
     with Rig(tmp_path, 3, 5, {"m1": 15}) as rig:
         rig.program = [sys.executable, "-c", BROKEN]
         for node in rig.nodes:
@@ -218,4 +222,4 @@
         rig.drain()
         calls = rig.members["m1"].calls
         assert checkers.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) > 15
-        assert any("no end" in fault for fault in checkers.delivery_violations(rig.submissions, calls))
+        assert any("no end" in violation for violation in checkers.delivery_violations(rig.submissions, calls))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -19,7 +19,15 @@
 
 from kestrelspar.cli.main import cli
 from kestrelspar.lab import scale, simulated_scale
-from kestrelspar.lab.plan import MAX_MEMBERS, MB, ResourceLimits, RunParameters, RunTooLargeError, plan_model, plan_run
+from kestrelspar.lab.plan import (
+    MAX_MEMBERS,
+    MB,
+    ResourceLimits,
+    RunParameters,
+    RunTooLargeError,
+    plan_run,
+    plan_simulation,
+)
 from kestrelspar.runtime.loop import SECOND
 from tests.lab.test_hollow import is_running
 from tests.test_program import ROOT
@@ -28,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "bounds", "wrong"),
+    ("parameters", "bounds", "patterns"),
     [
         (
             RunParameters(2, 1_000, 2),
@@ -38,7 +46,7 @@
         (
             RunParameters(100, 10, 2),
             ResourceLimits(processes=50, descriptors=4_000),
-            [r"10[0-9] processes: .*100 real ones \(wanted: 50"],
+            [r"10[0-9] processes: .*100 real couriers \(wanted: 50"],
         ),
         (
             RunParameters(0, 400, 1),
@@ -48,7 +56,7 @@
         (
             RunParameters(60, 0, 1),
             ResourceLimits(),
-            [r"the play needs 15\d\d descriptors, and a process may have 1024 \(wanted: less, or"],
+            [r"the controlling process needs 15\d\d descriptors, and a process may have 1024 \(wanted: less, or"],
         ),
         (RunParameters(2, 5, 8), ResourceLimits(), [r"--zones: 8 for 7 couriers \(wanted: one courier in each"]),
         (RunParameters(2, 5, 0), ResourceLimits(), [r"--zones: 0"]),
@@ -83,24 +91,30 @@
         (
             RunParameters(30, 1_100, 2),
             ResourceLimits(memory=100 * MB, processes=20, descriptors=100),
-            [r"1130 couriers know", r"MB of memory", r"processes: ", r"hollow couriers needs", r"the play needs"],
+            [
+                r"1130 couriers know",
+                r"MB of memory",
+                r"processes: ",
+                r"hollow couriers needs",
+                r"the controlling process needs",
+            ],
         ),
     ],
 )
-def test_impossible_run_is_refused_naming_each_fault_and_the_accepted_values(
-    asked: RunParameters, bounds: ResourceLimits, wrong: list[str]
+def test_impossible_run_is_refused_naming_each_error_and_the_accepted_values(
+    parameters: RunParameters, bounds: ResourceLimits, patterns: list[str]
 ) -> None:
     with pytest.raises(RunTooLargeError) as refused:
-        plan_run(asked, bounds)
+        plan_run(parameters, bounds)
     lines = str(refused.value).splitlines()
-    assert len(lines) == len(wrong)
-    for line, pattern in zip(lines, wrong, strict=True):
+    assert len(lines) == len(patterns)
+    for line, pattern in zip(lines, patterns, strict=True):
         assert "(wanted: " in line
         assert re.search(pattern, line), line
 
 
 @pytest.mark.parametrize(
-    ("asked", "hosts", "relays"),
+    ("parameters", "hosts", "relays"),
     [
         (RunParameters(0, 10, 1), [10], 1),
         (RunParameters(2, 10, 2), [5, 5], 1),
@@ -110,14 +124,20 @@
         (RunParameters(0, 2_000, 8, grouped=True), [125, 124, 125, 124, *[125] * 12, 1, 1, 0], 2),
     ],
 )
-def test_couriers_are_distributed_evenly_and_each_once(asked: RunParameters, hosts: list[int], relays: int) -> None:
-    found = plan_run(asked, ResourceLimits())
+def test_each_courier_is_placed_once_and_zones_and_hosts_are_of_even_size(
+    parameters: RunParameters, hosts: list[int], relays: int
+) -> None:
+    found = plan_run(parameters, ResourceLimits())
     assert [len(names) for _, names in found.hosts] == hosts and len(found.relays) == relays
-    assert sorted(found.numbers.values()) == list(range(asked.couriers))
-    assert sorted(name for _, names in found.hosts for name in names) == sorted(f"h{n}" for n in range(asked.hollow))
+    assert sorted(found.numbers.values()) == list(range(parameters.couriers))
+    assert sorted(name for _, names in found.hosts for name in names) == sorted(
+        f"h{n}" for n in range(parameters.hollow)
+    )
     assert all(found.zones[name] == zone for zone, names in found.hosts for name in names)
-    assert sorted(zone for zones in found.relays for zone in zones) == sorted({f"z{n}" for n in range(asked.zones)})
-    sizes = [len(found.zone(f"z{n}")) for n in range(asked.zones)]
+    assert sorted(zone for zones in found.relays for zone in zones) == sorted(
+        {f"z{n}" for n in range(parameters.zones)}
+    )
+    sizes = [len(found.zone(f"z{n}")) for n in range(parameters.zones)]
     assert max(sizes) - min(sizes) <= 1 and found.memory < 12_000 * MB
 
 
@@ -136,15 +156,15 @@
     couriers: int, zones: int, grouped: bool, refused: str
 ) -> None:
     if not refused:
-        assert plan_model(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits()) < 12_000 * MB
+        assert plan_simulation(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits()) < 12_000 * MB
         return
     with pytest.raises(RunTooLargeError, match=refused):
-        plan_model(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits())
+        plan_simulation(RunParameters(0, couriers, zones, grouped=grouped), ResourceLimits())
 
 
 def test_simulated_run_is_deterministic_for_a_seed() -> None:
-    asked = RunParameters(0, 24, 2, 4 * SECOND, 5, "kill", period=300_000)
-    first, second = simulated_scale.run(asked, ResourceLimits()), simulated_scale.run(asked, ResourceLimits())
+    parameters = RunParameters(0, 24, 2, 4 * SECOND, 5, "kill", period=300_000)
+    first, second = simulated_scale.run(parameters, ResourceLimits()), simulated_scale.run(parameters, ResourceLimits())
     assert first["findings"] == [] and first["from"] == "modelled network"
     assert first["known_s"] is not None and first["settled_s"] is not None and first["settled_s"] > 0
     assert all(0 < busiest <= allowed for busiest, allowed in first["busiest_span"].values())
@@ -232,7 +252,7 @@
     assert scale.saturated(unsaturated | figures) == expected
 
 
-def test_factors_compare_the_cost_of_the_peer_protocol_alone() -> None:
+def test_cost_ratios_are_of_the_peer_protocol_alone() -> None:
     report: dict[str, Any] = {
         "rest": {
             "cpu_ms_a_hollow": 1.5,
@@ -297,10 +317,10 @@
 
 
 def test_memory_above_the_bound_ends_the_run_and_its_processes(tmp_path: Path) -> None:
-    asked, started = RunParameters(1, 4, 2), []
+    parameters, started = RunParameters(1, 4, 2), []
     with (
         pytest.raises(RunTooLargeError, match="all processes of the run were ended"),
-        scale.ScaleRun(asked, tmp_path, ResourceLimits(), lambda text: None) as run,
+        scale.ScaleRun(parameters, tmp_path, ResourceLimits(), lambda text: None) as run,
     ):
         run.bounds = ResourceLimits(memory=MB)  # after planning, so that only the check at run time finds it
         try:
@@ -313,9 +333,9 @@
 def descendants(pid: int) -> Iterator[int]:
     """Ids of all descendant processes."""
     parents = {}
-    for folder in Path("/proc").glob("[0-9]*"):
+    for directory in Path("/proc").glob("[0-9]*"):
         try:
-            parents[int(folder.name)] = int((folder / "stat").read_text().rpartition(")")[2].split()[1])
+            parents[int(directory.name)] = int((directory / "stat").read_text().rpartition(")")[2].split()[1])
         except OSError:
             continue
     tree = {pid}
@@ -335,7 +355,8 @@
     )
     try:
         deadline = time.monotonic() + TIMEOUT
-        while len(started := list(descendants(process.pid))) < 5:  # one of relays, two of hollow couriers, two real
+        # One process of relays, two of hollow couriers, two real couriers.
+        while len(started := list(descendants(process.pid))) < 5:
             assert time.monotonic() < deadline and process.poll() is None
             time.sleep(0.05)
         time.sleep(2.0 if number is signal.SIGTERM else 0.0)  # SIGINT while it starts, SIGTERM later
