--- a/kestrelspar/cli/lab.py
+++ b/kestrelspar/cli/lab.py
@@ -18,8 +18,8 @@
 from kestrelspar.cli.units import DURATION
 from kestrelspar.lab import run as scenario_run
 from kestrelspar.lab import scale, scenario
-from kestrelspar.lab.plan import FAULTS, RunParameters, plan_model, plan_run
-from kestrelspar.lab.simulated_scale import run as run_modelled
+from kestrelspar.lab.plan import FAULTS, RunParameters, plan_run, plan_simulation
+from kestrelspar.lab.simulated_scale import run as run_simulated
 
 
 @click.group("lab")
@@ -96,7 +96,7 @@
     "--model",
     default="",
     metavar="N[,N...]",
-    help="Also run so many couriers on the modelled network, in simulated time.",
+    help="Also run this many couriers on the modelled network, in simulated time; several numbers give one run each.",
 )
 @click.option(
     "--zones", type=click.IntRange(1), default=2, show_default=True, help="Number of zones, each behind a relay."
@@ -124,17 +124,21 @@
     type=click.FloatRange(0, 0.5),
     default=0.001,
     show_default=True,
-    help="Share of its calls that fail; an equal share is answered with a retry-after delay.",
+    help="Share of a hollow courier's calls that fail; an equal share is refused with a retry-after delay.",
 )
 @click.option("--period", type=DURATION, default="1s", show_default=True, help="Interval between probes of members.")
 @click.option(
     "--compare",
     is_flag=True,
-    help="Compare hollow to real couriers: no messages, and also real couriers without peers.",
+    help="Compare the costs of hollow and real couriers: without messages, and with two more real couriers that have "
+    "peers disabled.",
 )
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the whole report to this file, as JSON.")
 @click.option(
-    "--page", "site", type=click.Path(dir_okay=False), help="Write it to this file, as an HTML page with charts."
+    "--page",
+    "site",
+    type=click.Path(dir_okay=False),
+    help="Write the report to this file, as an HTML page with charts.",
 )
 def scale_command(
     real: int,
@@ -154,13 +158,13 @@
 ) -> None:
     """Run real and hollow couriers together, in zones behind relays, under a fault.
 
-    A hollow courier runs only the exchange between couriers, over real datagrams, with random calls and no messages:
-    hundreds share a process. Results of runs that fell behind real time are marked. The limits of 12 GB and 200
-    processes hold whatever is requested. Exit code 1 if a checker found an error, 2 if the requested size exceeds the
-    limits, 130 or 143 after a signal.
+    A hollow courier runs only the exchange between couriers, over real datagrams, with random calls and no messages, so
+    that hundreds share a process. Results of runs that fell behind real time are marked. No run takes more than 12 GB
+    and 200 processes. Exit code 1 if a checker found an error, 2 if the requested size exceeds these limits, 130 or 143
+    after a signal.
 
-    With --model the same is run on the modelled network, in simulated time, which can be slower than real time; the
-    table says which results are from which.
+    With --model the same is run on the modelled network, in simulated time, which can pass more slowly than real time.
+    The table says of each result whether it is from real time or from the modelled network.
 
     \b
     Example:
@@ -176,23 +180,23 @@
             )
             for number in filter(None, hollow.split(","))
         ]
-        modelled = [
+        simulated = [
             RunParameters(0, int(number), zones, span, seed, fault, grouped, rate, failing, period)
             for number in filter(None, model.split(","))
         ]
         for request in requested:  # check all of them before the first is started
             plan_run(request, scale.default_bounds())
-        for request in modelled:
-            plan_model(request, scale.default_bounds())
+        for request in simulated:
+            plan_simulation(request, scale.default_bounds())
         for request in requested:
             with tempfile.TemporaryDirectory(prefix="kestrelspar-lab-") as directory, console.status("") as status:
                 runs.append(
                     scale.run(request, Path(directory), scale.default_bounds(), progress(console, status), compare)
                 )
             console.print(_summary(runs[-1]))
-        for request in modelled:
+        for request in simulated:
             with console.status("") as status:
-                runs.append(run_modelled(request, scale.default_bounds(), progress(console, status)))
+                runs.append(run_simulated(request, scale.default_bounds(), progress(console, status)))
             console.print(_summary(runs[-1]))
     except ValueError as error:
         raise ConfigurationError(error) from error
@@ -224,7 +228,10 @@
 
 
 def progress(console: Console, status: Status) -> Callable[[str], None]:
-    """Return a function that shows progress: in place on a terminal, else a line per phase and every 5 s."""
+    """Return a function that shows progress texts, which begin with their phase and a colon.
+
+    On a terminal the text is replaced in place. Otherwise a line is printed when the phase changes, and every 5 s.
+    """
     last_printed: list[Any] = [0.0, ""]  # time and phase
 
     def show(text: str) -> None:
@@ -247,7 +254,7 @@
     return (
         f"{couriers}: members known after {run['known_s']} s, {run['processes']} processes, {run['memory_mb']} MB"
         + (
-            f", {run['fault_name']} of {run['hit']} settled after {run['settled_s']} s"
+            f", fault {run['fault_name']} hit {run['hit']} couriers, members known again after {run['settled_s']} s"
             if run["fault_name"] != "none"
             else ""
         )
@@ -255,7 +262,7 @@
 
 
 def _size_table(runs: list[dict[str, Any]]) -> Table:
-    """Two rows for each size: at rest, and during the fault."""
+    """Rows for each run: one at rest, and one during the fault if there was one."""
     table = Table(
         padding=0,
         title="By size; per courier and second: CPU in ms (hollow / hollow in a process of its own / "
