--- a/kestrelspar/cli/standin.py
+++ b/kestrelspar/cli/standin.py
@@ -108,13 +108,13 @@
     "--limit",
     type=click.IntRange(0, 100_000),
     default=0,
-    help="Maximum submits per second; above: ESME_RTHROTTLED; 0: none.",
+    help="Maximum accepted submits in any second, over all sessions; above: ESME_RTHROTTLED; 0: none.",
 )
 @click.option(
     "--window",
     type=click.IntRange(0, 10_000),
     default=0,
-    help="Maximum unanswered submits of a session; above: ESME_RMSGQFUL; 0: none.",
+    help="Maximum submits of a session that wait for their latency to pass; above: ESME_RMSGQFUL; 0: none.",
 )
 @click.option("--latency", type=DURATION, default="5ms", show_default=True, help="Delay of each response.")
 @click.option("--receipts", type=DURATION, help="Delay of receipts after the response; default: no receipts.")
--- a/kestrelspar/standins/gateway.py
+++ b/kestrelspar/standins/gateway.py
@@ -28,8 +28,10 @@
 class Behaviour:
     """Limits, delays and faults of a stand-in gateway; times in microseconds, shares from 0 to 1."""
 
-    limit: int = 0  # maximum submits within any second, over all sessions; above: ESME_RTHROTTLED; 0: no limit
-    window: int = 0  # maximum unanswered submits of a session; a further one gets ESME_RMSGQFUL; 0: no limit
+    # Maximum accepted submits in any second, over all sessions; a further one gets ESME_RTHROTTLED. 0: no limit.
+    limit: int = 0
+    # Maximum submits of a session that wait for their latency to pass; a further one gets ESME_RMSGQFUL. 0: no limit.
+    window: int = 0
     latency: int = 5 * MS  # delay of each response
     receipts: int = -1  # delay of a receipt after the response; -1: no receipts
     lost: float = 0.0  # share of receipts that are not sent
@@ -43,14 +45,14 @@
     """State of one connection."""
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.bound, self.in_flight, self.sequence = stream, SessionState.OPEN, 0, 0
+        self.stream, self.state, self.in_flight, self.sequence = stream, SessionState.OPEN, 0, 0
 
 
 class Gateway:
     """Serves any number of sessions.
 
-    Counts the accepted submits by text (``accepted``), with those that get no response, and the responses by status
-    (``answers``).
+    ``accepted``: accepted submits by text, including those that get no response. ``answers``: responses to submits, by
+    status.
     """
 
     def __init__(
@@ -98,11 +100,11 @@
     def _handle(self, session: Session, pdu: Pdu) -> None:
         if pdu.command & p.RESPONSE:
             return
-        refusal = table.refusal(Side.CENTRE, session.bound, pdu)
+        refusal = table.refusal(Side.CENTRE, session.state, pdu)
         if refusal is not None or pdu.command is Command.OUTBIND:
             self._post(session, refusal or Pdu(Command.GENERIC_NACK, pdu.sequence, Status.ESME_RINVCMDID))
         elif pdu.command in BOUND_STATES:
-            session.bound = BOUND_STATES[pdu.command]
+            session.state = BOUND_STATES[pdu.command]
             self._post(session, pdu.reply(system_id="stand-in"))
         elif pdu.command is Command.SUBMIT_SM or pdu.command is Command.DATA_SM:
             self.loop.spawn(self._handle_submit, session, pdu)
@@ -125,12 +127,13 @@
         behaviour, now = self.behaviour, self.loop.now
         while self._accepted_at and self._accepted_at[0] <= now - SECOND:
             self._accepted_at.popleft()
-        status, chance = Status.ESME_ROK, self._random.random()
+        # A number in [0, 1) that selects at most one fault: its range is divided into refuses, silent and cuts.
+        status, draw = Status.ESME_ROK, self._random.random()
         if behaviour.limit and len(self._accepted_at) >= behaviour.limit:
             status = Status.ESME_RTHROTTLED
         elif behaviour.window and session.in_flight >= behaviour.window:
             status = Status.ESME_RMSGQFUL
-        elif chance < behaviour.refuses:
+        elif draw < behaviour.refuses:
             status = Status.ESME_RSYSERR
         else:
             self._accepted_at.append(now)
@@ -139,11 +142,11 @@
         session.in_flight += 1
         self.loop.sleep(behaviour.latency)
         session.in_flight -= 1
-        chance -= behaviour.refuses
-        if not status and 0 <= chance < behaviour.silent:
+        draw -= behaviour.refuses
+        if not status and 0 <= draw < behaviour.silent:
             self._on_submit("silence", pdu)
             return
-        if not status and 0 <= chance - behaviour.silent < behaviour.cuts:
+        if not status and 0 <= draw - behaviour.silent < behaviour.cuts:
             self._on_submit("cut", pdu)
             session.stream.close()
             return
@@ -162,7 +165,7 @@
         self._states[message_id] = state
         if self._random.random() < self.behaviour.lost:
             return
-        receivers = [s for s in self._sessions if s.bound in (SessionState.RX, SessionState.TRX)]
+        receivers = [s for s in self._sessions if s.state in (SessionState.RX, SessionState.TRX)]
         if not receivers:
             self.loop.call_at(self.loop.now + SECOND, lambda: self.loop.spawn(self._send_receipt, message_id, pdu))
             return
