--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -37,14 +37,21 @@
         name: str | None = None,
         incoming: bool = False,
     ) -> None:
-        """``name``: on the client side, the server name that the peer's certificate is checked against."""
+        """``name``: on the client side, the server name that the peer's certificate is checked against.
+
+        ``incoming``: the connection was accepted, not opened; it gets no reserved buffers.
+        """
         super().__init__(loop, sock, pool, incoming)
-        self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=server, server_hostname=name)
-        self._filling = False  # while a task waits for the socket, no other may read from it
+        self._received, self._to_send = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self._tls = context.wrap_bio(self._received, self._to_send, server_side=server, server_hostname=name)
+        self._waiting_for_input = False  # while a task waits for the socket, no other may read from it
 
     def handshake(self, deadline: int) -> None:
-        """Perform the handshake. After ``BadHandshake``, or ``Late`` if the peer stalls, the caller has to close."""
+        """Perform the handshake. After any error, the caller must close the stream.
+
+        Raises ``BadHandshake`` if the handshake fails, and else the error of a closed connection, or that of a passed
+        deadline if the peer stalls.
+        """
         while True:
             try:
                 self._tls.do_handshake()
@@ -55,19 +62,19 @@
             except (ssl.SSLError, ssl.CertificateError) as error:
                 why = getattr(error, "verify_message", "") or getattr(error, "reason", "") or str(error)
                 with contextlib.suppress(OSError):  # the alert with the reason, if it can be sent at once
-                    self.sock.send(self._outgoing.read())
+                    self.sock.send(self._to_send.read())
                 raise BadHandshake(str(why)) from None
             self._flush(deadline)
             return
 
     def _receive(self, deadline: int | None) -> int:
         """Wait for encrypted bytes and pass them to the TLS object; returns their number, which may be 0."""
-        self._filling = True
+        self._waiting_for_input = True
         try:
             if not self.loop.readable(self.sock, deadline):
                 raise Late
         finally:
-            self._filling = False
+            self._waiting_for_input = False
         return self._read_socket()
 
     def _read_socket(self) -> int:
@@ -78,17 +85,21 @@
         except OSError as error:
             raise Closed from error
         if not data:
-            self._incoming.write_eof()
+            self._received.write_eof()
             raise Closed
-        return self._incoming.write(data)
+        return self._received.write(data)
 
     def _flush(self, deadline: int | None) -> None:
         """Send the pending output of the TLS object."""
-        while self._outgoing.pending:
-            super().write(self._outgoing.read(), deadline)
+        while self._to_send.pending:
+            super().write(self._to_send.read(), deadline)
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more plaintext; raises ``Closed`` at the end, also without close_notify, or ``Late``."""
+        """Wait for more plaintext.
+
+        Raises the error of a passed deadline, or that of a closed connection at the end of the stream, even if no
+        close_notify came. Unread plaintext is dropped at such an end, but kept after a close_notify.
+        """
         while not self._decrypt(deadline):
             try:
                 self._receive(deadline)
@@ -97,7 +108,10 @@
                 raise
 
     def _decrypt(self, deadline: int | None = None) -> int:
-        """Decrypt received bytes into the buffer; returns the number of plaintext bytes."""
+        """Decrypt received bytes into the buffer; may wait for a pooled buffer.
+
+        Returns the number of new plaintext bytes: 0 if the buffer is full or no complete record has been received.
+        """
         while self._buffer is None:
             self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
@@ -121,7 +135,7 @@
             self._end += count
             return count
         if self._start == self._end:
-            self.consume(0)
+            self.consume(0)  # returns the empty buffer to the pool
         if count == 0:
             raise Closed
         return 0
@@ -144,7 +158,10 @@
         self.consume(self._end - self._start)
 
     def _process_available(self) -> bool:
-        """Process the available input, including session tickets, without waiting; false if the peer has closed."""
+        """Process the available input, including session tickets, without waiting.
+
+        Returns false if the peer has closed or no buffer is free.
+        """
         try:
             while self._read_socket():
                 pass
@@ -161,13 +178,13 @@
 
     def peer_closed(self) -> bool:
         """Whether the peer is known to have closed or reset the connection, and no plaintext is unread."""
-        if self._filling:  # the waiting task reads the bytes, and detects the end itself
+        if self._waiting_for_input:  # the waiting task reads the bytes, and detects the end itself
             return super().peer_closed()
         return not self._process_available() and self._start == self._end
 
     def is_reusable(self) -> bool:
         """Whether the connection is open and no plaintext has arrived; session tickets don't count."""
-        return not self._filling and self._process_available() and self._start == self._end
+        return not self._waiting_for_input and self._process_available() and self._start == self._end
 
     def certificate(self) -> dict[str, object]:
         """The peer's verified certificate, as ``ssl.SSLSocket.getpeercert`` returns it; empty if there is none."""
@@ -186,9 +203,9 @@
         """Close the socket, after a close_notify if that can be written at once."""
         with contextlib.suppress(ssl.SSLError, ValueError):  # ValueError: the handshake is not complete
             self._tls.unwrap()
-        if self._outgoing.pending and self.sock.fileno() >= 0:
+        if self._to_send.pending and self.sock.fileno() >= 0:
             with contextlib.suppress(OSError):
-                self.sock.send(self._outgoing.read())
+                self.sock.send(self._to_send.read())
         super().close()
 
 
