--- a/kestrelspar/smpp/access.py
+++ b/kestrelspar/smpp/access.py
@@ -1,6 +1,6 @@
 """Access control of the SMPP server. No I/O; times in microseconds.
 
-An account may be limited to networks, and an address whose binds were refused is throttled.
+An account may be limited to networks, and an address is throttled from its third refused bind on.
 """
 
 from __future__ import annotations
@@ -8,40 +8,40 @@
 from ipaddress import IPv4Address, IPv4Network
 
 SECOND = 1_000_000
-FIRST_DELAYED_REFUSAL = 3  # the third and each further refused bind causes a delay for the address
-INITIAL_DELAY, MAX_DELAY = SECOND, 60 * SECOND  # the delay doubles with each further refusal
+FIRST_BLOCKING_REFUSAL = 3  # from this refused bind on, new connections from the address are closed for a time
+INITIAL_BLOCK_TIME, MAX_BLOCK_TIME = SECOND, 60 * SECOND  # doubled with each further refusal
 REFUSAL_TTL = 300 * SECOND  # after this time without a refusal, the count of an address restarts
 MAX_ADDRESSES = 1_024  # addresses; beyond that the one refused longest ago is dropped
 
 
 class BindThrottle:
-    """Counts refused binds by address, and delays further connections from it."""
+    """Counts refused binds by address, and says for how long further connections from it are closed."""
 
     def __init__(self) -> None:
         # By address: the number of refused binds, and the time of the last one.
         self._refused: dict[str, tuple[int, int]] = {}
 
     def record_refusal(self, address: str, now: int) -> int:
-        """Count a refused bind; returns for how long connections from the address are refused now, or 0."""
+        """Count a refused bind; returns for how long further connections from the address are closed, or 0."""
         count, last = self._refused.pop(address, (0, now))
         count = 1 if now - last > REFUSAL_TTL else count + 1
         while len(self._refused) >= MAX_ADDRESSES:
             del self._refused[next(iter(self._refused))]
         self._refused[address] = count, now
-        return self._delay(count)
+        return self._block_time(count)
 
     @staticmethod
-    def _delay(count: int) -> int:
+    def _block_time(count: int) -> int:
         return (
             0
-            if count < FIRST_DELAYED_REFUSAL
-            else min(MAX_DELAY, INITIAL_DELAY << min(count - FIRST_DELAYED_REFUSAL, 10))
+            if count < FIRST_BLOCKING_REFUSAL
+            else min(MAX_BLOCK_TIME, INITIAL_BLOCK_TIME << min(count - FIRST_BLOCKING_REFUSAL, 10))
         )
 
     def is_throttled(self, address: str, now: int) -> bool:
-        """Whether connections from the address are refused at this time."""
+        """Whether new connections from the address are to be closed at this time."""
         count, last = self._refused.get(address, (0, now))
-        return now < last + self._delay(count)
+        return now < last + self._block_time(count)
 
     def record_success(self, address: str) -> None:
         """A bind from the address succeeded: reset its count."""
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -246,10 +246,10 @@
     assert testbed.contractor().answers[0].status == 0
 
 
-def test_bind_delays_grow_with_refusals_and_old_refusals_are_forgotten() -> None:
+def test_block_times_grow_with_refusals_and_old_refusals_are_forgotten() -> None:
     limiter = access.BindThrottle()
-    delays = [limiter.record_refusal("1.1.1.1", 0) // SECOND for _ in range(12)]
-    assert delays == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.is_throttled("1.1.1.1", 59 * SECOND)
+    block_times = [limiter.record_refusal("1.1.1.1", 0) // SECOND for _ in range(12)]
+    assert block_times == [0, 0, 1, 2, 4, 8, 16, 32, 60, 60, 60, 60] and limiter.is_throttled("1.1.1.1", 59 * SECOND)
     assert not limiter.is_throttled("1.1.1.1", 60 * SECOND) and not limiter.is_throttled("1.1.1.2", 0)
     assert limiter.record_refusal("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
     for place in range(3_000):
