--- a/kestrelspar/lab/liar.py
+++ b/kestrelspar/lab/liar.py
@@ -1,10 +1,10 @@
 """Simulated lying (Byzantine) courier and broker, which have the key and follow the membership and lease protocols.
 
-A lying courier has the name and number of a real one. It repeatedly sends each member false observations of all
-endpoints: that they are down, that they have recovered, that their limit is one call a second, or that calls have to
-wait for years. It publishes the same observations to its brokers, if there are any. It answers each loan request with
-more than it owns, and serves no message. A lying broker relays such observations under the names of witnesses that did
-not make them.
+A lying courier has the name and number of a real one. It repeatedly sends each other courier false observations of
+all endpoints: that they are down, that they have recovered, that their limit is one call a second, or that calls have
+to wait for years. It publishes the same observations to its brokers, if there are any. It answers each loan request
+with more than it owns, and serves no message. A lying broker relays such observations under the names of witnesses that
+did not make them.
 """
 
 from __future__ import annotations
@@ -32,7 +32,12 @@
 from kestrelspar.peers.shares import LoanTerms
 from kestrelspar.runtime.loop import MS
 
-LIE_INTERVAL = 200 * MS  # between false observations to each member
+NS_PER_MS = 1_000_000
+LIE_INTERVAL = 200 * MS  # between false observations to each other courier
+SECOND_LOAN_OFFSET = 1_000_000  # added to the number of the second grant: a loan number that no other grant has
+# Added to the sequence numbers of a lying broker's observations, so that they count as newer than the witnesses' own: a
+# receiver drops an observation whose number is not higher than the last one of that witness.
+RELAYED_SEQUENCE_OFFSET = 1_000_000
 # Kind and value: waits are in milliseconds, limits in thousandths of a call per second.
 LIES = (
     (ObservationKind.DOWN, 0),
@@ -106,7 +111,7 @@
                 self._sequence += 1
                 self._send_messages(datagram.sender, [LoanGrant(message.n, self._sequence, message.calls)])
                 self._send_messages(
-                    datagram.sender, [LoanGrant(message.n, self._sequence + 1_000_000, 10 * message.calls)]
+                    datagram.sender, [LoanGrant(message.n, self._sequence + SECOND_LOAN_OFFSET, 10 * message.calls)]
                 )
 
     def _tick(self) -> None:
@@ -144,7 +149,7 @@
         self._socket.setblocking(False)
         self._socket.bind(rig.brokers[name].peers)
         self._other_brokers = {to: rig.address(to) for to in rig.brokers if to != name}
-        epoch = time.time_ns() // MS // MS  # Unix time in milliseconds: larger than that of the broker it replaces
+        epoch = time.time_ns() // NS_PER_MS  # Unix time in milliseconds: larger than that of the broker it replaces
         broker_config = BrokerConfig(
             name,
             name.partition("/")[0],
@@ -155,8 +160,9 @@
             len(rig.nodes),
         )
         self._broker = Broker(broker_config, rig.loop.clock(), rig.seed)
-        self._epochs: dict[str, int] = {}  # by courier that holds a lease
-        self._courier_addresses: dict[str, tuple[str, int]] = {}  # by courier that holds a lease
+        # Both by courier whose lease renewal was received, even if the broker did not accept it.
+        self._epochs: dict[str, int] = {}
+        self._courier_addresses: dict[str, tuple[str, int]] = {}
         self._last_lie_at = self._sequence = 0
         self.lies = 0  # false observations sent
         rig.loop.spawn(self._read)
@@ -196,7 +202,9 @@
     def _lie(self) -> None:
         kind, value = LIES[self.rig.rng.randrange(len(LIES))]
         self._sequence += 1
-        observations = [Observation(name, kind, 0, value, 1_000_000 + self._sequence) for name in self.rig.members]
+        observations = [
+            Observation(name, kind, 0, value, RELAYED_SEQUENCE_OFFSET + self._sequence) for name in self.rig.members
+        ]
         claims = [
             (name, self.rig.nodes[name].number, epoch, observation)
             for name, epoch in self._epochs.items()
--- a/kestrelspar/lab/scenario.py
+++ b/kestrelspar/lab/scenario.py
@@ -5,7 +5,7 @@
         for         12s
     member m1
         limit       40
-        group       1               # number of its destination; members of the same group are endpoints of one
+        group       1               # number of its destination; member systems with the same number are its endpoints
     traffic *
         m1          4
     traffic n0
@@ -36,6 +36,7 @@
 COURIER_COUNT = kinds.number("", 1, 50)
 PERCENT = kinds.number("", 0, 100)
 CALL_COUNT = kinds.number("", 1, 100_000)
+DESTINATION_NUMBER = kinds.number("", 1, 100_000)
 RATE = kinds.number("", 0, 1_000)
 SWITCH = kinds.switch("")
 NAME = kinds.text("", 60)
@@ -54,7 +55,7 @@
     "start": ("courier", "empty?"),  # empty: without its saved state
     "stop": ("courier", "time"),  # SIGSTOP, and SIGCONT after the time
     "down": ("member",),  # accepts calls and answers none
-    "up": ("member",),  # ends down and shut
+    "up": ("member",),  # ends the actions ``down`` and ``shut``; slow start follows
     "shut": ("member",),  # closes connections
     "wait": ("member", "time"),  # refuses calls with Retry-After until the time has passed
     "limit": ("member", "calls"),  # sets the limit, in calls per second
@@ -78,10 +79,12 @@
     """The contents of a scenario file. Times in microseconds, rates in messages per second."""
 
     couriers: int = 5
-    span: int = 10 * SECOND
-    warm_up: int = 6 * SECOND  # traffic before the first action, and before the checkers count
+    span: int = 10 * SECOND  # length of the run after the warm-up
+    # Traffic before time 0 of the actions; its calls don't count in the checks of limits and of repeated attempts.
+    warm_up: int = 6 * SECOND
     peers: bool = True
-    again: int = 100  # repeated attempts of all couriers together may take this percentage of the limits
+    # Percentage of the limits' shared part that repeated attempts of all couriers together may use; 100: no bound.
+    again: int = 100
     liar: str = ""  # name of a simulated lying (Byzantine) courier
     limits: dict[str, int] = field(default_factory=dict)  # by member: calls per second
     latencies: dict[str, int] = field(default_factory=dict)  # by member: time until it answers a call
@@ -168,7 +171,7 @@
             {
                 "limit": (CALL_COUNT, lambda value: self.scenario.limits.__setitem__(block.label, value)),
                 "pace": (DURATION, lambda value: self.scenario.latencies.__setitem__(block.label, value)),
-                "group": (CALL_COUNT, lambda value: self.scenario.groups.__setitem__(block.label, value)),
+                "group": (DESTINATION_NUMBER, lambda value: self.scenario.groups.__setitem__(block.label, value)),
             },
         )
 
