--- a/tests/lab/test_relays.py
+++ b/tests/lab/test_relays.py
@@ -31,7 +31,8 @@
         (b"XX" + seal_ping("a1", "b1"), None),
         (seal_ping("a1", "b1")[:24], None),
         (MAGIC + b"\xff" * 200, None),
-        (MAGIC + bytes(17) + b"\x93\xa1a\xa1b\x07", None),
+        # Valid MessagePack, but the epoch is a string and the receiver a number.
+        (MAGIC + bytes(HEADER_BYTES - len(MAGIC)) + b"\x93\xa1a\xa1b\x07", None),
     ],
 )
 def test_sender_and_receiver_of_a_datagram_are_read_without_the_key(
@@ -42,6 +43,7 @@
 
 
 @pytest.mark.parametrize(
+    # delays: None if the sender or the receiver has no group, [] if the datagram is lost, else the delay of each copy.
     ("faults", "sender", "to", "delays"),
     [
         ({}, "a1", "b1", [0]),
@@ -60,7 +62,7 @@
         ({("a", "b"): PathFaults(double=1.0, loss=1.0)}, "a1", "b1", []),
     ],
 )
-def test_faults_apply_to_one_direction_between_two_groups(
+def test_faults_apply_from_one_group_to_another_until_healed(
     faults: dict[tuple[str, str], PathFaults], sender: str, to: str, delays: list[int] | None
 ) -> None:
     network = FaultyNetwork(3)
@@ -100,36 +102,40 @@
                 loop.readable(courier, None)
                 received.append(courier.recv(MAX_DATAGRAM_BYTES + 1))
 
-        def wait_for(datagrams: int) -> None:
+        def wait_until_handled(total: int) -> None:
+            """Wait until this many datagrams have been received or lost since the start."""
             deadline = loop.now + 20 * SECOND
-            while len(received) + sum(relay.lost.values()) < datagrams:
+            while len(received) + sum(relay.lost.values()) < total:
                 assert loop.now < deadline
-                loop.call_at(loop.now + 10 * MS, lambda: None)
+                loop.call_at(loop.now + 10 * MS, lambda: None)  # so that turn() returns within 10 ms
                 loop.turn()
 
         loop.spawn(listen)
         first = seal_ping("a1", "b1")
         for data in (first, b"noise", seal_ping("x9", "b1"), seal_ping("a1", "a2")):
             sender.sendto(data, relay.address)
-        wait_for(4)
+        wait_until_handled(4)
+        # Unknown: x9 has no group, and a2 has no address at the relay of b.
         assert received == [first] and relay.lost == {"unreadable": 1, "unknown": 2}
         network.faults[("a", "b")] = PathFaults(cut=True)
         network.faults[("c", "b")] = PathFaults(double=1.0, delay=(5 * MS, 5 * MS))
         delayed = seal_ping("c1", "b1")
         for data in (first, delayed):
             sender.sendto(data, relay.address)
-        wait_for(7)
+        wait_until_handled(7)
         assert received == [first, delayed, delayed] and relay.lost["fault"] == 1
         assert relay.forwarded == 3 and relay.forwarded_bytes == len(first) + 2 * len(delayed)
         assert dropped_datagrams([relay.socket]) == 0
     relay.close()
 
 
-def test_a_courier_tells_others_the_address_that_it_advertises(tmp_path: pathlib.Path) -> None:
+def test_a_courier_announces_its_advertised_address_and_not_its_bound_one(tmp_path: pathlib.Path) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
         other.setblocking(False)
-        fleet = ExternalFleet(2, {"n0": ("10.0.0.7", 1_234)}, {"n0": {"x": other.getsockname()}})
+        fleet = ExternalFleet(
+            couriers=2, advertise={"n0": ("10.0.0.7", 1_234)}, seeds={"n0": {"x": other.getsockname()}}
+        )
         with Rig(tmp_path, 1, 1, {"m1": 40}, external_fleet=fleet) as rig:
             updates: list[MemberUpdate] = []
 
--- a/tests/peers/test_seal.py
+++ b/tests/peers/test_seal.py
@@ -1,4 +1,8 @@
-"""Forged, replayed, truncated, oversized, foreign and misdirected datagrams are rejected, each with its kind."""
+"""Rejection of invalid datagrams, the replay window, and the replacement of keys.
+
+Forged, replayed, truncated, oversized, foreign and misdirected datagrams are rejected, and each is counted under its
+kind of failure. Datagrams out of order are accepted once.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
     "foreign": lambda sealer, data: b"GET / HTTP/1.1\r\n\r\n" + data,
     "forged": lambda sealer, data: data[:-1] + bytes([data[-1] ^ 1]),
     "misdirected": lambda sealer, data: sealer.seal("c", [Ping(1)]),
-    "old-life": lambda sealer, data: Sealer("a", 4, [OLD]).seal("b", [Ping(1)]),
+    "old-life": lambda sealer, data: Sealer("a", 4, [OLD]).seal("b", [Ping(1)]),  # an earlier epoch
     "replayed": lambda sealer, data: data,
 }
 
@@ -42,7 +46,7 @@
     good = a.seal("b", [Ping(7)])
     assert b.open(good).messages == [Ping(7)]
     assert result(b, BAD[name](a, good)) == name and b.dropped == {name: 1}
-    assert result(b, a.seal("b", [Ping(8)])) == "accepted", "a valid one that follows is accepted"
+    assert result(b, a.seal("b", [Ping(8)])) == "accepted", "a valid datagram after a rejected one must be accepted"
 
 
 def test_bit_flips_and_truncation_are_rejected() -> None:
@@ -61,14 +65,14 @@
     order = list(range(REPLAY_WINDOW // 2))
     Random(2).shuffle(order)
     assert {result(b, sent[n]) for n in order} == {"accepted"} and {result(b, sent[n]) for n in order} == {"replayed"}
-    assert result(b, sent[-1]) == "accepted" and result(b, sent[REPLAY_WINDOW - 1]) == "replayed", (
-        "older than the window"
-    )
+    assert result(b, sent[-1]) == "accepted"
+    assert result(b, sent[REPLAY_WINDOW - 1]) == "replayed", "a datagram older than the window must be rejected"
     assert result(b, Sealer("a", 6, [OLD]).seal("b", [Ping(1)])) == "accepted" and result(b, sent[-2]) == "old-life"
 
 
 def test_keys_are_replaced_step_by_step_without_interruption() -> None:
     a, b = pair()
+    # (keys of a, keys of b): the first key seals, and any of them opens. Each step changes at most one side.
     steps = [
         ([OLD], [OLD]),
         ([OLD], [OLD, NEW]),
