--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -1,4 +1,7 @@
-"""Races at the end of a client's connection and of the process: bytes that arrive at the moment of a close."""
+"""Races at the end of a client's connection and of the process, and notices to slow or rejecting platforms.
+
+The races are about bytes that arrive at the moment of a close.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_http import HttpTestbed, ok, submit_request
 
-END = "end"  # an orderly close
+EOF = "end"  # an orderly close
 RESET = "reset"
 
 
@@ -24,7 +27,7 @@
     def __init__(self, testbed: HttpTestbed) -> None:
         self.testbed, self.sock = testbed, socket.create_connection(testbed.address)
         self.sock.setblocking(False)
-        self.got, self.ending = b"", ""
+        self.got, self.closed_by = b"", ""
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
@@ -35,10 +38,10 @@
         except BlockingIOError:
             return
         except OSError:
-            self.ending = RESET
+            self.closed_by = RESET
             return
         self.got += data
-        self.ending = self.ending or ("" if data else END)
+        self.closed_by = self.closed_by or ("" if data else EOF)
 
     def read_until(self, done: Callable[[], object]) -> None:
         def read_and_check() -> object:
@@ -54,19 +57,20 @@
         assert self.got.startswith(b"HTTP/1.1 " + status), self.got
 
 
+# closing: whether the shutdown ends the connection; else the idle timeout does.
 @pytest.mark.parametrize("closing", [False, True])
-def test_a_request_after_the_half_close_is_neither_accepted_nor_reset(tmp_path: Path, closing: bool) -> None:
+def test_a_request_after_the_servers_half_close_is_discarded_without_a_reset(tmp_path: Path, closing: bool) -> None:
     testbed = HttpTestbed(tmp_path, ok)
     caller = Caller(testbed)
     caller.send_and_expect(submit_request("first"), b"202")
     if closing:
         testbed.courier.close()
-    caller.read_until(lambda: caller.ending)
-    assert caller.ending == END and testbed.server._clients[State.LEAVING]
+    caller.read_until(lambda: caller.closed_by)
+    assert caller.closed_by == EOF and testbed.server._clients[State.LEAVING]
     caller.send(submit_request("second"))
     testbed.run_for(100 * MS)
     caller.read()
-    assert caller.ending == END and not testbed.courier.find("second")
+    assert caller.closed_by == EOF and not testbed.courier.find("second")
     caller.sock.close()
     testbed.run_until(lambda: testbed.server.count == 0)
     assert [head.headers["x-trace-id"] for head, _ in testbed.peer.seen] == ["first"]
@@ -75,7 +79,7 @@
 @pytest.mark.parametrize(
     ("data", "answer"),
     [
-        # An incomplete request, which continues after the response.
+        # The first two requests are incomplete; more bytes follow all three responses.
         (b"POST /reading HTTP/1.1\r\nX-", b"HTTP/1.1 408 "),
         (submit_request(body=b"x" * 90)[:-40], b"HTTP/1.1 408 "),
         (b"BREW /tea HTTP/1.1\r\n\r\n", b"HTTP/1.1 405 "),
@@ -89,8 +93,8 @@
     for _ in range(20):
         caller.send(b"x" * 1000)
         testbed.run_for(20 * MS)
-    caller.read_until(lambda: caller.ending)
-    assert caller.ending == END and caller.got.startswith(answer)
+    caller.read_until(lambda: caller.closed_by)
+    assert caller.closed_by == EOF and caller.got.startswith(answer)
 
 
 def test_a_final_response_arrives_although_the_client_has_sent_another_request(tmp_path: Path) -> None:
@@ -98,8 +102,8 @@
     testbed = HttpTestbed(tmp_path, ok)
     caller = Caller(testbed)
     caller.send(submit_request("one", Connection="close") + submit_request("two"))
-    caller.read_until(lambda: caller.ending)
-    assert caller.ending == END and caller.got.count(b"HTTP/1.1 202") == 1 and not testbed.courier.find("two")
+    caller.read_until(lambda: caller.closed_by)
+    assert caller.closed_by == EOF and caller.got.count(b"HTTP/1.1 202") == 1 and not testbed.courier.find("two")
 
 
 def test_a_request_that_arrives_as_the_idle_time_ends_is_served(tmp_path: Path) -> None:
@@ -109,7 +113,7 @@
     testbed.run_until(lambda: testbed.server._clients[State.IDLE])
     (client,) = testbed.server._clients[State.IDLE]
     caller.send(submit_request("two"))
-    client.stream.expire_read()  # the idle time ends in the turn in which the bytes have already arrived
+    client.stream.expire_read()  # the idle timeout fires when the bytes are in the socket but not read yet
     caller.got = b""
     caller.read_until(lambda: b"\r\n\r\n" in caller.got)
     assert caller.got.startswith(b"HTTP/1.1 202")
@@ -121,14 +125,14 @@
 
 
 def intercept_stop(testbed: HttpTestbed) -> Callable[[], bool]:
-    """Prevents that the loop stops; the returned function says whether it would have."""
+    """Replaces ``loop.stop`` by a recorder; the returned function tells whether it was called."""
     stopped_at: list[int] = []
     testbed.loop.stop = lambda: stopped_at.append(testbed.loop.now)  # type: ignore[method-assign]
     return lambda: bool(stopped_at)
 
 
 def test_idle_connections_are_closed_early_and_orderly(tmp_path: Path) -> None:
-    # Guards against idle clients that send a request on a connection which is still open when the process exits.
+    # Guards against a request lost on an idle connection that is still open when the process exits.
     testbed = HttpTestbed(tmp_path, ok)
     callers = [Caller(testbed) for _ in range(5)]
     for number, caller in enumerate(callers):
@@ -136,8 +140,8 @@
     stopped, started_at = intercept_stop(testbed), testbed.loop.now
     testbed.courier.close()
     for caller in callers:
-        caller.read_until(lambda caller=caller: caller.ending)
-        assert caller.ending == END and testbed.loop.now < started_at + 100 * MS
+        caller.read_until(lambda caller=caller: caller.closed_by)
+        assert caller.closed_by == EOF and testbed.loop.now < started_at + 100 * MS
         caller.sock.close()
     testbed.run_until(stopped)
     assert testbed.loop.now < started_at + SECOND
@@ -151,8 +155,8 @@
         caller = Caller(testbed)
         caller.send_and_expect(submit_request(f"t{number}"), b"503")
         assert b"Connection: close" in caller.got
-        caller.read_until(lambda caller=caller: caller.ending)
-        assert caller.ending == END
+        caller.read_until(lambda caller=caller: caller.closed_by)
+        assert caller.closed_by == EOF
         caller.sock.close()
         testbed.run_for(100 * MS)
     silent = Caller(testbed)
@@ -180,6 +184,7 @@
 
 def test_a_client_that_never_closes_its_side_does_not_delay_the_exit(tmp_path: Path) -> None:
     testbed = HttpTestbed(tmp_path, ok)
+    # One that is half-closed by the server and still sends, one with an incomplete request, and one that sent nothing.
     callers = [Caller(testbed) for _ in range(3)]
     callers[0].send_and_expect(submit_request("t0"), b"202")
     callers[1].send(b"POST /rea")
@@ -187,7 +192,7 @@
     testbed.courier.close()
     while not stopped():
         callers[0].read()
-        if callers[0].ending != RESET:
+        if callers[0].closed_by != RESET:
             callers[0].send(b"x")  # it continues to send slowly after the half-close
         testbed.run_for(50 * MS)
     assert testbed.loop.now <= started_at + EXIT_TIMEOUT + 200 * MS
@@ -202,8 +207,8 @@
     )
     testbed.courier.busy_checks.append(testbed.notices.has_pending)
     caller = Caller(testbed)
-    # The payment may have been processed, so its final state is reported by a notice.
-    caller.send_and_expect(submit_request("pay", "payment", X_Expires_In="700m"), b"202")
+    # The payment may have run (the next hop answers 500), so its final state is reported by a notice.
+    caller.send_and_expect(submit_request("pay", "payment", X_Expires_In="700m"), b"202")  # m: milliseconds
     stopped = intercept_stop(testbed)
     testbed.courier.close()
     testbed.run_until(stopped)
@@ -226,24 +231,25 @@
 
     testbed.platform.script = platform
     for trace in ("a", "b"):
-        testbed.talk(submit_request(trace, "payment", X_Expires_In="600m"))
+        testbed.talk(submit_request(trace, "payment", X_Expires_In="600m"))  # m: milliseconds
         deadline = testbed.loop.now + 600 * MS
         testbed.run_until(lambda: not testbed.journal.entries)
         assert times[-1] < deadline + 300 * MS
     assert testbed.platform.connections == 2
 
 
-def test_many_rejected_notices_delay_no_others_and_are_not_sent_one_by_one(tmp_path: Path) -> None:
+def test_rejected_notices_delay_no_others_and_batching_continues(tmp_path: Path) -> None:
     testbed = HttpTestbed(tmp_path, ok)
     testbed.platform.script = lambda _, body: parser.response(400 if b'"bad' in body else 204)
-    acknowledged: list[str] = []
+    settled: list[str] = []
 
     def settle(trace: str) -> None:
         testbed.notices.report_end(Message(trace, 0, 0, 7, 0, b"", testbed.notices), End("failed"))
-        acknowledged.append(trace)
+        settled.append(trace)
 
     traces = [f"{'bad' if n % 40 == 39 else 'good'}{n}" for n in range(200)]
     for trace in traces:
         testbed.loop.spawn(settle, trace)
-    testbed.run_until(lambda: len(acknowledged) == 200)
-    assert len(testbed.platform.seen) < 150 and sorted(acknowledged) == sorted(traces)
+    testbed.run_until(lambda: len(settled) == 200)
+    # One request for each notice would be 200.
+    assert len(testbed.platform.seen) < 150 and sorted(settled) == sorted(traces)
--- a/tests/test_endpoint_memory.py
+++ b/tests/test_endpoint_memory.py
@@ -1,4 +1,4 @@
-"""Memory use of a listed endpoint that gets no messages, from discovery's list to the decision module."""
+"""Memory use of an endpoint of the saved list that gets no messages, from the watch to the decision module."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 @pytest.mark.parametrize("kind", ["utility", "contractor"])  # routes that share a limit, and independent ones
 def test_an_unused_endpoint_takes_two_kilobytes_at_most(tmp_path: Path, kind: str) -> None:
-    # Guards against state that is allocated before a route is used, and against a decoded list that stays in memory.
+    # Guards against state that is allocated before a route is used, and against a decoded list that stays in memory
+    # (``load_known`` empties ``snapshot``).
     testbed = CourierTestbed(tmp_path)
     carrier = HttpCarrier(testbed.loop, testbed.buffers, testbed.courier.settings, 9)
     watch = Watch(
