--- a/snowlock/interface.py
+++ b/snowlock/interface.py
@@ -38,7 +38,8 @@
 class Outcome(IntEnum):
     """How an attempt ended.
 
-    After ERROR, TIMEOUT, RESET and CANCELLED the message may have run; after ERROR it no longer runs.
+    After ERROR, TIMEOUT, RESET and CANCELLED the message may have run. After ERROR the endpoint has finished;
+    after the other three it may still be running.
     """
 
     OK = 0
@@ -110,7 +111,9 @@
     slots: int  # maximum number of calls in flight
     # By kind of destination: whether each route has its own limit and outages.
     routes_apart: tuple[bool, ...] = ()
-    bundles: tuple[int, ...] = ()  # by kind: maximum number of messages of one reply that share a call
+    # By kind: maximum number of messages per call. Only attempts that are started in the same reply of the
+    # controller share a call.
+    bundles: tuple[int, ...] = ()
     tolls: tuple[float, ...] = ()  # cost of a call, by zone of the route; applies to kinds with routes_apart
     cross_zone_fee: float = 0.0  # added to the cost of a call to another zone
     tenants: tuple[Tenant, ...] = ()
@@ -129,11 +132,13 @@
     share_left_column: int | None = None  # index in load reports of the share of the limit that is left
     limit_column: int | None = None  # index in load reports of the limit in calls a second
     must_subscribe: bool = False  # the endpoint list is sent only on request
-    # With must_subscribe: a drain counts as known this long after the list was requested.
+    # With must_subscribe: a drain counts as known this long after the list was requested. It also bounds the
+    # controller's backoff after a failed list request.
     ask_within_ns: int = 10_000_000_000
     cold_from: float = 0.2  # slow start: share of its rate that a recovering route can bear at first
     ramp_ns: int = 10_000_000_000  # slow start: time until the route can bear its full rate
-    tip_multiple: float = 2.0  # calls, as a multiple of what a recovering route can bear, that overload it
+    # Slow start: a recovering route is overloaded by this many times the calls that it can bear in fall_ns.
+    tip_multiple: float = 2.0
     fall_ns: int = 2_000_000_000  # length of the window in which the calls for tip_multiple are counted
     settle_ns: int = 0  # time after which an attempt that ended without an answer no longer runs
     columns: tuple[str, ...] = ()  # names of the values in load reports
@@ -166,18 +171,22 @@
     zone: int = 0
     kind: int = 0
     state: EndpointState = EndpointState.READY
+    # Listed rate, in calls a second if accurate (see RateHint). Also the weight of the route in the random
+    # order of routes of the same rank and cost.
     rate: float = 1.0
     rank: int = 0  # routes of a lower rank are preferred
-    tries: int = 0  # bound on a message's attempts at the destination; here and below 0 means no bound
-    patience_ns: int = 0  # bound on an attempt's time-out
-    fails: int = 0  # number of consecutive failures that counts as an outage
+    tries: int = 0  # bound on a message's attempts at the destination; 0: only Settings.max_attempts
+    patience_ns: int = 0  # bound on an attempt's time-out; 0: none
+    fails: int = 0  # number of consecutive failures that counts as an outage; 0: none
     limit: float = 0.0  # calls a second: the limit it reported before this forwarder restarted; 0: unknown
     down_ns: int = 0  # age of an outage that this forwarder knew of before a restart; 0: none
-    back_ns: int = 0  # time since recovery from it began; 0: not yet; negative: time until it begins
+    # Time since slow start after this outage began; 0: not begun; negative: time until it begins, at the end
+    # of a retry-after delay.
+    back_ns: int = 0
 
 
 class EndpointList(Struct, frozen=True):
-    """A change of the endpoint list, or a whole list."""
+    """An update of the endpoint list: see ``ListKind``."""
 
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
