--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -98,7 +98,7 @@
         """Wait for more plaintext.
 
         Raises the error of a passed deadline, or that of a closed connection at the end of the stream, even if no
-        close_notify came. Unread plaintext is dropped at such an end, but kept after a close_notify.
+        close_notify came. Unread plaintext is kept after a close_notify, and dropped at any other end.
         """
         while not self._decrypt(deadline):
             try:
