--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -15,7 +15,7 @@
 
 from kestrelspar.http import parser
 from kestrelspar.http.watch import MAX_LINE_BYTES
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.standins import platform
 from kestrelspar.standins.server import free_listener
@@ -104,7 +104,7 @@
         try:
             for stream in self._watches:
                 stream.write(chunk, self.loop.now + 5 * SECOND)
-        except (Closed, Late) as error:
+        except (ConnectionClosedError, DeadlineExceededError) as error:
             raise NotMeasured(
                 f"the courier did not read a line of {len(line)} bytes from discovery ({error!r}); "
                 f"it reads at most {MAX_LINE_BYTES}"
@@ -193,7 +193,7 @@
             try:
                 if self.get("/health/ready")[0] == 200:
                     return
-            except (Closed, Late):
+            except (ConnectionClosedError, DeadlineExceededError):
                 pass
             self.loop.sleep(2 * MS)
 
--- a/benchmarks/smpp.py
+++ b/benchmarks/smpp.py
@@ -23,7 +23,7 @@
 
 from benchmarks.program import process_usage
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.smpp.conform import Credentials
 from kestrelspar.smpp.pdu import Command, Pdu
@@ -196,7 +196,7 @@
                             accepted_count[0] += accepted
                             submitted[0] += 1
                             number += 1
-                    except (Closed, Late):
+                    except (ConnectionClosedError, DeadlineExceededError):
                         pass
 
                 idle, started = process_usage(environment.pid), time.monotonic()
--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -20,7 +20,7 @@
 from kestrelspar.cli.main import CommandError
 from kestrelspar.cli.units import DURATION
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.standins import platform
 from kestrelspar.standins.platform import CLASSES, Behaviour, CallRecord
@@ -103,7 +103,7 @@
         try:
             stream.write(request, self.loop.now + SECOND)
             return parser.read_head(stream, self.loop.now + SECOND, response=True).status
-        except (Closed, Late, parser.MalformedMessageError):
+        except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
             return 0
         finally:
             stream.close()
--- a/kestrelspar/cli/smpp.py
+++ b/kestrelspar/cli/smpp.py
@@ -15,7 +15,7 @@
 
 from kestrelspar.cli.main import CommandError, ConfigurationError
 from kestrelspar.cli.units import DURATION, run_for
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError
 from kestrelspar.runtime.loop import SECOND, Loop
 from kestrelspar.settings import kinds
 from kestrelspar.settings.kinds import address as address_kind
@@ -111,7 +111,7 @@
         def task() -> None:
             try:
                 call()
-            except (probe.ProbeError, Closed, Late) as error:
+            except (probe.ProbeError, ConnectionClosedError, DeadlineExceededError) as error:
                 errors.append(error)
             finally:
                 self.loop.stop()
@@ -122,7 +122,7 @@
         except KeyboardInterrupt:
             click.echo("ended")
         if errors:
-            raise CommandError(str(errors[0]) or type(errors[0]).__name__.lower())
+            raise CommandError(str(errors[0]) or getattr(errors[0], "label", type(errors[0]).__name__).lower())
 
     def bound(self, how: Command, within: int, on_deliver: Callable[[Pdu], None]) -> probe.Esme:
         """Connect and bind; return the session, which passes received messages to ``on_deliver``."""
@@ -301,7 +301,7 @@
         while receipt and not received:
             try:
                 esme.read_pdu(deadline)
-            except Late:
+            except DeadlineExceededError:
                 raise probe.ProbeError("no receipt received in time") from None
         esme.request(Pdu(Command.UNBIND), within)
         esme.stream.close()
@@ -341,7 +341,7 @@
             enquire_at = runner.loop.now + ENQUIRE_LINK_INTERVAL
             try:
                 esme.read_response(enquire_at if end is None else min(enquire_at, end))
-            except Late:
+            except DeadlineExceededError:
                 esme.request(Pdu(Command.ENQUIRE_LINK), within)
         esme.request(Pdu(Command.UNBIND), within)
         esme.stream.close()
--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -7,7 +7,7 @@
 
 from kestrelspar.core.courier import NEVER_RAN, Message, NextHop, Result
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from snowlock import interface as api
 from snowlock.interface import Outcome
@@ -106,7 +106,8 @@
         request = parser.request("POST", hop.target, "app.svc", headers, message.body)
         try:
             stream.write(request, deadline)
-        except (Closed, Late):  # the last byte was not written: the next hop cannot have processed the message
+        except (ConnectionClosedError, DeadlineExceededError):
+            # The last byte was not written: the next hop cannot have processed the message.
             stream.close()
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         return self._read_response(hop, stream, deadline)
@@ -121,10 +122,10 @@
         try:
             while not len(stream.unread):
                 stream.fill(deadline)
-        except Closed:
+        except ConnectionClosedError:
             stream.close()
             return Result(Outcome.RESET)
-        except Late:
+        except DeadlineExceededError:
             stream.close()
             return Result(Outcome.TIMEOUT)
         attempt_deadline, deadline = deadline, min(deadline, self.loop.now + RESPONSE_READ_TIMEOUT)
@@ -150,10 +151,10 @@
                 raise parser.MalformedMessageError(
                     "bytes after the end of the response: noise, or a wrong Content-Length"
                 )
-        except Closed:
+        except ConnectionClosedError:
             stream.close()
             return Result(Outcome.RESET, retry_after, note="response truncated")
-        except (Late, parser.MalformedMessageError):
+        except (DeadlineExceededError, parser.MalformedMessageError):
             stream.close()
             return Result(Outcome.ERROR, retry_after, note="malformed response")
         self._finish(hop, stream, head)
@@ -194,7 +195,7 @@
         try:
             head = parser.read_head(stream, deadline, response=True)
             parser.read_body(stream, head, deadline, response=True)
-        except (Closed, Late, parser.MalformedMessageError):
+        except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
             stream.close()
             return
         finally:
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -7,7 +7,7 @@
 from kestrelspar.core.courier import DELIVERED, End, Message
 from kestrelspar.http import parser
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension, connect
 
 # A final state may be reported up to 300 ms after a message's deadline. Waiting on a persistent connection that no
@@ -125,7 +125,7 @@
                 if head.keep_alive and move_count == self._move_count:
                     return head.status
                 status: int | None = head.status
-            except (Closed, Late, parser.MalformedMessageError):
+            except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
                 status = None
             if move_count == self._move_count:
                 self._stream = None
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from kestrelspar.runtime.buffers import Closed, Stream
+from kestrelspar.runtime.buffers import ConnectionClosedError, Stream
 
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024
@@ -202,7 +202,7 @@
             return b"".join(parts)
         try:
             stream.fill(deadline)
-        except Closed:
+        except ConnectionClosedError:
             if length != max_bytes + 1:
                 raise
             return b"".join(parts)
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -13,7 +13,7 @@
 from kestrelspar.core.courier import Answer, Courier, Message, RefusalReason, SenderSide
 from kestrelspar.http import parser
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension
 
 IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
@@ -117,9 +117,12 @@
         self.loop.spawn(self._serve, client)
 
     def _set_state(self, client: Client, state: State) -> None:
-        """Moves the connection to another state; raises ``Closed`` if it was closed to make room meanwhile."""
+        """Moves the connection to another state.
+
+        Raises ``ConnectionClosedError`` if it was closed to make room meanwhile.
+        """
         if self._clients[client.state].pop(client, None) is None:
-            raise Closed
+            raise ConnectionClosedError
         client.state = state
         self._clients[state][client] = self.loop.now
 
@@ -206,7 +209,7 @@
             while self._await_request(client) and self._handle_request(client):
                 self._set_state(client, State.IDLE)
             self._close_gracefully(client)
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         finally:
             self._clients[client.state].pop(client, None)
@@ -220,7 +223,7 @@
         while not stream.unread:
             try:
                 stream.fill(deadline)
-            except Late:
+            except DeadlineExceededError:
                 if stream.is_reusable():
                     return False
                 deadline = self.loop.now + READ_TIMEOUT  # a request began just as the time-out expired: serve it
@@ -259,7 +262,7 @@
                 parser.response(error.status, f"{error}\n".encode(), keep=False), self.loop.now + WRITE_TIMEOUT
             )
             return False
-        except Late:
+        except DeadlineExceededError:
             self._log_throttled("request-rejected", "request incomplete at the time-out")
             stream.write(parser.response(408, keep=False), self.loop.now + WRITE_TIMEOUT)
             return False
@@ -294,7 +297,7 @@
                         ),
                         self.loop.now + WRITE_TIMEOUT,
                     )
-            except (Closed, Late):
+            except (ConnectionClosedError, DeadlineExceededError):
                 responded.resume(False)
                 return False
             responded.resume(True)
@@ -318,7 +321,7 @@
             stream.sock.shutdown(socket.SHUT_WR)
             while self.loop.now < linger_until:
                 stream.discard(min(linger_until, self.loop.now + LINGER_IDLE_TIMEOUT))
-        except (Closed, Late, OSError):
+        except (ConnectionClosedError, DeadlineExceededError, OSError):
             pass
 
     def _build_message(self, path: str, head: parser.Head, body: bytes) -> Message:
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -13,7 +13,7 @@
 from kestrelspar.http.backoff import CONNECT_TIMEOUT, WATCH_SILENCE_TIMEOUT, DiscoveryBackoff
 from kestrelspar.journal.removal_log import RemovalLog
 from kestrelspar.runtime import heap, logs
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.settings.platform import STATES, address, index_of
 from snowlock import interface as api
@@ -232,11 +232,11 @@
                 if decoder is not None and decoder.done:
                     return received
                 if self.loop.now >= last_activity + WATCH_SILENCE_TIMEOUT:
-                    raise Late
+                    raise DeadlineExceededError
                 stream.fill(last_activity + WATCH_SILENCE_TIMEOUT)
-        except (Closed, parser.MalformedMessageError):
+        except (ConnectionClosedError, parser.MalformedMessageError):
             return received
-        except Late:
+        except DeadlineExceededError:
             self._silent_for, self._headers_timed_out = (
                 self.loop.now - last_activity if last_activity else 0,
                 not last_activity,
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -27,7 +27,7 @@
 import ujson
 
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.standins import platform
 
@@ -530,7 +530,7 @@
         try:
             stream.write(call, self.loop.now + RESPONSE_TIMEOUT)
             return parser.read_head(stream, self.loop.now + RESPONSE_TIMEOUT, response=True).status
-        except (Closed, Late, parser.MalformedMessageError):
+        except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
             return 0
         finally:
             stream.close()
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import Loop, connect
 
 if TYPE_CHECKING:
@@ -90,12 +90,12 @@
         try:
             stream.write(request_bytes, self.loop.now + self._timeout)
             return parser.read_head(stream, self.loop.now + self._timeout + wait, response=True)
-        except Closed:
+        except ConnectionClosedError:
             self.close()
             if reused and method == "GET":  # the idle connection was closed while the request was sent
                 return self.request(method, path, headers, body, wait)
             raise RegistryError("connection closed") from None
-        except Late:
+        except DeadlineExceededError:
             self.close()
             raise RegistryError("response timed out") from None
         except parser.MalformedMessageError as error:
@@ -126,18 +126,18 @@
                     continue
                 try:
                     stream.fill(self.loop.now + (self._timeout if silence is None else silence))
-                except Late:
+                except DeadlineExceededError:
                     if silence is None:
                         raise
                     yield None
             if not head.keep_alive:
                 self.close()
-        except Closed:
+        except ConnectionClosedError:
             self.close()
             if parser.body_length(head, MAX_RESPONSE_SIZE) == -1:
                 return  # no length given: the body ends with the connection
             raise RegistryError("connection closed in the middle of a response") from None
-        except Late:
+        except DeadlineExceededError:
             self.close()
             raise RegistryError("time-out in the middle of a response") from None
         except parser.MalformedMessageError as error:
@@ -156,7 +156,7 @@
         return b"".join(chunks)
 
     def close(self) -> None:
-        """Close the connection. A task that reads from it gets ``Closed``."""
+        """Close the connection. A task that reads from it gets ``ConnectionClosedError``."""
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -15,13 +15,17 @@
 _DISCARD_TARGET = mmap.mmap(-1, 512 * 1024)
 
 
-class Closed(Exception):
+class ConnectionClosedError(Exception):
     """The connection was closed by the peer, or failed."""
 
+    label = "Closed"  # name in logs and in messages of the command line
 
-class Late(Exception):
+
+class DeadlineExceededError(Exception):
     """The deadline of a read or write has passed."""
 
+    label = "Late"  # name in logs and in messages of the command line
+
 
 class BufferPool:
     """Buffers of ``BUFFER_SIZE`` bytes; at most ``max_buffers`` are allocated, so that memory stays bounded.
@@ -72,14 +76,17 @@
             self._buffer = None
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more bytes; raises ``Closed`` if the input ended, and ``Late`` if the deadline passed."""
+        """Wait for more bytes.
+
+        Raises ``ConnectionClosedError`` if the input ended, and ``DeadlineExceededError`` if the deadline passed.
+        """
         if not self.loop.readable(self.sock, deadline):
-            raise Late
+            raise DeadlineExceededError
         while self._buffer is None:
             self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
-                    raise Late
+                    raise DeadlineExceededError
                 self.loop.sleep(BUFFER_RETRY_INTERVAL)
         if self._start and self._end == BUFFER_SIZE:
             remaining = self._buffer[self._start : self._end]
@@ -91,39 +98,42 @@
             count = -1
         except OSError as error:
             self.consume(self._end - self._start)
-            raise Closed from error
+            raise ConnectionClosedError from error
         if count == 0:
             self.consume(self._end - self._start)
-            raise Closed
+            raise ConnectionClosedError
         if count > 0:
             self._end += count
         elif self._start == self._end:
             self.consume(0)
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data; after ``Closed`` or ``Late``, at least its last byte is unwritten."""
+        """Write all data.
+
+        After ``ConnectionClosedError`` or ``DeadlineExceededError``, at least its last byte is unwritten.
+        """
         view = memoryview(data)
         while view:
             try:
                 view = view[self.sock.send(view) :]
             except BlockingIOError:
                 if not self.loop.writable(self.sock, deadline):
-                    raise Late from None
+                    raise DeadlineExceededError from None
             except OSError as error:
-                raise Closed from error
+                raise ConnectionClosedError from error
 
     def discard(self, deadline: int) -> None:
         """Wait for more bytes and drop all that arrived, without a copy or a pooled buffer."""
         self.consume(self._end - self._start)
         if not self.loop.readable(self.sock, deadline):
-            raise Late
+            raise DeadlineExceededError
         try:
             if not self.sock.recv_into(_DISCARD_TARGET, 0, socket.MSG_TRUNC):
-                raise Closed
+                raise ConnectionClosedError
         except BlockingIOError:
             pass
         except OSError as error:
-            raise Closed from error
+            raise ConnectionClosedError from error
 
     def expire_read(self) -> None:
         """Make a pending read end as if its deadline had passed, unless bytes have arrived in this turn."""
--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -11,8 +11,8 @@
     BUFFER_RETRY_INTERVAL,
     BUFFER_SIZE,
     BufferPool,
-    Closed,
-    Late,
+    ConnectionClosedError,
+    DeadlineExceededError,
     Stream,
 )
 from kestrelspar.runtime.loop import Loop, connect
@@ -20,9 +20,11 @@
 MAX_RECORD_SIZE = 16 * 1024  # maximum plaintext bytes of a TLS record (RFC 8446, section 5.1)
 
 
-class BadHandshake(Closed):
+class BadHandshake(ConnectionClosedError):
     """The TLS handshake failed; the text of the exception has the reason."""
 
+    label = "BadHandshake"
+
 
 class TlsStream(Stream):
     """The plaintext of a TLS connection, with the interface of ``Stream``; usable after ``handshake``."""
@@ -44,7 +46,10 @@
         self._filling = False  # while a task waits for the socket, no other may read from it
 
     def handshake(self, deadline: int) -> None:
-        """Perform the handshake. After ``BadHandshake``, or ``Late`` if the peer stalls, the caller has to close."""
+        """Perform the handshake.
+
+        After ``BadHandshake``, or ``DeadlineExceededError`` if the peer stalls, the caller has to close.
+        """
         while True:
             try:
                 self._tls.do_handshake()
@@ -65,7 +70,7 @@
         self._filling = True
         try:
             if not self.loop.readable(self.sock, deadline):
-                raise Late
+                raise DeadlineExceededError
         finally:
             self._filling = False
         return self._read_socket()
@@ -76,10 +81,10 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise Closed from error
+            raise ConnectionClosedError from error
         if not data:
             self._incoming.write_eof()
-            raise Closed
+            raise ConnectionClosedError
         return self._incoming.write(data)
 
     def _flush(self, deadline: int | None) -> None:
@@ -88,11 +93,14 @@
             super().write(self._outgoing.read(), deadline)
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more plaintext; raises ``Closed`` at the end, also without close_notify, or ``Late``."""
+        """Wait for more plaintext.
+
+        Raises ``ConnectionClosedError`` at the end, also without close_notify, or ``DeadlineExceededError``.
+        """
         while not self._decrypt(deadline):
             try:
                 self._receive(deadline)
-            except Closed:
+            except ConnectionClosedError:
                 self.consume(self._end - self._start)
                 raise
 
@@ -102,7 +110,7 @@
             self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
-                    raise Late
+                    raise DeadlineExceededError
                 self.loop.sleep(BUFFER_RETRY_INTERVAL)
         if self._start and self._end == BUFFER_SIZE:
             remaining = self._buffer[self._start : self._end]
@@ -116,24 +124,28 @@
             count = -1
         except ssl.SSLError as error:  # close_notify, an invalid record, or an end without close_notify
             self.consume(self._end - self._start)
-            raise Closed from error
+            raise ConnectionClosedError from error
         if count > 0:
             self._end += count
             return count
         if self._start == self._end:
             self.consume(0)
         if count == 0:
-            raise Closed
+            raise ConnectionClosedError
         return 0
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data; after ``Closed`` or ``Late`` the data is incomplete, and nothing more may be written."""
+        """Write all data.
+
+        After ``ConnectionClosedError`` or ``DeadlineExceededError`` the data is incomplete, and nothing more may be
+        written.
+        """
         view = memoryview(data)
         while view:
             try:
                 count = self._tls.write(view[:MAX_RECORD_SIZE])
             except ssl.SSLError as error:
-                raise Closed from error
+                raise ConnectionClosedError from error
             view = view[count:]
             self._flush(deadline)
 
@@ -148,14 +160,14 @@
         try:
             while self._read_socket():
                 pass
-        except Closed:
+        except ConnectionClosedError:
             closed = True
         else:
             closed = False
         try:
             while self._end < BUFFER_SIZE and self._decrypt(self.loop.now):
                 pass
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             closed = True
         return not closed
 
@@ -205,8 +217,8 @@
     stream = TlsStream(loop, sock, pool, context, False, name or address[0])
     try:
         stream.handshake(deadline)
-    except (Closed, Late) as error:
-        logs.warn("tls-handshake-failed", peer=f"{address[0]}:{address[1]}", why=str(error) or type(error).__name__)
+    except (ConnectionClosedError, DeadlineExceededError) as error:
+        logs.warn("tls-handshake-failed", peer=f"{address[0]}:{address[1]}", why=str(error) or error.label)
         stream.close()
         return None
     return stream
--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -11,7 +11,7 @@
 from kestrelspar.core.courier import DELIVERED, FAILED, NEVER_RAN, RETURNED, Courier, Message, NextHop, Result
 from kestrelspar.core.transport_map import SendGuard
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import parts, receipts, status_codes
@@ -217,7 +217,7 @@
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         except SessionLostError:
             return Result(Outcome.RESET)
-        except Late:
+        except DeadlineExceededError:
             # SMPP cannot withdraw a submit in flight. The session is drained rather than closed, as other requests on
             # it still need their responses.
             self._unresolved = {
@@ -327,7 +327,7 @@
                 Pdu(Command.CANCEL_SM, fields={"message_id": message_id, **source, **dest}),
                 self.loop.now + QUERY_TIMEOUT,
             )
-        except (NotSentError, SessionLostError, Late, ValueError):
+        except (NotSentError, SessionLostError, DeadlineExceededError, ValueError):
             return FAILED
         # Cancelled before delivery: it certainly took no effect and may be submitted again.
         return RETURNED if response.command is Command.CANCEL_SM_RESP and not response.status else FAILED
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import Loop, Suspension, Timer, connect
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
@@ -219,7 +219,7 @@
         )
         try:
             response = session.request(bind, deadline)
-        except (NotSentError, SessionLostError, Late):
+        except (NotSentError, SessionLostError, DeadlineExceededError):
             session.close()
             self._bind_failed("no answer")
             return False
--- a/kestrelspar/smpp/probe.py
+++ b/kestrelspar/smpp/probe.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.conform import Case, Credentials, status_name
@@ -37,7 +37,8 @@
     def read_response(self, deadline: int) -> Pdu:
         """Read the next response; requests before it are acknowledged.
 
-        Raises ``Closed``, ``Late``, or ``ProbeError`` if something other than a PDU arrives.
+        Raises ``ConnectionClosedError``, ``DeadlineExceededError``, or ``ProbeError`` if something other than a PDU
+        arrives.
         """
         while not (pdu := self.read_pdu(deadline)).command & p.RESPONSE:
             pass
@@ -72,9 +73,9 @@
             deadline = self.loop.now + timeout
             while (response := self.read_response(deadline)).sequence != pdu.sequence:
                 pass
-        except Closed:
+        except ConnectionClosedError:
             raise ProbeError(f"{pdu.command.name.lower()}: connection closed") from None
-        except Late:
+        except DeadlineExceededError:
             raise ProbeError(f"{pdu.command.name.lower()}: no response in time") from None
         return response
 
@@ -158,9 +159,9 @@
             if not case.expected.commands and case.session_continues:
                 esme.send(enquire)
             response = esme.read_response(self.loop.now + self._timeout)
-        except Closed:
+        except ConnectionClosedError:
             closed = True
-        except Late:
+        except DeadlineExceededError:
             pass
         if response is not None and not case.expected.commands and response.sequence == LIVENESS_SEQUENCE:
             return ""  # the PDU was ignored as expected, and the session continues
@@ -174,9 +175,9 @@
     def _check_closed(self, esme: Esme) -> str:
         try:
             esme.read_response(self.loop.now + self._timeout)
-        except Closed:
+        except ConnectionClosedError:
             return ""
-        except Late:
+        except DeadlineExceededError:
             pass
         return "connection not closed after the response"
 
@@ -185,7 +186,7 @@
             esme.send(enquire)
             while (response := esme.read_response(self.loop.now + self._timeout)).sequence != LIVENESS_SEQUENCE:
                 pass
-        except (Closed, Late, ProbeError):
+        except (ConnectionClosedError, DeadlineExceededError, ProbeError):
             return "session does not answer enquire_link afterwards"
         return "" if response.command is Command.ENQUIRE_LINK_RESP else "enquire_link refused afterwards"
 
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -7,7 +7,7 @@
 from kestrelspar.core.courier import Message, NextHop, Result
 from kestrelspar.core.transport_map import SendGuard
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import Late
+from kestrelspar.runtime.buffers import DeadlineExceededError
 from kestrelspar.runtime.loop import MS, Loop
 from kestrelspar.settings.resolve import Account
 from kestrelspar.smpp import pdu as p
@@ -80,7 +80,7 @@
             return Result(Outcome.CONNECT_FAILED, note="broke before the last byte")
         except SessionLostError:
             return Result(Outcome.RESET)
-        except Late:
+        except DeadlineExceededError:
             # A deliver_sm cannot be withdrawn, so its session is closed before the message may be sent on another one.
             session.close()
             return Result(Outcome.TIMEOUT)
--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -15,7 +15,7 @@
 
 from kestrelspar.core.courier import DELIVERED, FAILED, Answer, Courier, End, Message, RefusalReason
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension, Timer, connect
 from kestrelspar.settings.resolve import Account, Smpp
 
@@ -173,8 +173,8 @@
         self._connections.append(client)  # so that it counts as unbound, and may be closed to make room
         try:
             stream.handshake(self.loop.now + self.config.bind_timeout)
-        except (Closed, Late) as error:
-            logs.warn("tls-handshake-failed", peer=name, why=str(error) or type(error).__name__)
+        except (ConnectionClosedError, DeadlineExceededError) as error:
+            logs.warn("tls-handshake-failed", peer=name, why=str(error) or error.label)
             stream.close()
             return
         finally:
@@ -304,7 +304,7 @@
                 ),
                 self.loop.now + self.config.response_timeout,
             )
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             stream.close()
             return
         self._run_session(stream, f"{account.outbind[0]}:{account.outbind[1]}")
@@ -754,7 +754,7 @@
                 logs.event(
                     "smpp-receipt-refused", trace=message.trace, peer=client.session.name, status=f"{answer.status:#x}"
                 )
-            except (NotSentError, SessionLostError, Late):
+            except (NotSentError, SessionLostError, DeadlineExceededError):
                 client.unacknowledged_receipts += 1
                 logs.event("smpp-receipt-unheard", trace=message.trace, peer=client.session.name)
             self.loop.sleep(delay)
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import Closed, Late, Stream
+from kestrelspar.runtime.buffers import ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import TIMED_OUT, Loop, Suspension
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp.pdu import Command, Pdu, Status
@@ -60,7 +60,7 @@
         except p.FramingError as error:
             logs.warn("smpp-bad-pdu", peer=self.name, why=str(error), closed=True)
             self.send(Pdu(Command.GENERIC_NACK, 0, Status.ESME_RINVCMDLEN))
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         finally:
             self.close()
@@ -133,10 +133,11 @@
         return True
 
     def request(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
-        """Write a request and return its response, or raise ``NotSentError``, ``SessionLostError`` or ``Late``.
+        """Write a request and return its response.
 
-        After ``Late`` the request is still in flight: ``on_late`` is called with its late response, or with None if the
-        session ends without one.
+        Raises ``NotSentError``, ``SessionLostError`` or ``DeadlineExceededError``. After ``DeadlineExceededError`` the
+        request is still in flight: ``on_late`` is called with its late response, or with None if the session ends
+        without one.
         """
         pdu.sequence = self.next_sequence()
         waiting = Suspension(self.loop)
@@ -151,7 +152,7 @@
         if response is TIMED_OUT:
             if on_late is not None:
                 self._late_handlers[pdu.sequence] = on_late
-            raise Late
+            raise DeadlineExceededError
         if self.draining:
             self.drain()
         if response is None:
@@ -187,7 +188,7 @@
         self._writing = True
         try:
             self.stream.write(data, deadline)
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             self.close()
             raise NotSentError from None
         finally:
@@ -203,7 +204,7 @@
                 continue
             try:
                 self.request(Pdu(Command.ENQUIRE_LINK), self.loop.now + self._response_timeout)
-            except (NotSentError, SessionLostError, Late):
+            except (NotSentError, SessionLostError, DeadlineExceededError):
                 if not self.closed:
                     logs.warn("smpp-link-dead", peer=self.name)
                     self.close()
@@ -213,7 +214,7 @@
         try:
             if not self.closed:
                 self.request(Pdu(Command.UNBIND), self.loop.now + self._response_timeout)
-        except (NotSentError, SessionLostError, Late):
+        except (NotSentError, SessionLostError, DeadlineExceededError):
             pass
         self.close()
 
--- a/kestrelspar/standins/gateway.py
+++ b/kestrelspar/standins/gateway.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.smpp import pdu as p
 from kestrelspar.smpp import table
@@ -85,7 +85,7 @@
                     self._handle(session, p.decode(data))
                 except p.MalformedPduError as error:
                     self._post(session, Pdu(Command.GENERIC_NACK, error.sequence, error.status))
-        except (Closed, Late, p.FramingError):
+        except (ConnectionClosedError, DeadlineExceededError, p.FramingError):
             pass
         finally:
             self._sessions.remove(session)
@@ -183,5 +183,5 @@
     def _post(self, session: Session, pdu: Pdu) -> None:
         try:
             session.stream.write(p.encode(pdu), self.loop.now + SECOND)
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             session.stream.close()
--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -11,7 +11,7 @@
 import ujson
 
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop
 from kestrelspar.standins.server import accept, free_listener
 
@@ -87,7 +87,7 @@
                 if response is None:
                     return
                 stream.write(response, self.loop.now + 5 * SECOND)
-        except (Closed, Late, parser.MalformedMessageError):
+        except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
             pass
         finally:
             stream.close()
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from kestrelspar.http import parser
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, TIMED_OUT, Loop, Suspension
 from kestrelspar.standins.server import accept
 
@@ -217,7 +217,7 @@
                 self._wait_while_silent()
                 if self.faults.refuse or not self._respond(stream, head, body):
                     return
-        except (Closed, Late, parser.MalformedMessageError):
+        except (ConnectionClosedError, DeadlineExceededError, parser.MalformedMessageError):
             pass
         finally:
             self.streams.discard(stream)
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.runtime.tls import BadHandshake, TlsStream
 from tests.bench import CLOCK, SkippingLoop, listener
@@ -58,7 +58,7 @@
         def run(call: Callable[[], object]) -> None:
             try:
                 call()
-            except (Closed, Late) as error:
+            except (ConnectionClosedError, DeadlineExceededError) as error:
                 self.errors.append(error)
             unfinished[0] -= 1
 
@@ -118,7 +118,7 @@
         assert not one.peer_closed(), "the last data of the peer is not read yet"
         assert read(one, 4) == b"last" and one.peer_closed()
         pair.run_tasks(lambda: one.fill(None))  # noqa: B023
-        assert isinstance(pair.errors[0], Closed)
+        assert isinstance(pair.errors[0], ConnectionClosedError)
 
 
 def test_a_stream_that_received_only_session_tickets_is_reusable() -> None:
@@ -176,7 +176,7 @@
     if first_bytes:
         pair.theirs.send(first_bytes)
     pair.run_tasks(lambda: one.handshake(pair.loop.now + 400 * MS), other_task)
-    assert len(turns) == 5 and isinstance(pair.errors[0], (BadHandshake, Late))
+    assert len(turns) == 5 and isinstance(pair.errors[0], (BadHandshake, DeadlineExceededError))
     one.close()
 
 
--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from kestrelspar.runtime.buffers import Closed, Late, Stream
+from kestrelspar.runtime.buffers import ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, connect
 from kestrelspar.settings.resolve import Account, Gateway, Smpp
 from kestrelspar.smpp import pdu as p
@@ -80,7 +80,7 @@
         return closing
 
     def serve(self, stream: Stream) -> None:
-        with contextlib.suppress(Closed, Late):
+        with contextlib.suppress(ConnectionClosedError, DeadlineExceededError):
             self.serve_requests(stream)
         stream.close()
 
@@ -164,7 +164,7 @@
     def write_bytes(self, stream: Stream, data: bytes) -> None:
         try:
             stream.write(data, None)
-        except Closed:
+        except ConnectionClosedError:
             stream.close()
 
 
@@ -225,7 +225,7 @@
                         self.stream.write(p.encode(pdu.reply(self.response_status)), None)
                 else:
                     self.answers.append(pdu)
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             self.stream.close()
 
     def final_states(self) -> dict[str, set[int]]:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -21,7 +21,7 @@
 from kestrelspar.http.sender import SenderServer, State, expires
 from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.journal import records as j
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, bind, connect
 from snowlock import interface as api
 from snowlock.interface import Outcome
@@ -67,7 +67,7 @@
                     break
                 if answer is not None and not parser.head(memoryview(answer), response=True):
                     break
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         stream.close()
 
