--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -276,8 +276,8 @@
         self._tracker.expect(message.number, awaits["gate"], awaits["ids"], base)
         if link is not None:
             waiting, link.early_receipts = link.early_receipts, []
-            for parking in waiting:
-                parking.resume()
+            for suspension in waiting:
+                suspension.resume()
             link.ensure_receiving()
 
     def stop_waiting(self, message: Message) -> None:
@@ -351,13 +351,13 @@
             if len(link.early_receipts) >= MAX_EARLY_RECEIPTS:
                 bound.session.send(pdu.reply(Status.ESME_RX_T_APPN))
                 return
-            parking = Suspension(self.loop)
-            link.early_receipts.append(parking)
+            suspension = Suspension(self.loop)
+            link.early_receipts.append(suspension)
             if (
-                self.loop.park(parking, min(wait_until, self.loop.now + 50 * MS)) is TIMED_OUT
-                and parking in link.early_receipts
+                self.loop.park(suspension, min(wait_until, self.loop.now + 50 * MS)) is TIMED_OUT
+                and suspension in link.early_receipts
             ):
-                link.early_receipts.remove(parking)
+                link.early_receipts.remove(suspension)
         bound.session.send(
             pdu.reply(Status.ESME_ROK if self._apply_receipt(gateway, number, receipt) else Status.ESME_RX_T_APPN)
         )
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -85,10 +85,10 @@
 
         Returns the session, None if no session can be bound, or ``TIMED_OUT`` at the deadline.
         """
-        parking = Suspension(self.loop)
-        self._queue.append(parking)
+        suspension = Suspension(self.loop)
+        self._queue.append(suspension)
         self._serve_queue()
-        acquired: BoundSession | None | object = self.loop.park(parking, deadline)
+        acquired: BoundSession | None | object = self.loop.park(suspension, deadline)
         return acquired
 
     def release(self, bound: BoundSession) -> None:
@@ -138,8 +138,8 @@
             if not sessions:
                 if not self._binding and not self._bind(BIND_COMMANDS[self.gateway.bind]):
                     queue, self._queue = self._queue, deque()
-                    for parking in queue:
-                        parking.resume(None)
+                    for suspension in queue:
+                        suspension.resume(None)
                 return
             due = self.rate_control.earliest_send(now)
             if due > now:
--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -179,9 +179,9 @@
         Raises ``NotSentError``.
         """
         while self._writing and not self.closed:
-            parking = Suspension(self.loop)
-            self._write_queue.append(parking)
-            if self.loop.park(parking, deadline) is TIMED_OUT:
+            suspension = Suspension(self.loop)
+            self._write_queue.append(suspension)
+            if self.loop.park(suspension, deadline) is TIMED_OUT:
                 raise NotSentError
         if self.closed:
             raise NotSentError
@@ -224,7 +224,7 @@
             return
         self.closed = True
         self.stream.close()
-        for parking in [*self._pending.values(), *self._write_queue]:
-            parking.resume(None)
+        for suspension in [*self._pending.values(), *self._write_queue]:
+            suspension.resume(None)
         for on_late in self._late_handlers.values():
             on_late(None)
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -85,8 +85,8 @@
             self.log.append((new_revision, key))
         self.revision = new_revision
         waiting, self.change_waiters = self.change_waiters, []
-        for parking in waiting:
-            parking.resume()
+        for suspension in waiting:
+            suspension.resume()
         return new_revision
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
