--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -29,7 +29,7 @@
 from snowlock.control import SMALL_FLEET_SIZE
 from snowlock.interface import Outcome
 
-NS = 1_000  # nanoseconds (controller) per microsecond (event loop)
+NS_PER_US = 1_000  # the controller counts in nanoseconds, the event loop in microseconds
 MIN_SHUTDOWN_TIME = 500 * MS  # minimum time between SIGTERM and exit: new connections may arrive for 400 ms
 LAST_ATTEMPT_START = 2_200 * MS  # after SIGTERM: an attempt that starts later might not end before the exit
 EXIT_TIMEOUT = 3_500 * MS  # latest exit after SIGTERM: SIGKILL may come at 3.7 s
@@ -237,7 +237,7 @@
         self._ended: deque[tuple[int, str]] = deque()  # expiry times and ids of the ended ones, oldest first
         # Microseconds for which an ended message is remembered: duplicates can arrive until the longest deadline, and
         # be processed until the end of the longest repeat window.
-        self._remember_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS
+        self._remember_for = max(max(c.deadline_ns, c.window_ns) for c in settings.classes) // NS_PER_US
         self.attempts_in_flight = 0
         self._last_number = max(journal.entries, default=0)
         loop.turn_end_calls.append(self._decide)
@@ -323,7 +323,7 @@
                 self._end(message, End(WITHDRAWN))
                 return
             self._parked.pop(message.number, None)
-        left = max(0, message.deadline - self.loop.now) * NS
+        left = max(0, message.deadline - self.loop.now) * NS_PER_US
         action = self._next_action(
             message.number,
             api.Arrival(
@@ -342,9 +342,9 @@
                     attempt_index - 1,
                     action.endpoint,
                     result.outcome,
-                    latency * NS,
+                    latency * NS_PER_US,
                     closed=result.already_answered or result.outcome is Outcome.OK,
-                    wait_ns=result.retry_after * NS,
+                    wait_ns=result.retry_after * NS_PER_US,
                     no_slot=result.no_slot,
                     report=result.report,
                 ),
@@ -362,7 +362,7 @@
         if action is _WITHDRAW:
             self._end(message, End(WITHDRAWN))
             return
-        after_ms = -(-action.retry_after_ns // (NS * MS)) if isinstance(action, api.Refuse) else 0
+        after_ms = -(-action.retry_after_ns // (NS_PER_US * MS)) if isinstance(action, api.Refuse) else 0
         self._end(message, End(RETURNED if isinstance(action, api.Refuse) else FAILED, after_ms))
 
     def _attempt(self, message: Message, action: api.Send, attempt_index: int) -> tuple[Result, int]:
@@ -375,7 +375,7 @@
         # asked for a retry-after delay, and a connection to an endpoint that was down may come up only after the
         # window of a work-order has ended.
         guard = _SendGuard(
-            lambda: self._controller.may_still_send(self.loop.now * NS, action.endpoint, message.number),
+            lambda: self._controller.may_still_send(self.loop.now * NS_PER_US, action.endpoint, message.number),
             lambda: (
                 self._spend(action.endpoint, attempt_index)
                 and self.journal.record_attempt(message.number, attempt_index, self.loop.now)
@@ -385,12 +385,12 @@
             self.peers.wait_for_budget(
                 action.endpoint,
                 attempt_index > 0,
-                min(started + action.timeout_ns // NS, started + BUDGET_WAIT_TIMEOUT),
+                min(started + action.timeout_ns // NS_PER_US, started + BUDGET_WAIT_TIMEOUT),
             )
         budget_wait_end = self.loop.now
         self.attempts_in_flight += 1
         try:
-            result = hop.carrier.attempt(message, hop, started + action.timeout_ns // NS, guard)
+            result = hop.carrier.attempt(message, hop, started + action.timeout_ns // NS_PER_US, guard)
         finally:
             self.attempts_in_flight -= 1
         if result.outcome in NEVER_RAN:
@@ -417,7 +417,7 @@
         """Take a call that is about to be sent from the shared budget, where there is one."""
         return self.peers is None or self.peers.spend_budget(endpoint, attempt_index > 0)
 
-    def update_shares(self, event: api.Parts | api.Judged) -> None:
+    def queue_controller_event(self, event: api.Parts | api.Judged) -> None:
         """Queue new shares, or suspensions that follow from other couriers' reports, for the controller."""
         self._events.append(event)
 
@@ -630,7 +630,7 @@
                 else:  # the source's front end is disabled now: no outcome can arrive, and the message may have run
                     self.loop.spawn(self._end, message, End(FAILED))
                 continue
-            since = None if entry.may_have_run_since is None else entry.may_have_run_since * NS
+            since = None if entry.may_have_run_since is None else entry.may_have_run_since * NS_PER_US
             self.loop.spawn(self._deliver, message, entry.attempts, since, True)
 
     def _report_recovered(self, message: Message, end: End) -> None:
@@ -713,7 +713,7 @@
             return
         events, self._events = self._events, []
         try:
-            actions = self._controller.handle(self.loop.now * NS, events)
+            actions = self._controller.handle(self.loop.now * NS_PER_US, events)
         except Exception:
             # An exception in the controller must not end the process; messages that wait for a decision fail.
             logs.error("fault", task="module", why=traceback.format_exc())
@@ -724,7 +724,9 @@
             for endpoint_id, outage in self._controller.outages(endpoint).items():
                 self.journal.record_outage(
                     endpoint_id,
-                    None if outage is None else (outage[0] // NS, None if outage[1] is None else outage[1] // NS),
+                    None
+                    if outage is None
+                    else (outage[0] // NS_PER_US, None if outage[1] is None else outage[1] // NS_PER_US),
                 )
         for action in actions:
             if isinstance(action, (api.Send, api.Refuse, api.Fail)):
@@ -732,7 +734,7 @@
                 if suspension is not None:
                     suspension.resume(action)
             elif isinstance(action, api.SetTimer):
-                self.loop.call_at(-(-action.at_ns // NS), partial(self._timer, action.token))
+                self.loop.call_at(-(-action.at_ns // NS_PER_US), partial(self._timer, action.token))
             elif isinstance(action, api.CloseIdle):
                 hop = self.map.hops.get(action.endpoint)
                 if hop is not None:
@@ -775,8 +777,8 @@
             # At least 1, as 0 means no outage: after a step of the wall clock, the outage may begin in the future.
             row = replace(
                 row,
-                down_ns=max(1, (self.loop.now - since) * NS),
-                back_ns=0 if recovering_since is None else (self.loop.now - recovering_since) * NS or 1,
+                down_ns=max(1, (self.loop.now - since) * NS_PER_US),
+                back_ns=0 if recovering_since is None else (self.loop.now - recovering_since) * NS_PER_US or 1,
             )
         return row
 
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from kestrelspar.core.courier import NS, Courier, End, Message, Result
+from kestrelspar.core.courier import NS_PER_US, Courier, End, Message, Result
 from kestrelspar.peers import demand, state_file
 from kestrelspar.peers.event_log import ERROR_INTERVAL, EventLog
 from kestrelspar.peers.observations import CallOutcome, RouteRestriction
@@ -128,12 +128,12 @@
         self.courier.peers = None
         tenants = self.courier.settings.tenants
         equal_shares = tuple((n, tenants[n].rate / self.courier.settings.forwarders) for n in self._tenant_rates)
-        self.courier.update_shares(api.Parts(tuple((id, 0.0) for id in self._endpoint_rates), equal_shares))
+        self.courier.queue_controller_event(api.Parts(tuple((id, 0.0) for id in self._endpoint_rates), equal_shares))
         self._detached = True
 
     def _resume_endpoints(self) -> None:
         """Resume all endpoints that are suspended because of reports of other couriers."""
-        self.courier.update_shares(
+        self.courier.queue_controller_event(
             api.Judged(
                 tuple((self._snapshot.ids[name], 0, False) for name in self._suspended if name in self._snapshot.ids)
             )
@@ -262,7 +262,7 @@
         suspended = observations.restrictions(now, self.peer.members.alive())
         ids = self._snapshot.ids
         changed = [
-            (ids[name], suspension.until * NS, suspension.one_at_a_time)
+            (ids[name], suspension.until * NS_PER_US, suspension.one_at_a_time)
             for name, suspension in suspended.items()
             if self._suspended.get(name) != suspension and name in ids
         ]
@@ -276,7 +276,7 @@
             )
         self._suspended = suspended
         if changed:
-            self.courier.update_shares(api.Judged(tuple(changed)))
+            self.courier.queue_controller_event(api.Judged(tuple(changed)))
 
     # Counters
 
@@ -299,7 +299,7 @@
         shares, observations, settings = self.peer.shares, self.peer.observations, self.courier.settings
         enabled = not self._disabled  # if disabled, reports of other couriers have no effect
         recovering = (
-            observations.recovering(now, settings.ramp_ns // NS)
+            observations.recovering(now, settings.ramp_ns // NS_PER_US)
             if enabled and settings.fall_ns and settings.ramp_ns
             else {}
         )
@@ -352,7 +352,7 @@
         changed_tenants = tuple((n, rate) for n, rate in tenant_rates.items() if self._tenant_rates.get(n) != rate)
         self._endpoint_rates, self._tenant_rates = endpoint_rates, tenant_rates
         if changed or removed or changed_tenants:
-            self.courier.update_shares(api.Parts(changed + removed, changed_tenants))
+            self.courier.queue_controller_event(api.Parts(changed + removed, changed_tenants))
 
     def _budget_keys(self, endpoint: EndpointId, is_retry: bool) -> list[str]:
         """The budgets that a call to the endpoint counts against."""
--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -16,7 +16,7 @@
 from kestrelspar.standins.server import accept, free_listener
 
 CLASSES = ("reading", "work-order", "payment")
-NS = 1_000  # nanoseconds in a microsecond, the unit of the loop
+NS_PER_US = 1_000  # the event loop counts in microseconds
 
 
 def settings(slots: int = 16, max_open: int = 400) -> dict[str, Any]:
@@ -25,8 +25,8 @@
     def message_class(name: str, objective: int, deadline: int, semantics: str, **more: Any) -> dict[str, Any]:
         return {
             "name": name,
-            "objective_ns": objective * SECOND * NS,
-            "deadline_ns": deadline * SECOND * NS,
+            "objective_ns": objective * SECOND * NS_PER_US,
+            "deadline_ns": deadline * SECOND * NS_PER_US,
             "semantics": semantics,
             "value": 1.0,
             "late_worth": 0.4,
@@ -36,19 +36,24 @@
     return {
         "classes": [
             message_class("reading", 4, 16, "free"),
-            message_class("work-order", 4, 16, "guarded", repeat_window_ns=7_500 * MS * NS),
+            message_class("work-order", 4, 16, "guarded", repeat_window_ns=7_500 * MS * NS_PER_US),
             message_class("payment", 3, 16, "single_shot"),
         ],
         "family_info": {"workers": slots, "routes_apart": [True]},
         "limits": {
             "max_attempts": 8,
             "max_open": max_open,
-            "connect_timeout_ns": SECOND * NS,
-            "conn_idle_ns": 10 * SECOND * NS,
-            "max_retry_after_ns": 2 * SECOND * NS,
+            "connect_timeout_ns": SECOND * NS_PER_US,
+            "conn_idle_ns": 10 * SECOND * NS_PER_US,
+            "max_retry_after_ns": 2 * SECOND * NS_PER_US,
         },
-        "rules": {"cold_from": 0.2, "ramp_time_ns": 10 * SECOND * NS, "tip_multiple": 2.0, "fall_ns": SECOND * NS},
-        "quantum_ns": 5 * MS * NS,
+        "rules": {
+            "cold_from": 0.2,
+            "ramp_time_ns": 10 * SECOND * NS_PER_US,
+            "tip_multiple": 2.0,
+            "fall_ns": SECOND * NS_PER_US,
+        },
+        "quantum_ns": 5 * MS * NS_PER_US,
         "n_instances": 1,
         "dcs": ["room-a"],
         "kinds": ["utility"],
