--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -74,7 +74,7 @@
         self._removals = (
             None
             if state_directory is None
-            else RemovalLog(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, forget=True)
+            else RemovalLog(Path(state_directory) / "discovery.left", MAX_REMOVALS_BYTES, drop_oldest=True)
         )
 
     def load_known(self, known: dict[str, Any]) -> None:
--- a/kestrelspar/journal/removal_log.py
+++ b/kestrelspar/journal/removal_log.py
@@ -32,13 +32,13 @@
 class RemovalLog:
     """Keys that a source reported as gone or draining, newest last."""
 
-    def __init__(self, file: Path, max_bytes: int, forget: bool = False) -> None:
+    def __init__(self, file: Path, max_bytes: int, drop_oldest: bool = False) -> None:
         """Load the file, if there is one.
 
-        ``max_bytes``: maximum file size in bytes. ``forget``: if the rows don't fit, drop the oldest; otherwise
+        ``max_bytes``: maximum file size in bytes. ``drop_oldest``: if the rows don't fit, drop the oldest; otherwise
         ``record`` returns false.
         """
-        self.file, self.max_bytes, self._drop_oldest = file, max_bytes, forget
+        self.file, self.max_bytes, self._drop_oldest = file, max_bytes, drop_oldest
         self.rows_by_key: dict[str, tuple[int, State]] = {}  # by key: revision and state
         self.revision = 0  # highest revision recorded so far
         self.incomplete = False  # the file lacks some reported rows
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -59,8 +59,8 @@
         self._reserved = RESERVED_PER_MESSAGE + RESERVED_PER_ATTEMPT * max_attempts
         self._new_path = Path(state_directory) / "journal.new"
         self.entries: dict[int, Entry] = {}
-        self._live = 0  # size of a compacted file in bytes, plus the room reserved for later records
-        self._weights: dict[int, int] = {}  # by message number: its share of ``_live`` in bytes
+        self._reserved_size = 0  # size of a compacted file in bytes, plus the room reserved for later records
+        self._entry_sizes: dict[int, int] = {}  # by message number: its share of ``_reserved_size`` in bytes
         self._ended: dict[str, tuple[int, str]] = {}  # by name: expiry (Unix microseconds), text
         self._limits: dict[bytes, tuple[int, float]] = {}  # by endpoint: expiry (Unix microseconds), calls per second
         # By endpoint, in Unix microseconds: expiry, start of the outage, start of the recovery.
@@ -137,22 +137,22 @@
 
     def _add(self, entry: Entry) -> None:
         self._drop_entry(entry.number)  # a message whose content was replaced has a second TAKEN record
-        weight = len(entry.records()) + self._reserved
+        size = len(entry.records()) + self._reserved
         self.entries[entry.number] = entry
-        self._weights[entry.number] = weight
-        self._live += weight
+        self._entry_sizes[entry.number] = size
+        self._reserved_size += size
 
     def _add_ended(self, name: str, until: int, text: str) -> None:
         self._drop_ended(name)
         self._ended[name] = until, text
         self._ended_live += len(records.ended_record(name, until, text))
-        self._live += len(records.ended_record(name, until, text))
+        self._reserved_size += len(records.ended_record(name, until, text))
 
     def _drop_ended(self, name: str) -> None:
         if name in self._ended:
             size = len(records.ended_record(name, *self._ended.pop(name)))
             self._ended_live -= size
-            self._live -= size
+            self._reserved_size -= size
 
     def retain_ended(self, name: str, text: str, retention: int) -> None:
         """Retain a text on an ended message across restarts for ``retention`` microseconds, if there is room."""
@@ -191,10 +191,10 @@
         elif len(self._limits) >= MAX_ENDPOINTS:
             self._drop_limit(next(iter(self._limits)))
         self._limits[endpoint] = until, rate
-        self._live += len(records.limit_record(endpoint, until, rate))
+        self._reserved_size += len(records.limit_record(endpoint, until, rate))
 
     def _drop_limit(self, endpoint: bytes) -> None:
-        self._live -= len(records.limit_record(endpoint, *self._limits.pop(endpoint)))
+        self._reserved_size -= len(records.limit_record(endpoint, *self._limits.pop(endpoint)))
 
     def limit(self, endpoint: bytes) -> float:
         """The retained rate limit of an endpoint in calls per second; 0 if there is none."""
@@ -227,10 +227,10 @@
             self._drop_outage(next(iter(self._outages)))
         if since:
             self._outages[endpoint] = until, since, recovering_since
-            self._live += len(records.outage_record(endpoint, until, since, recovering_since))
+            self._reserved_size += len(records.outage_record(endpoint, until, since, recovering_since))
 
     def _drop_outage(self, endpoint: bytes) -> None:
-        self._live -= len(records.outage_record(endpoint, *self._outages.pop(endpoint)))
+        self._reserved_size -= len(records.outage_record(endpoint, *self._outages.pop(endpoint)))
 
     def outage(self, endpoint: bytes) -> tuple[int, int | None] | None:
         """The retained outage of an endpoint, as in ``record_outage``; None if there is none."""
@@ -241,7 +241,7 @@
 
     def _drop_entry(self, number: int) -> None:
         if self.entries.pop(number, None) is not None:
-            self._live -= self._weights.pop(number)
+            self._reserved_size -= self._entry_sizes.pop(number)
 
     def _fits(self, more: int) -> bool:
         """Whether the file with ``more`` bytes appended, and a compacted copy of it, stay within the limit.
@@ -249,8 +249,8 @@
         The room reserved for later records of open messages counts as used. Otherwise the file could fill up with live
         data, and no record of a final state would fit any more.
         """
-        grown = max(self._size, self._live) + more
-        return _blocks(grown) + _blocks(self._live + more + BLOCK) + BLOCK <= self._max_bytes
+        grown = max(self._size, self._reserved_size) + more
+        return _blocks(grown) + _blocks(self._reserved_size + more + BLOCK) + BLOCK <= self._max_bytes
 
     def _compact(self) -> bool:
         """Write the live data to a new file and rename it over the old one; false if there is no room or it fails."""
@@ -285,8 +285,8 @@
 
     def _append(self, record: bytes) -> bool:
         """Append a record; false if that fails. A partial write is truncated, so that no record follows a torn one."""
-        near_limit = _blocks(self._size + len(record)) + _blocks(self._live + BLOCK) + BLOCK > self._max_bytes
-        if near_limit or self._size > self._max_bytes // 4 and self._size > 3 * self._live:
+        near_limit = _blocks(self._size + len(record)) + _blocks(self._reserved_size + BLOCK) + BLOCK > self._max_bytes
+        if near_limit or self._size > self._max_bytes // 4 and self._size > 3 * self._reserved_size:
             self._compact()
         if _blocks(self._size + len(record)) > self._max_bytes:
             return False
@@ -347,8 +347,8 @@
     def _set_awaited(self, entry: Entry, text: str) -> None:
         more = len(text.encode()) - len(entry.awaits.encode())
         entry.awaits = text
-        self._live += more
-        self._weights[entry.number] += more
+        self._reserved_size += more
+        self._entry_sizes[entry.number] += more
 
     def record_end(self, number: int, state: str, after_ms: int) -> bool:
         """Record a final state before it is reported to the sender side; false if that can't be written."""
--- a/tests/journal/test_removal_log.py
+++ b/tests/journal/test_removal_log.py
@@ -46,12 +46,12 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     names = [f"s-{n * 2654435761 % 2**32:08x}" for n in range(1_500)]
-    for forget in (False, True):
-        log = RemovalLog(tmp_path / f"{forget}.left", 8_192, forget)
+    for drop_oldest in (False, True):
+        log = RemovalLog(tmp_path / f"{drop_oldest}.left", 8_192, drop_oldest)
         recorded = [log.record({name: GONE}, n) for n, name in enumerate(names)]
-        assert (tmp_path / f"{forget}.left").stat().st_size <= 8_192 and all(recorded) is forget
-        found = RemovalLog(tmp_path / f"{forget}.left", 8_192).since(-1)
-        if forget:
+        assert (tmp_path / f"{drop_oldest}.left").stat().st_size <= 8_192 and all(recorded) is drop_oldest
+        found = RemovalLog(tmp_path / f"{drop_oldest}.left", 8_192).since(-1)
+        if drop_oldest:
             assert list(found)[-300:] == names[-300:] and list(found) == list(log.rows_by_key)
         else:
             assert log.incomplete and set(log.rows_by_key) == set(names), "the running process still has all rows"
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -428,4 +428,4 @@
     for text in (b"x" * 200, b"y" * 100):
         assert request_by_id(testbed, contractor, Command.REPLACE_SM, later, text).status == 0
     journal = testbed.journal
-    assert journal._live == sum(journal._weights.values()) and len(journal.entries) == 1
+    assert journal._reserved_size == sum(journal._entry_sizes.values()) and len(journal.entries) == 1
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -191,7 +191,7 @@
     journal = open_journal(tmp_path, 200_000)
     for number in range(2_000):
         journal.record_limit(b"s-%d" % number, 5.0)
-    assert len(journal._limits) <= 256 and journal.limit(b"s-1999") == 5.0 and journal._live < 256 * 64
+    assert len(journal._limits) <= 256 and journal.limit(b"s-1999") == 5.0 and journal._reserved_size < 256 * 64
     small = tmp_path / "small"
     small.mkdir()
     journal = open_journal(small, 4_096)
