--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -36,17 +36,17 @@
 
     def __init__(self, max_buffers: int = 256, reserved: int = 0) -> None:
         self._free: list[bytearray] = []
-        self._made, self._max_buffers, self._reserved = 0, max_buffers, reserved
+        self._allocated, self._max_buffers, self._reserved = 0, max_buffers, reserved
 
     def acquire(self, incoming: bool = False) -> bytearray | None:
         """Take a buffer; None if all are in use, or, for an incoming connection, if only reserved ones are free."""
-        if incoming and len(self._free) + self._max_buffers - self._made <= self._reserved:
+        if incoming and len(self._free) + self._max_buffers - self._allocated <= self._reserved:
             return None
         if self._free:
             return self._free.pop()
-        if self._made >= self._max_buffers:
+        if self._allocated >= self._max_buffers:
             return None
-        self._made += 1
+        self._allocated += 1
         return bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -12,7 +12,7 @@
 from kestrelspar.runtime.loop import SECOND, Loop, clock
 from snowlock import interface as api
 
-LIMIT = 3_000_000  # journal size in bytes
+JOURNAL_MAX_BYTES = 3_000_000
 CLASSES = (
     api.MessageClass(4 * 10**9, 16 * 10**9, api.Safety.SAFE, worth=1.0, late_worth=0.4, name="reading"),
     api.MessageClass(4 * 10**9, 28 * 10**9, api.Safety.KEYED, window_ns=7_500_000_000, name="work-order"),
@@ -60,10 +60,10 @@
     """The monotonic clock plus the time that ``SkippingLoop`` has skipped."""
 
     def __init__(self) -> None:
-        self.ahead = 0  # skipped time in microseconds
+        self.skipped = 0  # microseconds
 
     def __call__(self) -> int:
-        return clock() + self.ahead
+        return clock() + self.skipped
 
 
 CLOCK = SkipClock()  # shared, so that the time of a restarted courier does not go back
@@ -74,7 +74,7 @@
 
     def turn(self) -> None:
         if not self._ready and self._timers and not self._poll.poll(1):
-            CLOCK.ahead += max(0, self._timers[0][0] - CLOCK())
+            CLOCK.skipped += max(0, self._timers[0][0] - CLOCK())
         super().turn()
 
 
@@ -83,7 +83,7 @@
 
     def __init__(self, state_directory: Path, **overrides: object) -> None:
         self.loop, self.buffers = SkippingLoop(CLOCK), BufferPool()
-        self.journal = Journal(str(state_directory), LIMIT)
+        self.journal = Journal(str(state_directory), JOURNAL_MAX_BYTES)
         self.courier = Courier(self.loop, settings(**overrides), 7, self.journal)
         self.sender = RecordingSender()
         self.courier.senders["ends"] = self.sender
--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -99,7 +99,7 @@
     testbed.loop.spawn(flood)
     testbed.run_until(lambda: got and flooded)
     assert got[0] in (Outcome.ERROR, Outcome.RESET) and testbed.loop.now - started_at < RESPONSE_READ_TIMEOUT + SECOND
-    assert testbed.buffers._made <= 4
+    assert testbed.buffers._allocated <= 4
 
 
 def test_the_number_of_responses_being_drained_is_limited(tmp_path: Path) -> None:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -17,7 +17,7 @@
 from kestrelspar.settings.resolve import Registry
 from kestrelspar.standins.registry import Faults, Member, Store
 from snowlock import interface as api
-from tests.bench import LIMIT, CourierTestbed, listener
+from tests.bench import JOURNAL_MAX_BYTES, CourierTestbed, listener
 from tests.registry.registry_thread import RegistryThread
 from tests.test_http import HttpTestbed, ok, submit_request
 
@@ -280,7 +280,7 @@
     file = tmp_path / "registry-main.list"
     harness.testbed.run_until(file.exists)
     intact = file.read_bytes()
-    saved = saved_list.read(file, LIMIT)
+    saved = saved_list.read(file, JOURNAL_MAX_BYTES)
     assert saved is not None and [row.entry.name for row in saved.rows] == list("abc")
     random = Random(3)
     for _ in range(200):
@@ -288,7 +288,7 @@
         damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)
         file.write_bytes(bytes(damaged)[: random.choice([len(damaged), random.randrange(len(damaged))])])
         try:
-            found = saved_list.read(file, LIMIT)
+            found = saved_list.read(file, JOURNAL_MAX_BYTES)
         except ValueError:
             continue
         assert found is not None and found.rows == saved.rows  # the flipped bit is in a text of the header
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -15,7 +15,7 @@
 from kestrelspar.runtime.loop import SECOND as LOOP_SECOND
 from snowlock import interface as api
 from snowlock.interface import EndpointList, ListKind, Outcome
-from tests.bench import LIMIT, CourierTestbed, settings
+from tests.bench import JOURNAL_MAX_BYTES, CourierTestbed, settings
 from tests.fleet_recovery import Scenario, Simulation
 from tests.forwarder import MS, SECOND, Forwarder, route
 
@@ -71,7 +71,7 @@
 
     def restarted() -> Courier:
         copy = Path(shutil.copytree(tmp_path, tmp_path.parent / "copy", dirs_exist_ok=True))
-        return Courier(testbed.loop, settings(routes_apart=(True, True)), 1, Journal(str(copy), LIMIT))
+        return Courier(testbed.loop, settings(routes_apart=(True, True)), 1, Journal(str(copy), JOURNAL_MAX_BYTES))
 
     entry = restarted()._with_journalled_state(entries[0])
     assert (
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -342,13 +342,13 @@
 def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
     # Guards against clients that hold descriptors and buffers forever.
     testbed = HttpTestbed(tmp_path, ok)
-    started_at = CLOCK.ahead
+    started_at = CLOCK.skipped
     assert testbed.talk(data, until=lambda _: False).startswith(answer)
     testbed.run_until(
         lambda: testbed.server.count == 0
     )  # half-closed, and closed once the client has closed its side, too
     assert not testbed.journal.entries
-    assert CLOCK.ahead - started_at < 3 * SECOND
+    assert CLOCK.skipped - started_at < 3 * SECOND
 
 
 def test_a_rejection_reaches_a_client_that_still_sends_a_huge_body(tmp_path: Path) -> None:
@@ -356,7 +356,7 @@
     testbed = HttpTestbed(tmp_path, ok)
     head = b"POST /reading HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
     got = testbed.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
-    assert got.startswith(b"HTTP/1.1 413 ") and testbed.buffers._made <= 2
+    assert got.startswith(b"HTTP/1.1 413 ") and testbed.buffers._allocated <= 2
 
 
 def test_an_id_of_an_open_or_recently_finished_message_is_not_accepted_again(tmp_path: Path) -> None:
@@ -707,12 +707,12 @@
             else None
         ),
     )
-    started_at = CLOCK.ahead
+    started_at = CLOCK.skipped
     watch.move(new.address)
     testbed.notices.move(new.address)
     testbed.run_until(lambda: not testbed.notices._sending and watch.index == 3 and len(new.seen) == 3)
     # Neither waits for a time-out.
-    assert CLOCK.ahead - started_at < SECOND and list(testbed.courier.map.hops) == [b"s-9"]
+    assert CLOCK.skipped - started_at < SECOND and list(testbed.courier.map.hops) == [b"s-9"]
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
     assert new.seen[-1][0].start_line[1].endswith("watch=1&after=3")
     testbed.loop.spawn(testbed.notices.report_end, Message("b", READING, 0, 7, 0, b"", testbed.notices), End(FAILED))
