--- a/tests/journal/test_read.py
+++ b/tests/journal/test_read.py
@@ -16,7 +16,7 @@
 from kestrelspar.journal.read import KINDS, read
 from tests.test_program import ROOT, TEST_TIMEOUT
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=80)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=80)
 
 
 def write_journal(directory: Path) -> Path:
@@ -71,7 +71,7 @@
     assert (history.body, history.replaced) == (b"new", 1)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.data())
 def test_one_damaged_byte_is_reported_and_hides_one_record_at_most(
     tmp_path_factory: pytest.TempPathFactory, data: st.DataObject
@@ -106,7 +106,7 @@
         path.write_bytes(whole)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=200), st.integers(0, 600))
 def test_any_bytes_can_be_read(tmp_path_factory: pytest.TempPathFactory, garbage: bytes, cut: int) -> None:
     assert read(garbage).size == len(garbage)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,7 +13,7 @@
 
 from kestrelspar.journal import store
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=60)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=60)
 
 
 def open_journal(directory: Path, limit: int = 3_000_000, attempts: int = 8) -> store.Journal:
@@ -54,7 +54,7 @@
         assert (journal.entries[1].attempts, journal.entries[1].may_have_run_since) == (1, None)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.integers(0, 400), st.binary(max_size=60))
 def test_any_torn_tail_is_cut_and_the_other_records_stay(
     tmp_path_factory: pytest.TempPathFactory, cut: int, garbage: bytes
