--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -85,7 +85,7 @@
             BufferPool(64),
             server,
             self.config.section.answer_within,
-            self.config.secure,
+            self.config.tls_context,
             self.config.section.server_name,
         )
         return Etcd(link, self.config) if self.config.section.type == "etcd" else Consul(link, self.config)
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -31,7 +31,7 @@
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
 
 
-def expires(text: str) -> int:
+def parse_expires_in(text: str) -> int:
     """Parses X-Expires-In, a number with the unit ``m`` (milliseconds) or ``u`` (microseconds), into microseconds."""
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
@@ -345,7 +345,7 @@
         if dest is None:
             raise parser.MalformedMessageError("X-Route-To holds no dest")
         key = headers.get("idempotency-key", "")
-        lifetime = min(expires(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
+        lifetime = min(parse_expires_in(headers.get("x-expires-in", "")), settings.classes[cls].deadline_ns // 1000)
         deadline = self.loop.now + lifetime
         return Message(trace, cls, tenant, int(dest[1]), deadline, body, self.sender, key)
 
--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -162,4 +162,4 @@
 
     def with_tls(self, registries: list[Registry]) -> list[Registry]:
         """Returns the registries, with a TLS context for those that use TLS."""
-        return [replace(r, secure=partial(self.client, r.section.tls)) if r.section.tls else r for r in registries]
+        return [replace(r, tls_context=partial(self.client, r.section.tls)) if r.section.tls else r for r in registries]
--- a/kestrelspar/nginx/importer.py
+++ b/kestrelspar/nginx/importer.py
@@ -26,7 +26,7 @@
 )
 
 
-def milliseconds(text: str) -> int:
+def parse_milliseconds(text: str) -> int:
     """Convert an nginx time to milliseconds. Raises ``ValueError`` if it is not a time."""
     parts = _TIME_PART.findall(text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
@@ -34,7 +34,7 @@
     return sum(int(number) * _UNITS_MS[unit or "s"] for number, unit in parts)
 
 
-def host_port(text: str) -> str:
+def parse_host_port(text: str) -> str:
     """HOST:PORT of an address that needs no name resolution. Raises ``ValueError`` for any other."""
     host, colon, port = text.rpartition(":") if ":" in text else (text, "", "80")
     if host == "localhost":
@@ -89,7 +89,7 @@
     def _convert_server(self, directive: dict[str, Any]) -> dict[str, Any] | None:
         """Convert a server directive of an upstream; returns None, and reports it, if its address is unsupported."""
         try:
-            row: dict[str, Any] = {"address": host_port(directive["args"][0]), "status": "active", "weight": 1.0}
+            row: dict[str, Any] = {"address": parse_host_port(directive["args"][0]), "status": "active", "weight": 1.0}
         except ValueError:
             self._report_unsupported(directive, "is not carried over: an IPv4 address is needed")
             return None
@@ -115,7 +115,7 @@
             if name in TIME_DIRECTIVES or name == "proxy_next_upstream_tries":
                 try:
                     own_settings[TIME_DIRECTIVES.get(name, "tries")] = (
-                        milliseconds(args[0]) if name in TIME_DIRECTIVES else int(args[0])
+                        parse_milliseconds(args[0]) if name in TIME_DIRECTIVES else int(args[0])
                     )
                 except (ValueError, IndexError):
                     self._report_unsupported(directive, "is not carried over: it can't be read")
@@ -149,7 +149,7 @@
         rows = self.upstreams.get(next_hop[1])
         if rows is None:
             try:
-                rows = [{"address": host_port(next_hop[1]), "status": "active", "weight": 1.0}]
+                rows = [{"address": parse_host_port(next_hop[1]), "status": "active", "weight": 1.0}]
             except ValueError:
                 self._report_unsupported(proxy_pass or directive, "is not carried over: unknown upstream")
                 return
--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -92,7 +92,7 @@
             link.close()
         self._links = [
             MemberConnection(
-                self.loop, self.buffers, server, section.answer_within, self.config.secure, section.server_name
+                self.loop, self.buffers, server, section.answer_within, self.config.tls_context, section.server_name
             )
             for server in section.servers
         ]
@@ -212,7 +212,7 @@
             self.buffers,
             self.config.section.servers[member_index],
             self.config.section.answer_within,
-            self.config.secure,
+            self.config.tls_context,
             self.config.section.server_name,
         )
         self._links.append(link)  # so that ``apply_settings`` and ``stop`` close it
--- a/kestrelspar/settings/resolve.py
+++ b/kestrelspar/settings/resolve.py
@@ -105,7 +105,7 @@
     section: schema.Registry
     password: str = ""
     token: str = ""
-    secure: Callable[[], ssl.SSLContext] | None = None  # returns the latest context; None: no TLS
+    tls_context: Callable[[], ssl.SSLContext] | None = None  # returns the latest context; None: no TLS
 
 
 class _NameResolver:
--- a/kestrelspar/smpp/access.py
+++ b/kestrelspar/smpp/access.py
@@ -19,15 +19,15 @@
 
     def __init__(self) -> None:
         # By address: the number of refused binds, and the time of the last one.
-        self._refused: dict[str, tuple[int, int]] = {}
+        self._refusals: dict[str, tuple[int, int]] = {}
 
     def record_refusal(self, address: str, now: int) -> int:
         """Count a refused bind; returns for how long connections from the address are refused now, or 0."""
-        count, last = self._refused.pop(address, (0, now))
+        count, last = self._refusals.pop(address, (0, now))
         count = 1 if now - last > REFUSAL_TTL else count + 1
-        while len(self._refused) >= MAX_ADDRESSES:
-            del self._refused[next(iter(self._refused))]
-        self._refused[address] = count, now
+        while len(self._refusals) >= MAX_ADDRESSES:
+            del self._refusals[next(iter(self._refusals))]
+        self._refusals[address] = count, now
         return self._delay(count)
 
     @staticmethod
@@ -40,12 +40,12 @@
 
     def is_throttled(self, address: str, now: int) -> bool:
         """Whether connections from the address are refused at this time."""
-        count, last = self._refused.get(address, (0, now))
+        count, last = self._refusals.get(address, (0, now))
         return now < last + self._delay(count)
 
     def record_success(self, address: str) -> None:
         """A bind from the address succeeded: reset its count."""
-        self._refused.pop(address, None)
+        self._refusals.pop(address, None)
 
 
 def in_networks(address: str, networks: tuple[IPv4Network, ...]) -> bool:
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -253,10 +253,10 @@
 
 @pytest.mark.parametrize(("text", "value"), [("5", 5000), ("250ms", 250), ("1m30s", 90_000)])
 def test_nginx_times_are_converted_to_milliseconds(text: str, value: int) -> None:
-    assert nginx.milliseconds(text) == value
+    assert nginx.parse_milliseconds(text) == value
     for invalid in ("", "x", "5y", "-1", text + " "):
         with pytest.raises(ValueError):
-            nginx.milliseconds(invalid)
+            nginx.parse_milliseconds(invalid)
 
 
 def test_the_controller_applies_the_bounds_of_an_imported_map() -> None:
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from kestrelspar.http import parser
-from kestrelspar.http.sender import expires
+from kestrelspar.http.sender import parse_expires_in
 from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.nginx import importer as nginx
 from kestrelspar.settings import platform as config
@@ -82,8 +82,8 @@
 )
 def test_small_parsers_raise_only_their_own_errors(text: str) -> None:
     for parse in (
-        nginx.milliseconds,
-        nginx.host_port,
+        nginx.parse_milliseconds,
+        nginx.parse_host_port,
         config.address,
         lambda value: parse_time(value, datetime(2026, 12, 1, tzinfo=UTC)),
     ):
@@ -92,4 +92,4 @@
         except ValueError:
             continue
     with contextlib.suppress(parser.MalformedMessageError):
-        assert expires(text) >= 0
+        assert parse_expires_in(text) >= 0
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -18,7 +18,7 @@
 from kestrelspar.http import parser
 from kestrelspar.http.nexthop import HttpCarrier, classify_response, parse_load_report, parse_retry_after
 from kestrelspar.http.notices import Notices
-from kestrelspar.http.sender import SenderServer, State, expires
+from kestrelspar.http.sender import SenderServer, State, parse_expires_in
 from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.journal import records as j
 from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
@@ -218,10 +218,10 @@
 
 
 def test_header_values_are_parsed_or_rejected() -> None:
-    assert expires("480m") == 480_000 and expires("1500u") == 1500 and expires("0.5m") == 500
+    assert parse_expires_in("480m") == 480_000 and parse_expires_in("1500u") == 1500 and parse_expires_in("0.5m") == 500
     for text in ("", "5", "5s", "-1m", "1e3m", "m"):
         with pytest.raises(parser.MalformedMessageError):
-            expires(text)
+            parse_expires_in(text)
     assert (
         parse_retry_after("0.4504"),
         parse_retry_after("2"),
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -254,4 +254,4 @@
     assert limiter.record_refusal("1.1.1.1", 400 * SECOND) == 0, "old refusals still count"
     for place in range(3_000):
         limiter.record_refusal(f"2.0.{place // 256}.{place % 256}", 0)
-    assert len(limiter._refused) == access.MAX_ADDRESSES
+    assert len(limiter._refusals) == access.MAX_ADDRESSES
