--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -464,7 +464,7 @@
 
 
 def _complete_reports(counts: FleetCounters) -> int:
-    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counts.by_courier.values())
+    return sum(len(rows.current) >= COUNTERS_PER_COURIER for rows in counts.by_courier.values())
 
 
 def measure_counts_held(size: int, seed: int) -> dict[str, float]:
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -383,7 +383,7 @@
                 ghosts=ghosts,
                 ghost_pairs=len(killed),
                 buried=len(members.gone() - killed),
-                refused=members.rejected_members,
+                refused=members.rejected_updates,
             )
         found = {
             "at": self.loop.now,
--- a/kestrelspar/lab/simulated_network.py
+++ b/kestrelspar/lab/simulated_network.py
@@ -222,7 +222,7 @@
             LoanTerms(len(self.nodes), node.number, **self.loan_terms),  # type: ignore[arg-type]
             self.bytes_per_second,
             self.period,
-            retry_step=self.probe_interval,
+            probe_interval=self.probe_interval,
             **(
                 {}
                 if name in self.pre_broker_couriers
--- a/kestrelspar/lab/simulated_scale.py
+++ b/kestrelspar/lab/simulated_scale.py
@@ -137,7 +137,7 @@
                 missing=max(0, others - known),
                 ghosts=ghosts,
                 ghost_pairs=len(ended),
-                refused=members.rejected_members,
+                refused=members.rejected_updates,
             )
         return found
 
--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -45,12 +45,12 @@
 
     epoch: int
     past: dict[str, int] = field(default_factory=dict)  # totals from before the epoch
-    now: dict[str, int] = field(default_factory=dict)  # counts since the epoch began
+    current: dict[str, int] = field(default_factory=dict)  # counts since the epoch began
     reported_at: int = 0  # when the courier itself reported them, by the local clock; never earlier than it really did
 
     def total(self) -> dict[str, int]:
         """Totals over all epochs."""
-        return {key: self.past.get(key, 0) + self.now.get(key, 0) for key in self.past.keys() | self.now.keys()}
+        return {key: self.past.get(key, 0) + self.current.get(key, 0) for key in self.past.keys() | self.current.keys()}
 
 
 class FleetCounters:
@@ -71,7 +71,7 @@
 
     def add(self, key: str, amount: int = 1) -> None:
         """Add to a counter of this courier."""
-        own_counters, key = self.by_courier[self.own_name].now, key[:MAX_KEY_LENGTH]
+        own_counters, key = self.by_courier[self.own_name].current, key[:MAX_KEY_LENGTH]
         if key not in own_counters and len(own_counters) >= MAX_COUNTERS:
             key = OVERFLOW_KEY
         own_counters[key] = own_counters.get(key, 0) + amount
@@ -116,7 +116,7 @@
             counters = self.by_courier[report.name] = CourierCounters(report.epoch)
         if report.epoch < counters.epoch:
             return
-        target = counters.past if report.past else counters.now
+        target = counters.past if report.past else counters.current
         for key, count in report.rows:
             if key in target or len(target) <= MAX_COUNTERS:
                 target[key] = max(target.get(key, 0), count)
@@ -128,11 +128,11 @@
         if report.epoch >= own_counters.epoch:
             return
         former = self._former_epochs.setdefault(report.epoch, CourierCounters(report.epoch))
-        target = former.past if report.past else former.now
+        target = former.past if report.past else former.current
         for key, count in report.rows:
             if key in target or len(target) <= MAX_COUNTERS:
                 target[key] = max(target.get(key, 0), count)
-                total = former.past.get(key, 0) + former.now.get(key, 0)
+                total = former.past.get(key, 0) + former.current.get(key, 0)
                 if total > own_counters.past.get(key, 0):
                     own_counters.past[key] = total
         if len(self._former_epochs) > 2:  # only the latest can exceed what was persisted
@@ -172,7 +172,7 @@
                                     own_counters.epoch,
                                     False,
                                     0,
-                                    [(key, own_counters.now[key]) for key in changed],
+                                    [(key, own_counters.current[key]) for key in changed],
                                 )
                             ],
                         )
@@ -188,7 +188,7 @@
             return []
         age = 0 if name == self.own_name else max(0, now - counters.reported_at) // MS
         reports = []
-        for past, values in ((True, counters.past), (False, counters.now)):
+        for past, values in ((True, counters.past), (False, counters.current)):
             items = sorted(values.items())
             reports += [
                 CounterReport(name, counters.epoch, past, age, items[start : start + ROWS_PER_MESSAGE])
--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -103,7 +103,7 @@
         self.leaving = False
         # Lifeguard's score: 0 is healthy; each point lengthens periods and timeouts by their base value.
         self.local_health = 0
-        self.rejected_members = 0  # updates of unknown couriers rejected because of ``max_members``
+        self.rejected_updates = 0  # updates of unknown couriers rejected because of ``max_members``
         self.foreign = 0  # updates of couriers in other groups that were ignored
         self.events: Events = []
         self._random = random
@@ -316,7 +316,7 @@
             if update.state >= MemberState.DEAD:
                 return
             if len(self.members) >= self.max_members:
-                self.rejected_members += 1
+                self.rejected_updates += 1
                 return
             member = self.members[update.name] = Member(update, now)
             self._set_state(member, update, now)
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -56,7 +56,7 @@
     max_members: int = 1_024  # max members that are tracked
     max_retry_after: int = 2 * SECOND  # longest retry-after delay that is accepted from other couriers
     max_restricted_share: float = 0.5  # of all routes: the most that reports of other couriers may close
-    retry_step: int = SECOND  # interval between the couriers that probe an endpoint in an outage, one after the other
+    probe_interval: int = SECOND  # between the couriers that probe an endpoint in an outage, one after the other
     group: str = ""  # only couriers of the same group, or of none, are members
     region: str = ""  # the brokers of this region are used
     brokers: dict[str, tuple[str, int]] = field(default_factory=dict)  # of all regions, by "REGION/NAME"
@@ -89,7 +89,7 @@
             config.epoch,
             config.max_retry_after,
             config.max_restricted_share,
-            config.retry_step,
+            config.probe_interval,
             Random(seed + 1),
             config.terms.couriers,
             config.terms.number,
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -76,4 +76,4 @@
     for n in range(5_000):
         other.merge(CounterReport(f"x{n}", 1, False, 0, [("a", 1)]), 0)
         other.merge(CounterReport("n1", 1, False, 0, [(f"k{n}", 1)]), 0)
-    assert len(other.by_courier) <= 4_096 and len(other.by_courier["n1"].now) <= MAX_COUNTERS + 1
+    assert len(other.by_courier) <= 4_096 and len(other.by_courier["n1"].current) <= MAX_COUNTERS + 1
