--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -174,7 +174,7 @@
     """Print what one observation costs its witness and how long it takes, by brokers and sent to all."""
     for members in sizes:
         for all_to_all in (False, True):
-            results = [measure_propagation(seed, members, old=all_to_all) for seed in range(3)]
+            results = [measure_propagation(seed, members, without_brokers=all_to_all) for seed in range(3)]
             print(
                 f"{members:>5} members, {'all to all' if all_to_all else 'by brokers':<10}: the 7 other interested "
                 f"couriers know it after {max(each.seconds for each in results):.3f} s (maximum of 3 seeds); witness "
--- a/kestrelspar/lab/broker_simulation.py
+++ b/kestrelspar/lab/broker_simulation.py
@@ -156,10 +156,10 @@
                     )
 
 
-def world(seed: int, couriers: int = 30, loss: float = 0.0, brokers: int = 3, old: bool = False) -> World:
+def world(seed: int, couriers: int = 30, loss: float = 0.0, brokers: int = 3, without_brokers: bool = False) -> World:
     """Couriers in three zones of two regions, each with three of six destinations of two endpoints, and one budget.
 
-    ``old``: all couriers start without groups and brokers.
+    ``without_brokers``: all couriers start without groups and brokers.
     """
     net = SimulatedNetwork(
         couriers,
@@ -173,7 +173,7 @@
         placement=lambda n: ("y" if n % 3 == 2 else "x", f"z{n % 3}"),
     )
     created = World(net, {f"e{dest}.{k}": dest for dest in range(6) for k in (0, 1)}, honest=set(net.nodes))
-    net.pre_broker_couriers = set(net.nodes) if old else set()
+    net.pre_broker_couriers = set(net.nodes) if without_brokers else set()
     net.budget(BUDGET_KEY, BUDGET_CALLS)
     for name in net.brokers:
         net.start(name)
@@ -341,7 +341,7 @@
 def run_case(case: str, seed: int, couriers: int = 30, duration: int = RUN_DURATION) -> World:
     """Run one case to its end; violations found by the checkers are in ``violations``."""
     begin, loss = CASES[case]
-    w = world(seed, couriers, loss, old=begin is _rolling_upgrade)
+    w = world(seed, couriers, loss, without_brokers=begin is _rolling_upgrade)
     random = w.net.random
     for n, when in enumerate((5 * SECOND, 7 * SECOND)):  # outages of two endpoints of different destinations
         w.down[f"e{2 * n}.{random.randrange(2)}"] = when, when + random.randrange(2, 5) * SECOND // 2
@@ -374,7 +374,13 @@
 
 
 def start_fleet(
-    seed: int, members: int, group: int, user_count: int, loss: float = 0.0, old: bool = False, brokers: int = 3
+    seed: int,
+    members: int,
+    group: int,
+    user_count: int,
+    loss: float = 0.0,
+    without_brokers: bool = False,
+    brokers: int = 3,
 ) -> tuple[SimulatedNetwork, list[str]]:
     """Couriers in groups of two regions, 30 s after they started together, and the users of one destination.
 
@@ -391,7 +397,7 @@
         brokers={"x": brokers, "y": brokers},
         placement=lambda n: ("xy"[n % groups % 2], f"z{n % groups}"),
     )
-    net.pre_broker_couriers = set(net.nodes) if old else set()
+    net.pre_broker_couriers = set(net.nodes) if without_brokers else set()
     users = [f"n{n * members // user_count}" for n in range(user_count)]
     for name in [*net.brokers, *net.nodes]:
         if name in net.nodes:
@@ -402,10 +408,13 @@
 
 
 def measure_propagation(
-    seed: int, members: int, group: int = 50, user_count: int = 8, loss: float = 0.0, old: bool = False
+    seed: int, members: int, group: int = 50, user_count: int = 8, loss: float = 0.0, without_brokers: bool = False
 ) -> Propagation:
-    """Measure how one failure that a courier observes spreads; ``old``: without groups and brokers, all to all."""
-    net, users = start_fleet(seed, members, group, user_count, loss, old)
+    """Measure how one failure that a courier observes spreads.
+
+    ``without_brokers``: without groups and brokers, all to all.
+    """
+    net, users = start_fleet(seed, members, group, user_count, loss, without_brokers)
     witness = net.nodes[users[0]]
     assert witness.peer is not None
     begin, at, broker_bytes = net.now, witness.clock(net.now), sum(broker.sent for broker in running_brokers(net))
--- a/tests/peers/test_broker_model.py
+++ b/tests/peers/test_broker_model.py
@@ -42,7 +42,7 @@
 def test_with_brokers_the_cost_for_the_witness_does_not_grow_with_the_fleet() -> None:
     small, large = (measure_propagation(1, members, group=20) for members in (40, 120))
     assert large.witness_bytes < 1.2 * small.witness_bytes
-    assert measure_propagation(1, 120, group=20, old=True).witness_bytes > 20 * large.witness_bytes, (
+    assert measure_propagation(1, 120, group=20, without_brokers=True).witness_bytes > 20 * large.witness_bytes, (
         "sent to all members"
     )
 
