--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -469,7 +469,7 @@
 
 def _complete_reports(counters: FleetCounters) -> int:
     """Return the number of couriers of which all counters are known."""
-    return sum(len(rows.now) >= COUNTERS_PER_COURIER for rows in counters.by_courier.values())
+    return sum(len(rows.current) >= COUNTERS_PER_COURIER for rows in counters.by_courier.values())
 
 
 def measure_counts_held(size: int, seed: int) -> dict[str, float]:
--- a/kestrelspar/runtime/tls.py
+++ b/kestrelspar/runtime/tls.py
@@ -11,8 +11,8 @@
     BUFFER_RETRY_INTERVAL,
     BUFFER_SIZE,
     BufferPool,
-    Closed,
-    Late,
+    ConnectionClosedError,
+    DeadlineExceededError,
     Stream,
 )
 from kestrelspar.runtime.loop import Loop, connect
@@ -20,9 +20,11 @@
 MAX_RECORD_SIZE = 16 * 1024  # maximum plaintext bytes of a TLS record (RFC 8446, section 5.1)
 
 
-class BadHandshake(Closed):
+class BadHandshake(ConnectionClosedError):
     """The TLS handshake failed; the text of the exception has the reason."""
 
+    label = "BadHandshake"
+
 
 class TlsStream(Stream):
     """The plaintext of a TLS connection, with the interface of ``Stream``; usable after ``handshake``."""
@@ -49,8 +51,8 @@
     def handshake(self, deadline: int) -> None:
         """Perform the handshake. After any error, the caller must close the stream.
 
-        Raises ``BadHandshake`` if the handshake fails, and else the error of a closed connection, or that of a passed
-        deadline if the peer stalls.
+        Raises ``BadHandshake`` if the handshake fails, and else ``ConnectionClosedError``, or
+        ``DeadlineExceededError`` if the peer stalls.
         """
         while True:
             try:
@@ -72,7 +74,7 @@
         self._waiting_for_input = True
         try:
             if not self.loop.readable(self.sock, deadline):
-                raise Late
+                raise DeadlineExceededError
         finally:
             self._waiting_for_input = False
         return self._read_socket()
@@ -83,10 +85,10 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise Closed from error
+            raise ConnectionClosedError from error
         if not data:
             self._received.write_eof()
-            raise Closed
+            raise ConnectionClosedError
         return self._received.write(data)
 
     def _flush(self, deadline: int | None) -> None:
@@ -97,13 +99,13 @@
     def fill(self, deadline: int | None) -> None:
         """Wait for more plaintext.
 
-        Raises the error of a passed deadline, or that of a closed connection at the end of the stream, even if no
-        close_notify came. Unread plaintext is kept after a close_notify, and dropped at any other end.
+        Raises ``DeadlineExceededError``, or ``ConnectionClosedError`` at the end of the stream, even if no close_notify
+        came. Unread plaintext is kept after a close_notify, and dropped at any other end.
         """
         while not self._decrypt(deadline):
             try:
                 self._receive(deadline)
-            except Closed:
+            except ConnectionClosedError:
                 self.consume(self._end - self._start)
                 raise
 
@@ -116,7 +118,7 @@
             self._buffer = self.pool.acquire(self._is_incoming)
             if self._buffer is None:
                 if deadline is not None and self.loop.now >= deadline:
-                    raise Late
+                    raise DeadlineExceededError
                 self.loop.sleep(BUFFER_RETRY_INTERVAL)
         if self._start and self._end == BUFFER_SIZE:
             remaining = self._buffer[self._start : self._end]
@@ -130,24 +132,28 @@
             count = -1
         except ssl.SSLError as error:  # close_notify, an invalid record, or an end without close_notify
             self.consume(self._end - self._start)
-            raise Closed from error
+            raise ConnectionClosedError from error
         if count > 0:
             self._end += count
             return count
         if self._start == self._end:
             self.consume(0)  # returns the empty buffer to the pool
         if count == 0:
-            raise Closed
+            raise ConnectionClosedError
         return 0
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data; after ``Closed`` or ``Late`` the data is incomplete, and nothing more may be written."""
+        """Write all data.
+
+        After ``ConnectionClosedError`` or ``DeadlineExceededError`` the data is incomplete, and nothing more may be
+        written.
+        """
         view = memoryview(data)
         while view:
             try:
                 count = self._tls.write(view[:MAX_RECORD_SIZE])
             except ssl.SSLError as error:
-                raise Closed from error
+                raise ConnectionClosedError from error
             view = view[count:]
             self._flush(deadline)
 
@@ -165,14 +171,14 @@
         try:
             while self._read_socket():
                 pass
-        except Closed:
+        except ConnectionClosedError:
             closed = True
         else:
             closed = False
         try:
             while self._end < BUFFER_SIZE and self._decrypt(self.loop.now):
                 pass
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             closed = True
         return not closed
 
@@ -222,8 +228,8 @@
     stream = TlsStream(loop, sock, pool, context, False, name or address[0])
     try:
         stream.handshake(deadline)
-    except (Closed, Late) as error:
-        logs.warn("tls-handshake-failed", peer=f"{address[0]}:{address[1]}", why=str(error) or type(error).__name__)
+    except (ConnectionClosedError, DeadlineExceededError) as error:
+        logs.warn("tls-handshake-failed", peer=f"{address[0]}:{address[1]}", why=str(error) or error.label)
         stream.close()
         return None
     return stream
--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from kestrelspar.runtime import logs
-from kestrelspar.runtime.buffers import BufferPool, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import Loop, Suspension, Timer, connect
 from kestrelspar.settings.resolve import Gateway
 from kestrelspar.smpp import pdu as p
@@ -85,10 +85,10 @@
 
         Returns the session, None if no session can be bound, or ``TIMED_OUT`` at the deadline.
         """
-        parking = Suspension(self.loop)
-        self._queue.append(parking)
+        suspension = Suspension(self.loop)
+        self._queue.append(suspension)
         self._serve_queue()
-        acquired: BoundSession | None | object = self.loop.park(parking, deadline)
+        acquired: BoundSession | None | object = self.loop.park(suspension, deadline)
         return acquired
 
     def release(self, bound: BoundSession) -> None:
@@ -138,8 +138,8 @@
             if not sessions:
                 if not self._binding and not self._bind(BIND_COMMANDS[self.gateway.bind]):
                     queue, self._queue = self._queue, deque()
-                    for parking in queue:
-                        parking.resume(None)
+                    for suspension in queue:
+                        suspension.resume(None)
                 return
             due = self.rate_control.earliest_send(now)
             if due > now:
@@ -219,7 +219,7 @@
         )
         try:
             response = session.request(bind, deadline)
-        except (NotSentError, SessionLostError, Late):
+        except (NotSentError, SessionLostError, DeadlineExceededError):
             session.close()
             self._bind_failed("no answer")
             return False
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -18,10 +18,10 @@
 from kestrelspar.http import parser
 from kestrelspar.http.nexthop import HttpCarrier, classify_response, parse_load_report, parse_retry_after
 from kestrelspar.http.notices import Notices
-from kestrelspar.http.sender import SenderServer, State, expires
+from kestrelspar.http.sender import SenderServer, State, parse_expires_in
 from kestrelspar.http.watch import LineSplitter, Watch
 from kestrelspar.journal import records as j
-from kestrelspar.runtime.buffers import BufferPool, Closed, Late, Stream
+from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, bind, connect
 from snowlock import interface as api
 from snowlock.interface import Outcome
@@ -67,7 +67,7 @@
                     break
                 if answer is not None and not parser.head(memoryview(answer), response=True):
                     break
-        except (Closed, Late):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         stream.close()
 
@@ -218,10 +218,10 @@
 
 
 def test_header_values_are_parsed_or_rejected() -> None:
-    assert expires("480m") == 480_000 and expires("1500u") == 1500 and expires("0.5m") == 500
+    assert parse_expires_in("480m") == 480_000 and parse_expires_in("1500u") == 1500 and parse_expires_in("0.5m") == 500
     for text in ("", "5", "5s", "-1m", "1e3m", "m"):
         with pytest.raises(parser.MalformedMessageError):
-            expires(text)
+            parse_expires_in(text)
     assert (
         parse_retry_after("0.4504"),
         parse_retry_after("2"),
@@ -342,13 +342,13 @@
 def test_silent_clients_and_incomplete_requests_are_timed_out(tmp_path: Path, data: bytes, answer: bytes) -> None:
     # Guards against clients that hold descriptors and buffers forever.
     testbed = HttpTestbed(tmp_path, ok)
-    started_at = CLOCK.ahead
+    started_at = CLOCK.skipped
     assert testbed.talk(data, until=lambda _: False).startswith(answer)
     testbed.run_until(
         lambda: testbed.server.count == 0
     )  # half-closed, and closed once the client has closed its side, too
     assert not testbed.journal.entries
-    assert CLOCK.ahead - started_at < 3 * SECOND
+    assert CLOCK.skipped - started_at < 3 * SECOND
 
 
 def test_a_rejection_reaches_a_client_that_still_sends_a_huge_body(tmp_path: Path) -> None:
@@ -356,7 +356,7 @@
     testbed = HttpTestbed(tmp_path, ok)
     head = b"POST /reading HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
     got = testbed.talk(head, *[b"x" * 60_000] * 50, until=lambda _: False)
-    assert got.startswith(b"HTTP/1.1 413 ") and testbed.buffers._made <= 2
+    assert got.startswith(b"HTTP/1.1 413 ") and testbed.buffers._allocated <= 2
 
 
 def test_an_id_of_an_open_or_recently_finished_message_is_not_accepted_again(tmp_path: Path) -> None:
@@ -707,12 +707,12 @@
             else None
         ),
     )
-    started_at = CLOCK.ahead
+    started_at = CLOCK.skipped
     watch.move(new.address)
     testbed.notices.move(new.address)
     testbed.run_until(lambda: not testbed.notices._sending and watch.index == 3 and len(new.seen) == 3)
     # Neither waits for a time-out.
-    assert CLOCK.ahead - started_at < SECOND and list(testbed.courier.map.hops) == [b"s-9"]
+    assert CLOCK.skipped - started_at < SECOND and list(testbed.courier.map.hops) == [b"s-9"]
     assert any(json.loads(body) == {"id": "a", "state": "failed"} for head, body in new.seen if body)
     assert new.seen[-1][0].start_line[1].endswith("watch=1&after=3")
     testbed.loop.spawn(testbed.notices.report_end, Message("b", READING, 0, 7, 0, b"", testbed.notices), End(FAILED))
