--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -32,9 +32,10 @@
 NS_PER_US = 1_000  # the controller counts in nanoseconds, the event loop in microseconds
 MIN_SHUTDOWN_TIME = 500 * MS  # minimum time between SIGTERM and exit: new connections may arrive for 400 ms
 LAST_ATTEMPT_START = 2_200 * MS  # after SIGTERM: an attempt that starts later might not end before the exit
-EXIT_TIMEOUT = 3_500 * MS  # latest exit after SIGTERM: SIGKILL may come at 3.7 s
+EXIT_TIMEOUT = 3_500 * MS  # after SIGTERM: latest time at which the exit calls are made; SIGKILL may come at 3.7 s
 DEFAULT_RETRY_AFTER = 1_000 * MS  # default retry-after delay of a deferred submission
-OUTCOME_QUERY_MARGIN = 1_000 * MS  # time left at which a missing outcome is queried and the message ends
+# Time left at which a missing outcome is queried and the message ends; at most half of that at the start of the wait.
+OUTCOME_QUERY_MARGIN = 1_000 * MS
 BUDGET_WAIT_TIMEOUT = 500 * MS  # maximum wait of a call for room in the budget, before an endpoint is chosen anew
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.REJECTED)
 
@@ -61,7 +62,8 @@
     key: str = ""  # idempotency key
     extra: dict[str, Any] = field(default_factory=dict)  # data of the front end, JSON-serializable
     number: int = 0  # number in the journal
-    start: int = 0  # earliest time of the first attempt, from which the delivery timeout counts; 0: at once
+    # Earliest time of the first attempt; 0: at once. The delivery timeout counts from it, or from a later acceptance.
+    start: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +71,7 @@
     """An ended message, remembered for a while to recognize duplicate submissions."""
 
     until: int  # time at which it is forgotten, in microseconds of the event loop's clock
-    state: str  # final state; empty where none was reported to the sender side
+    state: str  # final state; empty for a part that was replaced by a joined message
     fingerprint: tuple[int, int, int]
 
 
@@ -91,7 +93,7 @@
 
     accepted: bool
     defer: bool = False
-    why: RefusalReason = RefusalReason.CLOSING
+    why: RefusalReason = RefusalReason.CLOSING  # without meaning in ``ACCEPTED``
     text: str = ""
     retry_after: int = DEFAULT_RETRY_AFTER  # of a deferred submission, in microseconds
 
@@ -109,10 +111,10 @@
     """How a delivery attempt ended."""
 
     outcome: Outcome
-    retry_after: int = 0  # retry-after delay in microseconds
+    retry_after: int = 0  # retry-after delay in microseconds; 0: none
     no_slot: bool = False  # with MOOT: the call was not forwarded, as no slot was free
     already_answered: bool = False  # the message has its final answer: no further attempt, and no report of its end
-    report: tuple[float, ...] = ()  # load report of the endpoint, in the order of ``Settings.columns``
+    report: tuple[float, ...] = ()  # load report of the endpoint, in the order of ``Settings.columns``; empty: none
     note: str = ""
     queued: int = 0  # microseconds in a queue before the first byte, excluded from the latency of the call
     # With OK, if the next hop has only accepted the message and its outcome follows: the name of the outcome source in
@@ -134,14 +136,17 @@
     name: str
 
     def report_end(self, message: Message, end: End) -> None:
-        """Report the final state, and return once the sender side has received it."""
+        """Report the final state if this sender side needs a report; returns when no further report is needed."""
 
     def recover(self, message: Message) -> bool:
-        """Called after a restart for each recovered message; true if the sender side delays its delivery."""
+        """Called after a restart for each recovered message; true if the sender side delays its delivery.
+
+        The result has no effect on a message whose final state was journalled before the restart.
+        """
 
 
 class OutcomeSource(Protocol):
-    """A source of outcomes that arrive after an attempt was accepted, such as SMPP receipts.
+    """A source of outcomes that arrive after a next hop has accepted a message, such as SMPP receipts.
 
     ``awaits``: the data by which the source recognizes the outcome of a message.
     """
@@ -188,20 +193,26 @@
         """Called when a call has ended; ``sent``: the time at which its wait for the budget ended."""
 
     def message_accepted(self, message: Message) -> None:
-        """Called when a message was accepted."""
+        """Called when ``Courier.accept`` has accepted a message; not for a joined or a recovered message."""
 
     def message_ended(self, message: Message, end: End) -> None:
-        """Called when a message has reached its final state."""
+        """Called right before a final state is reported to the sender side.
+
+        Not called if nothing is reported, nor for a final state that was journalled before a restart.
+        """
 
 
 class Hook(Protocol):
     """A plug-in called when a message arrives and when it ends."""
 
     def arrival(self, message: Message) -> Answer | None:
-        """Return an answer that defers or rejects the message, or None to admit it; may change the message."""
+        """Return an answer that defers or rejects the message, or None; may change the message.
+
+        After None, the next hook is called, and then the courier's other checks. Not called for duplicates.
+        """
 
     def end(self, message: Message, end: End) -> None:
-        """Called with the final state of the message."""
+        """Called with the final state of the message, in the same cases as ``Peers.message_ended``."""
 
 
 def _fingerprint(message: Message) -> tuple[int, int, int]:
@@ -231,8 +242,9 @@
         self.closing: int | None = None  # time of SIGTERM; None before
         self._controller = Controller(settings, seed, time.time_ns() - time.monotonic_ns())
         self._events: list[api.Event] = []
-        self._parked: dict[int, Suspension] = {}  # by message number: tasks that wait for the controller's next action
-        self.open: dict[int, Message] = {}
+        # By message number: tasks that wait for the message's ``start``, or for the controller's next action.
+        self._parked: dict[int, Suspension] = {}
+        self.open: dict[int, Message] = {}  # by number: messages without a final state
         self._known: dict[str, Message | EndedMessage] = {}  # by id: open messages, and recently ended ones
         self._ended: deque[tuple[int, str]] = deque()  # expiry times and ids of the ended ones, oldest first
         # Microseconds for which an ended message is remembered: duplicates can arrive until the longest deadline, and
@@ -245,15 +257,21 @@
     # Message life cycle
 
     def submit(self, message: Message, answer: Callable[[Answer], bool]) -> None:
-        """Process one message from submission to final answer, in the calling task.
+        """Accept or refuse one message, and deliver it in the calling task if it is accepted.
 
-        ``answer`` tells the sender side at once whether the message is accepted; it returns false if that failed.
+        Returns when the message has ended, when a next hop has accepted it and its outcome is still to come, or when
+        a shutdown leaves it in the journal. ``answer`` tells the sender side at once whether the message is accepted;
+        it returns false if that failed.
         """
         if self.accept(message, answer):
             self._deliver(message)
 
     def accept(self, message: Message, answer: Callable[[Answer], bool]) -> bool:
-        """Accept or refuse a message; true if this courier owns it now. It is journalled before it is accepted."""
+        """Accept or refuse a message, which is journalled before it is accepted.
+
+        True if the caller now has to deliver or end it. False if it is refused, if it is a duplicate (which may be
+        answered as accepted), or if the answer could not be given.
+        """
         early_answer = self._check_admission(message)
         if early_answer is not None:
             answer(early_answer)
@@ -311,10 +329,11 @@
     def _deliver(
         self, message: Message, attempts: int = 0, maybe_since_ns: int | None = None, recovered: bool = False
     ) -> None:
-        """Run a message's attempts as the controller decides, until its final state.
+        """Run a message's attempts as the controller decides.
 
+        Returns when the message has ended, when its outcome is awaited, or when a shutdown leaves it in the journal.
         ``attempts``, ``maybe_since_ns``: number of earlier attempts, and the time at which the first of them that may
-        have run was sent.
+        have run was sent (None: none of them can have run). ``recovered``: it was accepted before a restart.
         """
         attempt_index = attempts
         if message.start > self.loop.now:
@@ -366,7 +385,10 @@
         self._end(message, End(RETURNED if isinstance(action, api.Refuse) else FAILED, after_ms))
 
     def _attempt(self, message: Message, action: api.Send, attempt_index: int) -> tuple[Result, int]:
-        """Make one delivery attempt, journalled before its first byte is sent; returns its result and latency."""
+        """Make one delivery attempt, journalled before its first byte is sent.
+
+        Returns its result, which is MOOT if the next hop has left the map, and its latency in microseconds.
+        """
         hop, started = self.map.hops.get(action.endpoint), self.loop.now
         if hop is None:
             return Result(Outcome.MOOT), 0
@@ -427,7 +449,7 @@
         return self._controller
 
     def _save_limit(self, hop: NextHop, result: Result) -> None:
-        """Journal the rate limit that the endpoint reported.
+        """Journal the rate limit that the endpoint reported, if it reported one.
 
         Couriers of a large fleet that restart together without known limits would exceed them with their first calls.
         A fleet of at most ``SMALL_FLEET_SIZE`` couriers needs no such record.
@@ -440,7 +462,7 @@
     # Outcomes that arrive after acceptance
 
     def _await_outcome(self, message: Message, source: str, awaits: dict[str, Any]) -> None:
-        """Wait for the outcome of an accepted attempt, which arrives through ``outcome_received``.
+        """Journal and register that an outcome is awaited; it arrives through ``outcome_received``.
 
         The message holds no slot, and no attempt follows: the next hop may still be processing it, so that a second
         attempt could run at the same time.
@@ -459,7 +481,7 @@
         )
 
     def awaited_outcome(self, number: int) -> dict[str, Any]:
-        """The data by which the outcome of a message that a next hop accepted will be recognized."""
+        """The data by which the awaited outcome of a message is recognized; ``KeyError`` if none is awaited."""
         return self._awaiting[number][2]
 
     def update_awaited_outcome(self, number: int, awaits: dict[str, Any]) -> bool:
@@ -486,7 +508,11 @@
         self.outcome_sources[source].stop_waiting(message)
 
     def _overdue(self, number: int) -> None:
-        """End a message whose outcome is missing shortly before its deadline; later outcomes are ignored."""
+        """Query an outcome that is missing shortly before the deadline, and end the message.
+
+        It fails if the query raises an exception. An outcome that arrives during the query takes precedence; later ones
+        are ignored.
+        """
         if number not in self._awaiting:
             return
         message, source, awaits = self._awaiting[number]
@@ -533,7 +559,8 @@
         """The answer to a submission under a known id; None if it is to be processed as a new message.
 
         The same message submitted again, as after the loss of the connection before the answer, is answered as accepted
-        if it is open or was delivered; no second copy is sent. A message that was returned may be submitted again.
+        if it is open or was delivered; no second copy is sent. A message that was returned may be submitted again. All
+        else is rejected: a different message under the id, and one that failed, was withdrawn or was joined.
         """
         if (before.fingerprint if isinstance(before, EndedMessage) else _fingerprint(before)) != _fingerprint(message):
             return Answer(False, False, RefusalReason.DUPLICATE)
@@ -593,7 +620,7 @@
     # After a restart
 
     def resume(self) -> None:
-        """Recover the open messages from the journal."""
+        """Recover the open messages from the journal; entries that can't be used are logged and stay there."""
         joined = [
             ujson.loads(entry.text)["extra"].get("joined", ())
             for entry in self.journal.entries.values()
@@ -639,7 +666,11 @@
         self._drop(message, end.state)
 
     def _from_journal(self, entry: Entry) -> Message:
-        """The message of an entry; raises ``KeyError`` or ``StopIteration`` if its sender side or class is unknown."""
+        """The message of an entry; one whose tenant is unknown is assigned to the first tenant.
+
+        Raises ``StopIteration`` if its class is unknown, ``KeyError`` if its sender side is unknown or a field is
+        missing, and ``ValueError`` or ``TypeError`` if a field is invalid.
+        """
         text = ujson.loads(entry.text)
         cls = next(i for i, c in enumerate(self.settings.classes) if c.name == text["class"])
         tenant = next((i for i, t in enumerate(self.settings.tenants) if t.name == text["tenant"]), 0)
@@ -662,12 +693,16 @@
     # Queries and changes by the sender side
 
     def find(self, trace: str) -> Message | None:
-        """The open message with this id."""
+        """The open message with this id; None if there is none."""
         known = self._known.get(trace)
         return known if isinstance(known, Message) else None
 
     def never_attempted(self, message: Message) -> bool:
-        """Whether no attempt can have run, none is in flight, and none is about to start."""
+        """Whether no attempt can have run, none is in flight, and none is about to start.
+
+        True also after attempts that provably did not run. False if the message has a final state, or is not being
+        delivered, as when its sender side delays that.
+        """
         entry = self.journal.entries.get(message.number)
         return (
             entry is not None
@@ -681,13 +716,17 @@
         """End a message as withdrawn; false, and unchanged, unless ``never_attempted`` holds."""
         if not self.never_attempted(message):
             return False
-        if message.start <= self.loop.now:
+        if message.start <= self.loop.now:  # earlier, the controller does not know the message
             self._events.append(api.Withdrawn(message.number))
         self._parked.pop(message.number).resume(_WITHDRAW)
         return True
 
     def replace(self, message: Message, body: bytes, extra: dict[str, Any]) -> bool:
-        """Change body and front-end data of a message; false if it has attempts, or the journal has no room."""
+        """Change body and front-end data of a message.
+
+        False, and unchanged, if it has had an attempt, if ``never_attempted`` does not hold, or if the change can't be
+        journalled.
+        """
         entry = self.journal.entries.get(message.number)
         if entry is None or entry.attempts or not self.never_attempted(message):
             return False
@@ -700,7 +739,10 @@
     # The controller
 
     def _next_action(self, number: int, event: api.Event, final: bool = False) -> Any:
-        """Queue an event for the controller, and wait for its next action on the message unless the event is final."""
+        """Queue an event for the controller, and wait for its next action on the message.
+
+        Returns ``_WITHDRAW`` if the message was withdrawn meanwhile, and None, without a wait, if the event is final.
+        """
         self._events.append(event)
         if final:
             return None
@@ -708,14 +750,18 @@
         return self.loop.park(suspension)
 
     def _decide(self) -> None:
-        """Pass queued events to the controller and carry out its actions; called once per turn."""
+        """Pass queued events to the controller and carry out its actions.
+
+        Called at the end of each turn, and after each change of the transport map.
+        """
         if not self._events:
             return
         events, self._events = self._events, []
         try:
             actions = self._controller.handle(self.loop.now * NS_PER_US, events)
         except Exception:
-            # An exception in the controller must not end the process; messages that wait for a decision fail.
+            # An exception in the controller must not end the process; the messages of these arrivals and ended attempts
+            # fail, as they wait for a decision.
             logs.error("fault", task="module", why=traceback.format_exc())
             actions = [
                 api.Fail(event.message) for event in events if isinstance(event, (api.Arrival, api.AttemptEnded))
@@ -768,13 +814,14 @@
         self._decide()
 
     def _with_journalled_state(self, row: api.Endpoint) -> api.Endpoint:
-        """The endpoint with its limit and outage as journalled, which are those of before a restart."""
+        """The endpoint with its journalled limit and outage, which the controller uses if the route is new to it."""
         limit, outage = self.journal.limit(row.id), self.journal.outage(row.id)
         if limit:
             row = replace(row, limit=limit)
         if outage is not None:
             since, recovering_since = outage
-            # At least 1, as 0 means no outage: after a step of the wall clock, the outage may begin in the future.
+            # down_ns is at least 1, as 0 means no outage: after a step of the wall clock, the outage may begin in the
+            # future. back_ns is not 0 either, as that means that the recovery has not begun.
             row = replace(
                 row,
                 down_ns=max(1, (self.loop.now - since) * NS_PER_US),
@@ -785,7 +832,11 @@
     # Shutdown
 
     def close(self) -> None:
-        """Shut down gracefully at SIGTERM: accept nothing, finish attempts in flight, leave the rest in the journal."""
+        """Shut down gracefully at SIGTERM; further calls have no effect.
+
+        Nothing is accepted any more. Attempts go on until ``LAST_ATTEMPT_START``, those in flight are waited for until
+        ``EXIT_TIMEOUT``, and the journal keeps the messages that have not ended by then.
+        """
         if self.closing is None:
             self.closing, self.ready = self.loop.now, False
             logs.event("closing", open=len(self.open), out=self.attempts_in_flight)
@@ -806,7 +857,11 @@
         self.loop.stop()
 
     def _has_work(self) -> bool:
-        """Whether work remains: an attempt in flight, one that may still start, or an unsent answer or notice."""
+        """Whether the exit has to wait.
+
+        It waits for attempts in flight, for any journalled message while attempts may still start, and for the front
+        ends' unsent answers and notices.
+        """
         assert self.closing is not None
         may_try = bool(self.journal.entries) and self.loop.now <= self.closing + LAST_ATTEMPT_START
         return bool(self.attempts_in_flight) or may_try or any(busy() for busy in self.busy_checks)
