--- a/kestrelspar/core/entries.py
+++ b/kestrelspar/core/entries.py
@@ -67,7 +67,11 @@
 
 
 def decode(value: bytes | str) -> Entry:
-    """Decode an entry from JSON; ``ValueError`` names the invalid field and the expected value."""
+    """Decode an entry from JSON.
+
+    Raises ``ValueError``, which names the invalid field and the expected value, or says that the text is not UTF-8 or
+    not JSON.
+    """
     try:
         entry = _decoder.decode(value)
     except UnicodeDecodeError as error:
@@ -82,9 +86,10 @@
 
 
 def to_next_hop(entry: Entry, settings: api.Settings, carrier: Carrier) -> NextHop:
-    """Convert an entry to a next hop; ``ValueError`` if the settings don't have its zone or type.
+    """Convert an entry to a next hop; ``ValueError`` if its zone, type or address is invalid.
 
-    An entry without a zone is in the first zone. An entry without a type has the first kind whose routes have separate
+    A zone or type is invalid if the settings list others but not this one; where they list none, it is ignored. An
+    entry without a zone is in the first zone. An entry without a type has the first kind whose routes have separate
     limits, or kind 0 if there is none.
     """
     separate_kinds = [kind for kind, is_separate in enumerate(settings.routes_apart) if is_separate]
@@ -116,7 +121,7 @@
 
 
 def with_destination_values(raw: OwnMap) -> list[Entry]:
-    """The endpoints of a map, with the values of their destinations filled in."""
+    """The endpoints of a map; those of a listed destination have its values in place of their own."""
     destinations = {destination.group: destination for destination in raw.destinations}
     entries = []
     for entry in raw.endpoints:
@@ -135,7 +140,10 @@
 
 
 def read_map(path: str) -> list[Entry]:
-    """Read the entries of a map file; ``ValueError`` names the file, the field and the expected value."""
+    """Read the entries of a map file; ``ValueError`` names the file and what is wrong with it.
+
+    That is the error of the read, the invalid field and its expected value, or a name that two endpoints have.
+    """
     try:
         raw = msgspec.json.decode(Path(path).read_bytes(), type=OwnMap)
         entries = with_destination_values(raw)
--- a/kestrelspar/core/transport_map.py
+++ b/kestrelspar/core/transport_map.py
@@ -22,7 +22,7 @@
     """Called right before the first byte of a delivery attempt is sent; if it returns false, nothing may be sent."""
 
     def __call__(self) -> bool:
-        """Whether the attempt may be sent; if so, it has been journalled."""
+        """Whether the attempt may be sent; if so, it has been journalled, and taken from any shared budget."""
 
     def may_continue(self) -> bool:
         """Whether the rest of a started attempt may be sent: no drain or retry-after since, and the window is open."""
@@ -32,7 +32,11 @@
     """Makes delivery attempts over one protocol."""
 
     def attempt(self, message: Any, hop: NextHop, deadline: int, guard: SendGuard) -> Any:
-        """Make one delivery attempt; call ``guard`` right before the first byte, and send nothing if it is false."""
+        """Make one delivery attempt; call ``guard`` right before the first byte, and send nothing if it returns false.
+
+        ``message`` is a ``courier.Message`` and the result a ``courier.Result``; that module imports this one.
+        ``deadline``: end of the attempt, in microseconds of the event loop's clock.
+        """
 
     def close_idle(self, hop: NextHop) -> None:
         """Close idle connections to the next hop."""
@@ -103,8 +107,9 @@
     ) -> MapUpdate:
         """Apply an update from one source: changed entries and removed ids.
 
-        ``complete``: ids that the source has listed and that are not in ``hops`` are removed, too. Removals come first,
-        so that an id that is removed and listed again in one update stays.
+        ``complete``: ids that the source has listed and that are not in ``hops`` are removed, too. Removals by id come
+        first, so that an id that is removed and listed again in one update stays. A hop in state GONE is a removal that
+        is applied in its place among the hops.
         """
         change, hops = MapUpdate(), list(hops)
         if complete:
