--- a/kestrelspar/journal/read.py
+++ b/kestrelspar/journal/read.py
@@ -1,8 +1,8 @@
 """Read-only decoding of a journal for operators: the history of each message, and damaged records. No I/O.
 
-The store keeps only what the courier needs. This module reports everything in the file, including ended messages until
-compaction removes their records, the time of each attempt, and the offsets of damaged records. Times are Unix
-microseconds.
+The store keeps only what the courier needs. This module reports what it finds in the file, including ended messages
+and attempts that never ran until compaction removes their records, the time of each attempt, and the offsets of damaged
+records. Outages are counted, but not decoded. Times are Unix microseconds.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All records of one message."""
+    """What the records of one message say."""
 
     number: int
     fields: dict[str, Any]  # JSON object of the TAKEN record
@@ -51,7 +51,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     awaits: dict[str, Any] | None = None
     end: str = ""  # final state; empty: not decided
-    after_ms: int = 0  # retry-after delay of a returned message
+    after_ms: int = 0  # retry-after delay of a returned message, in milliseconds
     done: bool = False  # no further report is needed (DONE record)
     replaced: int = 0  # number of times that its content was replaced before its first attempt
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Damaged bytes, or a record with an invalid payload or kind."""
+    """Damaged bytes, or a record of invalid payload, of unknown kind, or of a message without a TAKEN record."""
 
     at: int  # offset in the file
     description: str
@@ -85,7 +85,8 @@
     size: int  # bytes of the file
     histories: dict[int, History] = field(default_factory=dict)
     ended: dict[str, tuple[int, str]] = field(default_factory=dict)  # retained on ended messages, by name: expiry, text
-    limits: dict[bytes, float] = field(default_factory=dict)  # by endpoint: last reported limit, calls per second
+    # By endpoint: last reported limit in calls per second, even if it has expired.
+    limits: dict[bytes, float] = field(default_factory=dict)
     kinds: Counter[str] = field(default_factory=Counter)  # number of records, by kind
     bytes: Counter[str] = field(default_factory=Counter)  # bytes of records, by kind
     faults: list[Fault] = field(default_factory=list)
--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -1,8 +1,9 @@
 """Encoding and decoding of journal records. No I/O.
 
 Layout of a record, little-endian: payload size in bytes (4 bytes), CRC-32 of all that follows it (4), kind (1), message
-number (8), payload. Times are microseconds of the monotonic clock of the process that wrote them; a CLOCK record has
-the offset from that clock to the wall clock. The payloads are described in docs/design/journal.md.
+number (8; 0 in records of no message), payload. Times in TAKEN and ATTEMPT records are microseconds of
+the monotonic clock of the process that wrote them; a CLOCK record has the offset from that clock to Unix time. Expiries
+and the times of outages are Unix microseconds. The payloads are described in docs/design/journal.md.
 """
 
 from __future__ import annotations
@@ -13,13 +14,15 @@
 from dataclasses import dataclass, field
 
 HEAD = struct.Struct("<IIBQ")  # payload size, checksum of what follows it, kind, message number
-ATTEMPT_FIELDS = struct.Struct("<Hq")  # attempt index, time
+ATTEMPT_FIELDS = struct.Struct("<Hq")  # attempt index, time at which it was sent (0 in NOT_RUN)
 LIMIT_FIELDS = struct.Struct("<qd")  # expiry (Unix time in microseconds), calls per second
 OUTAGE_FIELDS = struct.Struct("<qqq")  # expiry, start of the outage, start of the recovery (Unix microseconds)
 MAX_PAYLOAD = 96 * 1024  # bytes
-# Kinds of records. TAKEN: a message was accepted; AWAITS: the next hop accepted it, and its outcome follows; VERDICT:
-# its final state is decided; DONE: it needs no further report. ENDED: text retained on an ended message. LEFT: removals
-# and drains, written only to the files of removal_log.py.
+# Kinds of records. TAKEN: a message was accepted, or its content was replaced; ATTEMPT: an attempt is about to be sent;
+# NOT_RUN: an attempt never ran, as its outcome proved; AWAITS: the next hop accepted the message, and its outcome
+# follows; VERDICT: the message's final state is decided; DONE: it needs no further report. ENDED: text retained on an
+# ended message. LIMIT and OUTAGE: rate limit and outage of an endpoint. LEFT: removals and drains, written only to the
+# files of removal_log.py.
 CLOCK, TAKEN, ATTEMPT, NOT_RUN, VERDICT, DONE, ENDED, AWAITS, LIMIT, LEFT = range(1, 11)
 OUTAGE = 11
 KNOWN_KINDS = range(CLOCK, OUTAGE + 1)
@@ -33,10 +36,10 @@
     text: str  # JSON object with the fields of the message other than body and deadline
     body: bytes
     deadline: int
-    attempts: int = 0
+    attempts: int = 0  # number of attempts so far, with those that never ran
     may_have_run_since: int | None = None  # start of the first attempt that may have run
     verdict: str = ""  # decided final state, which may not have been reported to the sender side yet; empty: none
-    after_ms: int = 0  # retry-after delay of a returned message
+    after_ms: int = 0  # retry-after delay of a returned message, in milliseconds
     awaits: str = ""  # JSON data by which the awaited outcome is recognized; empty: none is awaited
     _unresolved: dict[int, int] = field(default_factory=dict)  # by attempt index: start, if it may have run
 
@@ -59,6 +62,7 @@
         """The records that compaction writes for the entry."""
         parts = [record(TAKEN, self.number, taken_payload(self.deadline, self.text, self.body))]
         if self.attempts and self.attempts - 1 not in self._unresolved:
+            # Without an ATTEMPT record of the last attempt, this one preserves the number of attempts.
             parts.append(record(NOT_RUN, self.number, ATTEMPT_FIELDS.pack(self.attempts - 1, 0)))
         for index, sent in self._unresolved.items():
             parts.append(record(ATTEMPT, self.number, ATTEMPT_FIELDS.pack(index, sent)))
@@ -136,8 +140,8 @@
 
     Invalid bytes that no valid record follows are a torn write. They are not reported, unless their length field points
     exactly to the end of the data. As the length field of a damaged record may be damaged, too, it is used to skip the
-    record only if a valid record or the end of the data follows there. Otherwise the next valid record is searched byte
-    by byte, so that none is hidden.
+    record only if a valid record or the end of the data follows there. Otherwise the next valid record of a known kind
+    is searched byte by byte, so that none is hidden.
     """
     at = 0
     while at + HEAD.size <= len(data):
--- a/kestrelspar/journal/removal_log.py
+++ b/kestrelspar/journal/removal_log.py
@@ -77,7 +77,7 @@
             self.revision = max(self.revision, revision)
 
     def since(self, revision: int) -> dict[str, State]:
-        """By key, the removals and drains reported after this revision."""
+        """By key, the removals and drains that were reported after this revision and still hold."""
         return {key: state for key, (reported_at, state) in self.rows_by_key.items() if reported_at > revision}
 
     def record(self, rows: dict[str, State], revision: int | None = None) -> bool:
@@ -109,7 +109,7 @@
         self.file.unlink(missing_ok=True)
 
     def retry_write(self) -> None:
-        """Retry a write that failed."""
+        """Write the file if it lacks some rows, as after a write that failed."""
         if self.incomplete:
             self._write()
 
@@ -148,7 +148,7 @@
     def _append(self, data: bytes) -> None:
         file = os.open(self.file, os.O_WRONLY | os.O_CREAT, 0o600)
         try:
-            os.ftruncate(file, self._size)  # a torn end would hide the records after it
+            os.ftruncate(file, self._size)  # what remained of a longer torn end would be read as damage
             if os.pwrite(file, data, self._size) != len(data):
                 os.ftruncate(file, self._size)
                 raise OSError("short write")
--- a/kestrelspar/journal/store.py
+++ b/kestrelspar/journal/store.py
@@ -29,13 +29,14 @@
 from kestrelspar.runtime import logs
 
 BLOCK = 512  # bytes per disk block
-MAX_ENDED_SHARE = 0.25  # maximum share of the size limit for ended messages; the oldest are dropped first
+MAX_ENDED_SHARE = 0.25  # maximum share of the size limit for texts on ended messages; the oldest are dropped first
 RESERVED_PER_MESSAGE = 256  # bytes reserved for the final records of each open message
 RESERVED_PER_ATTEMPT = 64  # bytes reserved for the ATTEMPT and NOT_RUN records of each possible attempt
 MAX_LOGGED_BAD_RECORDS = 10  # damaged records that are logged one by one; further ones are only counted
-# Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again.
+# Microseconds: how long a reported limit or an outage is retained, and when an unchanged limit is written again. An
+# unchanged outage is written again when less than half of its retention is left.
 RETENTION, LIMIT_REWRITE_INTERVAL = 60_000_000, 5_000_000
-MAX_ENDPOINTS = 256  # number of limits, and of outages, that are retained: the most recently reported ones
+MAX_ENDPOINTS = 256  # number of limits, and of outages, that are retained: the most recently written ones
 # Microseconds. Recorded times are shifted back or forward if the clock offset of the process that wrote them differs
 # from ours by at least this; a smaller difference is a correction of the wall clock. After a restart of the machine the
 # monotonic clock begins anew, so that recorded times are shifted back.
@@ -175,7 +176,8 @@
         """Retain the rate limit of an endpoint, in calls per second, across restarts, if there is room.
 
         As every answer may report the limit, it is written only if it changed by more than a tenth, or if the last
-        record is older than ``LIMIT_REWRITE_INTERVAL``.
+        record is older than ``LIMIT_REWRITE_INTERVAL``. A record that would fill a disk block, as its endpoint id is
+        long, is not written; the same holds for outages.
         """
         now = time.time_ns() // 1000
         until, known = self._limits.get(endpoint, (0, 0.0))
@@ -197,7 +199,7 @@
         self._reserved_size -= len(records.limit_record(endpoint, *self._limits.pop(endpoint)))
 
     def limit(self, endpoint: bytes) -> float:
-        """The retained rate limit of an endpoint in calls per second; 0 if there is none."""
+        """The retained rate limit of an endpoint in calls per second; 0 if there is none, or it has expired."""
         until, rate = self._limits.get(endpoint, (0, 0.0))
         return rate if until > time.time_ns() // 1000 else 0.0
 
@@ -233,7 +235,7 @@
         self._reserved_size -= len(records.outage_record(endpoint, *self._outages.pop(endpoint)))
 
     def outage(self, endpoint: bytes) -> tuple[int, int | None] | None:
-        """The retained outage of an endpoint, as in ``record_outage``; None if there is none."""
+        """The retained outage of an endpoint, as in ``record_outage``; None if there is none, or it has expired."""
         until, since, recovering_since = self._outages.get(endpoint, (0, 0, 0))
         if until <= time.time_ns() // 1000:
             return None
@@ -284,7 +286,10 @@
         return True
 
     def _append(self, record: bytes) -> bool:
-        """Append a record; false if that fails. A partial write is truncated, so that no record follows a torn one."""
+        """Append a record, after a compaction if one is due; false if the limit has no room or the write fails.
+
+        A partial write is truncated, so that no record follows a torn one.
+        """
         near_limit = _blocks(self._size + len(record)) + _blocks(self._reserved_size + BLOCK) + BLOCK > self._max_bytes
         if near_limit or self._size > self._max_bytes // 4 and self._size > 3 * self._reserved_size:
             self._compact()
@@ -301,7 +306,10 @@
         return False
 
     def record_accepted(self, number: int, deadline: int, text: str, body: bytes) -> bool:
-        """Record an accepted message; if false, there was no room, and the message must be refused."""
+        """Record an accepted message; if false, it must be refused.
+
+        It is false if there was no room, if the record exceeds ``MAX_PAYLOAD``, or if the write failed.
+        """
         record = records.record(TAKEN, number, records.taken_payload(deadline, text, body))
         more = len(record) + self._reserved
         if not self._fits(more) and not (self._compact() and self._fits(more)):
@@ -312,7 +320,7 @@
         return True
 
     def record_replacement(self, number: int, text: str, body: bytes) -> bool:
-        """Record new content of a message without attempts; if false, there was no room, and it is unchanged."""
+        """Record new content of a message without attempts; false, and unchanged, as in ``record_accepted``."""
         entry = self.entries[number]
         record = records.record(TAKEN, number, records.taken_payload(entry.deadline, text, body))
         if len(record) > records.MAX_PAYLOAD or not self._fits(len(record)) or not self._append(record):
@@ -321,7 +329,10 @@
         return True
 
     def record_attempt(self, number: int, index: int, sent: int) -> bool:
-        """Record an attempt that is about to be sent; if false, that failed, and the attempt must not be sent."""
+        """Record an attempt that is about to be sent; if false, the attempt must not be sent.
+
+        It is false if the record can't be written, or if the message has no entry any more.
+        """
         entry = self.entries.get(number)
         if entry is None or not self._append(records.record(ATTEMPT, number, records.ATTEMPT_FIELDS.pack(index, sent))):
             return False
@@ -329,14 +340,20 @@
         return True
 
     def record_not_run(self, number: int, index: int) -> None:
-        """Record that an attempt never ran, as its outcome proved."""
+        """Record that an attempt never ran, as its outcome proved.
+
+        If the record can't be written, the attempt may count as one that may have run after a restart.
+        """
         entry = self.entries.get(number)
         if entry is not None:
             entry.not_run(index)
             self._append(records.record(NOT_RUN, number, records.ATTEMPT_FIELDS.pack(index, 0)))
 
     def record_awaited(self, number: int, text: str) -> bool:
-        """Record that the next hop accepted a message and its outcome is awaited; false if that can't be written."""
+        """Record that the next hop accepted a message and its outcome is awaited; false if that is not written.
+
+        It is not written if the record exceeds ``MAX_PAYLOAD``, if the write fails, or if the message has no entry.
+        """
         entry = self.entries.get(number)
         record = records.record(AWAITS, number, text.encode())
         if entry is None or len(record) > records.MAX_PAYLOAD or not self._append(record):
@@ -351,7 +368,10 @@
         self._entry_sizes[entry.number] += more
 
     def record_end(self, number: int, state: str, after_ms: int) -> bool:
-        """Record a final state before it is reported to the sender side; false if that can't be written."""
+        """Record a final state before it is reported to the sender side; false if that can't be written.
+
+        The entry has the state even then, so that a later compaction writes it.
+        """
         entry = self.entries.get(number)
         if entry is None:
             return False
@@ -359,7 +379,10 @@
         return self._append(records.record(VERDICT, number, records.verdict_payload(state, after_ms)))
 
     def record_done(self, number: int) -> None:
-        """Record that a message needs no further report, and drop it."""
+        """Record that a message needs no further report, and drop its entry.
+
+        If the record can't be written, a restart before the next compaction recovers the message.
+        """
         if number in self.entries:
             self._append(records.record(DONE, number, b""))
             self._drop_entry(number)
