--- a/kestrelspar/journal/records.py
+++ b/kestrelspar/journal/records.py
@@ -1,9 +1,9 @@
 """Encoding and decoding of journal records. No I/O.
 
 Layout of a record, little-endian: payload size in bytes (4 bytes), CRC-32 of all that follows it (4), kind (1), message
-number (8; 0 in records of no message), payload. Times in TAKEN and ATTEMPT records are microseconds of
-the monotonic clock of the process that wrote them; a CLOCK record has the offset from that clock to Unix time. Expiries
-and the times of outages are Unix microseconds. The payloads are described in docs/design/journal.md.
+number (8; 0 in records of no message), payload. Times in TAKEN and ATTEMPT records are microseconds of the monotonic
+clock of the process that wrote them; a CLOCK record has the offset from that clock to Unix time. Expiries and the times
+of outages are Unix microseconds. The payloads are described in docs/design/journal.md.
 """
 
 from __future__ import annotations
