--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -21,6 +21,7 @@
 
 EAGER_SWEEP_MAX_ROUTES = 1_000  # from here on, removed routes are swept once per ramp_ns, not at each change
 # Attempts of a message on a route before the next route; a few are enough, as route health is remembered.
+# After FULL the next route follows at once.
 MAX_TRIES_PER_ROUTE = 2
 FIRST_BACKOFF_AIM_SHARE = 0.08  # first backoff of a retry, as a share of the class's aim_ns; it doubles
 MAX_BACKOFF = 10 * SECOND
@@ -45,7 +46,9 @@
 # Assumed latency bound of a route with fewer than 3 answers, as a multiple of the usual latency.
 UNKNOWN_LATENCY_FACTOR = 5.0
 MAX_CALLS_UNPROVEN = 2  # maximum calls in flight to a route that has not answered yet
-CHANCE_THRESHOLD = 0.1  # consecutive failures that are at least this likely by chance are no outage
+# Consecutive failures that are at least this likely by chance are no outage; for time-outs of a busy route, a
+# fifth of it applies.
+CHANCE_THRESHOLD = 0.1
 QUICK_FAILURE_THRESHOLD = 0.001  # the same for quick failures of a busy route, which cost little
 # A wide outage raises the usual share of failures. With this maximum, three failed connects in a row to a
 # route that is called seldom never count as chance.
@@ -57,7 +60,9 @@
 # A refusal with at least this share of the allowance left means that the route is closed; with less, that it
 # is over its limit.
 UNUSED_ALLOWANCE = 0.85
-MIN_REFUSAL_PAUSE = 200 * MS  # minimum interval before the next call after a refusal
+# Minimum pause after a refusal without a retry-after, if load reports show the allowance that is left (else
+# closed_after); also after a failed connect at a route with capped connections.
+MIN_REFUSAL_PAUSE = 200 * MS
 # Share of the fail-back budget that is used, as other forwarders only estimate their shares, too.
 FAILBACK_SAFETY_FACTOR = 0.7
 LATE_DETECTION_WINDOWS = 2  # number of fall_ns by which other forwarders may have noticed an outage earlier
@@ -69,7 +74,8 @@
 ROUGH_RATE_FACTOR = 0.67  # a rate listed as rough may be 1.5 times the actual one
 BURST_TOLERANCE = 500 * MS  # a burst may have as many calls as the limit allows in this time
 INTERVAL_GROWTH, INTERVAL_DECREASE = 2.0, 0.1  # of the call interval: factor per refusal, share per answer
-# Cap of the call interval: a multiple of the equal-share interval, and the least cap in ns.
+# Cap of the call interval: a multiple of the equal-share interval (lower by up to 1 in a large fleet), and
+# the least cap in ns.
 MAX_INTERVAL_SHARES, MIN_INTERVAL_CAP = 2.0, SECOND // 2
 SMALL_FLEET_SIZE = 4  # forwarders; a fleet this small calls often enough to find its intervals in small steps
 # Share of the allowance that is left: in a large fleet an answer lengthens the interval below
@@ -84,15 +90,15 @@
 # Without outcomes, the call interval halves in this time, or in twice the interval if that is longer.
 INTERVAL_HALF_LIFE = 10 * SECOND
 TENANT_BURST = 2 * SECOND  # a tenant may be ahead of its rate by the messages of this time
-# In a large fleet a tenant may always be ahead by this many messages, as its share of TENANT_BURST may be
-# less than one message.
+# In a large fleet a tenant may always be ahead by nearly this many messages (times fleet_factor), as its
+# share of TENANT_BURST may be less than one message.
 TENANT_MIN_BURST = 4
 MAX_HELD_SHARE = 0.9  # share of max_open above which messages are shed, so that new ones have room
 # Idle connections are closed early above this share of failed connects at a kind of destination.
 CAPPED_CONNECT_SHARE = 0.02
 # Calls that take this many usual latencies or more reduce a destination's share of the slots.
 LONG_CALL_FACTOR = 3.0
-# Above this share of lost calls at a route, unsafe messages prefer one that loses less than half as many.
+# Above this loss_share of a route, unsafe messages prefer a route with less than half of it.
 LOSSY_ROUTE_SHARE = 0.1
 # Idle connections are closed before use above this share of calls lost on them: for repeatable, and for
 # unsafe messages.
@@ -100,7 +106,8 @@
 # Average of the calls lost on idle connections: weight of one call, and half-life.
 STALE_GAIN, STALE_HALF_LIFE = 0.3, 15 * SECOND
 STALE_MIN_IDLE = 250 * MS  # no peer drops a connection that has been idle for less
-# First backoff after a failed list request, as a share of ask_within_ns; it doubles with each failure.
+# Bound on the backoff after a first failed list request, as a share of ask_within_ns. It doubles with each
+# failure, up to ask_within_ns; the backoff is a random time between a quarter and three quarters of it.
 FIRST_RESUBSCRIBE_SHARE = 0.1
 MAX_LOG_LINES = 200  # per controller
 NO_TIMESTAMPS = list[int]()  # shared by limits without calls, to save memory; never mutated
@@ -213,9 +220,11 @@
         # By kind of destination: share of refused calls among all calls, and among calls that don't follow a
         # refusal.
         self.refusal_shares: dict[int, list[float]] = {}
-        # Usual share of calls that fail, and of calls that are never answered.
+        # Usual shares over all routes: of calls that fail by ERROR or a failed connect, and of calls that are
+        # lost (TIMEOUT, RESET).
         self.failure_shares = [0.0, 0.0]
-        self.idle_loss = self.new_loss = 0.0  # share of calls lost on idle connections, and on new ones
+        # idle_loss: share of calls lost on idle connections, beyond the share lost on new ones (new_loss).
+        self.idle_loss = self.new_loss = 0.0
         # Time of the last update of idle_loss; shortest idle time after which a call was lost.
         self.idle_loss_updated_at, self.shortest_lost_idle = 0, NEVER
         self.closed_after = int(CLOSED_FALL_SHARE * settings.fall_ns)
@@ -303,7 +312,10 @@
             self._abandon(min(candidates, key=lambda m: self._worth(m, self.now)))
 
     def _on_endpoint_list(self, event: api.EndpointList) -> None:
-        """Apply an endpoint list. A removed route gets no new calls; outcomes of earlier ones still count."""
+        """Apply an endpoint list, or schedule a new request if the last one failed.
+
+        A removed route gets no new calls; outcomes of earlier ones still count.
+        """
         if event.kind is api.ListKind.FAILED:
             if self.settings.must_subscribe:
                 share = (
@@ -315,7 +327,7 @@
                     self.now + int(self.settings.ask_within_ns * share),
                     self.failed_subscribes + 1,
                 )
-                # NEVER is the token of no message or destination.
+                # The timer only causes a call of ``handle``: NEVER is the token of no message or destination.
                 self.actions.append(api.SetTimer(NEVER, self.subscribe_at))
             return
         self.failed_subscribes = 0
@@ -380,7 +392,7 @@
         """Restore the state of a route that was down or recovering when this forwarder stopped.
 
         Otherwise all restarted forwarders would send their backlog to a recovering route at once, in addition
-        to the calls of the others.
+        to the calls of the others. A route whose slow start is over by now counts as up.
         """
         recovering_since = self.now - entry.back_ns
         if entry.back_ns and recovering_since + self.settings.ramp_ns <= self.now:
@@ -396,7 +408,8 @@
     def outages(self, endpoint: api.EndpointId) -> dict[api.EndpointId, tuple[int, int | None] | None]:
         """Return the outages of all routes of this endpoint's destination.
 
-        Each is (failing since, recovering since or None), or None for a route that is up.
+        Each is (failing since, recovering since or None), or None for a route that is up. Empty if the
+        endpoint is unknown.
         """
         route = self.routes.get(endpoint)
         routes = route.dest.routes if route is not None else ()
@@ -482,7 +495,11 @@
         return dest
 
     def _on_timer(self, token: int) -> Destination | None:
-        """Handle a destination's wake-up (odd token) or a waiting message's latest answer time (even)."""
+        """Handle a destination's wake-up (odd token) or a message's latest answer time (even).
+
+        At that time a waiting message is abandoned. One in flight is left to its time-out, which ends by then
+        or, for an attempt that began less than a tick before, within a tick.
+        """
         if token & 1:
             if (dest := self.destinations.get(token >> 1)) is not None and dest.wake_at <= self.now:
                 dest.wake_at = NEVER
@@ -496,8 +513,8 @@
     def may_still_send(self, now: int, endpoint: api.EndpointId, number: int) -> bool:
         """Return whether a call that was decided earlier may still be sent.
 
-        It may not if the route is draining or has a retry-after, or if the message's repeat window is about
-        to end.
+        It may not if the route is draining, removed or has a retry-after, if the message's repeat window is
+        about to end, or if the route or the message is no longer known.
         """
         route, message = self.routes.get(endpoint), self.messages.get(number)
         if route is None or message is None or now + self.decision_lag >= message.window_end:
@@ -521,7 +538,7 @@
         return message.attempts == 0 and self.now < message.reserved_until
 
     def _abandon(self, message: Message) -> None:
-        """Give the final answer of a message that will not be delivered in time."""
+        """Give the final answer of a message that gets no further attempt: Refuse if allowed, else Fail."""
         if self._may_refuse(message):
             next_call_at = min((self._next_call_at(route) for route in message.dest.routes), default=NEVER)
             retry_after = max(next_call_at - self.now, message.cls.aim_ns // 2)
@@ -578,7 +595,11 @@
         )
 
     def _next_call_at(self, route: Route) -> int:
-        """Return the time of the route's next call by retry-after, pacing, suspension and fail-back."""
+        """Return the time of the route's next call; a call may be made if it is not after ``now``.
+
+        It follows from retry-after, pacing, suspension and fail-back. Where it depends on calls in flight, it
+        is the time at which to check again.
+        """
         at = max(route.retry_after_until, route.dest.retry_after_until)
         at = max(at, self._rotation_turn(route, route.limit.theoretical_arrival - BURST_TOLERANCE))
         if route.suspended_until > self.now and (route.inflight or not route.one_at_a_time):
@@ -607,8 +628,8 @@
 
         Turns apply where a large fleet shares a limit of which little is left. Without them, all forwarders
         that were delayed by the same burst or retry-after would call at the same instant, and a forwarder
-        that calls seldom would act on old information. The cost is a wait of half an equal-share interval,
-        but without it calls would often be refused.
+        that calls seldom would act on old information. The cost is a mean wait of half an equal-share
+        interval, but without it calls would often be refused. Elsewhere ``at`` is returned unchanged.
         """
         limit = route.limit
         equal_interval = int(SECOND * self.settings.forwarders / limit.rate) if limit.rate else NEVER
@@ -636,8 +657,8 @@
     def is_silent(self, route: Route) -> bool:
         """Return whether the route seems to hang: no outcome of its calls for longer than its latency bound.
 
-        New messages then avoid the route before the first time-out. The cost is that a single very long call
-        has the same effect.
+        New messages then avoid the route before the first time-out. Two calls must be in flight, but one very
+        long call has the same effect as soon as a second one has been sent.
         """
         return (
             route.successes > 0
@@ -654,13 +675,14 @@
         )
 
     def _failback_call_at(self, route: Route) -> int:
-        """Return when the fail-back budget allows the next call to a failing or recovering route.
+        """Return when the fail-back budget allows the next call to a failing or recovering route; 0: at once.
 
         An outage ends without notice, and the route can then bear only part of its rate (slow start). In any
         fall_ns this forwarder sends its share of the calls that a recovering route can bear, or a multiple of
-        the calls that the route has just served it. The number of forwarders that hold messages for the route
-        is taken to be two, plus the calls at its rate since the outage began if the route is down. The cost
-        is that a burst of calls right after a failure is slowed down.
+        the calls that the route has just served it if that is more. The number of forwarders that hold
+        messages for the route is taken to be two, plus the calls at its rate since the outage began if the
+        route is down, but never more than the fleet has. The cost is that a burst of calls right after a
+        failure is slowed down.
         """
         bearable = self.settings.cold_from
         if route.recovering_since is not None:
@@ -742,6 +764,7 @@
                 dest.inflight >= cap and (contended or free <= max(1, self.settings.slots // 8))
             ):
                 wake_at = self.now  # as soon as a slot is free
+                # With bundles, later messages may still join a call that was started in this reply.
                 kept += queue[index:] if bundle <= 1 else [message]
                 if bundle > 1:
                     continue
@@ -860,12 +883,12 @@
         return self.idle_loss * float(0.5 ** ((self.now - self.idle_loss_updated_at) / STALE_HALF_LIFE))
 
     def _timeout(self, message: Message, route: Route) -> int:
-        """Return the time-out of this attempt."""
+        """Return the time-out of this attempt in ns."""
         cls = message.cls
         left = max(self.settings.tick_ns, message.answer_by - self.now)  # later answers would not count
         usual = min(float(cls.aim_ns), self._latency_bound(route))
-        # The time-out is longer than the connect time-out, as a failed connect proves that the message did
-        # not run, and a time-out doesn't.
+        # Unsafe and keyed messages get a time-out longer than the connect time-out unless one of the bounds
+        # below is shorter: a failed connect proves that the message did not run, and a time-out doesn't.
         floor = self.settings.connect_timeout_ns + self.settings.tick_ns
         # If more calls are never answered than heavy messages can explain, the calls are lost, and a long
         # time-out only ties up slots.
@@ -1040,7 +1063,7 @@
         # Failures that are common on all routes say little about one route: their usual shares are estimated.
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
         if outcome is not Outcome.CANCELLED and not (failed and (route.down or route.failures)):
-            for index in (False, True):
+            for index in (False, True):  # as an index, False is the share of failures and True that of losses
                 self.failure_shares[index] += FAILURE_GAIN * (
                     (failed and index is lost) - self.failure_shares[index]
                 )
@@ -1154,7 +1177,7 @@
             self.actions.append(api.Log(f"destination {route.dest.id} route {route.id.hex()}: {text}"))
 
     def _wake_by(self, dest: Destination, at: int) -> None:
-        """Set a timer for the destination, unless it has an earlier one."""
+        """Set a timer for the destination, unless it already has one that is not later."""
         if self.now < dest.wake_at <= at:
             return
         dest.wake_at = at
--- a/snowlock/settings.py
+++ b/snowlock/settings.py
@@ -42,7 +42,10 @@
             raise SettingsError(*self.errors)
 
     def get(self, key: str, convert: Callable[[Any], T], default: Any = _REQUIRED) -> T:
-        """Return the key's value converted by ``convert``, or the default if the key is absent or invalid."""
+        """Return the key's value converted by ``convert``, or the default if the key is absent or invalid.
+
+        A key without a default is required: its absence is an error, and it then reads as None.
+        """
         value: Any = None if default is _REQUIRED else default
         if key not in self.raw:
             if default is _REQUIRED and self.is_object:
@@ -57,7 +60,10 @@
         return value  # type: ignore[no-any-return]
 
     def section(self, key: str, optional: bool = False) -> Section:
-        """Return the object at the key, or an empty one if it is optional and absent."""
+        """Return the object at the key, or an empty one if it is absent or no object.
+
+        That is an error unless the key is optional and absent.
+        """
         if key not in self.raw:
             if self.is_object and not optional:
                 self.errors.append(f"{self.path}.{key}: missing")
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -46,8 +46,8 @@
         self.tries = self.attempts = self.backoffs = self.full_passes = self.not_before = 0
         self.in_flight: dict[int, Call] = {}  # by attempt number
         self.may_have_run = self.done = False
-        # zone: that of the first attempt that may have run; weight: worth of a delivery within aim_ns;
-        # window_end: end of the repeat window.
+        # zone: that of the first attempt that may have run; -1: none, or unknown after a restart.
+        # weight: worth of a delivery within aim_ns. window_end: end of the repeat window; NEVER: none yet.
         self.zone, self.weight, self.window_end, self.class_index = -1, cls.worth, NEVER, event.message_class
 
 
@@ -76,7 +76,7 @@
         self.queue: list[Message] = []
         self.kind = self.inflight = 0
         self.failures = 0  # consecutive failures, over all its routes
-        # Time of the last failure, or refusal by a closed route; -NEVER after an answer.
+        # Time of the last failure, or refusal by a closed route; -NEVER: none since the last OK.
         self.last_trouble_at = -NEVER
         self.wake_at = self.max_attempts = NEVER
         # End of a retry-after, where routes share a limit; applies to routes listed later too.
@@ -129,7 +129,8 @@
         self.limit = limit
         self.inflight = self.retry_after_until = self.failures = self.successes = 0
         self.last_call_at = self.previous_call_at = self.last_success_at = -NEVER
-        # Time of the first failure, or refusal by a closed route, since the last answer; 0: none.
+        # Time of the first failure, or refusal by a closed route, since the last OK; 0: none. While the route
+        # is down, an OK does not reset it.
         self.failing_since = 0
         self.last_outcome_at = 0  # time of the last outcome, or of a later call that found none in flight
         self.idle_since = -NEVER  # end of its last call if that left the connection open, else -NEVER
@@ -138,7 +139,7 @@
         # timed_out: its last failure was a time-out, which occupies a slot for long.
         self.down = self.timed_out = False
         # By class that has failed since the route last served it: time of the last failure, and whether the
-        # route served other classes between failures.
+        # route served other classes between two failures, so that only this class avoids it.
         self.failed_classes = NO_FAILED_CLASSES
         # Start of the recovery, possibly in the future; None: not recovering.
         self.recovering_since: int | None = None
--- a/snowlock/wire.py
+++ b/snowlock/wire.py
@@ -11,8 +11,9 @@
 from snowlock import interface as api
 from snowlock import settings
 
-HEADER = struct.Struct("<IIQ")
-REPLY = struct.Struct("<II")
+HEADER = struct.Struct("<IIQ")  # of a frame: size of its body in bytes, number of records, time in ns
+REPLY = struct.Struct("<II")  # head of a reply: number of records, their size in bytes
+# Records of both directions; ``encode`` and ``Decoder`` name their fields.
 _OPEN = struct.Struct("<HQI")
 _ARRIVAL = struct.Struct("<HQBIQQQfH")
 _ATTEMPT_ENDED = struct.Struct("<HQH6sHQBIB")
@@ -125,6 +126,7 @@
             at += _ATTEMPT_ENDED.size
             report = struct.unpack_from(f"<{columns}f", body, at)
             outcome = api.Outcome(outcome_code)
+            # note: with FULL a retry-after in milliseconds; with MOOT, 1 means that no slot was free.
             wait = note * MS if outcome is api.Outcome.FULL else 0
             no_slot = outcome is api.Outcome.MOOT and note == 1
             ended = api.AttemptEnded(
@@ -135,7 +137,7 @@
             instance, message, message_class, tenant, key, time_left, _hint, destination, _flags = (
                 _ARRIVAL.unpack_from(body, at)
             )
-            return (
+            return (  # the destination is a float on the wire
                 instance,
                 api.Arrival(message, message_class, int(destination), time_left, tenant, key),
                 at + _ARRIVAL.size,
