--- a/kestrelspar/runtime/buffers.py
+++ b/kestrelspar/runtime/buffers.py
@@ -76,9 +76,11 @@
             self._buffer = None
 
     def fill(self, deadline: int | None) -> None:
-        """Wait for more bytes.
+        """Wait for more bytes; may return without any, so that callers check ``unread``.
 
-        Raises ``ConnectionClosedError`` if the input ended, and ``DeadlineExceededError`` if the deadline passed.
+        Raises ``ConnectionClosedError`` if the input ended or the connection failed; unread bytes are dropped then.
+        Raises ``DeadlineExceededError`` if the deadline passed, also while all buffers were in use; unread bytes stay.
+        Must not be called with ``BUFFER_SIZE`` unread bytes, as a read without room looks like the end of the input.
         """
         if not self.loop.readable(self.sock, deadline):
             raise DeadlineExceededError
@@ -108,7 +110,7 @@
             self.consume(0)
 
     def write(self, data: bytes, deadline: int | None) -> None:
-        """Write all data.
+        """Write all data, or raise an error.
 
         After ``ConnectionClosedError`` or ``DeadlineExceededError``, at least its last byte is unwritten.
         """
@@ -123,7 +125,10 @@
                 raise ConnectionClosedError from error
 
     def discard(self, deadline: int) -> None:
-        """Wait for more bytes and drop all that arrived, without a copy or a pooled buffer."""
+        """Drop the unread bytes, wait for more, and drop these, too, without a copy or a pooled buffer.
+
+        Drops at most the size of ``_DISCARD_TARGET`` in one call; raises the same errors as ``fill``.
+        """
         self.consume(self._end - self._start)
         if not self.loop.readable(self.sock, deadline):
             raise DeadlineExceededError
@@ -140,7 +145,10 @@
         self.loop.expire_read(self.sock)
 
     def peer_closed(self) -> bool:
-        """Whether the peer is known to have closed or reset the connection; checked without reading any bytes."""
+        """Whether the peer is known to have closed or reset the connection; checked without reading any bytes.
+
+        False while bytes that precede the close have not been read from the socket.
+        """
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
--- a/kestrelspar/runtime/logs.py
+++ b/kestrelspar/runtime/logs.py
@@ -44,7 +44,10 @@
 
 
 class _Logfmt(logfmter.Logfmter):
-    """logfmt with UTC times to the millisecond. Control characters are removed, as they could hide a line."""
+    """logfmt with UTC times to the millisecond.
+
+    Control characters other than tabs are removed, as they could hide a line; line breaks are escaped.
+    """
 
     converter = staticmethod(time.gmtime)
     default_time_format, default_msec_format = "%Y-%m-%dT%H:%M:%S", "%s.%03dZ"
@@ -75,7 +78,7 @@
 
 
 def event(name: str, level: int = INFO, **fields: Any) -> None:
-    """Log an event; fields that are None are omitted."""
+    """Log an event; fields that are None are omitted, and texts are cut at ``MAX_FIELD_LENGTH``."""
     if _logger.isEnabledFor(level):
         record: dict[str, Any] = {"event": name}
         for key, value in fields.items():
--- a/kestrelspar/runtime/loop.py
+++ b/kestrelspar/runtime/loop.py
@@ -24,7 +24,7 @@
 READ = select.POLLIN
 WRITE = select.POLLOUT
 BACKLOG = 512  # length of the listen queue, in connections
-TIMED_OUT = object()  # result of ``Loop.park`` after its deadline
+TIMED_OUT = object()  # result of ``Loop.park`` after its deadline, or after ``Loop.expire_read``
 
 
 def clock() -> int:
@@ -73,7 +73,9 @@
         self._ready: deque[tuple[greenlet, Any]] = deque()
         self._scheduler: greenlet = getcurrent()
         self._stopped = False
-        self.turn_end_calls: list[Callable[[], None]] = []  # called at the end of each turn
+        self.turn_end_calls: list[
+            Callable[[], None]
+        ] = []  # called at the end of each turn, like timers outside of tasks
 
     def spawn(self, call: Callable[..., None], *args: Any) -> None:
         """Start a task; an exception ends the task and is logged, and never ends the process."""
@@ -87,11 +89,14 @@
         self.schedule(greenlet(run, self._scheduler), None)
 
     def schedule(self, task: greenlet, value: Any) -> None:
-        """Run the task in this turn, or in the next one if this turn is already running its tasks."""
+        """Run the task in this turn, or in the next one if this turn is already running its tasks or past that."""
         self._ready.append((task, value))
 
     def call_at(self, when: int, call: Callable[[], None]) -> Timer:
-        """Schedule a call at the given time, or as soon as possible after it."""
+        """Schedule a call at the given time, or as soon as possible after it.
+
+        The call runs outside of any task: it must not suspend, and an exception in it ends ``run``.
+        """
         timer = Timer(call)
         heapq.heappush(self._timers, (when, next(self._sequence), timer))
         return timer
@@ -117,7 +122,10 @@
         return self._wait(sock, WRITE, deadline)
 
     def _wait(self, sock: socket.socket, mask: int, deadline: int | None) -> bool:
-        """Wait for one kind of readiness; false after the deadline."""
+        """Wait for one kind of readiness; false after the deadline.
+
+        At most one task may wait for each kind at a socket: a second one would take the place of the first.
+        """
         descriptor, suspension = sock.fileno(), Suspension(self)
         if descriptor < 0:
             return True  # already closed: the caller's read or write will fail
@@ -148,13 +156,13 @@
                 suspension.resume(None)
 
     def expire_read(self, sock: socket.socket) -> None:
-        """Resume the task that waits to read from the socket as if its deadline had passed."""
+        """Resume the task that waits to read from the socket, if there is one, as if its deadline had passed."""
         suspension = self._waits.get(sock.fileno(), {}).get(READ)
         if suspension is not None:
             suspension.resume(TIMED_OUT)
 
     def stop(self) -> None:
-        """End ``run`` after this turn."""
+        """End ``run`` after the turn that is running, or before the next one."""
         self._stopped = True
 
     def run(self) -> None:
@@ -200,7 +208,10 @@
 
 
 def connect(loop: Loop, address: tuple[str, int], deadline: int) -> socket.socket | None:
-    """Open a TCP connection; None if it was refused or not established before the deadline."""
+    """Open a TCP connection; None if it failed or was not established before the deadline.
+
+    None also, with a log line, if the process can't create a socket.
+    """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
--- a/kestrelspar/runtime/signals.py
+++ b/kestrelspar/runtime/signals.py
@@ -26,7 +26,10 @@
 
 
 def handle_signals(loop: Loop, signal_socket: socket.socket, calls: Mapping[int, Callable[[], None]]) -> None:
-    """Run the call of each received signal in a task of its own, so that a failure affects no other call."""
+    """Run the call of each received signal in a task of its own, so that a failure affects no other call.
+
+    Never returns. Signals without a call are ignored.
+    """
     while True:
         loop.readable(signal_socket, None)
         try:
