--- a/tests/fleet_recovery.py
+++ b/tests/fleet_recovery.py
@@ -44,7 +44,7 @@
 
 @dataclass
 class Scenario:
-    """An outage of the endpoint, the load, and a restart of some couriers; times in seconds."""
+    """An outage of the endpoint, the load, and a restart of some couriers; times in seconds from the start."""
 
     couriers: int
     rate: float  # the endpoint's limit, in calls a second
@@ -65,6 +65,7 @@
         self.start = self.couriers[0].now
         # By courier and message: class and deadline.
         self.accepted: list[dict[int, tuple[int, int]]] = [{} for _ in self.couriers]
+        # Of each call: time of its end, courier, message, time at which it was sent, outcome, retry-after, load report.
         self.in_flight: deque[tuple[int, int, int, int, Outcome, int, tuple[float, ...]]] = deque()
         self.calls: list[tuple[int, bool]] = []  # time of each call, and whether its courier knew of the outage
         self.aware: set[int] = set()  # couriers with a failed call since the outage began
@@ -155,10 +156,10 @@
                     self._record_sends(index, new.feed(Arrival(message, cls, 1, deadline - now, 0, 0)))
 
     def worst_overload(self) -> float:
-        """Return the largest ratio, over all windows after the outage, of calls to the bound that allows for chance.
+        """Return the largest ratio, over all windows of the slow start, of calls to the bound that allows for chance.
 
-        Above 1 the endpoint is overloaded. A window counts only if over two thirds of its calls came from couriers that
-        knew of the outage.
+        Above 1 the endpoint is overloaded. A window has the length FALL_NS, ends with a call, and counts only if over
+        two thirds of its calls came from couriers that knew of the outage. 0 if none counts.
         """
         s, worst = self.scenario, 0.0
         recovered_at = self.start + int(s.ends * SECOND)
@@ -177,7 +178,10 @@
         return worst
 
     def recovery_time(self) -> float:
-        """Return the seconds from the end of the outage until half of the load or limit is served in one second."""
+        """Return the seconds from the end of the outage to the first second in which enough calls are served.
+
+        Enough is half of the load or of the limit, whichever is less. Infinite if there is no such second.
+        """
         recovered_at = self.start + int(self.scenario.ends * SECOND)
         served = [at for at in self.served if at >= recovered_at]
         required = min(1.0, self.scenario.load) * self.scenario.rate / 2
--- a/tests/journal/test_read.py
+++ b/tests/journal/test_read.py
@@ -20,7 +20,10 @@
 
 
 def write_journal(directory: Path) -> Path:
-    """Write a journal with one message in each state, and return the path of its file."""
+    """Write a journal with messages in different states, and return the path of its file.
+
+    "told" has a final state that was not reported yet; "never" has an attempt that provably never ran.
+    """
     journal, now = Journal(str(directory), 3_000_000), time.monotonic_ns() // 1000
     for number, name in enumerate(("open", "may", "accepted", "ended", "told", "never"), 1):
         text = json.dumps({"trace": name, "class": "payment" if number % 2 else "reading", "dest": 7, "sender": "http"})
@@ -112,6 +115,7 @@
     assert read(garbage).size == len(garbage)
     whole = write_journal(tmp_path_factory.mktemp("j")).read_bytes()
     content = read(whole[:cut] + garbage)
+    # The garbage has room for fewer than 12 heads of records.
     assert content.kinds.total() <= len(whole[:cut]) // records.HEAD.size + 12
 
 
@@ -148,6 +152,7 @@
     assert report["bytes"] == len(before) == sum(report["bytes_by_kind"].values()) and report["ended_kept"] == 1
     good = run_command("verify", *state)
     assert good.returncode == 0 and "0 faults" in good.stdout and path.read_bytes() == before
+    # Damage within a record, and a torn end.
     path.write_bytes(before[:60] + b"\0\0\0" + before[63:] + b"half")
     bad = run_command("verify", *state)
     assert bad.returncode == 1 and f"{path}:" in bad.stderr and "4 bytes torn" in bad.stdout
--- a/tests/test_controller_regressions.py
+++ b/tests/test_controller_regressions.py
@@ -31,7 +31,7 @@
     f.endpoints("b", destination=2)
     deliver(f, 1, 100)
     f.arrive(1, destination=2)
-    f.outcome(1, Outcome.FULL, wait_ns=5 * SECOND)  # waits for the retry-after, not for a slot
+    f.outcome(1, Outcome.FULL, wait_ns=5 * SECOND)  # destination 2 waits for the retry-after, not for a slot
     for number in range(10, 20):
         f.arrive(number, destination=1)
     assert len(f.in_flight) == 5
@@ -162,7 +162,7 @@
     f.endpoints("a", "b")
     for number in range(500):
         f.arrive(number)
-    evaluations: list[int] = []
+    evaluations: list[int] = []  # not empty once the worth of a message has been evaluated
     f.controller._worth = lambda *_: float(len(evaluations) or not evaluations.append(1))  # type: ignore
     for number in range(500, 600):
         f.arrive(number)
@@ -231,7 +231,7 @@
     f.feed(*(Arrival(n, 0, 1, 10 * SECOND, tenant=0) for n in range(10, 30)))
     f.feed(Arrival(50, 0, 1, 10 * SECOND, tenant=1))
     served = []
-    for number in [3, 4] + [0] * 8:
+    for number in [3, 4] + [0] * 8:  # 0: the message that was sent last
         sends = f.outcome(number or served[-1], Outcome.OK)
         served += [s.message for s in sends]
     assert served.index(50) < 7  # after the messages of the burst within its tenant's share, before the others
@@ -395,7 +395,8 @@
     assert f.closed == [route("c")]  # two calls were lost: the third uses a new connection
     f.outcome(3, Outcome.OK)
     f.arrive(4, destination=3)
-    assert len(f.closed) == 2  # another of its idle connections may be older
+    # Idle connections are closed again, as the endpoint may have others that are older than the one just used.
+    assert len(f.closed) == 2
     f.outcome(4, Outcome.OK)
     f.wait(60 * SECOND)
     f.arrive(5, destination=3)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,7 @@
 """Load that a fleet of independent controllers puts on the rate limit of one simulated destination.
 
-The couriers do not communicate, so each test asserts on the sum of their calls.
+The couriers do not communicate, so tests of a whole fleet assert on the sum of its calls. Other tests here check the
+estimates of one courier of a fleet.
 """
 
 from __future__ import annotations
@@ -58,6 +59,7 @@
     def __init__(self, **endpoints: SimulatedLimit) -> None:
         self.couriers = [Forwarder(replace(fleet_settings(), number=n), n) for n in range(FLEET_SIZE)]
         self.limits: dict[bytes, SimulatedLimit] = {}
+        # Of each call: time of its end, courier, message, outcome, load report.
         self.in_flight: deque[tuple[int, Forwarder, int, Outcome, tuple[float, ...]]] = deque()
         self.number = 0
         self.add_endpoints(**endpoints)
@@ -173,7 +175,7 @@
     fleet = Fleet()
     fleet.add_endpoints(known, a=limit)
     for number, courier in enumerate(fleet.couriers):
-        if number % 10 < 7:
+        if number % 10 < 7:  # 28 of the 40 couriers hold one message each
             fleet.number += 1
             fleet.record_sends(courier, courier.arrive(fleet.number))
     fleet.run(5, 1.0, seed=1)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -144,7 +144,8 @@
     assert set(open_journal(tmp_path).entries) == {1, 3}
 
 
-# Change of the wall clock, and expected shift of the recorded times, in seconds.
+# Change of the wall clock, and expected shift of the recorded times, in seconds. A clock that was set forward by 2 s or
+# more looks like a restart of the machine; one that was set back by an hour or more is not taken for a correction.
 @pytest.mark.parametrize(("step", "shift"), [(-60, 0), (-1, 0), (1, 0), (60, -60), (-7200, 7200)])
 def test_a_wall_clock_set_back_by_less_than_an_hour_extends_no_deadline_and_no_window(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int, shift: int
--- a/tests/test_recovered_messages.py
+++ b/tests/test_recovered_messages.py
@@ -25,6 +25,10 @@
     time_left: int = 9 * SECOND,
     window: int = 5 * SECOND,
 ) -> Forwarder:
+    """A courier after a restart that has recovered message 1.
+
+    ``may_have_run_for``: ns since the first attempt that may have run; None: no attempt can have run.
+    """
     forwarder = Forwarder(settings(message_class(cls, window_ns=window), max_attempts=3))
     forwarder.endpoints("a", "b")
     since = None if may_have_run_for is None else forwarder.now - may_have_run_for
--- a/tests/test_suspensions.py
+++ b/tests/test_suspensions.py
@@ -1,4 +1,7 @@
-"""Suspensions by other forwarders' reports only make the controller more careful, and end when they expire."""
+"""Suspensions by other forwarders' reports only make the controller more careful, and end when they expire.
+
+The last test is of agreed shares of a tenant's rate, which also come from other forwarders.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 
 
 def suspend(f: Forwarder, name: str, duration: int, one_at_a_time: bool = False) -> list[Send]:
+    """Suspend a route, or lift its suspension if ``duration`` is 0; returns the calls that follow at once."""
     return f.feed(Judged(((route(name), f.now + duration if duration else 0, one_at_a_time),)))
 
 
@@ -20,7 +24,7 @@
     suspend(f, "a", 5 * SECOND)
     f.arrive(2)
     assert f.arrive(3) == [] and [s.message for s in suspend(f, "a", 0)] == [2, 3]
-    f.feed(Judged(((b"nobody", f.now + SECOND, False),)))
+    f.feed(Judged(((b"nobody", f.now + SECOND, False),)))  # an unknown endpoint causes no exception
 
 
 def test_a_throttled_route_gets_one_call_at_a_time_and_others_are_unaffected() -> None:
