--- a/kestrelspar/core/courier.py
+++ b/kestrelspar/core/courier.py
@@ -37,6 +37,7 @@
 # Time left at which a missing outcome is queried and the message ends; at most half of that at the start of the wait.
 OUTCOME_QUERY_MARGIN = 1_000 * MS
 BUDGET_WAIT_TIMEOUT = 500 * MS  # maximum wait of a call for room in the budget, before an endpoint is chosen anew
+# Outcomes that prove that the attempt did not run.
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.REJECTED)
 
 # Final states. A returned message may be submitted again under its id; a failed one may not.
@@ -237,7 +238,8 @@
         self.hooks: list[Hook] = []
         self.peers: Peers | None = None
         self.map = TransportMap()
-        self.stale: dict[str, int] = {}  # sources whose list is too old to use: retry-after delay in microseconds
+        # By source whose list is missing or too old to use: retry-after delay in microseconds.
+        self.stale: dict[str, int] = {}
         self.ready = False
         self.closing: int | None = None  # time of SIGTERM; None before
         self._controller = Controller(settings, seed, time.time_ns() - time.monotonic_ns())
@@ -303,7 +305,7 @@
         return True
 
     def join(self, whole: Message, parts: list[Message]) -> bool:
-        """Replace several accepted messages by one joined message; false if the journal has no room for it now.
+        """Replace several accepted messages by one joined message; false if it can't be journalled now.
 
         After a crash before the parts are marked done, the journal has the parts and the joined message.
         ``whole.extra["joined"]`` has the numbers of the parts, so that ``resume`` can drop them.
@@ -465,7 +467,8 @@
         """Journal and register that an outcome is awaited; it arrives through ``outcome_received``.
 
         The message holds no slot, and no attempt follows: the next hop may still be processing it, so that a second
-        attempt could run at the same time.
+        attempt could run at the same time. If this can't be journalled, the message counts after a restart as one that
+        may have run.
         """
         self.journal.record_awaited(message.number, ujson.dumps({"by": source, **awaits}))
         logs.event("accepted", logs.DEBUG, trace=message.trace, by=source)
@@ -510,8 +513,8 @@
     def _overdue(self, number: int) -> None:
         """Query an outcome that is missing shortly before the deadline, and end the message.
 
-        It fails if the query raises an exception. An outcome that arrives during the query takes precedence; later ones
-        are ignored.
+        The message ends as failed if the query raises an exception. An outcome that arrives during the query takes
+        precedence; later ones are ignored.
         """
         if number not in self._awaiting:
             return
@@ -526,12 +529,15 @@
                 self._end(message, End(state))
 
     def _end(self, message: Message, end: End) -> None:
-        """Journal the final state, report it to the sender side, and drop the message."""
+        """Journal the final state, report it to the sender side, and drop the message.
+
+        It is reported even if it can't be journalled.
+        """
         self.journal.record_end(message.number, end.state, end.after_ms)
         self._report_end(message, end)
 
     def _report_end(self, message: Message, end: End) -> None:
-        """Report a journalled final state to the sender side, and drop the message."""
+        """Report a final state to the hooks, to the peers and to the sender side, and drop the message."""
         self.open.pop(message.number, None)
         logs.event(
             "ended",
@@ -795,7 +801,10 @@
 
     @property
     def serving(self) -> bool:
-        """Whether submissions are accepted: the start is complete, no shutdown has begun, and no list is too old."""
+        """Whether submissions are accepted in general.
+
+        The start is complete, no shutdown has begun, and no source's list is missing or too old to use.
+        """
         return self.ready and not self.stale
 
     def apply_map_update(
--- a/kestrelspar/core/entries.py
+++ b/kestrelspar/core/entries.py
@@ -22,7 +22,7 @@
 
     ``group``: number of the destination. ``tries``: maximum attempts of a message at the destination. ``within_ms``:
     maximum delivery time of a message. ``max_fails``: consecutive failures that count as an outage. Of these and of the
-    time-outs, 0 means no bound. ``origin``: the imported file.
+    time-outs, 0 means no bound. ``origin``: the imported file. ``since_ms``: part of the format, and not used.
     """
 
     name: Name
--- a/kestrelspar/journal/removal_log.py
+++ b/kestrelspar/journal/removal_log.py
@@ -4,10 +4,10 @@
 platform's settings. That list may be older than the last report, and would undo a removal or drain in between. Each
 removal or drain is therefore written here in the turn that reported it, by a plain write, which survives a SIGKILL.
 
-The file consists of records in the journal's format, each with rows of key, state and the source's revision at the
-time. When a newer list is saved, the rows up to its revision are dropped. That an entry is ready again is written only
-if its removal or drain is still on file. The size of the file is limited: rows that don't fit are logged, and never
-stop the courier.
+The file consists of records in the journal's format, each with rows of key, state and revision. The revision is that
+of the source at the time, or a number that this log assigns in ascending order. When a newer list is saved, the rows up
+to its revision are dropped. That an entry is ready again is written only if its removal or drain is still on file. The
+size of the file is limited: that rows don't fit is logged, and never stops the courier.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 ROWS_PER_RECORD = 200
 BLOCK = 512  # bytes per disk block
 State = EndpointState
-Row = tuple[str, State, int]  # key, state, revision of the source at which the state was reported
+Row = tuple[str, State, int]  # key, state, revision at which the state was reported
 
 
 class RemovalLog:
@@ -40,7 +40,7 @@
         """
         self.file, self.max_bytes, self._drop_oldest = file, max_bytes, drop_oldest
         self.rows_by_key: dict[str, tuple[int, State]] = {}  # by key: revision and state
-        self.revision = 0  # highest revision recorded so far
+        self.revision = 0  # highest revision recorded so far; the owner may raise it to that of its saved list
         self.incomplete = False  # the file lacks some reported rows
         self._size = 0  # bytes of the file, without a torn end
         self._load()
--- a/kestrelspar/runtime/files.py
+++ b/kestrelspar/runtime/files.py
@@ -9,7 +9,8 @@
 def replace(file: Path, data: bytes) -> None:
     """Replace the file by one that only its owner can read.
 
-    A crash leaves either the old or the new file; after ``OSError`` the old file is unchanged.
+    A crash of the process leaves either the old or the new file; after ``OSError`` the old file is unchanged. Nothing
+    is synced to disk, so that a crash of the machine may lose the content.
     """
     new_file = file.with_name(file.name + ".new")
     try:
--- a/kestrelspar/runtime/loop.py
+++ b/kestrelspar/runtime/loop.py
@@ -73,9 +73,8 @@
         self._ready: deque[tuple[greenlet, Any]] = deque()
         self._scheduler: greenlet = getcurrent()
         self._stopped = False
-        self.turn_end_calls: list[
-            Callable[[], None]
-        ] = []  # called at the end of each turn, like timers outside of tasks
+        # Called at the end of each turn, outside of any task: see ``call_at``.
+        self.turn_end_calls: list[Callable[[], None]] = []
 
     def spawn(self, call: Callable[..., None], *args: Any) -> None:
         """Start a task; an exception ends the task and is logged, and never ends the process."""
