--- a/snowlock/control.py
+++ b/snowlock/control.py
@@ -157,10 +157,12 @@
     ) -> None:
         """Adjust the interval: refusals lengthen it, answers shorten it, and it decays with time.
 
-        The more of the allowance is left (``remaining``), the more an answer shortens it. A large fleet
-        starts at the equal share: where each forwarder calls seldom, small steps from zero would have all of
-        them refused over and over before they found the interval. ``equal_interval``: the call interval in ns
-        if all forwarders had equal shares. ``refusal_share``: share of refused calls.
+        The more of the allowance is left (``remaining``), the more an answer shortens it; in a large fleet
+        with little left, an answer may lengthen it. A large fleet starts at the equal share: where each
+        forwarder calls seldom, small steps from zero would have all of them refused over and over before they
+        found the interval. An agreed share replaces all of this. ``equal_interval``: the call interval in ns
+        if all forwarders had equal shares. ``refusal_share``: share of refused calls. ``fleet_factor``: as in
+        ``Controller``.
         """
         if self.share:  # a share agreed among the forwarders is neither estimated nor decayed
             self.interval, self.updated_at = SECOND / self.share, now
@@ -297,7 +299,8 @@
     def _shed_load(self) -> None:
         """Refuse the least valuable messages of the longest backlog while nearly max_open are held.
 
-        Otherwise new messages would be refused at max_open, whatever their worth.
+        Otherwise new messages would be refused at max_open, whatever their worth. The longest backlog is that
+        with the most calls times latency; if none of its messages may be refused, no other one is tried.
         """
         for _ in range(len(self.messages)):
             if len(self.messages) <= MAX_HELD_SHARE * self.settings.max_open or not self.waiting:
@@ -555,7 +558,7 @@
         self._forget(message)
 
     def _forget(self, message: Message) -> None:
-        """Drop a finished message without attempts in flight, and wake the next one of its ordering key."""
+        """Drop a message if it is finished without attempts in flight; wake the next of its ordering key."""
         if not message.done or message.in_flight:
             return
         self.messages.pop(message.id, None)
--- a/snowlock/state.py
+++ b/snowlock/state.py
@@ -25,7 +25,9 @@
     def __init__(self, route: Route, sent: int, idle: int):
         self.route, self.sent = route, sent
         self.pending = self.size = 0  # number of messages without an outcome yet, and of all messages
-        self.idle = idle  # idle time of its connection before the call, in ns; NEVER: a new connection
+        # Idle time of its connection before the call, in ns. NEVER: a new connection, or unknown, as other
+        # calls to the route were in flight.
+        self.idle = idle
         self.counted_outcome: Outcome | None = None  # the last outcome that the estimates were updated from
 
 
@@ -47,7 +49,7 @@
         self.in_flight: dict[int, Call] = {}  # by attempt number
         self.may_have_run = self.done = False
         # zone: that of the first attempt that may have run; -1: none, or unknown after a restart.
-        # weight: worth of a delivery within aim_ns. window_end: end of the repeat window; NEVER: none yet.
+        # weight: worth of a delivery within aim_ns. window_end: end of the repeat window; NEVER: none.
         self.zone, self.weight, self.window_end, self.class_index = -1, cls.worth, NEVER, event.message_class
 
 
@@ -82,7 +84,8 @@
         # End of a retry-after, where routes share a limit; applies to routes listed later too.
         self.retry_after_until = 0
         self.separate_limits, self.mean_latency = False, 0.0  # separate_limits: each route has its own limit
-        self.limit: Limit | None = None  # shared by its routes unless separate_limits; None before the first
+        # Shared by its routes, or with separate_limits that of the route listed last; None before the first.
+        self.limit: Limit | None = None
 
 
 class Route:
--- a/snowlock/wirehost.py
+++ b/snowlock/wirehost.py
@@ -30,7 +30,11 @@
         self._controllers: dict[int, Controller] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
-        """Process one frame and return the reply; an exception of a controller becomes a fatal record."""
+        """Process one frame and return the reply; an exception of a controller becomes a fatal record.
+
+        Each instance with events is called once, in order of first records, and a new one even without any.
+        ``WireError`` if the frame is invalid.
+        """
         pending: dict[int, list[Event]] = {}
         for instance, item in self._decoder.decode(body, count):
             if isinstance(item, wire.Opened):
