--- a/tests/core/test_transport_map.py
+++ b/tests/core/test_transport_map.py
@@ -65,6 +65,7 @@
     assert table.apply("d", [hop("a", 2, DRAINING)]).close_idle and table.apply("d", [], removed=[b"a"]).close_idle
 
 
+# The entry as JSON, and a part of the error message.
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -126,6 +126,7 @@
     assert limit.served - served > 0.7 * 60 * 8 and limit.refused - refused < 0.05 * 60 * 8
 
 
+# Bounds of the interval after one answer, as multiples of the equal-share interval that it had before.
 @pytest.mark.parametrize(
     ("couriers", "remaining", "bounds"),
     [
@@ -166,6 +167,7 @@
     assert new.refused < 22 and new.served
 
 
+# Whether the couriers knew the limit before the restart; least and greatest number of refused calls.
 @pytest.mark.parametrize(("known", "refused"), [(True, (0, 3)), (False, (15, 200))])
 def test_restarted_couriers_with_a_backlog_do_not_use_up_a_known_limit(
     known: bool,
--- a/tests/test_recovered_messages.py
+++ b/tests/test_recovered_messages.py
@@ -89,6 +89,7 @@
     assert not may_send(forwarder.now + SECOND, route("a"), 1)
 
 
+# ``delay``: from the start of the first attempt, which may have run; the window of a keyed message is 3 s.
 @pytest.mark.parametrize(
     ("safety", "delay", "allowed"),
     [
