--- a/kestrelspar/smpp/server.py
+++ b/kestrelspar/smpp/server.py
@@ -31,9 +31,9 @@
 from kestrelspar.smpp.session import NotSentError, Session, SessionLostError
 from kestrelspar.smpp.table import BOUND_STATES, SessionState, Side
 
-MIN_UNBOUND_AGE = 50 * MS  # a younger connection may be about to bind
+MIN_UNBOUND_AGE = 50 * MS  # a younger connection is not closed to make room, as it may be about to bind
 OUTBIND_INTERVAL = 5 * SECOND  # minimum time between two outbinds to one account
-MAX_REFUSED_BINDS = 3  # per connection; then it is closed
+MAX_REFUSED_BINDS = 3  # refused binds and outbinds after which a connection is closed
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND  # before a receipt is sent again
 RECEIVER_STATES = (SessionState.RX, SessionState.TRX)
 MAX_SCHEDULE_DELAY = 30 * 86_400 * SECOND  # a later schedule_delivery_time is refused
@@ -43,8 +43,9 @@
 def parse_time(text: str, wall: datetime) -> int | None:
     """Parse an SMPP time, absolute or relative, into microseconds from ``wall``.
 
-    In a relative time a year counts as 365 days and a month as 30. Returns None for an empty string; raises
-    ``ValueError`` if the time is malformed.
+    In a relative time a year counts as 365 days and a month as 30, and tenths of a second are ignored. The result is
+    negative for an absolute time before ``wall``. Returns None for an empty string; raises ``ValueError`` if the time
+    is malformed.
     """
     if not text:
         return None
@@ -68,18 +69,19 @@
         self.account: Account | None = None
         self.pending_submits = 0  # submit requests without a response yet
         self.refused_binds = 0  # including refused outbinds
-        self.unacknowledged_receipts = 0  # consecutive receipts without an acknowledgement
+        self.unacknowledged_receipts = 0  # consecutive receipts without any response, even a refusal
         self.connected_at = session.loop.now
         self.host = session.name.partition(":")[0]
 
     def certificate_names(self) -> list[str]:
-        """The names in the client certificate, if one was presented."""
+        """The names in the client certificate; empty without one, and without TLS."""
+        # Only a TlsStream has ``names``; for another stream ``list()`` stands in.
         names: list[str] = getattr(self.session.stream, "names", list)()
         return names
 
 
 class SmppServer:
-    """The sender side of messages that were submitted over SMPP."""
+    """Serves SMPP clients, and is the sender side of the messages that they submit."""
 
     name = "smpp"
 
@@ -94,7 +96,8 @@
     ) -> None:
         """``claim_outbind`` gets the system_id and the password of an outbind.
 
-        It returns the function that takes over the connection, or None if they match no configured gateway.
+        It returns the function that takes over the connection, or None if they match no configured gateway. Without
+        ``keys`` connections are served without TLS, whatever the configuration says.
         """
         self._keys, self._bind_throttle, self._verifier = keys, BindThrottle(), Verifier()
         self._claim_outbind = claim_outbind
@@ -104,7 +107,8 @@
         )
         self.loop, self.buffers, self.courier, self.config = loop, buffers, courier, config
         self._connections: list[ClientConnection] = []
-        self._waiting_for_bind: list[Suspension] = []  # receipts that wait until a client binds
+        # Receipts that wait for a session with room in its window; a receiver bind of any account resumes them.
+        self._waiting_for_bind: list[Suspension] = []
         # By message_id returned to the client, then by message number.
         self._open_by_id: dict[str, dict[int, Message]] = {}
         self._reassembler = parts.Reassembler(config.parts_timeout)
@@ -128,7 +132,7 @@
                 logs.warn("not-accepted", front="smpp", why=str(error))
                 self.loop.sleep(20 * MS)
                 continue
-            # An address gets no response while it is throttled; its refused binds got one.
+            # A throttled address gets no response to its connections; its refused binds got one.
             if self._bind_throttle.is_throttled(peer[0], self.loop.now):
                 sock.close()
                 continue
@@ -143,7 +147,8 @@
     def _make_room(self) -> bool:
         """Close the oldest connection that has not bound, so that idle connections cannot lock clients out.
 
-        Returns whether there was one older than ``MIN_UNBOUND_AGE``.
+        Returns whether there was one of at least ``MIN_UNBOUND_AGE``. During a TLS handshake the age
+        is counted from the start of the connection, afterwards from the end of the handshake.
         """
         for client in self._connections:
             if (
@@ -159,7 +164,7 @@
     def _serve_connection(self, sock: socket.socket, name: str) -> None:
         """Serve an accepted connection in its own task.
 
-        With TLS the handshake comes first, and has a time limit of its own.
+        With TLS the handshake comes first. It and the bind after it are each limited to ``bind_timeout``.
         """
         if not self.config.tls or self._keys is None:
             self._run_session(Stream(self.loop, sock, self.buffers), name)
@@ -182,7 +187,7 @@
         self._run_session(stream, name)
 
     def _run_session(self, stream: Stream, name: str) -> None:
-        """Serve a session from its bind until it ends."""
+        """Serve a connection until its session ends; close it if the client has not bound within ``bind_timeout``."""
         client = ClientConnection(
             Session(self.loop, stream, name, self.config.enquire_link_interval, self.config.response_timeout)
         )
@@ -242,6 +247,8 @@
             logs.warn(
                 "smpp-bind-refused", peer=client.session.name, system_id=pdu.text("system_id"), status=status.name
             )
+            # While the courier shuts down, ESME_RBINDFAIL may be no fault of the client, so it does not count against
+            # the address, not even if the network or the certificate was the reason.
             if status is not Status.ESME_RBINDFAIL or self.courier.closing is None:
                 wait = self._bind_throttle.record_refusal(client.host, self.loop.now)
                 if wait:
@@ -252,12 +259,15 @@
             for waiting in self._waiting_for_bind:
                 waiting.resume()
             self._waiting_for_bind.clear()
-        # Such a client guesses passwords, or retries in a loop.
+        # A client that was refused so often guesses passwords, or retries in a loop.
         if client.refused_binds >= MAX_REFUSED_BINDS and client.session.state is SessionState.OPEN:
             client.session.close()
 
     def _handle_outbind(self, client: ClientConnection, pdu: Pdu) -> None:
-        """Handle an outbind: hand over the connection of a configured gateway to the SMPP client, and refuse others."""
+        """Handle an outbind: hand over the connection of a configured gateway to the SMPP client.
+
+        The outbind is refused if its credentials match no gateway, or if the session cannot detach from the connection.
+        """
         take_over = self._claim_outbind(pdu.text("system_id"), pdu.text("password"))
         if take_over is not None and client.session.detach_connection():
             take_over(client.session.stream)
@@ -269,7 +279,11 @@
             client.session.close()
 
     def _find_receiver(self, account: Account) -> tuple[Session | None, bool]:
-        """The least loaded receiver session of the account with room in its window, and whether it has one at all."""
+        """Find the least loaded receiver session of the account among those with room in their windows.
+
+        Returns it, or None, and whether the account has any usable receiver session, with room or not. One that is
+        closed or draining is not usable.
+        """
         bound = [
             c.session
             for c in self._connections
@@ -282,13 +296,17 @@
         return min(free, key=lambda session: session.in_flight, default=None), bool(bound)
 
     def _request_bind(self, account: Account) -> None:
-        """Send an outbind to an account for which a message or receipt waits and which has not bound to receive."""
+        """Send an outbind to an account for which a message or receipt waits and which has not bound to receive.
+
+        Does nothing if no outbind address is configured, or within ``OUTBIND_INTERVAL`` of the previous attempt.
+        """
         if account.outbind is None or self._next_outbind_at.get(account.system_id, 0) > self.loop.now:
             return
         self._next_outbind_at[account.system_id] = self.loop.now + OUTBIND_INTERVAL
         self.loop.spawn(self._send_outbind, account)
 
     def _send_outbind(self, account: Account) -> None:
+        """Connect to the account's client, send outbind, and serve the connection; nothing at ``max_sessions``."""
         assert account.outbind is not None
         if len(self._connections) >= self.config.max_sessions:
             return
@@ -327,7 +345,7 @@
             self.loop.spawn(lambda session=session, alert=alert: session.send(alert))
 
     def _submit(self, client: ClientConnection, account: Account, pdu: Pdu) -> None:
-        """Process a submit_sm or data_sm in the task of its message."""
+        """Process a submit_sm or data_sm in the task of its message; a part is held until its message is complete."""
         try:
             message = self._build_message(account, pdu)
         except _SubmitRefusedError as error:
@@ -337,6 +355,7 @@
             return
 
         def answer(result: Answer) -> bool:
+            """Send the response; returns whether the message was accepted and its message_id sent to the client."""
             client.pending_submits -= 1
             if not result.accepted:
                 logs.event(
@@ -344,7 +363,7 @@
                 )
                 client.session.send(pdu.reply(status_codes.status_of(result)))
                 return False
-            # A client that has disconnected does not know that its message was accepted, and will submit it again.
+            # A client that has disconnected will submit its message again, so the message is not accepted.
             connected = not client.session.stream.peer_closed()
             return self._confirm_acceptance(
                 message, connected and client.session.send(pdu.reply(message_id=message.trace))
@@ -364,14 +383,19 @@
             self._hold_part(message)
 
     def _hold_part(self, message: Message) -> None:
-        """Hold an accepted part until the other parts have arrived; if it is the last one, reassemble the message."""
+        """Hold an accepted part until the other parts have arrived; if it is the last one, reassemble the message.
+
+        A duplicate of a held part ends as failed. The limits of the reassembler were checked before the part was
+        accepted; they do not apply here, nor to parts recovered after a restart.
+        """
         self._held_parts[message.number] = message
         part, key = parts.Part(**message.extra["part"]), _reassembly_key(message)
         disposition, _ = self._reassembler.classify(key, part, len(message.body))
         if disposition is PartDisposition.REPEATED:  # submitted twice at the same time, and both accepted
             self._fail_part(message)
             return
-        # 200 ms before the deadline, so that the final state is reported in time.
+        # An incomplete message expires 200 ms before the deadline of its parts, so that their final states are reported
+        # in time.
         complete = self._reassembler.add(
             self.loop.now, key, part, message.number, len(message.body), message.deadline - 200 * MS
         )
@@ -399,12 +423,16 @@
         self.loop.spawn(self.courier.end_accepted, message, FAILED)
 
     def _reassemble(self, held: list[Message]) -> None:
-        """Replace the parts by one message, which owes a receipt for each of them."""
+        """Replace the parts by one message, which owes a receipt for each of them.
+
+        If the journal has no room for it, this is repeated each second; at the deadline the parts fail.
+        """
         first = held[0]
         fields = first.extra["smpp"] | {"esm_class": first.extra["smpp"]["esm_class"] & ~parts.UDHI}
         receipts_owed = [
             {"shown": _sender_id(m), "registered_delivery": m.extra["smpp"]["registered_delivery"]} for m in held
         ]
+        # "shown" is empty, as the sender knows only the ids of the parts.
         extra = first.extra | {"smpp": fields, "payload": True, "parts": receipts_owed, "shown": ""}
         del extra["part"]
         trace = os.urandom(8).hex()
@@ -425,7 +453,6 @@
                 for part in held:
                     self._fail_part(part)
                 return
-            # Retried in a second, as the journal may have room by then.
             self.loop.call_at(self.loop.now + SECOND, lambda: self._reassemble(held))
             return
         for part in held:
@@ -440,7 +467,7 @@
         return response_sent
 
     def _submit_multi(self, client: ClientConnection, account: Account, pdu: Pdu) -> None:
-        """Process a submit_multi: one message for each destination, all under one message_id.
+        """Process a submit_multi: one message for each valid destination, all under one message_id.
 
         The single response is sent when every message has been accepted or refused.
         """
@@ -471,7 +498,10 @@
         all_decided = Suspension(self.loop)
 
         def respond() -> None:
-            """Send the response; accepted messages are kept only if it was sent."""
+            """Send the response: positive if any message was accepted, as long as the client is connected.
+
+            The accepted messages are kept only if it was sent.
+            """
             client.pending_submits -= 1
             connected = not client.session.stream.peer_closed()
             if accepted:
@@ -489,7 +519,7 @@
                 all_decided.resume()
 
         def submit(dest: p.Destination, message: Message) -> None:
-            decision: list[bool] = []
+            decision: list[bool] = []  # not empty once this destination has been decided
 
             def answer(result: Answer) -> bool:
                 decision.append(True)
@@ -520,7 +550,8 @@
     def _build_message(self, account: Account, pdu: Pdu, trace: str = "", sender_id: str = "") -> Message:
         """Build the message of a submit_sm or data_sm; raises ``_SubmitRefusedError``.
 
-        ``sender_id`` is the message_id that the client gets, if that is not ``trace``.
+        An empty ``trace`` stands for a new random one. ``sender_id`` is the message_id that the client gets; if it is
+        empty, that is the trace.
         """
         settings = self.courier.settings
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
@@ -535,7 +566,7 @@
             except parts.InvalidPartError as error:
                 raise _SubmitRefusedError(error.status) from None
             tlvs = [(tag, value) for tag, value in tlvs if part is None or tag not in parts.SAR]
-        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:
+        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:  # the values are hexadecimal here
             raise _SubmitRefusedError(Status.ESME_ROPTPARNOTALLWD)
         start = self._parse_schedule(pdu.text("schedule_delivery_time"))
         service = pdu.text("service_type")
@@ -583,7 +614,10 @@
         )
 
     def _parse_schedule(self, text: str) -> int:
-        """The earliest time of the first delivery attempt; 0 means at once. Raises ``_SubmitRefusedError``."""
+        """The earliest time of the first delivery attempt; 0, for an empty text, means at once.
+
+        Raises ``_SubmitRefusedError`` if the time is malformed, not in the future, or beyond ``MAX_SCHEDULE_DELAY``.
+        """
         try:
             delay = parse_time(text, datetime.now(UTC))
         except (ValueError, OverflowError):
@@ -604,7 +638,7 @@
     def recover(self, message: Message) -> bool:
         """Register a message recovered after a restart.
 
-        Returns true for a part that has no final state yet: it is held here until its message is complete.
+        Returns true for a part that has no final state yet: it is held here until its message is complete or expires.
         """
         self._register_open(message)
         if "part" not in message.extra or self.courier.journal.entries[message.number].verdict:
@@ -629,7 +663,10 @@
         ]
 
     def _query(self, account: Account, pdu: Pdu) -> Pdu:
-        """Answer query_sm: ENROUTE for an open message, else its final state, known for the ``keep-ended`` time."""
+        """Answer query_sm: ENROUTE for an open message, else its final state, known for the ``keep-ended`` time.
+
+        The status is ESME_RQUERYFAIL if only the source address does not match, and ESME_RINVMSGID for an unknown id.
+        """
         if self._find_open(account, pdu):
             return pdu.reply(message_id=pdu.text("message_id"), message_state=p.State.ENROUTE)
         row = self.courier.journal.ended(f"{account.system_id} {pdu.text('message_id')}")
@@ -642,7 +679,8 @@
     def _cancel(self, account: Account, pdu: Pdu) -> Pdu:
         """Answer cancel_sm, which names messages by their id or by source and destination address.
 
-        Only messages of which no attempt can have run are withdrawn.
+        Only messages of which no attempt can have run are withdrawn. That also holds for the messages under the id of a
+        submit_multi: if some cannot be cancelled, the request fails and the others are withdrawn all the same.
         """
         if pdu.text("message_id"):
             found = self._find_open(account, pdu)
@@ -650,6 +688,7 @@
                 return pdu.reply(Status.ESME_RINVMSGID)
         else:
             criteria = {name: pdu.text(name) for name in ("source_addr", "destination_addr", "service_type")}
+            # An empty service_type matches any; an empty address only an empty one.
             criteria = {name: value for name, value in criteria.items() if value or name != "service_type"}
             found = [
                 m
@@ -660,14 +699,18 @@
             ]
         cancellable = [m for m in found if self.courier.never_attempted(m)]
         withdrawn = [self.courier.withdraw(m) for m in cancellable]
-        # By id, all of the messages have to be cancelled; by addresses, only those that still can be.
+        # By id, all of the messages have to be cancelled; by addresses, all that still can be, and at least one.
         succeeded = (
             bool(withdrawn) and all(withdrawn) and (len(cancellable) == len(found) or not pdu.text("message_id"))
         )
         return pdu.reply(Status.ESME_ROK if succeeded else Status.ESME_RCANCELFAIL)
 
     def _replace(self, account: Account, pdu: Pdu) -> Pdu:
-        """Answer replace_sm: a message that was never attempted gets a new text and keeps its times and destination."""
+        """Answer replace_sm: a message that was never attempted gets a new text and keeps its times and destination.
+
+        Under the id of a submit_multi, messages before the first that cannot be replaced keep their new text, although
+        the request fails.
+        """
         found = self._find_open(account, pdu)
         if not found:
             return pdu.reply(Status.ESME_RINVMSGID)
@@ -686,7 +729,11 @@
         return pdu.reply()
 
     def report_end(self, message: Message, end: End) -> None:
-        """Record the final state for query_sm, and send the receipts until they are acknowledged or timed out."""
+        """Record the final state for query_sm, and send the requested receipts.
+
+        Returns when each of them has been acknowledged, or the ``receipt-hold`` time has passed. With ``keep_ended`` 0
+        no state is recorded.
+        """
         self._unregister_open(message)
         # A message counts as expired from 100 ms before its deadline, and a part that was not reassembled always does.
         expired = self.loop.now >= message.deadline - 100 * MS or "part" in message.extra
@@ -718,7 +765,12 @@
         self.loop.park(all_done)
 
     def _send_receipt(self, message: Message, end: End, expired: bool) -> None:
-        """Send one receipt, repeatedly until it is acknowledged or the ``receipt-hold`` time has passed."""
+        """Send a receipt if one was requested.
+
+        It is repeated until the client acknowledges it with ESME_ROK, or until the ``receipt-hold`` time has passed.
+        """
+        # The lowest two bits: 0 requests no receipt, 2 one on failure only, 1 and the reserved 3 one for any final
+        # state.
         requested = int(message.extra["smpp"].get("registered_delivery", 0)) & 3
         if not requested or requested == 2 and end.state == DELIVERED:
             return
@@ -740,6 +792,7 @@
                 for account in self.config.accounts:
                     if account.system_id == system_id and not self._find_receiver(account)[1]:
                         self._request_bind(account)
+                # Only a bind resumes it earlier, so the wait is limited: a window may have room again.
                 next_bind = Suspension(self.loop)
                 self._waiting_for_bind.append(next_bind)
                 if self.loop.park(next_bind, min(hold_until, self.loop.now + MAX_RETRY_DELAY)) is TIMED_OUT:
@@ -787,7 +840,7 @@
         return Pdu(Command.DELIVER_SM, fields=fields, message=text.encode(), tlvs=tlvs)
 
     def shut_down(self) -> None:
-        """Unbind all sessions."""
+        """Send unbind on all sessions, bound or not, and close them."""
         for client in list(self._connections):
             self.loop.spawn(client.session.unbind)
 
@@ -799,7 +852,7 @@
 
 
 def _reassembly_key(message: Message) -> parts.Key:
-    """The fields that the parts of one message have in common besides their reference."""
+    """What the parts of one message have in common besides their reference and their number."""
     fields = message.extra["smpp"]
     return (
         message.extra["account"],
@@ -812,7 +865,7 @@
 
 
 def _sender_id(message: Message) -> str:
-    """The id by which the sender knows a message."""
+    """The id by which the sender knows a message; empty for a reassembled one."""
     return str(message.extra.get("shown", message.trace))
 
 
