--- a/kestrelspar/smpp/session.py
+++ b/kestrelspar/smpp/session.py
@@ -21,26 +21,29 @@
 
 
 class Session:
-    """One task reads; any task may write PDUs and send requests. Times are in microseconds."""
+    """A session on one connection: one task reads; any task may write PDUs and send requests. Times in microseconds."""
 
     def __init__(self, loop: Loop, stream: Stream, name: str, enquire_interval: int, response_timeout: int) -> None:
         self.loop, self.stream, self.name = loop, stream, name
         self._enquire_interval, self._response_timeout = enquire_interval, response_timeout
-        self.closed = False
+        self.closed = False  # true also after the connection has been detached, which stays open
         self.state = SessionState.OPEN
-        self.in_flight = 0  # requests that wait for their response
+        self.in_flight = 0  # requests that wait to be written or for their response; without timed-out ones
         self.last_received_at = loop.now
         self._sequence = 0
         self._received = bytearray()  # bytes not decoded yet, as a PDU may be longer than a buffer
         self._pending: dict[int, Suspension] = {}  # by sequence number: tasks that wait for a response
         self._late_handlers: dict[int, Callable[[Pdu | None], None]] = {}  # by sequence number of a timed-out request
         self._unbind_request: Pdu | None = None  # received from the peer and not answered yet
-        self.draining = False  # sends no new requests, and ends when none is in flight
+        self.draining = False  # callers of ``request`` have to send no new ones; see ``drain``
         self._writing = False
         self._write_queue: list[Suspension] = []  # tasks that wait for another one to finish writing
 
     def run(self, handle: Callable[[Pdu], None]) -> None:
-        """Read until the session ends; ``handle`` is called with each request and must not block."""
+        """Read until the session ends; ``handle`` is called with each request in the reading task, and must not block.
+
+        enquire_link and unbind are answered here and not passed to it.
+        """
         self.loop.spawn(self._monitor_link)
         received = self._received
         try:
@@ -87,16 +90,19 @@
         elif pdu.command is Command.UNBIND:
             self._unbind_request = pdu
             self.drain()
-            if not self.closed:  # wait for responses to requests in flight, which would count as lost otherwise
+            # Wait, up to the response time-out, for responses to requests in flight, which would count as lost
+            # otherwise.
+            if not self.closed:
                 self.loop.call_at(self.loop.now + self._response_timeout, lambda: self.loop.spawn(self._finish))
         else:
             handle(pdu)
 
     def _reject(self, error: p.MalformedPduError) -> None:
-        """Answer a malformed request.
+        """Answer a malformed request, or end the request that a malformed response belongs to.
 
         The response is a generic_nack for an unknown command and for an outbind, else the request's own response type.
-        A malformed response is not answered; its request ends as if it had got a generic_nack with ESME_RSYSERR.
+        A malformed alert_notification has none: it raises ``ValueError``, which ends the session. A malformed response
+        is not answered; a request that waits for it ends as if it had got a generic_nack with ESME_RSYSERR.
         """
         logs.warn("smpp-bad-pdu", peer=self.name, why=str(error))
         if error.command & p.RESPONSE:
@@ -125,7 +131,10 @@
         return True
 
     def send(self, pdu: Pdu) -> bool:
-        """Write a response, or a request that has none; returns whether it was written."""
+        """Write a response, or a request that has no response; returns whether it was written within the time-out.
+
+        Raises ``ValueError`` if the PDU cannot be encoded.
+        """
         try:
             self._write(p.encode(pdu), self.loop.now + self._response_timeout)
         except NotSentError:
@@ -135,9 +144,10 @@
     def request(self, pdu: Pdu, deadline: int, on_late: Callable[[Pdu | None], None] | None = None) -> Pdu:
         """Write a request and return its response.
 
-        Raises ``NotSentError``, ``SessionLostError`` or ``DeadlineExceededError``. After ``DeadlineExceededError`` the
-        request is still in flight: ``on_late`` is called with its late response, or with None if the session ends
-        without one.
+        Raises ``NotSentError``, ``SessionLostError`` or ``DeadlineExceededError``, or ``ValueError`` if the PDU cannot
+        be encoded. After ``DeadlineExceededError`` the peer may still process the request, though it no longer counts
+        in ``in_flight``: ``on_late`` is called with its late response, or with None if the session ends without one. A
+        late response that is malformed is dropped.
         """
         pdu.sequence = self.next_sequence()
         waiting = Suspension(self.loop)
@@ -161,7 +171,11 @@
         return response
 
     def drain(self) -> None:
-        """Send no new requests; the session ends when the last one in flight has its response or has timed out."""
+        """End the session as soon as no request is in flight; callers of ``request`` have to send no new ones.
+
+        Each response that arrives checks for this, also that to an enquire_link. A request that times out does not: its
+        caller calls ``drain`` again.
+        """
         self.draining = True
         if not self.in_flight:
             self._finish()
@@ -174,9 +188,10 @@
         self.close()
 
     def _write(self, data: bytes, deadline: int) -> None:
-        """Write one PDU; concurrent tasks take turns. A failed or partial write ends the session.
+        """Write one PDU; concurrent tasks take turns.
 
-        Raises ``NotSentError``.
+        Raises ``NotSentError``. A failed or partial write ends the session; a deadline that passes before the turn of
+        this task does not.
         """
         while self._writing and not self.closed:
             suspension = Suspension(self.loop)
@@ -197,7 +212,7 @@
                 self._write_queue.pop(0).resume()
 
     def _monitor_link(self) -> None:
-        """Send enquire_link when nothing was received for the interval; end the session if it gets no response."""
+        """Send enquire_link if no PDU was received for the interval; end the session if it gets no response in time."""
         while not self.closed:
             self.loop.sleep(max(1_000, self.last_received_at + self._enquire_interval - self.loop.now))
             if self.closed or self.loop.now - self.last_received_at < self._enquire_interval:
@@ -210,7 +225,7 @@
                     self.close()
 
     def unbind(self) -> None:
-        """Send unbind, wait for its response, and close the connection."""
+        """Send unbind, wait for its response up to the response time-out, and close the connection in any case."""
         try:
             if not self.closed:
                 self.request(Pdu(Command.UNBIND), self.loop.now + self._response_timeout)
@@ -219,7 +234,11 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection; requests that wait for a response raise ``SessionLostError``."""
+        """Close the connection.
+
+        Requests that wait for a response raise ``SessionLostError``, those that wait to be written ``NotSentError``;
+        the ``on_late`` functions of timed-out requests are called with None.
+        """
         if self.closed:
             return
         self.closed = True
