--- a/kestrelspar/smpp/link.py
+++ b/kestrelspar/smpp/link.py
@@ -66,13 +66,17 @@
         self.rate_control = RateControl(float(gateway.rate))
         self.backoff = Backoff(gateway.bind_retry_delay, gateway.max_bind_retry_delay, seed)
         self.sessions: list[BoundSession] = []
-        self.last_reference = 0  # concatenation reference number of the last message
+        self.last_reference = 0  # of the last attempt; the low 8 or 16 bits are its concatenation reference number
         self.attempts_in_progress = 0  # delivery attempts; a receipt may arrive before the response to its submit
         self.early_receipts: list[Suspension] = []  # tasks of such receipts, which wait for that response
+        # Whether a receiving session has to be bound now. The carrier sets one that is true also while receipts are
+        # due.
         self.needs_receiving: Callable[[], bool] = lambda: gateway.stay_bound
         self._connect_timeout, self._handle = connect_timeout, handle
         self._binding = False
-        self._slow_start = False  # true after a failed bind or a lost session, until the next bind succeeds
+        # True after a failed bind, or a session that ended with requests in flight or was found closed by the gateway;
+        # false again when a bind succeeds.
+        self._slow_start = False
         self._queue: deque[Suspension] = deque()  # senders that wait for a session
         self._rate_timer: Timer | None = None
         self._idle_timer: Timer | None = None
@@ -83,7 +87,8 @@
     def acquire(self, deadline: int) -> BoundSession | None | object:
         """Wait until a session has room in its window and the rate allows a request.
 
-        Returns the session, None if no session can be bound, or ``TIMED_OUT`` at the deadline.
+        Returns the session, or ``TIMED_OUT`` at the deadline. Returns None if no session is open and none may be bound:
+        after a failed bind, until its backoff delay has passed, and during shutdown.
         """
         suspension = Suspension(self.loop)
         self._queue.append(suspension)
@@ -102,8 +107,9 @@
     def record_response(self, bound: BoundSession, sent: int, response: Pdu) -> bool:
         """Adapt rate and window to the response to a request sent at ``sent``; returns whether to report a refusal.
 
-        Refusals by a rate limit are handled here and not reported. If a gateway refuses all submits, or if its queue is
-        full, the refusal is reported, so that the decision module sends nothing there.
+        Refusals by a rate limit are handled here and not reported. A refusal is reported, so that the decision module
+        sends nothing there, if the gateway has refused all submits for a rate window, or if its queue is full. Of the
+        refusals for a full queue only those of submits sent after the last reduction of the window are reported.
         """
         now, congestion_state = self.loop.now, response.tlv(p.CONGESTION_STATE)
         congestion = congestion_state[0] if congestion_state and congestion_state[0] <= 100 else None
@@ -131,7 +137,7 @@
     def _serve_queue(self) -> None:
         """Serve waiting senders as far as sessions, windows and rate allow; bind another session if one is needed."""
         while self._queue:
-            if self._queue[0].resumed:  # its deadline has passed
+            if self._queue[0].resumed:  # the deadline of this sender has passed
                 self._queue.popleft()
                 continue
             now, sessions = self.loop.now, self._transmitting()
@@ -166,7 +172,10 @@
     # Binding
 
     def _bind(self, command: Command) -> bool:
-        """Start to bind a session, unless a bind is in progress; false during the backoff delay and during shutdown."""
+        """Start to bind a session; true also if a bind is in progress already, whatever its command.
+
+        Returns false during the backoff delay and during shutdown.
+        """
         if self._binding:
             return True
         if self._shutting_down or self.backoff.retry_at > self.loop.now:
@@ -186,7 +195,7 @@
         self._serve_queue()
 
     def _connect_and_bind(self, command: Command) -> bool:
-        """Connect and bind; returns whether it succeeded. A failure starts the backoff delay."""
+        """Connect and bind; returns whether it succeeded. A failure starts the backoff delay: see ``bind_on``."""
         deadline = self.loop.now + self._connect_timeout
         stream = self._connect(deadline)
         if stream is None:
@@ -204,7 +213,10 @@
         return None if sock is None else Stream(self.loop, sock, self.buffers)
 
     def bind_on(self, stream: Stream, command: Command, deadline: int) -> bool:
-        """Bind on a connection, whichever side opened it; returns whether it succeeded."""
+        """Bind on a connection, whichever side opened it; returns whether it succeeded.
+
+        A failure starts the backoff delay, unless the session ended right after its positive response.
+        """
         gateway = self.gateway
         session = Session(self.loop, stream, gateway.name, gateway.enquire_link_interval, gateway.response_timeout)
         bound = BoundSession(session, Window(gateway.window))
@@ -238,7 +250,7 @@
         return True
 
     def accept_outbind(self, command: Command, stream: Stream) -> None:
-        """Bind on a connection that the gateway opened (outbind)."""
+        """Bind on a connection that the gateway opened (outbind), even during a backoff delay or another bind."""
         if self.bind_on(stream, command, self.loop.now + self.gateway.response_timeout):
             self.backoff.succeeded()
             self._serve_queue()
@@ -249,7 +261,7 @@
         logs.event("smpp-bind-failed", peer=self.gateway.name, why=why, again_ms=wait // 1000)
 
     def _run_session(self, bound: BoundSession) -> None:
-        """Run a session until its end; then bind another one if it is needed."""
+        """Run a session until its end; then bind another one if it is needed to receive or for waiting senders."""
         try:
             bound.session.run(lambda pdu: self._handle(self, bound, pdu))
         finally:
@@ -264,7 +276,7 @@
         return any(bound.open and bound.session.state in RECEIVING_STATES for bound in self.sessions)
 
     def ensure_receiving(self) -> None:
-        """Keep a receiving session bound while receipts or messages from the gateway are expected."""
+        """Bind a receiving session if one is needed and none is open; during a backoff delay, after it."""
         if self._shutting_down or self._binding or not self.needs_receiving() or self.is_receiving():
             return
         command = Command.BIND_RECEIVER if self.gateway.bind == "pair" else BIND_COMMANDS[self.gateway.bind]
@@ -278,7 +290,7 @@
             self._idle_timer = self.loop.call_at(self.loop.now + self.gateway.idle_unbind, self._unbind_idle)
 
     def _unbind_idle(self) -> None:
-        """Unbind sessions without requests for the idle time, except for a receiving one that is still needed."""
+        """Unbind sessions without submits for the idle time, except for a receiving one that is still needed."""
         self._idle_timer = None
         since = self.loop.now - self.gateway.idle_unbind
         self._unbind_where(lambda bound: bound.last_used_at <= since)
@@ -286,7 +298,7 @@
             self._schedule_idle_check()
 
     def _may_unbind(self, bound: BoundSession) -> bool:
-        """Whether a session may be unbound: it does not receive, another one receives too, or none has to receive."""
+        """Whether a session may be unbound: it does not receive, another session does, or none has to receive."""
         others = [
             other
             for other in self.sessions
@@ -303,11 +315,11 @@
                 self.loop.spawn(bound.session.unbind)
 
     def close_idle(self) -> None:
-        """Unbind the sessions with nothing in flight, except for a receiving one that is still needed."""
+        """Unbind the sessions without submits in flight, except for a receiving one that is still needed."""
         self._unbind_where(lambda bound: True)
 
     def shut_down(self) -> None:
-        """Unbind the sessions with nothing in flight, and bind no more; called when the process ends."""
+        """Unbind the sessions without submits in flight, and bind no more; the others stay open for their responses."""
         self._shutting_down = True
         for bound in self.sessions:
             if not bound.window.in_flight:
