--- a/kestrelspar/smpp/client.py
+++ b/kestrelspar/smpp/client.py
@@ -26,22 +26,23 @@
 if TYPE_CHECKING:
     from kestrelspar.keys import TlsStore  # imports ssl, so only for type checks
 
-# An attempt waits for a session until its deadline, or for this time if that is longer. It then returns to the decision
-# module, as it occupies a slot.
+# An attempt waits for a session until its deadline, or for this time if that is longer and still leaves the attempt its
+# time-out before the message's deadline. It then returns to the decision module, as it occupies a slot.
 MAX_QUEUE_TIME = 2 * SECOND
-# Receipts of one gateway that wait for their submit_sm_resp. Beyond that the gateway has to send them again.
+# Receipts of one gateway that wait for their submit_sm_resp. Further ones get a temporary error, so that the gateway
+# sends them again.
 MAX_EARLY_RECEIPTS = 1_000
 QUERY_TIMEOUT = 400 * MS  # for each query_sm or cancel_sm about a message whose receipt is missing
 
 
 class TimedOutSubmits:
-    """Submits of one delivery attempt that timed out and are still in flight on an open session."""
+    """The submits of one delivery attempt that timed out: in flight until a late response or the end of the session."""
 
     def __init__(self, deadline: int, part_count: int = 1) -> None:
         self.deadline = deadline  # of the message; no attempt is made after it
         self.part_count = part_count  # submits of the attempt: one for each part of the message
         self.in_flight = 0
-        self.all_ended = False
+        self.all_ended = False  # true once ``in_flight`` has been down to 0
         self.late_response: Pdu | None = None
         self.waiting: Suspension | None = None  # the next attempt of the message, which waits until all have ended
 
@@ -49,7 +50,7 @@
         """Record the late response to one of the submits, or None if its session has ended without one."""
         self.in_flight -= 1
         self.all_ended = self.in_flight <= 0
-        # The response to one part says nothing about the others.
+        # The response to one part of several says nothing about the other parts.
         self.late_response = response if self.part_count == 1 else None
         if self.all_ended and self.waiting is not None:
             self.waiting.resume()
@@ -66,7 +67,7 @@
 
 
 class SmppCarrier:
-    """Makes delivery attempts to SMPP gateways."""
+    """Makes delivery attempts to SMPP gateways, and handles what the gateways send."""
 
     name = "smpp"
 
@@ -83,7 +84,8 @@
     ) -> None:
         """``courier`` gets the outcomes reported by receipts; ``inbound`` gets the messages that gateways send.
 
-        ``seed`` is for the jitter of bind delays.
+        ``seed`` is for the jitter of bind delays. Without ``courier`` receipts are acknowledged and dropped, without
+        ``inbound`` messages and alerts. Without ``keys`` connections are made without TLS.
         """
         self.loop, self.buffers, self.settings = loop, buffers, settings
         self._courier, self._inbound = courier, inbound
@@ -153,7 +155,7 @@
         all_ended = Suspension(self.loop)
 
         def may_continue() -> bool:
-            """Whether a part may be sent; called right before its first byte, as another may have failed by then."""
+            """Whether a part may be sent; called right before its first byte, as another part may have failed."""
             failed = any(ended is not None and ended.outcome is not Outcome.OK for ended in results)
             return not failed and guard.may_continue()
 
@@ -231,8 +233,9 @@
         must_report = link.record_response(bound, sent, response)
         result = self._result(gateway, response)
         if result.outcome is Outcome.FULL and not must_report:
-            # Rate control already delays all submits to this gateway. The refusal is not reported, as the decision
-            # module would count each refusal of one burst.
+            # After ESME_RTHROTTLED and ESME_RMSGQFUL rate control already delays all submits to this gateway. The
+            # refusal is not reported, as the decision module would count each refusal of one burst. ESME_RX_T_APPN is
+            # not reported either, although no rate control applies to it.
             return Result(Outcome.MOOT, result.retry_after, note="throttled")
         return result
 
@@ -251,8 +254,9 @@
     def _earlier_result(self, message: Message, deadline: int, gateway: Gateway) -> Result | None:
         """The result of this attempt as decided by an earlier one that timed out; None if the message may be sent.
 
-        Two attempts of a message must not run at once, so this one waits while the earlier one is in flight on an open
-        session. It is unnecessary if a late response shows that the earlier one ran, or may have run.
+        Two attempts of a message must not run at once, so this attempt waits while the earlier one is in flight on an
+        open session. This attempt is unnecessary if a late response shows that the earlier one ran, or may have run:
+        then that response, read by the settings of ``gateway``, is its result. At the deadline the result is MOOT.
         """
         unresolved = self._unresolved.get(message.number)
         if unresolved is None:
@@ -299,7 +303,10 @@
         return FAILED  # some parts were or may have been delivered
 
     def _query_or_cancel(self, link: Link, message: Message, message_id: str) -> str:
-        """Query the final state of one part by query_sm; if it has none yet, cancel the part by cancel_sm."""
+        """Query the final state of one part by query_sm; if that yields none, cancel the part by cancel_sm.
+
+        Returns FAILED if the part is not cancelled either, if a response is missing, or without a session or an id.
+        """
         submitted = message.extra.get("smpp", {})
         source = {
             key: submitted.get(key, "" if key == "source_addr" else 0)
@@ -333,7 +340,10 @@
         return RETURNED if response.command is Command.CANCEL_SM_RESP and not response.status else FAILED
 
     def _handle_receipt(self, link: Link, bound: BoundSession, pdu: Pdu) -> None:
-        """Handle a receipt in its own task; acknowledge it after its outcome has been journalled."""
+        """Handle a receipt in its own task; acknowledge it after its outcome has been journalled.
+
+        A receipt that cannot be read, or that no message waits for, is logged and acknowledged without effect.
+        """
         gateway, receipt = link.gateway, receipts.parse(pdu)
         if receipt is None or self._courier is None or gateway.outcome != "receipt":
             logs.event("smpp-receipt-unread", peer=bound.session.name)
@@ -341,7 +351,8 @@
             return
         wait_until = self.loop.now + gateway.response_timeout
         while (number := self._tracker.message_number(gateway.name, receipt.id, gateway.receipt_id)) is None:
-            # The receipt may arrive before the submit_sm_resp that it belongs to, or on another session.
+            # The receipt may arrive before the submit_sm_resp that it belongs to, or on another session. It is looked
+            # up again every 50 ms, as an attempt may end without a call of ``expect``.
             if not link.attempts_in_progress or self.loop.now >= wait_until:
                 logs.event(
                     "smpp-receipt-unknown", peer=bound.session.name, id=receipt.id, state=receipt.state.name.lower()
@@ -363,7 +374,10 @@
         )
 
     def _apply_receipt(self, gateway: Gateway, number: int, receipt: receipts.Receipt) -> bool:
-        """Apply a receipt to its message; false if the outcome could not be journalled."""
+        """Apply a receipt to its message; false if the outcome could not be journalled.
+
+        A long message is delivered when all of its parts are; any other final state of one part ends it at once.
+        """
         assert self._courier is not None
         if receipt.final_state is None:
             return True
@@ -396,12 +410,12 @@
             if self._inbound is not None:
                 self._inbound.forward_alert(link.gateway, pdu)
         elif pdu.command not in (Command.DELIVER_SM, Command.DATA_SM):
-            return  # answered by the session
+            return  # unbind and enquire_link do not get here: the session answers them
         elif receipts.is_receipt(pdu):
             self.loop.spawn(self._handle_receipt, link, bound, pdu)
         elif self._inbound is not None and link.gateway.inbound:
             self.loop.spawn(self._inbound.submit, link.gateway, pdu, lambda status: session.send(pdu.reply(status)))
-        else:
+        else:  # acknowledged all the same, so that the gateway does not send it again
             logs.event(
                 "smpp-not-passed-on",
                 peer=session.name,
@@ -425,11 +439,11 @@
         return None
 
     def close_idle(self, hop: NextHop) -> None:
-        """Unbind the gateway's sessions that have nothing in flight and are not needed to receive."""
+        """Unbind the gateway's sessions that have no submits in flight and are not needed to receive."""
         self._links[hop.endpoint.id].close_idle()
 
     def shut_down(self) -> None:
-        """Unbind the sessions with nothing in flight.
+        """Unbind the sessions without submits in flight, and bind no more.
 
         The other sessions may still get responses. Messages without one are recovered from the journal.
         """
@@ -440,7 +454,8 @@
 def _combined_result(results: list[Result]) -> Result:
     """The outcome of an attempt in parts.
 
-    It succeeded if all parts did. If only some did, the message may have run.
+    It succeeded if all parts did. If only some did, the message may have run: the outcome is TIMEOUT if the first part
+    that failed timed out, else ERROR. The first of ``results`` has to be a success.
     """
     failed = [result for result in results if result.outcome is not Outcome.OK]
     if not failed:
