--- a/kestrelspar/smpp/parts.py
+++ b/kestrelspar/smpp/parts.py
@@ -2,10 +2,11 @@
 
 A part carries a reference, the number of parts, and its own position: in a user data header (3GPP TS 23.040,
 9.2.3.24: information elements 0x00 with an 8-bit reference and 0x08 with a 16-bit one) or in the three SAR parameters
-of SMPP 3.4 (5.3.2.22 to 24). Parts belong to one message if they have the same reference, account, source and
-destination address, service type and coding. They may arrive in any order, and more than once. If a message is still
-incomplete at its time-out, each of its parts gets a final state of its own. The number of incomplete messages and the
-bytes of each are bounded; parts beyond these limits are deferred.
+of SMPP 3.4 (5.3.2.22 to 24). Parts belong to one message if they have the same kind of reference, reference, number of
+parts, account, source and destination address, service type, coding and destination. They may arrive in any order, and
+more than once. If a message is still incomplete at its time-out, or shortly before the deadline of one of its parts,
+each of its parts gets a final state of its own. The number of incomplete messages and the bytes of each are bounded;
+parts beyond these limits are deferred.
 """
 
 from __future__ import annotations
@@ -46,7 +47,8 @@
 def split_header(text: bytes) -> tuple[dict[int, bytes], bytes]:
     """Split a text into the elements of its user data header, by identifier, and the text after the header.
 
-    Raises ``InvalidPartError`` if the header is truncated.
+    Of several elements with the same identifier the last one counts. Raises ``InvalidPartError`` if the header, or an
+    element of it, is truncated.
     """
     if not text or 1 + text[0] > len(text):
         raise InvalidPartError(f"user data header truncated at {len(text)} bytes", Status.ESME_RINVESMCLASS)
@@ -62,10 +64,11 @@
 
 
 def identify_part(pdu: Pdu, text: bytes) -> tuple[Part | None, bytes]:
-    """Which part a submit_sm or data_sm is, and its text without the header; (None, text) if it is no part.
+    """Which part a submit_sm or data_sm is, and its text without the user data header.
 
-    Raises ``InvalidPartError`` if it is a malformed part. A header with elements other than the reference, such as
-    ports, is meant for the handset. Such a message is not reassembled, as these elements would be lost.
+    Returns (None, ``text``), with any header, if it is no part. A header with elements other than the reference, such
+    as ports, is meant for the handset: such a message counts as no part, as reassembly would lose these elements.
+    Raises ``InvalidPartError`` if the header or the SAR parameters are malformed or incomplete.
     """
     if pdu.number("esm_class") & UDHI:
         elements, rest = split_header(text)
@@ -112,7 +115,7 @@
 class IncompleteMessage:
     """The parts of a message that have arrived."""
 
-    total: int
+    total: int  # number of parts
     expires_at: int
     parts: dict[int, tuple[int, int]] = field(default_factory=dict)  # by position: message number, and size in bytes
 
@@ -132,7 +135,8 @@
     def classify(self, key: Key, part: Part, size: int) -> tuple[PartDisposition, int]:
         """What would happen to a part, and the message number of the held part that it duplicates, or 0.
 
-        Changes nothing, so that it can be called before the part is journalled.
+        Changes nothing, so that it can be called before the part is journalled. The first part of a message that
+        arrives counts as HELD even if it is the only one.
         """
         incomplete = self._incomplete.get((*key, part.how, part.ref, part.total))
         if incomplete is None:
@@ -148,10 +152,10 @@
         return (PartDisposition.WHOLE if len(incomplete.parts) + 1 == incomplete.total else PartDisposition.HELD), 0
 
     def add(self, now: int, key: Key, part: Part, number: int, size: int, deadline: int) -> IncompleteMessage | None:
-        """Record a held part. If it completes its message, the message is removed and returned.
+        """Record a held part. If it completes its message, the message is removed and returned; else returns None.
 
-        A message expires no later than the earliest ``deadline`` of its parts, as each of them needs its final state
-        by then.
+        The limits are not checked: see ``classify``. A message expires no later than the earliest ``deadline`` of its
+        parts, as each of them needs its final state by then.
         """
         message_key = (*key, part.how, part.ref, part.total)
         incomplete = self._incomplete.setdefault(message_key, IncompleteMessage(part.total, now + self._timeout))
@@ -171,8 +175,8 @@
 
 
 # Splitting of texts for gateways. Sizes after 3GPP TS 23.040: 140 octets on the air interface, or 160 characters of 7
-# bits; a header of 6 octets leaves 134 and 153, one of 7 octets 133 and 152. With SAR the gateway chooses the header,
-# so the smaller sizes apply, 133 octets being rounded down to whole UCS-2 characters.
+# bits; a header of 6 octets leaves 134 octets or 153 characters, one of 7 octets leaves 133 or 152. With SAR the
+# gateway chooses the header, so the smaller sizes apply, 133 octets being rounded down to whole UCS-2 characters.
 
 GSM, IA5, LATIN_1, BINARY, UCS_2 = 0, 1, 3, 4, 8  # data_coding
 ESCAPE = 0x1B  # the next character is from the GSM extension table
@@ -180,15 +184,19 @@
 
 
 def part_capacity(coding: int, text: bytes, how: str = "") -> int:
-    """How many octets of text fit into one PDU: of an unsplit text (empty ``how``), or of a part by "udh" or "sar"."""
+    """How many octets of text fit into one PDU: of an unsplit text (empty ``how``), or of a part by "udh" or "sar".
+
+    Text in GSM or IA5 without octets above 0x7F takes 7 bits on the air for each octet here, other text 8 bits.
+    """
     seven_bit = coding in (GSM, IA5) and not any(octet > 0x7F for octet in text)
     return {"": (140, 160), "udh": (134, 153), "sar": (132, 152)}[how][seven_bit]
 
 
 def split(text: bytes, coding: int, how: str) -> list[bytes]:
-    """Split a text into as few parts as possible, never inside a surrogate pair or an escape sequence of 7-bit text.
+    """Split a text into as few parts as possible; one that fits into a PDU is returned whole.
 
-    Raises ``ValueError`` if that takes more than 255 parts.
+    UCS-2 text is never split inside a character or a surrogate pair, and 7-bit GSM text never inside an escape
+    sequence. Raises ``ValueError`` if that takes more than 255 parts.
     """
     if len(text) <= part_capacity(coding, text):
         return [text]
@@ -200,6 +208,7 @@
                 end -= (end - at) % 2
                 if 0xD8 <= text[end - 2] <= 0xDB:  # high surrogate
                     end -= 2
+            # Parts have more than 140 octets only if the text takes 7 bits for each.
             elif coding == GSM and max_length > 140 and _ends_in_escape(text, at, end):
                 end -= 1
         pieces.append(text[at:end])
@@ -218,7 +227,10 @@
 
 
 def mark_part(text: bytes, how: str, ref: int, total: int, place: int) -> tuple[bytes, list[tuple[int, bytes]]]:
-    """Mark a part with its position: its text with a user data header in front, or its SAR parameters."""
+    """Mark a part with its position; returns its text, with a user data header in front, and its SAR parameters.
+
+    It gets the header if ``how`` is "udh", else the parameters. The reference is cut to 8 or 16 bits.
+    """
     if how == "udh":
         return bytes([5, CONCAT_8, 3, ref % 256, total, place]) + text, []
     return text, [
