--- a/kestrelspar/smpp/receipts.py
+++ b/kestrelspar/smpp/receipts.py
@@ -49,7 +49,7 @@
 
     @property
     def final_state(self) -> str | None:
-        """The final state of the message; None while it is still en route."""
+        """The final state of the message; None while it is scheduled or en route."""
         return FINAL_STATES.get(self.state)
 
 
@@ -61,7 +61,9 @@
 def parse(pdu: Pdu) -> Receipt | None:
     """Parse a receipt; None if the id or the state is missing.
 
-    Each of them is taken from an optional parameter if present, else from the text.
+    Each of them is taken from an optional parameter if that has a value, else from the text. A state that is not
+    defined counts as UNKNOWN, which is final. In an intermediate notification any state but DELIVERED and ACCEPTED
+    counts as ENROUTE.
     """
     receipted_id, state_value = pdu.tlv(p.RECEIPTED_MESSAGE_ID), pdu.tlv(p.MESSAGE_STATE)
     text = (pdu.message or pdu.tlv(p.MESSAGE_PAYLOAD) or b"").decode("latin-1")
@@ -109,7 +111,10 @@
         self._pending_counts: dict[str, int] = {}  # by gateway: number of waiting messages
 
     def expect(self, number: int, gateway: str, ids: list[str], base: str) -> None:
-        """Wait for a receipt for each of these ids, as they stood in the responses; ``base``: see ``normalized_id``."""
+        """Wait for a receipt for each of these ids, as they stood in the responses; ``base``: see ``normalized_id``.
+
+        Replaces what the message waited for before. No receipt can be assigned to an empty id, so it is left out.
+        """
         self.drop(number)
         awaited = {normalized_id(message_id, base): message_id for message_id in ids if message_id}
         self._awaited[number] = gateway, awaited
@@ -118,7 +123,7 @@
             self._message_numbers[gateway, normalized] = number
 
     def message_number(self, gateway: str, message_id: str, base: str) -> int | None:
-        """The number of the message that a receipt is for."""
+        """The number of the message that a receipt is for; None if no message waits for it."""
         return self._message_numbers.get((gateway, normalized_id(message_id, base)))
 
     def pending_count(self, gateway: str) -> int:
@@ -126,7 +131,7 @@
         return self._pending_counts.get(gateway, 0)
 
     def remaining_ids(self, number: int, message_id: str, base: str) -> list[str]:
-        """The ids that a message still waits for after the receipt for one of them."""
+        """The ids that a message, which has to be waiting, still waits for after the receipt for one of them."""
         return [
             other
             for normalized, other in self._awaited[number][1].items()
@@ -134,11 +139,11 @@
         ]
 
     def awaits_several(self, number: int) -> bool:
-        """Whether a message waits for more than one receipt."""
+        """Whether a message, which has to be waiting, waits for more than one receipt."""
         return len(self._awaited[number][1]) > 1
 
     def drop(self, number: int) -> None:
-        """Stop waiting for the receipts of a message."""
+        """Stop waiting for the receipts of a message; does nothing if it waits for none."""
         gateway, awaited = self._awaited.pop(number, ("", {}))
         for normalized in awaited:
             if self._message_numbers.get((gateway, normalized)) == number:  # a gateway may have reused the id since
--- a/kestrelspar/smpp/status_codes.py
+++ b/kestrelspar/smpp/status_codes.py
@@ -71,7 +71,10 @@
 
 
 def result_of(status: int, throttle_wait: int) -> Result:
-    """The outcome for a command_status; the retry-after delay is the configured one, as SMPP carries none."""
+    """The outcome for a command_status.
+
+    After ``Outcome.FULL`` the retry-after delay is ``throttle_wait``, as SMPP carries none; after others there is none.
+    """
     default = Outcome.REJECTED if status in REJECTED else Outcome.ERROR
     outcome = OUTCOMES.get(status, default)  # type: ignore[call-overload]
     wait = throttle_wait if outcome is Outcome.FULL else 0
@@ -79,14 +82,17 @@
 
 
 def status_of(answer: Answer) -> Status:
-    """The command_status for a message that was not accepted."""
+    """The command_status for a client whose message was deferred or rejected."""
     if answer.defer:
         return DEFERRALS[answer.why]
     return REJECTIONS.get(answer.why, Status.ESME_RSUBMITFAIL)
 
 
 def receipt_state(end: End, expired: bool) -> tuple[int, str]:
-    """The message_state and ``stat`` of a receipt; after REJECTD it is safe to submit the message again."""
+    """The message_state and ``stat`` of a receipt; after REJECTD it is safe to submit the message again.
+
+    ``expired`` tells EXPIRED from UNDELIV for a failed message, and has no effect on other final states.
+    """
     if end.state == DELIVERED:
         return DELIVRD
     if end.state == RETURNED:
--- a/kestrelspar/smpp/table.py
+++ b/kestrelspar/smpp/table.py
@@ -39,8 +39,9 @@
     frozenset({SessionState.RX, SessionState.TRX}),
 )
 
-# By side and request: the states in which it is served, and the status of its response in other states. None stands
-# for a generic_nack with ESME_RINVCMDID, as the request is meant for the other side or has no response.
+# By receiving side and request: the states in which it is served, and the status of its response in other states. None
+# stands for a generic_nack with ESME_RINVCMDID, as the request is meant for the other side or has no response; with
+# ``_ALL_STATES`` it is never used.
 _ROWS: dict[Side, dict[Command, tuple[frozenset[SessionState], Status | None]]] = {
     Side.CENTRE: {
         Command.BIND_TRANSMITTER: (frozenset({SessionState.OPEN}), Status.ESME_RALYBND),
@@ -78,7 +79,7 @@
 
 
 def refusal(side: Side, state: SessionState, pdu: Pdu) -> Pdu | None:
-    """The response that refuses a request which is not served in this state; None if it is served."""
+    """The response by which ``side`` refuses a request that is not served in this state; None if it is served."""
     served, status = _ROWS[side][pdu.command]
     if state in served:
         return None
