--- a/kestrelspar/smpp/inbound.py
+++ b/kestrelspar/smpp/inbound.py
@@ -23,11 +23,15 @@
     name = "smpp-inbound"
 
     def __init__(self, courier: Courier, forward_alert: Callable[[str, Pdu], None] = lambda gateway, pdu: None) -> None:
-        """``forward_alert`` forwards an alert_notification of the named gateway to the clients that are bound."""
+        """``forward_alert`` forwards an alert_notification of the named gateway to bound clients; default: to none."""
         self._courier, self._forward_alert = courier, forward_alert
 
     def submit(self, gateway: Gateway, pdu: Pdu, answer: Callable[[Status], bool]) -> None:
-        """Process a deliver_sm or data_sm in the task of its message; respond as soon as the message is journalled."""
+        """Process a deliver_sm or data_sm in the task of its message.
+
+        The response is sent as soon as the message is journalled or refused; the message is accepted only if ``answer``
+        returns that the response was written.
+        """
         payload = pdu.tlv(p.MESSAGE_PAYLOAD)
         body = pdu.message if payload is None else payload
         tlvs = [(tag, value.hex()) for tag, value in pdu.tlvs if tag != p.MESSAGE_PAYLOAD]
@@ -39,7 +43,7 @@
         if len(body) > p.MAX_BODY_BYTES or payload is not None and pdu.message:
             self._refuse(gateway, pdu, answer, Status.ESME_RINVMSGLEN)
             return
-        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:
+        if sum(len(value) for _, value in tlvs) > 2 * p.MAX_TLV_BYTES:  # the values are hexadecimal here
             self._refuse(gateway, pdu, answer, Status.ESME_ROPTPARNOTALLWD)
             return
         trace = os.urandom(8).hex()
--- a/kestrelspar/smpp/receivers.py
+++ b/kestrelspar/smpp/receivers.py
@@ -18,7 +18,7 @@
 from snowlock.interface import Outcome
 
 # Retry-after delays reported to the decision module.
-NOT_BOUND_RETRY_AFTER = 500 * MS
+NOT_BOUND_RETRY_AFTER = 500 * MS  # also if the client refuses a deliver_sm with a temporary error
 WINDOW_FULL_RETRY_AFTER = 50 * MS
 # Fields of submit_sm that a deliver_sm does not use.
 _UNUSED_FIELDS = {
@@ -32,8 +32,8 @@
 class Receivers:
     """Makes delivery attempts to contractors.
 
-    ``find`` returns a session of the account with room in its window, if any, and whether one is bound to receive at
-    all; ``request_bind`` is called for an account that has no bound session while a message waits for it.
+    ``find`` returns a session of the account with room in its window, or None, and whether any is bound to receive,
+    with room or not; ``request_bind`` is called at each attempt to an account that has no such session.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         }
 
     def hops(self) -> list[NextHop]:
-        """The accounts with a destination as entries of the transport map."""
+        """The accounts with a destination as entries of the transport map; they have no address, as clients connect."""
         return [
             NextHop(api.Endpoint(name, account.dest, account.zone, account.kind), ("", 0), self)
             for name, account in self._accounts.items()
@@ -93,7 +93,7 @@
 
 
 def build_deliver_sm(message: Message) -> Pdu:
-    """The deliver_sm for a message from any front end."""
+    """The deliver_sm for a message from any front end; a body that does not fit, or came so, is a message_payload."""
     submitted = message.extra.get("smpp", {})
     fields = {name: submitted[name] for name in p.SM_FIELDS if name in submitted} | _UNUSED_FIELDS
     tlvs = [(int(tag), bytes.fromhex(value)) for tag, value in message.extra.get("tlvs", [])]
