--- a/kestrelspar/smpp/conform.py
+++ b/kestrelspar/smpp/conform.py
@@ -66,7 +66,10 @@
     required_tlv: int | None = None  # an optional parameter that the response must have
 
     def find_fault(self, response: Pdu | None, closed: bool) -> str:
-        """What is wrong with a response, or with its absence; an empty string if the case accepts it."""
+        """What is wrong with a response, or with its absence; an empty string if the case accepts it.
+
+        ``closed``: the connection was closed before a response. ``must_close`` is left to the caller.
+        """
         if response is None:
             if not self.commands:
                 return "" if not closed or self.may_close else "connection closed"
@@ -88,6 +91,7 @@
         return ""
 
     def __str__(self) -> str:
+        """For reports; four or more statuses are abbreviated to "an error"."""
         text = " or ".join(Command(command).name.lower() for command in self.commands) or "no response"
         if self.statuses is not None and len(self.statuses) < 4:
             text += " with " + " or ".join(status_name(status) for status in self.statuses)
@@ -105,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One exchange: the session state, the bytes sent, in chunks, and the expected response."""
+    """One exchange: the session state, the bytes sent, in one write for each chunk, and the expected response."""
 
     group: str
     name: str
@@ -414,6 +418,7 @@
         if field_name == name:
             encoded.append(b"9" * max_size + b"\0")
         elif size < 0:
+            # The destinations of a submit_multi: number 1, dest_flag 1 (an address), ton 1, npi 1.
             encoded.append(b"\1\1\1\1" + account.destination.encode() + b"\0")
         elif size:
             encoded.append(request.text(field_name).encode() + b"\0")
@@ -508,6 +513,7 @@
             ExpectedResponse((Command.SUBMIT_SM_RESP,), statuses),
         )
 
+    # Not an SMPP time, one in month 13, and one without the sign of its time zone.
     for text in ("tomorrow", "261301000000000+", "0000000000000000"):
         yield submit("5.2.16, 7.1.1", f"the validity_period {text}", (Status.ESME_RINVEXPIRY,), validity_period=text)
         yield submit(
@@ -532,8 +538,11 @@
             False,
         )
     fields = p.encode(_valid_request(account, Command.SUBMIT_MULTI))[p.HEADER.size :]
-    count_at = fields.index(b"\0", fields.index(b"\0") + 3) + 1  # after service_type and source address
+    # The number of destinations follows service_type and its zero, ton and npi of the source, which are zero bytes,
+    # too, and the source address with its zero.
+    count_at = fields.index(b"\0", fields.index(b"\0") + 3) + 1
     dests_length = len(b"\1\1\1" + account.destination.encode() + b"\0")
+    # Name; number of destinations with the destinations, each dest_flag, ton, npi, address; statuses accepted.
     for name, dests, statuses in (
         ("no destination", b"\0", (Status.ESME_RINVNUMDESTS,)),
         ("the dest_flag 3", b"\1\3\1\1" + account.destination.encode() + b"\0", (Status.ESME_RINVDESTFLAG,)),
--- a/kestrelspar/smpp/pdu.py
+++ b/kestrelspar/smpp/pdu.py
@@ -255,19 +255,19 @@
     unsuccess: list[Unsuccess] = field(default_factory=list)  # of a submit_multi_resp
 
     def text(self, name: str) -> str:
-        """The value of a C-octet string field."""
+        """The value of a C-octet string field; empty if absent."""
         return str(self.fields.get(name, ""))
 
     def number(self, name: str) -> int:
-        """The value of an integer field."""
+        """The value of an integer field; 0 if absent."""
         return int(self.fields.get(name, 0))
 
     def tlv(self, tag: int) -> bytes | None:
-        """The value of the first optional parameter with this tag."""
+        """The value of the first optional parameter with this tag; None if there is none."""
         return next((value for known, value in self.tlvs if known == tag), None)
 
     def reply(self, status: int = 0, **fields: Any) -> Pdu:
-        """The response to this request."""
+        """The response to this request; raises ``ValueError`` for one that has none."""
         return Pdu(Command(self.command | RESPONSE), self.sequence, status, fields)
 
 
@@ -284,7 +284,10 @@
 
 
 def encode(pdu: Pdu) -> bytes:
-    """The PDU as bytes; raises ``ValueError`` if a field is too long or cannot be encoded."""
+    """The PDU as bytes; raises ``ValueError`` if a field is too long or cannot be encoded.
+
+    A response with an error status is encoded without its fields and parameters.
+    """
     parts = []
     without_body = pdu.command & RESPONSE and pdu.status  # a response with an error status has no body
     for name, max_length in () if without_body else FIELDS.get(pdu.command, ()):
@@ -330,7 +333,10 @@
 
 
 def decode(data: bytes) -> Pdu:
-    """Decode one complete PDU; raises ``MalformedPduError`` if it is malformed."""
+    """Decode one complete PDU; raises ``MalformedPduError`` if it is malformed.
+
+    A response that consists of its header only is valid, whatever its status.
+    """
     size, command, status, sequence = HEADER.unpack_from(data)
     try:
         known = Command(command)
--- a/kestrelspar/smpp/probe.py
+++ b/kestrelspar/smpp/probe.py
@@ -25,7 +25,7 @@
     """A client connection, read and written by one task."""
 
     def __init__(self, loop: Loop, stream: Stream, on_request: Callable[[Pdu], None] = lambda pdu: None) -> None:
-        """``on_request`` is called with each request of the other side, which is then acknowledged."""
+        """``on_request`` is called with each request of the other side, which is then acknowledged if possible."""
         self.loop, self.stream, self._on_request = loop, stream, on_request
         self._unparsed = bytearray()
         self._sequence = 0
@@ -35,7 +35,7 @@
         self.stream.write(data, self.loop.now + 5 * SECOND)
 
     def read_response(self, deadline: int) -> Pdu:
-        """Read the next response; requests before it are acknowledged.
+        """Read the next response; requests before it are handled as in ``read_pdu``.
 
         Raises ``ConnectionClosedError``, ``DeadlineExceededError``, or ``ProbeError`` if something other than a PDU
         arrives.
@@ -45,7 +45,10 @@
         return pdu
 
     def read_pdu(self, deadline: int) -> Pdu:
-        """Read the next PDU; a request is passed to ``on_request`` and acknowledged. Raises like ``read_response``."""
+        """Read the next PDU; a request is passed to ``on_request`` and acknowledged before it is returned.
+
+        alert_notification and outbind have no response, so they are not acknowledged. Raises like ``read_response``.
+        """
         while True:
             try:
                 size = p.complete_length(self._unparsed)
@@ -65,7 +68,10 @@
             self.stream.consume(len(self.stream.unread))
 
     def request(self, pdu: Pdu, timeout: int) -> Pdu:
-        """Send a request and return its response; raises ``ProbeError`` if there is none."""
+        """Send a request and return its response, whatever its status; other responses before it are dropped.
+
+        Raises ``ProbeError`` if there is none within ``timeout`` after sending, or something other than a PDU arrives.
+        """
         self._sequence += 1
         pdu.sequence = self._sequence
         try:
@@ -104,14 +110,14 @@
     """Runs cases one after the other, each on its own connection."""
 
     def __init__(self, loop: Loop, dial: Dial, account: Credentials, timeout: int) -> None:
-        """``timeout``: for connecting and for each response, in microseconds."""
+        """``timeout``: for connecting and for each response, in microseconds; ``account``: for binds."""
         self.loop, self._dial, self._account, self._timeout = loop, dial, account, timeout
 
     def run(self, cases: Iterable[Case], report: Callable[[Verdict], None]) -> None:
         """Run all cases and report each verdict.
 
-        A case with a refused bind is followed by a valid bind, so that the server does not throttle the address as it
-        would throttle one that guesses passwords.
+        A case whose bind may be refused is followed by a valid bind, so that the server does not throttle the address
+        as it would throttle one that guesses passwords. Whether that bind succeeds does not count.
         """
         for case in cases:
             try:
@@ -149,6 +155,11 @@
             esme.stream.close()
 
     def _exchange(self, esme: Esme, case: Case) -> str:
+        """Send the chunks of a case, and compare the response; returns the fault, or an empty string.
+
+        If the case expects no response and the session continues, an enquire_link after the chunks shows that they were
+        ignored, not just slow.
+        """
         response, closed = None, False
         enquire = p.encode(Pdu(Command.ENQUIRE_LINK, LIVENESS_SEQUENCE))
         try:
