--- a/tests/smpp_standins.py
+++ b/tests/smpp_standins.py
@@ -28,8 +28,9 @@
 class StandInGateway:
     """Counts by text the submits that take effect, and responds to each submit with a scripted status.
 
-    It closes ``closes`` connections at the step ``close_at``. ``script`` returns the status of a submit_sm_resp, or
-    None for no response; ``pause`` returns its delay in microseconds.
+    It closes ``closes`` connections at the step ``close_at``, one of ``CLOSE_STEPS``, or none if that is empty.
+    ``script`` returns the status of a submit_sm_resp, or None for no response; ``pause`` returns the delay of the
+    response in microseconds.
     """
 
     def __init__(
@@ -58,11 +59,12 @@
         self.queries: list[Pdu] = []  # query_sm and cancel_sm requests
         self.answer_query: Callable[[Pdu], Pdu] = lambda pdu: pdu.reply(Status.ESME_RINVMSGID)
         self.streams: dict[Command, Stream] = {}  # by command: the stream of its last request
-        self.message_id_for: Callable[[Pdu], str] = lambda pdu: "g1"
+        self.message_id_for: Callable[[Pdu], str] = lambda pdu: "g1"  # of the response to a submit_sm
         # Called right before a submit_sm is answered.
         self.before_response: Callable[[Pdu, Stream], None] = lambda pdu, stream: None
         self.submitted_at: list[int] = []  # times of submits
-        # Submits in progress, their maximum, and submits that came while another one with the same text was in flight.
+        # Submits in progress, their maximum, and submits that came while another one with the same text had no response
+        # on a session that was still open.
         self.in_flight = self.max_in_flight = self.concurrent_copies = 0
         self.pending: dict[bytes, Stream] = {}  # streams of submits without a response, by text
         self.loop.spawn(self.accept)
@@ -75,6 +77,7 @@
             self.loop.spawn(self.serve, Stream(self.loop, sock, self.testbed.buffers))
 
     def closes_at(self, step: str) -> bool:
+        """Whether to close a connection at this step; if so, one close fewer is left."""
         closing = step == self.close_at and self.closes > 0
         self.closes -= closing
         return closing
@@ -141,7 +144,7 @@
                 stream.close()
 
     def receiving_stream(self) -> Stream:
-        """The stream of the session that is bound to receive."""
+        """The stream of the last session bound as receiver, else of the last one bound as transceiver."""
         return next(
             self.streams[command]
             for command in (Command.BIND_RECEIVER, Command.BIND_TRANSCEIVER)
@@ -149,7 +152,7 @@
         )
 
     def receipt(self, message_id: str, stat: str, stream: Stream | None = None, **fields: object) -> None:
-        """Send a delivery receipt."""
+        """Send a delivery receipt on ``stream``; if that is None, on ``receiving_stream``."""
         text = (
             f"id:{message_id} sub:001 dlvrd:001 submit date:2612010900 done date:2612010900 stat:{stat} err:000 text:"
         )
@@ -169,7 +172,7 @@
 
 
 class StandInContractor:
-    """Binds, submits messages, and acknowledges and collects receipts."""
+    """Binds, submits messages, and acknowledges and collects receipts; with ``stream``, on a connection that exists."""
 
     def __init__(
         self,
@@ -182,8 +185,8 @@
     ) -> None:
         self.loop, self.sequence = loop, 0
         self.response_status: Status | None = Status.ESME_ROK  # status of a deliver_sm_resp; None: no response
-        self.answers: list[Pdu] = []
-        self.receipts: list[Pdu] = []
+        self.answers: list[Pdu] = []  # all PDUs but deliver_sm: first the response to the bind, and also requests
+        self.receipts: list[Pdu] = []  # all deliver_sm, also those with a message
         self.drop_receipts = 0  # number of receipts to leave unanswered; each closes the connection
         if stream is None:
             sock = connect(loop, address, loop.now + SECOND)
@@ -237,6 +240,7 @@
         return states
 
     def accepted(self) -> list[str]:
+        """The message ids of the submits with a positive response."""
         return [
             answer.text("message_id")
             for answer in self.answers
@@ -265,6 +269,7 @@
 
 
 def smpp_config(gateways: tuple[Gateway, ...]) -> Smpp:
+    """The configuration with a bind timeout of 5 s, a response timeout of 400 ms, and the account of the contractor."""
     return Smpp(
         ("127.0.0.1", 1),
         "kestrelspar",
--- a/tests/test_smpp.py
+++ b/tests/test_smpp.py
@@ -60,6 +60,7 @@
         self.loop.spawn(self.server.accept, self.listener)
 
     def contractor(self, bind: Command = Command.BIND_TRANSCEIVER, password: str = "secret") -> StandInContractor:
+        """A contractor that has the response to its bind, which may be a refusal."""
         made: list[StandInContractor] = []
         self.loop.spawn(lambda: made.append(StandInContractor(self.loop, self, self.address, bind, password)))
         self.run_until(lambda: made and made[0].answers)
@@ -67,6 +68,7 @@
 
 
 def submit_all(testbed: SmppTestbed, contractor: StandInContractor, service: str, count: int) -> list[bytes]:
+    """Submit messages on a new contractor and wait for the responses, positive or not; returns their texts."""
     texts = [f"{service}-{i}".encode() for i in range(count)]
     testbed.loop.spawn(lambda: [contractor.submit(text, service) for text in texts])
     testbed.run_until(lambda: len(contractor.answers) == 1 + count)
