--- a/tests/smpp/test_failure.py
+++ b/tests/smpp/test_failure.py
@@ -29,7 +29,8 @@
 ) -> Counter[int]:
     """Wait for one final state for each message, and count the states.
 
-    With ``payments``, no message may take effect twice, and at least as many take effect as are delivered.
+    With ``payments``, no message may take effect twice, and at least as many take effect as are delivered. Two attempts
+    of a message must never run at once.
     """
     testbed.run_until(lambda: len(contractor.final_states()) == count and not testbed.journal.entries, 300 * SECOND)
     ends = contractor.final_states()
@@ -187,7 +188,7 @@
     contractor = testbed.contractor()
     submit_all(testbed, contractor, "RD", 1)
     testbed.loop.spawn(lambda: [contractor.submit(f"{service}{n}".encode(), service) for n in range(60)])
-    testbed.run_until(lambda: len(contractor.answers) == 62)
+    testbed.run_until(lambda: len(contractor.answers) == 62)  # to the bind, the reading and the 60 submits
     # The contractor's window is 50: submits beyond it that arrive in one turn of the loop are refused.
     states = await_final_states(testbed, gate, contractor, len(contractor.accepted()), service == "PAY")
     assert len(unanswered) > 1 and states.total() > 50 and (service == "PAY") == (states[UNDELIV] > 0)
@@ -244,7 +245,11 @@
 @pytest.mark.parametrize("service", SERVICES)
 @pytest.mark.parametrize("step", ["bind", "submit", "answered", "accepted", "receipt"])
 def test_a_kill_at_any_step_leaves_one_final_state(tmp_path: Path, step: str, service: str) -> None:
-    """The first process stops, as after SIGKILL, and another one starts on its directory."""
+    """The first process stops, as after SIGKILL, and another one starts on its directory.
+
+    Steps: the gateway cannot be reached; it has a submit to which it does not respond; it has one to which it is about
+    to respond; the submit has its response, and the receipt is due; the receipt has been sent, but not read.
+    """
     outcome = "receipt" if step in ("accepted", "receipt") else "response"
     testbed = SmppTestbed(tmp_path)
     silent = step == "submit"
@@ -314,6 +319,7 @@
     successor.open(gateway(new_gate.address))
     new_contractor = successor.contractor()
     successor.run_until(lambda: new_contractor.receipts and not successor.journal.entries)
+    # 3 is EXPIRED, if the deadline had passed by the final state.
     states = {"waiting": {DELIVRD}, "in flight": {UNDELIV}, "awaiting": {UNDELIV}}
     assert new_contractor.final_states()[message_id] == states[step] or new_contractor.final_states()[message_id] == {3}
     assert len(new_gate.submits) == (step == "waiting")
--- a/tests/smpp/test_flow_control.py
+++ b/tests/smpp/test_flow_control.py
@@ -15,7 +15,7 @@
 from tests.smpp_standins import StandInGateway, gateway
 from tests.test_smpp import SmppTestbed, submit_all
 
-Limiter = Callable[[int], bool]
+Limiter = Callable[[int], bool]  # whether a gateway serves a submit at this time
 
 
 def token_bucket(rate: int, burst: int) -> Limiter:
@@ -57,7 +57,10 @@
 
 
 def simulate(control: RateControl, limit: Limiter, count: int, now: int = 0, window: int = 20) -> tuple[int, int]:
-    """Submit until ``count`` are served; returns when the last one was, and the number of refusals."""
+    """Submit from ``now`` until ``count`` are served; returns when the last one was, and the number of refusals.
+
+    Each response takes 5 ms, and a refusal asks for a delay of 100 ms.
+    """
     in_flight: deque[tuple[int, int, bool]] = deque()
     served_count = refused = last = 0
     while served_count < count:
@@ -194,6 +197,7 @@
     contractor = testbed.contractor()
     message_id = submit(testbed, contractor, b"a", "PAY")
     testbed.run_until(lambda: message_id in contractor.final_states())
+    # 8 is REJECTED: the payment certainly did not run.
     assert contractor.final_states()[message_id] == {8} and len(binds) == 1, (
         "certainly not run, and the account is not locked"
     )
--- a/tests/smpp/test_operations.py
+++ b/tests/smpp/test_operations.py
@@ -1,4 +1,7 @@
-"""The SMPP operations on accepted messages, and the response to each request in each session state."""
+"""The SMPP operations on accepted messages, and the response to each request in each session state.
+
+The time "000000000100000R" is one minute from now.
+"""
 
 from __future__ import annotations
 
@@ -74,11 +77,13 @@
 
 
 def query_state(testbed: SmppTestbed, contractor: StandInContractor, message_id: str) -> int:
+    """The message_state by query_sm; if that is refused, its command_status as a negative number."""
     answer = request_by_id(testbed, contractor, Command.QUERY_SM, message_id)
     return answer.number("message_state") if answer.status == 0 else -answer.status
 
 
 def retain_ended(testbed: SmppTestbed, retention: int = 60 * SECOND) -> SmppTestbed:
+    """Let the server keep the final states of messages for query_sm; returns the testbed."""
     testbed.server.config = dataclasses.replace(testbed.server.config, keep_ended=retention)
     return testbed
 
@@ -88,6 +93,7 @@
 def test_every_request_in_every_state_gets_its_response(tmp_path: Path, command: Command, bound: SessionState) -> None:
     testbed = SmppTestbed(tmp_path)
     testbed.open()
+    # After a bind with a wrong password the session is still open and not bound.
     contractor = testbed.contractor(
         BINDS.get(bound, Command.BIND_TRANSCEIVER), "secret" if bound is not SessionState.OPEN else "wrong"
     )
@@ -109,7 +115,7 @@
 
 
 def test_the_state_table_matches_the_specification() -> None:
-    # SMPP 3.4, table 2-1: the requests that each side may send in each state.
+    # SMPP 3.4, table 2-1: the states in which each side serves the requests of the other side.
     def served(side: Side, command: Command) -> set[str]:
         return {bound.name for bound in SessionState if table.refusal(side, bound, Pdu(command)) is None}
 
