--- a/tests/smpp/test_conform.py
+++ b/tests/smpp/test_conform.py
@@ -71,6 +71,7 @@
         monkeypatch.setattr(session.Session, "_reject", lambda self, error: self.close())
 
 
+# An injected defect, the group of cases that is run, and a case of it that has to fail.
 @pytest.mark.parametrize(
     ("defect", "group", "case"),
     [
@@ -91,6 +92,7 @@
 def test_every_case_fails_without_a_connection(tmp_path: Path) -> None:
     testbed = SmppTestbed(tmp_path)
     verdicts: list[Verdict] = []
+    # Tries to connect where nothing listens, so that the attempt fails as in use.
     dial = lambda deadline: None if connect(testbed.loop, ("127.0.0.1", 9), deadline) is None else None  # noqa: E731
     chosen = [case for case in conform.cases(ACCOUNT) if case.group == "unasked"]
     testbed.loop.spawn(lambda: probe.CaseRunner(testbed.loop, dial, ACCOUNT, SECOND).run(chosen, verdicts.append))
--- a/tests/smpp/test_inbound.py
+++ b/tests/smpp/test_inbound.py
@@ -25,12 +25,14 @@
     config = testbed.server.config
     accounts = tuple(dataclasses.replace(a, dest=950, kind=1, **more) for a in config.accounts)  # type: ignore[arg-type]
     testbed.server.config = dataclasses.replace(config, accounts=accounts)
+    # The constructor has read the accounts, so it runs again on the object that the server uses.
     testbed.server.receivers.__init__(  # type: ignore[misc]
         testbed.loop, accounts, config.response_timeout, testbed.server._find_receiver, testbed.server._request_bind
     )
 
 
 def open_testbed(directory: Path, **more: object) -> tuple[SmppTestbed, StandInGateway]:
+    """A testbed with a gateway that sends messages, and ``testbed.far``, the next hop of destination 901."""
     testbed = SmppTestbed(directory)
     give_account_a_destination(testbed, **more)
     gate = StandInGateway(testbed)
--- a/tests/smpp/test_parts.py
+++ b/tests/smpp/test_parts.py
@@ -33,6 +33,7 @@
     ]
 
 
+# ``expected``: the part and its text; or the status that refuses it; or None for no part, with the text unchanged.
 @pytest.mark.parametrize(
     ("text", "tlvs", "esm", "expected"),
     [
@@ -46,7 +47,7 @@
             0x40,
             (None, b"\x06\x05\x04\x0b\x84\x23\xf0hi"),  # a header with port numbers, which is for the handset
         ),
-        (b"\x0b\x00\x03\x09\x02\x01\x05\x04\x0b\x84\x23\xf0hi", [], 0x40, None),
+        (b"\x0b\x00\x03\x09\x02\x01\x05\x04\x0b\x84\x23\xf0hi", [], 0x40, None),  # a reference and port numbers
         (b"", [], 0x40, Status.ESME_RINVESMCLASS),
         (b"\x09\x00", [], 0x40, Status.ESME_RINVESMCLASS),
         (b"\x03\x00\x09\x01x", [], 0x40, Status.ESME_RINVESMCLASS),
@@ -78,6 +79,7 @@
         part = Part("sar", 1, 6, place)
         if complete or reassembler.classify(("a",), part, 10)[0] is PartDisposition.REPEATED:
             continue
+        # The last digit of the message number tells the position of the part.
         found = reassembler.add(0, ("a",), part, next(number) * 10 + place, 10, 1 << 60)
         complete += [found] if found else []
     assert len(complete) == 1 and [n % 10 for n in complete[0].numbers] == [1, 2, 3, 4, 5, 6]
@@ -339,7 +341,8 @@
     assert gate.max_in_flight <= 2
 
 
-# ``statuses``: the status of each submit_sm in turn (None: no response).
+# ``statuses``: the status of each submit_sm in turn (None: no response; 0 after the last one). ``attempts``: how often
+# the first part is sent.
 @pytest.mark.parametrize(
     ("statuses", "service", "end", "attempts"),
     [
@@ -364,6 +367,7 @@
     message_id = submit_long(testbed, contractor, service)
     testbed.run_until(lambda: contractor.receipts and not testbed.journal.entries)
     states = contractor.final_states()[message_id]
+    # 5 is UNDELIVERABLE, 8 REJECTED.
     assert len(states) == 1 and (states == {end} or end is State.REJECTED and states <= {5, 8})
     first = [pdu for pdu in gate.submits if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\1"]
     assert len(first) == attempts and len({pdu.tlv(p.SAR_MSG_REF_NUM) for pdu in first}) == attempts
@@ -393,6 +397,8 @@
 
 
 def test_a_late_response_to_one_part_does_not_deliver_the_message(tmp_path: Path) -> None:
+    # Part 2 gets its response after the time-out of 400 ms; the other message, in flight by then, keeps the session
+    # open.
     def pause(pdu: Pdu) -> int:
         return 450_000 if pdu.tlv(p.SAR_SEGMENT_SEQNUM) == b"\2" else 390_000 if pdu.message == b"other" else 5_000
 
--- a/tests/smpp/test_receipts.py
+++ b/tests/smpp/test_receipts.py
@@ -40,7 +40,7 @@
         ("REJECTD", REJECTD),
         ("DELETED", REJECTD),
         ("UNKNOWN", UNDELIV),
-        ("NEWWORD", UNDELIV),
+        ("NEWWORD", UNDELIV),  # not defined, so it counts as UNKNOWN
     ],
 )
 @pytest.mark.parametrize("service", ["RD", "WO", "PAY"])
@@ -105,6 +105,7 @@
     )
 
 
+# The message_state that query_sm returns (None: it is refused), the status of a cancel_sm_resp, and the final state.
 @pytest.mark.parametrize(
     ("query", "cancel", "state"),
     [
@@ -130,6 +131,7 @@
     message_id = submit(testbed, contractor, b"a", "PAY")
     testbed.run_until(lambda: message_id in contractor.final_states())
     states = contractor.final_states()[message_id]
+    # The gateway is queried shortly before the deadline, so a failed message may count as expired.
     assert states == {state} or state == UNDELIV and states == {EXPIRED}
     assert testbed.loop.now - started_at < testbed.courier.settings.classes[2].deadline_ns // 1000
     assert gate.queries[0].text("message_id") == "id-a" and len(gate.submits) == 1
@@ -220,9 +222,9 @@
         ("42", "decimal", "0042", "decimal", True),
         ("2a", "text", "2A", "text", False),
         ("42", "text", "42", "decimal", False),
-        ("x1", "hex", "1", "decimal", False),
-        ("1_0", "decimal", "10", "decimal", False),
-        ("-1", "decimal", "-1", "hex", True),
+        ("x1", "hex", "1", "decimal", False),  # the first is no number, so it is a text
+        ("1_0", "decimal", "10", "decimal", False),  # a number for int(), but not for SMPP
+        ("-1", "decimal", "-1", "hex", True),  # both are texts
     ],
 )
 def test_ids_match_if_they_are_the_same_number_or_the_same_text(
