--- a/kestrelspar/registry/sync.py
+++ b/kestrelspar/registry/sync.py
@@ -14,21 +14,26 @@
     LISTING   reads the whole list. etcd: in pages, all at the revision of the first one (pinned). Puts are applied as
               they arrive, removals when the list is complete, as only then it is known which keys it lacks.
     WATCHING  etcd: a watch from the revision after the last complete one. Consul: blocking reads of the whole list.
-    BROKEN    waits, then uses the next member. The delay has jitter, and grows with each round over all members.
+    BROKEN    waits, then uses the next member. The delay has jitter, grows with each round over all members, and is at
+              least the failed member's Retry-After.
 
 Three checks guard against wrong or incomplete responses. To pass over a member means to use the next one instead:
 
-- A member of another cluster (by etcd's cluster_id) is passed over: its list is not this one, whatever it contains.
+- A member of another cluster is passed over (etcd only, by its cluster_id): its list is not this one, whatever it
+  contains.
 - A member behind the revision already seen is passed over: a key that it lacks may still exist, and one that it has
-  may have been removed.
+  may have been removed. With Consul, the next member is asked for a consistent read, and that response is accepted
+  even at a lower index, as the registry may have been restored from a backup.
 - A revision counts as complete only when its last fragment has arrived, so a resumed watch misses nothing.
 
 A watch can't resume from a revision that has been compacted. The whole list is read again, and the comparison with
 what is held yields the removals.
 
 ``max_age`` (the setting ``patience``) is how long the list may go unconfirmed before it is stale. ``confirmed_at`` is
-the last time at which a member's response proved the list to be current: the last page of a list, a change, a progress
-notification, or a check that agrees. All times are microseconds of the caller's clock.
+the last time at which a member's response proved the list to be current: the last page of a list, the creation of a
+watch, a complete change, a progress notification, a check that agrees, or a complete read from Consul. Before the first
+of these, it is the time of the start or, for a saved list, the time at which that list was current. All times are
+microseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -46,10 +51,13 @@
 MS, SECOND = 1_000, 1_000_000
 # Between attempts; the delay doubles with each round over all members.
 INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 100 * MS, 5 * SECOND
-MAX_RELISTS = 3  # consecutive compactions while listing, after which the follower waits as after a failure
+MAX_RELISTS = 3  # compactions since the last complete list; each further one counts as a failure of the member
 STALE_LOG_INTERVAL = 60 * SECOND  # between two log lines about a stale list
-MIN_READ_INTERVAL = 100 * MS  # between the starts of two blocking reads, to prevent a busy loop
-LARGE_LOSS_DIVISOR = 2  # losing more than 1 / LARGE_LOSS_DIVISOR of the list at once is logged as an error
+# Between the starts of two blocking reads, to prevent a busy loop; it doubles, up to 1 s, with each unchanged response
+# that arrives within a second. Also the wait after a response whose index has decreased.
+MIN_READ_INTERVAL = 100 * MS
+# Losing at once more than 1 / LARGE_LOSS_DIVISOR of the list, and more than one entry, is logged as an error.
+LARGE_LOSS_DIVISOR = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +74,7 @@
     """What an event changed: the latest next hop of each endpoint name, and events for the log."""
 
     hops_by_name: dict[bytes, NextHop | None] = field(default_factory=dict)  # None: removed
-    states_by_key: dict[str, EndpointState] = field(default_factory=dict)
+    states_by_key: dict[str, EndpointState] = field(default_factory=dict)  # of changed keys, for the removal log
     events: list[tuple[int, str, dict[str, Any]]] = field(default_factory=list)  # level, event name and fields
 
     def changed_hops(self) -> list[NextHop]:
@@ -80,7 +88,7 @@
 
 @dataclass(slots=True)
 class KnownEntry:
-    """A key of the list. ``hop`` is the last value that could be read; None if none could be."""
+    """A key of the list. ``hop``: from the last value that could be read, or None. ``revision``: of the last value."""
 
     hop: NextHop | None
     revision: int
@@ -96,12 +104,16 @@
         self.entries: dict[str, KnownEntry] = {}
         self._parse = parse
         self._keys_by_name: dict[bytes, list[str]] = {}  # by endpoint name; the entry of the first key is used
-        self._unreadable_keys: set[str] = set()  # each is logged once
-        self._size_before: int | None = None  # number of entries when the change in progress began
+        self._unreadable_keys: set[str] = set()  # logged already; forgotten at a readable value or a deletion
+        # The number of entries before the first removal or drain of the change in progress; None: there was none yet.
+        self._size_before: int | None = None
         self._removed_keys: set[str] = set()  # keys removed or draining in the change in progress
 
     def put(self, item: Item, update: Update) -> None:
-        """Store the value of a key. A value that can't be read leaves the key's next hop as it was."""
+        """Store the value of a key, unless it is already known at this revision.
+
+        A value that can't be read leaves the key's next hop as it was.
+        """
         assert item.value is not None
         entry = self.entries.get(item.key)
         if entry is not None and entry.revision == item.revision:
@@ -148,7 +160,7 @@
                 self._count_removal(key)
 
     def drop(self, key: str, update: Update) -> None:
-        """Remove a key that was deleted."""
+        """Remove a key that was deleted; does nothing if it is unknown."""
         entry = self.entries.get(key)
         if entry is None:
             return
@@ -170,7 +182,7 @@
             update.hops_by_name[name] = self.entries[keys[0]].hop
 
     def _count_removal(self, key: str) -> None:
-        """Count an entry that was removed or began to drain in the change in progress."""
+        """Count an entry that the change in progress removed, or changed so that it drains or still drains."""
         if self._size_before is None:
             self._size_before = len(self.entries)
         self._removed_keys.add(key)
@@ -181,7 +193,10 @@
             self.drop(key, update)
 
     def change_completed(self, update: Update) -> None:
-        """End the change in progress, and log an error if it removed most of the list at once."""
+        """End the change in progress; log an error if it emptied the list, or removed or drained most of it.
+
+        One entry of a list that is not empty afterwards is never reported; see ``LARGE_LOSS_DIVISOR``.
+        """
         before, lost, self._size_before = self._size_before, len(self._removed_keys), None
         self._removed_keys.clear()
         if before and (not self.entries or lost > 1 and lost * LARGE_LOSS_DIVISOR > before):
@@ -209,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PageRequest:
-    """Read the page of the list after this key, at this revision (0: the newest)."""
+    """Read the page of the list after this key (empty: the first page), at this revision (0: the newest)."""
 
     after: str
     revision: int
@@ -224,7 +239,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Read the whole list. Unless the index is 0, the read blocks until the list is newer than that index."""
+    """Read the whole list. Unless the index is 0, the read blocks until the list is newer, or the ``wait`` is over.
+
+    ``consistent``: the member must confirm with the leader; otherwise the section's ``consistency`` applies.
+    """
 
     index: int
     consistent: bool = False
@@ -240,18 +258,22 @@
         self.known_list, self.member_count, self.max_age = known_list, member_count, max_age
         self.state = State.LISTING
         self.member_index = random.randrange(member_count)  # member in use; couriers begin with different ones
-        self.revision = 0  # the list is complete up to here; Consul: the index
-        self.cluster = ""
+        self.revision = 0  # the list is complete up to here (Consul: the index); 0: not known
+        self.cluster = ""  # etcd's cluster_id; empty: not known, or Consul
         self.confirmed_at = now
-        self.listed = False  # a complete list has been received since the start
-        self.is_stale = False  # older than ``max_age``
+        self.listed = False  # a complete list has been received since the start, perhaps with earlier settings
+        self.is_stale = False  # at the last tick, the list was older than ``max_age``
         self._random = random
-        self._failures = 0
+        self._failures = 0  # since the list was last confirmed
         self._retry_at = now
         self._stale_logged_at = 0
 
     def member_failed(self, now: int, reason: str, update: Update | None = None, wait: int = 0) -> Update:
-        """The member failed or can't be trusted: wait, then use the next one. ``wait`` is its Retry-After delay."""
+        """The member failed or can't be trusted: wait, then use the next one.
+
+        ``update`` gets the log event; None: a new one is returned. ``wait`` is the member's Retry-After delay in
+        microseconds, the least time to wait; 0: none.
+        """
         update = update or Update()
         failed_member, self.state = self.member_index, State.BROKEN
         self.member_index = (self.member_index + 1) % self.member_count
@@ -328,7 +350,9 @@
         self._seen_keys: set[str] = set()
         self._has_snapshot = False  # a complete list was read; the watch continues from it
         self._relist_count = 0
-        self._mismatch_revision = -1  # revision of this list when one check disagreed; -1: none did
+        self._mismatch_revision = (
+            -1
+        )  # revision of this list when a check disagreed that the next one must confirm; -1: none
         # By key, the revisions of deletions in an incomplete change, which is sent again after a failure.
         self._pending_removals: dict[str, int] = {}
 
@@ -469,7 +493,7 @@
 
     @property
     def check_disagreed(self) -> bool:
-        """Whether the last check disagreed, so that the next one should follow soon."""
+        """Whether the last check disagreed, and the list is still at that revision: the next one should follow soon."""
         return self._mismatch_revision == self.revision
 
 
