--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -16,7 +16,7 @@
 from kestrelspar.runtime.loop import MS, SECOND
 from snowlock.interface import Outcome
 from tests.bench import PAYMENT
-from tests.http.test_endings import END, Caller
+from tests.http.test_endings import EOF, Caller
 from tests.test_http import HttpTestbed, Peer, attempt, ok, submit_request
 
 ABORTIVE_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which close() sends a reset
@@ -137,8 +137,8 @@
     testbed.run_for(400 * MS)
     started_at = testbed.loop.now
     assert b" 202 " in testbed.talk(submit_request()) and testbed.loop.now - started_at < 400 * MS
-    slow[0].read_until(lambda: slow[0].ending)
-    assert slow[0].ending == END and slow[0].got.startswith(b"HTTP/1.1 408 ")
+    slow[0].read_until(lambda: slow[0].closed_by)
+    assert slow[0].closed_by == EOF and slow[0].got.startswith(b"HTTP/1.1 408 ")
 
 
 def test_a_200_after_the_deadline_does_not_count_as_delivered(tmp_path: Path) -> None:
