--- a/kestrelspar/http/backoff.py
+++ b/kestrelspar/http/backoff.py
@@ -23,8 +23,9 @@
 
 A discovery server with many clients may take seconds to send response headers, also for a refusal. A client that times
 out sooner never gets an answer, and retries at discovery's cost. So after a request that timed out without response
-headers, the timeout of the next one is doubled, up to ``MAX_RESPONSE_TIMEOUT``, and the delay after that one is shorter
-by the added time. This does not apply where the list is pushed: the local agent answers at once.
+headers, the timeout is doubled, up to ``MAX_RESPONSE_TIMEOUT``, for all later requests to that address. If one of them
+times out, too, the maximum of the delay that follows is reduced by the added time. This does not apply where the list
+is pushed: the local agent answers at once.
 
 Times are microseconds.
 """
@@ -72,7 +73,10 @@
         self.response_timeout = RESPONSE_TIMEOUT  # of the next request, until its response headers
 
     def initial_delay(self) -> int:
-        """The delay before the first request if an older list is available; random, as many couriers start together."""
+        """The delay before the first request, at a start with an older list or at a new address.
+
+        Random, as many couriers start together; 0 if the list is pushed.
+        """
         return 0 if self._pushed else self._random.randrange(self._start_bound)
 
     def address_changed(self) -> None:
@@ -86,8 +90,8 @@
     def next_delay(self, received: bool, silent_for: int = 0, headers_timed_out: bool = False) -> int:
         """The delay after a connection to discovery ended.
 
-        ``received``: it delivered at least one object or empty line. ``silent_for``: how long it had been silent, if
-        it was closed for that, otherwise 0. ``headers_timed_out``: discovery sent no response headers in time.
+        ``received``: it delivered at least one object or empty line that could be used. ``silent_for``: how long it had
+        been silent, if it was closed for that, otherwise 0. ``headers_timed_out``: discovery did not respond in time.
         """
         if received:
             self._bound = self._bound_after_break
--- a/kestrelspar/http/nexthop.py
+++ b/kestrelspar/http/nexthop.py
@@ -12,14 +12,19 @@
 from snowlock import interface as api
 from snowlock.interface import Outcome
 
-IDLE_FRACTION = 0.86  # of conn_idle: closes before the next hop, whose idle time begins when it has responded
-REAP_INTERVAL = 200 * MS  # between searches for expired idle connections
+# Of conn_idle: so the courier closes a connection before the next hop does, whose idle time begins earlier, when it has
+# responded.
+IDLE_FRACTION = 0.86
+REAP_INTERVAL = 200 * MS  # between searches for idle connections that have expired or were closed
 MAX_RETRY_AFTER = 3_600 * SECOND  # larger values count as this one
 RESPONSE_READ_TIMEOUT = 1 * SECOND  # from the first byte of a response to its last
 
 
 def parse_retry_after(text: str) -> int:
-    """Parses a Retry-After value into microseconds, rounded up; 0 if it is missing or invalid."""
+    """Parses a Retry-After value in seconds into microseconds, rounded up and at most ``MAX_RETRY_AFTER``.
+
+    Returns 0 if it is missing, not positive or no number, as is an HTTP date.
+    """
     try:
         value = float(text)
     except ValueError:
@@ -30,7 +35,8 @@
 def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
     """Parses an Endpoint-Load-Metrics value, such as ``TEXT x0=0.4, x1=25``.
 
-    Returns the metrics named by ``columns``, in that order; empty unless all of them are present and valid.
+    Returns the metrics named by ``columns``, in that order; empty unless all of them are present, finite and not
+    negative. Other metrics are ignored.
     """
     metrics: dict[str, float] = {}
     for pair in text.removeprefix("TEXT").split(","):
@@ -45,7 +51,10 @@
 
 
 def classify_response(status: int, headers: dict[str, str], columns: tuple[str, ...]) -> Result:
-    """Classifies a complete response as an outcome for the decision module."""
+    """Classifies a response by its status and headers as an outcome for the decision module.
+
+    The caller decides whether the body, too, must be complete; see ``HttpCarrier._read_response``.
+    """
     report = parse_load_report(headers.get("endpoint-load-metrics", ""), columns)
     retry_after = parse_retry_after(headers.get("retry-after", ""))
     if 200 <= status < 300:
@@ -64,7 +73,7 @@
 
 
 def _is_duplicate(stream: Stream, head: parser.Head) -> bool:
-    """Whether the bytes after a response begin a copy of it, judged by the status line."""
+    """Whether the bytes after a response begin with its status line, and so are taken for a copy of it."""
     return bytes(stream.unread).startswith(" ".join(head.start_line).encode("latin-1"))
 
 
@@ -73,7 +82,7 @@
 
     def __init__(self, loop: Loop, buffers: BufferPool, settings: api.Settings, max_idle: int) -> None:
         self.loop, self.buffers, self.settings = loop, buffers, settings
-        self.opened = self.reused = 0  # number of connections
+        self.opened = self.reused = 0  # how many attempts opened a connection, and how many reused an idle one
         # By endpoint id and address: each connection, and since when it has been idle.
         self._idle: dict[tuple[bytes, tuple[str, int]], list[tuple[Stream, int]]] = {}
         self._max_idle = max_idle
@@ -85,7 +94,7 @@
         """Makes one delivery attempt, from connecting to the outcome.
 
         ``deadline`` is a time of the loop's clock, in microseconds. ``guard`` is called just before the request is
-        written; if it returns False, nothing is sent.
+        written; if it returns False, nothing is sent, and the connection returns to the pool.
         """
         stream = self._acquire(hop)
         if stream is None:
@@ -115,9 +124,9 @@
     def _read_response(self, hop: NextHop, stream: Stream, deadline: int) -> Result:
         """Reads the response to a request that was written, and returns the outcome.
 
-        A status line with 200 that arrives before the deadline means delivered, whatever follows it. Any other response
-        counts only if it is complete: one that is truncated or does not match its own length may be noise. It proves
-        nothing, least of all that the message was not processed.
+        A status line with 200 that arrives before the deadline means delivered, whatever follows it. The status of any
+        other response counts only if the response is complete: one that is truncated or does not match its own length
+        may be noise. It proves nothing, least of all that the message was not processed; only its Retry-After is used.
         """
         try:
             while not len(stream.unread):
@@ -161,7 +170,10 @@
         return result
 
     def _delivered(self, hop: NextHop, stream: Stream, deadline: int) -> Result:
-        """The result for a status line with 200, with the load report if the headers have arrived and are valid."""
+        """The result for a status line with 200, with the load report if the headers have arrived and are valid.
+
+        Keeps the connection for reuse if the whole response has arrived; otherwise a task reads the rest.
+        """
         try:
             head = parser.head(stream.unread, response=True)
             length = parser.body_length(head) if head is not None else None
@@ -182,7 +194,7 @@
         """Reads the rest of a 200 response in a task of its own.
 
         The number of these tasks is limited: their attempts no longer hold a slot, so responses that arrive slowly
-        could otherwise use up the file descriptors.
+        could otherwise use up the file descriptors. Beyond the limit, the connection is closed.
         """
         if self._draining_responses >= self.settings.slots:
             stream.close()
@@ -191,7 +203,7 @@
         self.loop.spawn(self._read_rest, hop, stream, deadline)
 
     def _read_rest(self, hop: NextHop, stream: Stream, deadline: int) -> None:
-        """Reads and discards the rest of a 200 response, so that the connection can be reused."""
+        """Reads and discards the rest of a 200 response, so that the connection can be reused, unless that fails."""
         try:
             head = parser.read_head(stream, deadline, response=True)
             parser.read_body(stream, head, deadline, response=True)
@@ -203,7 +215,10 @@
         self._finish(hop, stream, head)
 
     def _finish(self, hop: NextHop, stream: Stream, head: parser.Head) -> None:
-        """Returns the connection to the pool if the end of its response is known and nothing followed it."""
+        """Returns the connection to the pool, or closes it.
+
+        It can be reused if the response had a known end, nothing followed it, and neither side closes the connection.
+        """
         delimited = head.status in (204, 304) or parser.body_length(head) != -1
         if delimited and head.keep_alive and stream.is_reusable():
             self._release(hop, stream)
@@ -211,14 +226,14 @@
             stream.close()
 
     def _release(self, hop: NextHop, stream: Stream) -> None:
-        """Adds a connection to the pool; beyond the maximum, closes the one that has been idle for longest."""
+        """Adds a connection to the pool; if that is then too large, closes the one that has been idle for longest."""
         self._idle.setdefault((hop.endpoint.id, hop.address), []).append((stream, self.loop.now))
         if sum(map(len, self._idle.values())) > self._max_idle:
             oldest = min((k for k, v in self._idle.items() if v), key=lambda k: self._idle[k][0][1])
             self._idle[oldest].pop(0)[0].close()
 
     def _acquire(self, hop: NextHop) -> Stream | None:
-        """Takes the most recently used idle connection that is still usable."""
+        """Takes the most recently used idle connection, and closes those that are unusable; None if none is usable."""
         idle = self._idle.get((hop.endpoint.id, hop.address), [])
         while idle:
             stream, since = idle.pop()
--- a/kestrelspar/http/notices.py
+++ b/kestrelspar/http/notices.py
@@ -21,7 +21,8 @@
 class Notices:
     """The sender side of messages that arrived over HTTP.
 
-    A notice is repeated until the platform acknowledges it, or rejects it with status 400.
+    A notice is repeated until the platform acknowledges it with a 2xx status, or rejects it, alone in a batch, with
+    status 400.
     """
 
     name = "http"
@@ -30,8 +31,8 @@
         self.loop, self.buffers, self.address = loop, buffers, address
         self._pending: list[tuple[str, Suspension]] = []  # notices as JSON, each with the suspension of its task
         self._stream: Stream | None = None
-        self._sending = False
-        self._move_count = 0
+        self._sending = False  # a task is sending the pending notices
+        self._move_count = 0  # a task that began before a move ends
 
     def move(self, address: tuple[str, int]) -> None:
         """Sends notices to another address from now on, beginning with the pending ones."""
@@ -102,7 +103,8 @@
     def _post(self, body: bytes, timeout: int) -> int | None:
         """Posts a batch on the persistent connection or a new one; returns the status of the response.
 
-        Returns None if the request failed or the platform's address changed. ``timeout`` is in microseconds.
+        Returns None if the request failed or the platform's address changed, as the batch then has to be sent again.
+        ``timeout``, in microseconds, is for connecting, the request and the response together.
         """
         deadline, move_count = self.loop.now + timeout, self._move_count
         stream, self._stream = self._stream, None
--- a/kestrelspar/http/parser.py
+++ b/kestrelspar/http/parser.py
@@ -23,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The three parts of the start line, and the headers by their lower-case names; repeated ones are joined."""
+    """The three parts of the start line, and the headers by their lower-case names.
+
+    The values of a repeated header are joined with commas, except Content-Length, whose repeated values must be equal.
+    """
 
     start_line: tuple[str, str, str]
     headers: dict[str, str]
@@ -43,7 +46,10 @@
 
 
 def status(data: memoryview) -> int | None:
-    """The status code in a response's status line, or None while that line is incomplete."""
+    """The status code in a response's status line, or None while that line is incomplete.
+
+    Raises ``MalformedMessageError`` if it is no status line.
+    """
     line, end, _ = bytes(data[:MAX_HEAD_BYTES]).partition(b"\n")
     if not end:
         if len(data) >= MAX_HEAD_BYTES:
@@ -56,7 +62,10 @@
 
 
 def head(data: memoryview, response: bool = False) -> Head | None:
-    """Parses the head at the start of the data; returns None while it is incomplete."""
+    """Parses the head of a request, or of a response, at the start of the data; returns None while it is incomplete.
+
+    Raises ``MalformedMessageError`` if it is invalid, longer than ``MAX_HEAD_BYTES`` or has too many headers.
+    """
     text = bytes(data[:MAX_HEAD_BYTES])
     end = text.find(b"\r\n\r\n")
     if end < 0:
@@ -124,7 +133,10 @@
         self.done = False
 
     def feed(self, data: bytes) -> tuple[bytes, int]:
-        """Returns decoded data and the number of bytes consumed, which are all unless the body ends before them."""
+        """Returns decoded data and the number of bytes consumed, which are all unless the body ends before them.
+
+        Raises ``MalformedMessageError`` for an invalid coding. Trailers are discarded.
+        """
         decoded, at = [], 0
         while at < len(data) and not self.done:
             if self._state == "data":
@@ -165,7 +177,11 @@
 
 
 def read_head(stream: Stream, deadline: int | None, response: bool = False) -> Head:
-    """Reads and consumes the next head from the stream."""
+    """Reads and consumes the next head from the stream.
+
+    Raises ``MalformedMessageError``, and what ``Stream.fill`` raises if the head is incomplete at the deadline or when
+    the input ends.
+    """
     while (parsed := head(stream.unread, response)) is None:
         stream.fill(deadline)
     stream.consume(parsed.size)
@@ -177,7 +193,8 @@
 ) -> bytes:
     """Reads and consumes the body that follows the head.
 
-    A request without a length has no body; a response without one ends with the connection.
+    A request without a length has no body; a response without one ends with the connection. Raises
+    ``MalformedMessageError`` also for a body of more than ``max_bytes``, and otherwise the same as ``read_head``.
     """
     length = body_length(parsed, max_bytes)
     if length is not None and length < 0:
@@ -223,7 +240,7 @@
 
 
 def response(status: int, body: bytes = b"", headers: dict[str, str] | None = None, keep: bool = True) -> bytes:
-    """Serialises a response."""
+    """Serialises a response; unless ``keep`` is set, it announces that the connection closes."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if not keep:
@@ -232,7 +249,7 @@
 
 
 def request(method: str, target: str, host: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Serialises a request."""
+    """Serialises a request; Content-Length is left out if the body is empty, except in a POST."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body or method == "POST":
--- a/kestrelspar/http/sender.py
+++ b/kestrelspar/http/sender.py
@@ -16,7 +16,9 @@
 from kestrelspar.runtime.buffers import BufferPool, ConnectionClosedError, DeadlineExceededError, Stream
 from kestrelspar.runtime.loop import MS, SECOND, Loop, Suspension
 
-IDLE_TIMEOUT = 2_100 * MS  # without a request: well-behaved clients open another connection when they need one
+# From the connection's start or the last response to the first byte of a request: well-behaved clients open another
+# connection when they need one.
+IDLE_TIMEOUT = 2_100 * MS
 READ_TIMEOUT = 2_500 * MS  # from a request's first byte to its last
 FIRST_REQUEST_TIMEOUT = 2_700 * MS  # from the connection's start to the last byte of its first request
 LINGER_TIMEOUT = 3_000 * MS  # how long a half-closed connection stays open for a client that continues to send
@@ -26,13 +28,16 @@
 SHUTDOWN_POLL_INTERVAL = 20 * MS
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
 REJECTION_STATUSES = {RefusalReason.DUPLICATE: 409}  # other reasons: 422
-WRITE_TIMEOUT = 400 * MS  # a client waits this long for its response
+WRITE_TIMEOUT = 400 * MS  # for writing a response, as a client waits no longer for it
 _EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _DEST = re.compile(r"(?:^|[;,\s])dest=([0-9]{1,9})(?:$|[;,\s])")
 
 
 def parse_expires_in(text: str) -> int:
-    """Parses X-Expires-In, a number with the unit ``m`` (milliseconds) or ``u`` (microseconds), into microseconds."""
+    """Parses X-Expires-In, a number with the unit ``m`` (milliseconds) or ``u`` (microseconds), into microseconds.
+
+    Rounds down; raises ``MalformedMessageError`` if the value is missing or has another form.
+    """
     match = _EXPIRES.fullmatch(text.strip())
     if match is None:
         raise parser.MalformedMessageError("bad X-Expires-In")
@@ -78,7 +83,8 @@
         self._max_idle = max(4, max_connections // 4)  # connections kept open between requests
         # By state, with the time of entering it, oldest first.
         self._clients: dict[State, dict[Client, int]] = {state: {} for state in State}
-        # By event and reason: how often it occurred again since it was logged, within one second.
+        # By event and reason: how often it occurred again after it was logged, until this count is logged and cleared.
+        # From 20 keys on, a further reason counts as "other" of its event.
         self._suppressed_counts: dict[tuple[str, str], int] = {}
         self._listener: socket.socket | None = None
         courier.shutdown_tasks.append(self.close_connections)
@@ -103,7 +109,7 @@
                     if listener.fileno() < 0:
                         return
                     logs.warn("not-accepted", front="http", why=str(error))
-                    self.loop.sleep(20 * MS)
+                    self.loop.sleep(20 * MS)  # descriptors may have run out, and the listener stays readable
                     break
                 while self.count >= self._max_connections and not self._make_room():
                     self.loop.sleep(5 * MS)  # this connection and those queued behind it wait for another to close
@@ -137,7 +143,7 @@
                 if since > self.loop.now - min_age:
                     break
                 if state in (State.NEW, State.IDLE) and not client.stream.is_reusable():
-                    continue
+                    continue  # a request has begun or the client has closed; its task has not run since
                 self._log_throttled("closed-to-make-room", state.value)
                 if state is State.ASKING:  # it closes after its 408 response
                     client.stream.expire_read()
@@ -152,6 +158,9 @@
     def close_connections(self) -> None:
         """After SIGTERM: closes idle connections in an orderly way, and each other one as soon as it is idle.
 
+        A connection without a request counts as idle after ``SHUTDOWN_FIRST_BYTE_TIMEOUT``. The listener closes after
+        ``SHUTDOWN_ACCEPT_TIME``. Runs until the process exits.
+
         Otherwise clients would keep their idle connections until the process exits, and a request sent at that moment
         would be lost.
         """
@@ -167,7 +176,10 @@
             self.loop.sleep(SHUTDOWN_POLL_INTERVAL)
 
     def _close_listener(self, listener: socket.socket) -> None:
-        """Closes the listener; accepts the connections in its backlog first, as closing would reset them."""
+        """Closes the listener; accepts the connections in its backlog first, as closing would reset them.
+
+        Connections beyond the maximum number are not accepted.
+        """
         self._listener = None
         for _ in range(max(0, self._max_connections - self.count)):
             try:
@@ -184,7 +196,7 @@
     # Logging
 
     def _log_throttled(self, event: str, why: str, trace: str | None = None) -> None:
-        """Logs an event that faulty clients can cause often: the first one at once, then a count once a second."""
+        """Logs an event that faulty clients can cause often: the first one at once, then a count after 1 s."""
         key = (event, why)
         if key in self._suppressed_counts or len(self._suppressed_counts) >= 20:
             key = key if key in self._suppressed_counts else (event, "other")
@@ -216,7 +228,10 @@
             client.stream.close()
 
     def _await_request(self, client: Client) -> bool:
-        """Waits for the first byte of a request; returns false if the connection was idle for too long."""
+        """Waits for the first byte of a request; returns false if the connection was idle for too long.
+
+        ``expire_read`` ends the wait early, at a shutdown.
+        """
         stream, deadline = client.stream, self.loop.now + IDLE_TIMEOUT
         if client.state is State.NEW:
             deadline = client.connected_at + IDLE_TIMEOUT
@@ -271,10 +286,13 @@
         return bool(self.loop.park(responded)) and keep
 
     def _submit(self, message: Message, stream: Stream, keep: bool, responded: Suspension) -> None:
-        """Submits a message, in a task of its own; ``responded`` wakes the connection's task after the response."""
+        """Submits a message, in a task of its own; ``responded`` wakes the connection's task after the response.
+
+        It passes True if a response was written, False if that failed or the submission ended without a response.
+        """
 
         def respond(answer: Answer) -> bool:
-            """Writes the response; returns whether it accepted the message."""
+            """Writes the response; returns whether it was a 202, so that the courier is responsible for the message."""
             accepted = False
             try:
                 if answer.accepted and not stream.peer_closed():
@@ -309,7 +327,10 @@
             responded.resume(False)
 
     def _close_gracefully(self, client: Client) -> None:
-        """Closes a connection that the client has not closed: half-closes it, discards input, then closes it.
+        """Half-closes a connection that the client has not closed, and discards input until it may be closed.
+
+        That is when the client closes it, sends nothing for ``LINGER_IDLE_TIMEOUT``, or ``LINGER_TIMEOUT`` has passed.
+        The caller closes the socket.
 
         Closing a socket with unread bytes sends a reset, which may overtake the response. Requests that arrive after
         the half-close are discarded: their clients get no response and submit them elsewhere.
--- a/kestrelspar/http/watch.py
+++ b/kestrelspar/http/watch.py
@@ -19,10 +19,10 @@
 from snowlock import interface as api
 
 SOURCE = "discovery"
-MAX_LINE_BYTES = 4 * 1024 * 1024
+MAX_LINE_BYTES = 4 * 1024 * 1024  # of a line, an object or the body of a complete list
 MIN_PROGRESS_BYTES = 64 * 1024  # of an incomplete line: so many received bytes count as activity, fewer do not
 CATCH_UP_TIME = 6 * SECOND  # after a reconnect, the list may be outdated for as long as a change may take to be known
-BATCH_SIZE = 1_000  # rows
+BATCH_SIZE = 1_000  # decoded rows that are converted and freed together
 MAX_REMOVALS_BYTES = 8 * 1024  # on disk, for removals and drains since ``known`` was written: about 600 names
 
 
@@ -59,9 +59,9 @@
         self.loop, self.buffers, self.courier, self.carrier = loop, buffers, courier, carrier
         self.discovery = discovery
         courier.map.pending_sources.add(SOURCE)
-        self.index = 0  # the revision received last
+        self.index = 0  # the revision received last; 0: none yet
         self._backoff = DiscoveryBackoff(courier.settings.forwarders, seed, not courier.settings.must_subscribe)
-        self._disconnected_at: int | None = None  # None while the watch receives lines
+        self._disconnected_at: int | None = None  # None before the first break, and while the watch receives lines
         self._attempts = 0  # number of attempts to reconnect since ``_disconnected_at``
         self._silent_for = 0  # how long the last connection had been silent, if it was closed for that
         self._headers_timed_out = False  # the last connection timed out before its response headers
@@ -87,7 +87,7 @@
             self._removals.drop_through(index if isinstance(index, int) else 0)
             states = {
                 name: "leaving" if state is api.EndpointState.DRAINING else "left"
-                for name, state in self._removals.since(-1).items()
+                for name, state in self._removals.since(-1).items()  # -1: all records that are left
             }
             if states:
                 logs.event("map-left-since", source=SOURCE, revision=index, entries=len(states))
@@ -103,7 +103,7 @@
     def _apply(self, raw: Any, removals: RemovalLog | None) -> None:
         """Applies one object of the list; removals and drains are recorded in ``removals``.
 
-        An invalid row is logged and skipped, as is an object that is no list.
+        If that is None, they are not recorded. An invalid row is logged and skipped, as is an object that is no list.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
             self._log_unreadable("not a list", f"{raw!r:.120}")
@@ -188,7 +188,8 @@
     def _watch(self) -> bool:
         """Watches over one connection until it ends.
 
-        Returns whether a line was received; False also if the last object could not be read.
+        Returns whether the watch delivered a usable line, empty ones included; False also if it ended because an object
+        could not be used.
         """
         received, last_activity, move_count, self._refusal_status = False, 0, self._move_count, None
         sock = connect(self.loop, self.discovery, self.loop.now + CONNECT_TIMEOUT)
@@ -259,7 +260,10 @@
         return self._handle_line(body)
 
     def _handle_line(self, text: bytes) -> bool:
-        """Applies one object of the list, or an empty line; returns false if it cannot be parsed."""
+        """Applies one object of the list, or an empty line; returns false if it cannot be parsed or is no list.
+
+        Even then, discovery counts as connected again.
+        """
         self.courier.map.pending_sources.discard(SOURCE)
         if self._disconnected_at is not None:
             logs.event(
@@ -280,7 +284,7 @@
         return isinstance(raw, dict) and isinstance(raw.get("endpoints"), list)
 
     def _mark_current(self) -> None:
-        """Marks the list as current, ``CATCH_UP_TIME`` after a reconnect, unless the watch is broken again.
+        """Marks the list as current, ``CATCH_UP_TIME`` after a reconnect, unless the watch is broken at that time.
 
         From then on, an endpoint that is missing from the list does not exist.
         """
@@ -297,14 +301,20 @@
 
 
 class JsonObjects:
-    """Assembles JSON objects from lines; an object has one line or, if indented, several. An empty line: no change."""
+    """Assembles JSON objects from lines; an object has one line or, if indented, several.
+
+    Discovery sends an empty line as a heartbeat while nothing changes.
+    """
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []  # lines of an incomplete object
         self._depth = self._size = 0
 
     def feed(self, line: bytes) -> list[bytes]:
-        """Returns what the line completes: objects, empty lines, and text that cannot become an object, unchanged."""
+        """Returns what the line completes: objects, empty lines, and text that cannot become an object, unchanged.
+
+        Raises ``MalformedMessageError`` for an object of more than ``MAX_LINE_BYTES``.
+        """
         text = line.strip()
         if not text:  # objects contain no empty lines, so an object that is incomplete here was cut off
             return [*self._flush(), b""]
@@ -337,7 +347,10 @@
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the lines that are complete, without their line ends."""
+        """Returns the lines that are complete, without their line ends.
+
+        Raises ``MalformedMessageError`` for an incomplete line of more than ``MAX_LINE_BYTES``.
+        """
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
         if len(self._incomplete) > MAX_LINE_BYTES:
             raise parser.MalformedMessageError("line too long")
--- a/kestrelspar/serve.py
+++ b/kestrelspar/serve.py
@@ -38,7 +38,7 @@
 
 BUFFER_MEMORY_DIVISOR = 8  # read buffers take at most one eighth of the memory
 MIN_CLIENT_CONNECTIONS = 8  # however few descriptors there are
-MAX_SAVED_LISTS_FRACTION = 0.5  # of the disk limit, for registries' saved lists; the rest is the journal's
+MAX_SAVED_LISTS_FRACTION = 0.5  # of the disk limit, for registries' saved lists; the journal needs the rest
 # How long a start waits for the first lists of discovery and registries, and how often it looks whether they are there.
 INITIAL_LIST_TIMEOUT, INITIAL_LIST_POLL_INTERVAL = 200 * MS, 2 * MS
 # Fields of the platform's configuration that a reload does not apply.
@@ -48,8 +48,9 @@
 class StartupConfig:
     """The configuration that the program starts with.
 
-    Raises ``ValueError``, which names all errors of the first source that has any: the platform's JSON, the
-    configuration file, or a file that it refers to.
+    Raises ``ValueError`` for the first source that has errors: the platform's JSON, the configuration file, or files
+    that it refers to. A ``ConfErrors`` or ``SettingsError`` names several of them; a plug-in script or a transport map
+    file is reported with its first error only.
     """
 
     def __init__(self, environment: Mapping[str, str]) -> None:
@@ -110,7 +111,7 @@
 
 
 def report_invalid_configuration(error: ValueError) -> int:
-    """Logs each configuration error; returns the exit code."""
+    """Logs each configuration error; returns the exit code, which is 2."""
     errors = list(map(str, error.errors)) if isinstance(error, ConfErrors | SettingsError) else [str(error)]
     for text in errors:
         logs.error("configuration", why=text)
@@ -159,7 +160,10 @@
     """Reloads the configuration on SIGHUP.
 
     Follows discovery and registries to their new addresses, applies the log settings, reloads TLS files, and changes
-    the peer keys or stops talking to peers. Open messages are not affected. An invalid configuration changes nothing.
+    the peer keys or stops talking to peers. Changes that require a restart are logged: of the platform's fields in
+    ``RESTART_ONLY``, of the sections for SMPP, plug-ins and maps, and the first use of peers. Other changes in the
+    section ``peers`` are neither applied nor logged. Open messages are not affected. An invalid configuration changes
+    nothing.
     """
     try:
         new_config = platform.read(environment, reload=True)
@@ -208,7 +212,8 @@
     """Splits the descriptor limit: returns the numbers for clients' connections and for idle ones to next hops.
 
     The others are reserved for delivery attempts, responses that are still being read, discovery, notices, listeners
-    and files, so that clients which use up their share cannot block these.
+    and files, so that clients which use up their share cannot block these. ``slots`` is counted twice: for an attempt
+    and for the rest of an earlier response. With a very small limit, the minimums of 8 and 4 may exceed it.
     """
     rest = sockets - 2 * slots - max(16, min(32, sockets // 4), sockets // 16)
     idle = max(4, min(sockets // 4, rest // 2))
@@ -216,7 +221,11 @@
 
 
 def main(environment: Mapping[str, str] = os.environ) -> int:
-    """Runs the courier; returns exit code 0 after SIGTERM, 2 for an invalid configuration or an unusable address."""
+    """Runs the courier; returns its exit code.
+
+    0: ended by SIGTERM or SIGINT. 2: the configuration is invalid, the state directory is unusable, or an address
+    cannot be bound.
+    """
     signal_socket = signals.open_signal_socket()
     # Reading a long list creates no reference cycles, and garbage collection took half of the start time.
     heap.disable_collection()
