--- a/kestrelspar/registry/consul.py
+++ b/kestrelspar/registry/consul.py
@@ -20,7 +20,7 @@
 
 
 class KeyValue(Struct):
-    """One key of a response."""
+    """One key of a response. Consul sends the value in base64, and null for an empty one."""
 
     Key: str
     ModifyIndex: int
@@ -39,7 +39,7 @@
 
 
 def parse_number(text: str) -> int | None:
-    """The number in a header, or None if it is not a number."""
+    """The number in a header, or None if it is not a number of at most 19 digits."""
     return int(text) if text.isascii() and text.isdigit() and len(text) < 20 else None
 
 
@@ -66,9 +66,10 @@
     def read(self, index: int, consistent: bool) -> tuple[parser.Head, int | None, bool, int]:
         """Begin to read the whole list. Unless ``index`` is 0, the read blocks until the list changes after that index.
 
-        It blocks for the section's ``wait`` at most. Returns the head of the response, its index, whether the member
-        knows a leader, and how many milliseconds ago the member was last in contact with the leader. Raises
-        ``RegistryError`` unless the status is 200 or 404, which stands for an empty list.
+        It blocks for the section's ``wait`` at most. ``consistent`` overrides the section's ``consistency``. Returns
+        the head of the response; its index, or None if the header is missing or invalid; whether the member knows a
+        leader (true if it does not say); and how many milliseconds ago it was last in contact with the leader (0 if it
+        does not say). Raises ``RegistryError`` unless the status is 200 or 404, which stands for an empty list.
         """
         section = self.config.section
         query = "recurse=true"
@@ -90,7 +91,10 @@
         )
 
     def item_batches(self, head: parser.Head) -> Iterator[list[Item]]:
-        """Yield the keys of a response as they arrive, without those that end with a slash, which are folders."""
+        """Yield the keys of a response as they arrive, without those that end with a slash, which are folders.
+
+        Raises ``RegistryError`` if the body is no list of keys, or is truncated.
+        """
         splitter = JsonObjectSplitter()
         for chunk in self.connection.body_chunks(head):
             if head.status == 404:
@@ -111,7 +115,7 @@
     # Operator commands
 
     def read_all(self) -> list[Item]:
-        """Read the whole list."""
+        """Read the whole list: consistently, unless the section's ``consistency`` is ``stale``."""
         head, _, knows_leader, _ = self.read(0, self.config.section.consistency != "stale")
         found = [item for batch in self.item_batches(head) for item in batch]
         if not knows_leader:
@@ -119,7 +123,7 @@
         return found
 
     def get(self, key: str) -> Item | None:
-        """Read one key."""
+        """Read one key consistently; None if it does not exist."""
         head = self._request("GET", key, "consistent")
         if head.status not in (200, 404):
             raise self._response_error(head)
--- a/kestrelspar/registry/etcd.py
+++ b/kestrelspar/registry/etcd.py
@@ -56,7 +56,12 @@
 
 
 class WatchResponse(Struct):
-    """One result of a watch."""
+    """One result of a watch.
+
+    ``created``: the watch exists. ``canceled``: it ends. ``compact_revision``: if not 0, the revision requested was
+    compacted, and this is the oldest one available. ``fragment``: more of the same changes follow. Without events and
+    flags, it reports progress.
+    """
 
     header: ResponseHeader
     created: bool = False
@@ -68,7 +73,7 @@
 
 
 class WatchError(Struct):
-    """Error object of a stream."""
+    """Error object of a stream. Its gRPC status is ``grpc_code`` or, if that is 0, ``code``."""
 
     message: str = ""
     grpc_code: int = 0
@@ -76,7 +81,7 @@
 
 
 class StreamMessage(Struct):
-    """One JSON object of a stream."""
+    """One JSON object of a stream, with either a result or an error."""
 
     result: WatchResponse | None = None
     error: WatchError | None = None
@@ -122,7 +127,10 @@
 
 
 def response_error(status: int, body: bytes) -> Exception:
-    """The exception that describes a response with a status other than 200."""
+    """The exception for a response with a status other than 200.
+
+    ``RevisionCompactedError``, ``UnauthenticatedError`` or, for everything else, ``RegistryError``.
+    """
     try:
         response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -144,7 +152,7 @@
 
 
 def items_from_events(events: list[Event]) -> list[Item]:
-    """Convert the events of a watch."""
+    """Convert the events of a watch. A deletion, whose type is a name or its number, gets the value None."""
     return [
         Item(
             event.kv.key.decode("utf-8", "surrogateescape"),
@@ -158,7 +166,7 @@
 class AuthToken:
     """The token for one member, shared by its connections: when one of them renews it, all use the new one."""
 
-    token = ""
+    token = ""  # empty: none yet, or the last one was rejected
 
 
 class Etcd:
@@ -170,7 +178,10 @@
         self.auth = auth or AuthToken()
 
     def call(self, path: str, body: dict[str, Any], response_type: Any) -> Any:
-        """Send a request and decode its response. An expired token is renewed once."""
+        """Send a request and decode its response. If the token is rejected, renew it and retry once.
+
+        Raises ``RegistryError``, or ``RevisionCompactedError`` if the request names a revision that was compacted.
+        """
         for may_retry in (True, False):
             head = self._send(path, body)
             response_body = self.connection.read_body(head)
@@ -206,9 +217,13 @@
         return {"key": encode_base64(self.prefix), "range_end": encode_base64(range_end(self.prefix))}
 
     def page(self, after: str, revision: int, limit: int) -> RangeResponse:
-        """Read a page of the list: at most ``limit`` keys after ``after``, at the revision (0: the newest)."""
+        """Read a page of the list: at most ``limit`` keys after the key ``after``, at the revision (0: the newest).
+
+        If ``after`` is empty, the page begins with the first key.
+        """
         body = self._key_range() | {"limit": str(limit)}
         if after:
+            # The smallest key above ``after`` is ``after`` with a NUL byte added.
             body["key"] = encode_base64(after.encode("utf-8", "surrogateescape") + b"\0")
         if revision:
             body["revision"] = str(revision)
@@ -216,7 +231,7 @@
         return response
 
     def check(self) -> RangeResponse:
-        """Read the number of keys, and the key that was changed last."""
+        """Read the number of keys, and the one that was changed last, without its value."""
         body = self._key_range() | {"limit": "1", "keys_only": True, "sort_target": "MOD", "sort_order": "DESCEND"}
         response: RangeResponse = self.call("/v3/kv/range", body, RangeResponse)
         return response
@@ -224,7 +239,7 @@
     def watch(self, revision: int, silence: int) -> Iterator[WatchResponse | None]:
         """Yield the results of a watch from this revision, and None after each ``silence`` microseconds without data.
 
-        It always ends with an exception: ``RevisionCompactedError`` or ``RegistryError``.
+        It ends with an exception, unless the caller closes it: ``RevisionCompactedError`` or ``RegistryError``.
         """
         request = self._key_range() | {"start_revision": str(revision), "progress_notify": True, "fragment": True}
         head = self._send("/v3/watch", {"create_request": request})
@@ -274,7 +289,7 @@
             after = found[-1].key
 
     def get(self, key: str) -> Item | None:
-        """Read one key."""
+        """Read one key; None if it does not exist."""
         response: RangeResponse = self.call("/v3/kv/range", {"key": encode_base64(key.encode())}, RangeResponse)
         return items_from_key_values(response.kvs)[0] if response.kvs else None
 
--- a/kestrelspar/registry/follower.py
+++ b/kestrelspar/registry/follower.py
@@ -31,9 +31,10 @@
 from kestrelspar.settings.resolve import Registry
 
 BATCH_SIZE = 200  # entries passed to the decision module before other tasks of the event loop run
-RECHECK_DELAY = 1 * SECOND  # after a check that disagreed with the watch
-SAVE_INTERVAL = 10 * SECOND  # minimum between two writes of the saved list
-MAX_RETRY_AFTER = 10 * SECOND  # sent to clients while a stale list defers new messages
+RECHECK_DELAY = 1 * SECOND  # after a check that disagreed with the watch; also how often a silent watch is looked at
+# Minimum between two periodic writes of the saved list. A removal that its log lacks is saved at once.
+SAVE_INTERVAL = 10 * SECOND
+MAX_RETRY_AFTER = 10 * SECOND  # sent to clients while a stale or missing list defers new messages
 
 
 class SettingsChanged(Exception):
@@ -41,7 +42,7 @@
 
 
 class Follower:
-    """Follows the registry of one section. ``start`` starts its tasks, ``run`` and the periodic maintenance."""
+    """Follows the registry of one section, in two tasks, ``run`` and ``_maintain``, until its settings change."""
 
     def __init__(
         self,
@@ -119,7 +120,8 @@
     def apply_settings(self, config: Registry) -> None:
         """Apply settings that were reloaded on SIGHUP: other members, prefix or token, or the same ones again.
 
-        The current list is used until the new one is complete, and then compared with it.
+        The current list is used until the new one is complete, and then compared with it. New requests begin at once;
+        tasks with the old settings end.
         """
         same = config.section.type == self.config.section.type
         self.config = config
@@ -136,7 +138,10 @@
         self.loop.spawn(self.run, self._generation)
 
     def stop(self) -> None:
-        """Stop following, as the section was removed: its endpoints are no longer used, and its files are deleted."""
+        """Stop following, as the section was removed or disabled.
+
+        Its endpoints are no longer used, and its files are deleted.
+        """
         self._generation += 1
         for link in self._links:
             link.close()
@@ -150,7 +155,7 @@
         logs.event("registry-left", registry=self.config.label)
 
     def run(self, generation: int) -> None:
-        """Send the requests that the sync returns, until the settings change."""
+        """Send the requests that the sync returns, until the settings change or ``stop`` is called."""
         while generation == self._generation:
             request = self.sync.next_request(self.loop.now)
             try:
@@ -202,7 +207,8 @@
     def _watch(self, client: Etcd, request: WatchRequest, generation: int) -> None:
         """Run one watch, and compare the list with the registry at intervals of the section's ``check``.
 
-        A check that disagreed is repeated after ``RECHECK_DELAY``.
+        A check that disagreed is repeated after ``RECHECK_DELAY``. Returns when another member or a new list is needed;
+        raises what the watch and the check raise, and ``SettingsChanged``.
         """
         sync = self.sync
         assert isinstance(sync, EtcdSync)
@@ -245,7 +251,7 @@
                 self._links.remove(link)
 
     def _apply_watch_response(self, response: WatchResponse, generation: int) -> None:
-        """Apply one response of a watch, its events in batches."""
+        """Apply one response of a watch, its events in batches; one without events reports progress or the creation."""
         assert isinstance(self.sync, EtcdSync)
         cluster, revision = str(response.header.cluster_id), response.header.revision
         if response.created and not response.events:
@@ -261,7 +267,7 @@
             )
 
     def _read_list(self, client: Consul, request: ReadRequest, generation: int) -> None:
-        """Read Consul's whole list once."""
+        """Read Consul's whole list once, and apply it as it arrives."""
         sync = self.sync
         assert isinstance(sync, ConsulSync)
         head, index, knows_leader, last_contact_ms = client.read(request.index, request.consistent)
@@ -288,7 +294,8 @@
         """Pass an update to the removal log, the event log and the courier.
 
         Removals and drains are applied first and in one piece: they must take effect within 500 ms of the read that
-        reported them.
+        reported them. Other tasks run between the batches of a large update; it raises ``SettingsChanged`` if the
+        settings changed meanwhile.
         """
         # Removals are recorded before they are logged, as a reader of the log may kill the process at once.
         if (
@@ -321,7 +328,10 @@
         self._update_deferral()
 
     def _update_deferral(self) -> None:
-        """Defer new messages while there is no list or it is stale, if the settings say so."""
+        """Defer new messages while there is no list or it is stale, if ``on-stale`` is ``defer``.
+
+        An empty list that the registry has sent is a list.
+        """
         age = self.loop.now - self.sync.confirmed_at
         if self.config.section.on_stale == "defer" and (
             age > self.config.section.patience or not self.known_list.entries and not self.sync.listed
@@ -336,9 +346,9 @@
         self._apply(update, self._generation)
 
     def _maintain(self, generation: int) -> None:
-        """Check the age of the list at intervals, and save the list when it has changed."""
+        """Check the age of the list at intervals, retry writes of the removal log, and save a list that has changed."""
         interval = min(SECOND, max(50 * MS, self.config.section.patience // 10))
-        saved_at = self.loop.now - SAVE_INTERVAL + interval
+        saved_at = self.loop.now - SAVE_INTERVAL + interval  # so that the first save may follow after one interval
         while generation == self._generation:
             self.loop.sleep(interval)
             if generation != self._generation:
@@ -359,7 +369,10 @@
     # The saved list
 
     def _restore_list(self) -> None:
-        """Use the list that the previous process saved, whatever its age, until the registry sends a newer one."""
+        """Use the list that the previous process saved, whatever its age, until the registry sends a newer one.
+
+        Deletes a list that is unusable or of another type or prefix, and with ``keep`` 0 also the removal log.
+        """
         section = self.config.section
         if self._list_file is None or self._removal_log is None:
             return
--- a/kestrelspar/registry/link.py
+++ b/kestrelspar/registry/link.py
@@ -16,7 +16,7 @@
 
 
 class RegistryError(Exception):
-    """The member could not be reached, or its response violates its protocol.
+    """The member could not be reached, did not respond in time, reported an error, or violated its protocol.
 
     ``wait``: the Retry-After delay of its response in microseconds; 0: none.
     """
@@ -35,11 +35,14 @@
 
 
 class UnauthenticatedError(RegistryError):
-    """The token is not accepted, or has expired."""
+    """The member requires a valid token: there is none, it is not accepted, or it has expired."""
 
 
 class MemberConnection:
-    """A connection to one member, opened when needed. All errors are raised as ``RegistryError``."""
+    """A connection to one member, opened when needed. Failures are raised as ``RegistryError``.
+
+    It serves one request at a time: the body of a response is read before the next request, or ``close`` is called.
+    """
 
     def __init__(
         self,
@@ -82,7 +85,8 @@
     ) -> parser.Head:
         """Send a request and read the head of its response, with ``wait`` microseconds added to the time-out.
 
-        A GET is sent again if the persistent connection turns out to be closed.
+        A GET is sent again if a reused connection closes before the head has arrived. Other methods are not, as the
+        member may have processed the request.
         """
         stream, reused = self._open()
         self._stream = stream
@@ -106,7 +110,7 @@
         """Yield the body of a response as it arrives.
 
         After each ``silence`` microseconds without data, it yields None, and the caller decides whether to continue. If
-        ``silence`` is None, a time-out raises ``RegistryError``.
+        ``silence`` is None, the connection's time-out between two parts applies, and raises ``RegistryError``.
         """
         stream = self._stream
         if stream is None:
@@ -145,7 +149,7 @@
             raise RegistryError(f"not HTTP: {error}") from None
 
     def read_body(self, head: parser.Head) -> bytes:
-        """Read the whole body of a response."""
+        """Read the whole body of a response. Raises ``RegistryError`` beyond ``MAX_RESPONSE_SIZE``."""
         chunks, size = [], 0
         for chunk in self.body_chunks(head):
             chunks.append(chunk or b"")
@@ -156,7 +160,10 @@
         return b"".join(chunks)
 
     def close(self) -> None:
-        """Close the connection. A task that reads from it gets ``ConnectionClosedError``."""
+        """Close the connection. In a task that waits for its data, ``request`` or ``body_chunks`` then fails.
+
+        A body without a length is an exception: it seems to be complete.
+        """
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
--- a/kestrelspar/registry/saved_list.py
+++ b/kestrelspar/registry/saved_list.py
@@ -2,8 +2,8 @@
 
 A file is a line of JSON with a checksum over the rest, followed by compressed JSON lines, one for each entry. A list is
 written to a new file that is renamed over the old one, so a crash leaves one of the two. A file that can't be read
-counts as absent. Its size is bounded by the section's ``keep``. That space is set aside at the start from the disk
-space of the journal, so that a list never takes space needed for a message.
+is logged, deleted and not used. Its size is bounded by the section's ``keep``. That space is set aside at the start
+from the disk space of the journal, so that a list never takes space needed for a message.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 FORMAT = 1
 BATCH_SIZE = 500  # entries compressed before other tasks of the event loop run
 MAX_HEAD_SIZE = 4096
-MAX_UNPACKED_SIZE = 400_000_000  # bytes of the decompressed rows
+MAX_UNPACKED_SIZE = 400_000_000  # bytes of the decompressed rows; a longer list is cut off there
 REMOVALS_DIVISOR = 4  # 1 / REMOVALS_DIVISOR of ``keep`` is for the log of removals since the list was written
 BLOCK_SIZE = 512  # bytes
 
@@ -43,9 +43,10 @@
     cluster: str
     revision: int  # of the registry; Consul: the index
     at_ms: int  # Unix time in ms at which the list was last known to be current
-    count: int  # number of entries
+    count: int  # number of known keys; the file has no rows for those whose value could never be read
     xxh64: str  # checksum of the rest of the file, in hexadecimal
-    told: int = 0  # revision of the removal log (journal/removal_log.py) up to which the list contains its rows
+    # Revision of the removal log (journal/removal_log.py) up to which the list contains its rows; 0: none of them.
+    told: int = 0
 
 
 class ListRow(Struct):
@@ -66,7 +67,7 @@
 def reserve(keep: int) -> int:
     """Disk space in bytes that a saved list of at most ``keep`` bytes may take at any time.
 
-    It covers the old and the new file, in whole blocks, and the log of removals.
+    It covers the old and the new file, in whole blocks, and the log of removals. 0 if ``keep`` is 0: nothing is saved.
     """
     return (
         2 * (-(-keep // BLOCK_SIZE) * BLOCK_SIZE) + RemovalLog.max_disk_usage(keep // REMOVALS_DIVISOR) if keep else 0
@@ -74,7 +75,7 @@
 
 
 def entry_from_hop(hop: NextHop, settings: api.Settings) -> entries.Entry:
-    """Convert a next hop back to an entry."""
+    """Convert a next hop back to an entry. A bound on connecting or delivery that does not exist is 0 in the entry."""
     endpoint = hop.endpoint
     return entries.Entry(
         name=endpoint.id.decode(),
@@ -95,7 +96,7 @@
 
 
 def path(state_directory: str, label: str) -> Path:
-    """The file of the saved list of a registry."""
+    """The file of the saved list of a registry; characters of the label that may be unsafe in a name are escaped."""
     escaped_label = "".join(
         char if char.isalnum() and char.isascii() or char in "-_" else f"%{ord(char):x}" for char in label
     )
@@ -128,10 +129,10 @@
     settings: api.Settings,
     yield_to_loop: Callable[[], None],
 ) -> int:
-    """Write the list and return its size in bytes, or 0 if it is larger than ``max_bytes``.
+    """Write the list and return its size in bytes, or write nothing and return 0 if it is larger than ``max_bytes``.
 
     Calls ``yield_to_loop`` after each batch to let other tasks run. If the disk fails, it raises ``OSError`` and the
-    old file stays. ``head.xxh64`` is filled in.
+    old file stays. ``head.xxh64`` is filled in. Entries without a next hop are left out.
     """
     packer, packed, size = zlib.compressobj(1), [], 0
     encode = msgspec.json.encode
@@ -197,8 +198,9 @@
 ) -> int:
     """Put a saved list into a known list.
 
-    ``make_hop`` converts an entry to a next hop. ``removed`` has the keys that were reported as gone or draining after
-    the list was saved. Returns the number of entries that the current settings no longer accept.
+    ``make_hop`` converts an entry to a next hop, or raises ``ValueError``. ``removed`` has the keys that were reported
+    as gone or draining after the list was saved. ``update`` gets the changes. Returns the number of entries left out
+    because the current settings no longer accept them.
     """
     rejected = 0
     for row in saved.rows:
--- a/kestrelspar/registry/stream.py
+++ b/kestrelspar/registry/stream.py
@@ -27,7 +27,11 @@
         return not self._depth and not self._buffer.strip(b" \t\r\n,[]")
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add data and return the objects that are complete. Raises ``MalformedStreamError`` for anything else."""
+        """Add data and return the objects that it completes.
+
+        Raises ``MalformedStreamError`` for anything between objects but blanks, commas and brackets, and for an
+        incomplete object of more than ``MAX_OBJECT_SIZE``.
+        """
         self._buffer += data
         objects, object_end = [], 0
         position = self._scan_from
