--- a/kestrelspar/keys.py
+++ b/kestrelspar/keys.py
@@ -36,12 +36,12 @@
 
     server: ssl.SSLContext | None  # None if no certificate is configured
     client: ssl.SSLContext
-    expires_at: datetime | None  # the earliest expiry in the configured certificate chain
+    expires_at: datetime | None  # the earliest expiry in the configured certificate chain; None: no certificate
 
 
 def read(section: schema.Tls) -> TlsContexts:
     """Builds the contexts of a section from its files; ``TlsFileError`` says which file is unusable, and why."""
-    # Without a file of its own, the key is in the certificate's file.
+    # Without a file of its own, the key is in the certificate's file. Whichever holds the key must be private.
     key, file = ("key", section.key) if section.key else ("certificate", section.certificate)
     if file:
         try:
@@ -92,10 +92,16 @@
 
 
 class TlsStore:
-    """The contexts of all ``tls`` sections. New connections use the latest ones; existing connections keep theirs."""
+    """The contexts of all ``tls`` sections. New connections use the latest ones; existing connections keep theirs.
+
+    A section that is removed at a reload keeps its last contexts until the next start.
+    """
 
     def __init__(self, conf: Conf) -> None:
-        """Loads all files; raises ``ConfErrors``, which names each unusable file."""
+        """Loads all files; raises ``ConfErrors``, which names each section with an unusable file, its first one.
+
+        References to a section that does not exist, or has no certificate for the listener, are errors, too.
+        """
         self._contexts: dict[str, TlsContexts] = {}
         self._load(conf)
 
@@ -124,20 +130,20 @@
         self._contexts |= contexts
 
     def reload_files(self, conf: Conf) -> None:
-        """Reads the files again; if it raises ``ConfErrors``, the current contexts stay in use."""
+        """Reads the files again; if it raises ``ConfErrors``, all current contexts stay in use."""
         self._load(conf)
         for label in self._contexts:
             logs.event("tls-read", section=label)
         self.log_expiry()
 
     def server(self, label: str) -> ssl.SSLContext:
-        """The context for incoming connections."""
+        """The latest context for incoming connections of a section, which has a certificate."""
         context = self._contexts[label].server
         assert context is not None
         return context
 
     def client(self, label: str) -> ssl.SSLContext:
-        """The context for outgoing connections."""
+        """The latest context for outgoing connections of a section."""
         return self._contexts[label].client
 
     def log_expiry(self) -> None:
@@ -153,7 +159,7 @@
                 logs.warn("tls-certificate-expires", section=label, at=context.expires_at.isoformat(), days=days)
 
     def watch(self, loop: Loop) -> None:
-        """Checks for expiring certificates at the start and once a day."""
+        """Checks for expiring certificates at the start and once a day; ends if there is no section at the start."""
         if not self._contexts:
             return
         while True:
@@ -161,5 +167,5 @@
             loop.sleep(DAY)
 
     def with_tls(self, registries: list[Registry]) -> list[Registry]:
-        """Returns the registries, with a TLS context for those that use TLS."""
+        """Returns the registries; those that use TLS get a function that returns the latest context."""
         return [replace(r, tls_context=partial(self.client, r.section.tls)) if r.section.tls else r for r in registries]
--- a/kestrelspar/passwords.py
+++ b/kestrelspar/passwords.py
@@ -8,19 +8,19 @@
 import os
 import re
 
-# Cost parameters of scrypt: each check takes about 4 MB and 10 ms, during which the event loop is blocked.
+# Cost parameters of scrypt: with these, a check takes about 4 MB and 10 ms, during which the event loop is blocked.
 LOG_N, R, P = 12, 8, 1
 MAX_LOG_N = 15  # of a hash made elsewhere: it may cost more, but must not block the event loop for long
 _PHC = re.compile(r"\$scrypt\$ln=(\d{1,2}),r=(\d{1,2}),p=(\d)\$([A-Za-z0-9+/]{8,64})\$([A-Za-z0-9+/]{22,128})")
 
 
 def is_hash(text: str) -> bool:
-    """Whether the text is a hash rather than a password in clear text."""
+    """Whether the text is marked as a hash rather than a password in clear text, be it supported or not."""
     return text.startswith("$scrypt$")
 
 
 def is_supported_hash(text: str) -> bool:
-    """Whether ``matches`` can check the hash at an acceptable cost."""
+    """Whether the hash is well-formed and ``Verifier.matches`` can check it at an acceptable cost."""
     match = _PHC.fullmatch(text)
     return match is not None and 4 <= int(match[1]) <= MAX_LOG_N and 1 <= int(match[2]) <= 16 and int(match[3]) == 1
 
@@ -39,7 +39,7 @@
         self._verified: dict[str, bytes] = {}  # by stored hash: keyed digest of the password that matched it
 
     def matches(self, stored: str, password: str) -> bool:
-        """Whether the password matches the stored one, which is clear text or a hash."""
+        """Whether the password matches the stored one, which is clear text or a hash; False for an unsupported hash."""
         if not is_hash(stored):
             return hmac.compare_digest(stored.encode(), password.encode())
         digest = hashlib.blake2b(password.encode(), key=self._key).digest()
--- a/kestrelspar/plugins.py
+++ b/kestrelspar/plugins.py
@@ -22,10 +22,11 @@
 from kestrelspar.runtime.loop import MS, Loop
 from snowlock import interface as api
 
-MAX_STEPS = 200  # evaluated nodes of one expression
-MAX_TEXT_LENGTH = 64 * 1024  # characters of a computed text
-MAX_NUMBER = 10**15  # absolute value of a computed number
+MAX_STEPS = 200  # evaluated nodes of one expression, for one message
+MAX_TEXT_LENGTH = 64 * 1024  # characters of the result of ``+``
+MAX_NUMBER = 10**15  # absolute value of the result of an arithmetic operator
 MAX_DEFER_MS = 60_000
+# ``left_ms`` is the time until the message's deadline, ``front`` the name of its sender side.
 ARRIVAL_FIELDS = frozenset({"trace", "cls", "tenant", "dest", "key", "size", "body", "left_ms", "front"})
 END_FIELDS = ARRIVAL_FIELDS | {"state", "after_ms"}
 ACTIONS = {"arrival": ("defer", "reject", "set class", "set dest"), "end": ("log",)}
@@ -66,7 +67,10 @@
 
 
 class Expression:
-    """An expression over the fields ``names``; it is validated when created, and evaluated within a budget of steps."""
+    """An expression over the fields ``names``, evaluated within a budget of steps.
+
+    Creating it raises ``SyntaxError`` or ``ValueError`` if it is invalid or not supported.
+    """
 
     def __init__(self, source: str, names: frozenset[str]) -> None:
         self._tree = ast.parse(source.strip(), mode="eval").body
@@ -102,7 +106,10 @@
                 self._check(child, names)
 
     def evaluate(self, fields: dict[str, Any]) -> Any:
-        """Evaluates the expression for these fields; raises ``EvaluationError`` if that is not possible."""
+        """Evaluates the expression for these fields.
+
+        Raises ``EvaluationError`` if types do not fit, a value is out of range or the budget is used up.
+        """
         self._steps = MAX_STEPS
         try:
             return self._value(self._tree, fields)
@@ -118,7 +125,7 @@
         if isinstance(node, ast.Name):
             return fields[node.id]
         if isinstance(node, ast.BoolOp):
-            decisive = isinstance(node.op, ast.Or)  # the truth value that ends the evaluation
+            decisive = isinstance(node.op, ast.Or)  # the truth value of an operand that ends the evaluation
             value: Any = None
             for part in node.values:
                 value = self._value(part, fields)
@@ -205,13 +212,19 @@
 
 
 class Plugins:
-    """A hook of the courier, which calls it at the arrival and at the end of each message."""
+    """A hook of the courier, which calls it at the arrival and at the end of each message.
+
+    A rule that fails for a message is logged and skipped.
+    """
 
     def __init__(self, loop: Loop, settings: api.Settings, rules: list[Rule]) -> None:
         self.loop, self.settings, self.rules = loop, settings, rules
 
     def arrival(self, message: Message) -> Answer | None:
-        """Runs the rules in order, up to the first that defers or rejects the message; returns None if none does."""
+        """Runs the rules in order, up to the first that defers or rejects the message; returns None if none does.
+
+        A rule that sets the class or destination changes the message, and later rules see the change.
+        """
         for rule in self.rules:
             if rule.trigger != "arrival":
                 continue
@@ -236,7 +249,7 @@
         return None
 
     def end(self, message: Message, end: End) -> None:
-        """Runs the rules for the end of a message."""
+        """Runs all rules for the end of a message; several may log."""
         for rule in self.rules:
             if rule.trigger != "end":
                 continue
