--- a/kestrelspar/nginx/importer.py
+++ b/kestrelspar/nginx/importer.py
@@ -27,7 +27,10 @@
 
 
 def parse_milliseconds(text: str) -> int:
-    """Convert an nginx time to milliseconds. Raises ``ValueError`` if it is not a time."""
+    """Convert an nginx time to milliseconds; a number without a unit is in seconds.
+
+    Raises ``ValueError`` if it is not a time.
+    """
     parts = _TIME_PART.findall(text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
         raise ValueError(f"{text!r} is not a time")
@@ -35,7 +38,7 @@
 
 
 def parse_host_port(text: str) -> str:
-    """HOST:PORT of an address that needs no name resolution. Raises ``ValueError`` for any other."""
+    """HOST:PORT of an IPv4 address or localhost, with port 80 as the default. Raises ``ValueError`` for any other."""
     host, colon, port = text.rpartition(":") if ":" in text else (text, "", "80")
     if host == "localhost":
         host = "127.0.0.1"
@@ -49,7 +52,8 @@
 class Importer:
     """Walks the parsed files, and collects the transport map and a report of what can't be converted.
 
-    ``zone`` and ``type`` are set on all endpoints.
+    ``zone`` and ``type`` are set on all endpoints, unless they are None. ``upstreams`` has the endpoints of each
+    upstream, and ``_locations`` each destination with its endpoints.
     """
 
     zone: str | None = None
@@ -59,7 +63,7 @@
     _locations: list[tuple[dict[str, Any], list[dict[str, Any]]]] = field(default_factory=list)
 
     def read(self, path: str) -> dict[str, Any]:
-        """Convert a file and the files that it includes to a map."""
+        """Convert a file and the files that it includes to a map; what is lost is added to ``unsupported``."""
         parsed = crossplane.parse(path, combine=True, check_ctx=False, strict=False)
         for error in parsed["errors"]:
             self.unsupported.append(f"{error.get('file') or path}:{error.get('line') or 0}: {error['error']}")
@@ -108,7 +112,10 @@
         return row
 
     def _settings_of(self, directives: list[dict[str, Any]], inherited: dict[str, int]) -> dict[str, int]:
-        """The times and tries of a block: its own, or else the inherited ones. Other directives are reported."""
+        """The times and tries of a block: its own, or else the inherited ones.
+
+        Directives that can't be converted are reported.
+        """
         own_settings = dict(inherited)
         for directive in directives:
             name, args = directive["directive"], directive["args"]
@@ -133,7 +140,11 @@
                 self._convert_block(directive.get("block", []), own_settings)
 
     def _convert_location(self, directive: dict[str, Any], inherited: dict[str, int]) -> None:
-        """Convert a location with a proxy_pass to a destination."""
+        """Convert a location with a proxy_pass to a destination, and the locations inside it to others.
+
+        A location with a pattern, or whose proxy_pass is missing or names no known next hop over plain HTTP, is only
+        reported.
+        """
         own_settings = self._settings_of(directive["block"], inherited)
         for nested in directive["block"]:
             if nested["directive"] == "location":
--- a/kestrelspar/settings/conf.py
+++ b/kestrelspar/settings/conf.py
@@ -34,7 +34,7 @@
     field: str  # name of the struct's field
     meta: Meta
     shape: str  # "one": a single value; "many": a tuple of values; "named": a dict of values by name
-    default: Any  # NODEFAULT if the key is required
+    default: Any  # NODEFAULT if the key is required, else a value of the field's type
 
     @property
     def doc(self) -> str:
@@ -44,7 +44,7 @@
 
 @cache
 def keys(section: type[Section]) -> dict[str, Key]:
-    """The keys of a section by the name that they have in the file."""
+    """The keys of a section, in the order of its fields, by the name that they have in the file."""
     hints = get_type_hints(section, include_extras=True)
     found = {}
     for item in structs.fields(section):
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Conf:
-    """All sections of the configuration. A section that the file lacks has its defaults."""
+    """All sections of the configuration, by title. An unlabeled section that the file lacks has its defaults."""
 
     path: str
     sections: dict[str, list[ConfSection]] = field(default_factory=dict)
@@ -89,7 +89,7 @@
         return self.section(section).values  # type: ignore[return-value]
 
     def section(self, section: type[Section]) -> ConfSection:
-        """A section that exists only once, with its location."""
+        """A section that exists only once; if the file lacks it, its location is line 0."""
         found = self.sections.get(section.TITLE)
         return found[0] if found else ConfSection("", section(), SourceLocation(self.path, 0), {})
 
@@ -99,14 +99,15 @@
 
 
 def configuration_path(environment: Mapping[str, str]) -> str:
-    """The path of the configuration file."""
+    """The path of the configuration file: that in the variable ``KESTRELSPAR_CONF``, unless it is empty."""
     return environment.get(PATH_VARIABLE) or DEFAULT_PATH
 
 
 def load(path: str, environment: Mapping[str, str] | None = None) -> Conf:
     """Read and check a file and the files that it includes. Raises ``ConfErrors`` with all errors.
 
-    With ``environment``, variables of former versions that are still set are errors, too.
+    With ``environment``, variables of former versions that are still set are errors, too. Without a file at
+    ``DEFAULT_PATH``, all settings have their defaults; any other file must exist.
     """
     errors = [
         ConfError(SourceLocation(variable, 0), "", f"this variable is not read any more: {replacement} of {path}")
@@ -132,7 +133,7 @@
 
 
 def _add_section(block: lines.Block, conf: Conf, errors: list[ConfError]) -> None:
-    """Check one section and add it to the configuration."""
+    """Check one section and add it to the configuration; adds its errors to ``errors``."""
     struct = SECTIONS.get(block.kind)
     if struct is None:
         errors.append(
@@ -197,7 +198,10 @@
 
 
 def _value(key: Key, line: lines.Line, existing: Any) -> Any:
-    """Parse a line's words as the value of its key, added to the values of earlier lines."""
+    """Parse a line's words as the value of its key, added to ``existing``, the values of earlier lines.
+
+    ``existing`` is None for the first line. Raises ``ValueError``, whose text says what is wrong.
+    """
     base_directory = os.path.dirname(line.location.path)
     if key.shape == "named":
         if len(line.words) != 2:
@@ -217,7 +221,10 @@
 
 
 def formatted_values(struct: type[Section], values: Section) -> Iterator[tuple[Key, list[str], bool]]:
-    """Yield each key, the texts that would set its value, one for each line, and whether the value is the default."""
+    """Yield each key, the texts that would set its value, one for each line, and whether the value is the default.
+
+    There are no texts for an empty value.
+    """
     for key in keys(struct).values():
         value = getattr(values, key.field)
         if key.shape == "named":
--- a/kestrelspar/settings/kinds.py
+++ b/kestrelspar/settings/kinds.py
@@ -29,12 +29,12 @@
 
 
 def duration(doc: str, minimum: int, maximum: int) -> Meta:
-    """A time with its unit, stored in microseconds."""
+    """A time with its unit, stored in microseconds, as are the bounds ``minimum`` and ``maximum``."""
     return _meta("duration", doc, minimum, maximum)
 
 
 def size(doc: str, minimum: int, maximum: int) -> Meta:
-    """A number of bytes with its unit."""
+    """A number of bytes with its unit, as a decimal power: a KB has 1,000 bytes."""
     return _meta("size", doc, minimum, maximum)
 
 
@@ -69,12 +69,12 @@
 
 
 def secret(doc: str) -> Meta:
-    """A file with a secret, which only its owner may read."""
+    """A file with a secret, which only its owner may read; ``read_secret`` checks that. Relative as in ``path``."""
     return _meta("secret", doc)
 
 
 def format_quantity(value: int, units: dict[str, int] = TIME_UNITS) -> str:
-    """Format a time or size as in the file, in the largest unit that divides it."""
+    """Format a time or size as in the file, in the largest unit that divides it; 0 is ``0s`` or ``0B``."""
     unit = max((name for name, factor in units.items() if value % factor == 0), key=units.__getitem__)
     return f"{value // units[unit]}{unit}" if value else f"0{'s' if units is TIME_UNITS else 'B'}"
 
@@ -103,6 +103,7 @@
 
 
 def _quantity(word: str, units: dict[str, int]) -> int:
+    """Parse a number with its unit; raises ``ValueError`` also for a fraction of the smallest unit."""
     match = _NUMBER.fullmatch(word)
     if match is None or match[2] not in units:
         raise ValueError
@@ -142,7 +143,7 @@
 def parse_value(word: str, meta: Meta, base_directory: str) -> Any:
     """Parse a word as a value of this kind; paths are relative to ``base_directory``.
 
-    Raises ``ValueError``, whose text says what is wrong, but not what is accepted.
+    Raises ``ValueError``, whose text says what is wrong, but not what is accepted; see ``describe_accepted``.
     """
     extra = meta.extra or {}
     kind = extra["kind"]
@@ -177,7 +178,11 @@
 
 
 def read_secret(file: str) -> str:
-    """Read the secret in a file. Raises ``ValueError`` if it can't be read, or if others may read it."""
+    """Read the secret in a file, without the line end.
+
+    Raises ``ValueError`` if the file can't be read, if its mode gives others any access, or unless it holds one line of
+    printable text.
+    """
     try:
         with open(file, encoding="utf-8") as file_object:
             mode = stat.S_IMODE(os.fstat(file_object.fileno()).st_mode)
--- a/kestrelspar/settings/lines.py
+++ b/kestrelspar/settings/lines.py
@@ -14,6 +14,7 @@
 
 MAX_FILE_SIZE = 4_000_000  # characters of one file; a wrong path must not fill the memory
 MAX_FILES = 200  # files read in all, including repeated ones
+# Groups: 1 a comment, 2 the inside of double quotes, 3 a plain word.
 _WORD = re.compile(r'[ \t]*(?:(#.*)|"((?:[^"\\]|\\.)*)"(?=[ \t#]|$)|([^\s"#][^\s"]*)(?=[ \t]|$))')
 
 
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ConfError:
-    """An error in the configuration: its location, its key, what is wrong and what is accepted."""
+    """An error in the configuration: its location, its key (empty: none), what is wrong and what is accepted."""
 
     location: SourceLocation
     key: str
@@ -41,7 +42,7 @@
 
 
 class ConfErrors(ValueError):
-    """All errors of a configuration, in the order of files and lines."""
+    """Errors of a configuration, sorted by path and line."""
 
     def __init__(self, errors: list[ConfError]) -> None:
         super().__init__("\n".join(map(str, errors)))
@@ -68,7 +69,10 @@
 
 
 def words(text: str) -> tuple[str, ...]:
-    """Split a line into words, without quotes and comment. Raises ``ValueError`` for a quote that does not end."""
+    """Split a line into words, without quotes and comment.
+
+    Raises ``ValueError`` for a quote that does not end, or that adjoins other text.
+    """
     found: list[str] = []
     position, text = 0, text.rstrip()
     while position < len(text):
@@ -93,7 +97,7 @@
 
 
 def read(path: str) -> tuple[list[Block], list[ConfError]]:
-    """Read a file and the files that it includes. Returns their sections and all syntax errors."""
+    """Read a file and the files that it includes. Returns their sections, and all errors of syntax or reading."""
     reader = _Reader()
     reader.read_file(path, None)
     return reader.blocks, reader.errors
@@ -109,7 +113,7 @@
         self._file_count = 0
 
     def read_file(self, path: str, included_from: SourceLocation | None) -> None:
-        """Read one file. ``included_from`` is the location of the include line that named it."""
+        """Read one file. ``included_from`` is the location of the include line that named it; None: the first file."""
         real_path, location = os.path.realpath(path), included_from or SourceLocation(path, 0)
         self._file_count += 1
         if real_path in self._open_files or self._file_count > MAX_FILES:
@@ -135,7 +139,10 @@
         self._open_files.pop()
 
     def _read_line(self, location: SourceLocation, text: str, block: Block | None) -> Block | None:
-        """Read one line. Returns the section to which indented lines after it belong."""
+        """Read one line of the section ``block``. Returns the section to which indented lines after it belong.
+
+        None, as at the beginning of a file and after an include: such lines are errors.
+        """
         try:
             found = words(text)
         except ValueError as error:
--- a/kestrelspar/settings/pages.py
+++ b/kestrelspar/settings/pages.py
@@ -40,7 +40,7 @@
 
 
 def format_default(key: Key) -> str:
-    """The default of a key, as it would be written in the file; "needed" if the key is required."""
+    """The default of a key, as it would be written in the file; "needed" if the key is required, "none" if empty."""
     if key.default is NODEFAULT:
         return "needed"
     if key.default in ("", (), {}):
@@ -80,7 +80,7 @@
 def conf_text(conf: Conf, only_set: bool = False) -> str:
     """The effective configuration in the format of its file; with ``only_set``, without the defaults.
 
-    Of a secret, the name of its file is shown.
+    The titles of sections in the file are shown even then. Of a secret, the name of its file is shown.
     """
     parts: list[str] = []
     for title, section in SECTIONS.items():
--- a/kestrelspar/settings/platform.py
+++ b/kestrelspar/settings/platform.py
@@ -17,7 +17,7 @@
 
 
 def address(text: Any) -> tuple[str, int]:
-    """Parse HOST:PORT. Raises ``ValueError`` for anything else."""
+    """Parse HOST:PORT, without resolving the host. Raises ``ValueError`` for anything else."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r:.60} is not HOST:PORT")
@@ -25,7 +25,10 @@
 
 
 def index_of(name: Any, names: tuple[str, ...], what: str) -> int:
-    """The index of a name in a list of the settings; ``what`` describes the name in the error if it is unknown."""
+    """The index of a name in a list of the settings.
+
+    Raises ``ValueError`` if it is unknown; ``what`` describes the name in that error.
+    """
     for index, known in enumerate(names):
         if name == known:
             return index
@@ -48,7 +51,7 @@
     sockets: int  # maximum number of open descriptors
     memory: int  # bytes
     disk_bytes: int
-    known: dict[str, Any]  # a saved list of discovery, which is used at a start
+    known: dict[str, Any]  # a saved list of discovery, which is used at a start; empty: none
     settings: api.Settings
 
 
@@ -61,7 +64,10 @@
 
 
 def _seed(value: Any) -> int:
-    """Convert any text or number to a seed for random numbers. Hexadecimal text counts as a number."""
+    """Convert any text or number to a seed for random numbers.
+
+    Hexadecimal text counts as a number, and the digits of a number as hexadecimal text; other text is hashed.
+    """
     text = str(value)
     try:
         return int(text, 16)
@@ -76,7 +82,7 @@
 
 
 def read_json(path: str) -> Any:
-    """Read the JSON in a file. Raises ``SettingsError``, which names the file."""
+    """Read the JSON in a file. Raises ``SettingsError``, which names the file, if it can't be read or is invalid."""
     try:
         return ujson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -84,8 +90,9 @@
 
 
 def read(environment: Mapping[str, str], reload: bool = False) -> Config:
-    """Read the configuration from the file that RELAY_CONFIG names. The other RELAY_ variables override its keys.
+    """Read the configuration from the file that RELAY_CONFIG names.
 
+    RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY and RELAY_STATE override the keys of the same name, unless they are empty.
     On a reload, the file is newer than the environment, so its address of discovery overrides RELAY_DISCOVERY. Raises
     ``SettingsError`` for a missing or invalid configuration.
     """
--- a/kestrelspar/settings/resolve.py
+++ b/kestrelspar/settings/resolve.py
@@ -23,24 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """An account with which a contractor may bind. ``tenant``, ``cls``, ``zone`` and ``kind`` are indices."""
+    """An account with which a contractor may bind. ``tenant``, ``cls``, ``zone`` and ``kind`` are indices.
+
+    ``zone`` and ``kind`` are those of the endpoint that the account is if it has a ``dest``.
+    """
 
     system_id: str
     password: str
     tenant: int
     cls: int
     window: int
-    dest: int | None = None  # destination whose messages are delivered to this account
+    dest: int | None = None  # destination whose messages are delivered to this account; None: none
     zone: int = 0
     kind: int = 0
-    outbind: tuple[str, int] | None = None
-    networks: tuple[ipaddress.IPv4Network, ...] = ()
-    certificate: str = ""
+    outbind: tuple[str, int] | None = None  # address to which an outbind is sent; None: none is sent
+    networks: tuple[ipaddress.IPv4Network, ...] = ()  # from which it may bind; empty: any
+    certificate: str = ""  # a name that the client's certificate must have; empty: not checked
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """An SMPP gateway, which is a next hop. All times are in microseconds; ``zone`` and ``kind`` are indices."""
+    """An SMPP gateway, which is a next hop. All times are in microseconds.
+
+    ``zone``, ``kind``, ``inbound_class`` and ``inbound_tenant`` are indices.
+    """
 
     name: str
     address: tuple[str, int]
@@ -63,7 +69,7 @@
     rank: int = 0
     bind_retry_delay: int = 200_000
     max_bind_retry_delay: int = 30_000_000
-    idle_unbind: int = 0
+    idle_unbind: int = 0  # 0: never
     stay_bound: bool = False
     outcome: str = "response"
     response_id: str = "text"
@@ -73,7 +79,7 @@
     inbound_tenant: int = 0
     outbind_system_id: str = ""
     outbind_password: str = ""
-    tls: str = ""  # the section's label
+    tls: str = ""  # the section's label; empty: no TLS
     server_name: str = ""
 
 
@@ -92,8 +98,8 @@
     service_types: dict[str, int]
     destinations: dict[str, int]  # by prefix of destination_addr
     gateways: tuple[Gateway, ...]
-    keep_ended: int = 0  # how long query_sm can find a message after its end
-    tls: str = ""  # the section's label
+    keep_ended: int = 0  # how long query_sm can find a message after its end; 0: not at all
+    tls: str = ""  # the section's label; empty: no TLS
     parts_timeout: int = 10_000_000  # how long the parts of a long message are waited for; 0: they are not joined
 
 
@@ -115,7 +121,10 @@
         self.errors: list[ConfError] = []
 
     def index_of(self, section: ConfSection, key: str, name: str, names: tuple[str, ...], what: str) -> int:
-        """The index of a name in a list of the settings; 0 if no name is given or the list has no names."""
+        """The index of a name in a list of the settings; 0 if no name is given or the list has no names.
+
+        An unknown name is an error, with the index 0; ``what`` describes the name in that error.
+        """
         if not name or not any(names):
             return 0
         if name in names:
@@ -128,9 +137,10 @@
     def secret(
         self, section: ConfSection, key: str, path: str, max_length: int = 4096, allow_hash: bool = False
     ) -> str:
-        """Read the secret in a file; empty if there is no path or the file can't be read.
+        """Read the secret in a file; empty if there is no path or, which is an error, the file can't be read.
 
-        With ``allow_hash``, an SMPP password may be given as its hash.
+        A secret of more than ``max_length`` bytes is an error. With ``allow_hash``, an SMPP password (which a
+        ``max_length`` of ``MAX_PASSWORD_LENGTH`` indicates) may be given as its hash.
         """
         if not path:
             return ""
@@ -156,7 +166,7 @@
 
 
 def smpp(conf: Conf, settings: api.Settings) -> Smpp | None:
-    """The SMPP front end, or None if it is off."""
+    """The SMPP front end, or None if it is off. Raises ``ConfErrors``."""
     smpp_section = conf.section(schema.Smpp)
     smpp_values = conf.values_of(schema.Smpp)
     if not smpp_values.enabled:
@@ -255,7 +265,7 @@
 
 
 def registries(conf: Conf) -> list[Registry]:
-    """The registries to follow, with their secrets."""
+    """The registries to follow, which are those that are enabled, with their secrets. Raises ``ConfErrors``."""
     resolver, found = _NameResolver(), []
     for section in conf.sections_of(schema.Registry):
         registry = section.values
@@ -296,7 +306,10 @@
 
 
 def keys(conf: Conf) -> TlsStore | None:
-    """The contexts of the ``tls`` sections; None, without importing ssl, if no section exists or is referred to."""
+    """The contexts of the ``tls`` sections. Raises ``ConfErrors``.
+
+    None, without importing ssl, if there is no such section and no other section refers to one.
+    """
     tls_users = [*conf.sections_of(schema.Registry), *conf.sections_of(schema.SmppGateway), conf.section(schema.Smpp)]
     if not conf.sections_of(schema.Tls) and not any(getattr(section.values, "tls", "") for section in tls_users):
         return None
--- a/kestrelspar/settings/schema.py
+++ b/kestrelspar/settings/schema.py
@@ -308,7 +308,7 @@
     ] = 1_000_000
 
     def errors(self) -> list[tuple[str, str]]:
-        """Keys of one protocol used with the other, incomplete credentials, and a time-out that is too short."""
+        """No servers, keys of the other protocol, incomplete credentials, a short ``patience``, and a wrong prefix."""
         found = []
         if not self.servers:
             found.append(("servers", "names no server (wanted: one HOST:PORT or more)"))
@@ -415,7 +415,7 @@
         return found
 
     def _broker_errors(self) -> list[tuple[str, str]]:
-        """Errors that would leave a courier without its brokers."""
+        """Invalid names of group, region and brokers, two brokers at one address, and a region without a broker."""
         found = []
         for key, text_value in (("group", self.group), ("region", self.region)):
             if text_value != "".join(text_value.split()) or not text_value.isprintable() or "/" in text_value:
