--- a/tests/http/test_attempts.py
+++ b/tests/http/test_attempts.py
@@ -23,7 +23,7 @@
 
 
 class Hop(Peer):
-    """A passive next hop: the test controls its sockets."""
+    """A passive next hop, which replaces the test bed's: it reads and sends nothing; the test uses its sockets."""
 
     def __init__(self, testbed: HttpTestbed) -> None:
         super().__init__(testbed, ok)
@@ -48,6 +48,7 @@
     return got
 
 
+# Before the reset, the next hop has read ``read_bytes`` of the request and sent ``sent_bytes`` of a status line.
 @pytest.mark.parametrize("sent_bytes", [0, 5, 12, 15])
 @pytest.mark.parametrize("read_bytes", [0, 1, 60, 200])
 def test_a_reset_after_any_byte_does_not_prove_that_a_message_was_not_processed(
@@ -71,6 +72,7 @@
     assert got[0] in (Outcome.RESET, Outcome.ERROR)
 
 
+# The next hop sends ``start`` once, then ``fragment`` again and again.
 @pytest.mark.parametrize(
     "fragment", [b"HTTP/1.1 100 Continue\r\n\r\n" * 50, b"X-A: 1\r\n", b"x" * 4000, b"5\r\nhello\r\n" * 100]
 )
@@ -130,7 +132,7 @@
 def test_a_slow_request_that_is_closed_to_make_room_gets_a_response(tmp_path: Path) -> None:
     # Guards against resetting an incomplete request when descriptors run short.
     testbed = HttpTestbed(tmp_path, ok)
-    slow = [Caller(testbed) for _ in range(20)]
+    slow = [Caller(testbed) for _ in range(20)]  # as many as the server's maximum of connections
     for caller in slow:
         caller.send(b"POST /reading HTTP/1.1\r\nX-")
     testbed.run_until(lambda: len(testbed.server._clients[State.ASKING]) == 20)
--- a/tests/http/test_descriptors.py
+++ b/tests/http/test_descriptors.py
@@ -15,7 +15,7 @@
 from kestrelspar.serve import split_descriptors
 from tests.test_program import TEST_TIMEOUT, Program, StandInPlatform, free_port, row, wait_until, world
 
-__all__ = ["world"]
+__all__ = ["world"]  # a fixture, which pytest finds here by its name
 SOCKETS = 96
 
 
@@ -79,4 +79,5 @@
 def test_descriptor_limits_add_up(sockets: int, slots: int) -> None:
     clients, idle = split_descriptors(sockets, slots)
     assert clients >= 8 and idle >= 4
+    # With fewer descriptors than in the last condition, these minimums may exceed the limit.
     assert clients + idle + 2 * slots + 16 <= sockets or sockets < 2 * slots + 32
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -26,7 +26,11 @@
 
 
 class FaultSchedule:
-    """What discovery does at each time: it serves, or fails in a mode of ``FAULTS``, until it recovers for good."""
+    """What discovery does at each time: it serves or fails, in one mode after another, until it recovers for good.
+
+    The modes of ``FAULTS``: a refused connection, none until the time-out, no response headers until the time-out,
+    headers and no line after them, a connection closed without a response, and a refusal with status 503.
+    """
 
     FAULTS = ("refuses", "no connection", "no answer", "head and silence", "closes", "503")
 
@@ -99,6 +103,7 @@
             times.append(now)
             now += ROUND_TRIP + backoff.next_delay(False)
     assert len(times) / 30 < 75
+    # The busiest second that begins at every 50th request.
     busiest = max(sum(at <= other < at + SECOND for other in times) for at in times[::50])
     assert busiest < 120
 
@@ -125,6 +130,7 @@
 @pytest.mark.parametrize("fragment", [b"", b" ", b"{"])
 def test_incomplete_lines_do_not_count_as_activity_of_a_watch(tmp_path: Path, fragment: bytes) -> None:
     # Guards against a watch that receives no changes, but is kept open by single bytes that never complete a line.
+    # Without a fragment, the watch is silent after its first line.
     request_times: list[int] = []
     testbed: HttpTestbed
 
@@ -178,6 +184,7 @@
     assert testbed.courier.map.hops[b"s-9"].endpoint.state.name == "DRAINING" and len(testbed.platform.seen) == 1
 
 
+# An object that is cut off, one without rows, no object, no UTF-8, and invalid JSON.
 @pytest.mark.parametrize(
     "bad", [b"{\n", b'{"endpoints": 3}\n', b"[]\n", b"\xff\n", b'{"index": 9, "endpoints": [}\n\n']
 )
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -66,6 +66,7 @@
         )
 
     def config(self, password: str = "", **overrides: Any) -> Registry:
+        """The settings; ``password`` is etcd's password or Consul's token."""
         values: dict[str, Any] = {
             "type": self.protocol,
             "servers": tuple(m.address for m in self.members),
@@ -89,6 +90,7 @@
 
     @property
     def ready_names(self) -> str:
+        """The names of all ready hops, sorted and joined: most have one letter."""
         return "".join(
             sorted(
                 hop.name
@@ -101,6 +103,7 @@
         self.testbed.run_until(lambda: self.ready_names == names, within)
 
     def fault(self, **faults: Any) -> None:
+        """Gives all members these faults and no others; without arguments, none."""
         for member in self.members:
             member.faults = Faults(**faults)
 
@@ -135,6 +138,7 @@
     harness.until("z")
 
 
+# By name, what puts the fault into effect. Some also close the current connections, so that new ones meet the fault.
 FAULTS: dict[str, Callable[[FollowerHarness], object]] = {
     "drop": lambda harness: [m.close_connections() for m in harness.members],
     "cut in a line": lambda harness: harness.fault(cut=150),
@@ -179,6 +183,7 @@
     seen_names: set[str] = set()
     finished: list[int] = []
     harness.testbed.loop.call_at(harness.testbed.loop.now + 4 * SECOND, lambda: finished.append(1))
+    # Collects the names at each turn of the loop; ``add`` returns None.
     harness.testbed.run_until(lambda: seen_names.add(harness.ready_names) or finished)
     assert not any(set(names) & {"a", "b"} for names in seen_names)
     harness.fault()
@@ -273,7 +278,7 @@
     second.until("cd")
 
 
-def test_a_saved_list_that_is_damaged_foreign_or_too_large_counts_as_absent(tmp_path: Path) -> None:
+def test_a_saved_list_that_is_damaged_or_too_large_is_rejected_and_an_unused_one_removed(tmp_path: Path) -> None:
     harness = FollowerHarness(tmp_path, "etcd")
     harness.put(*"abc")
     harness.follower.start()
@@ -285,7 +290,7 @@
     random = Random(3)
     for _ in range(200):
         damaged = bytearray(intact)
-        damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)
+        damaged[random.randrange(len(damaged))] ^= 1 << random.randrange(8)  # and half of the files are truncated
         file.write_bytes(bytes(damaged)[: random.choice([len(damaged), random.randrange(len(damaged))])])
         try:
             found = saved_list.read(file, JOURNAL_MAX_BYTES)
@@ -321,6 +326,7 @@
     assert file.read_bytes() == intact and "No space left" in output and "takes more than 2000 bytes" in output
 
 
+# ready: whether messages are accepted, and the courier is ready, while the list is stale.
 @pytest.mark.parametrize(("on_stale", "ready"), [("serve", True), ("defer", False)])
 def test_a_stale_list_stays_in_use_or_new_messages_are_deferred(tmp_path: Path, on_stale: str, ready: bool) -> None:
     testbed = HttpTestbed(tmp_path, ok)
--- a/tests/registry/test_sync.py
+++ b/tests/registry/test_sync.py
@@ -39,6 +39,7 @@
 
 
 def item(key: str, revision: int, value: str | None = "") -> Item:
+    """A key with this value; by default it is an active entry at port 1, and None stands for a deletion."""
     return Item(key, None if value is None else (value or f"{key}/active/1").encode(), revision)
 
 
@@ -72,9 +73,11 @@
         return self.apply(self.etcd().receive_page(self.now, "c", revision, list(items), False))
 
     def changes(self, *items: Item, complete: bool = True) -> SyncHarness:
+        # The revision of the response counts only if it has no items.
         return self.apply(self.etcd().receive_changes(self.now, "c", 99, list(items), complete))
 
     def next_request(self) -> object:
+        """The next request; the clock advances over the pause before it."""
         request = self.sync.next_request(self.now)
         while isinstance(request, Pause):
             assert request.until > self.now
@@ -305,6 +308,7 @@
     assert receive_list(harness, 60, item("a", 55)) and harness.next_request() == ReadRequest(60)
 
 
+# contact: milliseconds since the member heard from its leader; the list is stale after 30 s.
 @pytest.mark.parametrize(("index", "leader", "contact"), [(None, True, 0), (60, False, 0), (60, True, 31_000)])
 def test_responses_without_index_leader_or_recent_contact_are_rejected(
     index: int | None, leader: bool, contact: int
@@ -387,7 +391,8 @@
                 return
             if end > begin:
                 harness.apply(sync.receive_changes(harness.now, cluster, at, items[begin:end], end == len(items)))
-                # Removals are applied by now; a removed key is present only if it was added again later.
+                # Removals are applied by now; a removed key is present only if it was added again later. A key that is
+                # not present counts as newer than any change.
                 entries = {key: entry.revision for key, entry in sync.known_list.entries.items()}
                 assert not [
                     change
--- a/tests/settings/test_conf.py
+++ b/tests/settings/test_conf.py
@@ -53,6 +53,7 @@
     assert reloaded.values_of(schema.Log) == loaded.values_of(schema.Log) and resolve.registries(reloaded) == [found]
 
 
+# The text of a file, and parts of the error messages that it causes.
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -36,7 +36,10 @@
 
 
 class Peer:
-    """A test server whose script decides on each complete request: a response, no response (None), or a close (b"")."""
+    """A test server whose script decides on each complete request: a response, no response (None), or a close (b"").
+
+    The connection is also closed after a response whose head is incomplete.
+    """
 
     def __init__(self, testbed: CourierTestbed, script: Script) -> None:
         self.testbed, self.script = testbed, script
@@ -241,7 +244,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "outcome", "wait", "closed"),
+    ("status", "headers", "outcome", "wait", "closed"),  # wait: microseconds; closed: the message was answered already
     [
         (200, {}, Outcome.OK, 0, False),
         (500, {}, Outcome.ERROR, 0, False),
@@ -544,6 +547,7 @@
     testbed.peer.script = lambda *_: parser.response(500)
     testbed.run_for(1_100 * MS)
     assert attempt(testbed) is Outcome.ERROR
+    # Only after a complete response with nothing behind it is the connection used again.
     whole = answer in (raw(503, "Content-Length: 2", body=b"ok"),) or b"102" in answer
     assert testbed.peer.connections == (1 if whole else 2)
 
@@ -815,6 +819,7 @@
     assert testbed.loop.now - start < 3_700 * MS and list(testbed.journal.entries) == [1]
 
 
+# sent: whether an attempt was in flight at the restart; state: of the notice after it, or None if it is delivered.
 @pytest.mark.parametrize(
     ("cls", "sent", "state"),
     [("payment", True, "failed"), ("payment", False, None), ("work-order", True, None), ("reading", True, None)],
