--- a/kestrelspar/peers/brokers.py
+++ b/kestrelspar/peers/brokers.py
@@ -16,28 +16,30 @@
 (the first owner to the first, the second to the second). That owner relays it to its subscribers and to no broker, so
 there are no loops.
 
-Subscriptions are held under a lease. Changes are sent at once. Each renewal carries the count and a digest of the
-destinations that the broker should hold. If the broker holds a different set (it restarted, or messages were lost), the
-courier sends the whole set again. It does so at a random time within ``RESUBSCRIBE_JITTER``, so that not all couriers
-of a region send theirs at once when a broker restarts. A broker that does not answer two renewals, of
-``RENEWAL_ATTEMPTS`` attempts each, counts as failed for this courier: its destinations go to the next broker in order,
-and it is probed once per lease term until it answers again.
+Subscriptions are held under a lease. Changes are sent with the next tick, except while ``RESUBSCRIBE_JITTER`` or
+``UNSUBSCRIBE_DELAY`` delays them. Each renewal carries the count and a digest of the destinations that the broker
+should hold. If the broker holds a different set (it restarted, or messages were lost), the courier sends the whole set
+again. It does so at a random time within ``RESUBSCRIBE_JITTER``, so that not all couriers of a region send theirs at
+once when a broker restarts. A broker that announces its shutdown, or leaves two renewals in a row of
+``RENEWAL_ATTEMPTS`` attempts each unanswered, counts as failed for this courier: its destinations go to the next broker
+in order, and it is probed about once per lease term until it answers again.
 
 What a broker guards against:
 
 - Replays after it restarted, when its window of sequence numbers is empty: it relays observations only of couriers
   that have named its present epoch in a renewal, which nobody could do before it started.
-- Its own stalls: the datagrams that it reads before its next tick may have waited in the socket, so that the
-  observations in them look younger than they are. Until that tick it drops observations, but accepts renewals.
+- Its own stalls: the datagrams that it reads after a stall may have waited in the socket, so that the observations in
+  them look younger than they are. Until the second tick after a stall it drops observations, but accepts renewals.
 - A courier or another broker that floods it: each has a limit of observations per second, and a courier also a share
-  of the bandwidth that relaying its observations to all subscribers takes. For each endpoint the number of witnesses
-  at a time is limited (``MAX_WITNESSES``: more of them give no new information), and all state is bounded.
-- Another process of its name: couriers report in each renewal the highest epoch of this broker that they have received.
-  If two couriers report one above its own, it stops sending, as superseded; a single courier could be lying to stop it.
-
-An observation is kept while it is fresh, to recognise repetitions and for couriers that subscribe late. It is sent with
-its age, which includes the time that it was kept here and is rounded down. So an observation may look younger than it
-is, by the delays of the network, but never older.
+  of the bandwidth for relaying its observations. For each endpoint the number of witnesses at a time is limited
+  (``MAX_WITNESSES``: more of them give no new information), and all state is bounded.
+- Another process of its name: it stops sending, as superseded, when it receives a datagram that was sent under its own
+  name with a higher epoch. Besides, couriers report in each renewal the highest epoch of this broker that they have
+  received. If two couriers report one above its own, it stops, too; a single courier could be lying to stop it.
+
+An observation is kept for ``OBSERVATION_TTL`` after it was last accepted, to recognise repetitions and for couriers
+that subscribe late. It is sent with its age, which includes the time that it was kept here and is rounded down. So an
+observation may look younger than it is, by the rounding and the delays of the network, but never older.
 """
 
 from __future__ import annotations
@@ -73,25 +75,28 @@
 INTEREST_UPDATE_INTERVAL = SECOND  # the time of last use of a destination is updated at most this often
 MAX_INTERESTS = 4_096  # destinations per courier; beyond that the least recently used are evicted
 MAX_PLACED_PER_CALL = 512  # new destinations whose owners one call of ``record_interest`` looks up
-LEASE_TERM = 15 * SECOND  # of a lease, which is renewed three times per term
-RENEWAL_ATTEMPTS, RENEWAL_RETRY_INTERVAL = 3, 500 * MS  # attempts before a renewal counts as missed
-MAX_MISSED_RENEWALS = 2  # consecutive missed renewals after which a broker counts as failed
-RESUBSCRIBE_JITTER = 3 * SECOND  # a whole set is sent again within it; doubles with each mismatch in a row
+LEASE_TERM = 15 * SECOND  # of a lease, which is renewed at least three times per term
+# Attempts before a renewal counts as missed (one if the broker already counts as failed), and the time between them.
+RENEWAL_ATTEMPTS, RENEWAL_RETRY_INTERVAL = 3, 500 * MS
+# Consecutive missed renewals after which a courier counts a broker as failed. Among brokers, as many missed pings do
+# as these renewals have attempts.
+MAX_MISSED_RENEWALS = 2
+RESUBSCRIBE_JITTER = 3 * SECOND  # a set is sent again within it; doubles with each mismatch in a row, up to 32 times
 MAX_DESTINATIONS_PER_MESSAGE = 100  # destinations in one message
-UNSUBSCRIBE_DELAY = 5 * SECOND  # from a substitute, so that the returned owner is subscribed first
-OBSERVATION_TTL = 3 * SECOND  # an older observation, other than of a limit, is not relayed
+UNSUBSCRIBE_DELAY = 5 * SECOND  # from a broker that stops being an owner, so that the new one is subscribed first
+OBSERVATION_TTL = 3 * SECOND  # an older observation, other than of a limit, is not relayed; also how long one is kept
 MIN_REPEAT_INTERVAL = 200 * MS  # an observation repeated sooner is a duplicate made by the network
-MAX_WITNESSES = 4  # max witnesses that are relayed for one kind of observation at an endpoint
+MAX_WITNESSES = 4  # witnesses relayed within ``OBSERVATION_TTL`` for one kind at an endpoint, per origin
 STALL_THRESHOLD = 500 * MS  # a longer gap between ticks means that datagrams may have waited in the socket
 PUBLISH_RATE, FORWARD_RATE = 50, 5_000  # observations per second from one courier, from one broker; burst: one second
-COURIER_BANDWIDTH_SHARE = 0.05  # of the bytes per second: for relaying one courier's observations to all subscribers
-RELAY_COST_BYTES = 120  # approximate size of an observation sent to one subscriber
+COURIER_BANDWIDTH_SHARE = 0.05  # of the bytes per second: for relaying and forwarding one courier's observations
+RELAY_COST_BYTES = 120  # approximate size of an observation sent to one subscriber or broker
 MAX_SUBSCRIPTIONS = 2_000_000  # of all couriers together
 MAX_OBSERVATIONS = 65_536  # kept while they are fresh
 MAX_OBSERVATIONS_PER_DESTINATION = 64
 SWEEP_INTERVAL = SECOND  # between two removals of expired leases and observations
 URGENT_RESERVE = 0.25  # of the bytes per second: reserved for leases and for pings between brokers
-EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
+EVENT_INTERVAL = 60 * SECOND  # an event that ``_may_report`` limits is reported at most this often for one subject
 LIMIT_KIND = 4  # ``observations.ObservationKind.LIMIT``
 
 Address = tuple[str, int]
@@ -108,9 +113,9 @@
     epoch: int  # larger at each start of the process, as a courier's
     keys: list[bytes]
     brokers: dict[str, Address]  # of all regions, including this one
-    couriers: int  # number of couriers; a witness must have a number below it
-    bytes_per_second: int = 1_000_000
-    max_subscribers: int = 4_096
+    couriers: int  # number of couriers; the position of each must be below it
+    bytes_per_second: int = 1_000_000  # max sent, after a burst of at most one second's bytes
+    max_subscribers: int = 4_096  # couriers that hold a lease at the same time
 
 
 def region_of(broker: str) -> str:
@@ -142,11 +147,11 @@
 
     name: str
     next_renewal: int  # when the next renewal, or the next attempt of one, is due
-    epoch: int = 0  # highest epoch of the broker that was received
+    epoch: int = 0  # highest epoch of the broker that was received; 0 if none was
     answering: bool = True
-    last_reply_at: int | None = None
+    last_reply_at: int | None = None  # when a renewal was last answered; None if none was
     n: int = 0  # number of the last renewal
-    open: bool = False  # the last renewal is unanswered
+    open: bool = False  # an answer to the last renewal is awaited
     attempts: int = 0  # of the last renewal
     missed: int = 0  # consecutive renewals without an answer
     generation: int = 1  # of the subscriptions; raised when the whole set is dropped
@@ -167,15 +172,17 @@
         """``brokers``: full names of the brokers of the courier's own region."""
         self.name, self.address, self.number = name, address, number
         self.events: Events = []
-        self.refused = 0  # destinations beyond ``MAX_INTERESTS``
-        self.silent = False
+        # Destinations evicted, and refusals of a new one in ``record_interest``, because of ``MAX_INTERESTS``.
+        self.refused = 0
+        self.silent = False  # nothing is sent any more
         self.sessions = {each: BrokerSession(each, now + random.randrange(SECOND)) for each in brokers}
         for session in self.sessions.values():
             # A subscription needs a lease, which begins with the first renewal.
             session.add_after = session.next_renewal
         self._random = random
         self._last_n = random.randrange(1, 1 << 32)
-        self._used: set[int] = set()  # destinations used since their times of last use were updated
+        # Destinations used since the times of last use were updated, and those that have no owners assigned yet.
+        self._used: set[int] = set()
         self._last_update = now
         self._interests: dict[int, int] = {}  # by destination, the least recently used first: time of last use
         self._owners: dict[int, list[str]] = {}  # by destination of interest
@@ -206,7 +213,7 @@
             self._assign_owners(dest, now)
 
     def owners(self, dest: int) -> list[str]:
-        """The brokers to which observations of this destination are published."""
+        """The brokers to which observations of this destination are published; none if no broker answers."""
         return self._owners.get(dest) or self._find_owners(dest)
 
     def _find_owners(self, dest: int) -> list[str]:
@@ -242,7 +249,11 @@
     # Leases
 
     def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> Outgoing:
-        """Handle messages of a broker of the own region: its replies to lease renewals; others are ignored."""
+        """Handle messages of ``sender``, a broker of the own region; ``epoch`` is that of the broker.
+
+        Only ``LeaseReply`` is handled: the answer to a renewal, or the notice that the broker is shutting down. Nothing
+        is returned: what follows from it is sent by ``tick``.
+        """
         session = self.sessions[sender]
         for message in messages:
             if not isinstance(message, LeaseReply):
@@ -271,7 +282,7 @@
             self._resubscribe(session, now)
 
     def _resubscribe(self, session: BrokerSession, now: int) -> None:
-        """Send all destinations that the broker owns again, after a random delay."""
+        """Schedule all destinations that the broker owns to be sent again, after a random delay."""
         session.add_after = now + self._random.randrange(RESUBSCRIBE_JITTER << min(session.mismatches, 5))
         session.mismatches += 1
         session.generation += 1
@@ -359,8 +370,8 @@
     def status(self, now: int) -> dict[str, dict[str, Any]]:
         """Status for operators, by broker.
 
-        ``life``: epoch of the broker. ``keys``: number of subscribed destinations. ``answered_ms``: time since the last
-        reply, in milliseconds; None if there was none.
+        ``life``: epoch of the broker; 0 if none was received. ``keys``: number of subscribed destinations.
+        ``answered_ms``: time since a renewal was last answered, in milliseconds; None if none was.
         """
         return {
             name: {
@@ -401,7 +412,7 @@
     name: str
     address: Address
     number: int
-    epoch: int
+    epoch: int  # of the courier's process
     expires_at: int
     rate_limit: TokenBucket
     bandwidth_used_until: int = 0  # time until which its share of the bandwidth is used up
@@ -432,7 +443,7 @@
 
     endpoint: str
     witness: str
-    origin: str
+    origin: str  # broker of another region that forwarded it; empty if the witness published it here
     limit: bool  # whether it is about the endpoint's limit
 
 
@@ -444,14 +455,14 @@
     epoch: int  # of the witness
     observation: Observation
     seen_at: int  # when the witness made it, by the local clock; never earlier than it really was
-    relayed_at: int  # when it was last relayed
+    relayed_at: int  # when it was last accepted, to be relayed with the next tick
 
     def to_message(self, key: ObservationKey, now: int) -> RelayedObservation:
         """The message to a subscriber."""
         return RelayedObservation(key.witness, self.number, self.epoch, self.aged(now), key.origin)
 
     def aged(self, now: int) -> Observation:
-        """The observation with its present age."""
+        """The observation with its present age, which a message limits to an hour."""
         seen = self.observation
         age = min(max(0, now - self.seen_at) // MS, 3_600_000)
         return Observation(seen.endpoint, seen.kind, age, seen.value, seen.sequence)
@@ -469,7 +480,8 @@
         self.silent = False  # superseded or shut down: nothing is sent any more
         # Bytes sent and received, datagrams over the limit, observations relayed and forwarded, and own stalls.
         self.sent = self.received = self.over_bandwidth = self.relayed = self.forwarded = self.stalled = 0
-        self.refused: Counter[str] = Counter()  # rejected messages, by reason
+        # By reason: received messages refused; also destinations refused (keys), and messages not sent (oversized).
+        self.refused: Counter[str] = Counter()
         self._random = Random(seed)
         self._leases: dict[str, CourierLease] = {}
         self._subscribers_of: dict[int, dict[str, None]] = {}  # by destination
@@ -489,7 +501,8 @@
         self._observations: dict[int, dict[ObservationKey, CachedObservation]] = {}  # by destination
         self._observation_count = 0
         self._to_relay: dict[tuple[int, ObservationKey], None] = {}  # relayed with the next tick
-        self._new_subscriptions: dict[str, set[int]] = {}  # since the last tick, by courier
+        # By courier: destinations with kept observations that it subscribed to since the last tick.
+        self._new_subscriptions: dict[str, set[int]] = {}
         self._seen_newer_epoch: set[str] = set()  # couriers that have reported a later epoch of this broker
         self._last_n = self._random.randrange(1, 1 << 32)
         self._last_tick = self._last_sweep = self._refilled_at = now
@@ -580,7 +593,10 @@
         return self._send(datagram.sender, self.config.brokers[datagram.sender], [*replies], now, True)
 
     def _renew_lease(self, name: str, epoch: int, message: LeaseRenewal, now: int) -> Datagrams:
-        """Renew or create a lease. The reply says whether the broker holds the courier's current subscriptions."""
+        """Renew or create a lease. The reply says whether the broker holds the courier's current subscriptions.
+
+        There is no reply if the number is out of range, ``max_subscribers`` is reached or this broker is superseded.
+        """
         if message.known_epoch > self.config.epoch:
             self._seen_newer_epoch.add(name)
             if len(self._seen_newer_epoch) >= 2:
@@ -820,7 +836,9 @@
     ) -> None:
         """Forward an observation to one owner in each other region.
 
-        The first owner here forwards to the first owner there, the second to the second.
+        The first owner here forwards to the first owner there, the second to the second. If only one broker answers
+        there, both forward to it; if none does, the region gets nothing. By its own view of which brokers answer, this
+        broker may be no owner: then its rank modulo ``OWNERS_PER_REGION`` counts.
         """
         rank = self._answering_brokers(self.config.region, dest).index(self.config.name) % OWNERS_PER_REGION
         message = ForwardedObservation(key.witness, observation.number, observation.epoch, dest, observation.aged(now))
@@ -832,7 +850,7 @@
                 by_receiver.setdefault(brokers[min(rank, len(brokers) - 1)], []).append(message)
 
     def _sweep(self, now: int) -> None:
-        """Remove expired leases and observations, and the times of events that may be reported again."""
+        """Remove leases and observations past their time, and the times of events that may be reported again."""
         for lease in [lease for lease in self._leases.values() if now >= lease.expires_at]:
             self._remove_lease(lease)
         for dest, of_dest in list(self._observations.items()):
@@ -863,6 +881,10 @@
         self.events.append(("broker-name-twice", {"life": self.config.epoch, "younger": epoch}))
 
     def _may_report(self, event: str, which: str, now: int) -> bool:
+        """Whether to report an event about ``which`` now; if so, its next report is due after ``EVENT_INTERVAL``.
+
+        False also while ``MAX_INTERESTS`` reports are remembered, which bounds the memory for them.
+        """
         if (
             now < self._reported_at.get((event, which), -(1 << 60)) + EVENT_INTERVAL
             or len(self._reported_at) >= MAX_INTERESTS
@@ -876,12 +898,16 @@
     def _send(
         self, name: str, address: Address, messages: list[PeerMessage], now: int, urgent: bool = False
     ) -> Datagrams:
-        """Pack messages for one receiver into as few datagrams as possible, within the bytes per second."""
+        """Pack messages for one receiver into datagrams, in order. Those beyond the bytes per second are dropped.
+
+        ``urgent``: may use the bytes that ``URGENT_RESERVE`` reserves, too.
+        """
         if not messages:
             return []
         bandwidth = float(self.config.bytes_per_second)
         self._available_bytes = min(bandwidth, self._available_bytes + bandwidth * (now - self._refilled_at) / SECOND)
         self._refilled_at = now
+        # 40 bytes are enough for the epoch, the sequence number and the msgpack headers of a ``Datagram``.
         capacity = MAX_DATAGRAM_BYTES - HEADER_BYTES - 40 - len(name.encode()) - len(self.config.name.encode())
         batches: list[list[PeerMessage]] = [[]]
         left = capacity
@@ -917,9 +943,11 @@
     def status(self, now: int) -> dict[str, Any]:
         """Status for operators.
 
-        ``life``: epoch. ``stepped_back``: superseded. ``keys``: destinations with subscribers. ``fresh``: observations
-        kept. ``passed_on``: observations relayed. ``held_back``: datagrams dropped by the bandwidth limit. ``dropped``,
-        ``refused``: datagrams and messages rejected, by reason. ``brokers``: whether each other broker answers.
+        ``life``: epoch. ``stepped_back``: superseded. ``subscribers``: couriers with a lease. ``keys``: destinations
+        with subscribers. ``fresh``: observations kept. ``passed_on``, ``forwarded``: observations sent to subscribers
+        and to other brokers, counted once for each receiver. ``held_back``: datagrams dropped by the bandwidth limit.
+        ``dropped``: received datagrams rejected, by reason. ``refused``: messages refused, by reason; destinations for
+        ``keys``, and messages that were not sent for ``oversized``. ``brokers``: whether each other broker answers.
         """
         return {
             "life": self.config.epoch,
