--- a/kestrelspar/peers/counts.py
+++ b/kestrelspar/peers/counts.py
@@ -6,16 +6,17 @@
 Theory of operation
 -------------------
 Counters only grow. Of each courier, two sets of counters are kept for its latest process epoch: the totals from before
-that epoch (``past``), and the counts since its start (``now``). Within an epoch the larger value of each counter wins;
-a later epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
+that epoch (``past``), and the counts since its start (``current``). Within an epoch the larger value of each counter
+wins; a later epoch replaces an earlier one. So merging is a join: order, repetition and delay don't matter.
 
 Only the courier itself adds up its epochs; if each courier did, they would arrive at different sums. Its ``past`` is
-what it persisted, or what the others hold of an earlier epoch (``past`` and ``now`` together) if that is more. So a
+what it persisted, or what the others hold of an earlier epoch (both sets together) if that is more. So a
 lost state directory or a crash between two writes loses nothing that any other courier had received.
 
-Every ``REPORT_INTERVAL`` a courier sends counters to some others, recent changes first; ``CounterRequest`` requests all
-of them at once. Counters of couriers that are gone are sent by any courier that holds them. Each courier has at most
-``MAX_COUNTERS`` counters; all further ones are counted together as ``OVERFLOW_KEY``.
+Every ``REPORT_INTERVAL`` a courier sends some others its changed counters, those that have waited longest first, and a
+random part of all its counters; ``CounterRequest`` requests all of them at once. Counters of couriers that are gone are
+sent in the replies of any courier that holds them. Each courier has at most ``MAX_COUNTERS`` counters in an epoch; all
+further ones are counted together as ``OVERFLOW_KEY``.
 """
 
 from __future__ import annotations
@@ -105,7 +106,11 @@
         return out
 
     def merge(self, report: CounterReport, now: int) -> None:
-        """Merge a report, whichever courier it is about and whoever sent it."""
+        """Merge a report, whichever courier it is about and whoever sent it.
+
+        Ignored if its epoch is not the latest, or if it is about one courier more than ``MAX_COURIERS``. Of reports on
+        this courier, only those on its earlier epochs count.
+        """
         if report.name == self.own_name:
             self._merge_own(report)
             return
@@ -118,7 +123,7 @@
             return
         target = counters.past if report.past else counters.current
         for key, count in report.rows:
-            if key in target or len(target) <= MAX_COUNTERS:
+            if key in target or len(target) <= MAX_COUNTERS:  # one more than the limit, for ``OVERFLOW_KEY``
                 target[key] = max(target.get(key, 0), count)
         counters.reported_at = max(counters.reported_at, now - report.age * MS)
 
@@ -182,7 +187,7 @@
         return out
 
     def reports_on(self, name: str, now: int) -> list[CounterReport]:
-        """Reports on all counters that are held of one courier."""
+        """Reports on all counters that are held of one courier; none if it is unknown."""
         counters = self.by_courier.get(name)
         if counters is None:
             return []
--- a/kestrelspar/peers/demand.py
+++ b/kestrelspar/peers/demand.py
@@ -42,7 +42,7 @@
 
 
 def endpoint_name(endpoint: EndpointId) -> str:
-    """Name of an endpoint in messages between couriers."""
+    """Name of an endpoint in messages between couriers; cut, so that budget names made of it fit a ``messages.Key``."""
     return endpoint.decode("utf-8", "replace")[:190]
 
 
@@ -74,13 +74,13 @@
     reported_limit: Callable[[str], float] = lambda _: 0.0,
     recovering: Mapping[str, int] = MappingProxyType({}),
 ) -> DemandSnapshot:
-    """Take a snapshot of all budgets with the messages that wait for each, and of the state of the routes.
+    """Take a snapshot of all budgets but those of tenants, with the messages that wait, and of the state of the routes.
 
     ``shared_part``: the part of a limit that couriers share. ``retry_part``: the part of the shared part for second and
     later attempts (1: they have no budget of their own). ``reported_limit``: the limit that other couriers reported for
     an endpoint, in calls per second; 0 if there is none that is trusted. ``recovering``: by endpoint, microseconds
     since its return after an outage. The messages of a destination whose endpoints have separate limits count towards
-    those in equal parts.
+    the budgets of the endpoints in equal parts, but in full towards each slow-start budget.
     """
     snapshot, couriers = DemandSnapshot(), settings.forwarders
     retry_rates: dict[int, float] = {}  # attempts per second, by destination
@@ -134,8 +134,10 @@
 def slow_start_calls(rate: float, since_return: int, settings: Settings) -> int:
     """Calls per ``fall_ns`` that all couriers may make to an endpoint ``since_return`` microseconds after its return.
 
-    ``rate``: the endpoint's full rate, calls per second. The budget rises in four steps, one for each quarter of the
-    ramp and each a quarter late, so that couriers that learned late of the return are not far behind the others.
+    ``rate``: the endpoint's full rate, calls per second. The budget rises with each quarter of the ramp, each time a
+    quarter late, so that couriers that learned late of the return are not far behind the others: it stays at
+    ``cold_from`` for the first half, and rises at the beginning of the third and the fourth quarter. At least one call
+    is allowed.
     """
     ramp = max(1, settings.ramp_ns // 1_000)
     quarters = max(0, 4 * since_return // ramp - 1)
--- a/kestrelspar/peers/observations.py
+++ b/kestrelspar/peers/observations.py
@@ -16,9 +16,11 @@
 
 - a retry-after delay is honoured for at most ``max_wait`` after it was seen;
 - an outage needs two witnesses, at least one of them with ``DOWN``, or one witness and a failed call of this courier;
-- a served call of this courier outranks an observation made before that call was sent, and so does a ``BACK`` from
-  another courier;
-- the last route of a destination is never closed, only limited to one call at a time;
+  if this courier's decision module has found the outage, a single claim that still stands restricts the route;
+- a served call of this courier outranks an observation made before that call was sent, and a ``BACK`` from another
+  courier outranks an observation made before it;
+- a route is closed only while its destination has another that is neither restricted nor closed by this courier itself;
+  otherwise it is limited to one call at a time;
 - at most ``max_restricted_share`` of all routes are closed. Beyond that, the routes with the fewest witnesses are
   limited to one call at a time instead;
 - the first ``BACK`` or served call after an outage starts the endpoint's slow start (``recovering``): the calls that
@@ -62,8 +64,9 @@
 OUTAGE_REPORT_MAX_AGE = 3 * SECOND  # an older report of a failure is no evidence of a current outage
 MAX_PROBE_RANK = 8  # probe intervals that a courier waits at most for those ranked before it
 REPORT_ROUNDS, FIRST_REPEAT_DELAY = 4, 300 * MS  # rounds of a report to all; the delay doubles each round
-SUFFICIENT_REPORTS = 3  # witnesses with the same report; a further one is sent in the last round only
-MIN_REPORT_INTERVAL = 250 * MS  # between reports of failures at one endpoint
+SUFFICIENT_REPORTS = 3  # witnesses with the same report; a further report is sent in one round only
+# Between reports of failures or silence at one endpoint, except that ``DOWN`` follows ``SILENT`` at once.
+MIN_REPORT_INTERVAL = 250 * MS
 MIN_REPORTED_WAIT = 50 * MS  # a shorter retry-after delay ends before other couriers receive it
 # A claim source is distrusted from SOURCE_DISTRUST_SCORE on. A contradicted claim adds one to its score, a confirmed
 # claim takes off CONFIRMATION_CREDIT, and the score stays between 0 and SOURCE_MAX_SCORE (twice the threshold, as for
@@ -84,7 +87,7 @@
 class ObservationKind(IntEnum):
     """What was observed."""
 
-    WAIT = 0  # the endpoint asked to retry later; value: milliseconds left
+    WAIT = 0  # the endpoint asked to retry later; value: length of the delay in milliseconds, from the observation on
     DOWN = 1  # a call failed, and no call sent later was served
     SILENT = 2  # calls are in flight, and no answer has come for longer than usual
     BACK = 3  # a call was served after one of the above
@@ -116,12 +119,12 @@
     failed: int = -(1 << 60)  # last call that failed
     refused: int = -(1 << 60)  # last call that was refused
     limit: float = 0.0  # last limit that the endpoint reported, calls per second
-    limit_at: int = -(1 << 60)
+    limit_at: int = -(1 << 60)  # when it was reported
 
 
 @dataclass(slots=True)
 class PendingReport:
-    """One observation of this courier that is being sent to all others."""
+    """One observation of this courier that is being sent to all others. After its rounds it is only piggybacked."""
 
     kind: ObservationKind
     at: int  # when it was observed
@@ -139,7 +142,7 @@
 
     kind: ObservationKind
     at: int  # when it was observed, by the local clock; never earlier than it really was
-    until: int  # end of a ``WAIT``
+    until: int  # end of a ``WAIT``; not used for other kinds
     value: int
     sequence: int  # sequence number at the witness
     scored: bool = False  # a call of this courier has confirmed or contradicted it
@@ -272,7 +275,7 @@
     def record_call(
         self, endpoint: str, outcome: CallOutcome, sent: int, now: int, wait: int = 0, limit: float = 0.0
     ) -> None:
-        """Record the end of a call that was sent at ``sent``.
+        """Record the end of a call that was sent at ``sent``. A failure counts only if no call sent later was served.
 
         ``wait``: the retry-after delay in the answer, microseconds; 0 if none. ``limit``: the limit that the endpoint
         reported, calls per second; 0 if none.
@@ -333,7 +336,10 @@
         )
 
     def _independent_reports(self, endpoint: str, kind: ObservationKind, now: int) -> int:
-        """Number of witnesses that reported the same, directly or by several brokers, as one could invent witnesses."""
+        """Number of witnesses that reported the same, directly or by several brokers.
+
+        Those relayed by one broker only are not counted, as it could have invented them.
+        """
         paths: dict[str, set[str]] = {}
         for source, record in self._records.get(endpoint, {}).items():
             if (
@@ -369,7 +375,7 @@
                 and message.witness not in self._number_conflicts
                 and len(self._number_conflicts) < MAX_NUMBER_CONFLICTS
             ):
-                # The witness is in another group, so possibly no other courier knows both of them.
+                # If the witness is in another group, possibly no other courier knows both of them.
                 self._number_conflicts.add(message.witness)
                 self.events.append(
                     (
@@ -413,6 +419,7 @@
         return sorted(str(source) for source in self.distrusted)
 
     def _record(self, source: ClaimSource, epoch: int, observation: Observation, now: int) -> bool:
+        """Store an observation as the source's latest claim; false if one that is as new or newer is stored already."""
         records = self._records.setdefault(observation.endpoint, {})
         witness = records.get(source)
         if witness is None or epoch > witness.epoch:
@@ -444,7 +451,8 @@
     def _score_claims(self, endpoint: str, sent: int, now: int, served: bool) -> None:
         """Compare claims with the outcome of a call of this courier sent after them; each claim is scored once.
 
-        ``served``: whether the call was served; otherwise it failed or was answered with a retry-after delay.
+        ``served``: whether the call was served; otherwise it failed or was answered with a retry-after delay. Claims of
+        limits, and those older than ``OUTAGE_REPORT_MAX_AGE``, are not scored.
         """
         paths: dict[ClaimSource, tuple[int, ObservationKind]] = {}
         for source, witness in self._records.get(endpoint, {}).items():
@@ -493,7 +501,10 @@
             self.events.append(("peers-believed-again", {"peer": str(level)}))
 
     def _standing_claims(self, endpoint: str) -> list[tuple[ClaimSource, Claim]]:
-        """Trusted claims of failures or delays that neither a served call nor a ``BACK`` has contradicted since."""
+        """Trusted claims of failures, silence or delays that neither a served call nor a ``BACK`` contradicted since.
+
+        A delay that has passed is included.
+        """
         local = self._local.get(endpoint) or LocalRecord()
         claims = [
             (source, record.health)
@@ -519,7 +530,7 @@
     # Resulting restrictions
 
     def start_outage(self, endpoint: str, now: int) -> None:
-        """Record the start of an outage, found by this courier or reported by others. Slow start will follow it."""
+        """Record the start of an outage, found by this courier or by reports; ignored if it has begun already."""
         self._outages.setdefault(endpoint, now)
 
     def _end_outage(self, endpoint: str, at: int) -> None:
@@ -534,7 +545,7 @@
     def recovering(self, now: int, ramp: int) -> dict[str, int]:
         """Endpoints in an outage or in slow start, with the microseconds since their return (0 during the outage).
 
-        ``ramp``: length of the slow start, microseconds.
+        ``ramp``: length of the slow start, microseconds. An outage counts from ``MIN_OUTAGE`` on.
         """
         self._recovering = {name: at for name, at in self._recovering.items() if now - at < ramp}
         return {name: max(0, now - at) for name, at in self._recovering.items()} | {
@@ -551,7 +562,7 @@
         return self._apply_bounds(candidates, now)
 
     def _restriction(self, endpoint: str, now: int, others: list[str]) -> tuple[int, RouteRestriction] | None:
-        """The restriction that follows from the standing claims, with the number of independent witnesses."""
+        """The restriction that follows from the standing claims, with the number of independent witnesses; or None."""
         claims = self._standing_claims(endpoint)
         waits = [
             (source, claim.until)
@@ -593,11 +604,11 @@
     def _apply_bounds(
         self, candidates: dict[str, tuple[int, RouteRestriction]], now: int
     ) -> dict[str, RouteRestriction]:
-        """Close neither the last route of a destination nor more than the allowed share of all routes.
+        """Close a route only if its destination has one that is open, and no more than the allowed share of all routes.
 
         Other candidates are limited to one call at a time.
         """
-        free: dict[int, int] = {}
+        free: dict[int, int] = {}  # by destination: routes that are no candidates and not closed by this courier itself
         for endpoint, dest in self._routes.items():
             free[dest] = free.get(dest, 0) + (endpoint not in candidates and endpoint not in self._locally_closed)
         quota = int(self.max_restricted_share * len(self._routes))
@@ -614,8 +625,8 @@
         """The limit that the endpoint reported to other couriers, calls per second; 0 if none can be trusted.
 
         Only trusted claims count that are newer than the last limit reported to this courier itself. It takes two
-        independent witnesses that agree, or one witness and a call of this courier that was refused since that report:
-        one witness alone could starve all couriers.
+        independent witnesses that agree, or a single witness and a call of this courier that was refused since that
+        last limit: one witness alone could starve all couriers. Of the two that agree best, the larger limit counts.
         """
         local = self._local.get(endpoint) or LocalRecord()
         limits = sorted(
@@ -671,7 +682,8 @@
     ) -> Outgoing:
         """Observations that are due, in about ``byte_budget`` bytes.
 
-        ``others``: members to send them to directly. ``brokers_of``: the brokers to publish a destination's to.
+        ``others``: members to send them to directly. ``brokers_of``: the brokers to which those of a destination are
+        published; None if there are no brokers.
         """
         if self.silent:
             return []
@@ -733,7 +745,10 @@
     # Reports
 
     def status(self, now: int, others: list[str]) -> dict[str, dict[str, int | str]]:
-        """Status of each endpoint with claims: number of witnesses, latest claim, resulting restriction and limit."""
+        """Status of each endpoint with claims: number of witnesses, latest claim, resulting restriction and limit.
+
+        If there are claims of a limit only, ``last`` is "limit" and ``age_ms`` is 0.
+        """
         restrictions = self.restrictions(now, others)
         status: dict[str, dict[str, int | str]] = {}
         for endpoint, records in self._records.items():
--- a/kestrelspar/peers/seal.py
+++ b/kestrelspar/peers/seal.py
@@ -5,7 +5,8 @@
 first check that fails, so each forged datagram of a flood costs no more than its hash; each kind of failure is counted.
 The receiver's name is covered by the hash, so a datagram can't be replayed to another receiver. For each sender the
 highest epoch and a window of sequence numbers are stored: a number that was received already, or is older than the
-window, is a replay. A sender's epoch rises with each start, so its sequence numbers may start again.
+window, is a replay. Datagrams of an earlier epoch are dropped, too. A sender's epoch rises with each start, so its
+sequence numbers may start again.
 """
 
 from __future__ import annotations
@@ -30,7 +31,10 @@
 
 
 def _to_wire(message: PeerMessage) -> PeerMessage | UngroupedMemberUpdate:
-    """Encode a member without a group as before groups existed, for couriers that don't support groups."""
+    """The message to encode: for a member without a group the form from before groups existed, otherwise as it is.
+
+    Couriers that don't support groups accept that form.
+    """
     if type(message) is not MemberUpdate or message.group:
         return message
     return UngroupedMemberUpdate(
