--- a/kestrelspar/peers/members.py
+++ b/kestrelspar/peers/members.py
@@ -9,17 +9,17 @@
 suspicion.
 
 In each period one member is probed (``Ping``), in shuffled order. Without an ack in time, helpers are asked to probe it
-(``Probe``); without an ack by the end of the period it is suspected. The next ping notifies a suspect, so that it can
-refute the suspicion; if it doesn't do so in time, it is declared dead. The suspicion timeout is longest while a single
-member (witness) suspects it, and shrinks with each further witness.
+(``Probe``); without an ack by the end of the period it is suspected. The next ping to the suspect carries the
+suspicion, so that it can refute it; if it doesn't do so in time, it is declared dead. The suspicion timeout is longest
+while at most one member (witness) has reported the suspicion, and shrinks with each further witness.
 
 Most false suspicions are caused by a fault of the accuser itself, so:
 
 - A member whose process was paused (more than a period between two ticks) restarts its probes and suspicion timeouts,
   and accuses nobody until it has received an ack.
-- A member whose probes fail without a ``Nack`` from each helper, or that had to refute a suspicion, lowers its estimate
-  of its own health (Lifeguard's local health multiplier): its periods and suspicion timeouts grow up to
-  ``MAX_HEALTH_MULTIPLIER`` times.
+- A member that was paused, whose probe failed without a ``Nack`` from each helper or without any helper, or that had to
+  refute a suspicion, lowers its estimate of its own health (Lifeguard's local health multiplier): its periods and
+  suspicion timeouts grow up to ``MAX_HEALTH_MULTIPLIER`` times. Each probe that is acknowledged raises the estimate.
 
 Dead members are kept for ``DEAD_RETENTION``, so that old updates don't revive them. Now and then a dead member or a
 seed that is not a member is pinged, so that two halves of a partitioned fleet that declared each other dead rejoin: a
@@ -48,8 +48,10 @@
 MAX_SUSPICION_WITNESSES = 3  # witnesses for the shortest suspicion timeout; more are not counted
 GOSSIP_FACTOR = 3.0  # a change is gossiped this many times log2 of the number of members
 DEAD_RETENTION = 600 * SECOND  # how long a member that is dead or has left is kept
-RECONNECT_PERIODS = 5  # periods between pings to a dead member, or to a seed that is not a member
-MAX_GOSSIPED_MEMBERS = 24  # max updates of other members in a datagram
+# Periods between pings to a dead member, or to a seed that is not a member. While no member is alive, such seeds are
+# pinged in each period.
+RECONNECT_PERIODS = 5
+MAX_GOSSIPED_MEMBERS = 24  # max updates in a datagram, besides those of its sender and its receiver
 MAX_RELAYED_PROBES = 64  # open probes on behalf of other members
 
 Outgoing = list[tuple[str, list[PeerMessage]]]  # receiver and messages
@@ -63,7 +65,8 @@
     update: MemberUpdate
     since: int  # when its state was received, or its suspicion timeout restarted
     times_gossiped: int = 0  # since its last change
-    witnesses: set[str] = field(default_factory=set)  # members that suspect it
+    # Who reported its present state; of a suspected member, all witnesses of the suspicion. At first nobody.
+    witnesses: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
@@ -100,7 +103,7 @@
         self.period, self.max_members = period, max_members
         self.members: dict[str, Member] = {}
         self.superseded = False  # another process with a later epoch has this courier's name
-        self.leaving = False
+        self.leaving = False  # ``shut_down`` was called
         # Lifeguard's score: 0 is healthy; each point lengthens periods and timeouts by their base value.
         self.local_health = 0
         self.rejected_updates = 0  # updates of unknown couriers rejected because of ``max_members``
@@ -120,7 +123,7 @@
         self._alive: list[str] | None = None  # cache, cleared on a change
         # Name of the last courier seen with each number.
         self._number_holders: dict[int, str] = {own_update.number: own_update.name}
-        self._not_alive: set[str] = set()
+        self._not_alive: set[str] = set()  # members that are suspected, dead or have left
         self._updated: set[str] = set()  # members whose last change is still gossiped
         # Couriers of other groups by name, so that they can be answered.
         self._foreign_couriers: dict[str, MemberUpdate] = {}
@@ -138,7 +141,7 @@
         return {name for name in self._not_alive if self.members[name].update.state >= MemberState.DEAD}
 
     def address(self, name: str) -> tuple[str, int] | None:
-        """Address of a courier; a configured one takes precedence over a gossiped one."""
+        """Address of a member, seed or foreign courier; a configured one takes precedence. None if unknown."""
         if name in self.seeds:
             return self.seeds[name]
         member = self.members.get(name)
@@ -151,14 +154,14 @@
         return member.update.group if member is not None else ""
 
     def number(self, name: str) -> int | None:
-        """Position of a member among the couriers; None if unknown."""
+        """Position of a member among the couriers; None if it is no member."""
         member = self.members.get(name)
         return member.update.number if member is not None else None
 
     # Periodic work
 
     def tick(self, now: int) -> Outgoing:
-        """Messages that are due. Call it several times per period."""
+        """Messages that are due; none once superseded or leaving. Call it several times per period."""
         if self.superseded or self.leaving:
             return []
         self._handle_stall(now)
@@ -265,7 +268,10 @@
         return int(scale * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - MIN_SUSPICION_FACTOR) * confirmation))
 
     def _send_nacks(self, now: int, out: Outgoing) -> None:
-        """Send a nack for each relayed probe without an ack in time: it shows that at least this helper is alive."""
+        """Send a nack for each relayed probe without an ack in time: it shows that at least this helper is alive.
+
+        A late ack is still relayed, up to ``MAX_HEALTH_MULTIPLIER`` periods after the request.
+        """
         for number, (requester, request_number, received_at, nack_sent) in list(self._relayed_probes.items()):
             if not nack_sent and now - received_at >= int(self.period * ACK_TIMEOUT_SHARE * NACK_TIMEOUT_SHARE):
                 out.append((requester, [Nack(request_number)]))
@@ -276,7 +282,7 @@
     # Messages
 
     def receive(self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int) -> Outgoing:
-        """Handle a member's messages about membership."""
+        """Handle a courier's messages about membership; others are ignored, as is ``epoch``."""
         out: Outgoing = []
         if self.superseded:
             return out
@@ -377,6 +383,7 @@
         return True
 
     def _announce_join(self, member: Member) -> None:
+        """Report a new, restarted or revived member, and whether another courier that is alive has its number."""
         update = member.update
         self.events.append(("peers-joined", {"peer": update.name, "life": update.epoch, "number": update.number}))
         other = self._number_holders.setdefault(update.number, update.name)
@@ -388,7 +395,7 @@
             self._number_holders[update.number] = update.name
 
     def _handle_own_state(self, update: MemberUpdate) -> None:
-        """Handle an update about this courier: refute a suspicion, or detect that another process has the same name."""
+        """Handle an update about this courier: refute any state but alive, or detect another process with its name."""
         if update.epoch > self.own_update.epoch:
             self.superseded = True
             self.events.append(
--- a/kestrelspar/peers/messages.py
+++ b/kestrelspar/peers/messages.py
@@ -23,7 +23,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member. Of two states with the same incarnation the larger wins."""
+    """State of a member. Of two states with the same epoch and incarnation the larger wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -104,7 +104,7 @@
 class LoanGrant(Struct, array_like=True, frozen=True, tag="g"):
     """Answer to ``LoanRequest`` ``n``: the receiver may use ``calls`` calls per window for a loan term.
 
-    ``loan``: the lender's number for this loan.
+    The term begins when the request was sent. ``loan``: the lender's number for this loan.
     """
 
     n: Count
@@ -119,10 +119,11 @@
 
 
 class Observation(Struct, array_like=True, frozen=True, tag="j"):
-    """The sender itself observed ``kind`` at the endpoint, ``age`` milliseconds ago.
+    """The witness itself observed ``kind`` at the endpoint, ``age`` milliseconds ago.
 
+    The witness is the sender, or the courier that a ``RelayedObservation`` or ``ForwardedObservation`` around it names.
     ``value``: its meaning depends on ``kind``, see ``observations.ObservationKind``. ``sequence`` rises with each
-    observation of the sender's process epoch.
+    observation of the witness's process epoch.
     """
 
     endpoint: Key
@@ -146,11 +147,11 @@
 
 
 class CounterRequest(Struct, array_like=True, frozen=True, tag="w"):
-    """Requests the receiver's counters."""
+    """Requests all of the receiver's counters, and those it holds of the sender and of couriers that are gone."""
 
 
 class Subscribe(Struct, array_like=True, frozen=True, tag="S"):
-    """To a broker: relay observations of these destinations to the sender.
+    """To a broker: relay observations of these destinations to the sender. Ignored without a lease.
 
     A larger ``generation`` than before first drops all earlier subscriptions; a smaller one is ignored.
     """
@@ -173,8 +174,8 @@
     """To a broker: renews the lease on the sender's subscriptions.
 
     ``host``, ``port``, ``number``: the sender's address and position. ``known_epoch``: the highest process epoch of
-    this broker that the sender has seen. ``generation``: as in ``Subscribe``. ``count``, ``digest``: how many
-    destinations the broker should have on record for the sender, and their digest.
+    this broker that the sender has received; 0 if none. ``generation``: as in ``Subscribe``. ``count``, ``digest``: how
+    many destinations the broker should have on record for the sender, and their digest.
     """
 
     n: Count
--- a/kestrelspar/peers/peer.py
+++ b/kestrelspar/peers/peer.py
@@ -33,8 +33,8 @@
 from kestrelspar.peers.shares import LoanTerms, Shares
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
-EVENT_INTERVAL = 60 * SECOND  # the same event is reported at most this often
-URGENT_RESERVE = 0.25  # share of the bytes per second that is reserved for pings, probes, their replies and renewals
+EVENT_INTERVAL = 60 * SECOND  # an event that ``_may_report`` limits is reported at most this often
+URGENT_RESERVE = 0.25  # share of the bytes per second reserved for datagrams with pings, probes, replies or renewals
 OBSERVATION_SHARE = 0.5  # of the bytes available now: the most that observations of endpoints may use
 BURST_WINDOW = SECOND  # unused bandwidth of up to this time may be sent as one burst
 
@@ -58,7 +58,7 @@
     max_restricted_share: float = 0.5  # of all routes: the most that reports of other couriers may close
     probe_interval: int = SECOND  # between the couriers that probe an endpoint in an outage, one after the other
     group: str = ""  # only couriers of the same group, or of none, are members
-    region: str = ""  # the brokers of this region are used
+    region: str = ""  # the brokers of this region are used; if there are none, no brokers are
     brokers: dict[str, tuple[str, int]] = field(default_factory=dict)  # of all regions, by "REGION/NAME"
 
 
@@ -103,7 +103,7 @@
         )
         self.has_new_observations = False  # new observations of endpoints have arrived; the caller resets it
         self.events: Events = []
-        self.sent = self.received = self.over_bandwidth = 0  # bytes sent and received, datagrams over the limit
+        self.sent = self.received = self.over_bandwidth = 0  # bytes sent and received; datagrams dropped over the limit
         self._available_bytes, self._refilled_at = float(config.bytes_per_second), now
         self._reported_at: dict[str, int] = {}
         self._reported_drops: Counter[str] = Counter()
@@ -151,7 +151,7 @@
             return self._send([], now)
         if datagram.sender in self.config.brokers:  # not a courier, whatever messages it sends
             if self.subscriber is None or datagram.sender not in self.subscriber.sessions:
-                return []  # of another region: brokers of this region relay its observations
+                return []  # of another region: the own region's brokers, if any, relay its observations
             out = self.subscriber.receive(datagram.sender, datagram.epoch, datagram.messages, now)
             self.has_new_observations |= self.observations.receive_relayed(datagram.sender, datagram.messages, now)
             return self._send(out, now)
@@ -160,7 +160,7 @@
             datagram.sender, datagram.epoch, datagram.messages, now, self.members.number(datagram.sender)
         )
         number = self.members.number(datagram.sender)
-        # A witness must have a number below the fleet size.
+        # A witness must be a member with a number below the fleet size.
         if number is not None and number < self.config.terms.couriers:
             self.has_new_observations |= self.observations.receive(
                 datagram.sender, datagram.epoch, datagram.messages, now
@@ -212,7 +212,11 @@
         return True
 
     def _send(self, out: Outgoing, now: int) -> Datagrams:
-        """Pack messages into one datagram or more for each receiver; free space is used for member updates."""
+        """Pack messages into one datagram or more for each receiver, and collect the events of all components.
+
+        Free space in datagrams to couriers is used for observations and member updates. Messages to a receiver without
+        a known address are dropped.
+        """
         components: tuple[Members | Shares | ObservationTracker | Subscriber | None, ...] = (
             self.members,
             self.shares,
--- a/kestrelspar/peers/shares.py
+++ b/kestrelspar/peers/shares.py
@@ -11,16 +11,17 @@
     its share - what it has lent - what an earlier process epoch may have lent + what it has borrowed.
 
 The invariant is that the calls of all couriers in any window never exceed the budget; docs/design/peers.md has the
-proof. It rests on these rules:
+proof. Not covered by it are the calls that couriers without a share make of a fully lendable budget
+(``_may_call_unowned``), and calls for a name without a budget, which are not limited. It rests on these rules:
 
 - only what the preceding window left unused is lent, and it counts as lent before the grant can leave
   (``_grant_requests``);
 - the borrower's term starts with its request; the lender's starts with its grant and is a window longer; both allow for
   the clock drift, the borrower's by being shorter and the lender's by being longer;
 - a grant counts once, and only for an open request of the same process epoch; a returned loan is no longer used;
-- the maximum ever lent is persisted before a grant leaves (``persist``). After a start that amount counts as lent for a
-  whole term; if nothing was persisted, everything lendable does. The amounts that were found are persisted again until
-  those loans can no longer be running;
+- the most calls lent at once since the start are persisted before a grant leaves (``persist``). After a start that
+  amount counts as lent for as long as a new loan would; if no amounts could be read, everything lendable does. The
+  amounts that were found are persisted again until those loans can no longer be running;
 - for one window after a start a courier neither calls nor lends, as it does not know which calls its earlier process
   made.
 
@@ -41,7 +42,9 @@
 from kestrelspar.peers.messages import LoanGrant, LoanRequest, LoanReturn, PeerMessage
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
-MAX_LENT_PART = 0.75  # max lent part of a share: a courier that is cut off, or starts without its state, can still call
+# Max lent part of a share, unless the budget is fully lendable: a courier that is cut off, or starts without its state,
+# can still call.
+MAX_LENT_PART = 0.75
 REQUEST_GATHERING_TIME = 50 * MS  # between the first request and the grants for all gathered so far
 REQUEST_INTERVAL = 200 * MS  # min time between two rounds of requests for one budget
 MIN_REQUEST_FANOUT, MAX_REQUEST_FANOUT = 3, 32  # members asked in one round; doubles while too little is granted
@@ -66,7 +69,10 @@
 
 
 def equal_share(calls: int, couriers: int, number: int) -> int:
-    """The share of the courier at position ``number``: calls per window, of ``calls`` for all couriers."""
+    """The share of the courier at position ``number``: calls per window, of ``calls`` for all couriers.
+
+    The first couriers get one more each if the division leaves a remainder; 0 for a position out of range.
+    """
     if not 0 <= number < couriers:
         return 0
     return calls // couriers + (number < calls % couriers)
@@ -75,12 +81,13 @@
 def budget_for_rate(rate: float, couriers: int, window: int = SECOND) -> tuple[int, int]:
     """A budget for ``rate`` calls per second, as (calls, window length in microseconds).
 
-    The window is lengthened if a courier's share would otherwise be less than one call.
+    The window is lengthened if a courier's share would otherwise be less than one call; a rate below 0.001 lengthens it
+    no further. Without a positive rate the budget is 0 calls.
     """
     if rate <= 0:
         return 0, window
     window = max(window, -(-couriers * SECOND // max(1, int(rate * 1_000))) * 1_000)
-    return int(rate * window / SECOND + 1e-6), window
+    return int(rate * window / SECOND + 1e-6), window  # 1e-6: against a product rounded to just below an integer
 
 
 @dataclass(slots=True)
@@ -101,7 +108,7 @@
     peer: str
     key: str  # name of the budget
     at: int  # when it was sent
-    calls: int
+    calls: int  # requested, per window
     loan: int  # number of the loan to be renewed; 0 for a new one
 
 
@@ -110,7 +117,7 @@
     """State of one budget at this courier."""
 
     calls: int  # of all couriers together in any window
-    window: int
+    window: int  # microseconds
     share: int  # this courier's calls per window, including those that it has lent
     recent_calls: deque[int] = field(default_factory=deque)  # times of the calls in the preceding window
     lent: dict[tuple[str, int, int], Loan] = field(default_factory=dict)  # by borrower, its epoch and request number
@@ -118,10 +125,10 @@
     mean: float = 0.0  # decaying mean of calls per window, as of ``mean_at``
     mean_at: int = 0
     shortfall: int = 0  # further calls that this courier could use, as of ``shortfall_at``
-    waiting_weight: float = 0.0
+    waiting_weight: float = 0.0  # total weight of the messages that need these calls
     shortfall_at: int = 0
-    requested_at: int = -(1 << 60)
-    fanout: int = MIN_REQUEST_FANOUT
+    requested_at: int = -(1 << 60)  # when loans were last requested; initially long ago
+    fanout: int = MIN_REQUEST_FANOUT  # members that the next round of requests asks
     max_lent: int = 0  # most calls lent at once since the start, as persisted
     retired: bool = False  # its destination is gone; the budget is removed once it has no loans and no recent calls
     fully_lendable: bool = False  # the whole share may be lent: for budgets so small that most shares are zero
@@ -144,7 +151,7 @@
         """Create the shares of a process that starts at ``now``.
 
         ``lent_before``: the most calls that an earlier process epoch had lent at once, by budget; None if unknown.
-        ``persist`` saves such amounts and returns whether it succeeded; if not, nothing is lent.
+        ``persist`` saves such amounts and returns whether it succeeded; if not, nothing more is lent or borrowed.
         """
         self.terms, self.epoch = terms, epoch
         self.events: Events = []
@@ -160,7 +167,7 @@
         self._loan_number = 0
         # By loan number: name of the budget, and the loan's key in ``Budget.lent``.
         self._granted_loans: dict[int, tuple[str, tuple[str, int, int]]] = {}
-        self.storage_failed = False  # loans can't be persisted: nothing is lent or borrowed
+        self.storage_failed = False  # loans can't be persisted: nothing more is lent or borrowed
         self.stopped = False  # another process has this name, or this one is leaving: it has no share
         self.silent = False  # sends no messages any more, so it neither lends nor borrows
 
@@ -172,7 +179,8 @@
         """Set a budget: all couriers together may make ``calls`` calls in any ``window`` microseconds.
 
         ``fully_lendable``: the whole share may be lent. ``rotation``: the same at all couriers, and different for each
-        budget, so that the calls of small budgets don't all belong to the same couriers.
+        budget, so that the calls of small budgets don't all belong to the same couriers. An existing budget keeps its
+        ``fully_lendable``, and its ``rotation`` for checking grants; ``now`` is used for a new one only.
         """
         known = self._budgets.get(key)
         share = self._share_of(calls, self.terms.number, rotation)
@@ -206,7 +214,10 @@
         return list(self._budgets)
 
     def allowed(self, key: str, now: int) -> int | None:
-        """Calls that this courier may make in any window; None if there is no such budget."""
+        """Calls that this courier may make in any window; None if there is no such budget.
+
+        0 for one window after the start. The occasional calls of a courier without a share are not included.
+        """
         budget = self._budgets.get(key)
         if budget is None:
             return None
@@ -252,7 +263,10 @@
         return len(budget.recent_calls)
 
     def may_call(self, key: str, now: int) -> bool:
-        """Whether a call may be made now. ``now`` must be a fresh reading of the clock."""
+        """Whether a call may be made now; true if there is no such budget.
+
+        ``now`` must be a fresh reading of the clock.
+        """
         budget = self._budgets.get(key)
         return (
             budget is None
@@ -275,6 +289,7 @@
         return True
 
     def _may_call_unowned(self, budget: Budget, now: int) -> bool:
+        """Whether a courier without a share of a fully lendable budget may make one of its occasional calls now."""
         return budget.fully_lendable and not budget.share and not self.stopped and now >= budget.next_unowned_call_at
 
     def _unowned_interval(self, budget: Budget) -> int:
@@ -286,7 +301,10 @@
         return int(interval * (0.5 + self._random.random())) if budget.fully_lendable and not budget.share else 0
 
     def set_shortfall(self, key: str, calls: int, waiting_weight: float, now: int) -> None:
-        """Set how many further calls this courier could use now, and the total weight of their messages."""
+        """Set how many further calls this courier could use now, and the total weight of their messages.
+
+        It counts for one window. Ignored if there is no such budget.
+        """
         budget = self._budgets.get(key)
         if budget is not None:
             budget.shortfall, budget.waiting_weight, budget.shortfall_at = max(0, calls), max(0.0, waiting_weight), now
@@ -302,6 +320,8 @@
     def _reserve(self, budget: Budget, now: int) -> int:
         """Calls per window that a lender reserves: its mean use, and the part of the shortfall beyond its share.
 
+        The mean counts as at least one call, unless the budget is fully lendable.
+
         A short queue is no reason to recall loans: it would be served before they are returned.
         """
         shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
@@ -312,7 +332,10 @@
     # Periodic work
 
     def tick(self, now: int, peers: list[str]) -> Outgoing:
-        """Requests, grants and returns that are due. ``peers``: members that may be asked for loans."""
+        """Requests, grants and returns that are due. ``peers``: members that may be asked for loans.
+
+        Nothing is due once this courier is ``stopped`` or ``silent``.
+        """
         out: Outgoing = []
         if self.stopped or self.silent:
             return out
@@ -366,7 +389,10 @@
             available += loan.calls
 
     def _request_loans(self, key: str, budget: Budget, now: int, peers: list[str], out: Outgoing) -> None:
-        """Ask a few members for the shortfall, and more of them while too little is granted."""
+        """Ask a few members for the shortfall, and more of them while too little is granted.
+
+        A member that has not answered is asked again after three request intervals at the earliest.
+        """
         shortfall = budget.shortfall if now - budget.shortfall_at < budget.window else 0
         # Only the part that can't be served within one window is worth a loan: every courier has shorter bursts.
         shortfall -= self.allowed(key, now) or 0
@@ -405,7 +431,10 @@
     def receive(
         self, sender: str, epoch: int, messages: Iterable[PeerMessage], now: int, number: int | None
     ) -> Outgoing:
-        """Handle a member's messages about loans. ``number``: its position among the couriers, if known."""
+        """Handle a member's messages about loans.
+
+        ``number``: its position among the couriers; None if unknown, then no new loan is accepted from it.
+        """
         out: Outgoing = []
         for message in messages:
             if isinstance(message, LoanRequest):
@@ -438,7 +467,10 @@
     def _handle_renewal(
         self, sender: str, epoch: int, request: LoanRequest, budget: Budget, now: int, out: Outgoing
     ) -> None:
-        """Extend a loan unless this courier needs the calls; its end here is moved before the grant is sent."""
+        """Extend a loan unless this courier needs the calls (``RECALL_WINDOWS``); there is no reply otherwise.
+
+        The end of the loan is moved at the lender before the grant is sent.
+        """
         key, loan_key = self._granted_loans.get(request.loan, ("", ("", 0, 0)))
         loan = budget.lent.get(loan_key)
         if key != request.key or loan is None or loan_key[:2] != (sender, epoch) or now >= loan.until:
@@ -484,7 +516,11 @@
             out.append((borrower, [LoanGrant(request.n, self._loan_number, calls)]))
 
     def _persist(self, new_max: dict[str, int], now: int) -> bool:
-        """Persist the most that is lent, before any of it is used. Until that succeeds, nothing is lent or borrowed."""
+        """Persist the most that is lent, before any of it is used.
+
+        After a failure no loan is requested, granted or accepted. As requests are then refused, nothing is left to
+        grant, and so this is not called again by itself.
+        """
         amounts = {key: budget.max_lent for key, budget in self._budgets.items() if budget.max_lent} | new_max
         if now < self._started_at + max(
             [MIN_CARRY_OVER_TIME, *(self._loan_hold_time(budget) for budget in self._budgets.values())]
@@ -499,7 +535,10 @@
         return persisted
 
     def _spare_calls(self, key: str, budget: Budget, now: int) -> int:
-        """Calls that may be lent now: unused in the preceding window, not reserved, and within the lendable part."""
+        """Calls that may be lent now: unused in the preceding window, not reserved, and within the lendable part.
+
+        Negative if more is used, reserved or lent than that allows.
+        """
         lent = sum(loan.calls for loan in budget.lent.values() if now < loan.until) + self._possibly_lent(
             key, budget, now
         )
@@ -509,7 +548,7 @@
         return min(unused, self._max_lendable(budget) - lent)
 
     def _handle_grant(self, sender: str, grant: LoanGrant, now: int, number: int | None) -> None:
-        """Accept a loan for an open request; its term runs from when the request was sent."""
+        """Accept or extend a loan for an open request; the term runs from when the request was sent."""
         request = self._sent_requests.get(grant.n)
         if request is None or request.peer != sender or self.storage_failed:
             return
@@ -551,9 +590,10 @@
     # Reports
 
     def status(self, key: str, now: int) -> dict[str, int]:
-        """Status of a budget.
+        """Status of a budget, which must exist.
 
-        ``held_back``: what an earlier process epoch may still have lent. ``used``: calls in the preceding window.
+        ``calls``, ``span_ms``: of all couriers, and the window. ``part``: this courier's share. ``held_back``: what an
+        earlier process epoch may still have lent. ``used``: calls in the preceding window. ``lacks``: the shortfall.
         """
         budget = self._budgets[key]
         return {
