--- a/kestrelspar/peers/broker_link.py
+++ b/kestrelspar/peers/broker_link.py
@@ -133,7 +133,7 @@
 
 
 def _next_epoch(state_directory: str) -> int:
-    """Return the epoch of this process, persisted before it is sent.
+    """Return the epoch of this process, persisted before it is sent; without a state directory it is the clock's.
 
     Raises ``OSError`` if the state directory is unusable. A full disk is tolerated: the next start then relies on the
     clock for a higher epoch, as it does after the loss of the state directory.
--- a/kestrelspar/peers/event_log.py
+++ b/kestrelspar/peers/event_log.py
@@ -1,6 +1,6 @@
 """Logs the events of couriers and brokers.
 
-Those that an operator must act on are errors, logged at most once a minute for each event name and peer.
+Those that an operator must act on are errors, logged at most once a minute for each event name and peer or courier.
 """
 
 from __future__ import annotations
--- a/kestrelspar/peers/link.py
+++ b/kestrelspar/peers/link.py
@@ -25,7 +25,8 @@
 from snowlock.interface import EndpointId
 
 MIN_TICK_INTERVAL = 50 * MS  # shortest pause between ticks
-UPDATE_PAUSE_FACTOR = 20  # the pause between updates of the budgets is at least this multiple of their duration
+# The pause between ticks is this multiple of the time that updating the budgets took, within the shortest and longest.
+UPDATE_PAUSE_FACTOR = 20
 MAX_TICK_INTERVAL = 300 * MS  # longest pause between ticks
 LEAST_STEP = 300 * MS
 STALL_THRESHOLD = 500 * MS  # a longer gap between ticks means that this process was stalled, not an endpoint
@@ -49,7 +50,7 @@
         state_directory: str,
         seed: int,
     ) -> None:
-        """Raises ``OSError`` if the address is in use."""
+        """Raises ``OSError`` if the address can't be bound, for example because it is in use."""
         self.loop, self.courier, self.config = loop, courier, config
         settings = courier.settings
         self._state_file = Path(state_directory) / "peers"
@@ -82,6 +83,7 @@
         self._over_share: dict[int, int] = {}  # by tenant: messages beyond its share since the last update
         self._suspended: dict[str, RouteRestriction] = {}
         self._called_dests: set[int] = set()  # since the last tick
+        # ``_resumed_at``: when the last stall of this process was detected, or the start.
         self._last_tick = self._resumed_at = self._save_at = loop.clock()
         self._event_log = EventLog(loop)
         self.unsent: Counter[str] = Counter()
@@ -110,7 +112,10 @@
         )
 
     def reload(self, config: schema.Peers, secrets: list[str]) -> None:
-        """On SIGHUP: replace the keys, or stop communicating if disabled. Loans count until their term has expired."""
+        """On SIGHUP: replace the keys, or stop communicating if disabled. Loans count until their term has expired.
+
+        Once disabled, it takes a restart to communicate again.
+        """
         if config.enabled:
             self.peer.sealer.rekey(keys(secrets))
             return
@@ -120,6 +125,7 @@
         self._send(self.peer.shut_down(self.loop.clock(), ends=False))
         logs.event("peers-off", until_ms=2 * self.config.term // MS)
         self._resume_endpoints()
+        # A loan is held for a term and a window, both extended by the clock drift: less than twice as long.
         longest_window = max((wanted.window for wanted in self._snapshot.budgets.values()), default=0)
         self.loop.call_at(self.loop.now + 2 * self.config.term + 2 * longest_window, self._detach)
 
@@ -242,6 +248,7 @@
             outcome = CallOutcome.REFUSED
         elif result.outcome in FAILED_OUTCOMES and not result.no_slot and not self._was_stalled(sent, now):
             outcome = CallOutcome.FAILED
+        # A limit outside this range is implausible, and counts as not reported.
         self.peer.observations.record_call(
             name, outcome, sent, now, result.retry_after, limit if 0.01 < limit < 1e6 else 0.0
         )
@@ -339,10 +346,11 @@
         for key, wanted in self._snapshot.budgets.items():
             allowed = self.peer.shares.allowed(key, now)
             if allowed is not None:
-                # Right after a start no call is allowed for one window. The decision module is given the share as the
-                # rate even then: at rate zero it would at once abandon messages that can be delivered a second later.
+                # No call is allowed for one window after a start, or while the whole share is lent. The decision module
+                # is given the share as the rate even then: at rate zero it would at once abandon messages that can be
+                # delivered a second later.
                 allowed = allowed or self.peer.shares.share(key)
-                rate = max(0.05, allowed * 1_000_000 / wanted.window)
+                rate = max(0.05, allowed * 1_000_000 / wanted.window)  # 0 would mean that the limit is not shared
                 for id in wanted.endpoints:  # a recovering endpoint has a second budget: the lower rate applies
                     endpoint_rates[id] = min(endpoint_rates.get(id, rate), rate)
                 if key.startswith("t:"):
--- a/kestrelspar/peers/state_file.py
+++ b/kestrelspar/peers/state_file.py
@@ -22,7 +22,7 @@
 
 
 def read(file: Path) -> SavedState:
-    """The saved state; epoch 0 and unknown loans if the file is missing or unusable."""
+    """The saved state; epoch 0, unknown loans and no counters if the file is missing or unusable (which is logged)."""
     try:
         if file.stat().st_size > MAX_FILE_BYTES:
             raise ValueError(f"larger than {MAX_FILE_BYTES} bytes")
@@ -55,6 +55,6 @@
 def next_epoch(state: SavedState) -> int:
     """The next epoch: the clock's milliseconds or the last epoch plus one, whichever is larger.
 
-    So it rises with each start even if the state directory was lost.
+    So it rises with each start even if the state directory was lost, unless the clock was set back as well.
     """
     return max(state.epoch + 1, time.time_ns() // 1_000_000)
--- a/kestrelspar/peers/status_socket.py
+++ b/kestrelspar/peers/status_socket.py
@@ -1,6 +1,7 @@
 """The status socket: a Unix socket in the state directory, accessible only to its owner, that serves one JSON object.
 
-A client may first send ``fleet`` and a newline: then the other couriers are asked for their counters before the reply.
+A client sends an empty line, or ``fleet`` and a newline: then the other couriers are asked for their counters before
+the reply. To a client that sends nothing, the reply is sent after ``CLIENT_TIMEOUT``.
 """
 
 from __future__ import annotations
