--- a/tests/peers/test_broker_process.py
+++ b/tests/peers/test_broker_process.py
@@ -66,6 +66,7 @@
             )
 
     def configure(self, secrets: list[str], more: str = "") -> None:
+        """Write the key files and the settings; ``more``: further lines of the section ``peers``."""
         for number, secret in enumerate(secrets):
             (self.directory / f"key{number}").write_text(secret)
             (self.directory / f"key{number}").chmod(0o600)
@@ -266,6 +267,7 @@
     assert older.stop() == 0 and younger.stop() == 0
 
 
+# Name of the broker, further lines of the section ``peers``, a column that is not used, and texts expected in the log.
 SETTINGS_ERRORS = [
     ("eu/b9", "", [], ["peers.broker: no broker is named eu/b9 (wanted: eu/b1, eu/b2)"]),
     ("eu/b1", "  key-file none\n", [], ["peers.key-file: ", "No such file"]),
@@ -292,6 +294,7 @@
     started.append(first := BrokerProcess(tmp_path / "first").wait_until_ready())
     (tmp_path / "file").write_text("")
     conf, state = str(tmp_path / "first" / "k.conf"), str(tmp_path / "first")
+    # ``eu/b2`` does not run, so in the cases with it the address is free and only the state directory is wrong.
     for arguments, expected in (
         (["--conf", str(keyless / "k.conf"), "--name", "eu/b1"], "peers.key-file: names 0 files"),
         (["--conf", conf, "--name", "eu/b1", "--state", state], "Address already in use"),
--- a/tests/peers/test_brokers.py
+++ b/tests/peers/test_brokers.py
@@ -65,13 +65,14 @@
         found: list[tuple[str, PeerMessage]] = []
         for _, data in datagrams:
             assert len(data) <= MAX_DATAGRAM_BYTES
-            datagram = msgspec.msgpack.decode(data[20:], type=Datagram)
+            datagram = msgspec.msgpack.decode(data[20:], type=Datagram)  # 20: bytes of the seal before the body
             assert datagram.sender == self.name
             self.pinged += [datagram.to for message in datagram.messages if isinstance(message, Ping)]
             found += [(datagram.to, message) for message in datagram.messages if not isinstance(message, Ping)]
         return found
 
     def send(self, name: str, *messages: PeerMessage, epoch: int = 1) -> list[tuple[str, PeerMessage]]:
+        """Deliver messages of the courier or broker ``name``, and return the replies."""
         data = self.sealer(name, epoch).seal(self.name, [*messages])
         self.sent.append(data)
         return self.decode(self.broker.receive(data, self.now))
@@ -113,6 +114,7 @@
 
 
 def relayed(found: list[tuple[str, PeerMessage]]) -> list[tuple[str, str]]:
+    """Subscriber and witness of each relayed observation."""
     return sorted((to, message.witness) for to, message in found if isinstance(message, RelayedObservation))
 
 
@@ -448,7 +450,7 @@
 
 
 def test_after_a_stall_observations_are_dropped_but_leases_are_renewed() -> None:
-    for ticks_first in (False, True):
+    for ticks_first in (False, True):  # whether the first tick after the stall precedes the datagrams read
         harness = BrokerHarness()
         harness.subscribe(1, 2)
         harness.tick()
@@ -465,7 +467,7 @@
         assert harness.broker.stalled == 1 and [name for name, _ in harness.broker.events] == ["broker-stalled"]
 
 
-def test_a_broker_steps_back_when_two_couriers_report_a_higher_epoch_but_not_for_one() -> None:
+def test_a_broker_stops_when_two_couriers_report_a_higher_epoch_but_not_for_one() -> None:
     harness = BrokerHarness()
     harness.subscribe(1, 2, 3)
     for _ in range(3):
@@ -601,6 +603,7 @@
 
 # Bad input
 
+# By kind of failure: makes an invalid datagram, some of them from a valid one of the courier n1.
 BAD: dict[str, Callable[[BrokerHarness, bytes], bytes]] = {
     "oversized": lambda harness, data: data + b"x" * MAX_DATAGRAM_BYTES,
     "foreign": lambda harness, data: b"GET / HTTP/1.1\r\n\r\n" + data,
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -47,7 +47,7 @@
     assert views[0] == views[1] == expected, "the last counts of each epoch were reported, so nothing is missing"
 
 
-def test_a_request_is_answered_for_all_couriers_including_those_that_are_gone() -> None:
+def test_a_request_is_answered_for_its_receiver_and_for_couriers_that_are_gone() -> None:
     gone, here, asker = make_counts("gone"), make_counts("here"), make_counts("asker")
     for _ in range(3):
         gone.add("calls/1/ok")
@@ -65,7 +65,7 @@
     )
 
 
-def test_counters_are_bounded_and_recent_changes_are_reported_first() -> None:
+def test_counters_are_bounded_and_the_change_that_has_waited_longest_is_reported_first() -> None:
     one = make_counts("n1")
     for n in range(MAX_COUNTERS + 50):
         one.add(f"calls/{n}/ok")
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -9,6 +9,7 @@
 from kestrelspar.lab.simulated_network import MS, SECOND, Faults, Node, SimulatedNetwork, Traffic
 from kestrelspar.peers.messages import LoanGrant, LoanRequest, MemberState, MemberUpdate
 
+# Messages per second that arrive at each courier.
 BUSY = {"n0": 25.0, "n1": 12.0, **{f"n{i}": 2.0 for i in range(2, 10)}}
 RATE = 50  # calls per second of the budget
 
@@ -25,6 +26,7 @@
 
 
 def notified_of_new_limit(net: SimulatedNetwork) -> set[str]:
+    """The couriers for which ``limit_halved_for_two_thirds`` halves the limit."""
     return {name for name in net.nodes if net.nodes[name].number % 3}
 
 
@@ -72,6 +74,8 @@
     )
 
 
+# By name: what is done to the fleet, faults of the network, the largest drift of a clock, and settings of ``LoanTerms``
+# that differ from their defaults.
 CASES: dict[str, tuple[Callable[[SimulatedNetwork], None], Faults, float, dict[str, float]]] = {
     "no faults": (lambda net: None, Faults(), 0.005, {}),
     "a third cut off for 6 s, then all restarted": (third_cut_then_all_restarted, Faults(), 0.005, {}),
@@ -125,11 +129,13 @@
         net.budget_checker.calls_by_courier[(name, "e:x")] - counted[(name, "e:x")]
         for name in net.nodes.keys() - notified_of_new_limit(net)
     )
+    # In 10 s: the six that were notified have a share of at most 3, and loans of at most 3 from each of the other four.
     assert calls_notified <= 10 * 6 * 3 + 10 * 4 * 3 and calls_others <= 10 * RATE, (calls_notified, calls_others)
     assert traffic.served
 
 
 def test_loans_use_what_equal_shares_leave_unused_and_no_isolated_courier_starves() -> None:
+    # Bounds of the part of the messages that is served: with loans, and with all couriers cut off from each other.
     for cut, min_share, max_share in ((False, 0.85, 1.0), (True, 0.5, 0.72)):
         net, traffic = fleet(1)
         if cut:
@@ -166,6 +172,7 @@
 
     net.nodes["n5"].byzantine_behavior = lend_too_much
     net.run(30 * SECOND)
+    # A share of 5 calls can lend 3, here to each of the nine others.
     assert max(net.budget_checker.max_calls.values()) <= RATE + 9 * 3 and any(
         e[2] == "peers-lends-too-much" for e in net.events
     )
--- a/tests/peers/test_observations.py
+++ b/tests/peers/test_observations.py
@@ -66,6 +66,7 @@
     return now
 
 
+# ``held``: the restricted routes by endpoint, either "closed" or limited to "one" call at a time.
 @pytest.mark.parametrize(
     ("name", "steps", "held"),
     [
@@ -205,6 +206,7 @@
     assert tracker.scores.keys() <= {ClaimSource("n2")}
 
 
+# ``limit``: the limit that follows, in calls per second; 0 if none is trusted.
 @pytest.mark.parametrize(
     ("steps", "limit"),
     [
@@ -329,6 +331,7 @@
 
 
 W1B0, W1B1, W2B0, W2B1 = ("n1", "x/b0"), ("n1", "x/b1"), ("n2", "x/b0"), ("n2", "x/b1")
+# Name of the case, the sources that make the same claim, and whether the claim counts.
 SOURCES: list[tuple[str, list[tuple[str, ...]], bool]] = [
     ("one witness by one broker", [W1B0], False),
     ("one witness by both brokers: a lying courier", [W1B0, W1B1], False),
--- a/tests/peers/test_shares.py
+++ b/tests/peers/test_shares.py
@@ -114,6 +114,8 @@
     assert [name for name, _ in pair.lender.events] == ["peers-folder-full"]
 
 
+# The amounts that were found at the start, and the calls of the share of five that count as lent: at most three are
+# lendable, and all three count if the amounts are unknown.
 @pytest.mark.parametrize(
     ("lent_before", "held"), [({}, 0), ({"d:1": 2}, 2), ({"d:1": 99}, 3), ({UNKNOWN_LOANS: 1}, 3), (None, 3)]
 )
