--- a/kestrelspar/lab/broker_simulation.py
+++ b/kestrelspar/lab/broker_simulation.py
@@ -4,6 +4,8 @@
 The checkers know which endpoints are really up, and check that:
 
 - a budget is never exceeded, see ``simulated_network.BudgetChecker``;
+- no courier declares another dead; not checked where datagrams are lost, nodes are paused, cut off or lying, or half of
+  the couriers restart at once with their configuration unchanged;
 - reports of other couriers never make a courier close all routes of a destination, more than half of all the routes
   that it uses, or any route for longer than ``MAX_CLOSED_TIME``;
 - without a liar, no courier keeps a route closed by such reports if its endpoint has been up for ``MAX_STALE_TIME``;
@@ -41,7 +43,8 @@
 MAX_CLOSED_TIME = max(MAX_WAIT, MAX_PROBE_RANK * PROBE_INTERVAL, OUTAGE_REPORT_MAX_AGE)
 # An endpoint that has been up for this long is closed at no courier.
 MAX_STALE_TIME = OUTAGE_REPORT_MAX_AGE + MAX_PROBE_RANK * PROBE_INTERVAL + SECOND
-# Interval between a courier's calls for one destination; latency of a failed and of a successful call.
+# Shortest interval between a courier's calls for one destination, to which up to a quarter is added at random; latency
+# of a failed and of a successful call.
 CALL_INTERVAL, FAILURE_TIME, SUCCESS_TIME = 200 * MS, 60 * MS, 10 * MS
 OWN_CLOSED_TIME = 400 * MS  # how long a courier avoids an endpoint after its own failed call
 CHECK_INTERVAL = 250 * MS
@@ -60,7 +63,8 @@
     honest: set[str] = field(default_factory=set)
     has_liar: bool = False
     violations: list[str] = field(default_factory=list)
-    # Calls served, calls failed, calls not made for lack of an open route, and checks that found a closed route.
+    # Calls served, calls failed, calls not made for lack of an open route, and checks of single couriers that found a
+    # route closed by reports.
     counts: Counter[str] = field(default_factory=Counter)
     last_closed_at: int = 0  # when a check last found a route closed by reports
     # By courier and endpoint: until when the courier avoids it after its own failed call.
@@ -87,7 +91,7 @@
         return restrictions
 
     def call(self, name: str, dest: int) -> None:
-        """Make a call for a destination by one of its open routes, and schedule the next call."""
+        """Schedule the next call for a destination; make one by one of its open routes, if the courier runs."""
         net, node = self.net, self.net.nodes[name]
         net.at(net.now + CALL_INTERVAL + net.random.randrange(CALL_INTERVAL // 4), lambda: self.call(name, dest))
         peer = node.peer
@@ -120,7 +124,7 @@
         net.at(net.now + (SUCCESS_TIME if success else FAILURE_TIME), record_outcome)
 
     def check(self) -> None:
-        """Check the restrictions of all honest couriers, and schedule the next check."""
+        """Check the restrictions of all honest couriers that run and aren't paused, and schedule the next check."""
         self.net.at(self.net.now + CHECK_INTERVAL, self.check)
         for name in self.honest:
             node = self.net.nodes[name]
@@ -161,7 +165,7 @@
 
     There are six destinations with two endpoints each, and each courier uses three of them. ``brokers``: their number
     in each region. ``loss``: share of the datagrams that is lost. ``without_brokers``: all couriers start without
-    groups and brokers.
+    groups and brokers, though the brokers run.
     """
     net = SimulatedNetwork(
         couriers,
@@ -213,6 +217,8 @@
 
 
 def _cut(inside: Callable[[Node], bool], both: bool) -> Callable[[World], None]:
+    """A fault that cuts off the nodes that are ``inside`` for 10 s: datagrams to them and, if ``both``, from them."""
+
     def begin(w: World) -> None:
         isolated = {node.name for node in [*w.net.nodes.values(), *w.net.brokers.values()] if inside(node)}
         w.net.cut = lambda sender, receiver: (
@@ -247,7 +253,10 @@
 
 
 def false_observations(n: int) -> list[Observation]:
-    """The ``n``-th set of false observations: each endpoint, all of them up, is reported as failing."""
+    """The ``n``-th set of false observations, of one kind: each endpoint asks to wait, is down or is silent.
+
+    In fact all endpoints are up. Sequence numbers rise from set to set, by far more than those of real observations.
+    """
     kind = (ObservationKind.WAIT, ObservationKind.DOWN, ObservationKind.SILENT, ObservationKind.WAIT)[n % 4]
     return [Observation(f"e{dest}.{k}", kind, 0, 2_000, (n + 1) << 20) for dest in range(6) for k in (0, 1)]
 
@@ -255,7 +264,7 @@
 def _lying_courier(w: World) -> None:
     """A courier sends false observations to the brokers of its region and its whole group, several times a second."""
     w.has_liar = True
-    w.down = {}
+    w.down = {}  # no outages, so that every closed route is due to the liar
     liar = w.net.nodes["n0"]
     w.honest.discard("n0")
     ticks = [0]
@@ -282,7 +291,7 @@
 def _lying_broker(w: World) -> None:
     """A broker sends observations of invented witnesses to its subscribers and to the other region's brokers."""
     w.has_liar = True
-    w.down = {}
+    w.down = {}  # no outages, so that every closed route is due to the liar
     ticks = [0]
 
     def lie(node: Node, real: int) -> None:
@@ -298,7 +307,7 @@
                 RelayedObservation(
                     f"n{random.randrange(name_count)}",
                     random.randrange(len(w.net.nodes)),
-                    1 << 50,
+                    1 << 50,  # an epoch above that of every real process
                     observation,
                     random.choice(("", "y/b0", "y/b2")),
                 )
@@ -311,7 +320,7 @@
                     ForwardedObservation(
                         f"n{random.randrange(name_count)}",
                         random.randrange(len(w.net.nodes)),
-                        1 << 50,
+                        1 << 50,  # as above
                         int(observation.endpoint[1]),
                         observation,
                     )
@@ -342,7 +351,10 @@
 
 
 def run_case(case: str, seed: int, couriers: int = 30, duration: int = RUN_DURATION) -> World:
-    """Run one case to its end; the violations that the checkers found are in ``violations`` of the result."""
+    """Run one case to its end; ``violations`` of the result has what the checkers found.
+
+    Of a budget, the first three violations are listed.
+    """
     begin, loss = CASES[case]
     w = world(seed, couriers, loss, without_brokers=begin is _rolling_upgrade)
     random = w.net.random
@@ -367,12 +379,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """How far, how fast and with how many bytes one courier's observation spread."""
+    """How far, how fast and with how many bytes one courier's observation spread.
+
+    The witness itself is none of the couriers counted here.
+    """
 
     seconds: float  # until 99 % of the couriers that use the endpoint had received it; 20 if they had not within 5 s
-    witness_bytes: int  # bytes of the datagrams that the witness sent for it
+    witness_bytes: int  # bytes of the datagrams that the witness sealed with nothing but observations
     broker_bytes: int  # bytes that all brokers sent in 5 s, including leases and probes
-    share_after_3_s: float  # share of the couriers that use the endpoint and had received it after 3 s
+    share_after_3_s: float  # of the couriers that use the endpoint, the share that had received it after 3 s
     uninterested_receivers: int  # couriers that received it, but do not use the endpoint
 
 
@@ -388,7 +403,7 @@
     """Run couriers in groups of two regions for 30 s; return the network, and the couriers that use destination 1.
 
     ``group``: number of couriers in a group; ``user_count``: number of couriers that use destination 1; ``brokers``:
-    their number in each region; ``without_brokers``: without groups and brokers.
+    their number in each region; ``without_brokers``: couriers run without groups and brokers, though the brokers run.
     """
     groups = max(1, -(-members // group))
     net = SimulatedNetwork(
--- a/kestrelspar/lab/checkers.py
+++ b/kestrelspar/lab/checkers.py
@@ -13,8 +13,8 @@
 def max_calls_per_second(calls: Iterable[Call], window: int = SECOND) -> int:
     """Return the most calls, including refused ones, that a member system received within any ``window``.
 
-    If timestamps may be late by up to some delay, pass one second less that delay: calls whose timestamps lie within
-    such a window arrived within one second.
+    The window is in microseconds. If timestamps may be late by up to some delay, pass one second less that delay: calls
+    whose timestamps lie within such a window arrived within one second.
     """
     recent: deque[int] = deque()
     most = 0
@@ -38,11 +38,12 @@
 
 
 def delivery_violations(sent: dict[str, Submission], calls: Iterable[Call]) -> list[str]:
-    """Describe the accepted messages without an end, messages with several ends, and payments that ran twice.
+    """Describe the accepted messages without an end, messages with several ends, and payments that ran more than once.
 
-    A message that ran may have been reported as failed or returned, if its answer was lost or late. So a message
-    counts as one without an end only if it neither ran nor was reported, and as one with several ends only if it was
-    reported with different states.
+    A message is accepted if its client got status 202. One that ran may have been reported as failed or returned, if
+    its answer was lost or late. So an accepted message counts as one without an end only if it neither ran nor was
+    reported, and its courier's state has not been lost since. Any message counts as one with several ends only if it
+    was reported with different states.
     """
     ran = Counter(call.trace for call in calls if call.accepted)
     found = []
@@ -58,6 +59,6 @@
 
 
 def served_share(sent: dict[str, Submission], calls: Iterable[Call]) -> float:
-    """Return the share of the submitted messages that ran."""
+    """Return the share of the submitted messages, accepted or not, that ran; 0 if none was submitted."""
     ran = {call.trace for call in calls if call.accepted}
     return len(ran & sent.keys()) / max(1, len(sent))
--- a/kestrelspar/lab/simulated_network.py
+++ b/kestrelspar/lab/simulated_network.py
@@ -5,9 +5,8 @@
 configured, and can be cut off in one direction. Nodes can be paused, killed and restarted, with or without their saved
 state. The budget checker is independent of the couriers: it counts their calls in real time.
 
-Brokers are nodes beside the couriers and belong to regions. Where there are brokers, each courier is configured with
-all of them, its region and its group, except for the couriers in ``SimulatedNetwork.pre_broker_couriers``, which run
-without groups and brokers.
+Brokers are nodes beside the couriers and belong to regions. Each courier is configured with all brokers, its region and
+its group, except for the couriers in ``SimulatedNetwork.pre_broker_couriers``, which run without groups and brokers.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
     loss: float = 0.0  # share that is lost
     duplicate: float = 0.0  # share that arrives twice
-    delay: tuple[int, int] = (1 * MS, 5 * MS)  # bounds of the random delay
+    delay: tuple[int, int] = (1 * MS, 5 * MS)  # bounds of the random delay of each copy, in microseconds
 
 
 @dataclass(slots=True)
@@ -44,20 +43,20 @@
     """A simulated host: it runs a courier or a broker."""
 
     name: str
-    number: int
+    number: int  # of a courier: its position among all; 0 for each broker
     address: tuple[str, int]
     clock_rate: float  # microseconds of the local clock in one microsecond of real time
     clock_offset: int  # microseconds
     peer: Peer | None = None  # the running courier
     epoch: int = 0
     saved_loans: dict[str, int] | None = None  # the courier's state on disk: by budget, the most that was lent
-    paused_until: int = 0
-    queued: list[bytes] = field(default_factory=list)  # datagrams that arrived during a pause
+    paused_until: int = 0  # real time; 0: never paused since its start
+    queued: list[bytes] = field(default_factory=list)  # datagrams that arrived during a pause, read at the next tick
     # Behaviour of a lying node: called before each tick, with the node and the real time.
     byzantine_behavior: Callable[[Node, int], None] | None = None
-    group: str = ""
+    group: str = ""  # of a courier; "": the whole fleet is one group
     region: str = ""
-    before_tick: Callable[[Node, Peer], None] | None = None  # the workload of a courier
+    before_tick: Callable[[Node, Peer], None] | None = None  # the workload of a courier, called before each tick
     broker: Broker | None = None  # the running broker
 
     def process(self) -> Peer | Broker | None:
@@ -167,7 +166,7 @@
         self.budgets: dict[str, tuple[int, int]] = {}
 
     def at(self, when: int, call: Callable[[], None]) -> None:
-        """Schedule a call at a real time."""
+        """Schedule a call at a real time, or as soon as possible if that has passed."""
         heapq.heappush(self._queue, (max(when, self.now), next(self._order), call))
 
     def run(self, until: int) -> None:
@@ -284,7 +283,7 @@
         self.at(self.now + TICK_INTERVAL + self.random.randrange(TICK_JITTER), lambda: self._tick(node, process))
 
     def call(self, name: str, key: str) -> bool:
-        """Make a call if the courier's share of the budget allows it; a paused courier makes none."""
+        """Make a call if the courier runs, isn't paused and has it left in its share; return whether it was made."""
         node = self.nodes[name]
         if node.peer is None or node.paused_until > self.now:
             return False
@@ -306,7 +305,7 @@
                 self.send(node.name, receiver, data)
 
     def send(self, sender: str, receiver: Node, data: bytes) -> None:
-        """Send a datagram: it is lost, or arrives after a delay, once or twice."""
+        """Send a datagram: it is lost, or arrives once or twice, each copy after a delay of its own."""
         if self.cut(sender, receiver.name) or self.random.random() < self.faults.loss:
             return
         for _ in range(2 if self.random.random() < self.faults.duplicate else 1):
@@ -326,13 +325,14 @@
     """Messages whose calls are charged to one budget.
 
     A message waits at its courier until the courier's share of the budget allows a call; it is abandoned after
-    ``timeout``. Arrivals are a Poisson process; ``rates`` has messages per second by courier.
+    ``timeout`` microseconds. Arrivals at each courier are a Poisson process; ``rates`` has messages per second by
+    courier, where 0 means that none arrive. They also arrive and wait while the courier is paused or killed.
     """
 
     def __init__(self, net: SimulatedNetwork, key: str, rates: dict[str, float], timeout: int = 4 * SECOND) -> None:
         self.net, self.key, self.rates, self.timeout = net, key, dict(rates), timeout
         self.waiting: dict[str, deque[int]] = {name: deque() for name in rates}
-        self.count_from = 0  # messages that arrived earlier are not counted
+        self.count_from = 0  # real time; messages that arrived earlier count neither as arrived nor as served
         self.arrived = self.served = 0
         for name in rates:
             self._schedule_arrival(name)
