--- a/kestrelspar/lab/relays.py
+++ b/kestrelspar/lab/relays.py
@@ -56,7 +56,7 @@
 
     loss: float = 0.0  # share of the datagrams that is lost
     double: float = 0.0  # share of the datagrams that is duplicated
-    delay: tuple[int, int] = (0, 0)  # bounds of a datagram's random delay, in microseconds
+    delay: tuple[int, int] = (0, 0)  # bounds of the random delay of each copy, in microseconds
     cut: bool = False  # all datagrams are lost
 
 
@@ -94,8 +94,9 @@
     def __init__(self, loop: Loop, group: str, network: FaultyNetwork) -> None:
         self.loop, self.group, self.network = loop, group, network
         self.addresses: dict[str, Address] = {}  # by courier of the group: its actual address
-        self.forwarded = self.forwarded_bytes = 0  # datagrams, and their bytes
-        self.lost: Counter[str] = Counter()  # by reason
+        self.forwarded = self.forwarded_bytes = 0  # copies of datagrams, and their bytes
+        # Datagrams by reason: "unreadable", "unknown" (no address or group), "fault"; copies that were "unsent".
+        self.lost: Counter[str] = Counter()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.socket.setblocking(False)
@@ -132,7 +133,7 @@
     def _forward(self, data: bytes, address: Address) -> None:
         try:
             self.socket.sendto(data, address)
-        except OSError:  # the send buffer is full, or no process listens at the address
+        except OSError:  # the send buffer is full, no process listens at the address, or the relay has been closed
             self.lost["unsent"] += 1
             return
         self.forwarded += 1
@@ -147,10 +148,11 @@
 class RelayProcess:
     """The relays of several groups in one process, controlled by commands.
 
-    - ``{"open": [GROUP...], "seed": S}`` opens relays, answered by ``{"open": {GROUP: [HOST, PORT]}}``;
-    - ``{"groups": {COURIER: GROUP}}`` has the groups of all couriers;
-    - ``{"places": {COURIER: [HOST, PORT]}}`` has the actual addresses of couriers; those of other processes' groups are
-      ignored;
+    - ``{"open": [GROUP...], "seed": S}`` opens relays, answered by ``{"open": {GROUP: [HOST, PORT]}}``. It comes
+      once, and first;
+    - ``{"groups": {COURIER: GROUP}}`` has the groups of couriers, those of other processes' groups as well;
+    - ``{"places": {COURIER: [HOST, PORT]}}`` has the actual addresses of couriers, after their groups; those of other
+      processes' groups are ignored;
     - ``{"faults": [[FROM, TO, {...}], ...]}`` (groups, ``PathFaults``) replaces all faults.
 
     Once opened, it sends a report every second.
@@ -207,7 +209,10 @@
 
 
 def dropped_datagrams(sockets: list[socket.socket]) -> int:
-    """Return how many datagrams the kernel dropped because these sockets' buffers were full; 0 if it doesn't tell."""
+    """Return how many datagrams the kernel has dropped since these sockets were opened, as a rule for full buffers.
+
+    Returns 0 where the kernel doesn't tell. Sockets are recognised by their ports.
+    """
     ports = {sock.getsockname()[1] for sock in sockets}
     try:
         with open("/proc/net/udp") as table:
--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -1,12 +1,12 @@
 """Test rig: courier processes under fault injection, with stand-in servers and UDP proxies between the couriers.
 
-Every courier has its own directory and settings. Member systems refuse calls above their limit, counted over a sliding
-window of one second. They can hang, close connections, answer with Retry-After, change their limits, and recover cold:
-for some time after an outage they are overloaded if the calls of all couriers exceed a share of the limit, which grows
-with time. Datagrams from one courier to another pass a proxy of that pair, which drops, delays, duplicates or blocks
-them as configured. Calls and answers of single couriers can be lost or delayed. Clients submit messages to each courier
-at the configured rates. The rig records what member systems and clients received; the checkers (checkers.py) see
-nothing else of the couriers.
+Every courier has its own directory and settings. Member systems refuse calls above their limit, for which they count
+the accepted calls of a sliding window of one second. They can hang, close connections, answer with Retry-After, change
+their limits, and recover cold: for some time after an outage they are overloaded if the calls of all couriers exceed a
+share of the limit, which grows with time. Datagrams from one courier to another pass a proxy of that pair, which drops,
+delays, duplicates or blocks them as configured. Calls and answers of single couriers can be lost or delayed. Clients
+submit messages to each courier at the configured rates. The rig records what member systems and clients received; the
+checkers (checkers.py) see nothing else of the couriers.
 """
 
 from __future__ import annotations
@@ -59,8 +59,9 @@
     at: int  # time of arrival, in microseconds of the rig's loop
     trace: str  # the message's X-Trace-Id
     courier: str
-    accepted: bool  # False if refused (above the limit, or during a Retry-After delay), or dropped while down
-    unanswered: bool = False  # no answer was sent
+    # Whether the call ran: False if refused (above the limit, or during a Retry-After delay), or dropped while down.
+    accepted: bool
+    unanswered: bool = False  # no answer was sent, as the member system was down or the answer was to be lost
 
 
 @dataclass(slots=True)
@@ -79,15 +80,16 @@
 class CallFaults:
     """Faults between one courier and the member systems."""
 
-    lost: bool = False  # calls never arrive
-    answers_lost: bool = False  # calls arrive, their answers don't
-    extra_delay: tuple[int, int] = (0, 0)  # shortest and longest, in microseconds
+    lost: bool = False  # calls don't count as arrived, and are not answered
+    answers_lost: bool = False  # accepted calls run, and are not answered; refusals arrive
+    extra_delay: tuple[int, int] = (0, 0)  # bounds of a call's random delay before it arrives, in microseconds
 
 
 class Member(platform.Server):
-    """A member system's endpoint: refuses calls above its limit in any second, and reports load and limit in answers.
+    """A member system's endpoint: refuses calls above its limit, and reports load and limit in answers.
 
-    ``limit`` is in calls per second, ``latency`` the time until it answers an accepted call.
+    ``limit``: the most calls accepted within any second; with 0, as with 1, one is. ``latency``: microseconds until it
+    answers an accepted call.
     """
 
     def __init__(
@@ -97,9 +99,9 @@
         self.timed_loop = loop
         self.limit, self.latency, self.call_faults, self._rng = limit, latency, call_faults, rng
         self.calls: list[Call] = []
-        self.down = False  # accepts calls and answers none
-        self.shut = False  # closes connections
-        self.wait_until = 0  # until then, calls are refused with a Retry-After of the remaining time
+        self.down = False  # receives calls, of which it runs and answers none
+        self.shut = False  # closes the connection on each call, which does not count as received
+        self.wait_until = 0  # until this time of the loop, calls are refused with a Retry-After of the remaining time
         self.early_calls: list[Call] = []  # calls that arrived before their courier's Retry-After had passed
         self.overloads: list[int] = []  # times at which it was overloaded while recovering
         # By courier: when it was first sent the current Retry-After, and until when it is to wait.
@@ -124,7 +126,10 @@
         return max(0.0, 1 - len(self._accepted_at) / max(1, self.limit))
 
     def _is_overloaded(self) -> bool:
-        """Count a call, and return whether it exceeds the capacity during recovery."""
+        """Count a call during a recovery, and return whether it exceeds the capacity; False without one.
+
+        The capacity leaves room for random arrivals: three standard deviations of a Poisson count, and three calls.
+        """
         rules = platform.settings()["rules"]
         ramp, window = rules["ramp_time_ns"] // 1_000, rules["fall_ns"] // 1_000
         if self._recovering_since is None or self.loop.now - self._recovering_since >= ramp:
@@ -233,13 +238,13 @@
 
     name: str
     number: int
-    listen: tuple[str, int]  # HTTP address
-    peers: tuple[str, int]  # UDP address for datagrams of other couriers
+    listen: tuple[str, int]  # HTTP address of a courier
+    peers: tuple[str, int]  # UDP address for datagrams of other couriers and of brokers
     directory: Path
     process: subprocess.Popen[bytes] | None = None
     paused: bool = False
     log: Path = Path()
-    exit_codes: list[int] = field(default_factory=list)
+    exit_codes: list[int] = field(default_factory=list)  # of the processes that the rig has ended, oldest first
 
 
 class Ports:
@@ -256,7 +261,7 @@
         self._remaining = iter(range(first, first + self.BLOCK_SIZE))
 
     def allocate(self, kind: socket.SocketKind) -> tuple[str, int]:
-        """Return an unused address; raise ``StopIteration`` if the block is exhausted."""
+        """Return an unused loopback address; raise ``StopIteration`` if the block is exhausted."""
         while True:
             address = "127.0.0.1", next(self._remaining)
             with socket.socket(socket.AF_INET, kind) as sock, suppress(OSError):
@@ -297,9 +302,10 @@
         """``limits``: calls per second by member system. ``latency``: time until a member system answers a call.
 
         ``groups``: number of the destination by member system; by default each has a destination of its own.
-        ``peers``: whether the couriers share budgets. ``spend``: percentage of the limits that they share.
-        ``extra_settings``: further lines of the section ``peers``. With ``external_fleet`` there are no proxies; its
-        entries for a courier must be complete before that courier is started.
+        ``peers``: whether couriers exchange datagrams and so share budgets, unless ``start`` says otherwise.
+        ``spend``: percentage of the limits that they share. ``extra_settings``: further lines of the section ``peers``.
+        With ``external_fleet`` there are no proxies; its entries for a courier must be complete before that courier is
+        started.
         """
         self.external_fleet = external_fleet
         self.directory, self.seed, self.extra_settings, self.spend, self.peers = (
@@ -379,7 +385,10 @@
     # Processes
 
     def start(self, name: str, keep_state: bool = True, peers: bool | None = None) -> None:
-        """Start a courier; without ``keep_state`` its state directory is emptied first."""
+        """Start a courier; without ``keep_state`` its state directory is emptied first.
+
+        ``peers``: whether it exchanges datagrams with others; None: as the rig was told.
+        """
         node = self.nodes[name]
         state = node.directory / "state"
         if not keep_state:
@@ -441,14 +450,17 @@
         return ""
 
     def reload(self, name: str, keys: list[str], peers: bool = True) -> None:
-        """Change a courier's keys (it seals with the first one) or switch peers off, and reload by SIGHUP."""
+        """Write a courier's settings with these keys (it seals with the first) and ``peers``, and reload by SIGHUP."""
         node = self.nodes[name]
         assert node.process is not None
         self._configure(node, peers, keys)
         node.process.send_signal(signal.SIGHUP)
 
     def end_process(self, name: str, signal_number: signal.Signals = signal.SIGKILL) -> None:
-        """Terminate or kill the process of a courier or broker, and record its exit code."""
+        """Send a signal that ends the process of a courier or broker, and record its exit code.
+
+        Raises ``TimeoutError`` if it has not ended after 10 s.
+        """
         node = self.node(name)
         assert node.process is not None
         process = node.process
@@ -459,7 +471,10 @@
         node.process, node.paused = None, False
 
     def terminate_all(self) -> None:
-        """Terminate all processes at the same time, and record their exit codes."""
+        """Terminate all processes at the same time, and record their exit codes.
+
+        Raises ``TimeoutError`` if one has not ended after 10 s; then no exit code is recorded.
+        """
         running = [
             (node, node.process) for node in (*self.nodes.values(), *self.brokers.values()) if node.process is not None
         ]
@@ -479,7 +494,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def pause(self, name: str, span: int) -> None:
-        """Pause a process by SIGSTOP, and resume it by SIGCONT after ``span``. Returns at once."""
+        """Pause a process by SIGSTOP, and resume it by SIGCONT after ``span`` microseconds. Returns at once."""
         node = self.node(name)
         process = node.process
         assert process is not None
@@ -518,7 +533,7 @@
     # Time
 
     def run_until(self, done: Callable[[], object], timeout: int) -> None:
-        """Run the event loop until ``done()`` is true; raise ``TimeoutError`` after ``timeout``."""
+        """Run the event loop until ``done()`` is true; raise ``TimeoutError`` after ``timeout`` microseconds."""
         deadline = self.loop.now + timeout
         while not done():
             if self.loop.now > deadline:
@@ -526,7 +541,7 @@
             self.loop.turn()
 
     def run(self, span: int) -> None:
-        """Run the event loop for ``span``."""
+        """Run the event loop for ``span`` microseconds."""
         elapsed: list[int] = []  # not empty once the time has passed
         self.loop.call_at(self.loop.now + span, lambda: elapsed.append(1))
         self.run_until(lambda: elapsed, span + 60 * SECOND)
@@ -534,7 +549,7 @@
     # Clients
 
     def send_request(self, name: str, request: bytes) -> int:
-        """Send one request to a courier on a new connection, and return the HTTP status; 0 if there was no answer."""
+        """Send one request to a courier on a new connection, and return the HTTP status; 0 without a valid answer."""
         sock = connect(self.loop, self.nodes[name].listen, self.loop.now + RESPONSE_TIMEOUT)
         if sock is None:
             return 0
@@ -550,8 +565,8 @@
     def traffic(self, rates: dict[str, dict[str, float]], span: int) -> None:
         """Start to submit messages at random intervals, for the time ``span``.
 
-        ``rates`` has messages per second by courier and member system. A message is for the destination of its member
-        system, so another endpoint of that destination may be called.
+        ``rates`` has messages per second by courier and member system; 0: none. A message is for the destination of its
+        member system, so another endpoint of that destination may be called.
         """
         until = self.loop.now + span
 
@@ -566,7 +581,7 @@
                     self.loop.spawn(submit_at_rate, name, self.groups[member], rate)
 
     def submit(self, name: str, group: int) -> None:
-        """Submit one message of a random class for destination ``group`` to courier ``name``."""
+        """Submit one message of a random class for destination ``group`` to courier ``name``, and record the status."""
         message_class = self.rng.choice(platform.CLASSES)
         trace = f"{name}-{len(self.submissions):06d}"
         sent = self.submissions[trace] = Submission(message_class, name, self.loop.now)
--- a/kestrelspar/lab/run.py
+++ b/kestrelspar/lab/run.py
@@ -15,8 +15,8 @@
 from kestrelspar.runtime.loop import MS, SECOND
 
 SHARED_PERCENT = 90  # percentage of a limit that the couriers share
-# After its limit has changed, a member system is not checked against it for this long: a loan term and a window for
-# calls lent before, and the time until the couriers have learnt the new limit.
+# A member system whose limit changes is checked only against its last limit, and only from this long after the last
+# change: a loan term and a window for calls lent before, and the time until the couriers have learnt the new limit.
 LIMIT_CHANGE_GRACE = 4 * SECOND
 
 
@@ -68,7 +68,8 @@
 ) -> dict[str, Any]:
     """Run a scenario, and return its report as values for JSON.
 
-    ``faults`` of the report is empty if the checkers found nothing. Raises ``TimeoutError`` if couriers don't start.
+    ``faults`` of the report is empty if neither the checkers, the member systems nor the couriers' logs have anything
+    to report. Raises ``TimeoutError`` if couriers don't become ready, or a process doesn't end when it is to.
     """
     with Rig(
         directory,
@@ -107,6 +108,11 @@
 def _report(
     rig: Rig, scenario: Scenario, seed: int, begin: int, earlier_calls: dict[str, int], cpu_seconds: dict[str, float]
 ) -> dict[str, Any]:
+    """The report of a run; ``begin``: the end of the warm-up.
+
+    Figures of member systems, repeated attempts and CPU time are without the warm-up; those of messages, the bytes and
+    the checks of deliveries include it. Calls while the rig drains count, though not in the figures by second.
+    """
     calls_of_all = [call for member in rig.members.values() for call in member.calls]
     members, findings = {}, checkers.delivery_violations(rig.submissions, calls_of_all)
     for name, member in rig.members.items():
@@ -177,7 +183,11 @@
 
 
 def _repeated_attempts(rig: Rig, scenario: Scenario, begin: int) -> dict[str, tuple[int, float]]:
-    """By destination: the most repeated attempts in any second, and how many all couriers together may make in one."""
+    """By destination: the most repeated attempts in any second, and how many all couriers together may make in one.
+
+    Attempts before ``begin`` are not seen, so the first one after it counts as a message's first. The allowed number is
+    derived from the limits at the start of the run.
+    """
     found = {}
     for group in sorted(set(scenario.groups.values())):
         names = [name for name, each in scenario.groups.items() if each == group]
