--- a/kestrelspar/lab/child.py
+++ b/kestrelspar/lab/child.py
@@ -36,7 +36,10 @@
 def read_objects(
     loop: Loop, descriptor: int, on_object: Callable[[dict[str, Any]], None], on_end: Callable[[], None]
 ) -> None:
-    """Task that calls ``on_object`` for each object received, and ``on_end`` at the end of the input."""
+    """Task that calls ``on_object`` for each object received, and ``on_end`` at the end of the input.
+
+    A last line without a line feed is ignored, as its writer may have been killed in the middle of it.
+    """
     pipe, rest = cast(socket.socket, _Pipe(descriptor)), b""
     while True:
         loop.readable(pipe, None)
@@ -52,11 +55,11 @@
 
 
 def serve(loop: Loop, on_command: Callable[[dict[str, Any]], None]) -> None:
-    """In the helper process: handle commands until stdin is closed."""
+    """In the helper process: handle commands until stdin is closed, or the parent has closed the pipe of reports."""
     # A terminal sends SIGINT to the parent and its helpers; the parent ends the helpers by closing their stdin.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     loop.spawn(read_objects, loop, 0, on_command, loop.stop)
-    with suppress(BrokenPipeError):  # the parent has closed the pipe of reports
+    with suppress(BrokenPipeError):  # raised by send_report
         loop.run()
 
 
@@ -72,7 +75,7 @@
 
     def __init__(self, loop: Loop, module: str, on_report: Callable[[dict[str, Any]], None], name: str = "") -> None:
         """Start the process, with the stderr of this one; ``on_report`` is called with each of its reports."""
-        self.name, self.ended = name or module, False
+        self.name, self.ended = name or module, False  # ended: its stdout has been closed and read to the end
         environment = dict(os.environ) | {"PYTHONPATH": str(ROOT)}
         self.process = subprocess.Popen(
             [sys.executable, "-m", module], stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=environment
@@ -85,7 +88,7 @@
         self.ended = True
 
     def send_command(self, command: dict[str, Any]) -> None:
-        """Send one command; ignored if the process has ended."""
+        """Send one command; ignored if the process has ended or its stdin is closed."""
         with suppress(OSError, ValueError):
             self._stdin.write(ujson.dumps(command).encode() + b"\n")
             self._stdin.flush()
@@ -101,5 +104,5 @@
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
-        if self.ended:
+        if self.ended:  # otherwise the task that reads it still waits for it
             self._stdout.close()
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -36,7 +36,9 @@
 from kestrelspar.runtime.loop import MS, SECOND
 
 RECEIVE_BUFFER_BYTES = 1_000_000  # of a courier's socket: hundreds of other couriers are served between two reads
-MAX_BACKLOG_SECONDS = 4  # as many messages may wait as arrive in this time; further ones are abandoned
+# For each endpoint as many messages may wait as arrive at the courier in this time on average, and one at least;
+# further ones are abandoned.
+MAX_BACKLOG_SECONDS = 4
 # ``BUSY_SHARE`` of the couriers have ``BUSY_FACTOR`` times the mean rate, so that they borrow from the others.
 BUSY_FACTOR, BUSY_SHARE = 3.0, 0.2
 RETRY_AFTER = 300 * MS  # retry-after delay of a refused call
@@ -47,7 +49,7 @@
 
     couriers: int  # hollow and real ones
     seed: int
-    rate: float = 1.0  # messages per second and courier, on average
+    rate: float = 1.0  # messages per second and courier, on average; 0: none, so no budgets are used either
     failing: float = 0.001  # share of calls that fail; the same share is refused
     limits: dict[str, float] = {}  # by endpoint: calls per second
     spend: int = 90  # percent of each limit that the couriers share
@@ -64,8 +66,8 @@
     name: str
     number: int
     zone: str  # its membership group
-    advertise: Address | None = None
-    seeds: dict[str, Address] = {}
+    advertise: Address | None = None  # None: the address of its socket
+    seeds: dict[str, Address] = {}  # in addition to those of the command ``seeds``
 
 
 def endpoint_budgets(config: HollowConfig) -> dict[str, tuple[int, int]]:
@@ -89,7 +91,7 @@
         self.names, self.failing = sorted(config.limits), config.failing
         self.waiting = dict.fromkeys(self.names, 0)
         self.arrived = self.abandoned = 0
-        self.in_flight: deque[tuple[int, str]] = deque()  # calls: time and endpoint
+        self.in_flight: deque[tuple[int, str]] = deque()  # time and endpoint of the calls of the previous step
         self.routes = {name: destination for destination, name in enumerate(self.names, 1)}
         self._next_arrival: int | None = None
 
@@ -124,7 +126,7 @@
         clock: Callable[[], int],
         on_call: Callable[[str, int], None],
     ) -> None:
-        """End the calls in flight, queue new messages, and make the calls that the budgets allow.
+        """End all calls of the previous step, queue new messages, and make the calls that the budgets allow.
 
         ``on_call`` is called for each call, with its budget's key and its time by ``clock``.
         """
@@ -161,7 +163,7 @@
         self.workload = Workload(self.config, courier_config.number)
         self.calls: list[tuple[str, int]] = []  # since the last report
         self.events: Counter[str] = Counter()
-        # Of peers that have been stopped; ``unsent`` counts the datagrams of all peers, with the running one.
+        # Of datagrams: sums of the peers that have been stopped; ``unsent`` also counts those of the running peer.
         self.unsent = self.sent = self.received = self.over_bandwidth = 0
         self._state = state_file.SavedState(0, {}, {})
         self._state_file = b""  # kept in memory only
@@ -244,6 +246,7 @@
                 self._apply_observations(self.peer)
 
     def _apply_observations(self, peer: Peer) -> None:
+        """Compute the restrictions, as a real courier does, for their CPU time; no call depends on them."""
         peer.has_new_observations = False
         peer.observations.restrictions(self.loop.clock(), peer.members.alive())
 
@@ -255,6 +258,7 @@
                 self.workload.step(peer, self.host.budgets, self.loop.clock, self._record_call)
             self._send(peer, peer.tick(self.loop.clock()))
             self._apply_observations(peer)
+            # As in a real courier, which passes these numbers on; computed here for their CPU time only.
             for key in self.host.budgets if self.config.rate > 0 else ():
                 peer.shares.allowed(key, began)
             if began >= self._save_at:
@@ -273,7 +277,7 @@
 
 
 class Host:
-    """The hollow couriers of one process. It sends a report each second.
+    """The hollow couriers of one process. Once opened, it sends a report each second.
 
     Commands:
 
