--- a/kestrelspar/lab/page.py
+++ b/kestrelspar/lab/page.py
@@ -84,7 +84,10 @@
 
 
 def _by_second(rows: list[dict[str, Any]], key: str, factor: float) -> list[float]:
-    """Return, for each two successive rows, the increase of the running sum ``key`` per second, times ``factor``."""
+    """Return, for each two successive rows, the increase of the running sum ``key`` per second, times ``factor``.
+
+    A decrease, as when a process has ended whose time was part of the sum, counts as 0.
+    """
     return [
         round(max(0.0, factor * (b[key] - a[key]) / max(0.1, b["s"] - a["s"])), 4)
         for a, b in zip(rows, rows[1:], strict=False)
--- a/kestrelspar/lab/plan.py
+++ b/kestrelspar/lab/plan.py
@@ -118,7 +118,10 @@
 
 
 def plan_run(parameters: RunParameters, bounds: ResourceLimits) -> Plan:
-    """Plan a run; raise ``RunTooLargeError`` with all its errors."""
+    """Plan a run.
+
+    Raises ``RunTooLargeError`` with all invalid parameters, or, if there are none, with all exceeded bounds.
+    """
     errors = _static_errors(parameters)
     if errors:
         raise RunTooLargeError("\n".join(errors))
@@ -192,7 +195,8 @@
 def plan_simulation(parameters: RunParameters, bounds: ResourceLimits) -> int:
     """Return the bytes of memory that a run on the simulated network takes.
 
-    Raises ``RunTooLargeError`` if the run is invalid, or with the calculation if that is too much.
+    Raises ``RunTooLargeError`` if the run is invalid or a group has too many members, or with the calculation if the
+    memory is above the bound.
     """
     errors = _static_errors(parameters)
     if errors:
--- a/kestrelspar/lab/scale.py
+++ b/kestrelspar/lab/scale.py
@@ -3,8 +3,8 @@
 It measures what a courier costs at a fleet size, and checks that the guarantees hold. One process controls the run. It
 holds the test rig (real couriers, member systems, clients), and starts child processes for relays and hollow couriers,
 which report each second. The run ends by itself; a signal, or memory above the bound, ends it earlier. No process is
-left behind. All figures come from the reports of the child processes, from /proc, and from the calls that member
-systems received.
+left behind. All figures come from the reports of the child processes, from /proc, from the status sockets of the real
+couriers, and from what the rig's clients and member systems sent and received.
 """
 
 from __future__ import annotations
@@ -137,7 +137,8 @@
     ) -> None:
         """``progress`` is called with texts that describe the current step.
 
-        ``compare``: no messages, and ``CONTROL_COURIERS`` more real couriers, to compare hollow with real ones.
+        ``compare``: real couriers get no messages, and there are ``CONTROL_COURIERS`` more of them, to compare hollow
+        with real ones. Whether hollow ones have messages is up to ``parameters.rate``.
         """
         self.parameters, self.directory, self.bounds, self.progress, self.compare = (
             parameters,
@@ -324,7 +325,7 @@
     # Figures
 
     def sums(self) -> Counter[str]:
-        """Totals over the last reports of all hosts and relays."""
+        """Totals over the last reports of all hosts, killed ones too, and of all relays."""
         found: Counter[str] = Counter()
         for host in self.hosts:
             found.update(self.reports.get(host, {}).get("sums", {}))
@@ -338,7 +339,10 @@
         return found
 
     def membership_errors(self) -> tuple[float, float]:
-        """Share of running members missing from the lists, and share of killed members listed as alive or suspect."""
+        """Share of running members missing from the lists, and share of killed members listed as alive or suspect.
+
+        By the last reports of the hosts that have not been killed; the lists of real couriers are not in it.
+        """
         hosts = [
             self.reports[host]["sums"] for host in self.hosts if host in self.reports and host not in self.killed_hosts
         ]
@@ -349,7 +353,11 @@
         return share("missing", "pairs"), share("ghosts", "ghost_pairs")
 
     def series_row(self) -> dict[str, Any]:
-        """One row of the series. Bytes, datagrams and CPU times are totals; the report page derives rates from them."""
+        """One row of the series.
+
+        Bytes, datagrams and CPU times are totals, from which the report page derives rates; the memory is the peak so
+        far; the lateness of ticks is that in the last reports.
+        """
         missing, ghosts = self.membership_errors()
         sums = self.sums()
         return {
@@ -386,7 +394,7 @@
         return found
 
     def snapshot(self) -> Snapshot:
-        """Take the totals, and reset the counts of ticks and lateness."""
+        """Take the totals, and reset the counts of ticks and lateness and the loop's longest turn."""
         self.max_lateness.clear()
         self.ticks.clear()
         self.loop.longest_turn = 0
@@ -404,7 +412,7 @@
         )
 
     def phase(self, begin: Snapshot) -> dict[str, Any]:
-        """The figures since a snapshot; takes another one, which resets the counts of ticks and lateness.
+        """The figures since ``begin``, which must be the latest snapshot; takes another one, with the same resets.
 
         Costs are per second and courier, loads of processes are shares of a core.
         """
@@ -691,7 +699,10 @@
         }
 
     def findings(self, convergence_time: int | None, recovery_time: int | None) -> list[str]:
-        """Texts about violated guarantees, and about phases after which membership did not converge."""
+        """Texts about violated guarantees, and about phases after which membership did not converge.
+
+        The lists of real couriers are checked only after a fault from which the hollow ones have recovered.
+        """
         parameters, found = self.parameters, checkers.delivery_violations(self.rig.submissions, self._member_calls())
         if convergence_time is None:
             found.append(
@@ -733,7 +744,10 @@
 
 
 def max_calls_in_window(times: list[int], window: int) -> int:
-    """The most calls in any half-open window: two calls that are a whole window apart are not in the same one."""
+    """The most calls in any half-open window: two calls that are a whole window apart are not in the same one.
+
+    Returns 0 without calls. ``times`` may be in any order.
+    """
     times, maximum, first = sorted(times), 0, 0
     for last, at in enumerate(times):
         while times[first] <= at - window:
@@ -770,7 +784,8 @@
 def cost_ratios(report: dict[str, Any]) -> dict[str, float]:
     """Ratios of what the peer protocol costs a hollow courier to what it costs a real one.
 
-    Of the processor time of a real courier with peers enabled, that of one with peers disabled is subtracted.
+    From the processor time of a real courier with peers enabled, that of one with peers disabled is subtracted. A ratio
+    is 0 where the cost of a real courier is.
     """
     rest = report["rest"]
     real_cpu = rest["cpu_ms_a_real"] - rest["cpu_ms_a_real_off"]
--- a/kestrelspar/lab/simulated_scale.py
+++ b/kestrelspar/lab/simulated_scale.py
@@ -76,7 +76,7 @@
             self.budget_checker.limits[key] = calls, window
         self.workloads = {name: Workload(config, node.number) for name, node in self.nodes.items()}
         self.killed: set[str] = set()  # couriers killed for good by the fault
-        self.ended_totals = Counter[str]()  # sums of couriers' processes that have ended
+        self.ended_totals = Counter[str]()  # sums of the killed processes, those started again included
         self.sent_datagrams = 0
         self.event_counts: Counter[str] = Counter()
         for name, node in self.nodes.items():
@@ -117,7 +117,11 @@
         super().kill(name)
 
     def sums(self) -> Counter[str]:
-        """Totals over all couriers, and how far their membership lists differ from the couriers that run."""
+        """Totals over all couriers, and how far their membership lists differ from the couriers that run.
+
+        Paused couriers, those not yet started and those that restart count as running. The events since the previous
+        call are moved to ``event_counts``.
+        """
         found = Counter(self.ended_totals)
         running: Counter[str] = Counter(self.scope(name) for name in self.nodes if name not in self.killed)
         killed: dict[str, list[str]] = {}
@@ -215,14 +219,17 @@
         return self.net.now - begin
 
     def phase(self, duration: int) -> dict[str, Any]:
-        """Advance by a duration, and return its figures."""
+        """Advance by a duration, in whole steps of a second, and return the figures of that time."""
         before, sent, cpu, begin = self.net.sums(), self.net.sent_datagrams, _cpu(), self.net.now
         while self.net.now < begin + duration:
             self.advance()
         return self.figures(before, sent, cpu, begin)
 
     def figures(self, before: Counter[str], sent: int, cpu: float, begin: int) -> dict[str, Any]:
-        """Figures since ``begin``, with the keys of ``scale.ScaleRun.phase``."""
+        """Figures since ``begin``, under some of the keys of ``scale.ScaleRun.phase``.
+
+        What the simulation has none of (real couriers, relays, ticks that are late) is 0.
+        """
         after, seconds = self.net.sums(), max(1, self.net.now - begin) / SECOND
         couriers = max(1, after["couriers"])
         return {
@@ -245,6 +252,7 @@
         """See ``scale.ScaleRun.inject``.
 
         Where that stops or kills a process, this stops or kills as many couriers of the last zone as a process holds.
+        If grouped, it kills half of the zone at the most, so that others are left to detect the failure.
         """
         net, parameters = self.net, self.parameters
         last = f"z{parameters.zones - 1}"
--- a/kestrelspar/lab/zones.py
+++ b/kestrelspar/lab/zones.py
@@ -20,11 +20,11 @@
 
 
 class RecordingRelay(Relay):
-    """A relay that records the observations that brokers relayed to its couriers."""
+    """A relay that records the observations that brokers relayed to its couriers, sent on or not ("unsent")."""
 
     def __init__(self, loop: Loop, group: str, network: FaultyNetwork) -> None:
         super().__init__(loop, group, network)
-        self.relayed: list[tuple[int, str, str]] = []  # time, witness, endpoint
+        self.relayed: list[tuple[int, str, str]] = []  # time of forwarding, witness, endpoint
 
     def _forward(self, data: bytes, address: tuple[str, int]) -> None:
         super()._forward(data, address)
@@ -39,7 +39,7 @@
 class ZonedRig(Rig):
     """Couriers and brokers in several zones.
 
-    The others know each of them by the address of a relay, which all datagrams to it pass.
+    Each courier and broker is known to all others by the address of a relay, which all datagrams to it pass.
     """
 
     def __init__(
