--- a/kestrelspar/standins/platform.py
+++ b/kestrelspar/standins/platform.py
@@ -105,7 +105,9 @@
 class Discovery(Server):
     """Discovery service: lists next hops, and receives notices.
 
-    A watch is sent the whole list (``rows``) at its start, and again whenever ``index`` has changed.
+    A watch is sent the whole list (``rows``) at its start. Each second after that, it is sent the list again if
+    ``index`` has changed, or an empty line. ``on_notice`` is called with each notice; by default,
+    ``notices`` collects them.
     """
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
@@ -143,9 +145,9 @@
 
     min_latency: int = 20 * MS
     jitter: int = 60 * MS  # upper bound of the random delay added to min_latency
-    refused: float = 0.0  # share refused with 429 and Retry-After
+    refused: float = 0.0  # share refused with 429 and Retry-After, without delay
     error: float = 0.0  # share executed and answered with 500, which does not tell the courier whether the call ran
-    silent: float = 0.0  # share executed without a response
+    silent: float = 0.0  # share executed without a response; the connection is closed after 30 s
 
 
 @dataclass
@@ -153,7 +155,8 @@
     """Calls recorded by all next hops together."""
 
     effects: Counter[str] = field(default_factory=Counter)  # by message id: number of calls executed
-    # By message id: time of the first response with status 200, in microseconds of the loop.
+    # By message id: time of the first response with status 200 to a client that was still connected, in microseconds of
+    # the loop.
     first_answered_at: dict[str, int] = field(default_factory=dict)
     calls: int = 0
 
@@ -167,15 +170,15 @@
 
     def reply(self, stream: Stream, head: parser.Head, body: bytes) -> bytes | None:
         """See ``Server.reply``."""
-        behaviour, trace, chance = self.behaviour, head.headers.get("x-trace-id", ""), self._random.random()
+        behaviour, trace, draw = self.behaviour, head.headers.get("x-trace-id", ""), self._random.random()
         self.call_record.calls += 1
-        if chance < behaviour.refused:
+        if draw < behaviour.refused:
             return parser.response(429, headers={"Retry-After": "0.2"})
         self.loop.sleep(behaviour.min_latency + int(self._random.random() * behaviour.jitter))
         self.call_record.effects[trace] += 1
-        if chance < behaviour.refused + behaviour.error:
+        if draw < behaviour.refused + behaviour.error:
             return parser.response(500)
-        if chance < behaviour.refused + behaviour.error + behaviour.silent:
+        if draw < behaviour.refused + behaviour.error + behaviour.silent:
             self.loop.sleep(30 * SECOND)
             return None
         if not stream.peer_closed():
--- a/kestrelspar/standins/registry.py
+++ b/kestrelspar/standins/registry.py
@@ -48,13 +48,14 @@
 
 @dataclass
 class Store:
-    """Keys with all their versions since the last compaction, leases, accounts and tokens."""
+    """Keys with their versions as of the last compaction and since, leases, accounts and tokens."""
 
     cluster: int = 14841639068965178418  # id of the cluster
     revision: int = 1
-    compacted: int = 0  # revision of the last compaction
+    compacted: int = 0  # revision up to which was compacted last; 0: never
     keys: dict[bytes, list[Version]] = field(default_factory=dict)
-    log: list[tuple[int, bytes]] = field(default_factory=list)  # revision and key of each change, in order
+    # Revision and key of each change after ``compacted``, in order.
+    log: list[tuple[int, bytes]] = field(default_factory=list)
     leases: dict[int, int] = field(default_factory=dict)  # by lease id: time of expiry
     ttls: dict[int, int] = field(default_factory=dict)  # by lease id: seconds granted
     accounts: dict[str, str] = field(default_factory=dict)  # password (etcd) or token (Consul) by name; empty: no login
@@ -62,7 +63,7 @@
     change_waiters: list[Suspension] = field(default_factory=list)  # tasks to resume at the next change
 
     def version_at(self, key: bytes, revision: int) -> Version | None:
-        """The key's version at a revision; None if it did not exist then."""
+        """The key's version at a revision; None if it did not exist then, or if that version was compacted."""
         versions = self.keys.get(key, [])
         index = bisect.bisect_right(versions, revision, key=lambda v: v.revision)
         version = versions[index - 1] if index else None
@@ -95,7 +96,7 @@
         return self.commit([(key.encode(), value, lease)])
 
     def delete(self, *keys: str) -> int:
-        """Delete the keys in one revision and return it."""
+        """Delete the keys in one revision and return it; the current revision if none of them exists."""
         return self.commit([(key.encode(), None, 0) for key in keys])
 
     def read_range(self, start: bytes, end: bytes, revision: int) -> list[tuple[bytes, Version]]:
@@ -111,7 +112,7 @@
         return [(name, version) for name, version in versions if version is not None]
 
     def changes_since(self, revision: int, start: bytes, end: bytes) -> list[tuple[int, bytes, Version]]:
-        """Changes in a range of keys from a revision on, in order."""
+        """Changes in a range of keys (as in ``read_range``) from a revision on, that included, in order."""
         index = bisect.bisect_left(self.log, (revision, b""))
         changes = []
         for at, key in self.log[index:]:
@@ -123,7 +124,8 @@
     def last_revision(self, start: bytes, end: bytes, revision: int) -> int:
         """Revision of the last change in a range up to ``revision``, including deletions.
 
-        If there is none since the last compaction, the revision of that compaction, but 1 at least.
+        If there is none since the last compaction, the revision of that compaction, but 1 at least. Unlike in
+        ``read_range``, an empty ``end`` matches no key.
         """
         for at, key in reversed(self.log):
             if at <= revision and key >= start and (end == b"\0" or key < end):
@@ -147,7 +149,7 @@
                 del self.keys[key]
 
     def grant(self, now: int, ttl: int, lease_id: int = 0) -> int:
-        """Create a lease of ``ttl`` seconds, with the given id or a new one, and return its id."""
+        """Create a lease of ``ttl`` seconds, with the given id or (0) a new one, and return its id."""
         lease_id = lease_id or 7_000_000 + len(self.ttls)
         self.leases[lease_id], self.ttls[lease_id] = now + ttl * SECOND, ttl
         return lease_id
@@ -172,9 +174,9 @@
     """Faults that a member injects; each is in effect until it is reset, or as long as its comment says."""
 
     refuse: bool = False  # new connections are closed at once
-    silent_until: int = 0  # responses and watches wait until this time
+    silent_until: int = 0  # responses and watches wait until this time of the loop
     cut: int | None = None  # the connection is closed after this many bytes of the next response
-    lag: int | None = None  # the member lags behind: the revision that it has reached
+    lag: int | None = None  # the member lags behind: the revision that it has reached; None: it does not
     cluster: int | None = None  # it reports this cluster id
     status: int | None = None  # HTTP status of every response
     garbage: bytes | None = None  # body of the next response
@@ -556,6 +558,9 @@
 ) -> None:
     """Inject random faults forever, at a mean interval in microseconds; run it as a task of its own.
 
+    ``report`` is called with a text before each of them. ``lapse`` makes a lease expire, and ``tokens`` makes all
+    tokens of etcd invalid.
+
     ``well`` ends the faults of all members. So does ``compact`` if there is nothing to compact, and ``lapse`` if there
     is no lease.
     """
