--- a/kestrelspar/cli/demo.py
+++ b/kestrelspar/cli/demo.py
@@ -96,7 +96,7 @@
             sent.notices.append(str(notice.get("state")))
 
     def request_status(self, request: bytes) -> int:
-        """Send one request on a new connection and return the response's status; 0 if there is none."""
+        """Send one request on a new connection and return the response's status; 0 without a valid one."""
         sock = connect(self.loop, self.listen, self.loop.now + SECOND)
         if sock is None:
             return 0
@@ -132,7 +132,11 @@
         sent.status = self.request_status(parser.request("POST", f"/{cls}", "demo", headers, b'{"value": 4.2}'))
 
     def outcomes(self, trace: str) -> list[str]:
-        """Outcomes of a message so far: empty while it is pending; more than one is an error."""
+        """Outcomes of a message so far: empty while it is accepted and pending; more than one is an error.
+
+        One that is not accepted has exactly one: "returned" after status 429 or 503, else "not answered", which also
+        stands for another status, and for the time until the response.
+        """
         sent = self.sent[trace]
         if sent.status != 202:
             return ["returned"] if sent.status in (429, 503) else ["not answered"]
@@ -140,7 +144,7 @@
         return delivered + sorted(set(sent.notices))
 
     def pending(self) -> int:
-        """Number of messages without an outcome."""
+        """Number of accepted messages without an outcome."""
         return sum(not self.outcomes(trace) for trace in self.sent)
 
     def run(self, duration: int, progress: Progress) -> None:
@@ -164,7 +168,7 @@
         )
 
     def stop(self) -> int:
-        """Stop the courier by SIGTERM, killing it after 5 s, and return its exit code."""
+        """Stop the courier by SIGTERM, killing it after 5 s, and return its exit code (negative: a signal)."""
         self.process.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(5)
@@ -173,7 +177,7 @@
             return self.process.wait()
 
     def errors(self) -> list[str]:
-        """Texts about messages without exactly one outcome, and about payments executed more than once."""
+        """Texts about messages not answered, or without exactly one outcome, and payments executed more than once."""
         errors = []
         for trace, sent in self.sent.items():
             outcomes = self.outcomes(trace)
@@ -184,7 +188,7 @@
         return errors
 
     def table(self) -> Table:
-        """Outcomes and latencies of the messages by class."""
+        """Outcomes and latencies of the messages by class; latencies are those until the first answered call."""
         table = Table(title="Outcomes of the messages")
         for name in ("class", "submitted", "delivered", "returned", "failed", "median", "99%"):
             table.add_column(name, justify="left" if name == "class" else "right")
--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -403,7 +403,10 @@
 
 
 def _imported(file: str, zone: str | None, kind: str | None, first_group: int, lossy: bool) -> list[entries.Entry]:
-    """Entries of an nginx configuration, each with the file's name as its origin."""
+    """Entries of an nginx configuration, each with the file's name as its origin.
+
+    Unless ``lossy``, raises ``CommandError`` if a directive has no equivalent.
+    """
     from kestrelspar.nginx.importer import Importer
 
     importer = Importer(zone, kind)
@@ -435,7 +438,8 @@
     """Changes that make the list equal to ``wanted``.
 
     Each is ("add", None, entry), ("change", row, entry) or ("remove", row, None). With an origin, only entries of that
-    origin are removed; without, all entries that are not in ``wanted``.
+    origin are removed; without, all entries that are not in ``wanted``. Invalid entries stay. Raises ``CommandError``
+    for a name that several keys have, and for a wanted entry that differs from one of another origin.
     """
     steps: list[tuple[str, Row | None, Any]] = []
     names = {entry.name for entry in wanted}
--- a/kestrelspar/cli/units.py
+++ b/kestrelspar/cli/units.py
@@ -11,7 +11,7 @@
 
 
 class Duration(click.ParamType[int]):
-    """Option type for a duration: a number with its unit, converted to microseconds."""
+    """Option type for a duration of up to 7 days: a number with its unit, converted to microseconds."""
 
     name = "time"
 
@@ -30,7 +30,7 @@
 
 
 def run_for(loop: Loop, span: int | None) -> None:
-    """Run the loop for ``span`` microseconds, or until SIGINT or SIGTERM."""
+    """Run the loop for ``span`` microseconds (None: without end), or until SIGINT or SIGTERM."""
     # A shell starts background jobs with SIGINT ignored, so the handler is set explicitly; SIGTERM gets the same
     # handler, so that the command can still print its summary.
     for number in (signal.SIGINT, signal.SIGTERM):
