--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -253,7 +253,7 @@
     return [
         (
             f"drains under 200 messages a second: {rounds}, maximum time from the read to the last new call",
-            quantile(delays, 0.999),
+            quantile(delays, 0.999),  # the maximum, with fewer than 1,000 rounds
         )
     ]
 
--- a/tests/lab/broker_scenarios.py
+++ b/tests/lab/broker_scenarios.py
@@ -27,7 +27,8 @@
 LIMITS = {"m1": 60, "m2": 60, "m3": 14}
 GROUPS = {"m1": 1, "m2": 1, "m3": 2}  # m1 and m2 are endpoints of one destination; m3 is loaded close to its limit
 RATES = {"m1": 2.0, "m3": 1.2}
-# An outage lasts at least this long, and until a courier of each group has suspended the endpoint on reports of others.
+# An outage lasts at least this long and, with brokers, until a courier of each group has suspended the endpoint on
+# reports of others.
 MIN_OUTAGE = 3 * SECOND
 TIMEOUT = 30 * SECOND  # generous: an outage is reported within a second or two
 ONE_REGION = {f"n{n}": ("eu", "z1" if n < 3 else "z2") for n in range(6)}
@@ -55,7 +56,7 @@
         return {zone: len({name for name in names if rig.zones[name][1] == zone}) for _, zone in rig.zones.values()}
 
     def outage(self, when: str, across_zones: bool = True) -> None:
-        """Close one of m1 and m2; a courier of each group has to suspend it on reports of others.
+        """Close one of m1 and m2; with brokers, a courier of each group has to suspend it on reports of others.
 
         With ``across_zones``, brokers also have to relay to each zone what couriers of other zones observed.
 
@@ -129,6 +130,7 @@
                 )
 
     def _subscribed(self, name: str) -> int:
+        """Run 200 ms, and return how many leases a broker has; 0 if its status lists no keys."""
         self.rig.run(200 * MS)
         status = self.broker(name)
         return int(status["subscribers"]) if status["keys"] else 0
@@ -171,6 +173,7 @@
     run.wait_for_leases("eu/b1")
     run.outage("one paused, one restarted without state")
     run.kill("eu/b1")
+    # Nothing is required of brokers while none runs.
     with_brokers, run.with_brokers, since = run.with_brokers, False, rig.loop.now
     run.outage("no broker runs")
     run.with_brokers = with_brokers
@@ -189,9 +192,10 @@
 def zone_cut_off(run: Run) -> None:
     """A zone is cut off in one direction, the other, then both; then half of the couriers restart; then 30 % loss.
 
-    One direction is cut for 3 s, both for 8 s, instead of 10 s each as in the simulation. That is long enough for a
-    member to be suspected (two periods of 300 ms) and declared dead (six more), and for a loan to expire (2 s). It also
-    makes a broker count as gone at the couriers whose lease renewal fell into the cut.
+    One direction is cut for 3 s, instead of 10 s as in the simulation, and both for 10 s or more: an outage of m1 or
+    m2, which takes 7 s at least, and 3 s. Even 3 s are long enough for a member to be suspected (two periods of 300 ms)
+    and declared dead (six more), and for a loan to expire (2 s). A cut also makes a broker count as gone at the
+    couriers whose lease renewal fell into it.
     """
     rig = run.rig
     start_all(run)
@@ -274,7 +278,7 @@
     rig.ready()
     rig.traffic({name: RATES for name in names}, 600 * SECOND)
     rig.run(3 * SECOND)
-    rig.loop.longest_turn = 0
+    rig.loop.longest_turn = 0  # turns during the start do not shorten the window of max_calls_per_second
 
 
 def run_scenario(name: str, with_brokers: bool, directory: Path) -> dict[str, Any]:
