--- a/benchmarks/brokers.py
+++ b/benchmarks/brokers.py
@@ -6,7 +6,8 @@
 
 ``--plays``: runs the fault cases of kestrelspar/lab/broker_simulation.py with this many seeds, under the checkers of
 that module. ``--zones``: for fleets of these sizes, stops all couriers of one zone at the same time and restarts them
-together 20 s later; then does the same to as many couriers spread over all zones. ``--words``: for fleets of these
+together 20 s later, or when all others know of the stop, if that is later; then does the same to as many couriers
+spread over all zones. ``--words``: for fleets of these
 sizes, compares sending one courier's observation through brokers with sending it directly to all couriers.
 """
 
@@ -112,7 +113,7 @@
 
 
 def stop_and_restart(members: int, group_size: int, whole_zone_only: bool) -> None:
-    """Stop a zone's number of couriers together, restart them 20 s later, and print what the others notice and send.
+    """Stop a zone's number of couriers together, restart them after 20 s or more; print what others notice and send.
 
     The stopped couriers are first one whole zone, then, without ``whole_zone_only``, couriers of all zones.
     """
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -61,7 +61,7 @@
 
 
 def slopes() -> dict[str, Slope]:
-    """Return all slopes of ``MODULES`` by name."""
+    """Return all slopes of those ``MODULES`` that exist, by name; ``CapacityError`` if two have one name."""
     by_name: dict[str, Slope] = {}
     for module in MODULES:
         if importlib.util.find_spec(module) is None:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -82,7 +82,11 @@
 
 
 def idle_cost(members: int, duration: int = 20 * SECOND) -> tuple[float, float]:
-    """Return the bytes and the microseconds of CPU per second for each of ``members`` idle couriers."""
+    """Return the bytes and the microseconds of CPU per second for each of ``members`` idle couriers.
+
+    ``duration``: microseconds of simulated time that are measured, after 30 s for the start. The CPU time includes that
+    of the simulation.
+    """
     net = SimulatedNetwork(members, 1, Faults(), seeds=5)
     for name in net.nodes:
         net.start(name)
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -22,7 +22,8 @@
 
 ROOT = Path(__file__).parent.parent
 HOPS, CLIENTS = 4, 8  # numbers of next hops and of concurrent clients
-IDLE_TIME, POLL_INTERVAL = 20 * MS, 5 * MS  # a process that used no processor time for IDLE_TIME counts as idle
+# A process counts as idle if it used at most 100 us of processor time within IDLE_TIME, see ``Program.wait_idle``.
+IDLE_TIME, POLL_INTERVAL = 20 * MS, 5 * MS
 T = TypeVar("T")
 
 
@@ -40,7 +41,10 @@
 
 
 def run_task(loop: Loop, call: Callable[..., T], *arguments: Any, timeout: int = 60 * SECOND) -> T:
-    """Call a function in a task of the loop and return its result; raises ``NotMeasured`` after ``timeout``."""
+    """Call a function in a task of the loop and return its result or raise its exception.
+
+    Raises ``NotMeasured`` after ``timeout``.
+    """
     outcomes: list[tuple[T | None, BaseException | None]] = []
 
     def task() -> None:
@@ -68,7 +72,10 @@
 
 
 class WatchDiscovery(platform.Discovery):
-    """Stand-in discovery whose watches get no list, only changes; an empty line at once and each second keeps alive."""
+    """Stand-in discovery whose watches get no list at their start, only what ``send_update`` writes.
+
+    An empty line, at once and each second, keeps them alive.
+    """
 
     def __init__(self, loop: Loop, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop, rows)
@@ -163,7 +170,10 @@
         return [line for line in self._log.read_text(errors="replace").splitlines() if f"event={event} " in f"{line} "]
 
     def open_stream(self) -> Stream:
-        """Connect to the HTTP front end, and retry until it listens; call it in a task."""
+        """Connect to the HTTP front end, and retry until it listens; call it in a task.
+
+        Raises ``NotMeasured`` if the courier has exited.
+        """
         while True:
             self._check_running()
             sock = connect(self.loop, self.listen, self.loop.now + SECOND)
@@ -267,10 +277,11 @@
 def start_load(
     courier: Program, rate: int, duration: int, classes: tuple[str, ...], synchronized: bool = False
 ) -> list[int]:
-    """Start clients that together submit ``rate`` messages a second, of 200 bytes, to ``HOPS`` destinations in turn.
+    """Start clients that together submit ``rate`` messages a second, of 200 bytes, each to ``HOPS`` destinations.
 
     The messages are evenly spaced, or sent by all clients at the same time (``synchronized``), which costs the courier
-    less, as it accepts them together. Returns a list to which the status of each response is appended.
+    less, as it accepts them together. A client waits for each response before its next message, so the rate falls if
+    responses take long. Returns a list to which the status of each response is appended.
     """
     loop, statuses, started_at = courier.loop, list[int](), courier.loop.now
 
