--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -103,7 +103,10 @@
 
 
 def fleet_accepted(rig: Rig) -> int:
-    """Return the number of messages accepted by all, as one courier reports it after it has asked the others."""
+    """Heal the network, and return the number of messages accepted by all couriers.
+
+    It is as one courier reports it after it has asked the others, in the last of five queries.
+    """
     for proxy in rig.proxies.values():
         proxy.loss = proxy.double = 0.0
         proxy.delay = (0, 0)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parameters", "bounds", "patterns"),
+    ("parameters", "bounds", "patterns"),  # patterns: one for each line of the error, in order
     [
         (
             RunParameters(2, 1_000, 2),
@@ -115,6 +115,8 @@
 
 @pytest.mark.parametrize(
     ("parameters", "hosts", "relays"),
+    # hosts: couriers in each host process; the last 1, 1, 0 are hosts that measure what one courier costs alone, and
+    # what reporting costs. relays: number of relay processes.
     [
         (RunParameters(0, 10, 1), [10], 1),
         (RunParameters(2, 10, 2), [5, 5], 1),
@@ -142,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("couriers", "zones", "grouped", "refused"),
+    ("couriers", "zones", "grouped", "refused"),  # refused: pattern of the error; empty if the run is accepted
     [
         (1_000, 1, False, ""),
         (10_000, 1, False, r"10,000 couriers that know 10,000 each .*--grouped with --zones 11 or"),
