--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -124,7 +124,10 @@
 
 
 def measure_churn(size: int, seed: int, group_size: int = 0) -> dict[str, float]:
-    """Let all know their group, stop one courier for good, and restart another one every 5 s for 40 s."""
+    """Let all know their group, stop one courier for good, and restart another one every 5 s for 40 s.
+
+    The other couriers are replaced at once, without time between stop and start.
+    """
     net = _net(size, seed, group_size)
     _start_informed(net)
     net.run(SETTLING_TIME)
@@ -210,7 +213,7 @@
 
 
 def _count_informed_of_loss(net: SimulatedNetwork, name: str) -> int:
-    """Return how many couriers of its group consider this courier dead or removed, or do not know it."""
+    """Return how many running couriers of its group consider this courier dead or removed, or do not know it."""
     count = 0
     for node in net.nodes.values():
         if node.peer is not None and node.group == net.nodes[name].group:
--- a/benchmarks/program.py
+++ b/benchmarks/program.py
@@ -277,11 +277,12 @@
 def start_load(
     courier: Program, rate: int, duration: int, classes: tuple[str, ...], synchronized: bool = False
 ) -> list[int]:
-    """Start clients that together submit ``rate`` messages a second, of 200 bytes, each to ``HOPS`` destinations.
+    """Start ``CLIENTS`` clients that together submit ``rate`` messages a second, of 200 bytes.
 
-    The messages are evenly spaced, or sent by all clients at the same time (``synchronized``), which costs the courier
-    less, as it accepts them together. A client waits for each response before its next message, so the rate falls if
-    responses take long. Returns a list to which the status of each response is appended.
+    Each client takes the classes and the ``HOPS`` destinations in turn. The messages are evenly spaced, or sent by all
+    clients at the same time (``synchronized``), which costs the courier less, as it accepts them together. A client
+    waits for each response before its next message, so the rate falls if responses take long. Returns a list to which
+    the status of each response is appended.
     """
     loop, statuses, started_at = courier.loop, list[int](), courier.loop.now
 
