--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -57,7 +57,7 @@
 
 
 def number(value: float) -> str:
-    """Format with three significant digits and thousands separators."""
+    """Format with three significant digits, or from 100 on as an integer, with thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 100 or float(value).is_integer():
