--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "message"),
+    ("old", "new", "line", "message"),  # a text of VALID and its replacement; line and text of the error
     [
         ("for 9s", "for ever", 3, "lab.for: 'ever' will not do (wanted: a time"),
         ("limit 7", "limits 7", 5, "member m1.limits: unknown key (wanted: limit or pace or group)"),
