--- a/kestrelspar/cli/map.py
+++ b/kestrelspar/cli/map.py
@@ -439,7 +439,7 @@
 
     Each is ("add", None, entry), ("change", row, entry) or ("remove", row, None). With an origin, only entries of that
     origin are removed; without, all entries that are not in ``wanted``. Invalid entries stay. Raises ``CommandError``
-    for a name that several keys have, and for a wanted entry that differs from one of another origin.
+    for a wanted name that several keys have, and for a wanted entry that differs from one of another origin.
     """
     steps: list[tuple[str, Row | None, Any]] = []
     names = {entry.name for entry in wanted}
--- a/kestrelspar/lab/hollow.py
+++ b/kestrelspar/lab/hollow.py
@@ -49,7 +49,7 @@
 
     couriers: int  # hollow and real ones
     seed: int
-    rate: float = 1.0  # messages per second and courier, on average; 0: none, so no budgets are used either
+    rate: float = 1.0  # messages per second and courier, on average; 0: none, and a ``HollowCourier`` has no budgets
     failing: float = 0.001  # share of calls that fail; the same share is refused
     limits: dict[str, float] = {}  # by endpoint: calls per second
     spend: int = 90  # percent of each limit that the couriers share
