--- a/kestrelspar/lab/rig.py
+++ b/kestrelspar/lab/rig.py
@@ -248,17 +248,28 @@
 
 
 class Ports:
-    """Allocates ports below the kernel's ephemeral range, from a block chosen by the id of the rig's process.
+    """Allocates ports below the kernel's ephemeral range, from a block that only this rig uses.
 
     With other ports, another run or an outgoing connection could take a port between this check and the start of the
-    courier.
+    courier. The first port of a block is bound as long as the block is in use: a rig that finds it bound takes the next
+    block. Without that, two rigs of one block had the same addresses, and one of them sent its messages to the other's
+    couriers.
     """
 
     FIRST_PORT, BLOCK_SIZE, BLOCKS = 10_000, 256, 85
 
     def __init__(self) -> None:
-        first = self.FIRST_PORT + os.getpid() % self.BLOCKS * self.BLOCK_SIZE
-        self._remaining = iter(range(first, first + self.BLOCK_SIZE))
+        for number in range(self.BLOCKS):
+            first = self.FIRST_PORT + (os.getpid() + number) % self.BLOCKS * self.BLOCK_SIZE
+            self._reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            try:
+                self._reservation.bind(("127.0.0.1", first))
+            except OSError:
+                self._reservation.close()
+                continue
+            self._remaining = iter(range(first + 1, first + self.BLOCK_SIZE))
+            return
+        raise OSError(f"all {self.BLOCKS} port blocks from {self.FIRST_PORT} on are in use")
 
     def allocate(self, kind: socket.SocketKind) -> tuple[str, int]:
         """Return an unused loopback address; raise ``StopIteration`` if the block is exhausted."""
@@ -268,6 +279,10 @@
                 sock.bind(address)
                 return address
 
+    def close(self) -> None:
+        """Release the block."""
+        self._reservation.close()
+
 
 @dataclass
 class ExternalFleet:
@@ -381,6 +396,7 @@
                 node.process.send_signal(signal.SIGCONT)
                 node.process.kill()
                 node.process.wait()
+        self.ports.close()
 
     # Processes
 
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -5,6 +5,7 @@
 import json
 import re
 import signal
+import socket
 import subprocess
 import sys
 import threading
@@ -15,7 +16,7 @@
 import pytest
 
 from kestrelspar.lab import checkers
-from kestrelspar.lab.rig import KEY, Rig
+from kestrelspar.lab.rig import KEY, Ports, Rig
 from kestrelspar.peers.status_socket import query_status
 from kestrelspar.runtime.loop import MS, SECOND
 from tests.test_program import ROOT, TEST_TIMEOUT
@@ -226,3 +227,24 @@
         calls = rig.members["m1"].calls
         assert checkers.max_calls_per_second(calls, max(MS, SECOND - rig.loop.longest_turn)) > 15
         assert any("no end" in violation for violation in checkers.delivery_violations(rig.submissions, calls))
+
+
+def test_two_rigs_of_one_process_id_never_share_a_port() -> None:
+    # Guards against two rigs whose process ids have the same block: both allocated the same ports before their couriers
+    # listened, and one rig's messages went to the other's couriers.
+    rigs = Ports(), Ports()
+    allocated = [
+        {ports.allocate(kind) for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM) for _ in range(50)} for ports in rigs
+    ]
+    assert not allocated[0] & allocated[1]
+    for ports in rigs:
+        ports.close()
+
+
+def test_a_block_of_ports_is_used_again_once_it_is_released() -> None:
+    first = Ports()
+    address = first.allocate(socket.SOCK_STREAM)
+    first.close()
+    second = Ports()
+    assert second.allocate(socket.SOCK_STREAM) == address
+    second.close()
